--- a/bench/replay.py
+++ b/bench/replay.py
@@ -40,7 +40,7 @@
     Submission,
 )
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import longest_lease
+from dandelionreel.cell.owner._predecessor_leases import lease_upper_bound
 from dandelionreel.cell.store import BookedJob
 
 #: Seconds: an order's way, a stop, a restart from a checkpoint, and between plans.
@@ -387,7 +387,7 @@
                 state.suspect = True
                 self._unseen_by_runner[state.id] = []
         self._later(LEASE_SECONDS - LEASE_AGE, self._lapse)
-        self._later(longest_lease(LEASE_SECONDS), self._expire_leases)
+        self._later(lease_upper_bound(LEASE_SECONDS), self._expire_leases)
         self._later(cut.seconds, self._reconnect)
 
     def _lapse(self) -> None:
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -24,7 +24,7 @@
 from dandelionreel.cell.owner._orders import Orders
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.owner._parts import DispatcherParts
-from dandelionreel.cell.owner._rounds import Rounds
+from dandelionreel.cell.owner._periodic_checks import PeriodicChecks
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
 from dandelionreel.cell.store import BookedJob, Written
 from dandelionreel.kernel import Part, start_task
@@ -91,7 +91,7 @@
             parts.host,
         ).is_confirmed
         self._load = LoadReport(self.cell, self._pool, parts.journal)
-        self._rounds = Rounds(parts, self._owner_context, self._load)
+        self._periodic_checks = PeriodicChecks(parts, self._owner_context, self._load)
 
     @property
     def acting(self) -> bool:
@@ -123,9 +123,9 @@
                 self._completion_gossip.run,
             ):
                 await start_task(stack, work)
-            await start_task(stack, self._rounds.run, stack)
+            await start_task(stack, self._periodic_checks.run, stack)
             await self._owner_context.ended.wait()
-            if not self._owner_context.lost and not await self._rounds.leave():
+            if not self._owner_context.lost and not await self._periodic_checks.leave():
                 await self._release()
         self._journal.tell(
             Part.OWNERSHIP,
@@ -235,7 +235,7 @@
     def _begin(self) -> None:
         """Take what the store knows; wait for the runners that may hold more."""
         parts = self._parts
-        self._rounds.begin(self._clock.monotonic())
+        self._periodic_checks.begin(self._clock.monotonic())
         book = parts.jobs.book
         book.take_changed()
         # In the order in which they came: an account may expect its first ones to be served.
@@ -253,7 +253,7 @@
         """
         if not self.cell.unseen:
             return 0.0
-        left = self._rounds.predecessors.until - self._clock.monotonic()
+        left = self._periodic_checks.predecessor_leases.end_at - self._clock.monotonic()
         return round(max(0.0, left), 2)
 
     async def _beat(self) -> None:
--- a/dandelionreel/cell/owner/_rounds.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -15,7 +15,7 @@
 from dandelionreel.cell.owner._load_report import LoadReport
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.owner._parts import DispatcherParts
-from dandelionreel.cell.owner._predecessors import Predecessors
+from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.cell.owner._succession import Succession
 from dandelionreel.kernel import Part, seconds_or_none, start_task
@@ -26,7 +26,7 @@
 DROP_SECONDS = 5.0
 
 
-class Rounds:
+class PeriodicChecks:
     """Goes round runners, gangs, former owners' tasks and old jobs during one term."""
 
     def __init__(self, parts: DispatcherParts, context: OwnerContext, load: LoadReport) -> None:
@@ -46,7 +46,9 @@
             parts.election,
             parts.host,
         )
-        self.predecessors = Predecessors(context.term, context.lease, parts.clock.monotonic())
+        self.predecessor_leases = PredecessorLeases(
+            context.term, context.lease, parts.clock.monotonic()
+        )
         self._began_at = parts.clock.monotonic()
         self._dropped_at = float('-inf')
         self._knew_runners = True
@@ -108,9 +110,9 @@
         if not self._cell.unseen:
             return
         await self._give_up_outlived()
-        if self.predecessors.look(self._parts.jobs.book, now):
+        if self.predecessor_leases.shorten_if_ended(self._parts.jobs.book, now):
             self._tell_unseen('finds that the former owner has ended.', now)
-        if now > self.predecessors.until:
+        if now > self.predecessor_leases.end_at:
             unseen = tuple(self._cell.unseen)
             confirmed = [runner for runner in unseen if await self._is_confirmed(runner)]
             if confirmed:
@@ -146,9 +148,9 @@
             sentence,
             epoch=self._owner_context.term.epoch,
             runners=sorted(self._cell.unseen),
-            seconds=round(self.predecessors.until - now, 3),
-            former_silent=round(self.predecessors.silent, 3),
-            former_ended=self.predecessors.ended,
+            seconds=round(self.predecessor_leases.end_at - now, 3),
+            former_silent=round(self.predecessor_leases.silent, 3),
+            former_ended=self.predecessor_leases.ended,
             unsettled=self._owner_context.term.unsettled,
         )
 
--- a/dandelionreel/cell/owner/_predecessors.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -12,7 +12,7 @@
 READING_AGE = 2.2
 
 
-def longest_lease(seconds: float) -> float:
+def lease_upper_bound(seconds: float) -> float:
     """Return for how long a lease may hold on a runner whose clock is slow.
 
     It ends at a time on the runner's clock, which the owner has extrapolated from
@@ -21,23 +21,23 @@
     return (seconds + READING_AGE * CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
 
 
-class Predecessors:
+class PredecessorLeases:
     """The wait for the leases of all earlier owners, at the start of a term."""
 
     def __init__(self, term: Term, lease: float, now: float) -> None:
         """Wait from ``now`` on; earlier owners grant leases of ``lease`` seconds."""
         self._former = term.former
-        self._lease = longest_lease(lease)
+        self._lease = lease_upper_bound(lease)
         # A former owner that was killed may itself have followed one that was cut
         # off and still renews leases.
-        self._earlier_until = now + term.unsettled
+        self._earlier_leases_end_at = now + term.unsettled
         self.silent = 0.0 if term.silent_since is None else now - term.silent_since
         self.ended = term.released or term.former_ended
         rest = 0.0 if self.ended else max(0.0, AUTHORITY_SECONDS - self.silent)
         #: When every lease of an earlier owner must be over, in monotonic seconds.
-        self.until = max(now + rest + self._lease, self._earlier_until)
+        self.end_at = max(now + rest + self._lease, self._earlier_leases_end_at)
 
-    def look(self, book: JobBook, now: float) -> bool:
+    def shorten_if_ended(self, book: JobBook, now: float) -> bool:
         """Return whether the former owner is found to have ended only now.
 
         Its host has come back with another process, so the old one renews nothing
@@ -46,5 +46,5 @@
         if self.ended or self._former is None or not book.has_ended(self._former):
             return False
         self.ended = True
-        self.until = min(self.until, max(now + self._lease, self._earlier_until))
+        self.end_at = min(self.end_at, max(now + self._lease, self._earlier_leases_end_at))
         return True
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -117,7 +117,7 @@
 def go_round(context):
     async def see_runners():
         async with AsyncExitStack() as stack:
-            await context.dispatcher._rounds._see_runners(stack)
+            await context.dispatcher._periodic_checks._see_runners(stack)
 
     curio.run(see_runners)
 
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -130,7 +130,7 @@
     lines = Lines()
     host = Host('me', MemoryTopic())
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
-    rounds = dispatcher._rounds
+    rounds = dispatcher._periodic_checks
     rounds._owner_context, rounds._journal = context.owner, lines
     rounds._tell_list_age()
     rounds._tell_list_age()
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -8,7 +8,7 @@
 from dandelionreel.cell.model import RecordBatch, WriterFence
 from dandelionreel.cell.model._records import MEMBER, OWNER_KEY, Member, Owner, make_record
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import Predecessors
+from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases
 from dandelionreel.kernel import ManualClock
 from features.client_parts import make_call
 from features.steps.release_steps import SlowTopic
@@ -45,7 +45,7 @@
     now = me.clock.monotonic() + 1.5
     heard_at = other.folder.owner_heard_at
     term = Term(2, 'other/1', WriterFence(2, 1), heard_at, False, False)
-    context.given_up = Predecessors(term, LEASE_SECONDS, now).until
+    context.given_up = PredecessorLeases(term, LEASE_SECONDS, now).end_at
 
 
 @then('its last leases are over when a successor gives them up')
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -7,7 +7,7 @@
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import Predecessors
+from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases
 from features.cell_parts import make_registration
 
 TOLD_AT = 1000.0
@@ -25,7 +25,7 @@
     lease_until = context.state.extend_lease(context.now, LEASE_SECONDS)
     context.runs_out = TOLD_AT + lease_until / (1 - CLOCK_DRIFT)
     term = Term(2, 'me/1', WriterFence(2, 1), context.now, True, False)
-    context.given_up = Predecessors(term, LEASE_SECONDS, context.now).until
+    context.given_up = PredecessorLeases(term, LEASE_SECONDS, context.now).end_at
 
 
 @then('its successor does not give it up before it has run out')
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -289,4 +289,4 @@
 
 @then('it leaves jobs on unseen runners alone for {wait:g} s')
 def leaves_alone(context, wait):
-    assert abs(context.dispatcher._rounds.predecessors.until - 1000 - wait) < 0.01
+    assert abs(context.dispatcher._periodic_checks.predecessor_leases.end_at - 1000 - wait) < 0.01
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -55,8 +55,8 @@
 @then('the third owner waits no less than the successor would have')
 def waits_as_long(context):
     assert context.third.cell.unseen == {'w9'}
-    wanted = context.dispatcher._rounds.predecessors.until
-    given_up = context.third._rounds.predecessors.until
+    wanted = context.dispatcher._periodic_checks.predecessor_leases.end_at
+    given_up = context.third._periodic_checks.predecessor_leases.end_at
     assert given_up >= wanted - 0.05, f'{wanted - given_up:.3f} s too early'
 
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -45,7 +45,7 @@
 def waits_for_all(context):
     # The owner's last append was answered before the host read the store at all.
     last_lease = context.began + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
-    assert context.dispatcher._rounds.predecessors.until >= last_lease
+    assert context.dispatcher._periodic_checks.predecessor_leases.end_at >= last_lease
 
 
 @given('a successor that waits for the runner w9, whose entry it has never seen')
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -20,7 +20,7 @@
 )
 from dandelionreel.cell.model._services import RecordBatch
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import Predecessors, longest_lease
+from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases, lease_upper_bound
 from dandelionreel.cell.store._directory import JobFolder
 from dandelionreel.cell.store._job_book import JobBook
 from dandelionreel.kernel import ManualClock
@@ -57,7 +57,7 @@
 def left_alone_for_all(context):
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
-    give_up = context.dispatcher._rounds._give_up_unseen
+    give_up = context.dispatcher._periodic_checks._give_up_unseen
     curio.run(give_up, context.began + ALL_LEASES)
     assert cell.is_blocked(job)
     curio.run(give_up, context.began + ALL_LEASES + LEASE_SECONDS)
@@ -66,7 +66,7 @@
 
 @given('the longest lease that an owner may grant at the end of its authority')
 def longest(context):
-    context.longest = AUTHORITY_SECONDS + longest_lease(LEASE_SECONDS)
+    context.longest = AUTHORITY_SECONDS + lease_upper_bound(LEASE_SECONDS)
 
 
 @then('a claim says that it may last as long')
@@ -78,18 +78,18 @@
 def wait_for_owner(context):
     former = Owner(1, 'other', 'other/1')
     term = Term(2, 'me/1', WriterFence(2, 1), 1000.0, False, False, former=former)
-    context.wait = Predecessors(term, LEASE_SECONDS, 1000.0)
-    context.until = context.wait.until
+    context.wait = PredecessorLeases(term, LEASE_SECONDS, 1000.0)
+    context.until = context.wait.end_at
 
 
 @when('its successor looks for a proof that it has ended and finds none')
 def no_proof(context):
-    assert not context.wait.look(JobBook(), 1001.0)
+    assert not context.wait.shorten_if_ended(JobBook(), 1001.0)
 
 
 @then('the wait is as long as before')
 def as_long(context):
-    assert context.wait.until == context.until >= 1000.0 + ALL_LEASES
+    assert context.wait.end_at == context.until >= 1000.0 + ALL_LEASES
 
 
 @given('a host that has known the owner for long')
