--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -18,7 +18,7 @@
 #: Seconds for a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
 ANSWER_SECONDS = 0.25
 #: Jobs that one line names: at 20 bytes each it stays within 2 KB.
-MOST_NAMED = 80
+MAX_LOGGED = 80
 IDLE_SECONDS = 1.0
 
 
@@ -44,15 +44,15 @@
     async def run(self) -> None:
         """Tell peers of each job that the store is too slow to learn of, for ever."""
         while True:
-            seen = self._owner_context.completed.count
+            seen = self._owner_context.completions_changed.count
             await curio.sleep(STORE_SECONDS)
-            unstored = set(self._owner_context.unstored_complete)
+            unstored = set(self._owner_context.unstored_completions)
             self._told &= unstored
             fresh = tuple(sorted(unstored - self._told))
             if fresh:
                 self._told.update(fresh)
                 await self._tell(fresh)
-            await self._owner_context.completed.wait(seen, IDLE_SECONDS)
+            await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def begin(self) -> None:
         """Leave jobs that had begun alone until peers have been asked."""
@@ -65,7 +65,7 @@
         self._owner_context.cell.take_complete(known)
         await self.ask_all(self._peers())
         self._owner_context.cell.awaits_completions = False
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
 
     async def ask_all(self, peers: Iterable[tuple[str, Member]]) -> bool:
         """Take what peers know, asked at the same time; return whether any has answered."""
@@ -102,7 +102,7 @@
             self._owner_context.journal.tell_frequent(
                 Part.JOBS,
                 'shown as complete before the store knows it.',
-                jobs=fresh[:MOST_NAMED],
+                jobs=fresh[:MAX_LOGGED],
                 count=len(fresh),
                 peer=host,
                 epoch=self._owner_context.term.epoch,
@@ -129,7 +129,7 @@
             self._owner_context.journal.tell(
                 Part.JOBS,
                 f'{host} knows jobs to be complete that the store does not.',
-                jobs=taken[:MOST_NAMED],
+                jobs=taken[:MAX_LOGGED],
                 count=len(taken),
                 epoch=self._owner_context.term.epoch,
             )
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -21,7 +21,7 @@
 )
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
 from dandelionreel.cell.owner._load_report import LoadReport
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.owner._periodic_checks import PeriodicChecks
@@ -63,9 +63,9 @@
             parts.longest_lease,
             parts.clock,
             parts.journal,
-            parts.list_age,
+            parts.get_runner_list_age,
         )
-        self._orders = Orders(self._owner_context)
+        self._order_sender = OrderSender(self._owner_context)
         self._planner = Planner(self.cell)
         self._pool = AdvicePool(
             parts.host,
@@ -84,7 +84,7 @@
             parts.completions,
             parts.host,
         )
-        self._owner_context.confirms = ZoneConfirmation(
+        self._owner_context.confirm_zone = ZoneConfirmation(
             self._owner_context,
             parts.jobs.book,
             self._completion_gossip,
@@ -94,7 +94,7 @@
         self._periodic_checks = PeriodicChecks(parts, self._owner_context, self._load)
 
     @property
-    def acting(self) -> bool:
+    def may_act(self) -> bool:
         """Return whether this host still has the right to act as the owner."""
         return self._owner_context.may_act()
 
@@ -125,11 +125,11 @@
                 await start_task(stack, work)
             await start_task(stack, self._periodic_checks.run, stack)
             await self._owner_context.ended.wait()
-            if not self._owner_context.lost and not await self._periodic_checks.leave():
+            if not self._owner_context.end_reason and not await self._periodic_checks.leave():
                 await self._release()
         self._journal.tell(
             Part.OWNERSHIP,
-            f'does not own the cell any more: {self._owner_context.lost}.',
+            f'does not own the cell any more: {self._owner_context.end_reason}.',
             epoch=self._owner_context.term.epoch,
         )
 
@@ -155,7 +155,7 @@
         slow = self._owner_context.writer.usual_seconds > SLOW_SECONDS
         if slow:
             job.runners.add(ANY_RUNNER)
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
         writing = await curio.spawn(self._finish_accept, job, record, slow, daemon=True)
         outcome = await curio.ignore_after(patience, writing.join)
         return outcome or Written.UNKNOWN
@@ -178,7 +178,7 @@
             count=len(taken),
             epoch=self._owner_context.term.epoch,
         )
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
 
     def state_of(self, job_id: str) -> JobState | None:
         """Return what clients are told about a job, ``None`` if it is not known."""
@@ -207,14 +207,14 @@
             job.stored = True
         elif outcome is Written.REFUSED and not job.stored:
             self.cell.forget_job(job.id, self._clock.wall())
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
         return outcome
 
     async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> Written:
         outcome = await self._owner_context.writer.write([record], REFUSE_SECONDS)
         if outcome is Written.STORED:
             self.cell.cancel(job_id)
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
         return outcome
 
     async def _release(self) -> None:
@@ -224,7 +224,7 @@
         may be started or renewed while the answer is out.
         """
         await self._owner_context.flush()
-        self._owner_context.lost = 'released'
+        self._owner_context.end_reason = 'released'
         owner = self._owner_context.term.record(
             unsettled=self._unsettled(),
             released=True,
@@ -260,7 +260,7 @@
         """Store heartbeats until the term ends; one behind the release would undo it."""
         beat = 0
         stored: frozenset[str] = frozenset()
-        while not self._owner_context.lost:
+        while not self._owner_context.end_reason:
             beat += 1
             version = self._parts.configuration.version
             owner = self._owner_context.term.record(beat, self._unsettled(), version=version)
@@ -273,7 +273,7 @@
                 records.append(make_record(ATTENDED_KEY, fact))
             outcome = await self._owner_context.store_progress(self.cell.take_dirty(), *records)
             if outcome is Written.FENCED:
-                await self._owner_context.lose('another host has written with a higher epoch')
+                await self._owner_context.end_term('another host has written with a higher epoch')
                 return
             if outcome is Written.STORED:
                 stored = attended
@@ -285,7 +285,7 @@
         for runner_id, state in self.cell.runner_by_id.items():
             if runner_id in stored and not state.recorded:
                 state.recorded = True
-                await self._owner_context.wake.notify()
+                await self._owner_context.plan_needed.notify()
 
     async def _feed(self) -> None:
         """Take news of jobs as the log tells them."""
@@ -294,13 +294,13 @@
         while True:
             seen = follower.changed.count
             if not self._parts.election.still_owner(self._owner_context.term):
-                await self._owner_context.lose('the store names another owner')
+                await self._owner_context.end_term('the store names another owner')
                 return
             changed = book.take_changed()
             for job_id in changed:
                 self._see_job(job_id)
             if changed:
-                await self._owner_context.wake.notify()
+                await self._owner_context.plan_needed.notify()
             await follower.changed.wait(seen, 1.0)
 
     def _see_job(self, job_id: str) -> None:
@@ -328,12 +328,12 @@
 
     async def _plan(self) -> None:
         while True:
-            seen = self._owner_context.wake.count
+            seen = self._owner_context.plan_needed.count
             if self._owner_context.may_start():
                 await self._plan_once()
             else:
                 await self._send_stops()
-            await self._owner_context.wake.wait(seen, 1.0)
+            await self._owner_context.plan_needed.wait(seen, 1.0)
 
     async def _plan_once(self) -> None:
         """Plan, and send all that was decided, though the right to start may end meanwhile.
@@ -343,13 +343,13 @@
         """
         began = self._clock.monotonic()
         made = self._planner.plan(
-            began, self._clock.wall(), self._pool.free_for_patient, self._orders.free
+            began, self._clock.wall(), self._pool.free_for_patient, self._order_sender.free
         )
         self._load.note_plan(made, self._clock.monotonic() - began)
         await self._send_stops()
         self._tell_preempted(made)
         self._log_held(made)
-        await self._orders.send_starts(made.starts)
+        await self._order_sender.send_starts(made.starts)
         for question in made.questions:
             await self._pool.ask(question)
         spent = self._clock.monotonic() - began
@@ -357,7 +357,7 @@
 
     async def _send_stops(self) -> None:
         for allocation in self.cell.take_stops():
-            await curio.spawn(self._orders.send_stop, allocation, daemon=True)
+            await curio.spawn(self._order_sender.send_stop, allocation, daemon=True)
 
     def _tell_preempted(self, made: Plan) -> None:
         for allocation in made.preempted:
@@ -399,7 +399,7 @@
             step=question.step.step,
             valid=round(until - self._clock.monotonic(), 3),
         )
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
 
     async def _miss_advice(self, question: AdviceRequest) -> None:
         not_before = self._clock.monotonic() + REQUEST_PAUSE
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -28,19 +28,19 @@
 #: Seconds for which a runner that could not be reached gets no start.
 UNREACHED_QUIET = 0.3
 #: Starts that may be under way at the same time.
-MOST_UNDER_WAY = 64
+MAX_PENDING_STARTS = 64
 #: Seconds for the answer to a start above which it is logged.
 SLOW_ANSWER = 0.1
 
 
-class Orders:
+class OrderSender:
     """Sends what the planner has decided."""
 
     def __init__(self, context: OwnerContext) -> None:
         """Send on behalf of ``context``."""
         self._owner_context = context
         #: Starts that were decided and are not answered yet.
-        self._under_way = 0
+        self._pending_starts = 0
         self._was_full = False
 
     @property
@@ -50,14 +50,14 @@
         An owner that is short of processor time would else send the urgent ones behind many
         others, by tickets that expire meanwhile.
         """
-        return max(0, MOST_UNDER_WAY - self._under_way)
+        return max(0, MAX_PENDING_STARTS - self._pending_starts)
 
     async def send_starts(self, allocations: list[Allocation]) -> None:
         """Send starts; first store the runners that are new to their jobs.
 
         Starts of tasks under which runners have crashed are stored one by one.
         """
-        self._under_way += len(allocations)
+        self._pending_starts += len(allocations)
         unstored: dict[str, list[Allocation]] = {}
         for allocation in allocations:
             job = self._owner_context.cell.job_by_id.get(allocation.task.job)
@@ -87,7 +87,7 @@
                 await curio.sleep(RESTOP_SECONDS)
                 continue
             except RunnerFenced:
-                await self._owner_context.lose(f'{allocation.runner} has seen a higher epoch')
+                await self._owner_context.end_term(f'{allocation.runner} has seen a higher epoch')
                 return
             except RunnerReplaced:
                 await self._end_replaced(state)
@@ -138,11 +138,11 @@
 
     async def _note_settled(self) -> None:
         self._was_full = self._was_full or not self.free
-        self._under_way -= 1
+        self._pending_starts -= 1
         # Plans for one start each would take the time that the starts need.
-        if self._was_full and self._under_way <= MOST_UNDER_WAY // 2:
+        if self._was_full and self._pending_starts <= MAX_PENDING_STARTS // 2:
             self._was_full = False
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
 
     async def _send_start(self, allocation: Allocation) -> None:
         state = self._owner_context.cell.runner_by_id.get(allocation.runner)
@@ -166,7 +166,7 @@
             if state.suspect:
                 state.quiet_until = self._owner_context.clock.monotonic() + UNREACHED_QUIET
             self._owner_context.cell.withdraw(allocation)
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
 
     def _fields(self, allocation: Allocation) -> dict[str, Any]:
         return self._owner_context.run_fields(allocation.runner, allocation.task, allocation.run)
@@ -248,7 +248,7 @@
         return not allocation.ticket or cell.tickets.is_valid(step, allocation.runner, now)
 
     async def _end_replaced(self, state: RunnerState) -> None:
-        if await self._owner_context.confirms(state.registration.zone, state.answered_at):
+        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
             self._owner_context.end_runner(state, 'another runner answers there', proven=True)
             return
         # The next poll finds the same, and asks again.
@@ -300,7 +300,7 @@
         in_doubt: bool,
     ) -> None:
         if reply is StartReply.FENCED:
-            await self._owner_context.lose(f'{state.id} has seen a higher epoch')
+            await self._owner_context.end_term(f'{state.id} has seen a higher epoch')
             return
         if reply is StartReply.REPLACED:
             if not in_doubt:
@@ -316,4 +316,4 @@
                 f'a start was refused: {reply.value}.',
                 **self._fields(allocation),
             )
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -33,8 +33,8 @@
 #: Lost runs that are logged when their runner ends.
 MAX_LOGGED = 40
 
-ListAge = Callable[[], float]
-Confirms = Callable[[str, float], Awaitable[bool]]
+GetRunnerListAge = Callable[[], float]
+ConfirmZone = Callable[[str, float], Awaitable[bool]]
 MakeRunner = Callable[[Registration], Runner]
 
 
@@ -60,7 +60,7 @@
         longest_lease: float,
         clock: Clock,
         journal: Journal,
-        list_age: ListAge = always_fresh,
+        get_runner_list_age: GetRunnerListAge = always_fresh,
     ) -> None:
         """Work under ``term``; leases are cut to ``longest_lease`` seconds.
 
@@ -75,25 +75,25 @@
         claimed_at = term.claimed_at
         self.writer.stored_at = clock.monotonic() if claimed_at is None else claimed_at
         #: Notified whenever something may be started or has to be stopped.
-        self.wake = Signal()
+        self.plan_needed = Signal()
         self.ended = curio.Event()
         #: Jobs that are complete and on their way to the store; ``completed`` is notified
         #: when there are more.
-        self.unstored_complete: set[str] = set()
-        self.completed = Signal()
+        self.unstored_completions: set[str] = set()
+        self.completions_changed = Signal()
         #: Why the term was lost, empty while it was not.
-        self.lost = ''
+        self.end_reason = ''
         self.runner_by_id: dict[str, Runner] = {}
-        self.list_age = list_age
+        self.get_runner_list_age = get_runner_list_age
         self._make_runner = make_runner
         #: Whether hosts of a zone whose runner is silent since a time have told what they
         #: have shown; until then nothing that ran there counts as lost.
-        self.confirms: Confirms = always_confirmed
+        self.confirm_zone: ConfirmZone = always_confirmed
 
-    async def lose(self, cause: str) -> None:
+    async def end_term(self, cause: str) -> None:
         """End the term: another host owns the cell, or may."""
-        if not self.lost:
-            self.lost = cause
+        if not self.end_reason:
+            self.end_reason = cause
         await self.ended.set()
 
     def may_act(self) -> bool:
@@ -103,7 +103,7 @@
         its orders are then fenced by the runners its successor has reached,
         and this ends them on those that it has not.
         """
-        if self.lost or self.writer.fenced:
+        if self.end_reason or self.writer.fenced:
             return False
         return self.clock.monotonic() - self.writer.stored_at < AUTHORITY_SECONDS
 
@@ -115,13 +115,13 @@
         Starting a task again here would run it after such an end was noted.
         """
         fresh = self.clock.monotonic() - self.writer.stored_at < START_SECONDS
-        return fresh and self.knows_runners() and self.may_act()
+        return fresh and self.runner_list_is_fresh() and self.may_act()
 
-    def knows_runners(self) -> bool:
+    def runner_list_is_fresh(self) -> bool:
         """Return whether the list of runners is new enough to start by it."""
-        return self.list_age() < LIST_SECONDS
+        return self.get_runner_list_age() < LIST_SECONDS
 
-    def leases_ran_out(self, state: RunnerState) -> bool:
+    def leases_expired(self, state: RunnerState) -> bool:
         """Return whether a runner's tasks are gone because nobody renewed them.
 
         A successor may renew them unseen. The latest append proves that there
@@ -148,7 +148,7 @@
         outcome = await self.writer.write(records, patience)
         for job, progress in progress_by_job.items():
             if outcome is Written.STORED:
-                self.unstored_complete.discard(job.id)
+                self.unstored_completions.discard(job.id)
                 job.stored_state = progress.state
                 job.stored_runners.update(progress.runners)
             else:
@@ -174,9 +174,9 @@
             tasks=len(state.allocation_by_run),
         )
         self._tell_lost(state)
-        self.tell_crashes(self.cell.runner_ended(state.id, proven=proven))
+        self.log_crashes(self.cell.runner_ended(state.id, proven=proven))
 
-    def lapse_runner(self, state: RunnerState) -> None:
+    def expire_runner_leases(self, state: RunnerState) -> None:
         """Take all that runs on a silent runner for gone: its leases have run out."""
         self.journal.tell(
             Part.WORKERS,
@@ -188,7 +188,7 @@
         self._tell_lost(state)
         self.cell.runner_lapsed(state.id)
 
-    def tell_crashes(self, crashes: list[Crash]) -> None:
+    def log_crashes(self, crashes: list[Crash]) -> None:
         """Tell under which runs a runner has crashed, and which task is given up for it."""
         for crash in crashes:
             outcome = 'its job is given up' if crash.given_up else 'it starts again'
@@ -228,8 +228,8 @@
             if progress.state is JobState.COMPLETED
         ]
         if complete:
-            self.unstored_complete.update(complete)
-            await self.completed.notify()
+            self.unstored_completions.update(complete)
+            await self.completions_changed.notify()
 
     def _tell_lost(self, state: RunnerState) -> None:
         """Tell what is lost with a runner, and how long each run had been there.
--- a/dandelionreel/cell/owner/_parts.py
+++ b/dandelionreel/cell/owner/_parts.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.cell.membership import Completions, Election, LocalAdvisor, PeerLinks
 from dandelionreel.cell.model import Topic
-from dandelionreel.cell.owner._owner_context import ListAge, MakeRunner, always_fresh
+from dandelionreel.cell.owner._owner_context import GetRunnerListAge, MakeRunner, always_fresh
 from dandelionreel.cell.store import ConfigurationFolder, Follower, JobFolder, RunnersFolder
 from dandelionreel.kernel import Clock, Journal
 
@@ -30,4 +30,4 @@
     longest_lease: float
     status_kept: float
     #: How old the list of runners is, in seconds.
-    list_age: ListAge = always_fresh
+    get_runner_list_age: GetRunnerListAge = always_fresh
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -51,7 +51,7 @@
         )
         self._began_at = parts.clock.monotonic()
         self._dropped_at = float('-inf')
-        self._knew_runners = True
+        self._runner_list_was_fresh = True
 
     async def leave(self) -> bool:
         """Have a peer take the cell over; return whether one has."""
@@ -67,33 +67,33 @@
         """Go round until the term is lost; tasks for new runners end with ``stack``."""
         while True:
             if not self._owner_context.may_act():
-                await self._owner_context.lose('the store has not answered for too long')
+                await self._owner_context.end_term('the store has not answered for too long')
                 return
             await self._go_round(stack, self._clock.monotonic())
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
             await curio.sleep(ROUND_SECONDS)
 
     async def _go_round(self, stack: AsyncExitStack, now: float) -> None:
         await self._succession.look(now)
         self._cell.configuration = self._parts.configuration.current
-        self._tell_list_age()
+        self._log_runner_list_age()
         await self._see_runners(stack)
         await self._give_up_unseen(now)
         self._stop_doomed(now)
         self._load.look(now, self._clock.wall(), self._owner_context.term.epoch)
         await self._drop_old_jobs()
 
-    def _tell_list_age(self) -> None:
-        knows = self._owner_context.knows_runners()
-        if knows is self._knew_runners:
+    def _log_runner_list_age(self) -> None:
+        knows = self._owner_context.runner_list_is_fresh()
+        if knows is self._runner_list_was_fresh:
             return
-        self._knew_runners = knows
+        self._runner_list_was_fresh = knows
         outcome = 'starts tasks again' if knows else 'starts nothing'
         self._journal.tell(
             Part.PLACEMENT,
             f'{outcome}, by the age of the list of runners.',
             epoch=self._owner_context.term.epoch,
-            list_age=seconds_or_none(self._owner_context.list_age()),
+            list_age=seconds_or_none(self._owner_context.get_runner_list_age()),
         )
 
     def _expect_former_runs(self, now: float) -> None:
@@ -117,13 +117,13 @@
             confirmed = [runner for runner in unseen if await self._is_confirmed(runner)]
             if confirmed:
                 self._tell_unseen('takes the leases on unseen runners for run out.', now)
-                self._owner_context.tell_crashes(self._cell.give_up_unseen(confirmed))
+                self._owner_context.log_crashes(self._cell.give_up_unseen(confirmed))
 
     async def _give_up_outlived(self) -> None:
         """Take the tasks on incarnations for gone that have been followed by a later one."""
         gone = []
         for incarnation, later in self._cell.find_outlived().items():
-            if await self._owner_context.confirms(later.registration.zone, self._began_at):
+            if await self._owner_context.confirm_zone(later.registration.zone, self._began_at):
                 gone.append(incarnation)
         if not gone:
             return
@@ -133,14 +133,14 @@
             epoch=self._owner_context.term.epoch,
             runners=gone,
         )
-        self._owner_context.tell_crashes(self._cell.give_up_unseen(gone))
+        self._owner_context.log_crashes(self._cell.give_up_unseen(gone))
 
     async def _is_confirmed(self, runner: str) -> bool:
         """Return whether the zone of an unseen runner has told what it has shown."""
         registration = self._parts.runners.find(runner)
         if registration is None:
             return True
-        return await self._owner_context.confirms(registration.zone, self._began_at)
+        return await self._owner_context.confirm_zone(registration.zone, self._began_at)
 
     def _tell_unseen(self, sentence: str, now: float) -> None:
         self._journal.tell(
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -28,7 +28,7 @@
 #: breaks gets nothing at once, as its process has probably ended.
 SUSPECT_SECONDS = 0.8
 #: Runs that one line names.
-MOST_NAMED = 40
+MAX_LOGGED = 40
 
 
 class RunnerPoller:
@@ -59,7 +59,7 @@
                 self._owner_context.term.epoch, acknowledged, lease_until, wait
             )
         except RunnerFenced:
-            await self._owner_context.lose(f'{state.id} has seen a higher epoch')
+            await self._owner_context.end_term(f'{state.id} has seen a higher epoch')
             return
         except RunnerReplaced:
             await self._end_replaced(state)
@@ -76,7 +76,7 @@
         was_usable = state.usable(asked)
         effect = self._take_view(state, view, asked)
         if effect.is_news or not was_usable:
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
         if effect.ended or unstored:
             await self._store_ends(state, effect)
             if unstored and state.acknowledged < state.acknowledgeable:
@@ -95,7 +95,7 @@
         unseen = state.id in self._owner_context.cell.unseen
         effect = self._owner_context.cell.viewed(state, view, asked, now)
         self._tell_effect(state, effect, now)
-        self._owner_context.tell_crashes(effect.crashes)
+        self._owner_context.log_crashes(effect.crashes)
         self._tell_readable(state, view)
         # The first poll of a term also tells that nothing was found: what an earlier
         # owner had sent there never came, and may be started elsewhere.
@@ -144,7 +144,7 @@
             Part.WORKERS,
             f'ends on {state.id}: {outcome.value}.',
             runner=state.id,
-            jobs=jobs[:MOST_NAMED],
+            jobs=jobs[:MAX_LOGGED],
             number=number,
             acknowledged=state.acknowledged,
             epoch=self._owner_context.term.epoch,
@@ -165,7 +165,7 @@
                 tasks=len(state.allocation_by_run),
                 epoch=self._owner_context.term.epoch,
             )
-        if state.allocation_by_run and self._owner_context.leases_ran_out(state):
+        if state.allocation_by_run and self._owner_context.leases_expired(state):
             await self._lapse(state)
         if (
             not state.listed
@@ -182,15 +182,15 @@
         await curio.sleep(POLL_RETRY_SECONDS)
 
     async def _end_replaced(self, state: RunnerState) -> None:
-        if await self._owner_context.confirms(state.registration.zone, state.answered_at):
+        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
             self._owner_context.end_runner(state, 'another runner answers there', proven=True)
             return
         state.suspect = True
         await curio.sleep(POLL_RETRY_SECONDS)
 
     async def _lapse(self, state: RunnerState) -> None:
-        if await self._owner_context.confirms(state.registration.zone, state.answered_at):
-            self._owner_context.lapse_runner(state)
+        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
+            self._owner_context.expire_runner_leases(state)
 
     def _tell_readable(self, state: RunnerState, view: RunnerView) -> None:
         if view.complete is state.readable:
@@ -237,7 +237,7 @@
             first=first,
             found=[
                 f'{one.task.job}/{one.task.label} {one.run} {one.phase.value}'
-                for one in found[:MOST_NAMED]
+                for one in found[:MAX_LOGGED]
             ],
         )
 
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -69,9 +69,9 @@
         if not any(task.result for task in asks):
             return False
         until = self._owner_context.clock.monotonic() + LEAVE_SECONDS
-        while not self._owner_context.lost and self._owner_context.clock.monotonic() < until:
+        while not self._owner_context.end_reason and self._owner_context.clock.monotonic() < until:
             await curio.sleep(POLL_SECONDS)
-        return bool(self._owner_context.lost)
+        return bool(self._owner_context.end_reason)
 
     async def _ask_when_refused(self, now: float) -> None:
         """Have peers claim the cell while the store serves them and not this host."""
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -253,13 +253,13 @@
 
     async def _answer_asked(self, frame: Frame) -> Message:
         dispatcher = self._dispatcher
-        acting = dispatcher is not None and dispatcher.acting and not dispatcher.store_is_failing
+        acting = dispatcher is not None and dispatcher.may_act and not dispatcher.store_is_failing
         ready = self._may_own() and self._reads.complete
         return self._election.answer_asked(frame, acting, ready)
 
     async def _take_completions(self, jobs: tuple[str, ...]) -> bool:
         dispatcher = self._dispatcher
-        if dispatcher is None or not dispatcher.acting:
+        if dispatcher is None or not dispatcher.may_act:
             return False
         await dispatcher.take_complete(jobs)
         return True
@@ -306,7 +306,7 @@
             gang_timeout=settings.gang_timeout,
             longest_lease=settings.longest_lease,
             status_kept=settings.status_kept,
-            list_age=lambda: self._reads.runners_follower.age(self._clock.monotonic()),
+            get_runner_list_age=lambda: self._reads.runners_follower.age(self._clock.monotonic()),
         )
         while True:
             term = await self._election.wait_for_term(self._may_own)
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -231,7 +231,7 @@
     for number, host in enumerate(book.member_by_host):
         book.member_by_host[host] = PortedMember(number)
     notices = CompletionGossip(context.owner, book, context.zone, Completions(context.clock), 'me')
-    context.owner.confirms = ZoneConfirmation(context.owner, book, notices, 'me').is_confirmed
+    context.owner.confirm_zone = ZoneConfirmation(context.owner, book, notices, 'me').is_confirmed
     context.clock.advance(context.silent)
     times = 20 if hosts.endswith('times within 0.2 s') else 1
 
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -16,7 +16,7 @@
     make_progress_records,
     make_record,
 )
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.store._writer import Written
 from dandelionreel.kernel import ManualClock
 from features.cancelling_parts import MemoryRunner, SmallOwner
@@ -172,7 +172,7 @@
     (context.start,) = made.starts
 
     async def send():
-        await Orders(context.owner).send_starts(made.starts)
+        await OrderSender(context.owner).send_starts(made.starts)
         await until(lambda: not context.runner.replies)
         await curio.sleep(0)
 
@@ -188,7 +188,7 @@
     small.cancel('j1')
 
     async def send():
-        await Orders(context.owner).send_starts(made.starts)
+        await OrderSender(context.owner).send_starts(made.starts)
         await until(lambda: not small.runs_on('w1'))
 
     curio.run(send)
@@ -207,7 +207,7 @@
     run = (context.start.task, context.start.run)
     assert small.runs_on('w1') == (run,), small.runs_on('w1')
     (stop,) = small.cell.take_stops()
-    curio.run(Orders(context.owner).send_stop, stop)
+    curio.run(OrderSender(context.owner).send_stop, stop)
     assert context.runner.stopped == [run]
     small.now += 1
     small.poll('w1')
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -114,7 +114,7 @@
 def old_list(context, age):
     context.small = SmallCell(('w1',))
     context.owner = make_owner_context(
-        context.small.cell, ManualClock(context.small.now), list_age=lambda: age
+        context.small.cell, ManualClock(context.small.now), get_runner_list_age=lambda: age
     )
 
 
@@ -132,8 +132,8 @@
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
     rounds = dispatcher._periodic_checks
     rounds._owner_context, rounds._journal = context.owner, lines
-    rounds._tell_list_age()
-    rounds._tell_list_age()
+    rounds._log_runner_list_age()
+    rounds._log_runner_list_age()
     assert lines.told == [
         ('starts nothing, by the age of the list of runners.', {'epoch': 1, 'list_age': 2.6})
     ]
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.cell.model import StartReply
 from dandelionreel.cell.model._services import RunnerError, StartAnswer
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.kernel import ManualClock, Verdict
 from features.cell_parts import SmallCell, step
 from features.store_parts import make_owner_context, until
@@ -43,7 +43,7 @@
     context.owner.runner_by_id[context.start.runner] = runner
 
     async def send():
-        await Orders(context.owner).send_starts([context.start])
+        await OrderSender(context.owner).send_starts([context.start])
         await until(lambda: runner.starts > 1)
         await curio.sleep(0.05)
 
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -11,7 +11,7 @@
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
 from dandelionreel.cell.model._services import RunnerError, StartAnswer
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.kernel import ManualClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step, task
@@ -349,7 +349,7 @@
     context.small.cell.runner_by_id['w1'].suspect = True
 
     async def send():
-        await Orders(owner).send_starts([context.start])
+        await OrderSender(owner).send_starts([context.start])
         await curio.sleep(0.05)
 
     curio.run(send)
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.model import AdvicePolicy, Demand, Permit, StartAnswer, StartReply
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.kernel import ManualClock, SystemClock
 from features.cell_parts import SmallCell, make_queue, make_registration, step
 from features.store_parts import make_owner_context
@@ -44,7 +44,7 @@
     context.owner.writer.stored_at = clock.monotonic()
     context.runner = LateRunner(seconds)
     context.owner.runner_by_id['w1'] = context.runner
-    context.orders = Orders(context.owner)
+    context.orders = OrderSender(context.owner)
 
 
 def add_job(context, job, steps, queue):
@@ -66,7 +66,7 @@
 
     async def play():
         while len(context.runner.started) < 301 or LateRunner.under_way:
-            seen = context.owner.wake.count
+            seen = context.owner.plan_needed.count
             if len(context.runner.started) > 60 and 'urgent' not in context.small.cell.job_by_id:
                 add_job(context, 'urgent', [step(1000)], 'urgent')
             made = context.small.planner.plan(
@@ -74,7 +74,7 @@
             )
             context.plans += 1
             await context.orders.send_starts(made.starts)
-            await context.owner.wake.wait(seen, 0.1)
+            await context.owner.plan_needed.wait(seen, 0.1)
 
     curio.run(curio.timeout_after, 20, play)
 
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -146,7 +146,7 @@
         await dispatcher.end()
         context.acted = []
         while not running.terminated:
-            if dispatcher.acting:
+            if dispatcher.may_act:
                 context.acted.append(time.monotonic())
             await curio.sleep(0.005)
         await running.join()
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -29,7 +29,7 @@
     make_progress_records,
     make_record,
 )
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.store._directory import JobFolder
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._job_book import JobBook
@@ -418,7 +418,7 @@
     made = context.small.plan(start=False)
 
     async def send():
-        await Orders(context.owner).send_starts(made.starts)
+        await OrderSender(context.owner).send_starts(made.starts)
         await until(lambda: context.small.cell.runner_by_id['w1'].suspect)
 
     curio.run(send)
@@ -441,7 +441,7 @@
 @then('7 s after it the tasks there count as {fate}, and new starts are {starts}')
 def judged_tasks(context, fate, starts):
     context.clock.now = 1007.0
-    assert context.owner.leases_ran_out(context.state) is (fate == 'gone')
+    assert context.owner.leases_expired(context.state) is (fate == 'gone')
     assert context.owner.may_start() is (starts == 'allowed')
 
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -14,7 +14,7 @@
     Owner,
     make_record,
 )
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.store._job_book import JobBook
 from dandelionreel.kernel import ManualClock
@@ -97,7 +97,7 @@
 
 @given('an owner whose release is answered late')
 def releasing_owner(context):
-    context.topic = WatchedTopic(lambda: context.dispatcher.acting)
+    context.topic = WatchedTopic(lambda: context.dispatcher.may_act)
     host = Host('me', context.topic)
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(host, term, context.topic, host.clock)
@@ -164,7 +164,7 @@
         submission = make_record(f'{SUBMISSION}j1', context.job.submission)
         await context.topic.append([submission], 0.1)
         await curio.spawn(context.owner.writer.run, daemon=True)
-        await Orders(context.owner).send_starts([context.second])
+        await OrderSender(context.owner).send_starts([context.second])
         ending = await curio.spawn(note_end)
         await ending.join()
         # Nobody leads to the runner: its start is taken back once its record was answered.
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -66,7 +66,7 @@
 
 
 def make_owner_context(
-    cell, clock, topic=None, make_runner=make_registration, list_age=always_fresh
+    cell, clock, topic=None, make_runner=make_registration, get_runner_list_age=always_fresh
 ):
     """Return the desk of an owner of epoch 1 that has acted from the beginning."""
     return OwnerContext(
@@ -77,7 +77,7 @@
         10.0,
         clock,
         journal(),
-        list_age,
+        get_runner_list_age,
     )
 
 
