--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -54,20 +54,20 @@
                 await self._tell(fresh)
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
-    def begin(self) -> None:
+    def block_started_jobs(self) -> None:
         """Leave jobs that had begun alone until peers have been asked."""
         self._owner_context.cell.awaits_completions = True
 
-    async def ask(self) -> None:
+    async def query_successors(self) -> None:
         """Take what peers were told by the owners before."""
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
         self._owner_context.cell.take_complete(known)
-        await self.ask_all(self._peers())
+        await self.query_peers(self._peers())
         self._owner_context.cell.awaits_completions = False
         await self._owner_context.plan_needed.notify()
 
-    async def ask_all(self, peers: Iterable[tuple[str, Member]]) -> bool:
+    async def query_peers(self, peers: Iterable[tuple[str, Member]]) -> bool:
         """Take what peers know, asked at the same time; return whether any has answered."""
         asks = [await curio.spawn(self._ask, host, member, daemon=True) for host, member in peers]
         for task in asks:
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -90,8 +90,8 @@
             self._completion_gossip,
             parts.host,
         ).is_confirmed
-        self._load = LoadReport(self.cell, self._pool, parts.journal)
-        self._periodic_checks = PeriodicChecks(parts, self._owner_context, self._load)
+        self._load_report = LoadReport(self.cell, self._pool, parts.journal)
+        self._periodic_checks = PeriodicChecks(parts, self._owner_context, self._load_report)
 
     @property
     def may_act(self) -> bool:
@@ -111,21 +111,24 @@
     async def run(self) -> None:
         """Dispatch until the term is lost or ended by ``end``."""
         self._begin()
-        self._completion_gossip.begin()
+        self._completion_gossip.block_started_jobs()
         async with AsyncExitStack() as stack:
             stack.push_async_callback(self._owner_context.close_runners)
             for work in (
                 self._owner_context.writer.run,
                 self._beat,
                 self._feed,
-                self._plan,
-                self._completion_gossip.ask,
+                self._run_planner,
+                self._completion_gossip.query_successors,
                 self._completion_gossip.run,
             ):
                 await start_task(stack, work)
             await start_task(stack, self._periodic_checks.run, stack)
             await self._owner_context.ended.wait()
-            if not self._owner_context.end_reason and not await self._periodic_checks.leave():
+            if (
+                not self._owner_context.end_reason
+                and not await self._periodic_checks.request_takeover()
+            ):
                 await self._release()
         self._journal.tell(
             Part.OWNERSHIP,
@@ -235,7 +238,7 @@
     def _begin(self) -> None:
         """Take what the store knows; wait for the runners that may hold more."""
         parts = self._parts
-        self._periodic_checks.begin(self._clock.monotonic())
+        self._periodic_checks.load_predecessor_state(self._clock.monotonic())
         book = parts.jobs.book
         book.take_changed()
         # In the order in which they came: an account may expect its first ones to be served.
@@ -326,7 +329,7 @@
             )
         self.cell.forget_job(job_id, self._clock.wall())
 
-    async def _plan(self) -> None:
+    async def _run_planner(self) -> None:
         while True:
             seen = self._owner_context.plan_needed.count
             if self._owner_context.may_start():
@@ -345,7 +348,7 @@
         made = self._planner.plan(
             began, self._clock.wall(), self._pool.free_for_patient, self._order_sender.free
         )
-        self._load.note_plan(made, self._clock.monotonic() - began)
+        self._load_report.add_plan(made, self._clock.monotonic() - began)
         await self._send_stops()
         self._tell_preempted(made)
         self._log_held(made)
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -37,7 +37,7 @@
         self._tally = _Tally()
         self._told_at = float('-inf')
 
-    def note_plan(self, made: Plan, seconds: float) -> None:
+    def add_plan(self, made: Plan, seconds: float) -> None:
         """Add a plan that took that long."""
         tally = self._tally
         tally.plans += 1
@@ -47,7 +47,7 @@
         tally.stopped += len(made.preempted)
         tally.questions += len(made.questions)
 
-    def look(self, now: float, wall: float, epoch: int) -> None:
+    def report(self, now: float, wall: float, epoch: int) -> None:
         """Log one line a second as long as something waits, and the jobs that are stalled."""
         if now < self._told_at + REPORT_SECONDS:
             return
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -34,7 +34,7 @@
         self._parts = parts
         self._owner_context = context
         self._cell = context.cell
-        self._load = load
+        self._load_report = load
         self._clock = parts.clock
         self._journal = parts.journal
         self._runner_poller = RunnerPoller(context)
@@ -53,11 +53,11 @@
         self._dropped_at = float('-inf')
         self._runner_list_was_fresh = True
 
-    async def leave(self) -> bool:
+    async def request_takeover(self) -> bool:
         """Have a peer take the cell over; return whether one has."""
-        return await self._succession.leave()
+        return await self._succession.request_takeover()
 
-    def begin(self, now: float) -> None:
+    def load_predecessor_state(self, now: float) -> None:
         """Take what is known of former owners."""
         self._cell.configuration = self._parts.configuration.current
         if self._owner_context.term.silent_since is not None:
@@ -74,13 +74,13 @@
             await curio.sleep(ROUND_SECONDS)
 
     async def _go_round(self, stack: AsyncExitStack, now: float) -> None:
-        await self._succession.look(now)
+        await self._succession.check(now)
         self._cell.configuration = self._parts.configuration.current
         self._log_runner_list_age()
-        await self._see_runners(stack)
-        await self._give_up_unseen(now)
+        await self._update_runners(stack)
+        await self._drop_unseen_runners(now)
         self._stop_doomed(now)
-        self._load.look(now, self._clock.wall(), self._owner_context.term.epoch)
+        self._load_report.report(now, self._clock.wall(), self._owner_context.term.epoch)
         await self._drop_old_jobs()
 
     def _log_runner_list_age(self) -> None:
@@ -105,7 +105,7 @@
         self._cell.unseen.update(self._parts.jobs.book.former_runners())
         self._tell_unseen('leaves the tasks of runners alone that it has not seen yet.', now)
 
-    async def _give_up_unseen(self, now: float) -> None:
+    async def _drop_unseen_runners(self, now: float) -> None:
         """Take the tasks on unseen runners for gone once their leases must be over."""
         if not self._cell.unseen:
             return
@@ -172,7 +172,7 @@
                 runner=allocation.runner,
             )
 
-    async def _see_runners(self, stack: AsyncExitStack) -> None:
+    async def _update_runners(self, stack: AsyncExitStack) -> None:
         """Attend to new runners, and to those that may hold tasks though their entry has gone.
 
         An entry of another runner at the same address proves nothing: a heartbeat of a
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -44,12 +44,12 @@
         self._asked_peers = 0
         self._settled_at = context.clock.monotonic() + SETTLE_SECONDS
 
-    async def look(self, now: float) -> None:
+    async def check(self, now: float) -> None:
         """Ask for a successor, or hand over, when either is due."""
         await self._ask_when_refused(now)
         await self._hand_over(now)
 
-    async def leave(self) -> bool:
+    async def request_takeover(self) -> bool:
         """Have a peer take the cell over while it is still served here; return whether one has.
 
         After a release nothing starts until it has been read, claimed and read back. Whoever claims
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -56,7 +56,7 @@
         if now - self._asked_at_by_zone.get(zone, float('-inf')) < ASK_AGAIN:
             return False
         self._asked_at_by_zone[zone] = now
-        if not await self._completion_gossip.ask_all([(host, members[host]) for host in hosts]):
+        if not await self._completion_gossip.query_peers([(host, members[host]) for host in hosts]):
             return False
         self._confirmed_at_by_zone[zone] = now
         self._lost_zones.discard(zone)
--- a/features/cancelling_parts.py
+++ b/features/cancelling_parts.py
@@ -37,7 +37,7 @@
         self.clock = clock
         self.reached = True
         self.replies = deque()
-        self.deaf = 0
+        self.ignored_stops = 0
         self.stopped = []
         self.running = {}
         self.stopped_at = None
@@ -62,8 +62,8 @@
         """Stop a run, and list its end."""
         self._reach(epoch)
         self.stopped.append((task, run))
-        if self.deaf:
-            self.deaf -= 1
+        if self.ignored_stops:
+            self.ignored_stops -= 1
             return
         if self.running.pop((task, run), None) is not None:
             self.stopped_at = self.clock.monotonic()
@@ -100,7 +100,7 @@
         self._fence = epoch
 
 
-class SmallOwner:
+class OneRunnerOwner:
     """A host that follows a topic and has won epoch 2 after a silent owner."""
 
     def __init__(self, topic):
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -30,7 +30,7 @@
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.kernel import Verdict
 from features.cell_parts import make_registration, step, task
-from features.store_parts import LONG, Host, make_dispatcher
+from features.store_parts import LONG_TIMEOUT, Host, make_dispatcher
 from standins import MemoryTopic
 
 
@@ -87,7 +87,7 @@
         raise RunnerError('no answer', Verdict.UNKNOWN)
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        await curio.sleep(LONG)
+        await curio.sleep(LONG_TIMEOUT)
 
     async def close(self):
         """Nothing is open."""
@@ -117,7 +117,7 @@
 def go_round(context):
     async def see_runners():
         async with AsyncExitStack() as stack:
-            await context.dispatcher._periodic_checks._see_runners(stack)
+            await context.dispatcher._periodic_checks._update_runners(stack)
 
     curio.run(see_runners)
 
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -19,9 +19,9 @@
 from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.store._writer import Written
 from dandelionreel.kernel import ManualClock
-from features.cancelling_parts import MemoryRunner, SmallOwner
+from features.cancelling_parts import MemoryRunner, OneRunnerOwner
 from features.cell_parts import SmallCell, step, task
-from features.store_parts import LONG, make_owner_context, until
+from features.store_parts import LONG_TIMEOUT, make_owner_context, until
 from standins import MemoryTopic
 
 #: Seconds after which the task of a cancelled job has to be gone.
@@ -216,7 +216,7 @@
 
 @given('a runner that runs a task of a cancelled job, {reached}')
 def former_run(context, reached):
-    context.owner = SmallOwner(MemoryTopic())
+    context.owner = OneRunnerOwner(MemoryTopic())
     context.owner.runner.running[FORMER_RUN] = FOREVER
     context.owner.runner.reached = not reached.startswith('out of reach')
     if reached == 'whose entry has gone':
@@ -240,7 +240,7 @@
 def deaf_runner(context, when):
     former_run(context, 'listed')
     store_that_has(context, 'its final state')
-    context.owner.runner.deaf = 1
+    context.owner.runner.ignored_stops = 1
     if when == 'while a look waits for news':
         context.owner.runner.running.clear()
 
@@ -265,7 +265,7 @@
         await curio.sleep(CUT)
         owner.runner.reached = True
     owner.reached_at = owner.clock.monotonic()
-    await curio.ignore_after(LONG, until, lambda: not owner.runner.running)
+    await curio.ignore_after(LONG_TIMEOUT, until, lambda: not owner.runner.running)
 
 
 @then('the task is stopped within 3 s of its start')
@@ -292,7 +292,7 @@
         await owner.begin()
         await until(lambda: adopted(owner))
         owner.runner.reached = False
-        assert await owner.dispatcher.cancel('j1', LONG) is Written.STORED
+        assert await owner.dispatcher.cancel('j1', LONG_TIMEOUT) is Written.STORED
         await wait_until_gone(owner)
 
     curio.run(cancel)
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -5,7 +5,7 @@
 from dandelionreel.cell.model import Demand
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import SmallCell, make_queue, make_registration, step, task
-from features.steps.report_steps import Lines
+from features.steps.report_steps import RecordingJournal
 from features.store_parts import Host, make_dispatcher, make_owner_context
 from standins import MemoryTopic
 
@@ -127,7 +127,7 @@
 def may_not(context):
     assert not context.owner.may_start()
     assert context.owner.may_act(), 'it must renew leases all the same'
-    lines = Lines()
+    lines = RecordingJournal()
     host = Host('me', MemoryTopic())
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
     rounds = dispatcher._periodic_checks
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -12,7 +12,15 @@
 from dandelionreel.kernel import ManualClock
 from features.client_parts import make_call
 from features.steps.release_steps import SlowTopic
-from features.store_parts import DRIFT, LONG, DeafPeer, Host, journal, make_dispatcher, until
+from features.store_parts import (
+    DRIFT,
+    LONG_TIMEOUT,
+    Host,
+    SilentPeerLinks,
+    journal,
+    make_dispatcher,
+    until,
+)
 from standins import MemoryTopic
 
 #: Enough heartbeats for their usual gap to be known.
@@ -33,7 +41,7 @@
         me = Host('me', context.topic)
         await curio.spawn(me.follower.run, daemon=True)
         await until(lambda: other.follower.started)
-        term = await me.claim(LONG)
+        term = await me.claim(LONG_TIMEOUT)
         return other, me, make_dispatcher(me, term, context.topic, me.clock)
 
     other, me, dispatcher = curio.run(play)
@@ -85,7 +93,7 @@
     relay = Relay(
         'me',
         host.folder.book,
-        DeafPeer(),
+        SilentPeerLinks(),
         host.clock,
         journal(),
         host.election.note_unanswered,
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -126,12 +126,12 @@
         await until(lambda: host.follower.complete)
         dispatcher = make_dispatcher(host, term, context.topic, host.clock, links=context.peer)
         dispatcher._begin()
-        dispatcher._completion_gossip.begin()
+        dispatcher._completion_gossip.block_started_jobs()
         cell = dispatcher.cell
         # w1 answers no more; w2 does, and could run the task.
         cell.see_runners({'w2': make_registration('w2')}, 0)
         context.blocked_at_first = cell.is_blocked(cell.job_by_id[JOB])
-        await dispatcher._completion_gossip.ask()
+        await dispatcher._completion_gossip.query_successors()
         return cell
 
     context.cell = curio.run(play)
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -20,7 +20,7 @@
 from dandelionreel.kernel import ManualClock
 from dandelionreel.peers import Done, Refused
 from features.cell_parts import make_registration
-from features.store_parts import LONG, Host, journal, make_dispatcher, until
+from features.store_parts import LONG_TIMEOUT, Host, journal, make_dispatcher, until
 from standins import MemoryTopic
 
 
@@ -35,7 +35,7 @@
         hosts = [Host(name, context.topic) for name in ('a', 'b')]
         for host in hosts:
             await curio.spawn(host.follower.run, daemon=True)
-        tasks = [await curio.spawn(host.claim, LONG, daemon=True) for host in hosts]
+        tasks = [await curio.spawn(host.claim, LONG_TIMEOUT, daemon=True) for host in hosts]
         while not any(task.terminated for task in tasks):
             await curio.sleep(0.01)
         await curio.sleep(0.3)
@@ -97,7 +97,7 @@
         await curio.spawn(context.host.follower.run, daemon=True)
         await until(lambda: context.host.follower.started)
         context.host.election.suspect('other/1')
-        context.term = await context.host.claim(LONG)
+        context.term = await context.host.claim(LONG_TIMEOUT)
 
     curio.run(claim)
 
@@ -146,7 +146,9 @@
             await context.topic.append([winner], 0.1, WriterFence(2, 7))
             context.appends = context.topic.appends
             await curio.spawn(read_late, daemon=True)
-        context.term = await context.host.claim(context.late + 0.4 if context.late else LONG)
+        context.term = await context.host.claim(
+            context.late + 0.4 if context.late else LONG_TIMEOUT
+        )
 
     curio.run(claim)
 
@@ -174,7 +176,7 @@
 
 @when('the owner answers that it {word}')
 def owner_answers(context, word):
-    context.host.word = Done() if word == 'acts' else Refused('does not own the cell')
+    context.host.owner_reply = Done() if word == 'acts' else Refused('does not own the cell')
 
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
@@ -219,15 +221,15 @@
 def other_host(context, cores, answers):
     context.member_by_host['b'] = Member('north', '10.0.0.2', 7, cores=cores)
     if answers == 'is ready':
-        context.host.word = Done()
+        context.host.owner_reply = Done()
     elif answers == 'is not ready':
-        context.host.word = Refused('has not read the list of runners')
+        context.host.owner_reply = Refused('has not read the list of runners')
 
 
 @when('{seconds:d} s have passed since its claim')
 def passed_since_claim(context, seconds):
     context.clock.advance(seconds)
-    curio.run(context.succession.look, context.clock.monotonic())
+    curio.run(context.succession.check, context.clock.monotonic())
 
 
 @then('it {acts} the cell')
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -239,7 +239,7 @@
     cell = context.dispatcher.cell
     assert cell.is_blocked(cell.job_by_id[JOB])
     rounds = context.dispatcher._periodic_checks
-    curio.run(rounds._give_up_unseen, rounds.predecessor_leases.end_at + 0.1)
+    curio.run(rounds._drop_unseen_runners, rounds.predecessor_leases.end_at + 0.1)
     assert not cell.is_blocked(cell.job_by_id[JOB])
 
 
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -145,7 +145,7 @@
     dispatcher = context.dispatcher
 
     async def plan_once():
-        planning = await curio.spawn(dispatcher._plan)
+        planning = await curio.spawn(dispatcher._run_planner)
         await curio.sleep(0.1)
         await planning.cancel()
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -16,7 +16,7 @@
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, Frame, OwnerAsked, PeerError, Refused
 from features.client_parts import make_call
-from features.store_parts import DeafPeer, journal
+from features.store_parts import SilentPeerLinks, journal
 
 
 class OnePeer:
@@ -92,7 +92,7 @@
 def deaf_peer(context, misses):
     answering_peer(context, 200)
     context.clock = ManualClock(1000)
-    context.links = DeafPeer()
+    context.links = SilentPeerLinks()
     context.relay = Relay('me', context.relay._book, context.links, context.clock, journal())
     for _ in range(misses):
         context.clock.advance(100)
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -15,7 +15,7 @@
 FULL = 32_000
 
 
-class Lines:
+class RecordingJournal:
     """Keeps what a journal would write."""
 
     def __init__(self):
@@ -27,7 +27,7 @@
 
 
 def watch(context):
-    context.lines = Lines()
+    context.lines = RecordingJournal()
     context.load = LoadReport(context.small.cell, SimpleNamespace(waiting=0), context.lines)
 
 
@@ -59,8 +59,8 @@
 def planned(context):
     small = context.small
     for _ in range(10):
-        context.load.note_plan(small.plan(), 0.01)
-        context.load.look(small.now, small.now, 1)
+        context.load.add_plan(small.plan(), 0.01)
+        context.load.report(small.now, small.now, 1)
         small.now += 0.1
 
 
@@ -145,7 +145,7 @@
 def nothing_changes(context, seconds):
     now = context.small.now
     for second in range(seconds + 1):
-        context.load.look(now + second, now + second, 1)
+        context.load.report(now + second, now + second, 1)
     context.small.now = now + seconds
 
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -36,7 +36,7 @@
 from dandelionreel.cell.store._writer import AnswerTimes, GroupWriter, Written
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step
-from features.store_parts import LONG, Host, journal, make_owner_context, until
+from features.store_parts import LONG_TIMEOUT, Host, journal, make_owner_context, until
 from standins import MemoryTopic
 
 PATIENCE = 0.35
@@ -104,7 +104,7 @@
     context.topic = topic
     submission = Submission('q', 'desk', 0.0, JobSpec('payload', (step(),)))
     for job in jobs:
-        curio.run(topic.append, [make_record(f'{SUBMISSION}{job}', submission)], LONG)
+        curio.run(topic.append, [make_record(f'{SUBMISSION}{job}', submission)], LONG_TIMEOUT)
     context.folder = JobFolder(SystemClock(), journal())
     context.follower = Follower(
         'cell',
@@ -138,7 +138,7 @@
         await curio.sleep(0)
         context.wanted = True
         await context.follower.hurry()
-        await context.follower.wait_fresh(SystemClock().monotonic(), LONG)
+        await context.follower.wait_fresh(SystemClock().monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
@@ -192,11 +192,11 @@
 
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal(), WriterFence(1, 1))
-        tasks = [await curio.spawn(writer.write, [KeyedRecord('j/x', b'{}')], LONG)]
+        tasks = [await curio.spawn(writer.write, [KeyedRecord('j/x', b'{}')], LONG_TIMEOUT)]
         await curio.spawn(writer.run, daemon=True)
         for number in range(count):
             record = KeyedRecord('e/x', f'{number}'.encode())
-            tasks.append(await curio.spawn(writer.write, [record], LONG))
+            tasks.append(await curio.spawn(writer.write, [record], LONG_TIMEOUT))
         context.outcomes = [await task.join() for task in tasks]
 
     curio.run(write)
@@ -224,12 +224,12 @@
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal(), WriterFence(1, 1))
         await curio.spawn(writer.run, daemon=True)
-        beat = await curio.spawn(writer.write, [KeyedRecord(OWNER_KEY, b'{}')], LONG)
+        beat = await curio.spawn(writer.write, [KeyedRecord(OWNER_KEY, b'{}')], LONG_TIMEOUT)
         await curio.sleep(0.05)
         job = [KeyedRecord(f'{SUBMISSION}x', b'{}')]
         context.outcome = await curio.ignore_after(1, writer.write, job, 0.3)
         await beat.join()
-        await writer.write([], LONG)
+        await writer.write([], LONG_TIMEOUT)
 
     curio.run(write)
 
@@ -305,7 +305,7 @@
 
     async def follow():
         await curio.spawn(context.host.follower.run, daemon=True)
-        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG)
+        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
@@ -365,7 +365,7 @@
     async def follow():
         context.host.follower._offset = 1
         await curio.spawn(context.host.follower.run, daemon=True)
-        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG)
+        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -57,7 +57,7 @@
 def left_alone_for_all(context):
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
-    give_up = context.dispatcher._periodic_checks._give_up_unseen
+    give_up = context.dispatcher._periodic_checks._drop_unseen_runners
     curio.run(give_up, context.began + ALL_LEASES)
     assert cell.is_blocked(job)
     curio.run(give_up, context.began + ALL_LEASES + LEASE_SECONDS)
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -19,7 +19,7 @@
 from standins import MemoryTopic
 
 #: Seconds that nothing here takes on any machine.
-LONG = 30
+LONG_TIMEOUT = 30
 #: How much longer than granted a lease may last: the runner's clock may be 2% slow.
 DRIFT = 1.02
 
@@ -44,21 +44,21 @@
             'cell', topic, self.folder, self.clock, journal(), 0.02, lambda: 0.0
         )
         #: What the owner answers when it is asked whether it lives; ``None`` for nothing.
-        self.word = None
+        self.owner_reply = None
         self.election = Election(
             topic, self.follower, self.folder, f'{name}/1', self.ask, self.clock, journal()
         )
 
     async def ask(self, member, message, timeout):
         """Answer for a peer."""
-        if self.word is None:
+        if self.owner_reply is None:
             raise PeerError('no answer', Verdict.UNKNOWN)
-        return Frame(1, 'peer', 0.0, 0.0, self.word)
+        return Frame(1, 'peer', 0.0, 0.0, self.owner_reply)
 
     async def own(self):
         """Follow the topic, and return the term once the cell is owned."""
         await curio.spawn(self.follower.run, daemon=True)
-        return await self.claim(LONG)
+        return await self.claim(LONG_TIMEOUT)
 
     async def claim(self, seconds):
         """Return the term, ``None`` where none was won in time."""
@@ -106,7 +106,7 @@
     return Dispatcher(parts, term)
 
 
-class DeafPeer:
+class SilentPeerLinks:
     """Stands for the links: nobody answers; ``asked`` counts the tries."""
 
     def __init__(self):
