--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -14,9 +14,9 @@
 
 #: Seconds that the store may take to learn of an end before peers are told: several times
 #: what it usually takes.
-STORE_SECONDS = 0.04
+STORE_DELAY_SECONDS = 0.04
 #: Seconds for a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
-ANSWER_SECONDS = 0.25
+ANSWER_TIMEOUT = 0.25
 #: Jobs that one line names: at 20 bytes each it stays within 2 KB.
 MAX_LOGGED = 80
 IDLE_SECONDS = 1.0
@@ -39,19 +39,19 @@
         self._links = links
         self._completions = completions
         self._host = host
-        self._told: set[str] = set()
+        self._announced: set[str] = set()
 
     async def run(self) -> None:
         """Tell peers of each job that the store is too slow to learn of, for ever."""
         while True:
             seen = self._owner_context.completions_changed.count
-            await curio.sleep(STORE_SECONDS)
+            await curio.sleep(STORE_DELAY_SECONDS)
             unstored = set(self._owner_context.unstored_completions)
-            self._told &= unstored
-            fresh = tuple(sorted(unstored - self._told))
+            self._announced &= unstored
+            fresh = tuple(sorted(unstored - self._announced))
             if fresh:
-                self._told.update(fresh)
-                await self._tell(fresh)
+                self._announced.update(fresh)
+                await self._announce(fresh)
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def block_started_jobs(self) -> None:
@@ -63,39 +63,41 @@
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
         self._owner_context.cell.take_complete(known)
-        await self.query_peers(self._peers())
+        await self.query_peers(self._successors())
         self._owner_context.cell.awaits_completions = False
         await self._owner_context.plan_needed.notify()
 
     async def query_peers(self, peers: Iterable[tuple[str, Member]]) -> bool:
         """Take what peers know, asked at the same time; return whether any has answered."""
-        asks = [await curio.spawn(self._ask, host, member, daemon=True) for host, member in peers]
-        for task in asks:
+        queries = [
+            await curio.spawn(self._query_peer, host, member, daemon=True) for host, member in peers
+        ]
+        for task in queries:
             await task.wait()
-        return any(task.result for task in asks)
+        return any(task.result for task in queries)
 
-    def _peers(self) -> list[tuple[str, Member]]:
+    def _successors(self) -> list[tuple[str, Member]]:
         """Return the hosts that would own the cell next."""
         members = self._book.member_by_host
         first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSORS]
         return [(host, members[host]) for host in first]
 
-    async def _tell(self, jobs: tuple[str, ...]) -> None:
+    async def _announce(self, jobs: tuple[str, ...]) -> None:
         """Tell all peers at once; clients may be told as soon as one has taken the word."""
         message = CompletionsTold(self._owner_context.term.epoch, jobs)
-        for host, member in self._peers():
-            await curio.spawn(partial(self._tell_one, host, member, message), daemon=True)
+        for host, member in self._successors():
+            await curio.spawn(partial(self._announce_to, host, member, message), daemon=True)
 
-    async def _tell_one(self, host: str, member: Member, message: CompletionsTold) -> None:
+    async def _announce_to(self, host: str, member: Member, message: CompletionsTold) -> None:
         try:
-            frame = await self._links.ask(member, message, ANSWER_SECONDS)
+            frame = await self._links.ask(member, message, ANSWER_TIMEOUT)
         except PeerError:
             # The store's answer shows the jobs at last; a silent peer has lines of its own.
             return
         if isinstance(frame.message, Done):
-            self._show(host, message.jobs)
+            self._publish(host, message.jobs)
 
-    def _show(self, host: str, jobs: Iterable[str]) -> None:
+    def _publish(self, host: str, jobs: Iterable[str]) -> None:
         fresh = [job for job in jobs if not self._completions.holds(job)]
         self._completions.note(fresh)
         if fresh:
@@ -111,10 +113,10 @@
                 ),
             )
 
-    async def _ask(self, host: str, member: Member) -> bool:
+    async def _query_peer(self, host: str, member: Member) -> bool:
         wanted = CompletionsWanted(self._owner_context.term.epoch)
         try:
-            frame = await self._links.ask(member, wanted, ANSWER_SECONDS)
+            frame = await self._links.ask(member, wanted, ANSWER_TIMEOUT)
         except PeerError as error:
             self._owner_context.journal.tell(
                 Part.OWNERSHIP, f'{host} does not tell which jobs are complete: {error}.'
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -30,20 +30,20 @@
 from dandelionreel.kernel import Part, start_task
 
 #: Typical seconds of an append above which the store counts as slow.
-SLOW_SECONDS = 0.05
+SLOW_APPEND_SECONDS = 0.05
 #: Seconds of failed appends after which new work is refused at once.
-REFUSE_SECONDS = 0.25
+CLIENT_WRITE_TIMEOUT = 0.25
 #: Seconds in which news is gathered for one plan.
-PLAN_PAUSE = 0.004
+MIN_PLAN_PAUSE = 0.004
 #: A plan is followed by a pause of this many times its duration, so that plans with a long backlog
 #: leave processor time for orders.
-PLAN_REST = 1.5
+PLAN_PAUSE_FACTOR = 1.5
 #: Seconds in which a released cell's last record must be stored.
-RELEASE_PATIENCE = 1.0
+RELEASE_TIMEOUT = 1.0
 #: Jobs that one line names.
 MAX_LOGGED = 80
 #: Seconds before a question that failed is put again.
-REQUEST_PAUSE = 0.1
+ADVICE_RETRY_SECONDS = 0.1
 
 
 class Dispatcher:
@@ -74,8 +74,8 @@
             parts.advisor,
             parts.clock,
             parts.journal,
-            self._take_advice,
-            self._miss_advice,
+            self._accept_advice,
+            self._handle_advice_failure,
         )
         self._completion_gossip = CompletionGossip(
             self._owner_context,
@@ -110,14 +110,14 @@
 
     async def run(self) -> None:
         """Dispatch until the term is lost or ended by ``end``."""
-        self._begin()
+        self._load_state()
         self._completion_gossip.block_started_jobs()
         async with AsyncExitStack() as stack:
             stack.push_async_callback(self._owner_context.close_runners)
             for work in (
                 self._owner_context.writer.run,
-                self._beat,
-                self._feed,
+                self._store_heartbeats,
+                self._follow_jobs,
                 self._run_planner,
                 self._completion_gossip.query_successors,
                 self._completion_gossip.run,
@@ -140,7 +140,7 @@
         """Give the cell up for another host."""
         await self._owner_context.ended.set()
 
-    async def accept(self, job_id: str, submission: Submission, patience: float) -> Written:
+    async def accept(self, job_id: str, submission: Submission, timeout: float) -> Written:
         """Store a job; its advice is asked for meanwhile.
 
         While the store is slow, its runners are not stored one by one: the job
@@ -152,22 +152,22 @@
         booked = BookedJob(job_id, submission, cancelled=False, progress=None)
         self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
         job = self.cell.job_by_id[job_id]
-        self._log_rate(job)
+        self._log_rate_exceeded(job)
         job.stored = False
         record = make_record(SUBMISSION + job_id, submission)
-        slow = self._owner_context.writer.usual_seconds > SLOW_SECONDS
+        slow = self._owner_context.writer.usual_seconds > SLOW_APPEND_SECONDS
         if slow:
             job.runners.add(ANY_RUNNER)
         await self._owner_context.plan_needed.notify()
-        writing = await curio.spawn(self._finish_accept, job, record, slow, daemon=True)
-        outcome = await curio.ignore_after(patience, writing.join)
+        write_task = await curio.spawn(self._finish_accept, job, record, slow, daemon=True)
+        outcome = await curio.ignore_after(timeout, write_task.join)
         return outcome or Written.UNKNOWN
 
-    async def cancel(self, job_id: str, patience: float) -> Written:
+    async def cancel(self, job_id: str, timeout: float) -> Written:
         """Store that a client has cancelled a job, and have it stopped."""
         record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
-        writing = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
-        return await curio.ignore_after(patience, writing.join) or Written.UNKNOWN
+        write_task = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
+        return await curio.ignore_after(timeout, write_task.join) or Written.UNKNOWN
 
     async def take_complete(self, jobs: tuple[str, ...]) -> None:
         """Take jobs as complete that hosts have shown so behind a cut, and have that stored."""
@@ -193,7 +193,7 @@
         job = self.cell.job_by_id.get(job_id)
         return '' if job is None else job.account
 
-    def _log_rate(self, job: JobRun) -> None:
+    def _log_rate_exceeded(self, job: JobRun) -> None:
         if job.beyond_rate:
             self._journal.tell_frequent(
                 Part.JOBS,
@@ -204,8 +204,10 @@
             )
 
     async def _finish_accept(self, job: JobRun, record: KeyedRecord, slow: bool) -> Written:
-        noted = [job] if slow else []
-        outcome = await self._owner_context.store_progress(noted, record, patience=REFUSE_SECONDS)
+        jobs_to_store = [job] if slow else []
+        outcome = await self._owner_context.store_progress(
+            jobs_to_store, record, timeout=CLIENT_WRITE_TIMEOUT
+        )
         if outcome is Written.STORED:
             job.stored = True
         elif outcome is Written.REFUSED and not job.stored:
@@ -214,7 +216,7 @@
         return outcome
 
     async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> Written:
-        outcome = await self._owner_context.writer.write([record], REFUSE_SECONDS)
+        outcome = await self._owner_context.writer.write([record], CLIENT_WRITE_TIMEOUT)
         if outcome is Written.STORED:
             self.cell.cancel(job_id)
             await self._owner_context.plan_needed.notify()
@@ -229,13 +231,13 @@
         await self._owner_context.flush()
         self._owner_context.end_reason = 'released'
         owner = self._owner_context.term.record(
-            unsettled=self._unsettled(),
+            unsettled=self._unsettled_seconds(),
             released=True,
             version=self._parts.configuration.version,
         )
-        await self._owner_context.writer.write([make_record(OWNER_KEY, owner)], RELEASE_PATIENCE)
+        await self._owner_context.writer.write([make_record(OWNER_KEY, owner)], RELEASE_TIMEOUT)
 
-    def _begin(self) -> None:
+    def _load_state(self) -> None:
         """Take what the store knows; wait for the runners that may hold more."""
         parts = self._parts
         self._periodic_checks.load_predecessor_state(self._clock.monotonic())
@@ -243,12 +245,12 @@
         book.take_changed()
         # In the order in which they came: an account may expect its first ones to be served.
         for job_id in sorted(book.submission_by_id, key=book.accepted_at):
-            self._see_job(job_id)
+            self._update_job(job_id)
         wall = self._clock.wall()
         for job_id, progress in book.progress_by_id.items():
             self.cell.quotas.expect_leftovers(job_id, progress, wall)
 
-    def _unsettled(self) -> float:
+    def _unsettled_seconds(self) -> float:
         """Return for how many seconds more earlier owners may renew leases unseen.
 
         Each word of this owner says so, the last one too: its successor would else
@@ -259,38 +261,40 @@
         left = self._periodic_checks.predecessor_leases.end_at - self._clock.monotonic()
         return round(max(0.0, left), 2)
 
-    async def _beat(self) -> None:
+    async def _store_heartbeats(self) -> None:
         """Store heartbeats until the term ends; one behind the release would undo it."""
-        beat = 0
+        heartbeat = 0
         stored: frozenset[str] = frozenset()
         while not self._owner_context.end_reason:
-            beat += 1
+            heartbeat += 1
             version = self._parts.configuration.version
-            owner = self._owner_context.term.record(beat, self._unsettled(), version=version)
+            owner = self._owner_context.term.record(
+                heartbeat, self._unsettled_seconds(), version=version
+            )
             records = [make_record(OWNER_KEY, owner)]
             # Runners that only a former owner has seen are kept for the next one: it
             # has to wait for them too, should this owner be killed meanwhile.
             attended = frozenset(self.cell.runner_by_id) | self.cell.unseen
             if attended != stored:
-                fact = Attended(self._owner_context.term.epoch, tuple(sorted(attended)))
-                records.append(make_record(ATTENDED_KEY, fact))
+                runners_record = Attended(self._owner_context.term.epoch, tuple(sorted(attended)))
+                records.append(make_record(ATTENDED_KEY, runners_record))
             outcome = await self._owner_context.store_progress(self.cell.take_dirty(), *records)
             if outcome is Written.FENCED:
                 await self._owner_context.end_term('another host has written with a higher epoch')
                 return
             if outcome is Written.STORED:
                 stored = attended
-                await self._use_runners(stored)
+                await self._enable_recorded_runners(stored)
             await curio.sleep(BEAT_SECONDS)
 
-    async def _use_runners(self, stored: frozenset[str]) -> None:
+    async def _enable_recorded_runners(self, stored: frozenset[str]) -> None:
         """Let tasks be placed on the runners that the store now names."""
         for runner_id, state in self.cell.runner_by_id.items():
             if runner_id in stored and not state.recorded:
                 state.recorded = True
                 await self._owner_context.plan_needed.notify()
 
-    async def _feed(self) -> None:
+    async def _follow_jobs(self) -> None:
         """Take news of jobs as the log tells them."""
         follower = self._parts.follower
         book = self._parts.jobs.book
@@ -301,12 +305,12 @@
                 return
             changed = book.take_changed()
             for job_id in changed:
-                self._see_job(job_id)
+                self._update_job(job_id)
             if changed:
                 await self._owner_context.plan_needed.notify()
             await follower.changed.wait(seen, 1.0)
 
-    def _see_job(self, job_id: str) -> None:
+    def _update_job(self, job_id: str) -> None:
         booked = self._parts.jobs.book.find(job_id)
         if booked is not None and booked.unreadable:
             self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
@@ -345,25 +349,25 @@
         that is dropped would leave starts counted, and requests open, that nobody has sent.
         """
         began = self._clock.monotonic()
-        made = self._planner.plan(
+        plan = self._planner.plan(
             began, self._clock.wall(), self._pool.free_for_patient, self._order_sender.free
         )
-        self._load_report.add_plan(made, self._clock.monotonic() - began)
+        self._load_report.add_plan(plan, self._clock.monotonic() - began)
         await self._send_stops()
-        self._tell_preempted(made)
-        self._log_held(made)
-        await self._order_sender.send_starts(made.starts)
-        for question in made.questions:
-            await self._pool.ask(question)
-        spent = self._clock.monotonic() - began
-        await curio.sleep(max(PLAN_PAUSE, PLAN_REST * spent))
+        self._log_preempted(plan)
+        self._log_quota_blocked(plan)
+        await self._order_sender.send_starts(plan.starts)
+        for request in plan.questions:
+            await self._pool.ask(request)
+        elapsed = self._clock.monotonic() - began
+        await curio.sleep(max(MIN_PLAN_PAUSE, PLAN_PAUSE_FACTOR * elapsed))
 
     async def _send_stops(self) -> None:
         for allocation in self.cell.take_stops():
             await curio.spawn(self._order_sender.send_stop, allocation, daemon=True)
 
-    def _tell_preempted(self, made: Plan) -> None:
-        for allocation in made.preempted:
+    def _log_preempted(self, plan: Plan) -> None:
+        for allocation in plan.preempted:
             self._journal.tell_frequent(
                 Part.PLACEMENT,
                 f'stops a task on {allocation.runner} to make room for a gang.',
@@ -372,8 +376,8 @@
                 runner=allocation.runner,
             )
 
-    def _log_held(self, made: Plan) -> None:
-        for job in made.held:
+    def _log_quota_blocked(self, plan: Plan) -> None:
+        for job in plan.held:
             used, quota = self.cell.quotas.used(job.account), self.cell.quota_of(job)
             self._journal.tell_frequent(
                 Part.PLACEMENT,
@@ -388,22 +392,22 @@
                 epoch=self._owner_context.term.epoch,
             )
 
-    async def _take_advice(
+    async def _accept_advice(
         self,
-        question: AdviceRequest,
+        request: AdviceRequest,
         permits: tuple[Permit, ...],
         until: float,
     ) -> None:
-        self.cell.tickets.note(question.step, question.runners, permits, until)
+        self.cell.tickets.note(request.step, request.runners, permits, until)
         self._journal.tell_frequent(
             Part.PLACEMENT,
-            f'{len(permits)} of {len(question.runners)} runners are allowed.',
-            job=question.step.job,
-            step=question.step.step,
+            f'{len(permits)} of {len(request.runners)} runners are allowed.',
+            job=request.step.job,
+            step=request.step.step,
             valid=round(until - self._clock.monotonic(), 3),
         )
         await self._owner_context.plan_needed.notify()
 
-    async def _miss_advice(self, question: AdviceRequest) -> None:
-        not_before = self._clock.monotonic() + REQUEST_PAUSE
-        self.cell.tickets.note_failure(question.step, not_before)
+    async def _handle_advice_failure(self, request: AdviceRequest) -> None:
+        not_before = self._clock.monotonic() + ADVICE_RETRY_SECONDS
+        self.cell.tickets.note_failure(request.step, not_before)
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -16,13 +16,13 @@
 
 
 @dataclass
-class _Tally:
+class _PlanTotals:
     plans: int = 0
     plan_seconds: float = 0.0
     longest_plan: float = 0.0
     starts: int = 0
-    stopped: int = 0
-    questions: int = 0
+    preempted: int = 0
+    advice_requests: int = 0
 
 
 class LoadReport:
@@ -34,26 +34,26 @@
         self._pool = pool
         self._journal = journal
         self._stalled = StalledJobs(cell)
-        self._tally = _Tally()
-        self._told_at = float('-inf')
+        self._totals = _PlanTotals()
+        self._reported_at = float('-inf')
 
-    def add_plan(self, made: Plan, seconds: float) -> None:
+    def add_plan(self, plan: Plan, seconds: float) -> None:
         """Add a plan that took that long."""
-        tally = self._tally
-        tally.plans += 1
-        tally.plan_seconds += seconds
-        tally.longest_plan = max(tally.longest_plan, seconds)
-        tally.starts += len(made.starts)
-        tally.stopped += len(made.preempted)
-        tally.questions += len(made.questions)
+        totals = self._totals
+        totals.plans += 1
+        totals.plan_seconds += seconds
+        totals.longest_plan = max(totals.longest_plan, seconds)
+        totals.starts += len(plan.starts)
+        totals.preempted += len(plan.preempted)
+        totals.advice_requests += len(plan.questions)
 
     def report(self, now: float, wall: float, epoch: int) -> None:
         """Log one line a second as long as something waits, and the jobs that are stalled."""
-        if now < self._told_at + REPORT_SECONDS:
+        if now < self._reported_at + REPORT_SECONDS:
             return
-        self._told_at = now
-        tally = self._tally
-        self._tally = _Tally()
+        self._reported_at = now
+        totals = self._totals
+        self._totals = _PlanTotals()
         self._log_stalled(now, wall, epoch)
         waiting = self._count_waiting(wall)
         if not waiting:
@@ -73,12 +73,12 @@
             cores_free=sum(max(0, runner.room.cpu) for runner in usable) // MILLI,
             cores=sum(runner.registration.capacity.cpu for runner in usable) // MILLI,
             advice_waiting=self._pool.waiting,
-            plans=tally.plans,
-            plan_ms=round(MILLI * tally.plan_seconds / max(1, tally.plans), 1),
-            longest_plan_ms=round(MILLI * tally.longest_plan, 1),
-            starts=tally.starts,
-            stopped_for_gangs=tally.stopped,
-            questions=tally.questions,
+            plans=totals.plans,
+            plan_ms=round(MILLI * totals.plan_seconds / max(1, totals.plans), 1),
+            longest_plan_ms=round(MILLI * totals.longest_plan, 1),
+            starts=totals.starts,
+            stopped_for_gangs=totals.preempted,
+            questions=totals.advice_requests,
         )
 
     def _log_stalled(self, now: float, wall: float, epoch: int) -> None:
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -19,18 +19,18 @@
 from dandelionreel.kernel import Part, Verdict, seconds_or_none
 
 #: Seconds in which the runners of a job must be stored before its starts are withdrawn.
-RECORD_PATIENCE = 0.9
+RECORD_TIMEOUT = 0.9
 #: Tries of one start before it is taken back.
-START_TRIES = 4
-RETRY_SECONDS = 0.03
+START_ATTEMPTS = 4
+START_RETRY_SECONDS = 0.03
 #: Seconds between tries of one stop.
-RESTOP_SECONDS = 0.2
+STOP_RETRY_SECONDS = 0.2
 #: Seconds for which a runner that could not be reached gets no start.
-UNREACHED_QUIET = 0.3
+UNREACHABLE_PAUSE = 0.3
 #: Starts that may be under way at the same time.
 MAX_PENDING_STARTS = 64
 #: Seconds for the answer to a start above which it is logged.
-SLOW_ANSWER = 0.1
+SLOW_START_SECONDS = 0.1
 
 
 class OrderSender:
@@ -63,12 +63,12 @@
             job = self._owner_context.cell.job_by_id.get(allocation.task.job)
             if job is None:
                 # It was over, and forgotten, before its start could be sent.
-                await self._withdraw_unsent(allocation)
+                await self._withdraw_unsent_start(allocation)
                 continue
             if job.note_start(allocation.task, allocation.run, allocation.runner):
                 unstored.setdefault(job.id, []).append(allocation)
                 continue
-            await curio.spawn(self._settle_start, allocation, daemon=True)
+            await curio.spawn(self._run_start, allocation, daemon=True)
         if unstored:
             await curio.spawn(self._store_and_send, unstored, daemon=True)
 
@@ -79,64 +79,64 @@
             state = self._owner_context.cell.runner_by_id.get(allocation.runner)
             if state is None or (allocation.task, allocation.run) not in state.allocation_by_run:
                 return
-            self._note_order(state)
+            self._note_order_sent(state)
             try:
                 await runner.stop(allocation.task, allocation.run, self._owner_context.term.epoch)
             except RunnerError as error:
-                self._tell_missed_stop(allocation, error)
-                await curio.sleep(RESTOP_SECONDS)
+                self._log_unanswered_stop(allocation, error)
+                await curio.sleep(STOP_RETRY_SECONDS)
                 continue
             except RunnerFenced:
                 await self._owner_context.end_term(f'{allocation.runner} has seen a higher epoch')
                 return
             except RunnerReplaced:
-                await self._end_replaced(state)
+                await self._end_replaced_runner(state)
                 return
-            self._take_stop(state, allocation)
+            self._apply_stop_reply(state, allocation)
             return
 
-    def _take_stop(self, state: RunnerState, allocation: Allocation) -> None:
+    def _apply_stop_reply(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
         cell.zone_reachability.note_answer(state.registration.zone)
         cell.stop_answered(allocation, self._owner_context.clock.monotonic())
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'{allocation.runner} has taken a stop.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
         )
 
-    def _tell_missed_stop(self, allocation: Allocation, error: RunnerError) -> None:
+    def _log_unanswered_stop(self, allocation: Allocation, error: RunnerError) -> None:
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'a stop was not answered: {error}.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
             verdict=error.verdict.value,
         )
 
     async def _store_and_send(self, allocations_by_job: dict[str, list[Allocation]]) -> None:
         found = (self._owner_context.cell.job_by_id.get(job_id) for job_id in allocations_by_job)
         jobs = [job for job in found if job is not None]
-        writing = await curio.spawn(self._owner_context.store_progress, jobs, daemon=True)
-        outcome = await curio.ignore_after(RECORD_PATIENCE, writing.join)
+        write_task = await curio.spawn(self._owner_context.store_progress, jobs, daemon=True)
+        outcome = await curio.ignore_after(RECORD_TIMEOUT, write_task.join)
         for allocations in allocations_by_job.values():
             for allocation in allocations:
                 if outcome is Written.STORED:
-                    await curio.spawn(self._settle_start, allocation, daemon=True)
+                    await curio.spawn(self._run_start, allocation, daemon=True)
                 else:
-                    await self._withdraw_unsent(allocation)
+                    await self._withdraw_unsent_start(allocation)
 
-    async def _withdraw_unsent(self, allocation: Allocation) -> None:
+    async def _withdraw_unsent_start(self, allocation: Allocation) -> None:
         self._owner_context.cell.withdraw(allocation)
-        await self._note_settled()
+        await self._note_start_finished()
 
-    async def _settle_start(self, allocation: Allocation) -> None:
+    async def _run_start(self, allocation: Allocation) -> None:
         """Send a start, and let others go once it is known what became of it."""
         try:
             await self._send_start(allocation)
         finally:
-            await self._note_settled()
+            await self._note_start_finished()
 
-    async def _note_settled(self) -> None:
+    async def _note_start_finished(self) -> None:
         self._was_full = self._was_full or not self.free
         self._pending_starts -= 1
         # Plans for one start each would take the time that the starts need.
@@ -156,22 +156,22 @@
             # start would hold its task up, and count as one that the runner crashed under.
             self._owner_context.cell.withdraw(allocation)
             return
-        self._tell_start(state, allocation, job)
-        maybe_sent = await self._try_start(state, runner, allocation, job.spec.payload)
-        if maybe_sent is None:
+        self._log_start(state, allocation, job)
+        may_have_arrived = await self._try_start(state, runner, allocation, job.spec.payload)
+        if may_have_arrived is None:
             return
-        if maybe_sent:
+        if may_have_arrived:
             self._owner_context.cell.take_back(allocation)
         else:
             if state.suspect:
-                state.quiet_until = self._owner_context.clock.monotonic() + UNREACHED_QUIET
+                state.quiet_until = self._owner_context.clock.monotonic() + UNREACHABLE_PAUSE
             self._owner_context.cell.withdraw(allocation)
         await self._owner_context.plan_needed.notify()
 
-    def _fields(self, allocation: Allocation) -> dict[str, Any]:
+    def _log_fields(self, allocation: Allocation) -> dict[str, Any]:
         return self._owner_context.run_fields(allocation.runner, allocation.task, allocation.run)
 
-    def _tell_start(self, state: RunnerState, allocation: Allocation, job: JobRun) -> None:
+    def _log_start(self, state: RunnerState, allocation: Allocation, job: JobRun) -> None:
         """Tell a start with the age of what it rests on.
 
         ``store_age`` and ``runner_age`` are seconds since the store and the runner last
@@ -184,7 +184,7 @@
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'starts a task on {state.id}.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
             zone=state.registration.zone,
             failures=found[1].failures if found else 0,
             crashes=job.crashes.count(allocation.task),
@@ -203,40 +203,46 @@
         payload: str,
     ) -> bool | None:
         """Repeat a start until it is answered; else return whether it may arrive."""
-        maybe_sent = False
+        may_have_arrived = False
 
-        def check() -> bool:
+        def may_send() -> bool:
             return self._owner_context.may_start() and self._may_start(allocation)
 
-        began = self._owner_context.clock.monotonic()
-        for _ in range(START_TRIES):
-            if not check():
+        started_at = self._owner_context.clock.monotonic()
+        for _ in range(START_ATTEMPTS):
+            if not may_send():
                 # Withdrawn, not unanswered: that says nothing of the runner.
-                return maybe_sent
-            self._note_order(state)
+                return may_have_arrived
+            self._note_order_sent(state)
             try:
-                answer = await runner.start(self._order(state, allocation, payload), check)
+                answer = await runner.start(
+                    self._make_start_order(state, allocation, payload), may_send
+                )
             except RunnerError as error:
                 arrived = error.verdict is not Verdict.NOT_RUN
                 # Later tries meet connections that the crash has closed before.
                 allocation.broken = allocation.broken or (
-                    arrived and error.broken and not maybe_sent
+                    arrived and error.broken and not may_have_arrived
                 )
-                maybe_sent = maybe_sent or arrived
-                allocation.unanswered = maybe_sent
+                may_have_arrived = may_have_arrived or arrived
+                allocation.unanswered = may_have_arrived
                 # Nothing more goes there until it has answered a poll: a start that may have
                 # arrived holds its task up until the lease has run out.
                 state.suspect = True
-                self._tell_unanswered(allocation, error)
-                if not maybe_sent or not check():
-                    return maybe_sent
-                await curio.sleep(RETRY_SECONDS)
+                self._log_unanswered_start(allocation, error)
+                if not may_have_arrived or not may_send():
+                    return may_have_arrived
+                await curio.sleep(START_RETRY_SECONDS)
                 continue
             self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
-            self._tell_slow(allocation, answer.reply, self._owner_context.clock.monotonic() - began)
-            await self._take_answer(state, allocation, answer.reply, in_doubt=maybe_sent)
+            self._log_slow_start(
+                allocation, answer.reply, self._owner_context.clock.monotonic() - started_at
+            )
+            await self._apply_start_reply(
+                state, allocation, answer.reply, in_doubt=may_have_arrived
+            )
             return None
-        return maybe_sent
+        return may_have_arrived
 
     def _may_start(self, allocation: Allocation) -> bool:
         """Return whether a start is still wanted, and its ticket still good."""
@@ -247,37 +253,39 @@
         now = self._owner_context.clock.monotonic()
         return not allocation.ticket or cell.tickets.is_valid(step, allocation.runner, now)
 
-    async def _end_replaced(self, state: RunnerState) -> None:
+    async def _end_replaced_runner(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
             self._owner_context.end_runner(state, 'another runner answers there', proven=True)
             return
         # The next poll finds the same, and asks again.
         state.suspect = True
 
-    def _note_order(self, state: RunnerState) -> None:
+    def _note_order_sent(self, state: RunnerState) -> None:
         now = self._owner_context.clock.monotonic()
         self._owner_context.cell.zone_reachability.note_order(
             state.registration.zone, state.id, now
         )
 
-    def _tell_unanswered(self, allocation: Allocation, error: RunnerError) -> None:
+    def _log_unanswered_start(self, allocation: Allocation, error: RunnerError) -> None:
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'a start was not answered: {error}.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
             verdict=error.verdict.value,
         )
 
-    def _tell_slow(self, allocation: Allocation, reply: StartReply, seconds: float) -> None:
-        if reply is StartReply.STARTED and seconds > SLOW_ANSWER:
+    def _log_slow_start(self, allocation: Allocation, reply: StartReply, seconds: float) -> None:
+        if reply is StartReply.STARTED and seconds > SLOW_START_SECONDS:
             self._owner_context.journal.tell_frequent(
                 Part.PLACEMENT,
                 f'{allocation.runner} has taken a start late.',
-                **self._fields(allocation),
+                **self._log_fields(allocation),
                 seconds=round(seconds, 3),
             )
 
-    def _order(self, state: RunnerState, allocation: Allocation, payload: str) -> StartOrder:
+    def _make_start_order(
+        self, state: RunnerState, allocation: Allocation, payload: str
+    ) -> StartOrder:
         lease_until = state.extend_lease(
             self._owner_context.clock.monotonic(), self._owner_context.lease
         )
@@ -291,7 +299,7 @@
             allocation.ticket,
         )
 
-    async def _take_answer(
+    async def _apply_start_reply(
         self,
         state: RunnerState,
         allocation: Allocation,
@@ -306,7 +314,7 @@
             if not in_doubt:
                 # It never ran there, so no crash of the runner counts for it.
                 self._owner_context.cell.withdraw(allocation)
-            await self._end_replaced(state)
+            await self._end_replaced_runner(state)
         else:
             now = self._owner_context.clock.monotonic()
             self._owner_context.cell.start_answered(allocation, reply, now, in_doubt=in_doubt)
@@ -314,6 +322,6 @@
             self._owner_context.journal.tell(
                 Part.PLACEMENT,
                 f'a start was refused: {reply.value}.',
-                **self._fields(allocation),
+                **self._log_fields(allocation),
             )
             await self._owner_context.plan_needed.notify()
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -25,10 +25,10 @@
 
 #: Seconds without an answered append after which nothing is started: less than a successor needs to
 #: claim the cell and poll the runners.
-START_SECONDS = 1.5
+START_AUTHORITY_SECONDS = 1.5
 
 #: Seconds that the list of runners may be old when a start is sent: runners drain and shrink.
-LIST_SECONDS = 2.5
+MAX_RUNNER_LIST_AGE = 2.5
 
 #: Lost runs that are logged when their runner ends.
 MAX_LOGGED = 40
@@ -114,12 +114,12 @@
         successor, which reads ends on runners that this host cannot reach.
         Starting a task again here would run it after such an end was noted.
         """
-        fresh = self.clock.monotonic() - self.writer.stored_at < START_SECONDS
+        fresh = self.clock.monotonic() - self.writer.stored_at < START_AUTHORITY_SECONDS
         return fresh and self.runner_list_is_fresh() and self.may_act()
 
     def runner_list_is_fresh(self) -> bool:
         """Return whether the list of runners is new enough to start by it."""
-        return self.get_runner_list_age() < LIST_SECONDS
+        return self.get_runner_list_age() < MAX_RUNNER_LIST_AGE
 
     def leases_expired(self, state: RunnerState) -> bool:
         """Return whether a runner's tasks are gone because nobody renewed them.
@@ -132,20 +132,20 @@
     async def store_progress(
         self,
         jobs: list[JobRun],
-        *others: KeyedRecord,
-        patience: float = AUTHORITY_SECONDS,
+        *other_records: KeyedRecord,
+        timeout: float = AUTHORITY_SECONDS,
     ) -> Written:
         """Store how far jobs are; that is then shown to clients and relied upon.
 
         Records are made and queued without a pause between: the store keeps the newest record of a
         job, and an older one that is queued later would revert it.
         """
-        progress_by_job = self._note_progress(jobs)
-        records = list(others)
+        progress_by_job = self._make_progress(jobs)
+        records = list(other_records)
         for job, progress in progress_by_job.items():
             records.extend(make_progress_records(job.id, progress))
-        await self._expect_complete(progress_by_job)
-        outcome = await self.writer.write(records, patience)
+        await self._note_unstored_completions(progress_by_job)
+        outcome = await self.writer.write(records, timeout)
         for job, progress in progress_by_job.items():
             if outcome is Written.STORED:
                 self.unstored_completions.discard(job.id)
@@ -173,7 +173,7 @@
             runner=state.id,
             tasks=len(state.allocation_by_run),
         )
-        self._tell_lost(state)
+        self._log_lost_runs(state)
         self.log_crashes(self.cell.runner_ended(state.id, proven=proven))
 
     def expire_runner_leases(self, state: RunnerState) -> None:
@@ -185,7 +185,7 @@
             tasks=len(state.allocation_by_run),
             epoch=self.term.epoch,
         )
-        self._tell_lost(state)
+        self._log_lost_runs(state)
         self.cell.runner_lapsed(state.id)
 
     def log_crashes(self, crashes: list[Crash]) -> None:
@@ -221,7 +221,7 @@
         for runner in self.runner_by_id.values():
             await runner.close()
 
-    async def _expect_complete(self, progress_by_job: dict[JobRun, Progress]) -> None:
+    async def _note_unstored_completions(self, progress_by_job: dict[JobRun, Progress]) -> None:
         complete = [
             job.id
             for job, progress in progress_by_job.items()
@@ -231,25 +231,25 @@
             self.unstored_completions.update(complete)
             await self.completions_changed.notify()
 
-    def _tell_lost(self, state: RunnerState) -> None:
+    def _log_lost_runs(self, state: RunnerState) -> None:
         """Tell what is lost with a runner, and how long each run had been there.
 
         ``runner_age`` is how long the runner had not answered, ``seconds`` since when the
         run was placed: a run that was lost as soon as it was placed may be the cause.
         """
         now = self.clock.monotonic()
-        for held in tuple(state.allocation_by_run.values())[:MAX_LOGGED]:
+        for allocation in tuple(state.allocation_by_run.values())[:MAX_LOGGED]:
             self.journal.tell(
                 Part.WORKERS,
                 f'a run was lost with {state.id}.',
-                **self.run_fields(state.id, held.task, held.run),
-                phase=held.phase.value,
+                **self.run_fields(state.id, allocation.task, allocation.run),
+                phase=allocation.phase.value,
                 draining=state.draining,
                 runner_age=seconds_or_none(now - state.answered_at),
-                seconds=round(now - held.placed_at, 3),
+                seconds=round(now - allocation.placed_at, 3),
             )
 
-    def _note_progress(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
+    def _make_progress(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
         wall = self.clock.wall()
         progress_by_job = {}
         for job in jobs:
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -21,9 +21,9 @@
 from dandelionreel.kernel import Part, seconds_or_none, start_task
 
 #: Seconds between looks at the list of runners, at gangs and at old jobs.
-ROUND_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 #: Seconds between looks for jobs that ended long ago: each one goes through all.
-DROP_SECONDS = 5.0
+DROP_CHECK_SECONDS = 5.0
 
 
 class PeriodicChecks:
@@ -49,8 +49,8 @@
         self.predecessor_leases = PredecessorLeases(
             context.term, context.lease, parts.clock.monotonic()
         )
-        self._began_at = parts.clock.monotonic()
-        self._dropped_at = float('-inf')
+        self._term_began_at = parts.clock.monotonic()
+        self._last_drop_at = float('-inf')
         self._runner_list_was_fresh = True
 
     async def request_takeover(self) -> bool:
@@ -61,7 +61,7 @@
         """Take what is known of former owners."""
         self._cell.configuration = self._parts.configuration.current
         if self._owner_context.term.silent_since is not None:
-            self._expect_former_runs(now)
+            self._block_unseen_runners(now)
 
     async def run(self, stack: AsyncExitStack) -> None:
         """Go round until the term is lost; tasks for new runners end with ``stack``."""
@@ -69,17 +69,17 @@
             if not self._owner_context.may_act():
                 await self._owner_context.end_term('the store has not answered for too long')
                 return
-            await self._go_round(stack, self._clock.monotonic())
+            await self._run_checks(stack, self._clock.monotonic())
             await self._owner_context.plan_needed.notify()
-            await curio.sleep(ROUND_SECONDS)
+            await curio.sleep(CHECK_SECONDS)
 
-    async def _go_round(self, stack: AsyncExitStack, now: float) -> None:
+    async def _run_checks(self, stack: AsyncExitStack, now: float) -> None:
         await self._succession.check(now)
         self._cell.configuration = self._parts.configuration.current
         self._log_runner_list_age()
         await self._update_runners(stack)
         await self._drop_unseen_runners(now)
-        self._stop_doomed(now)
+        self._apply_preventive_stops(now)
         self._load_report.report(now, self._clock.wall(), self._owner_context.term.epoch)
         await self._drop_old_jobs()
 
@@ -96,34 +96,34 @@
             list_age=seconds_or_none(self._owner_context.get_runner_list_age()),
         )
 
-    def _expect_former_runs(self, now: float) -> None:
+    def _block_unseen_runners(self, now: float) -> None:
         """Remember the runners on which a former owner's tasks may run.
 
         Until each of them has listed its tasks, or all leases there must have
         run out, the jobs that the store names with it are left alone.
         """
         self._cell.unseen.update(self._parts.jobs.book.former_runners())
-        self._tell_unseen('leaves the tasks of runners alone that it has not seen yet.', now)
+        self._log_unseen('leaves the tasks of runners alone that it has not seen yet.', now)
 
     async def _drop_unseen_runners(self, now: float) -> None:
         """Take the tasks on unseen runners for gone once their leases must be over."""
         if not self._cell.unseen:
             return
-        await self._give_up_outlived()
+        await self._drop_replaced_runners()
         if self.predecessor_leases.shorten_if_ended(self._parts.jobs.book, now):
-            self._tell_unseen('finds that the former owner has ended.', now)
+            self._log_unseen('finds that the former owner has ended.', now)
         if now > self.predecessor_leases.end_at:
             unseen = tuple(self._cell.unseen)
-            confirmed = [runner for runner in unseen if await self._is_confirmed(runner)]
+            confirmed = [runner for runner in unseen if await self._zone_is_confirmed(runner)]
             if confirmed:
-                self._tell_unseen('takes the leases on unseen runners for run out.', now)
+                self._log_unseen('takes the leases on unseen runners for run out.', now)
                 self._owner_context.log_crashes(self._cell.give_up_unseen(confirmed))
 
-    async def _give_up_outlived(self) -> None:
+    async def _drop_replaced_runners(self) -> None:
         """Take the tasks on incarnations for gone that have been followed by a later one."""
         gone = []
         for incarnation, later in self._cell.find_outlived().items():
-            if await self._owner_context.confirm_zone(later.registration.zone, self._began_at):
+            if await self._owner_context.confirm_zone(later.registration.zone, self._term_began_at):
                 gone.append(incarnation)
         if not gone:
             return
@@ -135,14 +135,14 @@
         )
         self._owner_context.log_crashes(self._cell.give_up_unseen(gone))
 
-    async def _is_confirmed(self, runner: str) -> bool:
+    async def _zone_is_confirmed(self, runner: str) -> bool:
         """Return whether the zone of an unseen runner has told what it has shown."""
         registration = self._parts.runners.find(runner)
         if registration is None:
             return True
-        return await self._owner_context.confirm_zone(registration.zone, self._began_at)
+        return await self._owner_context.confirm_zone(registration.zone, self._term_began_at)
 
-    def _tell_unseen(self, sentence: str, now: float) -> None:
+    def _log_unseen(self, sentence: str, now: float) -> None:
         self._journal.tell(
             Part.OWNERSHIP,
             sentence,
@@ -154,7 +154,7 @@
             unsettled=self._owner_context.term.unsettled,
         )
 
-    def _stop_doomed(self, now: float) -> None:
+    def _apply_preventive_stops(self, now: float) -> None:
         """Stop gangs that are not complete, and tasks whose runner is leaving."""
         for step in stop_late_gangs(self._cell, now, self._clock.wall()):
             self._journal.tell_frequent(
@@ -179,16 +179,16 @@
         former life can land seconds late, and tasks of the runner at work would be
         started a second time. Only a poll that another runner answers is a proof.
         """
-        folder = self._parts.runners
+        runner_list = self._parts.runners
         now = self._clock.monotonic()
-        for idle in self._active.take_idle(folder.registration_by_id):
+        for idle in self._active.take_idle(runner_list.registration_by_id):
             self._cell.leave_runner(idle.id)
-        active = self._active.choose(folder.registration_by_id, now)
+        active = self._active.choose(runner_list.registration_by_id, now)
         fresh = self._cell.see_runners(active, now)
-        note_last_words(self._cell.runner_by_id.values(), folder.find, now)
+        note_last_words(self._cell.runner_by_id.values(), runner_list.find, now)
         for runner_id in self._cell.unseen - self._cell.runner_by_id.keys():
             # Its entry has gone, but it may live and hold tasks.
-            registration = folder.find(runner_id)
+            registration = runner_list.find(runner_id)
             if registration is not None:
                 fresh.append(self._cell.add_unlisted(registration))
         for state in fresh:
@@ -198,9 +198,9 @@
     async def _drop_old_jobs(self) -> None:
         """Drop the keys of jobs that ended long ago."""
         now = self._clock.monotonic()
-        if now < self._dropped_at + DROP_SECONDS:
+        if now < self._last_drop_at + DROP_CHECK_SECONDS:
             return
-        self._dropped_at = now
+        self._last_drop_at = now
         oldest = self._clock.wall() - self._parts.status_kept * 2
         records: list[KeyedRecord] = []
         for job_id in self._parts.jobs.book.jobs_ended_before(oldest):
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -23,7 +23,7 @@
 #: not be stored yet.
 POLL_RETRY_SECONDS = 0.2
 #: Seconds that a poll waits for its ends to be stored before the next one.
-STORE_PATIENCE = 0.06
+STORE_TIMEOUT = 0.06
 #: Seconds without an answer after which nothing new is placed on a runner. One whose connection
 #: breaks gets nothing at once, as its process has probably ended.
 SUSPECT_SECONDS = 0.8
@@ -43,14 +43,14 @@
     async def poll(self, state: RunnerState, runner: Runner) -> None:
         """Look at one runner again and again until it has ended."""
         try:
-            while self._is_attended(state) and self._owner_context.may_act():
+            while self._is_current(state) and self._owner_context.may_act():
                 await self._poll_once(state, runner)
         finally:
             await runner.close()
 
     async def _poll_once(self, state: RunnerState, runner: Runner) -> None:
-        asked = self._owner_context.clock.monotonic()
-        lease_until = state.renew_lease(asked, self._owner_context.lease)
+        sent_at = self._owner_context.clock.monotonic()
+        lease_until = state.renew_lease(sent_at, self._owner_context.lease)
         unstored = state.acknowledged < state.acknowledgeable
         wait = _poll_wait(state) if lease_until is not None and not unstored else 0
         acknowledged = state.acknowledged
@@ -62,19 +62,19 @@
             await self._owner_context.end_term(f'{state.id} has seen a higher epoch')
             return
         except RunnerReplaced:
-            await self._end_replaced(state)
+            await self._end_replaced_runner(state)
             return
         except RunnerError as error:
-            await self._miss_runner(state, error)
+            await self._handle_poll_failure(state, error)
             return
-        if not self._is_attended(state):
+        if not self._is_current(state):
             # Another exchange has met the next life at its address meanwhile. Taken for
             # found there, its runs would be under way for ever: nobody looks there again.
             return
         state.confirmed = acknowledged
         self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
-        was_usable = state.usable(asked)
-        effect = self._take_view(state, view, asked)
+        was_usable = state.usable(sent_at)
+        effect = self._apply_view(state, view, sent_at)
         if effect.is_news or not was_usable:
             await self._owner_context.plan_needed.notify()
         if effect.ended or unstored:
@@ -86,21 +86,21 @@
             # looks would follow each other without a pause.
             await curio.sleep(POLL_RETRY_SECONDS)
 
-    def _is_attended(self, state: RunnerState) -> bool:
+    def _is_current(self, state: RunnerState) -> bool:
         """Return whether the runner is known by this state, and not by a later one."""
         return self._owner_context.cell.runner_by_id.get(state.id) is state
 
-    def _take_view(self, state: RunnerState, view: RunnerView, asked: float) -> PollEffect:
+    def _apply_view(self, state: RunnerState, view: RunnerView, sent_at: float) -> PollEffect:
         now = self._owner_context.clock.monotonic()
         unseen = state.id in self._owner_context.cell.unseen
-        effect = self._owner_context.cell.viewed(state, view, asked, now)
-        self._tell_effect(state, effect, now)
+        effect = self._owner_context.cell.viewed(state, view, sent_at, now)
+        self._log_effect(state, effect, now)
         self._owner_context.log_crashes(effect.crashes)
-        self._tell_readable(state, view)
+        self._log_readable(state, view)
         # The first poll of a term also tells that nothing was found: what an earlier
         # owner had sent there never came, and may be started elsewhere.
         if unseen or effect.adopted:
-            self._tell_found(state, effect.adopted, unseen, now)
+            self._log_found_runs(state, effect.adopted, unseen, now)
         return effect
 
     async def _store_ends(self, state: RunnerState, effect: PollEffect) -> None:
@@ -113,7 +113,7 @@
             bool(effect.ended),
             daemon=True,
         )
-        await curio.ignore_after(STORE_PATIENCE, task.wait)
+        await curio.ignore_after(STORE_TIMEOUT, task.wait)
 
     async def _acknowledge(self, state: RunnerState, number: int, fresh: bool) -> None:
         """Let the runner forget its ends once their effect stands in the store.
@@ -121,7 +121,7 @@
         While the store is out this is tried several times a second for each runner:
         only ``fresh`` ends get a line then, and those that are stored at last.
         """
-        began = self._owner_context.clock.monotonic()
+        started_at = self._owner_context.clock.monotonic()
         jobs = sorted(self._unstored_by_runner.get(state.id, ()))
         outcome = await self._owner_context.flush()
         if outcome is Written.STORED:
@@ -130,15 +130,15 @@
         elif not fresh:
             return
         if jobs:
-            self._tell_ends(state, number, jobs, outcome, began)
+            self._log_ends(state, number, jobs, outcome, started_at)
 
-    def _tell_ends(
+    def _log_ends(
         self,
         state: RunnerState,
         number: int,
         jobs: list[str],
         outcome: Written,
-        began: float,
+        started_at: float,
     ) -> None:
         self._owner_context.journal.tell_frequent(
             Part.WORKERS,
@@ -148,10 +148,10 @@
             number=number,
             acknowledged=state.acknowledged,
             epoch=self._owner_context.term.epoch,
-            seconds=round(self._owner_context.clock.monotonic() - began, 3),
+            seconds=round(self._owner_context.clock.monotonic() - started_at, 3),
         )
 
-    async def _miss_runner(self, state: RunnerState, error: RunnerError) -> None:
+    async def _handle_poll_failure(self, state: RunnerState, error: RunnerError) -> None:
         now = self._owner_context.clock.monotonic()
         first = not state.missed
         state.missed = True
@@ -166,7 +166,7 @@
                 epoch=self._owner_context.term.epoch,
             )
         if state.allocation_by_run and self._owner_context.leases_expired(state):
-            await self._lapse(state)
+            await self._expire_leases(state)
         if (
             not state.listed
             and not state.allocation_by_run
@@ -181,18 +181,18 @@
             return
         await curio.sleep(POLL_RETRY_SECONDS)
 
-    async def _end_replaced(self, state: RunnerState) -> None:
+    async def _end_replaced_runner(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
             self._owner_context.end_runner(state, 'another runner answers there', proven=True)
             return
         state.suspect = True
         await curio.sleep(POLL_RETRY_SECONDS)
 
-    async def _lapse(self, state: RunnerState) -> None:
+    async def _expire_leases(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
             self._owner_context.expire_runner_leases(state)
 
-    def _tell_readable(self, state: RunnerState, view: RunnerView) -> None:
+    def _log_readable(self, state: RunnerState, view: RunnerView) -> None:
         if view.complete is state.readable:
             return
         state.readable = view.complete
@@ -205,7 +205,7 @@
             tasks=len(state.allocation_by_run),
         )
 
-    def _tell_effect(self, state: RunnerState, effect: PollEffect, now: float) -> None:
+    def _log_effect(self, state: RunnerState, effect: PollEffect, now: float) -> None:
         for ended, allocation in effect.ended:
             started = allocation.started_at if allocation else None
             self._owner_context.journal.tell_frequent(
@@ -223,12 +223,16 @@
                 phase=lost.phase.value,
             )
 
-    def _tell_found(self, state: RunnerState, count: int, first: bool, now: float) -> None:
+    def _log_found_runs(self, state: RunnerState, count: int, first: bool, now: float) -> None:
         """Name the runs of an earlier owner: those that are held since the look at ``now``.
 
         After the ``first`` look of a term, what it does not name is not on the runner.
         """
-        found = [one for one in state.allocation_by_run.values() if one.placed_at == now]
+        found = [
+            allocation
+            for allocation in state.allocation_by_run.values()
+            if allocation.placed_at == now
+        ]
         self._owner_context.journal.tell(
             Part.WORKERS,
             f'found {count} tasks on {state.id}.',
@@ -236,8 +240,8 @@
             epoch=self._owner_context.term.epoch,
             first=first,
             found=[
-                f'{one.task.job}/{one.task.label} {one.run} {one.phase.value}'
-                for one in found[:MAX_LOGGED]
+                f'{allocation.task.job}/{allocation.task.label} {allocation.run} {allocation.phase.value}'
+                for allocation in found[:MAX_LOGGED]
             ],
         )
 
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -11,15 +11,15 @@
 
 #: Seconds before peers are asked again to take over, and how many at once: where
 #: the store refuses everybody, each claim adds to what it has to do.
-ASK_AGAIN = 0.7
-PEERS_ASKED = 3
+REQUEST_RETRY_SECONDS = 0.7
+PEERS_PER_REQUEST = 3
 #: Seconds of a term before it may be handed over to a larger host: larger ones that
 #: were restarted with everything else are back by then. And those for its answer.
-SETTLE_SECONDS = 1.5
-HAND_OVER_PATIENCE = 0.2
+MIN_TERM_SECONDS = 1.5
+READY_TIMEOUT = 0.2
 #: Seconds for a peer to claim the cell from an owner that leaves it, also on a slow store,
 #: and between looks whether one has.
-LEAVE_SECONDS = 1.5
+TAKEOVER_TIMEOUT = 1.5
 POLL_SECONDS = 0.02
 
 
@@ -40,13 +40,13 @@
         self._links = links
         self._election = election
         self._host = host
-        self._asked_at = float('-inf')
-        self._asked_peers = 0
-        self._settled_at = context.clock.monotonic() + SETTLE_SECONDS
+        self._last_request_at = float('-inf')
+        self._request_count = 0
+        self._next_hand_over_at = context.clock.monotonic() + MIN_TERM_SECONDS
 
     async def check(self, now: float) -> None:
         """Ask for a successor, or hand over, when either is due."""
-        await self._ask_when_refused(now)
+        await self._request_takeover_if_store_fails(now)
         await self._hand_over(now)
 
     async def request_takeover(self) -> bool:
@@ -56,28 +56,34 @@
         the cell from an owner at work fences it only then.
         """
         members = self._book.member_by_host
-        others = [host for host in rank_hosts(members) if host != self._host][:PEERS_ASKED]
+        others = [host for host in rank_hosts(members) if host != self._host][:PEERS_PER_REQUEST]
         self._owner_context.journal.tell(
             Part.OWNERSHIP,
             'asks peers to take over: it leaves the cell.',
             epoch=self._owner_context.term.epoch,
             peers=others,
         )
-        asks = [await curio.spawn(self._ask, members[host], daemon=True) for host in others]
-        for task in asks:
+        requests = [
+            await curio.spawn(self._send_takeover_request, members[host], daemon=True)
+            for host in others
+        ]
+        for task in requests:
             await task.wait()
-        if not any(task.result for task in asks):
+        if not any(task.result for task in requests):
             return False
-        until = self._owner_context.clock.monotonic() + LEAVE_SECONDS
+        until = self._owner_context.clock.monotonic() + TAKEOVER_TIMEOUT
         while not self._owner_context.end_reason and self._owner_context.clock.monotonic() < until:
             await curio.sleep(POLL_SECONDS)
         return bool(self._owner_context.end_reason)
 
-    async def _ask_when_refused(self, now: float) -> None:
+    async def _request_takeover_if_store_fails(self, now: float) -> None:
         """Have peers claim the cell while the store serves them and not this host."""
-        if not self._owner_context.writer.in_trouble(now) or now < self._asked_at + ASK_AGAIN:
+        if (
+            not self._owner_context.writer.in_trouble(now)
+            or now < self._last_request_at + REQUEST_RETRY_SECONDS
+        ):
             return
-        self._asked_at = now
+        self._last_request_at = now
         self._owner_context.journal.tell(
             Part.OWNERSHIP,
             'asks peers to take over: the store does not serve it.',
@@ -86,20 +92,20 @@
         )
         members = self._book.member_by_host
         others = [host for host in rank_hosts(members) if host != self._host]
-        for _ in range(min(PEERS_ASKED, len(others))):
-            host = others[self._asked_peers % len(others)]
-            self._asked_peers += 1
-            await curio.spawn(self._ask, members[host], daemon=True)
+        for _ in range(min(PEERS_PER_REQUEST, len(others))):
+            host = others[self._request_count % len(others)]
+            self._request_count += 1
+            await curio.spawn(self._send_takeover_request, members[host], daemon=True)
 
     async def _hand_over(self, now: float) -> None:
         """Give the cell up when a larger host lives that can own it.
 
         After many hosts were killed at once, a small one that was left may have claimed.
         """
-        if now < self._settled_at or not self._election.may_hand_over():
+        if now < self._next_hand_over_at or not self._election.may_hand_over():
             return
         members = self._book.member_by_host
-        for host in larger_hosts(members, self._host)[:PEERS_ASKED]:
+        for host in larger_hosts(members, self._host)[:PEERS_PER_REQUEST]:
             if not await self._is_ready(host, members[host]):
                 continue
             self._election.note_hand_over()
@@ -110,7 +116,7 @@
             )
             await self._owner_context.ended.set()
             return
-        self._settled_at = now + SETTLE_SECONDS
+        self._next_hand_over_at = now + MIN_TERM_SECONDS
 
     async def _is_ready(self, host: str, member: Member) -> bool:
         """Return whether a host can own the cell now: one that merely lives may not.
@@ -118,7 +124,7 @@
         Just out of a cut, it has yet to read the list of runners, and starts nothing.
         """
         try:
-            frame = await self._links.ask(member, OwnerAsked(''), HAND_OVER_PATIENCE)
+            frame = await self._links.ask(member, OwnerAsked(''), READY_TIMEOUT)
         except PeerError as error:
             cause = f'{error}'
         else:
@@ -130,11 +136,11 @@
         )
         return False
 
-    async def _ask(self, member: Member) -> bool:
+    async def _send_takeover_request(self, member: Member) -> bool:
         """Ask a host to take over; return whether it was heard, which shows in the store."""
         try:
             frame = await self._links.ask(
-                member, OwnerFailing(self._owner_context.term.term), ASK_AGAIN
+                member, OwnerFailing(self._owner_context.term.term), REQUEST_RETRY_SECONDS
             )
         except PeerError:
             return False
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -12,11 +12,11 @@
 
 #: Seconds for which a runner must have been silent: a host finds that it is cut off in no
 #: less.
-CUT_SECONDS = 0.4
+PARTITION_DETECTION_SECONDS = 0.4
 #: Seconds between two rounds of questions to a zone.
-ASK_AGAIN = 0.5
+QUERY_RETRY_SECONDS = 0.5
 #: Seconds after which a zone that nobody answers from counts as lost, with its clients.
-LOST_SECONDS = 60.0
+ZONE_LOST_SECONDS = 60.0
 
 
 class ZoneConfirmation:
@@ -31,7 +31,7 @@
         self._completion_gossip = gossip
         self._host = host
         self._confirmed_at_by_zone: dict[str, float] = {}
-        self._asked_at_by_zone: dict[str, float] = {}
+        self._queried_at_by_zone: dict[str, float] = {}
         self._lost_zones: set[str] = set()
         self._began_at = context.clock.monotonic()
 
@@ -46,23 +46,23 @@
         hosts = [
             host for host, member in members.items() if member.zone == zone and host != self._host
         ]
-        if not zone or not hosts or now - since < CUT_SECONDS:
+        if not zone or not hosts or now - since < PARTITION_DETECTION_SECONDS:
             return True
         if self._confirmed_at_by_zone.get(zone, float('-inf')) > since:
             return True
-        if now - since > LOST_SECONDS:
-            self._note_lost(zone)
+        if now - since > ZONE_LOST_SECONDS:
+            self._log_lost_zone(zone)
             return True
-        if now - self._asked_at_by_zone.get(zone, float('-inf')) < ASK_AGAIN:
+        if now - self._queried_at_by_zone.get(zone, float('-inf')) < QUERY_RETRY_SECONDS:
             return False
-        self._asked_at_by_zone[zone] = now
+        self._queried_at_by_zone[zone] = now
         if not await self._completion_gossip.query_peers([(host, members[host]) for host in hosts]):
             return False
         self._confirmed_at_by_zone[zone] = now
         self._lost_zones.discard(zone)
         return True
 
-    def _note_lost(self, zone: str) -> None:
+    def _log_lost_zone(self, zone: str) -> None:
         if zone in self._lost_zones:
             return
         self._lost_zones.add(zone)
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -68,7 +68,7 @@
     runners = context.dispatcher._parts.runners
     runners._codec = OneAddress()
     runners.fold(RecordBatch(context.entries, 2, 2))
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
 @then('that job is left alone until w9 has been seen')
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -125,7 +125,7 @@
         await curio.spawn(host.follower.run, daemon=True)
         await until(lambda: host.follower.complete)
         dispatcher = make_dispatcher(host, term, context.topic, host.clock, links=context.peer)
-        dispatcher._begin()
+        dispatcher._load_state()
         dispatcher._completion_gossip.block_started_jobs()
         cell = dispatcher.cell
         # w1 answers no more; w2 does, and could run the task.
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -286,7 +286,7 @@
     clock = ManualClock(1000)
     host = Host('me', MemoryTopic(), clock)
     context.dispatcher = make_dispatcher(host, context.term, MemoryTopic(), clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
 @then('it leaves jobs on unseen runners alone for {wait:g} s')
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -163,7 +163,7 @@
     clock.advance(SILENT_SECONDS)
     term = Term(9, 'me/1', WriterFence(9, 1), clock.now - 1, False, False, former=former)
     dispatcher = make_dispatcher(context.host, term, context.memory, clock)
-    dispatcher._begin()
+    dispatcher._load_state()
     return dispatcher
 
 
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -85,7 +85,7 @@
     host = Host('me', context.topic, context.clock)
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(host, term, context.topic, context.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
 @when('the store takes heartbeats again')
@@ -97,7 +97,7 @@
         await curio.spawn(writer.write, [make_record('x', 1)], 9.0, daemon=True)
         await until(lambda: topic.under_way == 1)
         dispatcher.cell.see_runners({'w1': make_registration('w1')}, context.clock.monotonic())
-        await curio.spawn(dispatcher._beat, daemon=True)
+        await curio.spawn(dispatcher._store_heartbeats, daemon=True)
         await until(lambda: topic.under_way == 6)
         return await topic.snapshot()
 
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -39,7 +39,7 @@
     async def own_and_release():
         term = await context.host.own()
         dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-        dispatcher._begin()
+        dispatcher._load_state()
         await curio.spawn(dispatcher._owner_context.writer.run, daemon=True)
         await dispatcher._release()
         third = Host('next', context.topic, context.host.clock)
@@ -49,7 +49,7 @@
     assert context.dispatcher.cell.unseen == {'w9'}
     assert term.released, term
     context.third = make_dispatcher(third, term, context.topic, third.clock)
-    context.third._begin()
+    context.third._load_state()
 
 
 @then('the third owner waits no less than the successor would have')
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -32,7 +32,7 @@
     book.fold([make_record(f'{SUBMISSION}j1', JOB), running])
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
     job.note_done(job.steps(0)[0].tasks[0].name)
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -38,7 +38,7 @@
     assert term.epoch == 5
     host = context.host
     context.dispatcher = make_dispatcher(host, term, context.topic, host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
 @then('it leaves tasks on unseen runners alone until all leases of that owner are over')
@@ -56,7 +56,7 @@
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
     context.dispatcher.cell.see_runners({'w1': make_registration('w1')}, heard_at)
 
 
@@ -65,7 +65,7 @@
     async def beat():
         owner = context.dispatcher._owner_context
         await curio.spawn(owner.writer.run, daemon=True)
-        await curio.spawn(context.dispatcher._beat, daemon=True)
+        await curio.spawn(context.dispatcher._store_heartbeats, daemon=True)
         await until(lambda: context.topic.records)
         return await context.topic.snapshot()
 
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -50,7 +50,7 @@
 def owns(context):
     term = curio.run(context.host.own)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
 @then('that job stays alone for all 17.7 s, and not for longer')
