--- a/dandelionreel/cell/owner/__init__.py
+++ b/dandelionreel/cell/owner/__init__.py
@@ -1,4 +1,4 @@
-"""The owner's work for one term: orders, polls, take-overs."""
+"""What the owner of a cell does during one term: plans, starts, stops, polls and handover."""
 
 from dandelionreel.cell.owner._dispatcher import Dispatcher
 from dandelionreel.cell.owner._parts import DispatcherParts
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -1,4 +1,4 @@
-"""Tells peers which jobs are complete while the store is away or slow, and asks what they know."""
+"""Exchanges completed jobs with peers while the store is unavailable or slow."""
 
 from collections.abc import Iterable
 from functools import partial
@@ -12,18 +12,19 @@
 from dandelionreel.kernel import Part
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, PeerError
 
-#: Seconds that the store may take to learn of an end before peers are told: several times
-#: what it usually takes.
+#: Seconds to wait for the store before a completion is sent to peers: several times its usual
+#: delay.
 STORE_DELAY_SECONDS = 0.04
-#: Seconds for a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
+#: Timeout in seconds of a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
 ANSWER_TIMEOUT = 0.25
-#: Jobs that one line names: at 20 bytes each it stays within 2 KB.
+#: Maximum number of jobs in one log line: at 20 bytes each it stays within 2 KB.
 MAX_LOGGED = 80
+#: Maximum seconds between two checks for unstored completions.
 IDLE_SECONDS = 1.0
 
 
 class CompletionGossip:
-    """What an owner and its peers tell each other of complete jobs during one term."""
+    """Sends completed jobs to peers and queries theirs, during one term."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         completions: Completions,
         host: str,
     ) -> None:
-        """Speak for ``host``; keep in ``completions`` what clients may be told."""
+        """Act for ``host``; ``completions`` collects the jobs that may be shown as complete."""
         self._owner_context = context
         self._book = book
         self._links = links
@@ -42,7 +43,7 @@
         self._announced: set[str] = set()
 
     async def run(self) -> None:
-        """Tell peers of each job that the store is too slow to learn of, for ever."""
+        """Send peers each completed job that the store is slow to record; runs until cancelled."""
         while True:
             seen = self._owner_context.completions_changed.count
             await curio.sleep(STORE_DELAY_SECONDS)
@@ -55,11 +56,11 @@
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def block_started_jobs(self) -> None:
-        """Leave jobs that had begun alone until peers have been asked."""
+        """Hold back jobs that have already begun until the peers have been queried."""
         self._owner_context.cell.awaits_completions = True
 
     async def query_successors(self) -> None:
-        """Take what peers were told by the owners before."""
+        """Fetch the completions that earlier owners have sent to peers, then release held jobs."""
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
         self._owner_context.cell.take_complete(known)
@@ -68,7 +69,7 @@
         await self._owner_context.plan_needed.notify()
 
     async def query_peers(self, peers: Iterable[tuple[str, Member]]) -> bool:
-        """Take what peers know, asked at the same time; return whether any has answered."""
+        """Query peers concurrently and apply their completions; return whether any answered."""
         queries = [
             await curio.spawn(self._query_peer, host, member, daemon=True) for host, member in peers
         ]
@@ -77,13 +78,13 @@
         return any(task.result for task in queries)
 
     def _successors(self) -> list[tuple[str, Member]]:
-        """Return the hosts that would own the cell next."""
+        """Return the hosts that are next in line to own the cell."""
         members = self._book.member_by_host
         first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSORS]
         return [(host, members[host]) for host in first]
 
     async def _announce(self, jobs: tuple[str, ...]) -> None:
-        """Tell all peers at once; clients may be told as soon as one has taken the word."""
+        """Send completions to all successors; one acknowledgement allows clients to be told."""
         message = CompletionsTold(self._owner_context.term.epoch, jobs)
         for host, member in self._successors():
             await curio.spawn(partial(self._announce_to, host, member, message), daemon=True)
@@ -92,7 +93,7 @@
         try:
             frame = await self._links.ask(member, message, ANSWER_TIMEOUT)
         except PeerError:
-            # The store's answer shows the jobs at last; a silent peer has lines of its own.
+            # The jobs are shown once the store answers; silent peers are logged elsewhere.
             return
         if isinstance(frame.message, Done):
             self._publish(host, message.jobs)
@@ -119,7 +120,7 @@
             frame = await self._links.ask(member, wanted, ANSWER_TIMEOUT)
         except PeerError as error:
             self._owner_context.journal.tell(
-                Part.OWNERSHIP, f'{host} does not tell which jobs are complete: {error}.'
+                Part.OWNERSHIP, f'{host} has not reported its completed jobs: {error}.'
             )
             return False
         told = frame.message
@@ -130,7 +131,7 @@
         if taken:
             self._owner_context.journal.tell(
                 Part.JOBS,
-                f'{host} knows jobs to be complete that the store does not.',
+                f'{host} reports completed jobs that are not completed in the store.',
                 jobs=taken[:MAX_LOGGED],
                 count=len(taken),
                 epoch=self._owner_context.term.epoch,
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -1,4 +1,4 @@
-"""The owner's work for one term, around the decisions of ``Cell`` and ``Planner``."""
+"""Runs a cell during one term and carries out the decisions of ``Cell`` and ``Planner``."""
 
 from contextlib import AsyncExitStack
 
@@ -29,28 +29,28 @@
 from dandelionreel.cell.store import BookedJob, Written
 from dandelionreel.kernel import Part, start_task
 
-#: Typical seconds of an append above which the store counts as slow.
+#: Typical append latency in seconds above which the store counts as slow.
 SLOW_APPEND_SECONDS = 0.05
-#: Seconds of failed appends after which new work is refused at once.
+#: Seconds of failed appends after which a new job or a cancellation is refused.
 CLIENT_WRITE_TIMEOUT = 0.25
-#: Seconds in which news is gathered for one plan.
+#: Minimum seconds between plans, in which changes are collected for the next one.
 MIN_PLAN_PAUSE = 0.004
-#: A plan is followed by a pause of this many times its duration, so that plans with a long backlog
-#: leave processor time for orders.
+#: Each plan is followed by a pause of this many times its duration, so that plans over a long
+#: backlog leave processor time for orders.
 PLAN_PAUSE_FACTOR = 1.5
-#: Seconds in which a released cell's last record must be stored.
+#: Timeout in seconds for storing the record that releases the cell.
 RELEASE_TIMEOUT = 1.0
-#: Jobs that one line names.
+#: Maximum number of jobs in one log line.
 MAX_LOGGED = 80
-#: Seconds before a question that failed is put again.
+#: Seconds before a failed advice request is repeated.
 ADVICE_RETRY_SECONDS = 0.1
 
 
 class Dispatcher:
-    """Dispatches for one term and ends with it."""
+    """Dispatches the jobs of a cell during one term."""
 
     def __init__(self, parts: DispatcherParts, term: Term) -> None:
-        """Work under ``term``."""
+        """Create the dispatcher of ``term``."""
         self._parts = parts
         self._clock = parts.clock
         self._journal = parts.journal
@@ -95,17 +95,17 @@
 
     @property
     def may_act(self) -> bool:
-        """Return whether this host still has the right to act as the owner."""
+        """Return whether this host may still send orders as the owner."""
         return self._owner_context.may_act()
 
     @property
     def store_is_failing(self) -> bool:
-        """Return whether nothing could be stored for a while."""
+        """Return whether appends to the store have been failing for a while."""
         return self._owner_context.writer.in_trouble(self._clock.monotonic())
 
     @property
     def stored_at(self) -> float:
-        """Return when the latest append that was answered had been sent."""
+        """Return when the latest answered append was sent, in monotonic seconds."""
         return self._owner_context.writer.stored_at
 
     async def run(self) -> None:
@@ -137,14 +137,14 @@
         )
 
     async def end(self) -> None:
-        """Give the cell up for another host."""
+        """End the term so that another host can own the cell."""
         await self._owner_context.ended.set()
 
     async def accept(self, job_id: str, submission: Submission, timeout: float) -> Written:
-        """Store a job; its advice is asked for meanwhile.
+        """Store a job; planning and advice requests for it begin meanwhile.
 
-        While the store is slow, its runners are not stored one by one: the job
-        is marked as running anywhere, and its starts need no append of theirs.
+        While the store is slow, the job is stored as possibly running on any runner. Its starts
+        then need no append for each new runner.
         """
         known = self.cell.job_by_id.get(job_id)
         if known is not None and known.stored:
@@ -164,19 +164,19 @@
         return outcome or Written.UNKNOWN
 
     async def cancel(self, job_id: str, timeout: float) -> Written:
-        """Store that a client has cancelled a job, and have it stopped."""
+        """Store a client's cancellation of a job, then stop its tasks."""
         record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
         write_task = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
         return await curio.ignore_after(timeout, write_task.join) or Written.UNKNOWN
 
     async def take_complete(self, jobs: tuple[str, ...]) -> None:
-        """Take jobs as complete that hosts have shown so behind a cut, and have that stored."""
+        """Mark jobs complete that partitioned hosts have shown to clients as complete."""
         taken = self.cell.take_complete(jobs)
         if not taken:
             return
         self._journal.tell(
             Part.JOBS,
-            'takes jobs as complete that were shown so behind a cut.',
+            'marked jobs complete that were shown to clients during a partition.',
             jobs=taken[:MAX_LOGGED],
             count=len(taken),
             epoch=self._owner_context.term.epoch,
@@ -184,12 +184,12 @@
         await self._owner_context.plan_needed.notify()
 
     def state_of(self, job_id: str) -> JobState | None:
-        """Return what clients are told about a job, ``None`` if it is not known."""
+        """Return the state of a job that clients are shown, ``None`` if it is unknown."""
         job = self.cell.job_by_id.get(job_id)
         return None if job is None or not job.stored else job.shown_state
 
     def account_of(self, job_id: str) -> str:
-        """Return the client account of a job that is known here, empty for none."""
+        """Return the client account of a job, empty if the job is unknown or has none."""
         job = self.cell.job_by_id.get(job_id)
         return '' if job is None else job.account
 
@@ -197,7 +197,7 @@
         if job.beyond_rate:
             self._journal.tell_frequent(
                 Part.JOBS,
-                f"job {job.id} is beyond its account's share: it waits behind others.",
+                f"job {job.id} is beyond its account's share: it is queued behind other jobs.",
                 job=job.id,
                 account=job.account,
                 epoch=self._owner_context.term.epoch,
@@ -223,10 +223,10 @@
         return outcome
 
     async def _release(self) -> None:
-        """Store that this owner has stopped for good, having stopped before.
+        """Stop acting as the owner, then store the release of the cell.
 
-        A successor waits for the leases that were granted before it read the release, so nothing
-        may be started or renewed while the answer is out.
+        A successor waits only for leases that were granted before it read the release, so nothing
+        may be started or renewed while the append is pending.
         """
         await self._owner_context.flush()
         self._owner_context.end_reason = 'released'
@@ -238,12 +238,12 @@
         await self._owner_context.writer.write([make_record(OWNER_KEY, owner)], RELEASE_TIMEOUT)
 
     def _load_state(self) -> None:
-        """Take what the store knows; wait for the runners that may hold more."""
+        """Load jobs and quota leftovers from the store, and the runners still to be polled."""
         parts = self._parts
         self._periodic_checks.load_predecessor_state(self._clock.monotonic())
         book = parts.jobs.book
         book.take_changed()
-        # In the order in which they came: an account may expect its first ones to be served.
+        # In order of acceptance, since an account expects its earlier jobs to be served first.
         for job_id in sorted(book.submission_by_id, key=book.accepted_at):
             self._update_job(job_id)
         wall = self._clock.wall()
@@ -251,10 +251,10 @@
             self.cell.quotas.expect_leftovers(job_id, progress, wall)
 
     def _unsettled_seconds(self) -> float:
-        """Return for how many seconds more earlier owners may renew leases unseen.
+        """Return for how many more seconds leases of earlier owners may last on unseen runners.
 
-        Each word of this owner says so, the last one too: its successor would else
-        wait for one lease of this owner while an earlier one renews on.
+        Every owner record carries it, including the release. Otherwise a successor would only wait
+        for this owner's last lease while an earlier owner still renews others.
         """
         if not self.cell.unseen:
             return 0.0
@@ -262,7 +262,7 @@
         return round(max(0.0, left), 2)
 
     async def _store_heartbeats(self) -> None:
-        """Store heartbeats until the term ends; one behind the release would undo it."""
+        """Store heartbeats until the term ends; one stored after the release would undo it."""
         heartbeat = 0
         stored: frozenset[str] = frozenset()
         while not self._owner_context.end_reason:
@@ -272,15 +272,17 @@
                 heartbeat, self._unsettled_seconds(), version=version
             )
             records = [make_record(OWNER_KEY, owner)]
-            # Runners that only a former owner has seen are kept for the next one: it
-            # has to wait for them too, should this owner be killed meanwhile.
+            # Includes runners that only a previous owner has seen: if this owner is killed, its
+            # successor has to wait for them as well.
             attended = frozenset(self.cell.runner_by_id) | self.cell.unseen
             if attended != stored:
                 runners_record = Attended(self._owner_context.term.epoch, tuple(sorted(attended)))
                 records.append(make_record(ATTENDED_KEY, runners_record))
             outcome = await self._owner_context.store_progress(self.cell.take_dirty(), *records)
             if outcome is Written.FENCED:
-                await self._owner_context.end_term('another host has written with a higher epoch')
+                await self._owner_context.end_term(
+                    'another host has written to the store with a higher epoch'
+                )
                 return
             if outcome is Written.STORED:
                 stored = attended
@@ -288,14 +290,14 @@
             await curio.sleep(BEAT_SECONDS)
 
     async def _enable_recorded_runners(self, stored: frozenset[str]) -> None:
-        """Let tasks be placed on the runners that the store now names."""
+        """Allow tasks on the runners that are now recorded in the store."""
         for runner_id, state in self.cell.runner_by_id.items():
             if runner_id in stored and not state.recorded:
                 state.recorded = True
                 await self._owner_context.plan_needed.notify()
 
     async def _follow_jobs(self) -> None:
-        """Take news of jobs as the log tells them."""
+        """Apply changes of jobs and of the owner as they are read from the store."""
         follower = self._parts.follower
         book = self._parts.jobs.book
         while True:
@@ -326,7 +328,7 @@
         if job is not None and not job.over:
             self._journal.tell(
                 Part.JOBS,
-                f'job {job_id} is under way here and over in the store.',
+                f'job {job_id} is unfinished here but over in the store.',
                 job=job_id,
                 state=job.state.value,
                 stored=booked.state.value if booked else None,
@@ -343,14 +345,14 @@
             await self._owner_context.plan_needed.wait(seen, 1.0)
 
     async def _plan_once(self) -> None:
-        """Plan, and send all that was decided, though the right to start may end meanwhile.
+        """Make a plan and send all its orders, even if the right to start ends meanwhile.
 
-        Each start checks that right itself before it is sent, and is withdrawn without it. A plan
-        that is dropped would leave starts counted, and requests open, that nobody has sent.
+        Each start checks that right before it is sent and is withdrawn without it. Dropping a plan
+        would leave starts and advice requests recorded as pending although they were never sent.
         """
         began = self._clock.monotonic()
         plan = self._planner.plan(
-            began, self._clock.wall(), self._pool.free_for_patient, self._order_sender.free
+            began, self._clock.wall(), self._pool.free_for_patient, self._order_sender.free_starts
         )
         self._load_report.add_plan(plan, self._clock.monotonic() - began)
         await self._send_stops()
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -1,6 +1,7 @@
-"""What the owner's cell is doing, told once a second while anything waits.
+"""Logs the load of the owner's cell once a second while tasks wait.
 
-Explains waiting: whether room, runners, tickets or the owner's own processor are short.
+The line shows why they wait: lack of free capacity, runners or tickets, or of processor time in the
+owner.
 """
 
 from collections import Counter
@@ -10,8 +11,9 @@
 from dandelionreel.cell.membership import AdvicePool
 from dandelionreel.kernel import Journal, Part
 
-#: Seconds between two lines.
+#: Seconds between two log lines.
 REPORT_SECONDS = 1.0
+#: Thousandths in a unit: millicores in a core, milliseconds in a second.
 MILLI = 1000
 
 
@@ -26,10 +28,10 @@
 
 
 class LoadReport:
-    """Adds up plans, and tells of them with the state of the cell."""
+    """Totals the plans of each period and logs them with the state of the cell."""
 
     def __init__(self, cell: Cell, pool: AdvicePool, journal: Journal) -> None:
-        """Look at that cell, and at its questions in ``pool``."""
+        """Report on ``cell`` and on its pending advice requests in ``pool``."""
         self._cell = cell
         self._pool = pool
         self._journal = journal
@@ -38,7 +40,7 @@
         self._reported_at = float('-inf')
 
     def add_plan(self, plan: Plan, seconds: float) -> None:
-        """Add a plan that took that long."""
+        """Add a plan that took ``seconds`` to compute."""
         totals = self._totals
         totals.plans += 1
         totals.plan_seconds += seconds
@@ -48,7 +50,7 @@
         totals.advice_requests += len(plan.questions)
 
     def report(self, now: float, wall: float, epoch: int) -> None:
-        """Log one line a second as long as something waits, and the jobs that are stalled."""
+        """Log stalled jobs, and the load if tasks wait, unless the last report is too recent."""
         if now < self._reported_at + REPORT_SECONDS:
             return
         self._reported_at = now
@@ -62,7 +64,7 @@
         usable = [runner for runner in runners if runner.usable(now)]
         self._journal.tell(
             Part.PLACEMENT,
-            'tasks wait.',
+            'tasks are waiting.',
             epoch=epoch,
             waiting=dict(waiting),
             runners=len(self._cell.runner_by_id),
@@ -96,7 +98,7 @@
             )
 
     def _count_waiting(self, wall: float) -> Counter[str]:
-        """Return how many tasks wait whose turn has come, by queue."""
+        """Return the number of waiting tasks whose step is ready, by queue."""
         waiting: Counter[str] = Counter()
         for job in self._cell.live_by_id.values():
             if job.over:
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -1,4 +1,4 @@
-"""Starts and stops, repeated until it is known what became of them."""
+"""Sends starts and stops to runners and retries them until their outcome is known."""
 
 from typing import Any
 
@@ -18,51 +18,52 @@
 from dandelionreel.cell.store import Written
 from dandelionreel.kernel import Part, Verdict, seconds_or_none
 
-#: Seconds in which the runners of a job must be stored before its starts are withdrawn.
+#: Timeout in seconds for storing a job's new runners, after which its starts are withdrawn.
 RECORD_TIMEOUT = 0.9
-#: Tries of one start before it is taken back.
+#: Attempts of one start before it is revoked.
 START_ATTEMPTS = 4
+#: Seconds between attempts of one start.
 START_RETRY_SECONDS = 0.03
-#: Seconds between tries of one stop.
+#: Seconds between attempts of one stop.
 STOP_RETRY_SECONDS = 0.2
-#: Seconds for which a runner that could not be reached gets no start.
+#: Seconds for which an unreachable runner is sent no starts.
 UNREACHABLE_PAUSE = 0.3
-#: Starts that may be under way at the same time.
+#: Maximum number of concurrent starts.
 MAX_PENDING_STARTS = 64
-#: Seconds for the answer to a start above which it is logged.
+#: Seconds that a start may take to be answered before it is logged as slow.
 SLOW_START_SECONDS = 0.1
 
 
 class OrderSender:
-    """Sends what the planner has decided."""
+    """Sends the starts and stops that the planner has decided."""
 
     def __init__(self, context: OwnerContext) -> None:
-        """Send on behalf of ``context``."""
+        """Send orders under the term of ``context``."""
         self._owner_context = context
-        #: Starts that were decided and are not answered yet.
+        #: Number of starts that are decided but not yet answered.
         self._pending_starts = 0
         self._was_full = False
 
     @property
-    def free(self) -> int:
-        """Return how many more starts may be under way.
+    def free_starts(self) -> int:
+        """Return how many more starts may be pending.
 
-        An owner that is short of processor time would else send the urgent ones behind many
-        others, by tickets that expire meanwhile.
+        Without the limit, an owner that is short of processor time would send urgent starts after
+        many others, and their tickets would expire meanwhile.
         """
         return max(0, MAX_PENDING_STARTS - self._pending_starts)
 
     async def send_starts(self, allocations: list[Allocation]) -> None:
-        """Send starts; first store the runners that are new to their jobs.
+        """Send starts; runners that are new to their jobs are stored first.
 
-        Starts of tasks under which runners have crashed are stored one by one.
+        A start of a task during which runners have crashed is always stored first.
         """
         self._pending_starts += len(allocations)
         unstored: dict[str, list[Allocation]] = {}
         for allocation in allocations:
             job = self._owner_context.cell.job_by_id.get(allocation.task.job)
             if job is None:
-                # It was over, and forgotten, before its start could be sent.
+                # The job ended and was removed before its start could be sent.
                 await self._withdraw_unsent_start(allocation)
                 continue
             if job.note_start(allocation.task, allocation.run, allocation.runner):
@@ -73,7 +74,7 @@
             await curio.spawn(self._store_and_send, unstored, daemon=True)
 
     async def send_stop(self, allocation: Allocation) -> None:
-        """Repeat a stop until the runner has taken it."""
+        """Send a stop and retry it until the runner acknowledges it."""
         runner = self._owner_context.runner_by_id.get(allocation.runner)
         while runner is not None and self._owner_context.may_act():
             state = self._owner_context.cell.runner_by_id.get(allocation.runner)
@@ -130,16 +131,16 @@
         await self._note_start_finished()
 
     async def _run_start(self, allocation: Allocation) -> None:
-        """Send a start, and let others go once it is known what became of it."""
+        """Send a start and count it as finished once its outcome is known."""
         try:
             await self._send_start(allocation)
         finally:
             await self._note_start_finished()
 
     async def _note_start_finished(self) -> None:
-        self._was_full = self._was_full or not self.free
+        self._was_full = self._was_full or not self.free_starts
         self._pending_starts -= 1
-        # Plans for one start each would take the time that the starts need.
+        # Planning again after each answer would use up the processor time that starts need.
         if self._was_full and self._pending_starts <= MAX_PENDING_STARTS // 2:
             self._was_full = False
             await self._owner_context.plan_needed.notify()
@@ -152,8 +153,8 @@
             self._owner_context.cell.withdraw(allocation)
             return
         if state.suspect:
-            # It went silent while the start was on its way to the store. Sent in vain, the
-            # start would hold its task up, and count as one that the runner crashed under.
+            # The runner became silent while the job's runners were being stored. A start sent now
+            # would delay its task and count as one during which the runner crashed.
             self._owner_context.cell.withdraw(allocation)
             return
         self._log_start(state, allocation, job)
@@ -172,11 +173,11 @@
         return self._owner_context.run_fields(allocation.runner, allocation.task, allocation.run)
 
     def _log_start(self, state: RunnerState, allocation: Allocation, job: JobRun) -> None:
-        """Tell a start with the age of what it rests on.
+        """Log a start with the age of the data that the decision is based on.
 
-        ``store_age`` and ``runner_age`` are seconds since the store and the runner last
-        answered; ``version`` is that of the configuration. A task that was started by two
-        owners is traced by what the second one had and had not heard.
+        ``store_age`` and ``runner_age`` are seconds since the store and the runner last answered;
+        ``version`` is that of the configuration. If two owners start the same task, these fields
+        show what the second one did not know.
         """
         now = self._owner_context.clock.monotonic()
         found = job.find(allocation.task)
@@ -202,7 +203,7 @@
         allocation: Allocation,
         payload: str,
     ) -> bool | None:
-        """Repeat a start until it is answered; else return whether it may arrive."""
+        """Retry a start until it is answered; else return whether it may have arrived."""
         may_have_arrived = False
 
         def may_send() -> bool:
@@ -211,7 +212,7 @@
         started_at = self._owner_context.clock.monotonic()
         for _ in range(START_ATTEMPTS):
             if not may_send():
-                # Withdrawn, not unanswered: that says nothing of the runner.
+                # Withdrawn by the owner, which is no sign that the runner is unreachable.
                 return may_have_arrived
             self._note_order_sent(state)
             try:
@@ -220,14 +221,15 @@
                 )
             except RunnerError as error:
                 arrived = error.verdict is not Verdict.NOT_RUN
-                # Later tries meet connections that the crash has closed before.
+                # Only the first attempt counts: a crash has already closed the connections that
+                # later attempts use.
                 allocation.broken = allocation.broken or (
                     arrived and error.broken and not may_have_arrived
                 )
                 may_have_arrived = may_have_arrived or arrived
                 allocation.unanswered = may_have_arrived
-                # Nothing more goes there until it has answered a poll: a start that may have
-                # arrived holds its task up until the lease has run out.
+                # Send no more starts there until the runner answers a poll: a start that may have
+                # arrived blocks its task until the lease has expired.
                 state.suspect = True
                 self._log_unanswered_start(allocation, error)
                 if not may_have_arrived or not may_send():
@@ -245,7 +247,7 @@
         return may_have_arrived
 
     def _may_start(self, allocation: Allocation) -> bool:
-        """Return whether a start is still wanted, and its ticket still good."""
+        """Return whether a start is still wanted and its ticket, if any, is still valid."""
         cell = self._owner_context.cell
         if not cell.may_start(allocation):
             return False
@@ -255,9 +257,11 @@
 
     async def _end_replaced_runner(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
-            self._owner_context.end_runner(state, 'another runner answers there', proven=True)
+            self._owner_context.end_runner(
+                state, 'another runner answers at its address', proven=True
+            )
             return
-        # The next poll finds the same, and asks again.
+        # The next poll detects the replacement again and retries the confirmation.
         state.suspect = True
 
     def _note_order_sent(self, state: RunnerState) -> None:
@@ -312,7 +316,7 @@
             return
         if reply is StartReply.REPLACED:
             if not in_doubt:
-                # It never ran there, so no crash of the runner counts for it.
+                # The task never ran there, so a crash of the runner does not count against it.
                 self._owner_context.cell.withdraw(allocation)
             await self._end_replaced_runner(state)
         else:
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the dispatcher share for one term, and how they store notes."""
+"""State that the parts of the dispatcher share during one term, and writes to the store."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -23,14 +23,15 @@
 #: Seconds for which runners keep their tasks without a renewal: longer than a usual partition.
 LEASE_SECONDS = 8.5
 
-#: Seconds without an answered append after which nothing is started: less than a successor needs to
-#: claim the cell and poll the runners.
+#: Seconds without an answered append after which no task is started: less than a successor needs
+#: to claim the cell and poll the runners.
 START_AUTHORITY_SECONDS = 1.5
 
-#: Seconds that the list of runners may be old when a start is sent: runners drain and shrink.
+#: Maximum age in seconds of the runner list when a start is sent: a listed runner may have begun to
+#: drain or lost capacity since.
 MAX_RUNNER_LIST_AGE = 2.5
 
-#: Lost runs that are logged when their runner ends.
+#: Maximum number of lost runs that are logged for one runner.
 MAX_LOGGED = 40
 
 GetRunnerListAge = Callable[[], float]
@@ -39,17 +40,17 @@
 
 
 def always_fresh() -> float:
-    """Return the age of a list of runners that never gets old."""
+    """Return 0, the age of a runner list that never becomes stale."""
     return 0.0
 
 
 async def always_confirmed(zone: str, since: float) -> bool:
-    """Return that nobody in a zone may have shown anything."""
+    """Confirm any zone, for contexts in which no host answers clients during a partition."""
     return True
 
 
 class OwnerContext:
-    """The cell of one term, the right to act on it, and the way to the store."""
+    """Cell state of one term, the checks of the owner's authority, and the writer to the store."""
 
     def __init__(
         self,
@@ -62,9 +63,9 @@
         journal: Journal,
         get_runner_list_age: GetRunnerListAge = always_fresh,
     ) -> None:
-        """Work under ``term``; leases are cut to ``longest_lease`` seconds.
+        """Create the context of ``term``; leases last at most ``longest_lease`` seconds.
 
-        ``list_age`` tells how old the list of runners is, in seconds.
+        ``get_runner_list_age`` returns the age of the runner list in seconds.
         """
         self.term = term
         self.cell = cell
@@ -74,34 +75,34 @@
         self.writer = GroupWriter(topic, clock, journal, term.fence)
         claimed_at = term.claimed_at
         self.writer.stored_at = clock.monotonic() if claimed_at is None else claimed_at
-        #: Notified whenever something may be started or has to be stopped.
+        #: Notified whenever a task may be startable or has to be stopped.
         self.plan_needed = Signal()
         self.ended = curio.Event()
-        #: Jobs that are complete and on their way to the store; ``completed`` is notified
-        #: when there are more.
+        #: Jobs whose completion is being written to the store. ``completions_changed`` is notified
+        #: when jobs are added.
         self.unstored_completions: set[str] = set()
         self.completions_changed = Signal()
-        #: Why the term was lost, empty while it was not.
+        #: Why the term has ended; empty while it lasts.
         self.end_reason = ''
         self.runner_by_id: dict[str, Runner] = {}
         self.get_runner_list_age = get_runner_list_age
         self._make_runner = make_runner
-        #: Whether hosts of a zone whose runner is silent since a time have told what they
-        #: have shown; until then nothing that ran there counts as lost.
+        #: Returns whether the hosts of a zone have reported the completions that they have shown to
+        #: clients since a time. Until then no run in that zone counts as lost.
         self.confirm_zone: ConfirmZone = always_confirmed
 
     async def end_term(self, cause: str) -> None:
-        """End the term: another host owns the cell, or may."""
+        """End the term: another host owns the cell or may own it."""
         if not self.end_reason:
             self.end_reason = cause
         await self.ended.set()
 
     def may_act(self) -> bool:
-        """Return whether this host may still send anything as the owner.
+        """Return whether this host may still send orders as the owner.
 
-        A process that was paused or cut off learns late that it was replaced:
-        its orders are then fenced by the runners its successor has reached,
-        and this ends them on those that it has not.
+        A process that was paused or partitioned learns late that it was replaced. Runners that its
+        successor has reached fence its orders; this check covers the runners that the successor has
+        not reached.
         """
         if self.end_reason or self.writer.fenced:
             return False
@@ -110,22 +111,23 @@
     def may_start(self) -> bool:
         """Return whether this host may still start tasks.
 
-        An owner that the store has not answered for a while may have a
-        successor, which reads ends on runners that this host cannot reach.
-        Starting a task again here would run it after such an end was noted.
+        While the store does not answer, a successor may already have read the end of a run on a
+        runner that this host cannot reach. Restarting the task here would run it again after that
+        end was recorded.
         """
         fresh = self.clock.monotonic() - self.writer.stored_at < START_AUTHORITY_SECONDS
         return fresh and self.runner_list_is_fresh() and self.may_act()
 
     def runner_list_is_fresh(self) -> bool:
-        """Return whether the list of runners is new enough to start by it."""
+        """Return whether the runner list is recent enough to start tasks by."""
         return self.get_runner_list_age() < MAX_RUNNER_LIST_AGE
 
     def leases_expired(self, state: RunnerState) -> bool:
-        """Return whether a runner's tasks are gone because nobody renewed them.
+        """Return whether all leases on a runner have expired, so that its tasks have ended.
 
-        A successor may renew them unseen. The latest append proves that there
-        was none when it was sent, so the leases must have run out by then.
+        A successor could renew them without this host's knowledge. The latest answered append
+        proves that there was no successor when it was sent, so the leases must have expired by that
+        time.
         """
         return state.lapsed(self.writer.stored_at, CLOCK_DRIFT)
 
@@ -135,10 +137,10 @@
         *other_records: KeyedRecord,
         timeout: float = AUTHORITY_SECONDS,
     ) -> Written:
-        """Store how far jobs are; that is then shown to clients and relied upon.
+        """Store the progress of jobs; once stored it is shown to clients and relied upon.
 
-        Records are made and queued without a pause between: the store keeps the newest record of a
-        job, and an older one that is queued later would revert it.
+        There is no await between building the records and queueing them: the store keeps the newest
+        record of a job, and an older record queued later would revert it.
         """
         progress_by_job = self._make_progress(jobs)
         records = list(other_records)
@@ -156,17 +158,18 @@
         return outcome
 
     async def flush(self) -> Written:
-        """Store the progress of all jobs that have got on, and what is on its way.
+        """Store the progress of all changed jobs and wait for writes that are already queued.
 
-        Of a job whose progress is queued already there is nothing more to write; if
-        that is given up meanwhile, an end would be acknowledged that stands nowhere.
+        A job whose progress is already queued has nothing more to write. If a write is given up
+        meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
+        although it is not in the store.
         """
         given_up = self.writer.given_up
         outcome = await self.store_progress(self.cell.take_dirty())
         return outcome if self.writer.given_up == given_up else Written.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
-        """Note that a runner is gone, and whether its life is ``proven`` to be over."""
+        """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
         self.journal.tell(
             Part.WORKERS,
             f'{state.id} has ended: {cause}.',
@@ -177,7 +180,7 @@
         self.log_crashes(self.cell.runner_ended(state.id, proven=proven))
 
     def expire_runner_leases(self, state: RunnerState) -> None:
-        """Take all that runs on a silent runner for gone: its leases have run out."""
+        """Treat all runs on a silent runner as ended, since its leases have expired."""
         self.journal.tell(
             Part.WORKERS,
             f'the leases on {state.id} have run out.',
@@ -189,9 +192,9 @@
         self.cell.runner_lapsed(state.id)
 
     def log_crashes(self, crashes: list[Crash]) -> None:
-        """Tell under which runs a runner has crashed, and which task is given up for it."""
+        """Log the runs during which a runner crashed, and whether their job is given up."""
         for crash in crashes:
-            outcome = 'its job is given up' if crash.given_up else 'it starts again'
+            outcome = 'its job is given up' if crash.given_up else 'it will be retried'
             self.journal.tell(
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
@@ -201,7 +204,7 @@
             )
 
     def run_fields(self, runner: str, task: TaskName, run: int) -> dict[str, Any]:
-        """Return what names a run in a log line, and who counts it."""
+        """Return the fields that identify a run in a log line, with the owner's epoch."""
         return {
             'runner': runner,
             'job': task.job,
@@ -211,13 +214,13 @@
         }
 
     def add_runner(self, state: RunnerState) -> Runner:
-        """Open the way to a runner."""
+        """Create the client of a runner."""
         runner = self._make_runner(state.registration)
         self.runner_by_id[state.id] = runner
         return runner
 
     async def close_runners(self) -> None:
-        """Close the ways to all runners."""
+        """Close the clients of all runners."""
         for runner in self.runner_by_id.values():
             await runner.close()
 
@@ -232,10 +235,10 @@
             await self.completions_changed.notify()
 
     def _log_lost_runs(self, state: RunnerState) -> None:
-        """Tell what is lost with a runner, and how long each run had been there.
+        """Log the runs that are lost with a runner.
 
-        ``runner_age`` is how long the runner had not answered, ``seconds`` since when the
-        run was placed: a run that was lost as soon as it was placed may be the cause.
+        ``runner_age`` is the time since the runner last answered, ``seconds`` the time since the
+        run was placed: a run that is lost right after it was placed may be the cause.
         """
         now = self.clock.monotonic()
         for allocation in tuple(state.allocation_by_run.values())[:MAX_LOGGED]:
--- a/dandelionreel/cell/owner/_parts.py
+++ b/dandelionreel/cell/owner/_parts.py
@@ -1,4 +1,4 @@
-"""What an owner works with in every term."""
+"""Dependencies of the dispatcher that stay the same from term to term."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class DispatcherParts:
-    """What a dispatcher works with; made once, used for every term."""
+    """Dependencies and settings of a dispatcher; built once per process, reused in every term."""
 
     topic: Topic
     follower: Follower
@@ -29,5 +29,5 @@
     gang_timeout: float
     longest_lease: float
     status_kept: float
-    #: How old the list of runners is, in seconds.
+    #: Returns the age of the local copy of the runner list, in seconds.
     get_runner_list_age: GetRunnerListAge = always_fresh
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -1,4 +1,4 @@
-"""What an owner looks after that no event announces, ten times a second."""
+"""Checks that the owner makes ten times a second because no event triggers them."""
 
 from contextlib import AsyncExitStack
 
@@ -20,17 +20,17 @@
 from dandelionreel.cell.owner._succession import Succession
 from dandelionreel.kernel import Part, seconds_or_none, start_task
 
-#: Seconds between looks at the list of runners, at gangs and at old jobs.
+#: Seconds between checks of the runner list, gangs and unseen runners.
 CHECK_SECONDS = 0.1
-#: Seconds between looks for jobs that ended long ago: each one goes through all.
+#: Seconds between searches for jobs that ended long ago, as each search goes through all jobs.
 DROP_CHECK_SECONDS = 5.0
 
 
 class PeriodicChecks:
-    """Goes round runners, gangs, former owners' tasks and old jobs during one term."""
+    """Checks runners, gangs, tasks of earlier owners and old jobs during one term."""
 
     def __init__(self, parts: DispatcherParts, context: OwnerContext, load: LoadReport) -> None:
-        """Look after the cell of ``context``."""
+        """Check the cell of ``context``."""
         self._parts = parts
         self._owner_context = context
         self._cell = context.cell
@@ -54,17 +54,17 @@
         self._runner_list_was_fresh = True
 
     async def request_takeover(self) -> bool:
-        """Have a peer take the cell over; return whether one has."""
+        """Ask peers to take the cell over; return whether one has."""
         return await self._succession.request_takeover()
 
     def load_predecessor_state(self, now: float) -> None:
-        """Take what is known of former owners."""
+        """Load the configuration, and the runners on which earlier owners may have tasks."""
         self._cell.configuration = self._parts.configuration.current
         if self._owner_context.term.silent_since is not None:
             self._block_unseen_runners(now)
 
     async def run(self, stack: AsyncExitStack) -> None:
-        """Go round until the term is lost; tasks for new runners end with ``stack``."""
+        """Run the checks until the term ends; polling of new runners ends with ``stack``."""
         while True:
             if not self._owner_context.may_act():
                 await self._owner_context.end_term('the store has not answered for too long')
@@ -97,21 +97,21 @@
         )
 
     def _block_unseen_runners(self, now: float) -> None:
-        """Remember the runners on which a former owner's tasks may run.
+        """Block the jobs that may have tasks of an earlier owner on runners not polled yet.
 
-        Until each of them has listed its tasks, or all leases there must have
-        run out, the jobs that the store names with it are left alone.
+        A job stays blocked until each runner that is stored with it has listed its tasks, or all
+        leases there must have expired.
         """
         self._cell.unseen.update(self._parts.jobs.book.former_runners())
-        self._log_unseen('leaves the tasks of runners alone that it has not seen yet.', now)
+        self._log_unseen('blocks the jobs that may run on runners that have not answered yet.', now)
 
     async def _drop_unseen_runners(self, now: float) -> None:
-        """Take the tasks on unseen runners for gone once their leases must be over."""
+        """Treat tasks on unseen runners as ended once their leases must have expired."""
         if not self._cell.unseen:
             return
         await self._drop_replaced_runners()
         if self.predecessor_leases.shorten_if_ended(self._parts.jobs.book, now):
-            self._log_unseen('finds that the former owner has ended.', now)
+            self._log_unseen('the previous owner has ended.', now)
         if now > self.predecessor_leases.end_at:
             unseen = tuple(self._cell.unseen)
             confirmed = [runner for runner in unseen if await self._zone_is_confirmed(runner)]
@@ -120,7 +120,7 @@
                 self._owner_context.log_crashes(self._cell.give_up_unseen(confirmed))
 
     async def _drop_replaced_runners(self) -> None:
-        """Take the tasks on incarnations for gone that have been followed by a later one."""
+        """Treat tasks on runner incarnations as ended that a later incarnation has replaced."""
         gone = []
         for incarnation, later in self._cell.find_outlived().items():
             if await self._owner_context.confirm_zone(later.registration.zone, self._term_began_at):
@@ -129,14 +129,14 @@
             return
         self._journal.tell(
             Part.OWNERSHIP,
-            'finds that runners have restarted since the former owner used them.',
+            'runners have restarted since the previous owner used them.',
             epoch=self._owner_context.term.epoch,
             runners=gone,
         )
         self._owner_context.log_crashes(self._cell.give_up_unseen(gone))
 
     async def _zone_is_confirmed(self, runner: str) -> bool:
-        """Return whether the zone of an unseen runner has told what it has shown."""
+        """Return whether the zone of an unseen runner has reported the completions it has shown."""
         registration = self._parts.runners.find(runner)
         if registration is None:
             return True
@@ -155,29 +155,29 @@
         )
 
     def _apply_preventive_stops(self, now: float) -> None:
-        """Stop gangs that are not complete, and tasks whose runner is leaving."""
+        """Stop gangs that stay incomplete, and tasks on runners that are draining."""
         for step in stop_late_gangs(self._cell, now, self._clock.wall()):
             self._journal.tell_frequent(
                 Part.PLACEMENT,
-                'stopped a gang that did not come together.',
+                'stopped a gang that was not completely started in time.',
                 job=step.name.job,
                 step=step.name.step,
             )
         for allocation in stop_leaving(self._cell, now):
             self._journal.tell_frequent(
                 Part.PLACEMENT,
-                f'moves a task away from {allocation.runner}, which is leaving.',
+                f'moves a task away from {allocation.runner}, which is draining.',
                 job=allocation.task.job,
                 run=allocation.run,
                 runner=allocation.runner,
             )
 
     async def _update_runners(self, stack: AsyncExitStack) -> None:
-        """Attend to new runners, and to those that may hold tasks though their entry has gone.
+        """Start to poll new runners, and unlisted ones that may still have tasks.
 
-        An entry of another runner at the same address proves nothing: a heartbeat of a
-        former life can land seconds late, and tasks of the runner at work would be
-        started a second time. Only a poll that another runner answers is a proof.
+        A list entry of another runner at the same address does not prove that a runner was
+        replaced: a heartbeat of an earlier incarnation can arrive seconds late, and the tasks of
+        the live runner would be started twice. Only a poll that another runner answers is proof.
         """
         runner_list = self._parts.runners
         now = self._clock.monotonic()
@@ -187,7 +187,7 @@
         fresh = self._cell.see_runners(active, now)
         note_last_words(self._cell.runner_by_id.values(), runner_list.find, now)
         for runner_id in self._cell.unseen - self._cell.runner_by_id.keys():
-            # Its entry has gone, but it may live and hold tasks.
+            # It is no longer listed but may still be alive and have tasks.
             registration = runner_list.find(runner_id)
             if registration is not None:
                 fresh.append(self._cell.add_unlisted(registration))
@@ -196,7 +196,7 @@
             await start_task(stack, self._runner_poller.poll, state, runner)
 
     async def _drop_old_jobs(self) -> None:
-        """Drop the keys of jobs that ended long ago."""
+        """Delete the stored records of jobs that ended long ago."""
         now = self._clock.monotonic()
         if now < self._last_drop_at + DROP_CHECK_SECONDS:
             return
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -1,47 +1,47 @@
-"""Until when tasks of earlier owners may run on runners that have not been polled yet. No I/O.
+"""Computes until when leases granted by earlier owners may last. No I/O.
 
-Load pattern: the owner is lost together with the way to some runners. Their tasks go on for as long
-as the lost owner renews its leases, and must not start elsewhere meanwhile.
+It matters when the owner is lost together with the network path to some runners: their tasks run as
+long as the lost owner renews the leases, and must not be started elsewhere meanwhile.
 """
 
 from dandelionreel.cell.decisions import CLOCK_DRIFT
 from dandelionreel.cell.membership import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.store import JobBook
 
-#: Seconds for which a runner's clock may have been extrapolated when a lease is granted by it.
+#: Maximum age in seconds of the last reading of a runner's clock when a lease is granted from it.
 READING_AGE = 2.2
 
 
 def lease_upper_bound(seconds: float) -> float:
-    """Return for how long a lease may hold on a runner whose clock is slow.
+    """Return the longest real time that a lease may last on a runner with a slow clock.
 
-    It ends at a time on the runner's clock, which the owner has extrapolated from
-    its last word of it: both spans pass more slowly there.
+    A lease ends at a time of the runner's clock, which the owner extrapolates from its last
+    reading. Both the time since the reading and the lease itself pass more slowly on that clock.
     """
     return (seconds + READING_AGE * CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
 
 
 class PredecessorLeases:
-    """The wait for the leases of all earlier owners, at the start of a term."""
+    """The time at which the leases of all earlier owners are over, computed as a term begins."""
 
     def __init__(self, term: Term, lease: float, now: float) -> None:
-        """Wait from ``now`` on; earlier owners grant leases of ``lease`` seconds."""
+        """Compute the end as of ``now``; earlier owners grant leases of ``lease`` seconds."""
         self._former = term.former
         self._lease = lease_upper_bound(lease)
-        # A former owner that was killed may itself have followed one that was cut
-        # off and still renews leases.
+        # A previous owner that was killed may itself have succeeded one that is partitioned and
+        # still renews leases.
         self._earlier_leases_end_at = now + term.unsettled
         self.silent = 0.0 if term.silent_since is None else now - term.silent_since
         self.ended = term.released or term.former_ended
         rest = 0.0 if self.ended else max(0.0, AUTHORITY_SECONDS - self.silent)
-        #: When every lease of an earlier owner must be over, in monotonic seconds.
+        #: When every lease of an earlier owner has expired, in monotonic seconds.
         self.end_at = max(now + rest + self._lease, self._earlier_leases_end_at)
 
     def shorten_if_ended(self, book: JobBook, now: float) -> bool:
-        """Return whether the former owner is found to have ended only now.
+        """Move the end forward if the previous owner has ended; return whether that is news.
 
-        Its host has come back with another process, so the old one renews nothing
-        more: the wait is shortened to its last lease.
+        If its host is back with a new process, the old process renews no more leases, and only the
+        last lease that it granted is left to wait for.
         """
         if self.ended or self._former is None or not book.has_ended(self._former):
             return False
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -1,4 +1,4 @@
-"""Looks at runners: renew leases, learn what runs and has ended, acknowledge ends."""
+"""Polls runners: renews leases, reads running and ended runs, and acknowledges stored ends."""
 
 import curio
 
@@ -14,34 +14,34 @@
 from dandelionreel.cell.store import Written
 from dandelionreel.kernel import Part
 
-#: Seconds that a poll waits at the runner for a new end; each poll renews its leases.
+#: Long-poll time in seconds: the runner answers earlier if a run ends. Each poll renews its
+#: leases.
 POLL_SECONDS = 1.5
-#: Seconds that it waits while something is being stopped there: a stop that was answered and not
-#: carried out shows only in a poll that is sent later.
+#: Long-poll time in seconds while a run is being stopped there: a stop that was acknowledged but
+#: not carried out is only visible to a later poll.
 STOP_POLL_SECONDS = 0.5
-#: Seconds between polls of a runner that does not answer, or whose ends could
-#: not be stored yet.
+#: Seconds between polls of a runner that does not answer or whose ends are not stored yet.
 POLL_RETRY_SECONDS = 0.2
-#: Seconds that a poll waits for its ends to be stored before the next one.
+#: Seconds to wait for ends to be stored before the runner is polled again.
 STORE_TIMEOUT = 0.06
-#: Seconds without an answer after which nothing new is placed on a runner. One whose connection
-#: breaks gets nothing at once, as its process has probably ended.
+#: Seconds without an answer after which a runner is suspect and gets no new tasks. A broken
+#: connection makes it suspect at once, as its process has probably ended.
 SUSPECT_SECONDS = 0.8
-#: Runs that one line names.
+#: Maximum number of runs or jobs in one log line.
 MAX_LOGGED = 40
 
 
 class RunnerPoller:
-    """Attends to runners, one task for each."""
+    """Polls runners, with one coroutine for each."""
 
     def __init__(self, context: OwnerContext) -> None:
-        """Look on behalf of ``context``."""
+        """Poll under the term of ``context``."""
         self._owner_context = context
-        #: Jobs with ends that a runner has listed and that are not acknowledged.
+        #: Jobs with ends that a runner has listed and that are not yet acknowledged to it.
         self._unstored_by_runner: dict[str, set[str]] = {}
 
     async def poll(self, state: RunnerState, runner: Runner) -> None:
-        """Look at one runner again and again until it has ended."""
+        """Poll one runner until it has ended or the term is over."""
         try:
             while self._is_current(state) and self._owner_context.may_act():
                 await self._poll_once(state, runner)
@@ -68,8 +68,8 @@
             await self._handle_poll_failure(state, error)
             return
         if not self._is_current(state):
-            # Another exchange has met the next life at its address meanwhile. Taken for
-            # found there, its runs would be under way for ever: nobody looks there again.
+            # Another request has found a later incarnation at this address meanwhile. Runs from
+            # this answer would count as running forever, as this state is no longer polled.
             return
         state.confirmed = acknowledged
         self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
@@ -82,12 +82,12 @@
             if unstored and state.acknowledged < state.acknowledgeable:
                 await curio.sleep(POLL_RETRY_SECONDS)
         if not view.complete or state.acknowledgeable < state.noted:
-            # An end that is not acknowledged is listed at once in every answer: the
-            # looks would follow each other without a pause.
+            # The runner answers at once while it has an unacknowledged end, so polls would follow
+            # each other without a pause.
             await curio.sleep(POLL_RETRY_SECONDS)
 
     def _is_current(self, state: RunnerState) -> bool:
-        """Return whether the runner is known by this state, and not by a later one."""
+        """Return whether this is still the cell's state of the runner, not an outdated one."""
         return self._owner_context.cell.runner_by_id.get(state.id) is state
 
     def _apply_view(self, state: RunnerState, view: RunnerView, sent_at: float) -> PollEffect:
@@ -97,8 +97,8 @@
         self._log_effect(state, effect, now)
         self._owner_context.log_crashes(effect.crashes)
         self._log_readable(state, view)
-        # The first poll of a term also tells that nothing was found: what an earlier
-        # owner had sent there never came, and may be started elsewhere.
+        # The first poll of a term is logged even if it finds no run: then a start that an earlier
+        # owner sent there never arrived and may be sent elsewhere.
         if unseen or effect.adopted:
             self._log_found_runs(state, effect.adopted, unseen, now)
         return effect
@@ -116,10 +116,10 @@
         await curio.ignore_after(STORE_TIMEOUT, task.wait)
 
     async def _acknowledge(self, state: RunnerState, number: int, fresh: bool) -> None:
-        """Let the runner forget its ends once their effect stands in the store.
+        """Acknowledge ends up to ``number`` once their effect is in the store.
 
-        While the store is out this is tried several times a second for each runner:
-        only ``fresh`` ends get a line then, and those that are stored at last.
+        During a store outage this is retried several times a second for each runner. Only ``fresh``
+        ends are logged then, and ends that are stored in the end.
         """
         started_at = self._owner_context.clock.monotonic()
         jobs = sorted(self._unstored_by_runner.get(state.id, ()))
@@ -173,17 +173,19 @@
             and state.id not in self._owner_context.cell.unseen
         ):
             self._owner_context.end_runner(
-                state, 'its entry has gone and it does not answer', proven=False
+                state, 'it is no longer listed and does not answer', proven=False
             )
             return
         if first and error.broken:
-            # Where only the connection was reset, the next poll is answered at once.
+            # Retry at once: if only the connection was reset, the next poll is answered.
             return
         await curio.sleep(POLL_RETRY_SECONDS)
 
     async def _end_replaced_runner(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
-            self._owner_context.end_runner(state, 'another runner answers there', proven=True)
+            self._owner_context.end_runner(
+                state, 'another runner answers at its address', proven=True
+            )
             return
         state.suspect = True
         await curio.sleep(POLL_RETRY_SECONDS)
@@ -196,10 +198,10 @@
         if view.complete is state.readable:
             return
         state.readable = view.complete
-        outcome = 'can be read again' if view.complete else 'cannot be read in full'
+        outcome = 'is readable again' if view.complete else 'is only partly readable'
         self._owner_context.journal.tell(
             Part.WORKERS,
-            f'what {state.id} lists {outcome}.',
+            f'the answer of {state.id} {outcome}.',
             runner=state.id,
             readable_through=view.readable_through,
             tasks=len(state.allocation_by_run),
@@ -224,9 +226,9 @@
             )
 
     def _log_found_runs(self, state: RunnerState, count: int, first: bool, now: float) -> None:
-        """Name the runs of an earlier owner: those that are held since the look at ``now``.
+        """Log the runs of an earlier owner that the poll at ``now`` has found on a runner.
 
-        After the ``first`` look of a term, what it does not name is not on the runner.
+        In the ``first`` poll of a term, a run that is not logged is not on the runner.
         """
         found = [
             allocation
@@ -240,14 +242,15 @@
             epoch=self._owner_context.term.epoch,
             first=first,
             found=[
-                f'{allocation.task.job}/{allocation.task.label} {allocation.run} {allocation.phase.value}'
+                f'{allocation.task.job}/{allocation.task.label} '
+                f'{allocation.run} {allocation.phase.value}'
                 for allocation in found[:MAX_LOGGED]
             ],
         )
 
 
 def _poll_wait(state: RunnerState) -> float:
-    """Return the seconds that a poll may wait at a runner for news."""
+    """Return the long-poll time in seconds for a runner in this state."""
     stopping = any(
         allocation.phase is Holding.STOPPING for allocation in state.allocation_by_run.values()
     )
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -1,4 +1,4 @@
-"""When an owner wants another host to own the cell, and which one it asks."""
+"""Decides when the owner should be replaced, and asks peers to take the cell over."""
 
 import curio
 
@@ -9,22 +9,23 @@
 from dandelionreel.kernel import Part
 from dandelionreel.peers import Done, OwnerAsked, OwnerFailing, PeerError
 
-#: Seconds before peers are asked again to take over, and how many at once: where
-#: the store refuses everybody, each claim adds to what it has to do.
+#: Seconds between requests to take over, and the number of peers in each: if the store refuses
+#: every host, each claim adds to its load.
 REQUEST_RETRY_SECONDS = 0.7
 PEERS_PER_REQUEST = 3
-#: Seconds of a term before it may be handed over to a larger host: larger ones that
-#: were restarted with everything else are back by then. And those for its answer.
+#: Seconds of a term before the cell may be handed over to a larger host, and between attempts:
+#: larger hosts that were restarted together with this one are back by then.
 MIN_TERM_SECONDS = 1.5
+#: Timeout in seconds of a larger host's answer whether it is ready.
 READY_TIMEOUT = 0.2
-#: Seconds for a peer to claim the cell from an owner that leaves it, also on a slow store,
-#: and between looks whether one has.
+#: Seconds for a peer to claim the cell from an owner that is shutting down, even if the store is
+#: slow, and seconds between checks whether one has.
 TAKEOVER_TIMEOUT = 1.5
 POLL_SECONDS = 0.02
 
 
 class Succession:
-    """Looks for a better owner during one term."""
+    """Looks for a successor during one term."""
 
     def __init__(
         self,
@@ -45,21 +46,21 @@
         self._next_hand_over_at = context.clock.monotonic() + MIN_TERM_SECONDS
 
     async def check(self, now: float) -> None:
-        """Ask for a successor, or hand over, when either is due."""
+        """Request a takeover if the store fails, or hand over to a larger host if that is due."""
         await self._request_takeover_if_store_fails(now)
         await self._hand_over(now)
 
     async def request_takeover(self) -> bool:
-        """Have a peer take the cell over while it is still served here; return whether one has.
+        """Ask peers to take over while this host still serves the cell; return whether one has.
 
-        After a release nothing starts until it has been read, claimed and read back. Whoever claims
-        the cell from an owner at work fences it only then.
+        After a release no task starts until a successor has read it, claimed the cell and read its
+        claim back. A peer that claims the cell from an active owner fences it only at that point.
         """
         members = self._book.member_by_host
         others = [host for host in rank_hosts(members) if host != self._host][:PEERS_PER_REQUEST]
         self._owner_context.journal.tell(
             Part.OWNERSHIP,
-            'asks peers to take over: it leaves the cell.',
+            'asks peers to take over: this host gives the cell up.',
             epoch=self._owner_context.term.epoch,
             peers=others,
         )
@@ -77,7 +78,7 @@
         return bool(self._owner_context.end_reason)
 
     async def _request_takeover_if_store_fails(self, now: float) -> None:
-        """Have peers claim the cell while the store serves them and not this host."""
+        """Ask peers to claim the cell if the store fails for this host, since it may serve them."""
         if (
             not self._owner_context.writer.in_trouble(now)
             or now < self._last_request_at + REQUEST_RETRY_SECONDS
@@ -86,7 +87,7 @@
         self._last_request_at = now
         self._owner_context.journal.tell(
             Part.OWNERSHIP,
-            'asks peers to take over: the store does not serve it.',
+            'asks peers to take over: the store does not serve this host.',
             epoch=self._owner_context.term.epoch,
             failing_seconds=round(now - self._owner_context.writer.failing_since, 3),
         )
@@ -98,9 +99,10 @@
             await curio.spawn(self._send_takeover_request, members[host], daemon=True)
 
     async def _hand_over(self, now: float) -> None:
-        """Give the cell up when a larger host lives that can own it.
+        """End the term if a larger host is ready to own the cell.
 
-        After many hosts were killed at once, a small one that was left may have claimed.
+        A small host may have claimed the cell because it was the only one left after many hosts
+        were killed at once.
         """
         if now < self._next_hand_over_at or not self._election.may_hand_over():
             return
@@ -111,7 +113,7 @@
             self._election.note_hand_over()
             self._owner_context.journal.tell(
                 Part.OWNERSHIP,
-                f'leaves the cell to larger hosts: {host} is ready.',
+                f'hands the cell over to larger hosts: {host} is ready.',
                 epoch=self._owner_context.term.epoch,
             )
             await self._owner_context.ended.set()
@@ -119,9 +121,9 @@
         self._next_hand_over_at = now + MIN_TERM_SECONDS
 
     async def _is_ready(self, host: str, member: Member) -> bool:
-        """Return whether a host can own the cell now: one that merely lives may not.
+        """Return whether a host is ready to own the cell; being alive is not enough.
 
-        Just out of a cut, it has yet to read the list of runners, and starts nothing.
+        Right after a partition it has not read the runner list yet and could start no tasks.
         """
         try:
             frame = await self._links.ask(member, OwnerAsked(''), READY_TIMEOUT)
@@ -137,7 +139,7 @@
         return False
 
     async def _send_takeover_request(self, member: Member) -> bool:
-        """Ask a host to take over; return whether it was heard, which shows in the store."""
+        """Ask a host to take over; return whether it acknowledged. A claim shows in the store."""
         try:
             frame = await self._links.ask(
                 member, OwnerFailing(self._owner_context.term.term), REQUEST_RETRY_SECONDS
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -1,8 +1,8 @@
-"""Confirms what a partitioned zone's hosts have told clients before its runs count as lost.
+"""Collects completions that a partitioned zone has shown to clients before its runs count as lost.
 
-Behind a partition the hosts of a zone tell its clients which jobs are complete. An owner outside
-that let leases there expire, or counted a runner as crashed, without asking them would start tasks
-of such jobs again.
+During a partition the hosts of a zone tell its clients which jobs are complete. If an owner outside
+the zone let the leases there expire, or counted a runner as crashed, without querying those hosts,
+it would restart tasks of jobs that clients have seen complete.
 """
 
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
@@ -10,22 +10,22 @@
 from dandelionreel.cell.store import JobBook
 from dandelionreel.kernel import Part
 
-#: Seconds for which a runner must have been silent: a host finds that it is cut off in no
-#: less.
+#: Runner silence in seconds below which no query is needed: a host takes at least as long to detect
+#: that it is partitioned.
 PARTITION_DETECTION_SECONDS = 0.4
-#: Seconds between two rounds of questions to a zone.
+#: Minimum seconds between queries of the same zone.
 QUERY_RETRY_SECONDS = 0.5
-#: Seconds after which a zone that nobody answers from counts as lost, with its clients.
+#: Seconds after which a zone without any answering host counts as lost, together with its clients.
 ZONE_LOST_SECONDS = 60.0
 
 
 class ZoneConfirmation:
-    """Asks the hosts of zones during one term."""
+    """Queries the hosts of zones for shown completions during one term."""
 
     def __init__(
         self, context: OwnerContext, book: JobBook, gossip: CompletionGossip, host: str
     ) -> None:
-        """Ask as ``host``."""
+        """Query on behalf of ``host``."""
         self._owner_context = context
         self._book = book
         self._completion_gossip = gossip
@@ -36,9 +36,10 @@
         self._began_at = context.clock.monotonic()
 
     async def is_confirmed(self, zone: str, since: float) -> bool:
-        """Return whether hosts of a zone have told what they answered since a runner fell silent.
+        """Return whether a zone has reported its completions after a runner there became silent.
 
-        ``since`` is in monotonic seconds. A zone without other hosts has nobody to ask.
+        ``since`` is the start of that silence in monotonic seconds. A zone without other hosts
+        counts as confirmed, as there is nobody to query.
         """
         now = self._owner_context.clock.monotonic()
         since = max(since, self._began_at)
@@ -68,6 +69,6 @@
         self._lost_zones.add(zone)
         self._owner_context.journal.tell(
             Part.OWNERSHIP,
-            f'takes the zone {zone} for lost: no host there has answered for too long.',
+            f'zone {zone} counts as lost: no host there has answered for too long.',
             epoch=self._owner_context.term.epoch,
         )
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -70,7 +70,7 @@
             if len(context.runner.started) > 60 and 'urgent' not in context.small.cell.job_by_id:
                 add_job(context, 'urgent', [step(1000)], 'urgent')
             made = context.small.planner.plan(
-                context.small.now, context.small.now, most_starts=context.orders.free
+                context.small.now, context.small.now, most_starts=context.orders.free_starts
             )
             context.plans += 1
             await context.orders.send_starts(made.starts)
