--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -34,7 +34,7 @@
 #: Seconds of failed appends after which a new job or a cancellation is refused.
 CLIENT_WRITE_TIMEOUT = 0.25
 #: Minimum seconds between plans, in which changes are collected for the next one.
-MIN_PLAN_PAUSE = 0.004
+MIN_PLAN_PAUSE_SECONDS = 0.004
 #: Each plan is followed by a pause of this many times its duration, so that plans over a long
 #: backlog leave processor time for orders.
 PLAN_PAUSE_FACTOR = 1.5
@@ -362,7 +362,7 @@
         for request in plan.questions:
             await self._pool.ask(request)
         elapsed = self._clock.monotonic() - began
-        await curio.sleep(max(MIN_PLAN_PAUSE, PLAN_PAUSE_FACTOR * elapsed))
+        await curio.sleep(max(MIN_PLAN_PAUSE_SECONDS, PLAN_PAUSE_FACTOR * elapsed))
 
     async def _send_stops(self) -> None:
         for allocation in self.cell.take_stops():
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -27,7 +27,7 @@
 #: Seconds between attempts of one stop.
 STOP_RETRY_SECONDS = 0.2
 #: Seconds for which an unreachable runner is sent no starts.
-UNREACHABLE_PAUSE = 0.3
+UNREACHABLE_PAUSE_SECONDS = 0.3
 #: Maximum number of concurrent starts.
 MAX_PENDING_STARTS = 64
 #: Seconds that a start may take to be answered before it is logged as slow.
@@ -165,7 +165,9 @@
             self._owner_context.cell.take_back(allocation)
         else:
             if state.suspect:
-                state.quiet_until = self._owner_context.clock.monotonic() + UNREACHABLE_PAUSE
+                state.quiet_until = (
+                    self._owner_context.clock.monotonic() + UNREACHABLE_PAUSE_SECONDS
+                )
             self._owner_context.cell.withdraw(allocation)
         await self._owner_context.plan_needed.notify()
 
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -29,7 +29,7 @@
 
 #: Maximum age in seconds of the runner list when a start is sent: a listed runner may have begun to
 #: drain or lost capacity since.
-MAX_RUNNER_LIST_AGE = 2.5
+MAX_RUNNER_LIST_AGE_SECONDS = 2.5
 
 #: Maximum number of lost runs that are logged for one runner.
 MAX_LOGGED = 40
@@ -120,7 +120,7 @@
 
     def runner_list_is_fresh(self) -> bool:
         """Return whether the runner list is recent enough to start tasks by."""
-        return self.get_runner_list_age() < MAX_RUNNER_LIST_AGE
+        return self.get_runner_list_age() < MAX_RUNNER_LIST_AGE_SECONDS
 
     def leases_expired(self, state: RunnerState) -> bool:
         """Return whether all leases on a runner have expired, so that its tasks have ended.
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.store import JobBook
 
 #: Maximum age in seconds of the last reading of a runner's clock when a lease is granted from it.
-READING_AGE = 2.2
+MAX_CLOCK_READING_AGE_SECONDS = 2.2
 
 
 def lease_upper_bound(seconds: float) -> float:
@@ -18,7 +18,7 @@
     A lease ends at a time of the runner's clock, which the owner extrapolates from its last
     reading. Both the time since the reading and the lease itself pass more slowly on that clock.
     """
-    return (seconds + READING_AGE * CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
+    return (seconds + MAX_CLOCK_READING_AGE_SECONDS * CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
 
 
 class PredecessorLeases:
--- a/features/cancelling_parts.py
+++ b/features/cancelling_parts.py
@@ -1,4 +1,4 @@
-"""A runner in memory that keeps the rules of runners, and an owner's whole term around it."""
+"""An in-memory runner that follows the runner protocol, and an owner's term with it."""
 
 from collections import deque
 
@@ -22,35 +22,35 @@
 from features.cell_parts import make_registration
 from features.store_parts import Host, journal, make_dispatcher
 
-#: Seconds between two looks of the runner itself at what has ended.
-TURN = 0.01
+#: Seconds between checks of a long poll for ended runs.
+CHECK_SECONDS = 0.01
 
 
 class MemoryRunner(Runner):
-    """Obeys the highest epoch, remembers stops and drops what nobody renews.
+    """Obeys the highest epoch, records stops and drops runs with expired leases.
 
-    ``replies`` are taken one for each start: ``None`` loses the answer. The first
-    ``deaf`` stops are answered and not carried out.
+    Each start is answered with the next of ``replies``; ``None`` stands for a lost answer. The
+    first ``ignored_stops`` stops are acknowledged but not carried out.
     """
 
     def __init__(self, clock):
         self.clock = clock
-        self.reached = True
+        self.reachable = True
         self.replies = deque()
         self.ignored_stops = 0
         self.stopped = []
         self.running = {}
         self.stopped_at = None
-        #: Whether a look waits for news.
+        #: Whether a long poll is in progress.
         self.waiting = False
         self._fence = 0
         self._ended = []
 
     async def start(self, order, check):
-        """Answer a start as told, and run it only where that is the answer."""
+        """Answer a start with the next reply, and run it only if that is ``STARTED``."""
         if not check():
-            raise RunnerError('no authority any more', Verdict.NOT_RUN)
-        self._reach(order.epoch)
+            raise RunnerError('no longer authorized', Verdict.NOT_RUN)
+        self._check_epoch(order.epoch)
         reply = self.replies.popleft() if self.replies else StartReply.STARTED
         if reply is None:
             raise RunnerError('no answer in time', Verdict.UNKNOWN)
@@ -60,7 +60,7 @@
 
     async def stop(self, task, run, epoch):
         """Stop a run, and list its end."""
-        self._reach(epoch)
+        self._check_epoch(epoch)
         self.stopped.append((task, run))
         if self.ignored_stops:
             self.ignored_stops -= 1
@@ -71,29 +71,29 @@
             self._ended.append(EndedRun(number, task, run, Outcome.STOPPED, ''))
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        """Renew all leases, and list everything once there is an end or the time is up."""
-        self._reach(epoch)
+        """Renew all leases, and answer when a run has ended or ``wait`` is over."""
+        self._check_epoch(epoch)
         for key in self.running if lease_until is not None else ():
             self.running[key] = max(self.running[key], lease_until)
         until = self.clock.monotonic() + wait
-        while not self._unnoted(acknowledged) and self.clock.monotonic() < until:
+        while not self._unacknowledged(acknowledged) and self.clock.monotonic() < until:
             self.waiting = True
-            await curio.sleep(TURN)
+            await curio.sleep(CHECK_SECONDS)
         self.waiting = False
-        self._reach(epoch)
+        self._check_epoch(epoch)
         now = self.clock.monotonic()
         self.running = {key: until for key, until in self.running.items() if until > now}
         running = tuple(RunningTask(task, run, '', 0, 0.0) for task, run in self.running)
-        return RunnerView(now, running, self._unnoted(acknowledged))
+        return RunnerView(now, running, self._unacknowledged(acknowledged))
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing, as no connection is open."""
 
-    def _unnoted(self, acknowledged):
+    def _unacknowledged(self, acknowledged):
         return tuple(end for end in self._ended if end.number > acknowledged)
 
-    def _reach(self, epoch):
-        if not self.reached:
+    def _check_epoch(self, epoch):
+        if not self.reachable:
             raise RunnerError('no answer in time', Verdict.UNKNOWN)
         if epoch < self._fence:
             raise RunnerFenced('w1')
@@ -101,7 +101,7 @@
 
 
 class OneRunnerOwner:
-    """A host that follows a topic and has won epoch 2 after a silent owner."""
+    """A host that owns the cell in epoch 2 after a silent owner, with one runner."""
 
     def __init__(self, topic):
         self.host = Host('me', topic)
@@ -113,12 +113,12 @@
         self.topic = topic
 
     def remove_entry(self):
-        """Let the runner's entry expire, while the runner lives on."""
+        """Expire the runner's list entry while the runner stays alive."""
         self.runners.registration_by_id.clear()
         self.runners.gone_by_id['w1'] = (self.registration, self.clock.monotonic())
 
     async def begin(self):
-        """Read the store, take over and dispatch in the background."""
+        """Read the store, take the cell over and dispatch in the background."""
         await curio.spawn(self.host.follower.run, daemon=True)
         await self.host.follower.wait_fresh(self.clock.monotonic(), 5)
         term = Term(2, 'me/1', WriterFence(2, 1), self.clock.monotonic(), False, False)
--- a/features/doubt.feature
+++ b/features/doubt.feature
@@ -1,10 +1,10 @@
-Feature: A start in doubt
+Feature: A start with an unknown outcome
 
-  # Guards against taking a refusal for the answer to an earlier try that may still be carried out.
-  Scenario Outline: A start without an answer is repeated, and the second try is refused
+  # Guards against reading a refusal as the answer to an earlier attempt that may still be carried out.
+  Scenario Outline: An unanswered start is retried, and the retry is refused
     Given a start that got no answer
-    When its second try is refused as <reply>
-    Then the task is not started elsewhere before a stop has forbidden the first try
+    When its second attempt is refused as <reply>
+    Then the task is not started elsewhere until a stop has ruled out the first attempt
 
     Examples:
       | reply     |
--- a/features/release.feature
+++ b/features/release.feature
@@ -1,22 +1,22 @@
-Feature: What a release leaves out
+Feature: Release of a cell by its owner
 
-  # Guards against a release that hides what earlier owners may still renew.
-  Scenario: A successor that still waits for a cut-off owner releases the cell
-    Given a successor that waits for the leases of an owner that was cut off
+  # Guards against a release that hides leases which earlier owners may still renew.
+  Scenario: A successor that still waits for a partitioned owner releases the cell
+    Given a successor that waits for the leases of a partitioned owner
     When it releases the cell to a third owner
     Then the third owner waits no less than the successor would have
 
-  # Guards against a heartbeat that lands behind the release.
+  # Guards against a heartbeat that is stored after the release.
   Scenario: An owner releases the cell while the store is slow
     Given an owner of a cell whose store takes half a second to answer
-    When it is told to end
-    Then the newest word of it in the store is its release
+    When it is told to end its term
+    Then its newest record in the store is the release
 
-  # Guards against a gap without an owner when one leaves.
-  Scenario Outline: An owner leaves the cell
+  # Guards against a gap without an owner when the owner gives up the cell.
+  Scenario Outline: An owner gives up the cell
     Given an owner with a peer that <answers>
-    When it leaves the cell
-    Then it has acted until <end>, and released <released>
+    When it gives up the cell
+    Then it acts until <end>, and releases <released>
 
     Examples:
       | answers                              | end                 | released |
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -1,4 +1,4 @@
-"""Steps on runners that share an address."""
+"""Steps for runners that share an address."""
 
 from contextlib import AsyncExitStack
 
@@ -34,24 +34,24 @@
 from standins import MemoryTopic
 
 
-class OneAddress:
-    """Decodes the entries of runners that share an address."""
+class SharedAddressCodec:
+    """Decodes every runner entry to the same address."""
 
     def decode_registration(self, runner, content):
-        """Return the runner's entry."""
+        """Return a registration with the shared port."""
         return make_registration(runner, port=4)
 
 
 @given('runner w9 at the address of w8, whose entry has not expired yet')
 def two_entries(context):
-    # The runner that lives has written last.
+    # The live runner has written its entry last.
     context.entries = tuple(
         KeyedRecord(runner, b'{}', offset) for offset, runner in enumerate(('w8', 'w9'))
     )
 
 
-@when('a host follows an owner that had a job on w9')
-def follows(context):
+@when('a host succeeds an owner that had a job on w9')
+def succeed(context):
     topic = MemoryTopic()
     host = Host('me', topic)
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
@@ -66,19 +66,19 @@
     term = Term(2, 'me/1', WriterFence(2, 1), host.clock.monotonic(), False, False)
     context.dispatcher = make_dispatcher(host, term, topic, host.clock)
     runners = context.dispatcher._parts.runners
-    runners._codec = OneAddress()
+    runners._codec = SharedAddressCodec()
     runners.fold(RecordBatch(context.entries, 2, 2))
     context.dispatcher._load_state()
 
 
-@then('that job is left alone until w9 has been seen')
-def left_alone(context):
+@then('that job is blocked until w9 has been polled')
+def stays_blocked(context):
     cell = context.dispatcher.cell
     assert cell.is_blocked(cell.job_by_id['j1']), cell.unseen
 
 
 class Unreachable(Runner):
-    """A runner behind a cut."""
+    """A runner that no request reaches."""
 
     async def start(self, order, check):
         raise RunnerError('no answer', Verdict.UNKNOWN)
@@ -90,10 +90,10 @@
         await curio.sleep(LONG_TIMEOUT)
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing, as no connection is open."""
 
 
-@given('an owner with a task on w9, which it cannot reach')
+@given('an owner with a task on w9, which is unreachable')
 def owner_with_task(context):
     topic = MemoryTopic()
     host = Host('me', topic)
@@ -102,7 +102,7 @@
         host, term, topic, host.clock, lambda registration: Unreachable()
     )
     context.runners = context.dispatcher._parts.runners
-    context.runners._codec = OneAddress()
+    context.runners._codec = SharedAddressCodec()
     read_entry(context, 'w9', b'{}', 5)
     cell = context.dispatcher.cell
     (state,) = cell.see_runners(context.runners.registration_by_id, 0.0)
@@ -114,25 +114,25 @@
     context.runners.fold(RecordBatch((KeyedRecord(runner, content, offset),), offset, offset))
 
 
-def go_round(context):
-    async def see_runners():
+def run_update(context):
+    async def update_runners():
         async with AsyncExitStack() as stack:
             await context.dispatcher._periodic_checks._update_runners(stack)
 
-    curio.run(see_runners)
+    curio.run(update_runners)
 
 
-@when('the entry of w9 expires, and one of w8 lands at its address')
+@when('the entry of w9 expires, and a late heartbeat of w8 arrives from its address')
 def late_heartbeat(context):
     read_entry(context, 'w9', None, 6)
     read_entry(context, 'w8', b'{}', 7)
-    go_round(context)
+    run_update(context)
 
 
-@then('the task still counts on w9')
+@then('the task still counts as running on w9')
 def still_counts(context):
     state = context.dispatcher.cell.runner_by_id.get('w9')
-    assert state is not None, 'w9 counts as ended'
+    assert state is not None, 'w9 was removed as ended'
     assert (context.task, 1001) in state.allocation_by_run
 
 
@@ -141,20 +141,20 @@
     owner = context.dispatcher._owner_context
     state = context.dispatcher.cell.runner_by_id['w9']
 
-    async def look():
+    async def poll():
         runner = Unreachable()
         runner.poll = replaced_poll
         owner.runner_by_id['w9'] = runner
         await RunnerPoller(owner).poll(state, runner)
 
-    curio.run(look)
+    curio.run(poll)
 
 
 async def replaced_poll(epoch, acknowledged, lease_until, wait):
     raise RunnerReplaced('w9')
 
 
-@then('w9 is not taken for a new runner')
+@then('w9 is not added as a new runner')
 def not_new(context):
     cell = context.dispatcher.cell
     assert 'w9' in context.runners.registration_by_id
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what becomes of the tasks of jobs that are cancelled."""
+"""Steps for the tasks of cancelled jobs."""
 
 import curio
 from behave import given, then, when
@@ -24,13 +24,13 @@
 from features.store_parts import LONG_TIMEOUT, make_owner_context, until
 from standins import MemoryTopic
 
-#: Seconds after which the task of a cancelled job has to be gone.
-STOP_LIMIT = 3.0
-#: Seconds for which a runner is out of reach.
-CUT = 1.5
-#: The run that the former owner had started.
-FORMER_RUN = (task('j1'), 1001)
-#: A lease on the runner's clock that does not end here by itself.
+#: Seconds within which the task of a cancelled job has to be stopped.
+STOP_LIMIT_SECONDS = 3.0
+#: Seconds for which a runner is unreachable.
+PARTITION_SECONDS = 1.5
+#: A run that the previous owner has started.
+EARLIER_RUN = (task('j1'), 1001)
+#: A lease that never expires.
 FOREVER = float('inf')
 SUBMITTED = Submission('urgent', 'desk', 5.0, JobSpec('payload', (step(),)))
 RECORDS_BY_NAME = {
@@ -44,18 +44,18 @@
 }
 
 
-def take_stops(context):
-    """Note the runs that are to be stopped, as the dispatcher would send them."""
+def record_stops(context):
+    """Record the stops that the dispatcher would send now."""
     taken = [(stop.task, stop.run) for stop in context.small.cell.take_stops()]
-    context.told = [*getattr(context, 'told', ()), *taken]
+    context.stops_sent = [*getattr(context, 'stops_sent', ()), *taken]
 
 
-@when('the job is cancelled and w1 takes the stop')
-def cancel_and_take(context):
+@when('the job is cancelled and w1 acknowledges the stop')
+def cancel_and_acknowledge(context):
     small = context.small
     context.start = small.allocations[0]
     small.cancel('j1')
-    take_stops(context)
+    record_stops(context)
     small.cell.stop_answered(context.start, small.now)
 
 
@@ -64,24 +64,24 @@
     context.small.add_job('j1', [step()])
     context.start = context.small.plan(start=False).starts[0]
     context.small.cancel('j1')
-    take_stops(context)
+    record_stops(context)
 
 
-@when('w1 takes the stop, and then answers the start')
-def take_then_answer(context):
+@when('w1 acknowledges the stop, and then the start')
+def acknowledge_both(context):
     small = context.small
     small.cell.stop_answered(context.start, small.now)
     small.cell.start_answered(context.start, StartReply.STARTED, small.now)
 
 
-@when('a look that is sent {seconds:f} s later still lists the run')
+@when('a poll that is sent {seconds:f} s later still lists the run')
 def lists_again(context, seconds):
     context.small.now += seconds
     list_run(context)
 
 
 @given('an order to start a job, which was {fate}')
-def start_given_up(context, fate):
+def start_that_ended(context, fate):
     small = context.small
     small.add_job('j1', [step()])
     context.start = small.plan(start=False).starts[0]
@@ -101,7 +101,7 @@
     context.small.cancel('j1')
     if forgotten == 'is dropped by the store':
         context.small.cell.forget_job('j1', context.small.now)
-    take_stops(context)
+    record_stops(context)
     list_run(context)
 
 
@@ -113,47 +113,47 @@
 
 
 def list_run(context):
-    """Let w1 list the run twice, as looks do that come one after the other."""
+    """Let w1 list the run in two successive polls."""
     running = [(context.start.task, context.start.run)]
     context.small.poll('w1', running=running)
     context.small.poll('w1', running=running)
-    take_stops(context)
+    record_stops(context)
 
 
 @then('w1 is told to stop it {times}')
 def told_to_stop(context, times):
     run = (context.start.task, context.start.run)
-    assert context.told == [run] * {'once': 1, 'twice': 2}[times], context.told
+    assert context.stops_sent == [run] * {'once': 1, 'twice': 2}[times], context.stops_sent
 
 
-@when('w1 lists a run of a job that nobody knows')
+@when('w1 lists a run of an unknown job')
 def unknown_run(context):
-    context.small.poll('w1', running=[FORMER_RUN])
+    context.small.poll('w1', running=[EARLIER_RUN])
     (context.unknown,) = context.small.cell.take_stops()
     context.small.cell.stop_answered(context.unknown, context.small.now)
 
 
-@when('w1 does not list the unknown run any more')
+@when('w1 no longer lists the unknown run')
 def unknown_gone(context):
     context.small.now += 1
     context.small.poll('w1')
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('the new job starts')
 def new_job_starts(context):
-    assert len(context.made.starts) == 1, context.made
-    assert context.small.used('w1') == context.made.starts[0].demand.cpu
+    assert len(context.plan.starts) == 1, context.plan
+    assert context.small.used('w1') == context.plan.starts[0].demand.cpu
 
 
-@given('an owner whose start loses its answer and is then refused: {reply}')
-def owner_of_refusing(context, reply):
-    owner_of_one(context)
+@given('an owner whose start gets no answer and whose retry is refused: {reply}')
+def owner_with_refused_retry(context, reply):
+    owner_with_runner(context)
     context.runner.replies.extend((None, StartReply(reply)))
 
 
 @given('an owner with a runner that answers')
-def owner_of_one(context):
+def owner_with_runner(context):
     context.small = SmallCell(('w1',))
     context.runner = MemoryRunner(ManualClock(context.small.now))
     context.owner = make_owner_context(
@@ -168,11 +168,11 @@
 def send_start(context):
     job = context.small.add_job('j1', [step()])
     job.stored_runners.add('w1')
-    made = context.small.plan(start=False)
-    (context.start,) = made.starts
+    plan = context.small.plan(start=False)
+    (context.start,) = plan.starts
 
     async def send():
-        await OrderSender(context.owner).send_starts(made.starts)
+        await OrderSender(context.owner).send_starts(plan.starts)
         await until(lambda: not context.runner.replies)
         await curio.sleep(0)
 
@@ -184,11 +184,11 @@
     small = context.small
     job = small.add_job('j1', [step()])
     job.stored_runners.add('w1')
-    made = small.plan(start=False)
+    plan = small.plan(start=False)
     small.cancel('j1')
 
     async def send():
-        await OrderSender(context.owner).send_starts(made.starts)
+        await OrderSender(context.owner).send_starts(plan.starts)
         await until(lambda: not small.runs_on('w1'))
 
     curio.run(send)
@@ -201,7 +201,7 @@
     assert [start.task.job for start in context.small.plan().starts] == ['j2']
 
 
-@then('the run counts until the runner has taken a stop')
+@then('the run counts as running until the runner has acknowledged a stop')
 def counts_until_stopped(context):
     small = context.small
     run = (context.start.task, context.start.run)
@@ -215,11 +215,11 @@
 
 
 @given('a runner that runs a task of a cancelled job, {reached}')
-def former_run(context, reached):
+def earlier_run(context, reached):
     context.owner = OneRunnerOwner(MemoryTopic())
-    context.owner.runner.running[FORMER_RUN] = FOREVER
-    context.owner.runner.reached = not reached.startswith('out of reach')
-    if reached == 'whose entry has gone':
+    context.owner.runner.running[EARLIER_RUN] = FOREVER
+    context.owner.runner.reachable = not reached.startswith('unreachable')
+    if reached == 'no longer listed':
         context.owner.remove_entry()
 
 
@@ -229,19 +229,19 @@
 
 
 async def append_all(topic, records):
-    """Store what a former owner left, and the claim of its successor."""
+    """Store the records of a previous owner, and the claim of its successor."""
     attended = make_record(ATTENDED_KEY, Attended(1, ('w1',)))
     await topic.append([*records, attended], 0.1, WriterFence(1, 1))
     claim = make_record(OWNER_KEY, Owner(2, 'me', 'me/1'))
     await topic.append([claim], 0.1, WriterFence(2, 0))
 
 
-@given('a runner that starts a task of the cancelled job {when}, and is deaf to its first stop')
-def deaf_runner(context, when):
-    former_run(context, 'listed')
+@given('a runner that starts a task of the cancelled job {when}, and ignores its first stop')
+def runner_ignoring_stop(context, when):
+    earlier_run(context, 'listed')
     store_that_has(context, 'its final state')
     context.owner.runner.ignored_stops = 1
-    if when == 'while a look waits for news':
+    if when == 'during a long poll':
         context.owner.runner.running.clear()
 
 
@@ -253,52 +253,52 @@
         await owner.begin()
         if not owner.runner.running:
             await until(lambda: owner.runner.waiting)
-            owner.runner.running[FORMER_RUN] = FOREVER
+            owner.runner.running[EARLIER_RUN] = FOREVER
         await wait_until_gone(owner)
 
     curio.run(dispatch)
 
 
 async def wait_until_gone(owner):
-    """Bring the runner back in reach after the cut, and wait for its task's end."""
-    if not owner.runner.reached:
-        await curio.sleep(CUT)
-        owner.runner.reached = True
-    owner.reached_at = owner.clock.monotonic()
+    """Make the runner reachable again after the partition, and wait for its task to end."""
+    if not owner.runner.reachable:
+        await curio.sleep(PARTITION_SECONDS)
+        owner.runner.reachable = True
+    owner.reachable_at = owner.clock.monotonic()
     await curio.ignore_after(LONG_TIMEOUT, until, lambda: not owner.runner.running)
 
 
 @then('the task is stopped within 3 s of its start')
-@then('the task is stopped within 3 s of the runner being in reach')
+@then('the task is stopped within 3 s of the runner becoming reachable')
 def stopped_in_time(context):
     runner = context.owner.runner
-    assert runner.stopped_at is not None, 'nobody stopped it'
-    took = runner.stopped_at - context.owner.reached_at
-    assert took <= STOP_LIMIT, took
-    assert set(runner.stopped) == {FORMER_RUN}, runner.stopped
+    assert runner.stopped_at is not None, 'the task was never stopped'
+    took = runner.stopped_at - context.owner.reachable_at
+    assert took <= STOP_LIMIT_SECONDS, took
+    assert set(runner.stopped) == {EARLIER_RUN}, runner.stopped
 
 
 @given('an owner with a running task on a runner')
 def owner_with_task(context):
-    former_run(context, 'listed')
+    earlier_run(context, 'listed')
     store_that_has(context, 'its submission')
 
 
-@when('the runner is out of reach, the job is cancelled, and 1.5 s pass')
+@when('the runner becomes unreachable, the job is cancelled, and 1.5 s pass')
 def cancel_out_of_reach(context):
     owner = context.owner
 
     async def cancel():
         await owner.begin()
-        await until(lambda: adopted(owner))
-        owner.runner.reached = False
+        await until(lambda: has_adopted_run(owner))
+        owner.runner.reachable = False
         assert await owner.dispatcher.cancel('j1', LONG_TIMEOUT) is Written.STORED
         await wait_until_gone(owner)
 
     curio.run(cancel)
 
 
-def adopted(owner):
-    """Return whether the owner has found the task that the former one had started."""
+def has_adopted_run(owner):
+    """Return whether the owner has found the task that its predecessor started."""
     runner = owner.dispatcher.cell.runner_by_id.get('w1')
-    return runner is not None and FORMER_RUN in runner.allocation_by_run
+    return runner is not None and EARLIER_RUN in runner.allocation_by_run
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -1,4 +1,4 @@
-"""Steps on from when a new owner counts its right to act."""
+"""Steps for the authority of a new owner and the vacancy of a cell."""
 
 import curio
 from behave import given, then, when
@@ -23,19 +23,19 @@
 )
 from standins import MemoryTopic
 
-#: Enough heartbeats for their usual gap to be known.
-BEATS = 20
+#: Enough heartbeats for the host to know their usual interval.
+HEARTBEATS = 20
 
 
-@given('a store that answers a claim {seconds:g} s after it has carried it out')
+@given('a store that answers a claim {seconds:g} s after applying it')
 def slow_claims(context, seconds):
     context.topic = SlowTopic()
     context.topic.delay = seconds
 
 
-@when('a host claims the cell there and is cut off at once')
-def claims_and_is_cut_off(context):
-    async def play():
+@when('a host claims the cell and is partitioned from the store at once')
+def claims_and_is_partitioned(context):
+    async def claim():
         other = Host('other', context.topic)
         await curio.spawn(other.follower.run, daemon=True)
         me = Host('me', context.topic)
@@ -44,35 +44,35 @@
         term = await me.claim(LONG_TIMEOUT)
         return other, me, make_dispatcher(me, term, context.topic, me.clock)
 
-    other, me, dispatcher = curio.run(play)
+    other, me, dispatcher = curio.run(claim)
     assert other.folder.book.owner.term == 'me/1'
-    # Nothing it sends is answered any more.
+    # From here on no append of the new owner is answered.
     context.last_lease = (
         dispatcher._owner_context.writer.stored_at + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
     )
     now = me.clock.monotonic() + 1.5
     heard_at = other.folder.owner_heard_at
     term = Term(2, 'other/1', WriterFence(2, 1), heard_at, False, False)
-    context.given_up = PredecessorLeases(term, LEASE_SECONDS, now).end_at
+    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, now).end_at
 
 
-@then('its last leases are over when a successor gives them up')
-def over_when_given_up(context):
-    early = context.last_lease - context.given_up
-    assert early <= 0, f'given up {early:.3f} s too early'
+@then('its last leases have expired when a successor stops waiting for them')
+def expired_at_wait_end(context):
+    early = context.last_lease - context.wait_end
+    assert early <= 0, f'the wait ends {early:.3f} s too early'
 
 
-@given('a host that has heard the owner {seconds:g} s ago')
+@given('a host that heard from the owner {seconds:g} s ago')
 def heard_ago(context, seconds):
-    hear_every(context, [5], seconds)
+    send_heartbeats(context, [5], seconds)
 
 
-@given('a host that hears the owner every {gap:g} s, the last time {seconds:g} s ago')
-def heard_by_habit(context, gap, seconds):
-    hear_every(context, [gap] * BEATS, seconds)
+@given('a host that hears from the owner every {gap:g} s, the last time {seconds:g} s ago')
+def heard_regularly(context, gap, seconds):
+    send_heartbeats(context, [gap] * HEARTBEATS, seconds)
 
 
-def hear_every(context, gaps, seconds):
+def send_heartbeats(context, gaps, seconds):
     clock = ManualClock()
     context.host = host = Host('me', MemoryTopic(), clock)
     claim = make_record(OWNER_KEY, Owner(1, 'other', 'other/1'))
@@ -87,7 +87,7 @@
     host.follower.reached_since = clock.monotonic() - 5
 
 
-@when('a request to be passed on to the owner is not answered')
+@when('a request that is forwarded to the owner is not answered')
 def not_answered(context):
     host = context.host
     relay = Relay(
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -1,4 +1,4 @@
-"""Steps on starts of which it is not known whether they will be carried out."""
+"""Steps for starts with an unknown outcome."""
 
 import curio
 from behave import given, then, when
@@ -11,15 +11,15 @@
 from features.store_parts import make_owner_context, until
 
 
-class DoubtfulRunner:
-    """Gives no answer to the first start, and then the one it was told."""
+class UnansweringRunner:
+    """Does not answer the first start, and answers later ones with ``reply``."""
 
     def __init__(self, reply):
         self.reply = reply
         self.starts = 0
 
     async def start(self, order, check):
-        """Lose the first answer."""
+        """Raise for the first start, answer the later ones."""
         assert check()
         self.starts += 1
         if self.starts == 1:
@@ -37,9 +37,9 @@
     context.owner = make_owner_context(context.small.cell, ManualClock(context.small.now))
 
 
-@when('its second try is refused as {reply}')
+@when('its second attempt is refused as {reply}')
 def refused(context, reply):
-    runner = DoubtfulRunner(StartReply[reply.upper()])
+    runner = UnansweringRunner(StartReply[reply.upper()])
     context.owner.runner_by_id[context.start.runner] = runner
 
     async def send():
@@ -50,7 +50,7 @@
     curio.run(send)
 
 
-@then('the task is not started elsewhere before a stop has forbidden the first try')
+@then('the task is not started elsewhere until a stop has ruled out the first attempt')
 def not_elsewhere(context):
-    again = context.small.plan(start=False).starts
-    assert not again, f'{again[0].task} starts on {again[0].runner} too'
+    starts = context.small.plan(start=False).starts
+    assert not starts, f'{starts[0].task} starts on {starts[0].runner} too'
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -1,4 +1,4 @@
-"""Steps on leases on slow clocks."""
+"""Steps for leases on runners with slow clocks."""
 
 from behave import given, then, when
 
@@ -10,25 +10,25 @@
 from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases
 from features.cell_parts import make_registration
 
-TOLD_AT = 1000.0
+CLOCK_READ_AT = 1000.0
 
 
-@given('a runner whose clock is 2% slow, and told {seconds:g} s ago')
+@given('a runner whose clock is 2% slow and was last read {seconds:g} s ago')
 def slow_clock(context, seconds):
-    context.now = TOLD_AT + seconds
+    context.now = CLOCK_READ_AT + seconds
     context.state = RunnerState(make_registration('w1'))
-    context.state.note_clock(0.0, TOLD_AT)
+    context.state.note_clock(0.0, CLOCK_READ_AT)
 
 
-@when('a lease is granted there and the owner releases the cell right then')
+@when('a lease is granted there and the owner releases the cell at once')
 def granted(context):
     lease_until = context.state.extend_lease(context.now, LEASE_SECONDS)
-    context.runs_out = TOLD_AT + lease_until / (1 - CLOCK_DRIFT)
+    context.expires_at = CLOCK_READ_AT + lease_until / (1 - CLOCK_DRIFT)
     term = Term(2, 'me/1', WriterFence(2, 1), context.now, True, False)
-    context.given_up = PredecessorLeases(term, LEASE_SECONDS, context.now).end_at
+    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, context.now).end_at
 
 
-@then('its successor does not give it up before it has run out')
+@then('its successor waits until the lease has expired')
 def not_before(context):
-    early = context.runs_out - context.given_up
-    assert early <= 0, f'given up {early:.3f} s too early'
+    early = context.expires_at - context.wait_end
+    assert early <= 0, f'the wait ends {early:.3f} s too early'
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps on records that were given up."""
+"""Steps for records that were given up."""
 
 import curio
 from behave import given, then, when
@@ -15,22 +15,22 @@
 from features.store_parts import Host, make_dispatcher, make_owner_context, until
 from standins import MemoryTopic
 
-#: Seconds that each append takes, and whether it is refused after them; then all succeed.
+#: For each append the seconds that it takes and whether it is refused; later ones succeed at once.
 OUTAGE = ((3.0, True), (0.0, False), (6.5, True))
 
 
 class OutageTopic(MemoryTopic):
-    """Refuses appends as told, each after some seconds of a manual clock."""
+    """Delays and refuses appends as ``outage`` says, on a manual clock."""
 
     def __init__(self, clock, outage):
         super().__init__()
         self.clock = clock
         self.outage = list(outage)
-        self.under_way = 0
+        self.append_count = 0
 
     async def append(self, records, timeout, fence=None, expected_end=None):
         """Refuse or append."""
-        self.under_way += 1
+        self.append_count += 1
         await curio.sleep(0.05)
         seconds, refused = self.outage.pop(0) if self.outage else (0.0, False)
         self.clock.advance(seconds)
@@ -51,20 +51,20 @@
     context.state = context.small.cell.runner_by_id['w1']
 
 
-@when('another look at the runner waits for that record')
-def look_waits(context):
+@when('another poll of the runner waits for that record')
+def poll_waits(context):
     async def play():
         owner, topic = context.owner, context.topic
         await curio.spawn(owner.writer.run, daemon=True)
         await curio.spawn(owner.writer.write, [make_record('x', 1)], 9.0, daemon=True)
-        await until(lambda: topic.under_way == 1)
+        await until(lambda: topic.append_count == 1)
         first = context.first
         context.small.poll('w1', ended=[(1, first.task, first.run, 'done')])
-        attendant = RunnerPoller(owner)
-        await curio.spawn(attendant._acknowledge, context.state, 1, True, daemon=True)
-        await until(lambda: topic.under_way == 3)
+        poller = RunnerPoller(owner)
+        await curio.spawn(poller._acknowledge, context.state, 1, True, daemon=True)
+        await until(lambda: topic.append_count == 3)
         topic.outage.extend([(0.0, True)] * 1000)
-        await curio.spawn(attendant._acknowledge, context.state, 1, True, daemon=True)
+        await curio.spawn(poller._acknowledge, context.state, 1, True, daemon=True)
         await curio.sleep(0.4)
         return (await topic.snapshot()).records
 
@@ -75,11 +75,11 @@
 def not_acknowledged(context):
     assert context.owner.may_act()
     assert 'e/j1' not in context.stored, context.stored
-    assert context.state.acknowledged == 0, 'acknowledged, and stored nowhere'
+    assert context.state.acknowledged == 0, 'acknowledged, but not stored'
 
 
 @given('an owner whose heartbeat with a new runner is about to be given up')
-def beat_given_up(context):
+def heartbeat_given_up(context):
     context.clock = ManualClock()
     context.topic = OutageTopic(context.clock, OUTAGE)
     host = Host('me', context.topic, context.clock)
@@ -88,26 +88,26 @@
     context.dispatcher._load_state()
 
 
-@when('the store takes heartbeats again')
-def takes_again(context):
+@when('the store accepts heartbeats again')
+def accepts_again(context):
     async def play():
         dispatcher, topic = context.dispatcher, context.topic
         writer = dispatcher._owner_context.writer
         await curio.spawn(writer.run, daemon=True)
         await curio.spawn(writer.write, [make_record('x', 1)], 9.0, daemon=True)
-        await until(lambda: topic.under_way == 1)
+        await until(lambda: topic.append_count == 1)
         dispatcher.cell.see_runners({'w1': make_registration('w1')}, context.clock.monotonic())
         await curio.spawn(dispatcher._store_heartbeats, daemon=True)
-        await until(lambda: topic.under_way == 6)
+        await until(lambda: topic.append_count == 6)
         return await topic.snapshot()
 
     context.book = JobBook()
     context.book.fold(curio.run(play).records)
 
 
-@then('tasks are placed on the new runner only if the store names it')
-def named_or_unused(context):
+@then('tasks are placed on the new runner only if the store lists it')
+def listed_or_unused(context):
     assert context.dispatcher._owner_context.may_act()
-    named = context.book.attended.runners if context.book.attended else ()
+    listed = context.book.attended.runners if context.book.attended else ()
     state = context.dispatcher.cell.runner_by_id['w1']
-    assert 'w1' in named or not state.recorded, f'the store names {named}'
+    assert 'w1' in listed or not state.recorded, f'the store lists {listed}'
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps on an owner that decides faster than its starts are answered."""
+"""Steps for an owner that decides faster than its starts are answered."""
 
 import curio
 from behave import given, then, when
@@ -9,40 +9,40 @@
 from features.cell_parts import SmallCell, make_queue, make_registration, step
 from features.store_parts import make_owner_context
 
-MANY = Demand(400_000, 400_000, 0)
-ADVISED = make_queue('advised', advice=(0.01, 0.0001, 2.0))
+LARGE_CAPACITY = Demand(400_000, 400_000, 0)
+ADVISED_QUEUE = make_queue('advised', advice=(0.01, 0.0001, 2.0))
 
 
-class LateRunner:
-    """A runner that answers starts late, and counts those under way."""
+class SlowRunner:
+    """Answers starts after a delay, and counts the pending ones."""
 
-    under_way = 0
-    most = 0
+    pending = 0
+    max_pending = 0
 
     def __init__(self, seconds):
         self._seconds = seconds
         self.started = []
 
     async def start(self, order, check):
-        LateRunner.under_way += 1
-        LateRunner.most = max(LateRunner.most, LateRunner.under_way)
+        SlowRunner.pending += 1
+        SlowRunner.max_pending = max(SlowRunner.max_pending, SlowRunner.pending)
         self.started.append(order.task.job)
         await curio.sleep(self._seconds)
-        LateRunner.under_way -= 1
+        SlowRunner.pending -= 1
         return StartAnswer(StartReply.STARTED, 0.0)
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing, as no connection is open."""
 
 
 def make_owner(context, clock, seconds):
     context.small = SmallCell(runners=())
-    context.small.registration_by_id = {'w1': make_registration('w1', capacity=MANY)}
+    context.small.registration_by_id = {'w1': make_registration('w1', capacity=LARGE_CAPACITY)}
     context.small.see_runners()
     context.small.poll('w1')
     context.owner = make_owner_context(context.small.cell, clock)
     context.owner.writer.stored_at = clock.monotonic()
-    context.runner = LateRunner(seconds)
+    context.runner = SlowRunner(seconds)
     context.owner.runner_by_id['w1'] = context.runner
     context.orders = OrderSender(context.owner)
 
@@ -55,7 +55,7 @@
 
 @given('an owner whose runners take long to answer')
 def slow_runners(context):
-    LateRunner.under_way = LateRunner.most = 0
+    SlowRunner.pending = SlowRunner.max_pending = 0
     make_owner(context, SystemClock(), 0.01)
 
 
@@ -64,27 +64,27 @@
     context.batch = add_job(context, 'batch', [step(1000, 300)], 'batch')
     context.plans = 0
 
-    async def play():
-        while len(context.runner.started) < 301 or LateRunner.under_way:
+    async def dispatch():
+        while len(context.runner.started) < 301 or SlowRunner.pending:
             seen = context.owner.plan_needed.count
             if len(context.runner.started) > 60 and 'urgent' not in context.small.cell.job_by_id:
                 add_job(context, 'urgent', [step(1000)], 'urgent')
-            made = context.small.planner.plan(
+            plan = context.small.planner.plan(
                 context.small.now, context.small.now, most_starts=context.orders.free_starts
             )
             context.plans += 1
-            await context.orders.send_starts(made.starts)
+            await context.orders.send_starts(plan.starts)
             await context.owner.plan_needed.wait(seen, 0.1)
 
-    curio.run(curio.timeout_after, 20, play)
+    curio.run(curio.timeout_after, 20, dispatch)
 
 
-@then('no more than {most:d} starts are under way at any time')
+@then('no more than {most:d} starts are pending at any time')
 def bounded(context, most):
-    assert 0 < LateRunner.most <= most, LateRunner.most
+    assert 0 < SlowRunner.max_pending <= most, SlowRunner.max_pending
 
 
-@then('the urgent one is sent before half of the others')
+@then('the urgent one is sent before half of the batch tasks')
 def urgent_first(context):
     assert context.runner.started.index('urgent') < 150
 
@@ -107,19 +107,19 @@
     name = job.steps(0)[0].name
     small.cell.tickets.note(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
     (context.start,) = small.planner.plan(small.now, small.now).starts
-    assert ADVISED.advice == AdvicePolicy(0.01, 0.0001, 2.0) and context.start.ticket
+    assert ADVISED_QUEUE.advice == AdvicePolicy(0.01, 0.0001, 2.0) and context.start.ticket
 
 
-@when("the start's turn comes {seconds:g} s later")
-def turn_comes(context, seconds):
+@when('the start can be sent {seconds:g} s later')
+def send_later(context, seconds):
     context.clock.advance(seconds)
     context.owner.writer.stored_at = context.clock.monotonic()
 
-    async def play():
+    async def dispatch():
         await context.orders.send_starts([context.start])
         await curio.sleep(0.02)
 
-    curio.run(play)
+    curio.run(dispatch)
 
 
 @then('the start is {fate}')
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a release leaves out."""
+"""Steps for the release of a cell by its owner."""
 
 import time
 
@@ -20,10 +20,10 @@
 from features.store_parts import Host, make_dispatcher
 from standins import MemoryTopic
 
-SLOW = 0.5
+APPEND_SECONDS = 0.5
 
 
-@given('a successor that waits for the leases of an owner that was cut off')
+@given('a successor that waits for the leases of a partitioned owner')
 def waiting(context):
     context.topic = MemoryTopic()
     records = [
@@ -55,18 +55,18 @@
 @then('the third owner waits no less than the successor would have')
 def waits_as_long(context):
     assert context.third.cell.unseen == {'w9'}
-    wanted = context.dispatcher._periodic_checks.predecessor_leases.end_at
-    given_up = context.third._periodic_checks.predecessor_leases.end_at
-    assert given_up >= wanted - 0.05, f'{wanted - given_up:.3f} s too early'
+    successor_end = context.dispatcher._periodic_checks.predecessor_leases.end_at
+    third_end = context.third._periodic_checks.predecessor_leases.end_at
+    assert third_end >= successor_end - 0.05, f'{successor_end - third_end:.3f} s too early'
 
 
 class SlowTopic(MemoryTopic):
-    """Answers appends late, when told to."""
+    """Answers each append after ``delay`` seconds."""
 
     delay = 0.0
 
     async def append(self, records, timeout, fence=None, expected_end=None):
-        """Append at once and answer late."""
+        """Append at once and answer after the delay."""
         offset = await super().append(records, timeout, fence, expected_end)
         await curio.sleep(self.delay)
         return offset
@@ -78,14 +78,14 @@
     context.host = Host('me', context.topic)
 
 
-@when('it is told to end')
+@when('it is told to end its term')
 def told_to_end(context):
     async def own_and_end():
         term = await context.host.own()
         dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-        context.topic.delay = SLOW
+        context.topic.delay = APPEND_SECONDS
         running = await curio.spawn(dispatcher.run)
-        await curio.sleep(SLOW)
+        await curio.sleep(APPEND_SECONDS)
         await dispatcher.end()
         await running.join()
         return (await context.topic.snapshot()).records
@@ -93,16 +93,16 @@
     context.records = curio.run(own_and_end)
 
 
-@then('the newest word of it in the store is its release')
+@then('its newest record in the store is the release')
 def release_is_newest(context):
     (newest,) = (record for record in context.records if record.key == OWNER_KEY)
-    words = [record.content for record in context.topic.records if record.key == OWNER_KEY]
-    assert b'"released":true' in b''.join(words), words
-    assert b'"released":true' in newest.content, words
+    contents = [record.content for record in context.topic.records if record.key == OWNER_KEY]
+    assert b'"released":true' in b''.join(contents), contents
+    assert b'"released":true' in newest.content, contents
 
 
-class NextOwner:
-    """Links to a peer that is asked to take over; it may claim some time later."""
+class SuccessorLinks:
+    """Links to a peer that is asked to take over and may claim the cell 0.3 s later."""
 
     def __init__(self, topic, answers):
         self._topic = topic
@@ -111,7 +111,7 @@
         self.claimed_at = None
 
     async def ask(self, member, message, timeout):
-        """Answer, and claim."""
+        """Acknowledge a request to take over, and claim the cell if told to."""
         if self._silent or not isinstance(message, OwnerFailing):
             raise PeerError('no answer in time', Verdict.UNKNOWN)
         if self._claims:
@@ -129,14 +129,14 @@
 def owner_with_peer(context, answers):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.links = NextOwner(context.topic, answers)
+    context.links = SuccessorLinks(context.topic, answers)
     member = make_record(f'{MEMBER}peer', Member('north', '127.0.0.1', 1))
     curio.run(context.topic.append, [member], 0.1)
 
 
-@when('it leaves the cell')
-def leaves(context):
-    async def own_and_leave():
+@when('it gives up the cell')
+def gives_up(context):
+    async def own_and_give_up():
         term = await context.host.own()
         dispatcher = make_dispatcher(
             context.host, term, context.topic, context.host.clock, links=context.links
@@ -144,20 +144,26 @@
         running = await curio.spawn(dispatcher.run)
         await curio.sleep(0.1)
         await dispatcher.end()
-        context.acted = []
+        context.acting_times = []
         while not running.terminated:
             if dispatcher.may_act:
-                context.acted.append(time.monotonic())
+                context.acting_times.append(time.monotonic())
             await curio.sleep(0.005)
         await running.join()
 
-    curio.run(own_and_leave)
+    curio.run(own_and_give_up)
 
 
-@then('it has acted until {end}, and released {released}')
+@then('it acts until {end}, and releases {released}')
 def acted_until(context, end, released):
-    words = [record.content for record in context.topic.records if record.key == OWNER_KEY]
-    assert any(b'"released":true' in word for word in words) is (released == 'the cell'), words
+    contents = [record.content for record in context.topic.records if record.key == OWNER_KEY]
+    assert any(b'"released":true' in content for content in contents) is (released == 'the cell'), (
+        contents
+    )
     if end == 'it was fenced':
-        # Its next append, a heartbeat at the latest, tells it.
-        assert context.links.claimed_at - 0.05 < context.acted[-1] < context.links.claimed_at + 1
+        # Its next append, at the latest a heartbeat, is refused with the higher epoch.
+        assert (
+            context.links.claimed_at - 0.05
+            < context.acting_times[-1]
+            < context.links.claimed_at + 1
+        )
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what the owner tells of its load, and CI of known failures."""
+"""Steps for the load reports of the owner, and for known failures in CI."""
 
 import tempfile
 from pathlib import Path
@@ -12,21 +12,21 @@
 from features import run
 from features.cell_parts import SmallCell, step
 
-FULL = 32_000
+RUNNER_MILLICORES = 32_000
 
 
 class RecordingJournal:
-    """Keeps what a journal would write."""
+    """Records log lines instead of writing them."""
 
     def __init__(self):
         self.told = []
 
     def tell(self, part, sentence, **fields):
-        """Keep a line."""
+        """Record a line."""
         self.told.append((sentence, fields))
 
 
-def watch(context):
+def start_report(context):
     context.lines = RecordingJournal()
     context.load = LoadReport(context.small.cell, SimpleNamespace(waiting=0), context.lines)
 
@@ -34,29 +34,29 @@
 @given('an owner of 2 runners, both full, and a job that waits')
 def full_owner(context):
     context.small = SmallCell()
-    context.small.add_job('filling', [step(FULL, count=2)], queue='batch')
+    context.small.add_job('filling', [step(RUNNER_MILLICORES, count=2)], queue='batch')
     assert len(context.small.plan().starts) == 2
     context.small.add_job('j1', [step()])
-    watch(context)
+    start_report(context)
 
 
-@given('an owner of 2 runners and a job that may run on one it has not seen')
+@given('an owner of 2 runners and a job that may be running on one it has not polled')
 def blocked_owner(context):
     context.small = SmallCell()
     context.small.cell.unseen.add('w9')
     progress = Progress(1, JobState.RUNNING, runners=('w9',))
     context.small.add_job('j1', [step()], progress=progress)
-    watch(context)
+    start_report(context)
 
 
 @given('an owner of 2 runners without jobs')
 def idle_owner(context):
     context.small = SmallCell()
-    watch(context)
+    start_report(context)
 
 
 @when('it has planned for a second')
-def planned(context):
+def plan_for_a_second(context):
     small = context.small
     for _ in range(10):
         context.load.add_plan(small.plan(), 0.01)
@@ -64,22 +64,22 @@
         small.now += 0.1
 
 
-@then('one line tells that 1 task of urgent waits with {free:d} cores free of {cores:d}')
-def tells_full(context, free, cores):
+@then('one log line reports 1 waiting task of urgent, and {free:d} cores free of {cores:d}')
+def reports_full(context, free, cores):
     ((_, fields),) = context.lines.told
     assert fields['waiting'] == {'urgent': 1}, fields
     assert (fields['cores_free'], fields['cores']) == (free, cores), fields
 
 
-@then('one line tells that 1 task is blocked')
-def tells_blocked(context):
+@then('one log line reports that 1 task is blocked')
+def reports_blocked(context):
     ((_, fields),) = context.lines.told
     assert fields['waiting'] == {'urgent': 1, 'blocked by unseen runners': 1}, fields
     assert fields['unseen'] == 1, fields
 
 
-@then('it tells nothing of tasks that wait')
-def tells_nothing(context):
+@then('it logs nothing about waiting tasks')
+def reports_nothing(context):
     assert not context.lines.told, context.lines.told
 
 
@@ -92,17 +92,17 @@
     context.known.write_text('\n'.join(lines) + '\n')
 
 
-@then('CI does not take the list')
+@then('CI rejects the list')
 def list_refused(context):
     try:
         run.read_known(context.known)
     except ValueError as error:
         assert '4 lines' in f'{error}'
         return
-    raise AssertionError('four lines were taken')
+    raise AssertionError('the list of four lines was accepted')
 
 
-@then('a row of its outline is known, and another scenario is not')
+@then('a row of its outline counts as known, and another scenario does not')
 def row_known(context):
     known = run.read_known(context.known)
     place = SimpleNamespace(filename='features/a.feature')
@@ -115,27 +115,27 @@
 def make_owner(context, *steps):
     context.small = SmallCell()
     context.small.add_job('j1', steps)
-    watch(context)
+    start_report(context)
 
 
-@given('an owner of 2 runners with a job that nothing is placed for')
+@given('an owner of 2 runners with a job of which no task is placed')
 def stalled_owner(context):
     make_owner(context, step(seconds=0.5))
 
 
-@given('an owner of 2 runners with a job whose run of {seconds:g} s is held')
-def holding_owner(context, seconds):
+@given('an owner of 2 runners with a job whose run of {seconds:g} s does not end')
+def unended_run_owner(context, seconds):
     make_owner(context, step(seconds=seconds))
     context.small.plan()
 
 
-@given('an owner of 2 runners with a job whose lasting tasks are all placed')
-def lasting_owner(context):
+@given('an owner of 2 runners with a job whose long-running tasks are all placed')
+def long_running_owner(context):
     make_owner(context, step(seconds=0.5, long_running=True))
     context.small.plan()
 
 
-@given('an owner of 2 runners with a job whose step depends on another that is held')
+@given('an owner of 2 runners with a job whose step depends on another that does not end')
 def depending_owner(context):
     make_owner(context, step(seconds=20), step(seconds=0.5, depends_on=(0,)))
     context.small.plan()
@@ -149,13 +149,13 @@
     context.small.now = now + seconds
 
 
-def stalls(context):
+def stall_lines(context):
     return [fields for sentence, fields in context.lines.told if 'makes no progress' in sentence]
 
 
-@then('one line names the job, its waiting step and its tickets')
+@then('one log line names the job, its waiting step and its tickets')
 def stall_named(context):
-    (fields,) = stalls(context)
+    (fields,) = stall_lines(context)
     assert fields['job'] == 'j1', fields
     assert '1 waiting, 0 placed, 0 done; 0 of 0 runners allowed' in fields['steps'][0], fields
     assert not fields['runs'], fields
@@ -164,19 +164,19 @@
 @then('it is not logged again within {seconds:d} seconds, and once more after {later:d}')
 def stall_repeated(context, seconds, later):
     nothing_changes(context, seconds - 1)
-    assert len(stalls(context)) == 1, stalls(context)
+    assert len(stall_lines(context)) == 1, stall_lines(context)
     nothing_changes(context, later - seconds + 1)
-    assert len(stalls(context)) == 2, stalls(context)
+    assert len(stall_lines(context)) == 2, stall_lines(context)
 
 
-@then('one line names the job, its run and its runner')
-def held_run_named(context):
-    (fields,) = stalls(context)
+@then('one log line names the job, its run and its runner')
+def overdue_run_named(context):
+    (fields,) = stall_lines(context)
     assert fields['job'] == 'j1', fields
     (run,) = fields['runs']
     assert 'run 1001 on w' in run and 'running for' in run, run
 
 
-@then('no line names a stalled job')
+@then('no log line names a stalled job')
 def no_stall(context):
-    assert not stalls(context), stalls(context)
+    assert not stall_lines(context), stall_lines(context)
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what one owner leaves to the next."""
+"""Steps for what one owner passes on to its successor."""
 
 import curio
 from behave import given, then, when
@@ -41,9 +41,9 @@
     context.dispatcher._load_state()
 
 
-@then('it leaves tasks on unseen runners alone until all leases of that owner are over')
-def waits_for_all(context):
-    # The owner's last append was answered before the host read the store at all.
+@then('it does not restart tasks of unseen runners until all leases of that owner have expired')
+def waits_for_all_leases(context):
+    # The owner's last append was answered before the host first read the store.
     last_lease = context.began + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
     assert context.dispatcher._periodic_checks.predecessor_leases.end_at >= last_lease
 
@@ -60,8 +60,8 @@
     context.dispatcher.cell.see_runners({'w1': make_registration('w1')}, heard_at)
 
 
-@when('the successor stores on which runners tasks may run')
-def stores_attended(context):
+@when('the successor stores the runners on which tasks may run')
+def stores_runners(context):
     async def beat():
         owner = context.dispatcher._owner_context
         await curio.spawn(owner.writer.run, daemon=True)
@@ -74,30 +74,30 @@
 
 
 @then('w9 is among them')
-def w9_attended(context):
+def w9_listed(context):
     assert context.book.attended is not None, 'no runners were stored'
     assert 'w9' in context.book.attended.runners, context.book.attended
 
 
-class WatchedTopic(MemoryTopic):
-    """Notes what ``ask()`` says whenever an append is on its way."""
+class ProbedTopic(MemoryTopic):
+    """Records the result of ``probe()`` while each append is pending."""
 
-    def __init__(self, ask):
+    def __init__(self, probe):
         super().__init__()
-        self.ask = ask
-        self.said = []
+        self.probe = probe
+        self.probe_results = []
 
     async def append(self, records, timeout, fence=None, expected_end=None):
-        """Append, and ask while the answer is still out."""
+        """Append, and call the probe before answering."""
         offset = await super().append(records, timeout, fence, expected_end)
         await curio.sleep(0)
-        self.said.append(self.ask())
+        self.probe_results.append(self.probe())
         return offset
 
 
 @given('an owner whose release is answered late')
 def releasing_owner(context):
-    context.topic = WatchedTopic(lambda: context.dispatcher.may_act)
+    context.topic = ProbedTopic(lambda: context.dispatcher.may_act)
     host = Host('me', context.topic)
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(host, term, context.topic, host.clock)
@@ -112,29 +112,31 @@
     curio.run(release)
 
 
-@then('it has no right to act while the release is on its way')
-def no_right(context):
+@then('it may not act while the release is pending')
+def may_not_act(context):
     assert context.topic.records[-1].key == OWNER_KEY
-    assert context.topic.said[-1] is False, context.topic.said
+    assert context.topic.probe_results[-1] is False, context.topic.probe_results
 
 
-@given('an owner whose life first read the store at offset {offset:d}')
-def owner_life(context, offset):
+@given('an owner incarnation that first read the store at offset {offset:d}')
+def owner_incarnation(context, offset):
     context.book = JobBook()
     owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
     context.book.fold([make_record(f'{MEMBER}other', member), make_record(OWNER_KEY, owner)])
 
 
-@when('word lands of a life on its host that first read it at offset {offset:d}')
-def word_of_life(context, offset):
+@when(
+    'a member record arrives of an incarnation on its host that first read it at offset {offset:d}'
+)
+def member_record(context, offset):
     member = Member('north', '10.0.0.9', 7, 'other/1', read_from=offset)
     context.book.fold([make_record(f'{MEMBER}other', member)])
 
 
-@then('the owner is taken for {fate}')
-def taken_for(context, fate):
-    assert context.book.owner_has_ended() == (fate == 'over')
+@then('the owner is considered {fate}')
+def considered(context, fate):
+    assert context.book.owner_has_ended() == (fate == 'ended')
 
 
 @given("an owner that is about to store the runner of a job's second task")
@@ -153,8 +155,8 @@
     )
 
 
-@when('the first task ends {outcome} right then')
-def ends_right_then(context, outcome):
+@when('the first task ends meanwhile, with outcome {outcome}')
+def ends_meanwhile(context, outcome):
     async def note_end():
         name, run = context.first.task, context.first.run
         context.small.poll(context.first.runner, ended=[(1, name, run, outcome)])
@@ -167,7 +169,7 @@
         await OrderSender(context.owner).send_starts([context.second])
         ending = await curio.spawn(note_end)
         await ending.join()
-        # Nobody leads to the runner: its start is taken back once its record was answered.
+        # There is no client of the runner, so the start is withdrawn once its record is stored.
         run = (context.second.task, context.second.run)
         await until(lambda: run not in context.small.runs_on(context.second.runner))
         return await context.topic.snapshot()
@@ -179,7 +181,7 @@
 @then('the store says that the job is {state} with {done:d} tasks done')
 def stored_progress(context, state, done):
     booked = context.book.find('j1')
-    assert booked is not None, 'no host knows the job any more'
+    assert booked is not None, 'the job is no longer in the store'
     assert booked.state.value == state, booked
     masks = [int(entry.mask, 16) for entry in booked.progress.done]
     assert sum(mask.bit_count() for mask in masks) == done, booked
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the wait for former owners' leases, as it takes effect."""
+"""Steps for the wait for earlier owners' leases."""
 
 import curio
 from behave import given, then, when
@@ -28,10 +28,10 @@
 from features.store_parts import DRIFT, Host, journal, make_dispatcher
 from standins import MemoryTopic
 
-ALL_LEASES = AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
+MAX_WAIT_SECONDS = AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
 
 
-@given('a store with an owner of which a new host has only read, and its job on w9')
+@given('a store with an owner that a new host only knows from it, and its job on w9')
 def owner_with_job(context):
     context.topic = MemoryTopic()
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
@@ -53,14 +53,14 @@
     context.dispatcher._load_state()
 
 
-@then('that job stays alone for all 17.7 s, and not for longer')
-def left_alone_for_all(context):
+@then('that job stays blocked for all 17.7 s, and not for longer')
+def blocked_for_all(context):
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
-    give_up = context.dispatcher._periodic_checks._drop_unseen_runners
-    curio.run(give_up, context.began + ALL_LEASES)
+    drop_unseen_runners = context.dispatcher._periodic_checks._drop_unseen_runners
+    curio.run(drop_unseen_runners, context.began + MAX_WAIT_SECONDS)
     assert cell.is_blocked(job)
-    curio.run(give_up, context.began + ALL_LEASES + LEASE_SECONDS)
+    curio.run(drop_unseen_runners, context.began + MAX_WAIT_SECONDS + LEASE_SECONDS)
     assert not cell.is_blocked(job)
 
 
@@ -69,30 +69,30 @@
     context.longest = AUTHORITY_SECONDS + lease_upper_bound(LEASE_SECONDS)
 
 
-@then('a claim says that it may last as long')
+@then('the wait that a claim announces covers it')
 def claim_covers(context):
     assert context.longest <= UNSETTLED_SECONDS < context.longest + 0.2
 
 
-@given('a wait for an owner that was heard of just now')
+@given('a wait for an owner that was heard from just now')
 def wait_for_owner(context):
     former = Owner(1, 'other', 'other/1')
     term = Term(2, 'me/1', WriterFence(2, 1), 1000.0, False, False, former=former)
     context.wait = PredecessorLeases(term, LEASE_SECONDS, 1000.0)
-    context.until = context.wait.end_at
+    context.end_before = context.wait.end_at
 
 
-@when('its successor looks for a proof that it has ended and finds none')
+@when('its successor checks for proof that it has ended and finds none')
 def no_proof(context):
     assert not context.wait.shorten_if_ended(JobBook(), 1001.0)
 
 
 @then('the wait is as long as before')
 def as_long(context):
-    assert context.wait.end_at == context.until >= 1000.0 + ALL_LEASES
+    assert context.wait.end_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
 
 
-@given('a host that has known the owner for long')
+@given('a host that has long known the owner')
 def known_owner(context):
     context.clock = ManualClock()
     context.folder = JobFolder(context.clock, journal())
@@ -106,6 +106,6 @@
     context.folder.restart(RecordBatch((record,), 9, 9))
 
 
-@then('the owner counts as heard of just now')
+@then('the owner counts as heard from just now')
 def heard_now(context):
     assert context.folder.owner_heard_at == context.clock.monotonic()
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -1,4 +1,4 @@
-"""A host that follows a topic and may claim, for scenarios that need no process."""
+"""A host that reads a topic and may claim the cell, and owners, without processes."""
 
 import io
 
@@ -18,9 +18,9 @@
 from features.cell_parts import make_registration
 from standins import MemoryTopic
 
-#: Seconds that nothing here takes on any machine.
+#: Seconds that no step of these scenarios takes on any machine.
 LONG_TIMEOUT = 30
-#: How much longer than granted a lease may last: the runner's clock may be 2% slow.
+#: Factor by which a lease may last longer than granted, as the runner's clock may be 2% slow.
 DRIFT = 1.02
 
 
@@ -35,7 +35,7 @@
 
 
 class Host:
-    """A host that follows a topic and may claim the cell."""
+    """A host that reads a topic and may claim the cell."""
 
     def __init__(self, name, topic, clock=None):
         self.clock = clock or SystemClock()
@@ -43,32 +43,32 @@
         self.follower = Follower(
             'cell', topic, self.folder, self.clock, journal(), 0.02, lambda: 0.0
         )
-        #: What the owner answers when it is asked whether it lives; ``None`` for nothing.
+        #: The owner's reply when a peer queries whether it acts; ``None`` for no reply.
         self.owner_reply = None
         self.election = Election(
             topic, self.follower, self.folder, f'{name}/1', self.ask, self.clock, journal()
         )
 
     async def ask(self, member, message, timeout):
-        """Answer for a peer."""
+        """Answer in place of a peer."""
         if self.owner_reply is None:
             raise PeerError('no answer', Verdict.UNKNOWN)
         return Frame(1, 'peer', 0.0, 0.0, self.owner_reply)
 
     async def own(self):
-        """Follow the topic, and return the term once the cell is owned."""
+        """Read the topic, and return the term once the cell is owned."""
         await curio.spawn(self.follower.run, daemon=True)
         return await self.claim(LONG_TIMEOUT)
 
     async def claim(self, seconds):
-        """Return the term, ``None`` where none was won in time."""
+        """Return the term, ``None`` if the cell was not claimed in time."""
         return await curio.ignore_after(seconds, self.election.wait_for_term, lambda: True)
 
 
 def make_owner_context(
     cell, clock, topic=None, make_runner=make_registration, get_runner_list_age=always_fresh
 ):
-    """Return the desk of an owner of epoch 1 that has acted from the beginning."""
+    """Return the context of an owner of epoch 1 that has no predecessor."""
     return OwnerContext(
         Term(1, 'me/1', WriterFence(1, 1), None, False, False),
         cell,
@@ -84,7 +84,7 @@
 def make_dispatcher(
     host, term, topic, clock, make_runner=make_registration, runners=None, links=None
 ):
-    """Return the dispatcher of a host that has won ``term``, without runners unless told."""
+    """Return the dispatcher of a host in ``term``, by default without runners."""
     parts = DispatcherParts(
         topic=topic,
         follower=host.follower,
@@ -107,7 +107,7 @@
 
 
 class SilentPeerLinks:
-    """Stands for the links: nobody answers; ``asked`` counts the tries."""
+    """Peer links on which no peer answers; ``asked`` counts the requests."""
 
     def __init__(self):
         self.asked = 0
--- a/features/succession.feature
+++ b/features/succession.feature
@@ -1,39 +1,39 @@
-Feature: What a successor relies on
+Feature: What a successor may rely on
 
-  # Guards against waiting too short for an owner of which a fresh host has only read.
-  Scenario: A host that has just started follows an owner that was cut off
+  # Guards against too short a wait for an owner that a new host only knows from the store.
+  Scenario: A host that has just started succeeds a partitioned owner
     Given a host that starts after the owner's last heartbeat
     When it owns the cell
-    Then it leaves tasks on unseen runners alone until all leases of that owner are over
+    Then it does not restart tasks of unseen runners until all leases of that owner have expired
 
-  # Guards against forgetting a runner that only an earlier owner reached.
-  Scenario: The second successor of an owner that was cut off
+  # Guards against forgetting a runner that only an earlier owner could reach.
+  Scenario: The second successor of a partitioned owner
     Given a successor that waits for the runner w9, whose entry it has never seen
-    When the successor stores on which runners tasks may run
+    When the successor stores the runners on which tasks may run
     Then w9 is among them
 
   # Guards against starting or renewing after the release was sent.
   Scenario: An owner that releases the cell starts nothing more
     Given an owner whose release is answered late
     When it releases the cell
-    Then it has no right to act while the release is on its way
+    Then it may not act while the release is pending
 
-  # Guards against taking an earlier incarnation's late record for a later one.
-  Scenario Outline: Word of another life on the owner's host
-    Given an owner whose life first read the store at offset 50
-    When word lands of a life on its host that first read it at offset <offset>
-    Then the owner is taken <as>
+  # Guards against reading the late record of an earlier incarnation as that of a later one.
+  Scenario Outline: A record of another incarnation on the owner's host
+    Given an owner incarnation that first read the store at offset 50
+    When a member record arrives of an incarnation on its host that first read it at offset <offset>
+    Then the owner is considered <state>
 
     Examples:
-      | offset | as         |
-      | 40     | for living |
-      | 50     | for living |
-      | 90     | for over   |
+      | offset | state |
+      | 40     | alive |
+      | 50     | alive |
+      | 90     | ended |
 
-  # Guards against an older record of a job that is stored after a newer one.
-  Scenario Outline: A job's progress is noted while a start of it is being stored
+  # Guards against an older record of a job overwriting a newer one.
+  Scenario Outline: A job's progress changes while one of its starts is being stored
     Given an owner that is about to store the runner of a job's second task
-    When the first task ends <outcome> right then
+    When the first task ends meanwhile, with outcome <outcome>
     Then the store says that the job is <state> with <done> tasks done
     And the store names the runner of the second task
 
--- a/features/wait.feature
+++ b/features/wait.feature
@@ -1,22 +1,22 @@
-Feature: The wait in effect
+Feature: How long a successor waits for the leases of earlier owners
 
-  # These pass. Each kills a change of the code that succession.feature lets pass.
-  Scenario: A job on a runner that only the former owner reaches
-    Given a store with an owner of which a new host has only read, and its job on w9
+  # Each scenario of this feature fails after a change of the code that succession.feature misses.
+  Scenario: A job on a runner that only the previous owner reaches
+    Given a store with an owner that a new host only knows from it, and its job on w9
     When that host owns the cell
-    Then that job stays alone for all 17.7 s, and not for longer
+    Then that job stays blocked for all 17.7 s, and not for longer
 
-  # Guards against a claim that promises too short a wait.
-  Scenario: What a claim says of earlier owners' leases
+  # Guards against a claim that announces too short a wait.
+  Scenario: The wait for earlier owners' leases that a claim announces
     Given the longest lease that an owner may grant at the end of its authority
-    Then a claim says that it may last as long
+    Then the wait that a claim announces covers it
 
-  Scenario: No proof that the former owner has ended
-    Given a wait for an owner that was heard of just now
-    When its successor looks for a proof that it has ended and finds none
+  Scenario: No proof that the previous owner has ended
+    Given a wait for an owner that was heard from just now
+    When its successor checks for proof that it has ended and finds none
     Then the wait is as long as before
 
   Scenario: A host that has to read a snapshot again
-    Given a host that has known the owner for long
+    Given a host that has long known the owner
     When it reads a snapshot with a later heartbeat of that owner
-    Then the owner counts as heard of just now
+    Then the owner counts as heard from just now
