--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -49,10 +49,10 @@
             await curio.sleep(STORE_DELAY_SECONDS)
             unstored = set(self._owner_context.unstored_completions)
             self._announced &= unstored
-            fresh = tuple(sorted(unstored - self._announced))
-            if fresh:
-                self._announced.update(fresh)
-                await self._announce(fresh)
+            new_jobs = tuple(sorted(unstored - self._announced))
+            if new_jobs:
+                self._announced.update(new_jobs)
+                await self._announce(new_jobs)
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def block_started_jobs(self) -> None:
@@ -99,14 +99,14 @@
             self._publish(host, message.jobs)
 
     def _publish(self, host: str, jobs: Iterable[str]) -> None:
-        fresh = [job for job in jobs if not self._completions.holds(job)]
-        self._completions.note(fresh)
-        if fresh:
+        new_jobs = [job for job in jobs if not self._completions.holds(job)]
+        self._completions.note(new_jobs)
+        if new_jobs:
             self._owner_context.journal.tell_frequent(
                 Part.JOBS,
                 'shown as complete before the store knows it.',
-                jobs=fresh[:MAX_LOGGED],
-                count=len(fresh),
+                jobs=new_jobs[:MAX_LOGGED],
+                count=len(new_jobs),
                 peer=host,
                 epoch=self._owner_context.term.epoch,
                 store_age=round(
@@ -115,25 +115,25 @@
             )
 
     async def _query_peer(self, host: str, member: Member) -> bool:
-        wanted = CompletionsWanted(self._owner_context.term.epoch)
+        query = CompletionsWanted(self._owner_context.term.epoch)
         try:
-            frame = await self._links.ask(member, wanted, ANSWER_TIMEOUT)
+            frame = await self._links.ask(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
             self._owner_context.journal.tell(
                 Part.OWNERSHIP, f'{host} has not reported its completed jobs: {error}.'
             )
             return False
-        told = frame.message
-        if not isinstance(told, CompletionsTold):
+        reply = frame.message
+        if not isinstance(reply, CompletionsTold):
             return False
-        self._completions.note(told.jobs)
-        taken = self._owner_context.cell.take_complete(told.jobs)
-        if taken:
+        self._completions.note(reply.jobs)
+        completed = self._owner_context.cell.take_complete(reply.jobs)
+        if completed:
             self._owner_context.journal.tell(
                 Part.JOBS,
                 f'{host} reports completed jobs that are not completed in the store.',
-                jobs=taken[:MAX_LOGGED],
-                count=len(taken),
+                jobs=completed[:MAX_LOGGED],
+                count=len(completed),
                 epoch=self._owner_context.term.epoch,
             )
         return True
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -155,11 +155,11 @@
         self._log_rate_exceeded(job)
         job.stored = False
         record = make_record(SUBMISSION + job_id, submission)
-        slow = self._owner_context.writer.usual_seconds > SLOW_APPEND_SECONDS
-        if slow:
+        store_is_slow = self._owner_context.writer.usual_seconds > SLOW_APPEND_SECONDS
+        if store_is_slow:
             job.runners.add(ANY_RUNNER)
         await self._owner_context.plan_needed.notify()
-        write_task = await curio.spawn(self._finish_accept, job, record, slow, daemon=True)
+        write_task = await curio.spawn(self._finish_accept, job, record, store_is_slow, daemon=True)
         outcome = await curio.ignore_after(timeout, write_task.join)
         return outcome or Written.UNKNOWN
 
@@ -171,14 +171,14 @@
 
     async def take_complete(self, jobs: tuple[str, ...]) -> None:
         """Mark jobs complete that partitioned hosts have shown to clients as complete."""
-        taken = self.cell.take_complete(jobs)
-        if not taken:
+        completed = self.cell.take_complete(jobs)
+        if not completed:
             return
         self._journal.tell(
             Part.JOBS,
             'marked jobs complete that were shown to clients during a partition.',
-            jobs=taken[:MAX_LOGGED],
-            count=len(taken),
+            jobs=completed[:MAX_LOGGED],
+            count=len(completed),
             epoch=self._owner_context.term.epoch,
         )
         await self._owner_context.plan_needed.notify()
@@ -203,8 +203,10 @@
                 epoch=self._owner_context.term.epoch,
             )
 
-    async def _finish_accept(self, job: JobRun, record: KeyedRecord, slow: bool) -> Written:
-        jobs_to_store = [job] if slow else []
+    async def _finish_accept(
+        self, job: JobRun, record: KeyedRecord, store_is_slow: bool
+    ) -> Written:
+        jobs_to_store = [job] if store_is_slow else []
         outcome = await self._owner_context.store_progress(
             jobs_to_store, record, timeout=CLIENT_WRITE_TIMEOUT
         )
@@ -350,18 +352,21 @@
         Each start checks that right before it is sent and is withdrawn without it. Dropping a plan
         would leave starts and advice requests recorded as pending although they were never sent.
         """
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         plan = self._planner.plan(
-            began, self._clock.wall(), self._pool.free_for_patient, self._order_sender.free_starts
+            started_at,
+            self._clock.wall(),
+            self._pool.free_for_patient,
+            self._order_sender.free_starts,
         )
-        self._load_report.add_plan(plan, self._clock.monotonic() - began)
+        self._load_report.add_plan(plan, self._clock.monotonic() - started_at)
         await self._send_stops()
         self._log_preempted(plan)
         self._log_quota_blocked(plan)
         await self._order_sender.send_starts(plan.starts)
         for request in plan.questions:
             await self._pool.ask(request)
-        elapsed = self._clock.monotonic() - began
+        elapsed = self._clock.monotonic() - started_at
         await curio.sleep(max(MIN_PLAN_PAUSE_SECONDS, PLAN_PAUSE_FACTOR * elapsed))
 
     async def _send_stops(self) -> None:
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -115,8 +115,8 @@
         runner that this host cannot reach. Restarting the task here would run it again after that
         end was recorded.
         """
-        fresh = self.clock.monotonic() - self.writer.stored_at < START_AUTHORITY_SECONDS
-        return fresh and self.runner_list_is_fresh() and self.may_act()
+        recently_stored = self.clock.monotonic() - self.writer.stored_at < START_AUTHORITY_SECONDS
+        return recently_stored and self.runner_list_is_fresh() and self.may_act()
 
     def runner_list_is_fresh(self) -> bool:
         """Return whether the runner list is recent enough to start tasks by."""
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -84,11 +84,11 @@
         await self._drop_old_jobs()
 
     def _log_runner_list_age(self) -> None:
-        knows = self._owner_context.runner_list_is_fresh()
-        if knows is self._runner_list_was_fresh:
+        is_fresh = self._owner_context.runner_list_is_fresh()
+        if is_fresh is self._runner_list_was_fresh:
             return
-        self._runner_list_was_fresh = knows
-        outcome = 'starts tasks again' if knows else 'starts nothing'
+        self._runner_list_was_fresh = is_fresh
+        outcome = 'starts tasks again' if is_fresh else 'starts nothing'
         self._journal.tell(
             Part.PLACEMENT,
             f'{outcome}, by the age of the list of runners.',
@@ -121,19 +121,19 @@
 
     async def _drop_replaced_runners(self) -> None:
         """Treat tasks on runner incarnations as ended that a later incarnation has replaced."""
-        gone = []
+        replaced = []
         for incarnation, later in self._cell.find_outlived().items():
             if await self._owner_context.confirm_zone(later.registration.zone, self._term_began_at):
-                gone.append(incarnation)
-        if not gone:
+                replaced.append(incarnation)
+        if not replaced:
             return
         self._journal.tell(
             Part.OWNERSHIP,
             'runners have restarted since the previous owner used them.',
             epoch=self._owner_context.term.epoch,
-            runners=gone,
+            runners=replaced,
         )
-        self._owner_context.log_crashes(self._cell.give_up_unseen(gone))
+        self._owner_context.log_crashes(self._cell.give_up_unseen(replaced))
 
     async def _zone_is_confirmed(self, runner: str) -> bool:
         """Return whether the zone of an unseen runner has reported the completions it has shown."""
@@ -149,7 +149,7 @@
             epoch=self._owner_context.term.epoch,
             runners=sorted(self._cell.unseen),
             seconds=round(self.predecessor_leases.end_at - now, 3),
-            former_silent=round(self.predecessor_leases.silent, 3),
+            former_silent=round(self.predecessor_leases.silent_seconds, 3),
             former_ended=self.predecessor_leases.ended,
             unsettled=self._owner_context.term.unsettled,
         )
@@ -166,7 +166,7 @@
         for allocation in stop_leaving(self._cell, now):
             self._journal.tell_frequent(
                 Part.PLACEMENT,
-                f'moves a task away from {allocation.runner}, which is draining.',
+                f'moves a task off the draining runner {allocation.runner}.',
                 job=allocation.task.job,
                 run=allocation.run,
                 runner=allocation.runner,
@@ -184,14 +184,14 @@
         for idle in self._active.take_idle(runner_list.registration_by_id):
             self._cell.leave_runner(idle.id)
         active = self._active.choose(runner_list.registration_by_id, now)
-        fresh = self._cell.see_runners(active, now)
+        new_states = self._cell.see_runners(active, now)
         note_last_words(self._cell.runner_by_id.values(), runner_list.find, now)
         for runner_id in self._cell.unseen - self._cell.runner_by_id.keys():
             # It is no longer listed but may still be alive and have tasks.
             registration = runner_list.find(runner_id)
             if registration is not None:
-                fresh.append(self._cell.add_unlisted(registration))
-        for state in fresh:
+                new_states.append(self._cell.add_unlisted(registration))
+        for state in new_states:
             runner = self._owner_context.add_runner(state)
             await start_task(stack, self._runner_poller.poll, state, runner)
 
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -26,16 +26,18 @@
 
     def __init__(self, term: Term, lease: float, now: float) -> None:
         """Compute the end as of ``now``; earlier owners grant leases of ``lease`` seconds."""
-        self._former = term.former
+        self._previous_owner = term.former
         self._lease = lease_upper_bound(lease)
         # A previous owner that was killed may itself have succeeded one that is partitioned and
         # still renews leases.
         self._earlier_leases_end_at = now + term.unsettled
-        self.silent = 0.0 if term.silent_since is None else now - term.silent_since
+        self.silent_seconds = 0.0 if term.silent_since is None else now - term.silent_since
         self.ended = term.released or term.former_ended
-        rest = 0.0 if self.ended else max(0.0, AUTHORITY_SECONDS - self.silent)
+        remaining_authority = (
+            0.0 if self.ended else max(0.0, AUTHORITY_SECONDS - self.silent_seconds)
+        )
         #: When every lease of an earlier owner has expired, in monotonic seconds.
-        self.end_at = max(now + rest + self._lease, self._earlier_leases_end_at)
+        self.end_at = max(now + remaining_authority + self._lease, self._earlier_leases_end_at)
 
     def shorten_if_ended(self, book: JobBook, now: float) -> bool:
         """Move the end forward if the previous owner has ended; return whether that is news.
@@ -43,7 +45,7 @@
         If its host is back with a new process, the old process renews no more leases, and only the
         last lease that it granted is left to wait for.
         """
-        if self.ended or self._former is None or not book.has_ended(self._former):
+        if self.ended or self._previous_owner is None or not book.has_ended(self._previous_owner):
             return False
         self.ended = True
         self.end_at = min(self.end_at, max(now + self._lease, self._earlier_leases_end_at))
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -115,10 +115,10 @@
         )
         await curio.ignore_after(STORE_TIMEOUT, task.wait)
 
-    async def _acknowledge(self, state: RunnerState, number: int, fresh: bool) -> None:
+    async def _acknowledge(self, state: RunnerState, number: int, has_new_ends: bool) -> None:
         """Acknowledge ends up to ``number`` once their effect is in the store.
 
-        During a store outage this is retried several times a second for each runner. Only ``fresh``
+        During a store outage this is retried several times a second for each runner. Only new
         ends are logged then, and ends that are stored in the end.
         """
         started_at = self._owner_context.clock.monotonic()
@@ -127,7 +127,7 @@
         if outcome is Written.STORED:
             state.acknowledged = max(state.acknowledged, number)
             self._unstored_by_runner.get(state.id, set()).difference_update(jobs)
-        elif not fresh:
+        elif not has_new_ends:
             return
         if jobs:
             self._log_ends(state, number, jobs, outcome, started_at)
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -46,8 +46,8 @@
 
 def record_stops(context):
     """Record the stops that the dispatcher would send now."""
-    taken = [(stop.task, stop.run) for stop in context.small.cell.take_stops()]
-    context.stops_sent = [*getattr(context, 'stops_sent', ()), *taken]
+    stops = [(stop.task, stop.run) for stop in context.small.cell.take_stops()]
+    context.stops_sent = [*getattr(context, 'stops_sent', ()), *stops]
 
 
 @when('the job is cancelled and w1 acknowledges the stop')
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -134,7 +134,7 @@
     rounds._owner_context, rounds._journal = context.owner, lines
     rounds._log_runner_list_age()
     rounds._log_runner_list_age()
-    assert lines.told == [
+    assert lines.entries == [
         ('starts nothing, by the age of the list of runners.', {'epoch': 1, 'list_age': 2.6})
     ]
 
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -53,7 +53,7 @@
 
 @when('another poll of the runner waits for that record')
 def poll_waits(context):
-    async def play():
+    async def acknowledge_twice():
         owner, topic = context.owner, context.topic
         await curio.spawn(owner.writer.run, daemon=True)
         await curio.spawn(owner.writer.write, [make_record('x', 1)], 9.0, daemon=True)
@@ -68,7 +68,7 @@
         await curio.sleep(0.4)
         return (await topic.snapshot()).records
 
-    context.stored = [record.key for record in curio.run(play)]
+    context.stored = [record.key for record in curio.run(acknowledge_twice)]
 
 
 @then('the end is not acknowledged, as the store does not have it')
@@ -90,7 +90,7 @@
 
 @when('the store accepts heartbeats again')
 def accepts_again(context):
-    async def play():
+    async def store_heartbeats():
         dispatcher, topic = context.dispatcher, context.topic
         writer = dispatcher._owner_context.writer
         await curio.spawn(writer.run, daemon=True)
@@ -102,7 +102,7 @@
         return await topic.snapshot()
 
     context.book = JobBook()
-    context.book.fold(curio.run(play).records)
+    context.book.fold(curio.run(store_heartbeats).records)
 
 
 @then('tasks are placed on the new runner only if the store lists it')
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -19,11 +19,11 @@
     """Records log lines instead of writing them."""
 
     def __init__(self):
-        self.told = []
+        self.entries = []
 
     def tell(self, part, sentence, **fields):
         """Record a line."""
-        self.told.append((sentence, fields))
+        self.entries.append((sentence, fields))
 
 
 def start_report(context):
@@ -66,21 +66,21 @@
 
 @then('one log line reports 1 waiting task of urgent, and {free:d} cores free of {cores:d}')
 def reports_full(context, free, cores):
-    ((_, fields),) = context.lines.told
+    ((_, fields),) = context.lines.entries
     assert fields['waiting'] == {'urgent': 1}, fields
     assert (fields['cores_free'], fields['cores']) == (free, cores), fields
 
 
 @then('one log line reports that 1 task is blocked')
 def reports_blocked(context):
-    ((_, fields),) = context.lines.told
+    ((_, fields),) = context.lines.entries
     assert fields['waiting'] == {'urgent': 1, 'blocked by unseen runners': 1}, fields
     assert fields['unseen'] == 1, fields
 
 
 @then('it logs nothing about waiting tasks')
 def reports_nothing(context):
-    assert not context.lines.told, context.lines.told
+    assert not context.lines.entries, context.lines.entries
 
 
 @given('a list of known failures of {count:d} lines')
@@ -150,7 +150,7 @@
 
 
 def stall_lines(context):
-    return [fields for sentence, fields in context.lines.told if 'makes no progress' in sentence]
+    return [fields for sentence, fields in context.lines.entries if 'makes no progress' in sentence]
 
 
 @then('one log line names the job, its waiting step and its tickets')
