--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -237,7 +237,7 @@
 
     async def hear():
         for _ in range(times):
-            await RunnerPoller(context.owner)._lapse(context.state)
+            await RunnerPoller(context.owner)._expire_leases(context.state)
             context.clock.advance(0.2 / times)
 
     curio.run(hear)
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -40,7 +40,7 @@
     # The page with progress was read before the end, the one with submissions after it.
     context.host.folder.restart(RecordBatch((running,), 1, 1))
     for job_id in book.take_changed():
-        context.dispatcher._see_job(job_id)
+        context.dispatcher._update_job(job_id)
 
 
 @when('the job is handed in again, and then the owner reads its end')
@@ -55,7 +55,7 @@
     book.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     book.fold(context.topic.records)
     for job_id in book.take_changed():
-        context.dispatcher._see_job(job_id)
+        context.dispatcher._update_job(job_id)
 
 
 @then('nothing of the job is started again')
