--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -139,8 +139,8 @@
     ) -> Written:
         """Store the progress of jobs; once stored it is shown to clients and relied upon.
 
-        There is no await between building the records and queueing them: the store keeps the newest
-        record of a job, and an older record queued later would revert it.
+        The coroutine does not yield between building and queueing the records: the store keeps the
+        newest record of a job, and an older record queued later would revert it.
         """
         progress_by_job = self._make_progress(jobs)
         records = list(other_records)
--- a/features/addresses.feature
+++ b/features/addresses.feature
@@ -1,12 +1,12 @@
 Feature: Entries of several runner incarnations at one address
 
-  # Guards against treating a live runner as replaced by an earlier incarnation that is still listed.
+  # Guards against treating a runner as replaced by an earlier incarnation that is still listed.
   Scenario: The entry of an earlier incarnation of a runner is still listed
     Given runner w9 at the address of w8, whose entry has not expired yet
     When a host succeeds an owner that had a job on w9
     Then that job is blocked until w9 has been polled
 
-  # Guards against treating a live runner as replaced when the last heartbeat of a crashed one is late.
+  # Guards against treating a runner as replaced because a crashed one's last heartbeat is late.
   Scenario: A heartbeat of an earlier incarnation of a runner arrives late
     Given an owner with a task on w9, which is unreachable
     When the entry of w9 expires, and a late heartbeat of w8 arrives from its address
--- a/features/cancelling.feature
+++ b/features/cancelling.feature
@@ -35,7 +35,7 @@
       | stopped and gone  | is still known                  |
       | stopped and gone  | is dropped by the store         |
 
-  # Guards against reusing the capacity of a start that may still arrive although its retry was refused.
+  # Guards against reusing the capacity of a start that may arrive although its retry was refused.
   Scenario Outline: A start that may arrive although its retry was refused
     Given an owner whose start gets no answer and whose retry is refused: <reply>
     When it has sent the start
--- a/features/doubt.feature
+++ b/features/doubt.feature
@@ -1,6 +1,6 @@
 Feature: A start with an unknown outcome
 
-  # Guards against reading a refusal as the answer to an earlier attempt that may still be carried out.
+  # Guards against reading a refusal as the answer to an earlier attempt that may yet be carried out.
   Scenario Outline: An unanswered start is retried, and the retry is refused
     Given a start that got no answer
     When its second attempt is refused as <reply>
--- a/features/reports.feature
+++ b/features/reports.feature
@@ -33,9 +33,9 @@
     Then no log line names a stalled job
 
     Examples:
-      | of                                    |
-      | whose run of 20 s does not end        |
-      | whose long-running tasks are all placed |
+      | of                                              |
+      | whose run of 20 s does not end                  |
+      | whose long-running tasks are all placed         |
       | whose step depends on another that does not end |
 
   Scenario: More known failures than are allowed
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -31,7 +31,7 @@
 MAX_WAIT_SECONDS = AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
 
 
-@given('a store with an owner that a new host only knows from it, and its job on w9')
+@given('a store with an owner that a new host has never heard from, and its job on w9')
 def owner_with_job(context):
     context.topic = MemoryTopic()
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
--- a/features/wait.feature
+++ b/features/wait.feature
@@ -2,7 +2,7 @@
 
   # Each scenario of this feature fails after a change of the code that succession.feature misses.
   Scenario: A job on a runner that only the previous owner reaches
-    Given a store with an owner that a new host only knows from it, and its job on w9
+    Given a store with an owner that a new host has never heard from, and its job on w9
     When that host owns the cell
     Then that job stays blocked for all 17.7 s, and not for longer
 
