--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -9,7 +9,7 @@
 from dandelionreel.accounts import Caller, read_bearer
 from dandelionreel.cell.membership import ConfigurationExchange
 from dandelionreel.cell.model import Queue
-from dandelionreel.cell.store import ConfigurationFolder
+from dandelionreel.cell.store import ConfigurationProjection
 from dandelionreel.http import Request
 
 
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        configuration: ConfigurationFolder,
+        configuration: ConfigurationProjection,
         exchange: ConfigurationExchange,
         longest_age: float | None,
     ) -> None:
--- a/dandelionreel/cell/clients/_front.py
+++ b/dandelionreel/cell/clients/_front.py
@@ -32,7 +32,7 @@
     make_record,
 )
 from dandelionreel.cell.owner import Dispatcher
-from dandelionreel.cell.store import BookedJob, ConfigurationFolder, Follower, JobFolder
+from dandelionreel.cell.store import BookedJob, CellProjection, ConfigurationProjection, Follower
 from dandelionreel.http import Answer, Request
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ForwardAnswer, Frame, Message
@@ -68,9 +68,9 @@
         self,
         zone: str,
         codec: ClientCodec,
-        configuration: ConfigurationFolder,
+        configuration: ConfigurationProjection,
         access: AccessControl,
-        jobs: JobFolder,
+        jobs: CellProjection,
         follower: Follower,
         writes: ClientWrites,
         relay: Relay,
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -20,7 +20,7 @@
     RunnerFenced,
     RunnerReplaced,
 )
-from dandelionreel.cell.store import JobBook, RunnersFolder
+from dandelionreel.cell.store import JobBook, RunnerProjection
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
@@ -51,7 +51,7 @@
         me: str,
         zone: str,
         book: JobBook,
-        runners: RunnersFolder,
+        runners: RunnerProjection,
         contact: ContactWatch,
         completions: Completions,
         links: PeerLinks,
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -13,7 +13,7 @@
 
 from dandelionreel.cell.membership._advisors import PeerLinks
 from dandelionreel.cell.model import Member
-from dandelionreel.cell.store import ConfigurationFolder, JobBook
+from dandelionreel.cell.store import ConfigurationProjection, JobBook
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ConfigurationGiven, ConfigurationWanted, Frame, Message, PeerError
 
@@ -39,7 +39,7 @@
         me: str,
         book: JobBook,
         links: PeerLinks,
-        folder: ConfigurationFolder,
+        folder: ConfigurationProjection,
         store_answered_at: Callable[[], float],
         clock: Clock,
         journal: Journal,
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -21,7 +21,7 @@
     WriterFence,
     make_record,
 )
-from dandelionreel.cell.store import Follower, JobFolder
+from dandelionreel.cell.store import CellProjection, Follower
 from dandelionreel.kernel import Clock, Journal, Part, Verdict, seconds_or_none
 from dandelionreel.peers import Done, Frame, Message, OwnerAsked, PeerError, Refused
 
@@ -125,7 +125,7 @@
         self,
         topic: Topic,
         follower: Follower,
-        folder: JobFolder,
+        folder: CellProjection,
         incarnation: str,
         ask_peer: AskPeer,
         clock: Clock,
--- a/dandelionreel/cell/owner/_parts.py
+++ b/dandelionreel/cell/owner/_parts.py
@@ -5,7 +5,12 @@
 from dandelionreel.cell.membership import Completions, Election, LocalAdvisor, PeerLinks
 from dandelionreel.cell.model import Topic
 from dandelionreel.cell.owner._owner_context import ListAge, MakeRunner, always_fresh
-from dandelionreel.cell.store import ConfigurationFolder, Follower, JobFolder, RunnersFolder
+from dandelionreel.cell.store import (
+    CellProjection,
+    ConfigurationProjection,
+    Follower,
+    RunnerProjection,
+)
 from dandelionreel.kernel import Clock, Journal
 
 
@@ -15,9 +20,9 @@
 
     topic: Topic
     follower: Follower
-    jobs: JobFolder
-    runners: RunnersFolder
-    configuration: ConfigurationFolder
+    jobs: CellProjection
+    runners: RunnerProjection
+    configuration: ConfigurationProjection
     election: Election
     links: PeerLinks
     advisor: LocalAdvisor
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -24,11 +24,11 @@
     return True
 
 
-class Folder(abc.ABC):
+class Projection(abc.ABC):
     """Takes the records of a topic."""
 
     @abc.abstractmethod
-    def restart(self, snapshot: RecordBatch) -> None:
+    def load_snapshot(self, snapshot: RecordBatch) -> None:
         """Forget what was known and take a snapshot."""
 
     @abc.abstractmethod
@@ -69,7 +69,7 @@
         self,
         name: str,
         topic: Topic,
-        folder: Folder,
+        folder: Projection,
         clock: Clock,
         journal: Journal,
         wait: float,
@@ -194,7 +194,7 @@
         """Read once; return whether the end of the topic was reached."""
         if self._offset is None:
             snapshot = await self._topic.snapshot()
-            self._folder.restart(snapshot)
+            self._folder.load_snapshot(snapshot)
             self._offset = snapshot.next_offset
             self.read_from = self.read_from or snapshot.next_offset
             return False
--- a/dandelionreel/cell/store/_job_book.py
+++ b/dandelionreel/cell/store/_job_book.py
@@ -201,7 +201,7 @@
                 count += 1
         return count
 
-    def restart(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
+    def load_snapshot(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
         """Forget everything but what unreadable records of a snapshot hide; take the rest.
 
         A snapshot has only the newest record of a key. A job whose record became
--- a/dandelionreel/cell/store/_directory.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -9,7 +9,7 @@
     UnreadableError,
     UnreadableLog,
 )
-from dandelionreel.cell.store._follower import Folder
+from dandelionreel.cell.store._follower import Projection
 from dandelionreel.cell.store._job_book import JobBook
 from dandelionreel.kernel import Clock, Journal, Part, SystemClock
 
@@ -22,7 +22,7 @@
 MOST_PROBLEMS = 20
 
 
-class ConfigurationFolder(Folder):
+class ConfigurationProjection(Projection):
     """Keeps the newest configuration that can be read; never an older one after it."""
 
     def __init__(
@@ -44,7 +44,7 @@
         #: that was dropped still run on the runners of theirs.
         self._services: set[str] = set()
 
-    def restart(self, snapshot: RecordBatch) -> None:
+    def load_snapshot(self, snapshot: RecordBatch) -> None:
         """Take the newest record of each key."""
         self.fold(snapshot)
 
@@ -111,7 +111,7 @@
         return self._codec.decode_configuration(record.content or b'')
 
 
-class JobFolder(Folder):
+class CellProjection(Projection):
     """Folds the cell's own records and notes when the owner was last heard."""
 
     def __init__(
@@ -129,14 +129,14 @@
         #: Seconds between two heartbeats, as they usually arrive.
         self.usual_gap = 0.0
 
-    def restart(self, snapshot: RecordBatch) -> None:
+    def load_snapshot(self, snapshot: RecordBatch) -> None:
         """Forget, and take the newest record of each key.
 
         An owner of which nothing else is known counts as heard of just now: it may have written
         right before the snapshot was read, and its leases last from then.
         """
         known = self.book.owner
-        self._note_errors(snapshot.records, self.book.restart(snapshot.records))
+        self._note_errors(snapshot.records, self.book.load_snapshot(snapshot.records))
         if self.book.owner != known:
             self.owner_heard_at = self._clock.monotonic()
 
--- a/dandelionreel/cell/store/_runner_list.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -18,7 +18,7 @@
     UnreadableError,
     UnreadableLog,
 )
-from dandelionreel.cell.store._follower import Folder
+from dandelionreel.cell.store._follower import Projection
 from dandelionreel.kernel import Clock, Journal, Part
 
 
@@ -26,7 +26,7 @@
     return True
 
 
-class RunnersFolder(Folder):
+class RunnerProjection(Projection):
     """Keeps the registrations of runners, and when one was last seen."""
 
     def __init__(
@@ -51,7 +51,7 @@
         #: Incarnations whose entry has gone: their last registration and when.
         self.gone_by_id: dict[str, tuple[Registration, float]] = {}
 
-    def restart(self, snapshot: RecordBatch) -> None:
+    def load_snapshot(self, snapshot: RecordBatch) -> None:
         """Take the newest entries; those that are not among them are gone.
 
         The first ones get one line together: one for each would be 176 lines on each
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -5,7 +5,7 @@
 from dandelionreel.cell.clients import Condition, Rotation, find_hindrance
 from dandelionreel.cell.membership import ContactWatch
 from dandelionreel.cell.owner import Dispatcher
-from dandelionreel.cell.store import ConfigurationFolder, Follower, GroupWriter
+from dandelionreel.cell.store import ConfigurationProjection, Follower, GroupWriter
 from dandelionreel.http import Answer, Request
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        configuration: ConfigurationFolder,
+        configuration: ConfigurationProjection,
         contact: ContactWatch,
         writer: GroupWriter,
         follower: Follower,
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -4,7 +4,13 @@
 
 from dandelionreel.cell.membership import keeps_runners
 from dandelionreel.cell.model import UnreadableLog
-from dandelionreel.cell.store import ConfigurationFolder, Folder, Follower, JobFolder, RunnersFolder
+from dandelionreel.cell.store import (
+    CellProjection,
+    ConfigurationProjection,
+    Follower,
+    Projection,
+    RunnerProjection,
+)
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.platform import (
     CELL_TOPIC,
@@ -54,19 +60,19 @@
         self.topics = {
             name: StoreTopic(name, store) for name in (CELL_TOPIC, OPERATOR_TOPIC, RUNNERS_TOPIC)
         }
-        self.configuration = ConfigurationFolder(
+        self.configuration = ConfigurationProjection(
             codec,
             journal,
             self._watch_unreadable('operator', Part.CONTRACTS),
         )
-        self.runners = RunnersFolder(
+        self.runners = RunnerProjection(
             codec,
             clock,
             journal,
             self.configuration.names_service,
             self._watch_unreadable('runners', Part.WORKERS),
         )
-        self.jobs = JobFolder(clock, journal, self._watch_unreadable('cell', Part.LOG))
+        self.jobs = CellProjection(clock, journal, self._watch_unreadable('cell', Part.LOG))
         self.cell_follower = self._follow('cell', CELL_TOPIC, self.jobs, CELL_WAIT)
         self.runners_follower = self._follow('runners', RUNNERS_TOPIC, self.runners, RUNNERS_WAIT)
         self.followers = (
@@ -90,7 +96,7 @@
         """Return whether a first snapshot of all that is wanted has been read."""
         return all(one.started or one.resting for one in self.followers)
 
-    def _follow(self, name: str, topic: str, folder: Folder, wait: float) -> Follower:
+    def _follow(self, name: str, topic: str, folder: Projection, wait: float) -> Follower:
         return Follower(
             name,
             self.topics[topic],
--- a/features/cancelling_parts.py
+++ b/features/cancelling_parts.py
@@ -17,7 +17,7 @@
     StartReply,
     WriterFence,
 )
-from dandelionreel.cell.store._runner_list import RunnersFolder
+from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.kernel import Verdict
 from features.cell_parts import make_registration
 from features.store_parts import Host, journal, make_dispatcher
@@ -107,7 +107,7 @@
         self.host = Host('me', topic)
         self.clock = self.host.clock
         self.runner = MemoryRunner(self.clock)
-        self.runners = RunnersFolder(None, self.clock, journal())
+        self.runners = RunnerProjection(None, self.clock, journal())
         self.registration = make_registration('w1')
         self.runners.registration_by_id['w1'] = self.registration
         self.topic = topic
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -26,8 +26,8 @@
     Owner,
     Progress,
 )
-from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
-from dandelionreel.cell.store._runner_list import RunnersFolder
+from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
+from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.http import Answer
 from dandelionreel.kernel import Journal, ManualClock, Part
 from dandelionreel.platform import Address, JsonRecordCodec, StoreTopic
@@ -221,17 +221,17 @@
         self.unreadable = Counter()
         journal = ListJournal(self.lines)
         codec = JsonRecordCodec()
-        self.configuration = ConfigurationFolder(
+        self.configuration = ConfigurationProjection(
             codec, journal, self.watch('operator', Part.CONTRACTS, journal)
         )
-        self.runners = RunnersFolder(
+        self.runners = RunnerProjection(
             codec,
             self.clock,
             journal,
             self.configuration.names_service,
             self.watch('runners', Part.WORKERS, journal),
         )
-        self.jobs = JobFolder(self.clock, journal, self.watch('cell', Part.LOG, journal))
+        self.jobs = CellProjection(self.clock, journal, self.watch('cell', Part.LOG, journal))
 
     def watch(self, topic, part, journal):
         return UnreadableLog(topic, part, self.clock, journal, self.note)
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -21,8 +21,8 @@
     Progress,
     make_record,
 )
-from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
 from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.cell.store._writer import Written
 from dandelionreel.http import Request
 from dandelionreel.kernel import Journal, ManualClock, Verdict
@@ -114,7 +114,7 @@
 
 
 def make_folder(context, configuration):
-    folder = ConfigurationFolder(JsonRecordCodec(), context.journal)
+    folder = ConfigurationProjection(JsonRecordCodec(), context.journal)
     folder.current = configuration
     return folder
 
@@ -126,7 +126,7 @@
     context.stack.callback(context.journal.close)
     queues = (make_plain_queue('plain'), make_plain_queue('open', public=True))
     context.folder = make_folder(context, make_configuration(queues, accounts, version))
-    context.jobs = JobFolder(ManualClock(NOW), context.journal)
+    context.jobs = CellProjection(ManualClock(NOW), context.journal)
     context.exchange = make_exchange(
         context, context.folder, ConfigurationGiven(version, b'', True), 0.1
     )
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -27,7 +27,7 @@
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
 from dandelionreel.cell.store._job_book import JobBook
-from dandelionreel.cell.store._runner_list import RunnersFolder
+from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.kernel import ManualClock, Verdict
 from dandelionreel.peers import CompletionsSeen, CompletionsTold, Done, Frame, PeerError, Refused
 from features.cell_parts import SmallCell, make_registration, step, task
@@ -138,7 +138,7 @@
         [make_record(SUBMISSION + JOB, submission), make_record(PROGRESS + JOB, progress)]
     )
     clock = ManualClock(1000)
-    runners = RunnersFolder(None, clock, journal())
+    runners = RunnerProjection(None, clock, journal())
     runners.registration_by_id = {
         'w1': make_registration('w1', zone='south'),
         'w2': make_registration('w2', zone='west'),
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -69,7 +69,7 @@
     context.host = host = Host('me', MemoryTopic(), clock)
     claim = make_record(OWNER_KEY, Owner(1, 'other', 'other/1'))
     member = make_record(f'{MEMBER}other', Member('north', '127.0.0.1', 1))
-    host.folder.restart(RecordBatch((claim, member), 1, 1))
+    host.folder.load_snapshot(RecordBatch((claim, member), 1, 1))
     host.follower._offset = 1
     for gap in gaps:
         clock.advance(gap)
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -12,8 +12,8 @@
 from dandelionreel.cell.membership._contact_watch import ContactWatch
 from dandelionreel.cell.model import Configuration, Service
 from dandelionreel.cell.model._records import MEMBER, Member, make_record
-from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
 from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.http import Answer, Channel, Request, Server
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import PeerError
@@ -149,9 +149,9 @@
     rotation = Rotation()
     for ago in (2.3, 1.3, 0.3):
         rotation.note_question(NOW - ago, ready=True)
-    configuration = ConfigurationFolder(None, journal())
+    configuration = ConfigurationProjection(None, journal())
     configuration.current = Configuration(1, QUEUES, (Service('desk', False, False),), 9999)
-    jobs = JobFolder(clock, journal())
+    jobs = CellProjection(clock, journal())
     context.front = make_front(
         configuration,
         jobs,
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -26,7 +26,7 @@
 from dandelionreel.cell.model._incarnations import find_later
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
-from dandelionreel.cell.store._runner_list import RunnersFolder
+from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.http import Answer, Server, answer_json
 from dandelionreel.kernel import ManualClock, Verdict
 from dandelionreel.ownership import Grant, Level
@@ -234,7 +234,7 @@
 
 @given('a host that knows i-1 by {entry}')
 def host_has_read(context, entry):
-    context.folder = RunnersFolder(JsonRecordCodec(), ManualClock(), journal())
+    context.folder = RunnerProjection(JsonRecordCodec(), ManualClock(), journal())
     read(context, entry)
 
 
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -38,7 +38,7 @@
     job.note_done(job.steps(0)[0].tasks[0].name)
     assert job.state is JobState.COMPLETED
     # The page with progress was read before the end, the one with submissions after it.
-    context.host.folder.restart(RecordBatch((running,), 1, 1))
+    context.host.folder.load_snapshot(RecordBatch((running,), 1, 1))
     for job_id in book.take_changed():
         context.dispatcher._see_job(job_id)
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -30,9 +30,9 @@
     make_record,
 )
 from dandelionreel.cell.owner._orders import Orders
-from dandelionreel.cell.store._directory import JobFolder
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._projections import CellProjection
 from dandelionreel.cell.store._writer import AnswerTimes, GroupWriter, Written
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step
@@ -105,7 +105,7 @@
     submission = Submission('q', 'desk', 0.0, JobSpec('payload', (step(),)))
     for job in jobs:
         curio.run(topic.append, [make_record(f'{SUBMISSION}{job}', submission)], LONG)
-    context.folder = JobFolder(SystemClock(), journal())
+    context.folder = CellProjection(SystemClock(), journal())
     context.follower = Follower(
         'cell',
         context.topic,
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -21,8 +21,8 @@
 from dandelionreel.cell.model._services import RecordBatch
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.owner._predecessors import Predecessors, longest_lease
-from dandelionreel.cell.store._directory import JobFolder
 from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._projections import CellProjection
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import step
 from features.store_parts import DRIFT, Host, journal, make_dispatcher
@@ -95,15 +95,15 @@
 @given('a host that has known the owner for long')
 def known_owner(context):
     context.clock = ManualClock()
-    context.folder = JobFolder(context.clock, journal())
-    context.folder.restart(RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1))
+    context.folder = CellProjection(context.clock, journal())
+    context.folder.load_snapshot(RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1))
 
 
 @when('it reads a snapshot with a later heartbeat of that owner')
 def later_snapshot(context):
     context.clock.advance(20)
     record = make_record(OWNER_KEY, Owner(1, 'o', 'o/1', 9))
-    context.folder.restart(RecordBatch((record,), 9, 9))
+    context.folder.load_snapshot(RecordBatch((record,), 9, 9))
 
 
 @then('the owner counts as heard of just now')
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -10,9 +10,9 @@
 from dandelionreel.cell.owner._dispatcher import Dispatcher
 from dandelionreel.cell.owner._owner_context import OwnerContext, always_fresh
 from dandelionreel.cell.owner._parts import DispatcherParts
-from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
 from dandelionreel.cell.store._follower import Follower
-from dandelionreel.cell.store._runner_list import RunnersFolder
+from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
+from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.kernel import Journal, SystemClock, Verdict
 from dandelionreel.peers import Frame, PeerError
 from features.cell_parts import make_registration
@@ -39,7 +39,7 @@
 
     def __init__(self, name, topic, clock=None):
         self.clock = clock or SystemClock()
-        self.folder = JobFolder(self.clock, journal())
+        self.folder = CellProjection(self.clock, journal())
         self.follower = Follower(
             'cell', topic, self.folder, self.clock, journal(), 0.02, lambda: 0.0
         )
@@ -89,8 +89,8 @@
         topic=topic,
         follower=host.follower,
         jobs=host.folder,
-        runners=runners or RunnersFolder(None, clock, journal()),
-        configuration=ConfigurationFolder(None, journal()),
+        runners=runners or RunnerProjection(None, clock, journal()),
+        configuration=ConfigurationProjection(None, journal()),
         election=host.election,
         links=links,
         advisor=None,
