--- a/bench/replay.py
+++ b/bench/replay.py
@@ -41,7 +41,7 @@
 )
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.owner._predecessors import longest_lease
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 
 #: Seconds: an order's way, a stop, a restart from a checkpoint, and between plans.
 ORDER_SECONDS = 0.004
@@ -419,7 +419,7 @@
         account = self._draw_account()
         spec = JobSpec('', steps)
         submission = Submission(kind.queue.name, 'desk', self._now, spec, '', account)
-        self.cell.see_job(BookedJob(job_id, submission, False, None), self._now, self._now)
+        self.cell.see_job(StoredJob(job_id, submission, False, None), self._now, self._now)
         weight = kind.worth * min(MOST_WEIGHT, 0.3 + 0.7 * work / usual)
         if not self.cell.job_by_id[job_id].beyond_rate:
             self._weight_by_job[job_id] = weight
--- a/dandelionreel/cell/clients/_front.py
+++ b/dandelionreel/cell/clients/_front.py
@@ -32,7 +32,7 @@
     make_record,
 )
 from dandelionreel.cell.owner import Dispatcher
-from dandelionreel.cell.store import BookedJob, CellProjection, ConfigurationProjection, Follower
+from dandelionreel.cell.store import CellProjection, ConfigurationProjection, Follower, StoredJob
 from dandelionreel.http import Answer, Request
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ForwardAnswer, Frame, Message
@@ -114,7 +114,7 @@
     async def handle_relayed(self, frame: Frame) -> Message:
         """Answer a request that a peer passes on."""
         forward: Any = frame.message
-        member = self._jobs.book.member_by_host.get(frame.sender.partition('/')[0])
+        member = self._jobs.state.member_by_host.get(frame.sender.partition('/')[0])
         answer = await self._answer(
             forward.request,
             self._clock.monotonic(),
@@ -194,7 +194,7 @@
         if not self._may_see(call, job_id):
             self._log(request, job_id, 'its id is taken by another account')
             return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
-        booked = self._jobs.book.find(job_id)
+        booked = self._jobs.state.find(job_id)
         if booked is not None and not booked.may_be_stored_again:
             self._log(request, job_id, 'accepted before')
             return self._codec.answer_accepted()
@@ -239,7 +239,7 @@
     async def _state(self, call: ClientCall, job_id: str) -> Answer:
         if not self._may_see(call, job_id):
             return self._unknown_job(call, job_id)
-        booked = self._jobs.book.find(job_id)
+        booked = self._jobs.state.find(job_id)
         if booked is not None and booked.state in FINAL_STATES:
             return self._codec.answer_state(booked.state)
         if booked is not None and self._completions.holds(job_id):
@@ -291,16 +291,16 @@
             partial(self._log, call.request, job_id),
         )
 
-    def _find(self, call: ClientCall, job_id: str) -> BookedJob | None:
+    def _find(self, call: ClientCall, job_id: str) -> StoredJob | None:
         """Return a job that stands in the store, if its caller may know of it."""
-        return self._jobs.book.find(job_id) if self._may_see(call, job_id) else None
+        return self._jobs.state.find(job_id) if self._may_see(call, job_id) else None
 
     def _may_see(self, call: ClientCall, job_id: str) -> bool:
         """Return whether a job, as far as it is known here, is no other account's.
 
         One that was stored without an account is open to every caller, as it was then.
         """
-        booked = self._jobs.book.find(job_id)
+        booked = self._jobs.state.find(job_id)
         dispatcher = self._owned()
         account = '' if booked is None else booked.account
         if booked is None and dispatcher is not None:
@@ -327,7 +327,7 @@
         """Return how many jobs wait, unless too little has been read to know."""
         if not await self._follower.wait_fresh(began - COUNT_AGE, LOOKUP_PATIENCE):
             return refuse(STORE_CAUSE, 'the store cannot be read just now')
-        return self._codec.answer_pending(self._jobs.book.count_waiting(queue.name))
+        return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
 
     def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
         self._journal.tell_frequent(
@@ -340,7 +340,7 @@
 
     def _log_fields(self) -> dict[str, Any]:
         """Return how old what is known here is, in seconds, and who is taken for the owner."""
-        owner = self._jobs.book.owner
+        owner = self._jobs.state.owner
         return {
             'book_age': seconds_or_none(self._follower.age(self._clock.monotonic())),
             'owner': owner.host if owner else '',
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -20,7 +20,7 @@
     RunnerFenced,
     RunnerReplaced,
 )
-from dandelionreel.cell.store import JobBook, RunnerProjection
+from dandelionreel.cell.store import CellState, RunnerProjection
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
@@ -50,7 +50,7 @@
         self,
         me: str,
         zone: str,
-        book: JobBook,
+        book: CellState,
         runners: RunnerProjection,
         contact: ContactWatch,
         completions: Completions,
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -12,7 +12,7 @@
 from dandelionreel.cell.clients._client_call import ClientCall
 from dandelionreel.cell.membership import ASK_SECONDS, PeerLinks, find_deputy
 from dandelionreel.cell.model import Member
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.http import Answer, Request
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, OwnerAsked, PeerError
@@ -51,7 +51,7 @@
     def __init__(
         self,
         me: str,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         clock: Clock,
         journal: Journal,
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -27,7 +27,7 @@
     StartReply,
     find_later,
 )
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 
 #: Run numbers of one epoch for one task. Numbers of a later owner are higher
 #: than all of an earlier one, so none of them has to be stored.
@@ -112,7 +112,7 @@
             return bool(self.unseen)
         return not self.unseen.isdisjoint(job.runners)
 
-    def see_job(self, booked: BookedJob, now: float, wall: float) -> None:
+    def see_job(self, booked: StoredJob, now: float, wall: float) -> None:
         """Take a job, or the news of one, from the store.
 
         Nothing is started of a job that cannot be read, unless it is known here. Its
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.membership._advisors import PeerLinks
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.model import FINAL_STATES, Member
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
@@ -29,7 +29,7 @@
     def __init__(
         self,
         me: str,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         completions: Completions,
         clock: Clock,
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -13,7 +13,7 @@
 
 from dandelionreel.cell.membership._advisors import PeerLinks
 from dandelionreel.cell.model import Member
-from dandelionreel.cell.store import ConfigurationProjection, JobBook
+from dandelionreel.cell.store import CellState, ConfigurationProjection
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ConfigurationGiven, ConfigurationWanted, Frame, Message, PeerError
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         me: str,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         folder: ConfigurationProjection,
         store_answered_at: Callable[[], float],
--- a/dandelionreel/cell/membership/_contact_watch.py
+++ b/dandelionreel/cell/membership/_contact_watch.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.membership._advisors import PeerLinks
 from dandelionreel.cell.membership._contact import STORE_OVERDUE, Contact
 from dandelionreel.cell.model import Member
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import OwnerAsked, PeerError
 
@@ -28,7 +28,7 @@
         self,
         me: str,
         zone: str,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         store_answered_at: Callable[[], float],
         clock: Clock,
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -171,7 +171,7 @@
 
     def still_owner(self, term: Term) -> bool:
         """Return whether the newest owner that is known is this term's."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and owner.term == term.term
 
     def suspect(self, term: str) -> None:
@@ -238,7 +238,7 @@
 
     def _is_unheard(self, now: float) -> bool:
         """Return whether the owner has just not answered a peer."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and self._unheard == owner.term and now < self._unheard_until
 
     def _is_gone(self, now: float) -> bool:
@@ -250,13 +250,13 @@
         """Return whether this host's former process, or a later one's, held the cell."""
         if owner.host == self._host:
             return owner.term != self.incarnation
-        return self._folder.book.owner_has_ended()
+        return self._folder.state.owner_has_ended()
 
     def _vacancy(self) -> Vacancy:
         now = self._clock.monotonic()
         if not self._follower.started or self._follower.age(now) > FRESH_SECONDS:
             return Vacancy.HELD
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         if owner is None or owner.released:
             return Vacancy.VACANT
         if self._former_life(owner) or self._is_suspected(owner, now) or self._is_gone(now):
@@ -270,7 +270,7 @@
         return Vacancy.SILENT
 
     def _delay(self) -> float:
-        book = self._folder.book
+        book = self._folder.state
         return claim_delay(book.member_by_host, self._host, book.owner.host if book.owner else '')
 
     async def _owner_lives(self) -> bool:
@@ -279,8 +279,8 @@
         A slow store delays heartbeats for longer than a dead owner is waited
         for, and every claim then delays them more.
         """
-        owner = self._folder.book.owner
-        member = self._folder.book.member_by_host.get(owner.host) if owner else None
+        owner = self._folder.state.owner
+        member = self._folder.state.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
         silent = now - max(self._folder.owner_heard_at, self._follower.reached_since)
         if owner is None or member is None or silent > LONGEST_EXCUSE:
@@ -319,7 +319,7 @@
 
     async def _claim_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` where the topic does not end as expected."""
-        former = self._folder.book.owner
+        former = self._folder.state.owner
         heard_at = self._folder.owner_heard_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
@@ -354,11 +354,11 @@
 
     def _has_ended(self, owner: Owner) -> bool:
         """Return whether an owner's process is known to have ended."""
-        return owner.host == self._host or self._folder.book.has_ended(owner)
+        return owner.host == self._host or self._folder.state.has_ended(owner)
 
     def _may_live(self) -> bool:
         """Return whether the owner that is known may still act."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and not owner.released and not self._has_ended(owner)
 
     async def _read_up(self) -> None:
@@ -411,5 +411,5 @@
     async def _read_back(self, epoch: int) -> bool:
         """Wait until the claim has been folded, and everything before it."""
         await self._read_up()
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -10,7 +10,7 @@
 
 from dandelionreel.cell.membership._election import Election
 from dandelionreel.cell.model import Member, Owner
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.http import connect
 from dandelionreel.kernel import Journal, Part
 
@@ -28,7 +28,7 @@
 class OwnerWatch:
     """Holds a connection to the owner's daemon."""
 
-    def __init__(self, me: str, book: JobBook, election: Election, journal: Journal) -> None:
+    def __init__(self, me: str, book: CellState, election: Election, journal: Journal) -> None:
         """Tell ``election`` about the owner's death."""
         self._me = me
         self._book = book
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -8,7 +8,7 @@
 from dandelionreel.cell.membership import SUCCESSORS, Completions, PeerLinks, rank_hosts
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Part
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, PeerError
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         context: OwnerContext,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         completions: Completions,
         host: str,
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -26,7 +26,7 @@
 from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.owner._rounds import Rounds
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
-from dandelionreel.cell.store import BookedJob, Written
+from dandelionreel.cell.store import StoredJob, Written
 from dandelionreel.kernel import Part, start_task
 
 #: Typical seconds of an append above which the store counts as slow.
@@ -69,7 +69,7 @@
         self._planner = Planner(self.cell)
         self._pool = AdvicePool(
             parts.host,
-            lambda: parts.jobs.book.member_by_host,
+            lambda: parts.jobs.state.member_by_host,
             parts.links,
             parts.advisor,
             parts.clock,
@@ -79,14 +79,14 @@
         )
         self._completion_gossip = CompletionGossip(
             self._owner_context,
-            parts.jobs.book,
+            parts.jobs.state,
             parts.links,
             parts.completions,
             parts.host,
         )
         self._owner_context.confirms = ZoneConfirmation(
             self._owner_context,
-            parts.jobs.book,
+            parts.jobs.state,
             self._completion_gossip,
             parts.host,
         ).is_confirmed
@@ -146,7 +146,7 @@
         known = self.cell.job_by_id.get(job_id)
         if known is not None and known.stored:
             return Written.STORED
-        booked = BookedJob(job_id, submission, cancelled=False, progress=None)
+        booked = StoredJob(job_id, submission, cancelled=False, progress=None)
         self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
         job = self.cell.job_by_id[job_id]
         self._log_rate(job)
@@ -236,7 +236,7 @@
         """Take what the store knows; wait for the runners that may hold more."""
         parts = self._parts
         self._rounds.begin(self._clock.monotonic())
-        book = parts.jobs.book
+        book = parts.jobs.state
         book.take_changed()
         # In the order in which they came: an account may expect its first ones to be served.
         for job_id in sorted(book.submission_by_id, key=book.accepted_at):
@@ -290,7 +290,7 @@
     async def _feed(self) -> None:
         """Take news of jobs as the log tells them."""
         follower = self._parts.follower
-        book = self._parts.jobs.book
+        book = self._parts.jobs.state
         while True:
             seen = follower.changed.count
             if not self._parts.election.still_owner(self._owner_context.term):
@@ -304,7 +304,7 @@
             await follower.changed.wait(seen, 1.0)
 
     def _see_job(self, job_id: str) -> None:
-        booked = self._parts.jobs.book.find(job_id)
+        booked = self._parts.jobs.state.find(job_id)
         if booked is not None and booked.unreadable:
             self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
             return
@@ -314,7 +314,7 @@
         self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
         self.cell.job_by_id[job_id].stored = True
 
-    def _forget_job(self, job_id: str, booked: BookedJob | None) -> None:
+    def _forget_job(self, job_id: str, booked: StoredJob | None) -> None:
         job = self.cell.job_by_id.get(job_id)
         if job is not None and not job.over:
             self._journal.tell(
--- a/dandelionreel/cell/owner/_predecessors.py
+++ b/dandelionreel/cell/owner/_predecessors.py
@@ -6,7 +6,7 @@
 
 from dandelionreel.cell.decisions import CLOCK_DRIFT
 from dandelionreel.cell.membership import AUTHORITY_SECONDS, Term
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 
 #: Seconds for which a runner's clock may have been extrapolated when a lease is granted by it.
 READING_AGE = 2.2
@@ -37,7 +37,7 @@
         #: When every lease of an earlier owner must be over, in monotonic seconds.
         self.until = max(now + rest + self._lease, self._earlier_until)
 
-    def look(self, book: JobBook, now: float) -> bool:
+    def look(self, book: CellState, now: float) -> bool:
         """Return whether the former owner is found to have ended only now.
 
         Its host has come back with another process, so the old one renews nothing
--- a/dandelionreel/cell/owner/_rounds.py
+++ b/dandelionreel/cell/owner/_rounds.py
@@ -41,7 +41,7 @@
         self._active = ActiveRunners(context.cell)
         self._succession = Succession(
             context,
-            parts.jobs.book,
+            parts.jobs.state,
             parts.links,
             parts.election,
             parts.host,
@@ -100,7 +100,7 @@
         Until each of them has listed its tasks, or all leases there must have
         run out, the jobs that the store names with it are left alone.
         """
-        self._cell.unseen.update(self._parts.jobs.book.former_runners())
+        self._cell.unseen.update(self._parts.jobs.state.former_runners())
         self._tell_unseen('leaves the tasks of runners alone that it has not seen yet.', now)
 
     async def _give_up_unseen(self, now: float) -> None:
@@ -108,7 +108,7 @@
         if not self._cell.unseen:
             return
         await self._give_up_outlived()
-        if self.predecessors.look(self._parts.jobs.book, now):
+        if self.predecessors.look(self._parts.jobs.state, now):
             self._tell_unseen('finds that the former owner has ended.', now)
         if now > self.predecessors.until:
             unseen = tuple(self._cell.unseen)
@@ -201,7 +201,7 @@
         self._dropped_at = now
         oldest = self._clock.wall() - self._parts.status_kept * 2
         records: list[KeyedRecord] = []
-        for job_id in self._parts.jobs.book.jobs_ended_before(oldest):
+        for job_id in self._parts.jobs.state.jobs_ended_before(oldest):
             records.extend(
                 make_tombstone(key + job_id) for key in (SUBMISSION, CANCELLATION, PROGRESS)
             )
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -5,7 +5,7 @@
 from dandelionreel.cell.membership import Election, PeerLinks, larger_hosts, rank_hosts
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Part
 from dandelionreel.peers import Done, OwnerAsked, OwnerFailing, PeerError
 
@@ -29,7 +29,7 @@
     def __init__(
         self,
         context: OwnerContext,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         election: Election,
         host: str,
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -7,7 +7,7 @@
 
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Part
 
 #: Seconds for which a runner must have been silent: a host finds that it is cut off in no
@@ -23,7 +23,7 @@
     """Asks the hosts of zones during one term."""
 
     def __init__(
-        self, context: OwnerContext, book: JobBook, gossip: CompletionGossip, host: str
+        self, context: OwnerContext, book: CellState, gossip: CompletionGossip, host: str
     ) -> None:
         """Ask as ``host``."""
         self._owner_context = context
--- a/dandelionreel/cell/store/_job_book.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class BookedJob:
+class StoredJob:
     """All that stands in the store about one job; without a submission it is over.
 
     Of an unreadable record it is only known that it is there. Such a job is shown,
@@ -103,7 +103,7 @@
         return progress.state
 
 
-class JobBook:
+class CellState:
     """Jobs, members and the owner, folded from records in log order.
 
     ``changed`` collects the jobs that were touched since it was last taken.
@@ -131,11 +131,11 @@
         self.changed = set()
         return taken
 
-    def find(self, job: str) -> BookedJob | None:
+    def find(self, job: str) -> StoredJob | None:
         """Return what is known of a job, ``None`` when it is not known."""
         submission = self.submission_by_id.get(job)
         progress = self.progress_by_id.get(job)
-        booked = BookedJob(
+        booked = StoredJob(
             job,
             submission,
             job in self.cancellation_by_id,
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -9,8 +9,8 @@
     UnreadableError,
     UnreadableLog,
 )
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._follower import Projection
-from dandelionreel.cell.store._job_book import JobBook
 from dandelionreel.kernel import Clock, Journal, Part, SystemClock
 
 NEVER = float('-inf')
@@ -123,7 +123,7 @@
         """Start with nothing known."""
         self._clock = clock
         self._unreadable = unreadable or UnreadableLog('cell', Part.LOG, clock, journal)
-        self.book = JobBook()
+        self.state = CellState()
         #: The owner's last sign of life in the store was no later than that.
         self.owner_heard_at = NEVER
         #: Seconds between two heartbeats, as they usually arrive.
@@ -135,9 +135,9 @@
         An owner of which nothing else is known counts as heard of just now: it may have written
         right before the snapshot was read, and its leases last from then.
         """
-        known = self.book.owner
-        self._note_errors(snapshot.records, self.book.load_snapshot(snapshot.records))
-        if self.book.owner != known:
+        known = self.state.owner
+        self._note_errors(snapshot.records, self.state.load_snapshot(snapshot.records))
+        if self.state.owner != known:
             self.owner_heard_at = self._clock.monotonic()
 
     def fold(self, batch: RecordBatch) -> None:
@@ -147,8 +147,8 @@
         could keep a dead owner in office. It is no sign of silence either, so an owner
         of which nothing else is known counts as heard of just now.
         """
-        known = self.book.owner
-        errors = self.book.fold(batch.records)
+        known = self.state.owner
+        errors = self.state.fold(batch.records)
         self._note_errors(batch.records, errors)
         now = self._clock.monotonic()
         if any(
@@ -158,7 +158,7 @@
             gap = min(LONGEST_GAP, now - self.owner_heard_at)
             self.usual_gap += GAP_WEIGHT * (gap - self.usual_gap)
             self.owner_heard_at = now
-        elif self.book.owner is not known:
+        elif self.state.owner is not known:
             self.owner_heard_at = now
 
     def _note_errors(
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -6,7 +6,7 @@
 from dandelionreel.accounts import Account, weighted_share
 from dandelionreel.cell.decisions import Cell
 from dandelionreel.cell.model import Configuration, Demand
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 
 #: Accounts that are shown by name, those with the largest weight first.
 MOST_ACCOUNTS = 100
@@ -30,7 +30,7 @@
 def view_accounts(
     cell: Cell | None,
     configuration: Configuration | None,
-    book: JobBook,
+    book: CellState,
     refusals: RefusalCounts,
 ) -> dict[str, Any]:
     """Return what is shown; only the owner, with its ``cell``, knows use and what waits."""
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -69,6 +69,6 @@
     return view_accounts(
         dispatcher.cell if dispatcher else None,
         reads.configuration.current,
-        reads.jobs.book,
+        reads.jobs.state,
         metrics.refusals,
     )
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -108,7 +108,7 @@
         self._advisor = LocalAdvisor(self._advice)
         self._relay = Relay(
             settings.host,
-            self._jobs.book,
+            self._jobs.state,
             self._links,
             self._clock,
             self._journal,
@@ -117,7 +117,7 @@
         self._contact = ContactWatch(
             settings.host,
             settings.zone,
-            self._jobs.book,
+            self._jobs.state,
             self._links,
             self._store_answered_at,
             self._clock,
@@ -125,7 +125,7 @@
         )
         self._reports = CompletionReports(
             settings.host,
-            self._jobs.book,
+            self._jobs.state,
             self._links,
             self._completions,
             self._clock,
@@ -134,7 +134,7 @@
         self._partition_reads = PartitionReads(
             settings.host,
             settings.zone,
-            self._jobs.book,
+            self._jobs.state,
             self._reads.runners,
             self._contact,
             self._completions,
@@ -145,7 +145,7 @@
         )
         self._exchange = ConfigurationExchange(
             settings.host,
-            self._jobs.book,
+            self._jobs.state,
             self._links,
             self._reads.configuration,
             lambda: self._reads.answered_at,
@@ -164,7 +164,7 @@
         )
         self._watch = OwnerWatch(
             settings.host,
-            self._jobs.book,
+            self._jobs.state,
             self._election,
             self._journal,
         )
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -109,7 +109,7 @@
         )
 
     def _wants_runners(self) -> bool:
-        return self._owns() or keeps_runners(self.jobs.book.member_by_host, self._host)
+        return self._owns() or keeps_runners(self.jobs.state.member_by_host, self._host)
 
     def _watch_unreadable(self, topic: str, part: Part) -> UnreadableLog:
         return UnreadableLog(topic, part, self._clock, self._journal, self._note_unreadable)
--- a/features/cell_parts.py
+++ b/features/cell_parts.py
@@ -19,7 +19,7 @@
     Submission,
     TaskName,
 )
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 
 GANG_TIMEOUT = 3.0
 START = 1000.0
@@ -80,13 +80,13 @@
         """Take a job as the store tells it."""
         spec = JobSpec('payload', tuple(steps))
         submission = Submission(queue, 'desk', self.now - age, spec, zone)
-        self.cell.see_job(BookedJob(job, submission, cancelled, progress), self.now, self.now)
+        self.cell.see_job(StoredJob(job, submission, cancelled, progress), self.now, self.now)
         return self.cell.job_by_id[job]
 
     def cancel(self, job):
         """Let the store tell that a job is cancelled."""
         submission = self.cell.job_by_id[job].submission
-        self.cell.see_job(BookedJob(job, submission, True, None), self.now, self.now)
+        self.cell.see_job(StoredJob(job, submission, True, None), self.now, self.now)
 
     def plan(self, start=True):
         """Plan once, and let all starts be answered as started."""
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -255,7 +255,7 @@
             *([frame(key, records[key]) for key in records if key != bad_key] if first else []),
             frame(b'j/00000000000000aa', encode(SUBMISSION)),
         )
-        book = reader.jobs.book
+        book = reader.jobs.state
         assert book.find('00000000000000aa') is not None, 'a neighbour is not known'
         assert book.find(JOB) is not None, 'the job is not known'
         cell = Cell(9, 3.0)
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -21,7 +21,7 @@
     Progress,
     make_record,
 )
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.cell.store._writer import Written
 from dandelionreel.http import Request
@@ -104,7 +104,7 @@
 
 def make_exchange(context, folder, given, store_age):
     """Return an exchange with one peer, of which the store has answered so long ago."""
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold([make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 1))])
     context.links = ExchangePeers(given)
     clock = ManualClock(NOW)
@@ -135,7 +135,7 @@
 
 def rebuild(context, longest_age=None):
     clock = ManualClock(NOW)
-    relay = Relay('me', context.jobs.book, context.links, clock, context.journal)
+    relay = Relay('me', context.jobs.state, context.links, clock, context.journal)
     context.front = make_front(
         context.folder,
         context.jobs,
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -56,7 +56,7 @@
     host = Host('me', topic)
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     progress = Progress(1, JobState.RUNNING, runners=('w9',))
-    host.folder.book.fold(
+    host.folder.state.fold(
         [
             make_record(f'{SUBMISSION}j1', submission),
             make_record(f'{PROGRESS}j1', progress),
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -26,7 +26,7 @@
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.kernel import ManualClock, Verdict
 from dandelionreel.peers import CompletionsSeen, CompletionsTold, Done, Frame, PeerError, Refused
@@ -124,7 +124,7 @@
     if where.startswith('asked'):
         meanwhile = lambda: context.completions.answer(2)  # noqa: E731
     context.links = ZonePeer(peer == 'a host that is cut off as well', meanwhile)
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold([make_record(f'{MEMBER}me', Member('south', '127.0.0.1', 1))])
     if peer != 'no other host':
         context.book.fold([make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 2))])
@@ -224,7 +224,7 @@
     if hosts.startswith('answers'):
         known = (JOB,) if 'complete' in hosts else ()
     context.zone = ZoneOutside(known)
-    book = JobBook()
+    book = CellState()
     for number in range(count):
         member = Member('south', '127.0.0.1', 1)
         book.member_by_host[f's-{number}'] = member
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -37,7 +37,7 @@
         return other, me, make_dispatcher(me, term, context.topic, me.clock)
 
     other, me, dispatcher = curio.run(play)
-    assert other.folder.book.owner.term == 'me/1'
+    assert other.folder.state.owner.term == 'me/1'
     # Nothing it sends is answered any more.
     context.last_lease = (
         dispatcher._owner_context.writer.stored_at + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
@@ -84,7 +84,7 @@
     host = context.host
     relay = Relay(
         'me',
-        host.folder.book,
+        host.folder.state,
         DeafPeer(),
         host.clock,
         journal(),
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -17,7 +17,7 @@
 )
 from dandelionreel.cell.model._services import StoreError
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, Frame, PeerError, Refused
 from features.cell_parts import SmallCell, make_registration, step, task
@@ -67,7 +67,7 @@
     if answers == 'has been asked by a later owner':
         remembered.answer(2)
     context.peer = PeerHost(remembered)
-    book = JobBook()
+    book = CellState()
     book.fold([PEER])
     context.completions = Completions(clock)
     context.notices = CompletionGossip(context.owner, book, context.peer, context.completions, 'me')
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -12,7 +12,7 @@
 from dandelionreel.cell.membership._contact_watch import ContactWatch
 from dandelionreel.cell.model import Configuration, Service
 from dandelionreel.cell.model._records import MEMBER, Member, make_record
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.http import Answer, Channel, Request, Server
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
@@ -98,7 +98,7 @@
 
 
 def make_watch(clock, links, store_answered_at):
-    book = JobBook()
+    book = CellState()
     for host, zone in (('me', 'north'), ('s-1', 'south'), ('s-2', 'south'), ('w-1', 'west')):
         book.fold([make_record(f'{MEMBER}{host}', Member(zone, '127.0.0.1', 1))])
     return ContactWatch('me', 'north', book, links, lambda: store_answered_at, clock, journal())
@@ -157,7 +157,7 @@
         jobs,
         ReadFollower(),
         NoWriter(),
-        Relay('me', jobs.book, links, clock, journal()),
+        Relay('me', jobs.state, links, clock, journal()),
         contact=watch,
         rotation=rotation,
         clock=clock,
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -16,7 +16,7 @@
 )
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.owner._succession import Succession
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock
 from dandelionreel.peers import Done, Refused
 from features.cell_parts import make_registration
@@ -40,7 +40,7 @@
             await curio.sleep(0.01)
         await curio.sleep(0.3)
         context.terms = [task.result if task.terminated else None for task in tasks]
-        context.books = [host.folder.book for host in hosts]
+        context.books = [host.folder.state for host in hosts]
 
     curio.run(claim)
 
@@ -154,7 +154,7 @@
 @then('the other host owns the cell, and {count:d} appends were made')
 def other_owns(context, count):
     assert context.term is None, context.term
-    assert context.host.folder.book.owner.term == 'b/1'
+    assert context.host.folder.state.owner.term == 'b/1'
     assert context.topic.appends - context.appends == count, context.topic.appends
 
 
@@ -204,14 +204,14 @@
 def small_owner(context, cores):
     context.clock = ManualClock(1000)
     context.host = Host('a', MemoryTopic(), context.clock)
-    context.member_by_host = context.host.folder.book.member_by_host
+    context.member_by_host = context.host.folder.state.member_by_host
     context.member_by_host['a'] = Member('north', '10.0.0.1', 7, cores=cores)
     term = Term(1, 'a/1', WriterFence(1, 1), None, False, False)
     context.owner = OwnerContext(
         term, Cell(1, 3.0), MemoryTopic(), make_registration, 10.0, context.clock, journal()
     )
     context.succession = Succession(
-        context.owner, context.host.folder.book, context.host, context.host.election, 'a'
+        context.owner, context.host.folder.state, context.host, context.host.election, 'a'
     )
 
 
@@ -264,7 +264,7 @@
 
 @given('the claims of the epochs 1 and 2, and a late heartbeat of epoch 1')
 def claims(context):
-    context.book = JobBook()
+    context.book = CellState()
     for epoch, beat in ((1, 0), (2, 0), (1, 5)):
         context.book.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
 
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -144,7 +144,7 @@
 
 @when('the same job is handed in again')
 def handed_in_again(context):
-    booked = context.host.folder.book.find(JOB)
+    booked = context.host.folder.state.find(JOB)
     # A host that took the job for accepted would not store it again.
     assert booked.may_be_stored_again
     append(context, make_record(f'j/{JOB}', SUBMISSION))
@@ -152,14 +152,14 @@
 
 @then('the job is shown as {state}')
 def shown_as(context, state):
-    booked = context.host.folder.book.find(JOB)
+    booked = context.host.folder.state.find(JOB)
     assert booked is not None, 'the job is not known'
     assert booked.state is JobState(state), booked
 
 
 def start_term(context):
     """Return the dispatcher of a term that the host begins with what it knows."""
-    clock, former = context.host.clock, context.host.folder.book.owner
+    clock, former = context.host.clock, context.host.folder.state.owner
     clock.advance(SILENT_SECONDS)
     term = Term(9, 'me/1', WriterFence(9, 1), clock.now - 1, False, False, former=former)
     dispatcher = make_dispatcher(context.host, term, context.memory, clock)
@@ -169,7 +169,7 @@
 
 @then('the job is {handled}')
 def handled(context, handled):
-    booked = context.host.folder.book.find(JOB)
+    booked = context.host.folder.state.find(JOB)
     dispatcher = start_term(context)
     cell = dispatcher.cell
     job = cell.job_by_id.get(JOB)
@@ -198,11 +198,11 @@
 
 @then('the owner is the same as before')
 def same_owner(context):
-    assert context.host.folder.book.owner == OWNER
+    assert context.host.folder.state.owner == OWNER
     # Nor after the host has had to start again from a snapshot.
     context.host.follower._offset = None
     append(context)
-    assert context.host.folder.book.owner == OWNER
+    assert context.host.folder.state.owner == OWNER
 
 
 @then('a host that starts now waits for a heartbeat before it claims')
@@ -217,7 +217,7 @@
     late.follower.fresh_at = late.clock.now
     assert late.election._vacancy() is Vacancy.SILENT
     # Whoever claims then has to expect tasks of an owner of which it knows nothing.
-    assert late.folder.book.owner.unsettled == UNSETTLED_SECONDS
+    assert late.folder.state.owner.unsettled == UNSETTLED_SECONDS
 
 
 @given('a job that an owner has started on the runner i-1')
@@ -257,4 +257,4 @@
 
 @then('the peer is where it was')
 def peer_is(context):
-    assert context.host.folder.book.member_by_host == {'entry-1': MEMBER}
+    assert context.host.folder.state.member_by_host == {'entry-1': MEMBER}
--- a/features/steps/entry_view_steps.py
+++ b/features/steps/entry_view_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.model import JobState, RunnerError, TaskName
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 from dandelionreel.platform._views import decode_view
 from features.cell_parts import SmallCell, step
 from features.entry_parts import (
@@ -83,7 +83,7 @@
 @given("a successor that cannot read a job's submission")
 def unreadable_job(context):
     context.small = SmallCell(('w1',), epoch=2)
-    booked = BookedJob(JOB, None, False, None, submission_unreadable=True)
+    booked = StoredJob(JOB, None, False, None, submission_unreadable=True)
     context.small.cell.see_job(booked, context.small.now, context.small.now)
     assert not context.small.plan().starts
 
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -9,7 +9,7 @@
     make_record,
 )
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step
 from features.store_parts import Host, make_dispatcher, make_owner_context, until
@@ -101,7 +101,7 @@
         await until(lambda: topic.under_way == 6)
         return await topic.snapshot()
 
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold(curio.run(play).records)
 
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -12,7 +12,7 @@
 from dandelionreel.cell.model import Demand, JobState, StartReply, Submission
 from dandelionreel.cell.model._model import JobSpec
 from dandelionreel.cell.model._records import Leftover, Progress
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 from features.account_parts import make_account, make_configuration
 from features.cell_parts import START, SmallCell, make_queue, step
 
@@ -40,7 +40,7 @@
         self.submitted += 1
         job = f'{self.submitted:016x}'
         submission = Submission(queue, 'desk', self.now, JobSpec('', tuple(steps)), '', account)
-        self.cell.see_job(BookedJob(job, submission, False, progress), self.now, self.now)
+        self.cell.see_job(StoredJob(job, submission, False, progress), self.now, self.now)
         return self.cell.job_by_id[job]
 
     def placed(self, job):
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -11,7 +11,7 @@
     Owner,
     make_record,
 )
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.http import Answer
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, Frame, OwnerAsked, PeerError, Refused
@@ -39,7 +39,7 @@
 
 @given('a peer that answers {status:d}')
 def answering_peer(context, status):
-    book = JobBook()
+    book = CellState()
     book.fold(
         [
             make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1')),
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -27,7 +27,7 @@
 def forgotten(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    book = context.host.folder.book
+    book = context.host.folder.state
     running = make_record(f'{PROGRESS}j1', Progress(1, JobState.RUNNING, runners=('w1',)))
     book.fold([make_record(f'{SUBMISSION}j1', JOB), running])
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
@@ -51,7 +51,7 @@
         return await dispatcher.accept('j1', JOB, 1.0)
 
     assert curio.run(play) is Written.STORED
-    book = context.host.folder.book
+    book = context.host.folder.state
     book.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     book.fold(context.topic.records)
     for job_id in book.take_changed():
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -63,7 +63,7 @@
         host = context.host
         await curio.spawn(host.follower.run, daemon=True)
         assert await host.follower.wait_fresh(host.clock.monotonic(), 5.0)
-        assert host.folder.book.find('j1') is not None
+        assert host.folder.state.find('j1') is not None
         context.began = host.follower.fresh_at
         context.topic.forgets = True
         await until(lambda: context.topic.paged)
@@ -74,6 +74,6 @@
 
 @then('what it has read does not count as complete before it has read what followed')
 def not_complete(context):
-    known = context.host.folder.book.find('j1')
+    known = context.host.folder.state.find('j1')
     fresh = context.host.follower.fresh_at >= context.began
     assert known is not None or not fresh, 'counts as read, and the job is not known'
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -30,8 +30,8 @@
     make_record,
 )
 from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._follower import Follower
-from dandelionreel.cell.store._job_book import JobBook
 from dandelionreel.cell.store._projections import CellProjection
 from dandelionreel.cell.store._writer import AnswerTimes, GroupWriter, Written
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
@@ -145,7 +145,7 @@
 
 @then('it knows the newest records at once')
 def knows_store(context):
-    assert context.folder.book.find('x') is not None
+    assert context.folder.state.find('x') is not None
     assert context.topic.snapshots == 1
 
 
@@ -182,7 +182,7 @@
 @then('it knows the newest record after {count:d} reads at most')
 def caught_up(context, count):
     assert context.fresh
-    assert context.folder.book.find('19') is not None
+    assert context.folder.state.find('19') is not None
     assert context.topic.reads <= count, context.topic.reads
 
 
@@ -312,7 +312,7 @@
 
 @then('the host knows the job')
 def knows_job(context):
-    assert context.host.folder.book.find('j2')
+    assert context.host.folder.state.find('j2')
 
 
 @given('a job of which the store has {records}')
@@ -343,7 +343,7 @@
 def reads_and_shows(context, count, state):
     snapshot = curio.run(context.topic.snapshot)
     kept = [record for record in snapshot.records if record.content]
-    book = JobBook()
+    book = CellState()
     book.fold(snapshot.records)
     assert len(kept) == count, kept
     assert book.find('j1').state is JobState(state)
@@ -372,7 +372,7 @@
 
 @then('it knows what the newest records say')
 def knows_newest(context):
-    assert context.host.folder.book.owner.epoch == 3
+    assert context.host.folder.state.owner.epoch == 3
 
 
 @given('a runner whose leases ran out 5 s after its last answer')
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -16,7 +16,7 @@
 )
 from dandelionreel.cell.owner._orders import Orders
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import SmallCell, make_queue, make_registration, step
 from features.store_parts import DRIFT, Host, make_dispatcher, make_owner_context, until
@@ -52,7 +52,7 @@
 def waiting_successor(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.host.folder.book.attended = Attended(1, ('w9',))
+    context.host.folder.state.attended = Attended(1, ('w9',))
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
@@ -69,7 +69,7 @@
         await until(lambda: context.topic.records)
         return await context.topic.snapshot()
 
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold(curio.run(beat).records)
 
 
@@ -120,7 +120,7 @@
 
 @given('an owner whose life first read the store at offset {offset:d}')
 def owner_life(context, offset):
-    context.book = JobBook()
+    context.book = CellState()
     owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
     context.book.fold([make_record(f'{MEMBER}other', member), make_record(OWNER_KEY, owner)])
@@ -172,7 +172,7 @@
         await until(lambda: run not in context.small.runs_on(context.second.runner))
         return await context.topic.snapshot()
 
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold(curio.run(race).records)
 
 
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -21,7 +21,7 @@
 from dandelionreel.cell.model._services import RecordBatch
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.owner._predecessors import Predecessors, longest_lease
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._projections import CellProjection
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import step
@@ -84,7 +84,7 @@
 
 @when('its successor looks for a proof that it has ended and finds none')
 def no_proof(context):
-    assert not context.wait.look(JobBook(), 1001.0)
+    assert not context.wait.look(CellState(), 1001.0)
 
 
 @then('the wait is as long as before')
