--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -16,7 +16,7 @@
 from dandelionreel.cell.membership import ContactWatch
 from dandelionreel.cell.model import ClientCodec, KeyedRecord
 from dandelionreel.cell.owner import Dispatcher
-from dandelionreel.cell.store import Follower, GroupWriter, Written
+from dandelionreel.cell.store import Follower, GroupWriter, WriteOutcome
 from dandelionreel.http import Answer, answer_problem
 from dandelionreel.kernel import Clock, Problem, Verdict
 
@@ -44,7 +44,7 @@
 
 
 Attempt = Callable[[float, _Progress], Awaitable[Answer | None]]
-AtOwner = Callable[[Dispatcher, float], Awaitable[Written]]
+AtOwner = Callable[[Dispatcher, float], Awaitable[WriteOutcome]]
 Forwarder = Callable[[ClientCall, float], Awaitable[Relayed]]
 #: Logs what became of a call, with further fields.
 LogOutcome = Callable[..., None]
@@ -186,11 +186,11 @@
 
         return by_peer
 
-    def _judge(self, outcome: Written, progress: _Progress) -> Answer | None:
+    def _judge(self, outcome: WriteOutcome, progress: _Progress) -> Answer | None:
         """Return the answer to something that was stored, and note what is in doubt."""
-        if outcome is Written.STORED:
+        if outcome is WriteOutcome.STORED:
             return self._codec.answer_accepted()
-        progress.maybe = progress.maybe or outcome is not Written.REFUSED
+        progress.maybe = progress.maybe or outcome is not WriteOutcome.REFUSED
         progress.tried.append(f'{progress.by}: {outcome.value}')
         return None
 
@@ -203,4 +203,4 @@
         if self._follower.age(now) > CUT_OFF_AGE:
             return True
         writer = self._writer
-        return writer.in_trouble(now) and now - writer.failed_at < PROBE_SECONDS
+        return writer.store_is_failing(now) and now - writer.failed_at < PROBE_SECONDS
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -26,7 +26,7 @@
 from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.owner._rounds import Rounds
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
-from dandelionreel.cell.store import StoredJob, Written
+from dandelionreel.cell.store import StoredJob, WriteOutcome
 from dandelionreel.kernel import Part, start_task
 
 #: Typical seconds of an append above which the store counts as slow.
@@ -101,7 +101,7 @@
     @property
     def store_is_failing(self) -> bool:
         """Return whether nothing could be stored for a while."""
-        return self._owner_context.writer.in_trouble(self._clock.monotonic())
+        return self._owner_context.writer.store_is_failing(self._clock.monotonic())
 
     @property
     def stored_at(self) -> float:
@@ -137,7 +137,7 @@
         """Give the cell up for another host."""
         await self._owner_context.ended.set()
 
-    async def accept(self, job_id: str, submission: Submission, patience: float) -> Written:
+    async def accept(self, job_id: str, submission: Submission, patience: float) -> WriteOutcome:
         """Store a job; its advice is asked for meanwhile.
 
         While the store is slow, its runners are not stored one by one: the job
@@ -145,26 +145,26 @@
         """
         known = self.cell.job_by_id.get(job_id)
         if known is not None and known.stored:
-            return Written.STORED
+            return WriteOutcome.STORED
         booked = StoredJob(job_id, submission, cancelled=False, progress=None)
         self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
         job = self.cell.job_by_id[job_id]
         self._log_rate(job)
         job.stored = False
         record = make_record(SUBMISSION + job_id, submission)
-        slow = self._owner_context.writer.usual_seconds > SLOW_SECONDS
+        slow = self._owner_context.writer.typical_latency > SLOW_SECONDS
         if slow:
             job.runners.add(ANY_RUNNER)
         await self._owner_context.wake.notify()
         writing = await curio.spawn(self._finish_accept, job, record, slow, daemon=True)
         outcome = await curio.ignore_after(patience, writing.join)
-        return outcome or Written.UNKNOWN
+        return outcome or WriteOutcome.UNKNOWN
 
-    async def cancel(self, job_id: str, patience: float) -> Written:
+    async def cancel(self, job_id: str, patience: float) -> WriteOutcome:
         """Store that a client has cancelled a job, and have it stopped."""
         record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
         writing = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
-        return await curio.ignore_after(patience, writing.join) or Written.UNKNOWN
+        return await curio.ignore_after(patience, writing.join) or WriteOutcome.UNKNOWN
 
     async def take_complete(self, jobs: tuple[str, ...]) -> None:
         """Take jobs as complete that hosts have shown so behind a cut, and have that stored."""
@@ -200,19 +200,19 @@
                 epoch=self._owner_context.term.epoch,
             )
 
-    async def _finish_accept(self, job: JobRun, record: KeyedRecord, slow: bool) -> Written:
+    async def _finish_accept(self, job: JobRun, record: KeyedRecord, slow: bool) -> WriteOutcome:
         noted = [job] if slow else []
         outcome = await self._owner_context.store_progress(noted, record, patience=REFUSE_SECONDS)
-        if outcome is Written.STORED:
+        if outcome is WriteOutcome.STORED:
             job.stored = True
-        elif outcome is Written.REFUSED and not job.stored:
+        elif outcome is WriteOutcome.REFUSED and not job.stored:
             self.cell.forget_job(job.id, self._clock.wall())
         await self._owner_context.wake.notify()
         return outcome
 
-    async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> Written:
+    async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> WriteOutcome:
         outcome = await self._owner_context.writer.write([record], REFUSE_SECONDS)
-        if outcome is Written.STORED:
+        if outcome is WriteOutcome.STORED:
             self.cell.cancel(job_id)
             await self._owner_context.wake.notify()
         return outcome
@@ -272,10 +272,10 @@
                 fact = Attended(self._owner_context.term.epoch, tuple(sorted(attended)))
                 records.append(make_record(ATTENDED_KEY, fact))
             outcome = await self._owner_context.store_progress(self.cell.take_dirty(), *records)
-            if outcome is Written.FENCED:
+            if outcome is WriteOutcome.FENCED:
                 await self._owner_context.lose('another host has written with a higher epoch')
                 return
-            if outcome is Written.STORED:
+            if outcome is WriteOutcome.STORED:
                 stored = attended
                 await self._use_runners(stored)
             await curio.sleep(BEAT_SECONDS)
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -15,7 +15,7 @@
     StepName,
 )
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import Written
+from dandelionreel.cell.store import WriteOutcome
 from dandelionreel.kernel import Part, Verdict, seconds_or_none
 
 #: Seconds in which the runners of a job must be stored before its starts are withdrawn.
@@ -120,7 +120,7 @@
         outcome = await curio.ignore_after(RECORD_PATIENCE, writing.join)
         for allocations in allocations_by_job.values():
             for allocation in allocations:
-                if outcome is Written.STORED:
+                if outcome is WriteOutcome.STORED:
                     await curio.spawn(self._settle_start, allocation, daemon=True)
                 else:
                     await self._withdraw_unsent(allocation)
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -17,7 +17,7 @@
     Topic,
     make_progress_records,
 )
-from dandelionreel.cell.store import GroupWriter, Written
+from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.kernel import Clock, Journal, Part, Signal, seconds_or_none
 
 #: Seconds for which runners keep their tasks without a renewal: longer than a usual partition.
@@ -134,7 +134,7 @@
         jobs: list[JobRun],
         *others: KeyedRecord,
         patience: float = AUTHORITY_SECONDS,
-    ) -> Written:
+    ) -> WriteOutcome:
         """Store how far jobs are; that is then shown to clients and relied upon.
 
         Records are made and queued without a pause between: the store keeps the newest record of a
@@ -147,7 +147,7 @@
         await self._expect_complete(progress_by_job)
         outcome = await self.writer.write(records, patience)
         for job, progress in progress_by_job.items():
-            if outcome is Written.STORED:
+            if outcome is WriteOutcome.STORED:
                 self.unstored_complete.discard(job.id)
                 job.stored_state = progress.state
                 job.stored_runners.update(progress.runners)
@@ -155,7 +155,7 @@
                 self.cell.note_unstored(job)
         return outcome
 
-    async def flush(self) -> Written:
+    async def flush(self) -> WriteOutcome:
         """Store the progress of all jobs that have got on, and what is on its way.
 
         Of a job whose progress is queued already there is nothing more to write; if
@@ -163,7 +163,7 @@
         """
         given_up = self.writer.given_up
         outcome = await self.store_progress(self.cell.take_dirty())
-        return outcome if self.writer.given_up == given_up else Written.UNKNOWN
+        return outcome if self.writer.given_up == given_up else WriteOutcome.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Note that a runner is gone, and whether its life is ``proven`` to be over."""
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -11,7 +11,7 @@
     RunnerView,
 )
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import Written
+from dandelionreel.cell.store import WriteOutcome
 from dandelionreel.kernel import Part
 
 #: Seconds that a poll waits at the runner for a new end; each poll renews its leases.
@@ -124,7 +124,7 @@
         began = self._owner_context.clock.monotonic()
         jobs = sorted(self._unstored_by_runner.get(state.id, ()))
         outcome = await self._owner_context.flush()
-        if outcome is Written.STORED:
+        if outcome is WriteOutcome.STORED:
             state.acknowledged = max(state.acknowledged, number)
             self._unstored_by_runner.get(state.id, set()).difference_update(jobs)
         elif not fresh:
@@ -137,7 +137,7 @@
         state: RunnerState,
         number: int,
         jobs: list[str],
-        outcome: Written,
+        outcome: WriteOutcome,
         began: float,
     ) -> None:
         self._owner_context.journal.tell_frequent(
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -75,7 +75,7 @@
 
     async def _ask_when_refused(self, now: float) -> None:
         """Have peers claim the cell while the store serves them and not this host."""
-        if not self._owner_context.writer.in_trouble(now) or now < self._asked_at + ASK_AGAIN:
+        if not self._owner_context.writer.store_is_failing(now) or now < self._asked_at + ASK_AGAIN:
             return
         self._asked_at = now
         self._owner_context.journal.tell(
--- a/dandelionreel/cell/store/__init__.py
+++ b/dandelionreel/cell/store/__init__.py
@@ -4,7 +4,7 @@
 from dandelionreel.cell.store._follower import Follower, Projection
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.cell.store._runner_projection import RunnerProjection
-from dandelionreel.cell.store._writer import GroupWriter, Written
+from dandelionreel.cell.store._writer import GroupWriter, WriteOutcome
 
 __all__ = (
     'BookedJob',
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -49,7 +49,7 @@
 LONGEST_PAUSE = 0.8
 
 
-class Written(enum.Enum):
+class WriteOutcome(enum.Enum):
     """What became of records that were to be written."""
 
     STORED = 'stored'
@@ -63,7 +63,7 @@
     records: Sequence[KeyedRecord]
     until: float
     maybe: bool = False
-    outcome: Written | None = None
+    outcome: WriteOutcome | None = None
     event: curio.Event = field(default_factory=curio.Event)
 
 
@@ -131,7 +131,7 @@
         #: When the latest append that was answered had been sent.
         self.stored_at = float('-inf')
 
-    def in_trouble(self, now: float) -> bool:
+    def store_is_failing(self, now: float) -> bool:
         """Return whether the store takes nothing from this host just now.
 
         An idle writer learns nothing, so what it knew of an outage is forgotten in time.
@@ -142,17 +142,17 @@
         return now - self.failing_since >= limit
 
     @property
-    def usual_seconds(self) -> float:
+    def typical_latency(self) -> float:
         """Return how long an append usually takes just now."""
         return self._times.typical
 
-    async def write(self, records: Sequence[KeyedRecord], patience: float) -> Written:
+    async def write(self, records: Sequence[KeyedRecord], patience: float) -> WriteOutcome:
         """Append the records within ``patience`` seconds and tell what became of them."""
         entry = _Entry(records, self._clock.monotonic() + patience)
         self._waiting.append(entry)
         await self._event.set()
         await entry.event.wait()
-        return entry.outcome or Written.UNKNOWN
+        return entry.outcome or WriteOutcome.UNKNOWN
 
     async def run(self) -> None:
         """Append what waits, for ever."""
@@ -179,7 +179,7 @@
             batch = _keep_newest(entries)
             if not batch:
                 # Only waits for what was written before.
-                await _settle(entries, Written.STORED)
+                await _settle(entries, WriteOutcome.STORED)
                 return
             sent_at = self._clock.monotonic()
             try:
@@ -187,7 +187,7 @@
             except FencedError as error:
                 self._journal.tell(Part.LOG, f'lost the right to write: {error}.')
                 self.fenced = True
-                await _settle(entries, Written.FENCED)
+                await _settle(entries, WriteOutcome.FENCED)
                 return
             except StoreError as error:
                 self._journal.tell_frequent(
@@ -209,7 +209,7 @@
             self.stored_at = sent_at
             if self._fence is not None:
                 self._fence = WriterFence(self._fence.epoch, self._fence.sequence + 1)
-            await _settle(entries, Written.STORED)
+            await _settle(entries, WriteOutcome.STORED)
             return
 
     async def _retry(self, entries: list[_Entry], error: StoreError) -> list[_Entry]:
@@ -246,7 +246,7 @@
 
     async def _abandon(self, entry: _Entry) -> None:
         self.given_up += 1
-        entry.outcome = Written.UNKNOWN if entry.maybe else Written.REFUSED
+        entry.outcome = WriteOutcome.UNKNOWN if entry.maybe else WriteOutcome.REFUSED
         await entry.event.set()
 
     @property
@@ -254,7 +254,7 @@
         return PLAIN_TIMEOUT if self._fence is None else self._times.timeout
 
     async def _fail_all(self) -> None:
-        await _settle(self._waiting, Written.FENCED)
+        await _settle(self._waiting, WriteOutcome.FENCED)
         self._waiting.clear()
 
 
@@ -268,7 +268,7 @@
     return list(record_by_key.values())
 
 
-async def _settle(entries: Sequence[_Entry] | deque[_Entry], outcome: Written) -> None:
+async def _settle(entries: Sequence[_Entry] | deque[_Entry], outcome: WriteOutcome) -> None:
     for entry in entries:
         entry.outcome = outcome
         await entry.event.set()
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -23,7 +23,7 @@
 )
 from dandelionreel.cell.model import MEMBER, Member, Registration, Runner, make_record
 from dandelionreel.cell.owner import Dispatcher, DispatcherParts
-from dandelionreel.cell.store import GroupWriter, Written
+from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.entry_clients import make_client_front
 from dandelionreel.entry_metrics import EntryMetrics
 from dandelionreel.entry_peers import listen_peers
@@ -283,7 +283,7 @@
             self._reads.cell_follower.read_from,
         )
         record = make_record(MEMBER + settings.host, member)
-        while await self._writer.write([record], MEMBER_PATIENCE) is not Written.STORED:
+        while await self._writer.write([record], MEMBER_PATIENCE) is not WriteOutcome.STORED:
             self._journal.tell(Part.PEERS, 'could not make itself known yet.')
 
     async def _own(self) -> None:
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -73,6 +73,6 @@
             stopping=self._stopping,
             configured=self._configuration.current is not None,
             cut_off=self._contact.cut_off,
-            store_takes_nothing=self._writer.in_trouble(now) or owner_fails,
+            store_takes_nothing=self._writer.store_is_failing(now) or owner_fails,
             store_age=self._follower.age(now),
         )
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -23,7 +23,7 @@
 )
 from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
-from dandelionreel.cell.store._writer import Written
+from dandelionreel.cell.store._writer import WriteOutcome
 from dandelionreel.http import Request
 from dandelionreel.kernel import Journal, ManualClock, Verdict
 from dandelionreel.peers import (
@@ -74,11 +74,11 @@
 
     failing_since = failed_at = 0.0
 
-    def in_trouble(self, now):
+    def store_is_failing(self, now):
         return False
 
     async def write(self, records, patience):
-        return Written.REFUSED
+        return WriteOutcome.REFUSED
 
 
 class ExchangePeers:
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -17,7 +17,7 @@
     make_record,
 )
 from dandelionreel.cell.owner._orders import Orders
-from dandelionreel.cell.store._writer import Written
+from dandelionreel.cell.store._writer import WriteOutcome
 from dandelionreel.kernel import ManualClock
 from features.cancelling_parts import MemoryRunner, SmallOwner
 from features.cell_parts import SmallCell, step, task
@@ -292,7 +292,7 @@
         await owner.begin()
         await until(lambda: adopted(owner))
         owner.runner.reached = False
-        assert await owner.dispatcher.cancel('j1', LONG) is Written.STORED
+        assert await owner.dispatcher.cancel('j1', LONG) is WriteOutcome.STORED
         await wait_until_gone(owner)
 
     curio.run(cancel)
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -15,7 +15,7 @@
     make_record,
 )
 from dandelionreel.cell.model._services import RecordBatch
-from dandelionreel.cell.store._writer import Written
+from dandelionreel.cell.store._writer import WriteOutcome
 from features.cell_parts import step
 from features.store_parts import Host, make_dispatcher
 from standins import MemoryTopic
@@ -50,7 +50,7 @@
         await curio.spawn(dispatcher._owner_context.writer.run, daemon=True)
         return await dispatcher.accept('j1', JOB, 1.0)
 
-    assert curio.run(play) is Written.STORED
+    assert curio.run(play) is WriteOutcome.STORED
     book = context.host.folder.state
     book.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     book.fold(context.topic.records)
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -33,7 +33,7 @@
 from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._projections import CellProjection
-from dandelionreel.cell.store._writer import AnswerTimes, GroupWriter, Written
+from dandelionreel.cell.store._writer import AnswerTimes, GroupWriter, WriteOutcome
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step
 from features.store_parts import LONG, Host, journal, make_owner_context, until
@@ -210,7 +210,7 @@
 
 @then('each of the {count:d} is known to be stored')
 def all_stored(context, count):
-    assert context.outcomes == [Written.STORED] * (1 + count)
+    assert context.outcomes == [WriteOutcome.STORED] * (1 + count)
 
 
 @given('an owner whose heartbeat the store refuses for 2 s')
@@ -236,7 +236,7 @@
 
 @then('its client is told so within 1 s')
 def refused_soon(context):
-    assert context.outcome is Written.REFUSED, context.outcome
+    assert context.outcome is WriteOutcome.REFUSED, context.outcome
 
 
 @then('the store never holds it')
@@ -461,12 +461,12 @@
 
 @then('the store counts as out of reach')
 def out_of_reach(context):
-    assert context.writer.in_trouble(context.writer.failed_at)
+    assert context.writer.store_is_failing(context.writer.failed_at)
 
 
 @then('2 s later it does not')
 def not_any_more(context):
-    assert not context.writer.in_trouble(context.writer.failed_at + 2)
+    assert not context.writer.store_is_failing(context.writer.failed_at + 2)
 
 
 @given('answers of {seconds:f} s and then {misses:d} misses')
