--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -227,7 +227,7 @@
         await curio.sleep(POLL_SECONDS)
         if self._is_unheard(self._clock.monotonic()):
             # A heartbeat that is there already must not be missed for a pause.
-            await self._follower.hurry()
+            await self._follower.read_now()
 
     def _is_suspected(self, owner: Owner, now: float) -> bool:
         return self._suspected == owner.term and now < self._suspected_until
@@ -243,7 +243,7 @@
 
     def _is_gone(self, now: float) -> bool:
         """Return whether the owner neither answers peers nor writes heartbeats."""
-        quiet = max(QUIET_SECONDS, QUIET_FACTOR * self._folder.usual_gap)
+        quiet = max(QUIET_SECONDS, QUIET_FACTOR * self._folder.average_heartbeat_gap)
         return self._is_unheard(now) and now - self._folder.owner_heard_at >= quiet
 
     def _former_life(self, owner: Owner) -> bool:
@@ -262,7 +262,7 @@
         if self._former_life(owner) or self._is_suspected(owner, now) or self._is_gone(now):
             return Vacancy.VACANT
         heard_at = self._folder.owner_heard_at
-        silent = max(SILENT_SECONDS, GAP_FACTOR * self._folder.usual_gap)
+        silent = max(SILENT_SECONDS, GAP_FACTOR * self._folder.average_heartbeat_gap)
         if heard_at < self._follower.reached_since:
             heard_at, silent = self._follower.reached_since, RETURN_SECONDS
         if now - heard_at < silent or now < self._alive_until:
@@ -329,7 +329,7 @@
             epoch=fence.epoch,
             former=former.term if former else '',
             silent_seconds=seconds_or_none(claimed_at - heard_at),
-            usual_gap=round(self._folder.usual_gap, 3),
+            usual_gap=round(self._folder.average_heartbeat_gap, 3),
             unheard=self._is_unheard(claimed_at),
             conditional=expected_end is not None,
         )
--- a/dandelionreel/cell/owner/_rounds.py
+++ b/dandelionreel/cell/owner/_rounds.py
@@ -100,7 +100,7 @@
         Until each of them has listed its tasks, or all leases there must have
         run out, the jobs that the store names with it are left alone.
         """
-        self._cell.unseen.update(self._parts.jobs.state.former_runners())
+        self._cell.unseen.update(self._parts.jobs.state.earlier_runners())
         self._tell_unseen('leaves the tasks of runners alone that it has not seen yet.', now)
 
     async def _give_up_unseen(self, now: float) -> None:
--- a/dandelionreel/cell/store/__init__.py
+++ b/dandelionreel/cell/store/__init__.py
@@ -1,4 +1,4 @@
-"""What stands in the store: read by every host, written in groups."""
+"""State read from the store's topics, and the writer that appends to them in groups."""
 
 from dandelionreel.cell.store._cell_state import CellState, StoredJob
 from dandelionreel.cell.store._follower import Follower, Projection
@@ -7,13 +7,13 @@
 from dandelionreel.cell.store._writer import GroupWriter, WriteOutcome
 
 __all__ = (
-    'BookedJob',
-    'ConfigurationFolder',
-    'Folder',
+    'CellProjection',
+    'CellState',
+    'ConfigurationProjection',
     'Follower',
     'GroupWriter',
-    'JobBook',
-    'JobFolder',
-    'RunnersFolder',
-    'Written',
+    'Projection',
+    'RunnerProjection',
+    'StoredJob',
+    'WriteOutcome',
 )
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -159,7 +159,7 @@
             if progress.state in FINAL_STATES and progress.ended_at < wall
         ]
 
-    def former_runners(self) -> set[str]:
+    def earlier_runners(self) -> set[str]:
         """Return the runners on which tasks of the owner, or of earlier ones, may run.
 
         Where their list cannot be read, the jobs name them: a runner is stored with a
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -91,7 +91,7 @@
         self._pause = pause
         self._wanted = wanted
         #: Whether the topic is left alone because it is not wanted.
-        self.resting = False
+        self.suspended = False
         self._hurried = curio.Event()
         self._offset: int | None = None
         self._size = ReadSize()
@@ -130,7 +130,7 @@
         """Return the greatest age of what has been folded, in seconds."""
         return now - self.fresh_at
 
-    async def hurry(self) -> None:
+    async def read_now(self) -> None:
         """Read now instead of after the pause."""
         await self._hurried.set()
 
@@ -138,7 +138,7 @@
         """Wait until all that was in the topic at ``since`` has been folded."""
         until = self._clock.monotonic() + patience
         if self.fresh_at < since:
-            await self.hurry()
+            await self.read_now()
         while self.fresh_at < since:
             seen = self.changed.count
             left = until - self._clock.monotonic()
@@ -150,8 +150,8 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            self.resting = not self._wanted()
-            if self.resting:
+            self.suspended = not self._wanted()
+            if self.suspended:
                 self._forget()
                 await self._rest(REST_SECONDS)
                 continue
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -67,7 +67,7 @@
         record = KeyedRecord(self._codec.configuration_key, content)
         return self._apply(record, peer)
 
-    def names_service(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Return whether a configuration names the service; any one before the first."""
         return self.current is None or service in self._services
 
@@ -127,7 +127,7 @@
         #: The owner's last sign of life in the store was no later than that.
         self.owner_heard_at = NEVER
         #: Seconds between two heartbeats, as they usually arrive.
-        self.usual_gap = 0.0
+        self.average_heartbeat_gap = 0.0
 
     def load_snapshot(self, snapshot: RecordBatch) -> None:
         """Forget, and take the newest record of each key.
@@ -156,7 +156,7 @@
             for record, error in zip(batch.records, errors, strict=True)
         ):
             gap = min(LONGEST_GAP, now - self.owner_heard_at)
-            self.usual_gap += GAP_WEIGHT * (gap - self.usual_gap)
+            self.average_heartbeat_gap += GAP_WEIGHT * (gap - self.average_heartbeat_gap)
             self.owner_heard_at = now
         elif self.state.owner is not known:
             self.owner_heard_at = now
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -34,14 +34,14 @@
         codec: RecordCodec,
         clock: Clock,
         journal: Journal,
-        names_service: Callable[[str], bool] = _names_any,
+        has_service: Callable[[str], bool] = _names_any,
         unreadable: UnreadableLog | None = None,
     ) -> None:
         """Start with no runners; use those of services that ``names_service`` knows."""
         self._codec = codec
         self._clock = clock
         self._journal = journal
-        self._names_service = names_service
+        self._names_service = has_service
         self._unreadable = unreadable or UnreadableLog('runners', Part.WORKERS, clock, journal)
         #: The last good registration of each incarnation whose entry is there; it is not
         #: usable while the newest entry is not.
@@ -49,7 +49,7 @@
         #: The incarnation that the last good entry of each runner is of.
         self._incarnation_by_runner: dict[str, str] = {}
         #: Incarnations whose entry has gone: their last registration and when.
-        self.gone_by_id: dict[str, tuple[Registration, float]] = {}
+        self.removed_by_id: dict[str, tuple[Registration, float]] = {}
 
     def load_snapshot(self, snapshot: RecordBatch) -> None:
         """Take the newest entries; those that are not among them are gone.
@@ -79,8 +79,8 @@
     def find(self, incarnation: str) -> Registration | None:
         """Return the last good registration that was seen of an incarnation."""
         registration = self.registration_by_id.get(incarnation)
-        if registration is None and incarnation in self.gone_by_id:
-            registration, _ = self.gone_by_id[incarnation]
+        if registration is None and incarnation in self.removed_by_id:
+            registration, _ = self.removed_by_id[incarnation]
         return registration
 
     def _read(self, batch: RecordBatch, *, tell_each: bool) -> None:
@@ -146,7 +146,7 @@
             )
         self._incarnation_by_runner[runner] = incarnation
         self.registration_by_id[incarnation] = registration
-        self.gone_by_id.pop(incarnation, None)
+        self.removed_by_id.pop(incarnation, None)
 
     def _log_restart(self, known: Registration, registration: Registration) -> None:
         self._journal.tell(
@@ -174,5 +174,5 @@
         incarnation = self._incarnation_by_runner.pop(runner, '')
         registration = self.registration_by_id.pop(incarnation, None)
         if registration is not None:
-            self.gone_by_id[incarnation] = (registration, self._clock.monotonic())
+            self.removed_by_id[incarnation] = (registration, self._clock.monotonic())
         return incarnation
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -312,7 +312,7 @@
             term = await self._election.wait_for_term(self._may_own)
             self._dispatcher = Dispatcher(parts, term)
             # What a host that does not own knows of the runners may be old.
-            await self._reads.runners_follower.hurry()
+            await self._reads.runners_follower.read_now()
             try:
                 await self._dispatcher.run()
             finally:
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -69,7 +69,7 @@
             codec,
             clock,
             journal,
-            self.configuration.names_service,
+            self.configuration.has_service,
             self._watch_unreadable('runners', Part.WORKERS),
         )
         self.jobs = CellProjection(clock, journal, self._watch_unreadable('cell', Part.LOG))
@@ -89,12 +89,12 @@
     @property
     def complete(self) -> bool:
         """Return whether all that is wanted has been read, and the store answers."""
-        return all(one.resting or (one.complete and one.reached) for one in self.followers)
+        return all(one.suspended or (one.complete and one.reached) for one in self.followers)
 
     @property
     def started(self) -> bool:
         """Return whether a first snapshot of all that is wanted has been read."""
-        return all(one.started or one.resting for one in self.followers)
+        return all(one.started or one.suspended for one in self.followers)
 
     def _follow(self, name: str, topic: str, folder: Projection, wait: float) -> Follower:
         return Follower(
--- a/features/cancelling_parts.py
+++ b/features/cancelling_parts.py
@@ -115,7 +115,7 @@
     def remove_entry(self):
         """Let the runner's entry expire, while the runner lives on."""
         self.runners.registration_by_id.clear()
-        self.runners.gone_by_id['w1'] = (self.registration, self.clock.monotonic())
+        self.runners.removed_by_id['w1'] = (self.registration, self.clock.monotonic())
 
     async def begin(self):
         """Read the store, take over and dispatch in the background."""
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -228,7 +228,7 @@
             codec,
             self.clock,
             journal,
-            self.configuration.names_service,
+            self.configuration.has_service,
             self.watch('runners', Part.WORKERS, journal),
         )
         self.jobs = CellProjection(self.clock, journal, self.watch('cell', Part.LOG, journal))
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -257,7 +257,7 @@
 
 @then('{incarnation} is known as gone, where it was')
 def known_gone(context, incarnation):
-    assert incarnation in context.folder.gone_by_id
+    assert incarnation in context.folder.removed_by_id
     assert context.folder.find(incarnation).address == '10.0.0.1'
 
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -137,7 +137,7 @@
         await curio.spawn(context.follower.run, daemon=True)
         await curio.sleep(0)
         context.wanted = True
-        await context.follower.hurry()
+        await context.follower.read_now()
         await context.follower.wait_fresh(SystemClock().monotonic(), LONG)
 
     curio.run(follow)
