--- a/dandelionreel/cell/clients/_front.py
+++ b/dandelionreel/cell/clients/_front.py
@@ -195,7 +195,7 @@
             self._log(request, job_id, 'its id is taken by another account')
             return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
         booked = self._jobs.state.find(job_id)
-        if booked is not None and not booked.may_be_stored_again:
+        if booked is not None and not booked.may_be_resubmitted:
             self._log(request, job_id, 'accepted before')
             return self._codec.answer_accepted()
         if len(request.body) > configuration.body_bytes:
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -263,8 +263,8 @@
             return Vacancy.VACANT
         heard_at = self._folder.owner_heard_at
         silent = max(SILENT_SECONDS, GAP_FACTOR * self._folder.average_heartbeat_gap)
-        if heard_at < self._follower.reached_since:
-            heard_at, silent = self._follower.reached_since, RETURN_SECONDS
+        if heard_at < self._follower.reachable_since:
+            heard_at, silent = self._follower.reachable_since, RETURN_SECONDS
         if now - heard_at < silent or now < self._alive_until:
             return Vacancy.HELD
         return Vacancy.SILENT
@@ -282,7 +282,7 @@
         owner = self._folder.state.owner
         member = self._folder.state.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
-        silent = now - max(self._folder.owner_heard_at, self._follower.reached_since)
+        silent = now - max(self._folder.owner_heard_at, self._follower.reachable_since)
         if owner is None or member is None or silent > LONGEST_EXCUSE:
             return False
         try:
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -81,7 +81,7 @@
         return '' if self.progress is None else self.progress.account
 
     @property
-    def may_be_stored_again(self) -> bool:
+    def may_be_resubmitted(self) -> bool:
         """Return whether its client's retry may store the job anew, so that it can be read.
 
         Not where progress is stored: a job that began anew would run tasks twice.
@@ -120,7 +120,7 @@
         self.progress_by_id: dict[str, Progress] = {}
         self.member_by_host: dict[str, Member] = {}
         self.owner: Owner | None = None
-        self.attended: Attended | None = None
+        self.runners_in_use: Attended | None = None
         self.changed: set[str] = set()
         #: Keys whose newest record cannot be read.
         self.unreadable_keys: set[str] = set()
@@ -165,8 +165,8 @@
         Where their list cannot be read, the jobs name them: a runner is stored with a
         job before the job's first start there.
         """
-        if self.attended is not None:
-            return set(self.attended.runners)
+        if self.runners_in_use is not None:
+            return set(self.runners_in_use.runners)
         if ATTENDED_KEY not in self.unreadable_keys:
             return set()
         runners = {UNKNOWN_RUNNER}
@@ -214,7 +214,7 @@
         if OWNER_KEY in self.unreadable_keys:
             self.owner = former.owner or self._unknown_owner()
         if ATTENDED_KEY in self.unreadable_keys:
-            self.attended = former.attended
+            self.runners_in_use = former.runners_in_use
         for key in self.unreadable_keys:
             name = key[len(SUBMISSION) :]
             known, earlier = self._facts_of(key), former._facts_of(key)
@@ -233,8 +233,8 @@
         A claim of a lower epoch than it had would be refused, one after the other.
         """
         epochs = [progress.epoch for progress in self.progress_by_id.values()]
-        if self.attended is not None:
-            epochs.append(self.attended.epoch)
+        if self.runners_in_use is not None:
+            epochs.append(self.runners_in_use.epoch)
         return msgspec.structs.replace(UNKNOWN_OWNER, epoch=max(epochs, default=0))
 
     def _fold_or_refuse(self, record: KeyedRecord) -> UnreadableError | None:
@@ -265,7 +265,7 @@
             return
         if record.key == ATTENDED_KEY:
             if content is not None:
-                self.attended = decode_json(_ATTENDED, content)
+                self.runners_in_use = decode_json(_ATTENDED, content)
             return
         prefix, name = record.key[: len(SUBMISSION)], record.key[len(SUBMISSION) :]
         if prefix == SUBMISSION:
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -100,7 +100,7 @@
         #: Everything that was in the topic at this time has been folded.
         self.fresh_at = NEVER
         #: Since when reads have been answered without a failure.
-        self.reached_since = NEVER
+        self.reachable_since = NEVER
         self.lost_at = NEVER
         #: When the store last answered a read.
         self.answered_at = NEVER
@@ -114,7 +114,7 @@
     @property
     def reached(self) -> bool:
         """Return whether the latest read was answered."""
-        return self.reached_since != NEVER
+        return self.reachable_since != NEVER
 
     @property
     def complete(self) -> bool:
@@ -184,7 +184,7 @@
     def _forget(self) -> None:
         self._offset = None
         self.fresh_at = NEVER
-        self.reached_since = NEVER
+        self.reachable_since = NEVER
 
     async def _rest(self, seconds: float) -> None:
         await curio.ignore_after(seconds, self._hurried.wait)
@@ -206,12 +206,12 @@
 
     def _note_answer(self) -> None:
         self.answered_at = self._clock.monotonic()
-        if self.reached_since == NEVER:
-            self.reached_since = self._clock.monotonic()
+        if self.reachable_since == NEVER:
+            self.reachable_since = self._clock.monotonic()
             self._journal.tell(Part.LOG, f'reaches the store: {self._name}.')
 
     def _note_loss(self, error: StoreError) -> None:
         self.lost_at = self._clock.monotonic()
-        if self.reached_since != NEVER:
+        if self.reachable_since != NEVER:
             self._journal.tell(Part.LOG, f'has lost the store: {self._name}: {error}.')
-        self.reached_since = NEVER
+        self.reachable_since = NEVER
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -188,7 +188,7 @@
             ServerLimits(connections=settings.connections),
             # A client that keeps its connection would go on asking a host in vain that
             # the balancer sends nobody to.
-            self._readiness.is_hindered,
+            self._readiness.is_unready,
         )
 
     async def run(self) -> int:
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -43,7 +43,7 @@
         """Ask for no clients any more: the host is stopping."""
         self._stopping = True
 
-    def is_hindered(self) -> bool:
+    def is_unready(self) -> bool:
         """Return whether clients should go elsewhere just now."""
         return bool(find_hindrance(self._condition()))
 
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -76,7 +76,7 @@
         host.folder.fold(RecordBatch((claim,), 2, 2))
     clock.advance(seconds)
     host.follower.fresh_at = clock.monotonic()
-    host.follower.reached_since = clock.monotonic() - 5
+    host.follower.reachable_since = clock.monotonic() - 5
 
 
 @when('a request to be passed on to the owner is not answered')
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -146,7 +146,7 @@
 def handed_in_again(context):
     booked = context.host.folder.state.find(JOB)
     # A host that took the job for accepted would not store it again.
-    assert booked.may_be_stored_again
+    assert booked.may_be_resubmitted
     append(context, make_record(f'j/{JOB}', SUBMISSION))
 
 
@@ -211,7 +211,7 @@
     curio.run(late.follower._step)
     curio.run(late.follower._step)
     late.follower.fresh_at = late.clock.now
-    late.follower.reached_since = late.clock.now
+    late.follower.reachable_since = late.clock.now
     assert late.election._vacancy() is Vacancy.HELD
     late.clock.advance(SILENT_SECONDS + 0.1)
     late.follower.fresh_at = late.clock.now
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -108,6 +108,6 @@
 @then('tasks are placed on the new runner only if the store names it')
 def named_or_unused(context):
     assert context.dispatcher._owner_context.may_act()
-    named = context.book.attended.runners if context.book.attended else ()
+    named = context.book.runners_in_use.runners if context.book.runners_in_use else ()
     state = context.dispatcher.cell.runner_by_id['w1']
     assert 'w1' in named or not state.recorded, f'the store names {named}'
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -52,7 +52,7 @@
 def waiting_successor(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.host.folder.state.attended = Attended(1, ('w9',))
+    context.host.folder.state.runners_in_use = Attended(1, ('w9',))
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
@@ -75,8 +75,8 @@
 
 @then('w9 is among them')
 def w9_attended(context):
-    assert context.book.attended is not None, 'no runners were stored'
-    assert 'w9' in context.book.attended.runners, context.book.attended
+    assert context.book.runners_in_use is not None, 'no runners were stored'
+    assert 'w9' in context.book.runners_in_use.runners, context.book.runners_in_use
 
 
 class WatchedTopic(MemoryTopic):
