--- a/dandelionreel/accounts/_amounts.py
+++ b/dandelionreel/accounts/_amounts.py
@@ -12,10 +12,10 @@
     def __sub__(self, other: Self) -> Self:
         """Return the difference by resource."""
 
-    def fits(self, room: Self) -> bool:
+    def fits(self, limit: Self) -> bool:
         """Return whether this is within ``room`` in every resource."""
 
-    def dominant_share(self, whole: Self) -> float:
+    def dominant_share(self, total: Self) -> float:
         """Return the largest fraction of ``whole`` over the resources."""
 
 
--- a/dandelionreel/accounts/_credentials.py
+++ b/dandelionreel/accounts/_credentials.py
@@ -6,7 +6,7 @@
 
 AUTHORIZATION = 'authorization'
 #: After RFC 6750: the scheme in any case, spaces, and a key without spaces in it.
-BEARER = re.compile('(?i:bearer) +([!-~]{1,1024})')
+BEARER_PATTERN = re.compile('(?i:bearer) +([!-~]{1,1024})')
 
 
 def digest_key(key: str) -> bytes:
@@ -22,8 +22,8 @@
 
     ``None`` stands for no key, more than one, another scheme and malformed ones alike.
     """
-    found = [text for name, text in headers if name == AUTHORIZATION]
-    if len(found) != 1:
+    headers_found = [text for name, text in headers if name == AUTHORIZATION]
+    if len(headers_found) != 1:
         return None
-    matched = BEARER.fullmatch(found[0])
-    return None if matched is None else digest_key(matched.group(1))
+    match = BEARER_PATTERN.fullmatch(headers_found[0])
+    return None if match is None else digest_key(match.group(1))
--- a/dandelionreel/accounts/_directory.py
+++ b/dandelionreel/accounts/_directory.py
@@ -17,7 +17,7 @@
     def __init__(
         self,
         accounts: Iterable[Account[AmountsT]],
-        former: 'AccountDirectory[AmountsT] | None' = None,
+        previous: 'AccountDirectory[AmountsT] | None' = None,
     ) -> None:
         """Index accounts; those that are the same objects as in ``former`` cost nothing."""
         self.account_by_name: dict[str, Account[AmountsT]] = {}
@@ -29,9 +29,9 @@
                 continue
             self.account_by_name[account.name] = account
         #: Whether some key is that of two accounts, which needs all of them in order.
-        self._shares_keys = False
+        self._has_shared_keys = False
         self._account_by_digest: dict[bytes, Account[AmountsT]] = {}
-        if former is None or former._shares_keys or not self._update_index(former):
+        if previous is None or previous._has_shared_keys or not self._update_index(previous):
             self._build_index()
 
     def find(self, key_digest: bytes) -> Account[AmountsT] | None:
@@ -44,21 +44,21 @@
             for digest in account.key_digests:
                 first = index.setdefault(digest, account)
                 if first is not account:
-                    self._shares_keys = True
+                    self._has_shared_keys = True
                     self.problems.append(
                         f'a key of account {account.name!r} is one of {first.name!r}, who keeps it'
                     )
         self._account_by_digest = index
 
-    def _update_index(self, former: 'AccountDirectory[AmountsT]') -> bool:
+    def _update_index(self, previous: 'AccountDirectory[AmountsT]') -> bool:
         """Take over the former index with what has changed; return whether no key is shared."""
-        index = former._account_by_digest.copy()
-        for name, account in former.account_by_name.items():
+        index = previous._account_by_digest.copy()
+        for name, account in previous.account_by_name.items():
             if self.account_by_name.get(name) is not account:
                 for digest in account.key_digests:
                     index.pop(digest)
         for name, account in self.account_by_name.items():
-            if former.account_by_name.get(name) is account:
+            if previous.account_by_name.get(name) is account:
                 continue
             for digest in account.key_digests:
                 if index.setdefault(digest, account) is not account:
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -40,7 +40,7 @@
 _CANCELLATION = msgspec.json.Decoder(Cancellation)
 _PROGRESS = msgspec.json.Decoder(Progress)
 _OWNER = msgspec.json.Decoder(Owner)
-_ATTENDED = msgspec.json.Decoder(Attended)
+_RUNNERS_IN_USE = msgspec.json.Decoder(Attended)
 _MEMBER = msgspec.json.Decoder(Member)
 
 #: Stands for an owner of which nothing can be read: it may be at work, and have
@@ -86,8 +86,8 @@
 
         Not where progress is stored: a job that began anew would run tasks twice.
         """
-        untouched = self.progress is None and not self.progress_unreadable
-        return self.submission_unreadable and untouched and not self.cancelled
+        never_started = self.progress is None and not self.progress_unreadable
+        return self.submission_unreadable and never_started and not self.cancelled
 
     @property
     def state(self) -> JobState:
@@ -135,7 +135,7 @@
         """Return what is known of a job, ``None`` when it is not known."""
         submission = self.submission_by_id.get(job)
         progress = self.progress_by_id.get(job)
-        booked = StoredJob(
+        stored = StoredJob(
             job,
             submission,
             job in self.cancellation_by_id,
@@ -143,20 +143,20 @@
             submission is None and SUBMISSION + job in self.unreadable_keys,
             progress is None and PROGRESS + job in self.unreadable_keys,
         )
-        if submission is not None or booked.unreadable:
-            return booked
-        return booked if progress is not None and progress.state in FINAL_STATES else None
+        if submission is not None or stored.unreadable:
+            return stored
+        return stored if progress is not None and progress.state in FINAL_STATES else None
 
     def accepted_at(self, job: str) -> float:
         """Return when a job that stands in the store was accepted, in wall-clock seconds."""
         return self.submission_by_id[job].accepted_at
 
-    def jobs_ended_before(self, wall: float) -> list[str]:
+    def jobs_ended_before(self, wall_time: float) -> list[str]:
         """Return the jobs that ended before then, in seconds since the epoch."""
         return [
             job
             for job, progress in self.progress_by_id.items()
-            if progress.state in FINAL_STATES and progress.ended_at < wall
+            if progress.state in FINAL_STATES and progress.ended_at < wall_time
         ]
 
     def earlier_runners(self) -> set[str]:
@@ -208,24 +208,24 @@
         unreadable would be forgotten, and an owner's silence begin anew.
         """
         # Clearing makes new collections, so the copy keeps the former ones.
-        former = copy.copy(self)
+        previous = copy.copy(self)
         self.clear()
         errors = self.fold(records)
         if OWNER_KEY in self.unreadable_keys:
-            self.owner = former.owner or self._unknown_owner()
+            self.owner = previous.owner or self._unknown_owner()
         if ATTENDED_KEY in self.unreadable_keys:
-            self.runners_in_use = former.runners_in_use
+            self.runners_in_use = previous.runners_in_use
         for key in self.unreadable_keys:
             name = key[len(SUBMISSION) :]
-            known, earlier = self._facts_of(key), former._facts_of(key)
-            fact = earlier.get(name)
-            if fact is not None:
-                known[name] = fact
+            current, before = self._values_by_name(key), previous._values_by_name(key)
+            last_known = before.get(name)
+            if last_known is not None:
+                current[name] = last_known
         return errors
 
     def fold(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
         """Take records in log order; return for each one why it cannot be read."""
-        return [self._fold_or_refuse(record) for record in records]
+        return [self._fold_or_mark_unreadable(record) for record in records]
 
     def _unknown_owner(self) -> Owner:
         """Return what is known of an owner from what it has stored.
@@ -237,16 +237,16 @@
             epochs.append(self.runners_in_use.epoch)
         return msgspec.structs.replace(UNKNOWN_OWNER, epoch=max(epochs, default=0))
 
-    def _fold_or_refuse(self, record: KeyedRecord) -> UnreadableError | None:
+    def _fold_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
         try:
             self._fold_one(record)
         except UnreadableError as error:
-            self._refuse(record.key)
+            self._mark_unreadable(record.key)
             return error
         self.unreadable_keys.discard(record.key)
         return None
 
-    def _refuse(self, key: str) -> None:
+    def _mark_unreadable(self, key: str) -> None:
         if not key:
             return
         self.unreadable_keys.add(key)
@@ -265,18 +265,18 @@
             return
         if record.key == ATTENDED_KEY:
             if content is not None:
-                self.runners_in_use = decode_json(_ATTENDED, content)
+                self.runners_in_use = decode_json(_RUNNERS_IN_USE, content)
             return
         prefix, name = record.key[: len(SUBMISSION)], record.key[len(SUBMISSION) :]
         if prefix == SUBMISSION:
             self._fold_submission(name, content)
         elif prefix == CANCELLATION:
-            _keep(self.cancellation_by_id, name, content, _CANCELLATION)
+            _set_or_remove(self.cancellation_by_id, name, content, _CANCELLATION)
             self.changed.add(name)
         elif prefix == PROGRESS:
             self._fold_progress(name, content)
         elif prefix == MEMBER:
-            _keep(self.member_by_host, name, content, _MEMBER)
+            _set_or_remove(self.member_by_host, name, content, _MEMBER)
 
     def _fold_owner(self, content: bytes | None) -> None:
         if content is None:
@@ -290,11 +290,11 @@
             self.submission_by_id.pop(job, None)
         else:
             submission = _decode_submission(job, content)
-            self._drop_misfit(job, submission)
+            self._drop_inconsistent_progress(job, submission)
             self.submission_by_id[job] = submission
         self.changed.add(job)
 
-    def _drop_misfit(self, job: str, submission: Submission) -> None:
+    def _drop_inconsistent_progress(self, job: str, submission: Submission) -> None:
         """Take progress that was read before its job for unreadable if it does not fit."""
         progress = self.progress_by_id.get(job)
         if progress is None:
@@ -317,7 +317,7 @@
             self.progress_by_id[job] = progress
         self.changed.add(job)
 
-    def _facts_of(self, key: str) -> dict:
+    def _values_by_name(self, key: str) -> dict:
         """Return the collection that a key's fact is kept in."""
         by_prefix: dict[str, dict] = {
             SUBMISSION: self.submission_by_id,
@@ -337,13 +337,13 @@
     return submission
 
 
-def _keep(
-    known: dict,
+def _set_or_remove(
+    current: dict,
     name: str,
     content: bytes | None,
     decoder: msgspec.json.Decoder,
 ) -> None:
     if content is None:
-        known.pop(name, None)
+        current.pop(name, None)
         return
-    known[name] = decode_json(decoder, content)
+    current[name] = decode_json(decoder, content)
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -11,12 +11,12 @@
 #: Seconds between tries while the store is out of reach.
 RETRY_SECONDS = 0.15
 #: Seconds between looks whether a topic that is left alone is wanted again.
-REST_SECONDS = 0.5
+SUSPENDED_CHECK_SECONDS = 0.5
 #: Bytes of one read at first, and the fewest and most. A record may have as many as the
 #: fewest: asked for less, a store might never send it.
-FIRST_READ = 524_288
-FEWEST_READ = 262_144
-MOST_READ = 1_048_576
+INITIAL_READ_BYTES = 524_288
+MIN_READ_BYTES = 262_144
+MAX_READ_BYTES = 1_048_576
 NEVER = float('-inf')
 
 
@@ -46,20 +46,20 @@
 
     def __init__(self) -> None:
         """Start with what takes a second on such a link."""
-        self.bytes = FIRST_READ
-        self._most = MOST_READ
+        self.bytes = INITIAL_READ_BYTES
+        self._max_bytes = MAX_READ_BYTES
 
     def note_failure(self) -> None:
         """Ask for less."""
-        self.bytes = max(FEWEST_READ, self.bytes // 2)
-        self._most = self.bytes
+        self.bytes = max(MIN_READ_BYTES, self.bytes // 2)
+        self._max_bytes = self.bytes
 
     def note_answer(self, *, reached_end: bool) -> None:
         """Ask for more where there is more."""
         if reached_end:
-            self._most = MOST_READ
+            self._max_bytes = MAX_READ_BYTES
             return
-        self.bytes = min(self._most, 2 * self.bytes)
+        self.bytes = min(self._max_bytes, 2 * self.bytes)
 
 
 class Follower:
@@ -69,12 +69,12 @@
         self,
         name: str,
         topic: Topic,
-        folder: Projection,
+        projection: Projection,
         clock: Clock,
         journal: Journal,
         wait: float,
         pause: Callable[[], float],
-        wanted: Callable[[], bool] = _always,
+        is_wanted: Callable[[], bool] = _always,
     ) -> None:
         """Wait up to ``wait`` seconds for news, and ``pause()`` between reads.
 
@@ -84,17 +84,17 @@
         """
         self._name = name
         self._topic = topic
-        self._folder = folder
+        self._projection = projection
         self._clock = clock
         self._journal = journal
         self._wait = wait
         self._pause = pause
-        self._wanted = wanted
+        self._is_wanted = is_wanted
         #: Whether the topic is left alone because it is not wanted.
         self.suspended = False
-        self._hurried = curio.Event()
+        self._read_requested = curio.Event()
         self._offset: int | None = None
-        self._size = ReadSize()
+        self._read_size = ReadSize()
         #: Offset behind the first snapshot of this process's life.
         self.read_from = 0
         #: Everything that was in the topic at this time has been folded.
@@ -132,28 +132,28 @@
 
     async def read_now(self) -> None:
         """Read now instead of after the pause."""
-        await self._hurried.set()
+        await self._read_requested.set()
 
-    async def wait_fresh(self, since: float, patience: float) -> bool:
+    async def wait_fresh(self, since: float, timeout: float) -> bool:
         """Wait until all that was in the topic at ``since`` has been folded."""
-        until = self._clock.monotonic() + patience
+        deadline = self._clock.monotonic() + timeout
         if self.fresh_at < since:
             await self.read_now()
         while self.fresh_at < since:
-            seen = self.changed.count
-            left = until - self._clock.monotonic()
-            if left <= 0:
+            seen_count = self.changed.count
+            remaining = deadline - self._clock.monotonic()
+            if remaining <= 0:
                 return False
-            await self.changed.wait(seen, left)
+            await self.changed.wait(seen_count, remaining)
         return True
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            self.suspended = not self._wanted()
+            self.suspended = not self._is_wanted()
             if self.suspended:
-                self._forget()
-                await self._rest(REST_SECONDS)
+                self._reset()
+                await self._wait_for_request(SUSPENDED_CHECK_SECONDS)
                 continue
             try:
                 await self._follow_once()
@@ -165,42 +165,42 @@
                 # would count as unknown (clients were answered 410).
                 self.fresh_at = NEVER
             except StoreError as error:
-                self._size.note_failure()
-                self._note_loss(error)
+                self._read_size.note_failure()
+                self._note_failure(error)
                 await curio.sleep(RETRY_SECONDS)
 
     async def _follow_once(self) -> None:
         sent_at = self._clock.monotonic()
-        before = self._offset
+        offset_before = self._offset
         reached = await self._step()
         self._note_answer()
         if reached:
             self.fresh_at = sent_at
         await self.changed.notify()
         # An answer without records would else be asked for again at once, for ever.
-        if reached or self._offset == before:
-            await self._rest(self._pause())
+        if reached or self._offset == offset_before:
+            await self._wait_for_request(self._pause())
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._offset = None
         self.fresh_at = NEVER
         self.reachable_since = NEVER
 
-    async def _rest(self, seconds: float) -> None:
-        await curio.ignore_after(seconds, self._hurried.wait)
-        self._hurried.clear()
+    async def _wait_for_request(self, seconds: float) -> None:
+        await curio.ignore_after(seconds, self._read_requested.wait)
+        self._read_requested.clear()
 
     async def _step(self) -> bool:
         """Read once; return whether the end of the topic was reached."""
         if self._offset is None:
             snapshot = await self._topic.snapshot()
-            self._folder.load_snapshot(snapshot)
+            self._projection.load_snapshot(snapshot)
             self._offset = snapshot.next_offset
             self.read_from = self.read_from or snapshot.next_offset
             return False
-        batch = await self._topic.read(self._offset, self._wait, self._size.bytes)
-        self._size.note_answer(reached_end=batch.reached_end)
-        self._folder.fold(batch)
+        batch = await self._topic.read(self._offset, self._wait, self._read_size.bytes)
+        self._read_size.note_answer(reached_end=batch.reached_end)
+        self._projection.fold(batch)
         self._offset = batch.next_offset
         return batch.reached_end
 
@@ -210,7 +210,7 @@
             self.reachable_since = self._clock.monotonic()
             self._journal.tell(Part.LOG, f'reaches the store: {self._name}.')
 
-    def _note_loss(self, error: StoreError) -> None:
+    def _note_failure(self, error: StoreError) -> None:
         self.lost_at = self._clock.monotonic()
         if self.reachable_since != NEVER:
             self._journal.tell(Part.LOG, f'has lost the store: {self._name}: {error}.')
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -16,10 +16,10 @@
 NEVER = float('-inf')
 #: Weight of the newest gap between heartbeats in the usual one, and the longest
 #: gap in seconds that counts: a change of owner is no usual gap.
-GAP_WEIGHT = 0.3
-LONGEST_GAP = 1.0
+NEWEST_GAP_WEIGHT = 0.3
+MAX_GAP_SECONDS = 1.0
 #: Lines on what is wrong in one configuration.
-MOST_PROBLEMS = 20
+MAX_LOGGED_PROBLEMS = 20
 
 
 class ConfigurationProjection(Projection):
@@ -53,7 +53,7 @@
         # All are decoded: the last one may be unreadable, or of another writer and older.
         for record in batch.records:
             if record.key == self._codec.configuration_key and not record.dropped:
-                self._apply(record)
+                self._apply_record(record)
             elif not record.key and record.error is not None:
                 self._unreadable.refuse('', record.error, 'it is passed over')
 
@@ -65,13 +65,13 @@
     def adopt(self, content: bytes, peer: str) -> bool:
         """Take a configuration that a peer has read; return whether it is newer."""
         record = KeyedRecord(self._codec.configuration_key, content)
-        return self._apply(record, peer)
+        return self._apply_record(record, peer)
 
     def has_service(self, service: str) -> bool:
         """Return whether a configuration names the service; any one before the first."""
         return self.current is None or service in self._services
 
-    def _apply(self, record: KeyedRecord, peer: str = '') -> bool:
+    def _apply_record(self, record: KeyedRecord, peer: str = '') -> bool:
         try:
             decoded = self._decode(record)
         except UnreadableError as error:
@@ -97,7 +97,7 @@
         return True
 
     def _log_problems(self, version: int, problems: list[str]) -> None:
-        for problem in problems[:MOST_PROBLEMS]:
+        for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self._journal.tell(
                 Part.CONTRACTS,
                 f'cannot use all of the configuration: {problem}.',
@@ -135,9 +135,9 @@
         An owner of which nothing else is known counts as heard of just now: it may have written
         right before the snapshot was read, and its leases last from then.
         """
-        known = self.state.owner
-        self._note_errors(snapshot.records, self.state.load_snapshot(snapshot.records))
-        if self.state.owner != known:
+        previous_owner = self.state.owner
+        self._report_errors(snapshot.records, self.state.load_snapshot(snapshot.records))
+        if self.state.owner != previous_owner:
             self.owner_heard_at = self._clock.monotonic()
 
     def fold(self, batch: RecordBatch) -> None:
@@ -147,21 +147,21 @@
         could keep a dead owner in office. It is no sign of silence either, so an owner
         of which nothing else is known counts as heard of just now.
         """
-        known = self.state.owner
+        previous_owner = self.state.owner
         errors = self.state.fold(batch.records)
-        self._note_errors(batch.records, errors)
+        self._report_errors(batch.records, errors)
         now = self._clock.monotonic()
         if any(
             record.key == OWNER_KEY and error is None
             for record, error in zip(batch.records, errors, strict=True)
         ):
-            gap = min(LONGEST_GAP, now - self.owner_heard_at)
-            self.average_heartbeat_gap += GAP_WEIGHT * (gap - self.average_heartbeat_gap)
+            gap = min(MAX_GAP_SECONDS, now - self.owner_heard_at)
+            self.average_heartbeat_gap += NEWEST_GAP_WEIGHT * (gap - self.average_heartbeat_gap)
             self.owner_heard_at = now
-        elif self.state.owner is not known:
+        elif self.state.owner is not previous_owner:
             self.owner_heard_at = now
 
-    def _note_errors(
+    def _report_errors(
         self,
         records: tuple[KeyedRecord, ...],
         errors: list[UnreadableError | None],
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -22,7 +22,7 @@
 from dandelionreel.kernel import Clock, Journal, Part
 
 
-def _names_any(service: str) -> bool:
+def _accept_any_service(service: str) -> bool:
     return True
 
 
@@ -34,14 +34,14 @@
         codec: RecordCodec,
         clock: Clock,
         journal: Journal,
-        has_service: Callable[[str], bool] = _names_any,
+        has_service: Callable[[str], bool] = _accept_any_service,
         unreadable: UnreadableLog | None = None,
     ) -> None:
         """Start with no runners; use those of services that ``names_service`` knows."""
         self._codec = codec
         self._clock = clock
         self._journal = journal
-        self._names_service = has_service
+        self._has_service = has_service
         self._unreadable = unreadable or UnreadableLog('runners', Part.WORKERS, clock, journal)
         #: The last good registration of each incarnation whose entry is there; it is not
         #: usable while the newest entry is not.
@@ -62,19 +62,19 @@
         for runner in tuple(self._incarnation_by_runner):
             if runner not in present:
                 self._remove(runner)
-        self._read(snapshot, tell_each=not first)
+        self._fold_records(snapshot, log_each=not first)
         if first:
-            known = self.registration_by_id.values()
+            registrations = self.registration_by_id.values()
             self._journal.tell(
                 Part.WORKERS,
                 'has read the list of runners.',
-                runners=len(known),
-                draining=sum(registration.draining for registration in known),
+                runners=len(registrations),
+                draining=sum(registration.draining for registration in registrations),
             )
 
     def fold(self, batch: RecordBatch) -> None:
         """Take the records that follow."""
-        self._read(batch, tell_each=True)
+        self._fold_records(batch, log_each=True)
 
     def find(self, incarnation: str) -> Registration | None:
         """Return the last good registration that was seen of an incarnation."""
@@ -83,7 +83,7 @@
             registration, _ = self.removed_by_id[incarnation]
         return registration
 
-    def _read(self, batch: RecordBatch, *, tell_each: bool) -> None:
+    def _fold_records(self, batch: RecordBatch, *, log_each: bool) -> None:
         for record in batch.records:
             if record.dropped:
                 self._remove(record.key)
@@ -91,16 +91,16 @@
             try:
                 registration = self._decode(record)
             except UnreadableError as error:
-                self._refuse(record.key, error)
+                self._mark_unusable(record.key, error)
                 continue
-            self._take(record.key, registration, tell=tell_each)
+            self._register(record.key, registration, log=log_each)
 
     def _decode(self, record: KeyedRecord) -> Registration:
         """Return what an entry says if it can be relied upon."""
         if record.error is not None:
             raise record.error
         registration = self._codec.decode_registration(record.key, record.content or b'')
-        if not self._names_service(registration.service):
+        if not self._has_service(registration.service):
             message = f'no configuration names the service {registration.service!r}'
             raise UnreadableError(Reason.UNNAMED, message)
         self._check_unchanged(record.key, registration)
@@ -112,32 +112,32 @@
         An incarnation has one address and one service. Of two entries that differ one is
         wrong, and orders go where the first one said.
         """
-        known = self._find_newest(runner)
-        if known is None:
+        previous = self._find_newest(runner)
+        if previous is None:
             return
-        if known.incarnation is not None and registration.incarnation is None:
+        if previous.incarnation is not None and registration.incarnation is None:
             raise UnreadableError(Reason.FIELDS, 'it does not tell its incarnation')
-        if known.runner != registration.runner or not self._names_service(known.service):
+        if previous.runner != registration.runner or not self._has_service(previous.service):
             return
-        before = (known.service, known.address, known.port)
+        before = (previous.service, previous.address, previous.port)
         if before != (registration.service, registration.address, registration.port):
-            message = f'it was of {known.service!r} at {known.address}:{known.port}'
+            message = f'it was of {previous.service!r} at {previous.address}:{previous.port}'
             raise UnreadableError(Reason.CHANGED, message)
 
-    def _refuse(self, runner: str, error: UnreadableError) -> None:
+    def _mark_unusable(self, runner: str, error: UnreadableError) -> None:
         self._unreadable.refuse(runner, error, 'nothing new is started there')
-        known = self._find_newest(runner)
-        if known is not None and known.usable:
-            self.registration_by_id[known.runner] = replace(known, usable=False)
+        previous = self._find_newest(runner)
+        if previous is not None and previous.usable:
+            self.registration_by_id[previous.runner] = replace(previous, usable=False)
 
-    def _take(self, runner: str, registration: Registration, *, tell: bool) -> None:
+    def _register(self, runner: str, registration: Registration, *, log: bool) -> None:
         incarnation = registration.runner
         self._unreadable.accept(runner)
-        known = self._find_newest(runner)
-        if known is not None and known.runner != incarnation:
+        previous = self._find_newest(runner)
+        if previous is not None and previous.runner != incarnation:
             self._retire(runner)
-            self._log_restart(known, registration)
-        elif tell and (known is None or known.draining != registration.draining):
+            self._log_restart(previous, registration)
+        elif log and (previous is None or previous.draining != registration.draining):
             self._journal.tell(
                 Part.WORKERS,
                 f'{incarnation} is {"draining" if registration.draining else "ready"}.',
@@ -148,12 +148,12 @@
         self.registration_by_id[incarnation] = registration
         self.removed_by_id.pop(incarnation, None)
 
-    def _log_restart(self, known: Registration, registration: Registration) -> None:
+    def _log_restart(self, previous: Registration, registration: Registration) -> None:
         self._journal.tell(
             Part.WORKERS,
-            f'{registration.runner} has taken the place of {known.runner}.',
+            f'{registration.runner} has taken the place of {previous.runner}.',
             runner=registration.runner,
-            former=known.runner,
+            former=previous.runner,
             draining=registration.draining,
         )
 
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -22,31 +22,31 @@
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 
 #: Records of one append: keeps a backlog's append within a few milliseconds.
-RECORDS_PER_APPEND = 200
+MAX_APPEND_RECORDS = 200
 #: Bytes of one append, well below what the store takes at once.
-BYTES_PER_APPEND = 1_000_000
+MAX_APPEND_BYTES = 1_000_000
 #: Bounds in seconds for an append's answer. The wait follows what was measured and doubles with
 #: each miss, so that a slow store is not taken for a silent one.
-SHORTEST_TIMEOUT = 0.3
-LONGEST_TIMEOUT = 0.9
+MIN_TIMEOUT_SECONDS = 0.3
+MAX_TIMEOUT_SECONDS = 0.9
 #: Seconds that a plain writer waits for every answer: an append that is sent again while the first
 #: one is queued at the store makes the queue longer.
-PLAIN_TIMEOUT = 0.9
+UNFENCED_TIMEOUT_SECONDS = 0.9
 #: The wait is this many times the typical answer, and doubles after each miss.
 TIMEOUT_FACTOR = 8.0
 #: Weight of the newest answer in the typical one.
-NEWEST_WEIGHT = 0.2
+NEWEST_LATENCY_WEIGHT = 0.2
 #: Seconds of refusals or resets, and of silence, after which the store counts as out of
 #: reach. Silence is also what a slow store looks like at first.
 REFUSING_SECONDS = 0.2
 SILENT_SECONDS = 1.0
 #: Seconds for which a failed append tells something about the store.
-MEMORY_SECONDS = 1.5
+FAILURE_MEMORY_SECONDS = 1.5
 #: Seconds between tries while the store refuses or stays silent. Plain writers pause twice as long
 #: after each failure, up to the longest pause, with jitter, so that they do not fill a slow store's
 #: queue.
 RETRY_SECONDS = 0.1
-LONGEST_PAUSE = 0.8
+MAX_RETRY_SECONDS = 0.8
 
 
 class WriteOutcome(enum.Enum):
@@ -59,41 +59,41 @@
 
 
 @dataclass
-class _Entry:
+class _PendingWrite:
     records: Sequence[KeyedRecord]
-    until: float
-    maybe: bool = False
+    deadline: float
+    in_doubt: bool = False
     outcome: WriteOutcome | None = None
     event: curio.Event = field(default_factory=curio.Event)
 
 
-class AnswerTimes:
+class AppendLatency:
     """How long answers take, and so how long one is worth waiting for. No I/O."""
 
     def __init__(self) -> None:
         """Start with a quick server."""
-        self._typical = SHORTEST_TIMEOUT / TIMEOUT_FACTOR
-        self._stretch = 1.0
+        self._typical_seconds = MIN_TIMEOUT_SECONDS / TIMEOUT_FACTOR
+        self._backoff_factor = 1.0
 
     @property
-    def typical(self) -> float:
+    def typical_seconds(self) -> float:
         """Return how long an answer typically takes, in seconds."""
-        return self._typical
+        return self._typical_seconds
 
     @property
     def timeout(self) -> float:
         """Return how long to wait for the next answer, in seconds."""
-        wanted = max(SHORTEST_TIMEOUT, self._typical * TIMEOUT_FACTOR)
-        return min(LONGEST_TIMEOUT, wanted * self._stretch)
+        wanted = max(MIN_TIMEOUT_SECONDS, self._typical_seconds * TIMEOUT_FACTOR)
+        return min(MAX_TIMEOUT_SECONDS, wanted * self._backoff_factor)
 
     def note_answer(self, seconds: float) -> None:
         """Learn from an answer."""
-        self._typical += NEWEST_WEIGHT * (seconds - self._typical)
-        self._stretch = 1.0
+        self._typical_seconds += NEWEST_LATENCY_WEIGHT * (seconds - self._typical_seconds)
+        self._backoff_factor = 1.0
 
-    def note_miss(self) -> None:
+    def note_timeout(self) -> None:
         """Wait longer next time: the server may be slow, not silent."""
-        self._stretch *= 2
+        self._backoff_factor *= 2
 
 
 class GroupWriter:
@@ -117,9 +117,9 @@
         self._clock = clock
         self._journal = journal
         self._fence = fence
-        self._waiting: deque[_Entry] = deque()
+        self._waiting: deque[_PendingWrite] = deque()
         self._event = curio.Event()
-        self._times = AnswerTimes()
+        self._latency = AppendLatency()
         self._pause = RETRY_SECONDS
         self._failed_fast = False
         self.fenced = False
@@ -136,7 +136,7 @@
 
         An idle writer learns nothing, so what it knew of an outage is forgotten in time.
         """
-        if now - self.failed_at > MEMORY_SECONDS:
+        if now - self.failed_at > FAILURE_MEMORY_SECONDS:
             return False
         limit = REFUSING_SECONDS if self._failed_fast else SILENT_SECONDS
         return now - self.failing_since >= limit
@@ -144,15 +144,15 @@
     @property
     def typical_latency(self) -> float:
         """Return how long an append usually takes just now."""
-        return self._times.typical
+        return self._latency.typical_seconds
 
-    async def write(self, records: Sequence[KeyedRecord], patience: float) -> WriteOutcome:
+    async def write(self, records: Sequence[KeyedRecord], timeout: float) -> WriteOutcome:
         """Append the records within ``patience`` seconds and tell what became of them."""
-        entry = _Entry(records, self._clock.monotonic() + patience)
-        self._waiting.append(entry)
+        pending = _PendingWrite(records, self._clock.monotonic() + timeout)
+        self._waiting.append(pending)
         await self._event.set()
-        await entry.event.wait()
-        return entry.outcome or WriteOutcome.UNKNOWN
+        await pending.event.wait()
+        return pending.outcome or WriteOutcome.UNKNOWN
 
     async def run(self) -> None:
         """Append what waits, for ever."""
@@ -160,26 +160,26 @@
             await self._event.wait()
             self._event.clear()
             while self._waiting and not self.fenced:
-                await self._append(self._take())
+                await self._append(self._take_batch())
         await self._fail_all()
 
-    def _take(self) -> list[_Entry]:
-        taken: list[_Entry] = []
+    def _take_batch(self) -> list[_PendingWrite]:
+        taken: list[_PendingWrite] = []
         records = 0
         size = 0
-        while self._waiting and records < RECORDS_PER_APPEND and size < BYTES_PER_APPEND:
-            entry = self._waiting.popleft()
-            taken.append(entry)
-            records += len(entry.records)
-            size += sum(len(record.content or b'') for record in entry.records)
+        while self._waiting and records < MAX_APPEND_RECORDS and size < MAX_APPEND_BYTES:
+            pending = self._waiting.popleft()
+            taken.append(pending)
+            records += len(pending.records)
+            size += sum(len(record.content or b'') for record in pending.records)
         return taken
 
-    async def _append(self, entries: list[_Entry]) -> None:
-        while entries:
-            batch = _keep_newest(entries)
+    async def _append(self, writes: list[_PendingWrite]) -> None:
+        while writes:
+            batch = _keep_newest(writes)
             if not batch:
                 # Only waits for what was written before.
-                await _settle(entries, WriteOutcome.STORED)
+                await _complete(writes, WriteOutcome.STORED)
                 return
             sent_at = self._clock.monotonic()
             try:
@@ -187,7 +187,7 @@
             except FencedError as error:
                 self._journal.tell(Part.LOG, f'lost the right to write: {error}.')
                 self.fenced = True
-                await _settle(entries, WriteOutcome.FENCED)
+                await _complete(writes, WriteOutcome.FENCED)
                 return
             except StoreError as error:
                 self._journal.tell_frequent(
@@ -199,76 +199,78 @@
                 self.failed_at = self._clock.monotonic()
                 self._failed_fast = self.failed_at - sent_at < self._timeout / 2
                 if not self._failed_fast:
-                    self._times.note_miss()
+                    self._latency.note_timeout()
                 self.failing_since = min(self.failing_since, sent_at)
-                entries = await self._retry(entries, error)
+                writes = await self._retry(writes, error)
                 continue
-            self._times.note_answer(self._clock.monotonic() - sent_at)
+            self._latency.note_answer(self._clock.monotonic() - sent_at)
             self._pause = RETRY_SECONDS
             self.failing_since = float('inf')
             self.stored_at = sent_at
             if self._fence is not None:
                 self._fence = WriterFence(self._fence.epoch, self._fence.sequence + 1)
-            await _settle(entries, WriteOutcome.STORED)
+            await _complete(writes, WriteOutcome.STORED)
             return
 
-    async def _retry(self, entries: list[_Entry], error: StoreError) -> list[_Entry]:
+    async def _retry(self, writes: list[_PendingWrite], error: StoreError) -> list[_PendingWrite]:
         """Return the entries that are tried again, after a pause."""
         now = self._clock.monotonic()
         kept = []
-        for entry in entries:
-            entry.maybe = entry.maybe or error.verdict is not Verdict.NOT_RUN
+        for pending in writes:
+            pending.in_doubt = pending.in_doubt or error.verdict is not Verdict.NOT_RUN
             # What a fenced append holds must stay the same until it is known
             # not to have taken place.
-            if now < entry.until or (self._fence is not None and entry.maybe):
-                kept.append(entry)
+            if now < pending.deadline or (self._fence is not None and pending.in_doubt):
+                kept.append(pending)
                 continue
-            await self._abandon(entry)
-        await self._drop_overdue(now)
+            await self._abandon(pending)
+        await self._abandon_expired(now)
         if kept:
             await curio.sleep(self._pause)
         if self._fence is None:
-            longer = min(LONGEST_PAUSE, 2 * self._pause)
+            longer = min(MAX_RETRY_SECONDS, 2 * self._pause)
             self._pause = longer * (1 - random.random() / 2)
         return kept
 
-    async def _drop_overdue(self, now: float) -> None:
+    async def _abandon_expired(self, now: float) -> None:
         """Give up what has waited too long behind an append that fails; it was never sent.
 
         Only who knows that may ask another host.
         """
-        overdue = [entry for entry in self._waiting if entry.until <= now]
+        expired = [pending for pending in self._waiting if pending.deadline <= now]
         # Taken out without a pause: what is queued meanwhile stays behind all that waits, or
         # an older record of a job could land behind its newest.
-        self._waiting = deque(entry for entry in self._waiting if now < entry.until)
-        for entry in overdue:
-            await self._abandon(entry)
+        self._waiting = deque(pending for pending in self._waiting if now < pending.deadline)
+        for pending in expired:
+            await self._abandon(pending)
 
-    async def _abandon(self, entry: _Entry) -> None:
+    async def _abandon(self, pending: _PendingWrite) -> None:
         self.given_up += 1
-        entry.outcome = WriteOutcome.UNKNOWN if entry.maybe else WriteOutcome.REFUSED
-        await entry.event.set()
+        pending.outcome = WriteOutcome.UNKNOWN if pending.in_doubt else WriteOutcome.REFUSED
+        await pending.event.set()
 
     @property
     def _timeout(self) -> float:
-        return PLAIN_TIMEOUT if self._fence is None else self._times.timeout
+        return UNFENCED_TIMEOUT_SECONDS if self._fence is None else self._latency.timeout
 
     async def _fail_all(self) -> None:
-        await _settle(self._waiting, WriteOutcome.FENCED)
+        await _complete(self._waiting, WriteOutcome.FENCED)
         self._waiting.clear()
 
 
-def _keep_newest(entries: Sequence[_Entry]) -> list[KeyedRecord]:
+def _keep_newest(writes: Sequence[_PendingWrite]) -> list[KeyedRecord]:
     """Return the newest record of each key: of one append, the store keeps no other."""
     record_by_key: dict[str, KeyedRecord] = {}
-    for entry in entries:
-        for record in entry.records:
+    for pending in writes:
+        for record in pending.records:
             record_by_key.pop(record.key, None)
             record_by_key[record.key] = record
     return list(record_by_key.values())
 
 
-async def _settle(entries: Sequence[_Entry] | deque[_Entry], outcome: WriteOutcome) -> None:
-    for entry in entries:
-        entry.outcome = outcome
-        await entry.event.set()
+async def _complete(
+    writes: Sequence[_PendingWrite] | deque[_PendingWrite], outcome: WriteOutcome
+) -> None:
+    for pending in writes:
+        pending.outcome = outcome
+        await pending.event.set()
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -9,9 +9,9 @@
 from dandelionreel.cell.store import CellState
 
 #: Accounts that are shown by name, those with the largest weight first.
-MOST_ACCOUNTS = 100
+MAX_LISTED_ACCOUNTS = 100
 #: Stands for all other accounts.
-OTHERS = 'others'
+OTHER_ACCOUNTS = 'others'
 
 
 class RefusalCounts:
@@ -23,19 +23,21 @@
 
     def note(self, account: str) -> None:
         """Count a call that was refused."""
-        known = account in self.count_by_account or len(self.count_by_account) < MOST_ACCOUNTS
-        self.count_by_account[account if known else OTHERS] += 1
+        has_own_count = (
+            account in self.count_by_account or len(self.count_by_account) < MAX_LISTED_ACCOUNTS
+        )
+        self.count_by_account[account if has_own_count else OTHER_ACCOUNTS] += 1
 
 
 def view_accounts(
     cell: Cell | None,
     configuration: Configuration | None,
-    book: CellState,
+    cell_state: CellState,
     refusals: RefusalCounts,
 ) -> dict[str, Any]:
     """Return what is shown; only the owner, with its ``cell``, knows use and what waits."""
-    owner = book.owner
-    member = None if owner is None else book.member_by_host.get(owner.host)
+    owner = cell_state.owner
+    member = None if owner is None else cell_state.member_by_host.get(owner.host)
     return {
         'owns': cell is not None,
         'owner': '' if owner is None else owner.host,
@@ -51,8 +53,8 @@
     """Return the accounts that are shown, those with the largest weight first."""
     if configuration is None or configuration.accounts is None:
         return []
-    known = configuration.accounts.account_by_name.values()
-    return sorted(known, key=_by_weight)[:MOST_ACCOUNTS]
+    accounts = configuration.accounts.account_by_name.values()
+    return sorted(accounts, key=_weight_sort_key)[:MAX_LISTED_ACCOUNTS]
 
 
 def _view_account(
@@ -81,5 +83,5 @@
     return {'cores': amounts.cpu / 1000, 'memory_mb': amounts.memory_mb, 'gpu': amounts.gpu}
 
 
-def _by_weight(account: Account[Demand]) -> tuple[float, str]:
+def _weight_sort_key(account: Account[Demand]) -> tuple[float, str]:
     return -account.weight, account.name
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -21,39 +21,41 @@
 from dandelionreel.platform import HostSettings, JsonClientCodec
 
 
-def make_client_front(
+def make_client_api(
     settings: HostSettings,
     reads: EntryReads,
     writer: GroupWriter,
     relay: Relay,
     exchange: ConfigurationExchange,
-    owned: Callable[[], Dispatcher | None],
+    get_dispatcher: Callable[[], Dispatcher | None],
     completions: Completions,
     partition_reads: PartitionReads,
-    contact: ContactWatch,
+    partition_detector: ContactWatch,
     rotation: Rotation,
     clock: Clock,
     journal: Journal,
     metrics: EntryMetrics,
 ) -> ClientFront:
     """Return the front; it counts its answers in ``metrics``."""
-    metrics.show_accounts(lambda: _view_accounts(reads, owned(), metrics))
+    metrics.show_accounts(lambda: _view_accounts(reads, get_dispatcher(), metrics))
     codec = JsonClientCodec()
     follower = reads.cell_follower
-    writes = ClientWrites(codec, follower, writer, relay, owned, contact, rotation, clock)
+    writes = ClientWrites(
+        codec, follower, writer, relay, get_dispatcher, partition_detector, rotation, clock
+    )
     return ClientFront(
         settings.zone,
         codec,
         reads.configuration,
         AccessControl(reads.configuration, exchange, settings.longest_key_age),
-        reads.jobs,
+        reads.cell,
         follower,
         writes,
         relay,
-        owned,
+        get_dispatcher,
         completions,
         partition_reads,
-        contact,
+        partition_detector,
         clock,
         journal,
         metrics.note_answer,
@@ -69,6 +71,6 @@
     return view_accounts(
         dispatcher.cell if dispatcher else None,
         reads.configuration.current,
-        reads.jobs.state,
+        reads.cell.state,
         metrics.refusals,
     )
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -24,7 +24,7 @@
 from dandelionreel.cell.model import MEMBER, Member, Registration, Runner, make_record
 from dandelionreel.cell.owner import Dispatcher, DispatcherParts
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
-from dandelionreel.entry_clients import make_client_front
+from dandelionreel.entry_clients import make_client_api
 from dandelionreel.entry_metrics import EntryMetrics
 from dandelionreel.entry_peers import listen_peers
 from dandelionreel.entry_readiness import EntryReadiness
@@ -53,14 +53,14 @@
 #: Metrics are served on this port of the host's address (deploy/system.toml).
 METRICS_PORT = 9464
 #: Seconds between updates of the gauges.
-GAUGE_SECONDS = 1.0
+GAUGE_UPDATE_SECONDS = 1.0
 #: Seconds for which a stopping host still takes connections: the balancer
 #: needs two looks, a second apart, to notice.
-BALANCER_SECONDS = 2.5
+BALANCER_NOTICE_SECONDS = 2.5
 #: Seconds kept free before a stopping host is killed.
-EXIT_MARGIN = 1.0
+EXIT_MARGIN_SECONDS = 1.0
 POLL_SECONDS = 0.05
-MEMBER_PATIENCE = 5.0
+MEMBER_WRITE_TIMEOUT = 5.0
 #: Stop and reload.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
@@ -88,19 +88,19 @@
             self._clock,
             self._journal,
         )
-        self._jobs = self._reads.jobs
+        self._cell_projection = self._reads.cell
         # Claims and the owner's records must not wait behind submissions.
         self._owner_topic = StoreTopic(CELL_TOPIC, settings.store)
         self._writer = GroupWriter(self._reads.topics[CELL_TOPIC], self._clock, self._journal)
         incarnation = name_incarnation(settings.host)
-        self._links = PeerLinks(incarnation, self._clock)
+        self._peer_links = PeerLinks(incarnation, self._clock)
         self._completions = Completions(self._clock)
         self._election = Election(
             self._owner_topic,
             self._reads.cell_follower,
-            self._jobs,
+            self._cell_projection,
             incarnation,
-            self._links.ask,
+            self._peer_links.ask,
             self._clock,
             self._journal,
         )
@@ -108,25 +108,25 @@
         self._advisor = LocalAdvisor(self._advice)
         self._relay = Relay(
             settings.host,
-            self._jobs.state,
-            self._links,
+            self._cell_projection.state,
+            self._peer_links,
             self._clock,
             self._journal,
             self._election.note_unanswered,
         )
-        self._contact = ContactWatch(
+        self._partition_detector = ContactWatch(
             settings.host,
             settings.zone,
-            self._jobs.state,
-            self._links,
+            self._cell_projection.state,
+            self._peer_links,
             self._store_answered_at,
             self._clock,
             self._journal,
         )
-        self._reports = CompletionReports(
+        self._completion_reports = CompletionReports(
             settings.host,
-            self._jobs.state,
-            self._links,
+            self._cell_projection.state,
+            self._peer_links,
             self._completions,
             self._clock,
             self._journal,
@@ -134,19 +134,19 @@
         self._partition_reads = PartitionReads(
             settings.host,
             settings.zone,
-            self._jobs.state,
+            self._cell_projection.state,
             self._reads.runners,
-            self._contact,
+            self._partition_detector,
             self._completions,
-            self._links,
+            self._peer_links,
             _make_runner,
             self._clock,
             self._journal,
         )
-        self._exchange = ConfigurationExchange(
+        self._configuration_exchange = ConfigurationExchange(
             settings.host,
-            self._jobs.state,
-            self._links,
+            self._cell_projection.state,
+            self._peer_links,
             self._reads.configuration,
             lambda: self._reads.answered_at,
             self._clock,
@@ -155,36 +155,36 @@
         )
         self._readiness = EntryReadiness(
             self._reads.configuration,
-            self._contact,
+            self._partition_detector,
             self._writer,
             self._reads.cell_follower,
             lambda: self._dispatcher,
             self._clock,
             self._journal,
         )
-        self._watch = OwnerWatch(
+        self._owner_watch = OwnerWatch(
             settings.host,
-            self._jobs.state,
+            self._cell_projection.state,
             self._election,
             self._journal,
         )
-        self._front = make_client_front(
+        self._client_api = make_client_api(
             settings,
             self._reads,
             self._writer,
             self._relay,
-            self._exchange,
+            self._configuration_exchange,
             lambda: self._dispatcher,
             self._completions,
             self._partition_reads,
-            self._contact,
+            self._partition_detector,
             self._readiness.rotation,
             self._clock,
             self._journal,
             self._metrics,
         )
-        self._callers = Server(
-            self._front.handle,
+        self._client_server = Server(
+            self._client_api.handle,
             ServerLimits(connections=settings.connections),
             # A client that keeps its connection would go on asking a host in vain that
             # the balancer sends nobody to.
@@ -209,27 +209,27 @@
             zone=settings.zone,
             incarnation=self._election.incarnation,
         )
-        closed: list[Any] = [*self._reads.topics.values(), self._owner_topic, self._links]
-        closed.append(self._partition_reads)
+        closeables: list[Any] = [*self._reads.topics.values(), self._owner_topic, self._peer_links]
+        closeables.append(self._partition_reads)
         if self._advice is not None:
-            closed.append(self._advice)
-        for part in closed:
-            stack.push_async_callback(part.close)
-        await start_task(stack, await watch_signals(stack, SIGNALS, self._take_signal))
+            closeables.append(self._advice)
+        for closeable in closeables:
+            stack.push_async_callback(closeable.close)
+        await start_task(stack, await watch_signals(stack, SIGNALS, self._handle_signal))
         for follower in self._reads.followers:
             await start_task(stack, follower.run)
         await start_task(stack, self._writer.run)
         await self._listen(stack)
-        for work in (
-            self._join,
-            self._own,
-            self._watch.run,
-            self._contact.run,
-            self._exchange.run,
-            self._reports.run,
+        for run_part in (
+            self._announce_member,
+            self._run_terms,
+            self._owner_watch.run,
+            self._partition_detector.run,
+            self._configuration_exchange.run,
+            self._completion_reports.run,
             self._update_gauges,
         ):
-            await start_task(stack, work)
+            await start_task(stack, run_part)
 
     async def _listen(self, stack: AsyncExitStack) -> None:
         settings = self._settings
@@ -240,24 +240,26 @@
         await listen_peers(
             stack,
             settings.peers,
-            self._front,
+            self._client_api,
             self._election,
             self._advisor,
-            CompletionAnswers(self._completions, self._contact, self._take_completions),
-            self._exchange,
-            self._answer_asked,
+            CompletionAnswers(
+                self._completions, self._partition_detector, self._accept_completions
+            ),
+            self._configuration_exchange,
+            self._answer_owner_query,
             self._clock,
             self._journal,
         )
-        await self._callers.start(stack, settings.callers.host, settings.callers.port)
+        await self._client_server.start(stack, settings.callers.host, settings.callers.port)
 
-    async def _answer_asked(self, frame: Frame) -> Message:
+    async def _answer_owner_query(self, frame: Frame) -> Message:
         dispatcher = self._dispatcher
         acting = dispatcher is not None and dispatcher.acting and not dispatcher.store_is_failing
-        ready = self._may_own() and self._reads.complete
+        ready = self._may_claim() and self._reads.complete
         return self._election.answer_asked(frame, acting, ready)
 
-    async def _take_completions(self, jobs: tuple[str, ...]) -> bool:
+    async def _accept_completions(self, jobs: tuple[str, ...]) -> bool:
         dispatcher = self._dispatcher
         if dispatcher is None or not dispatcher.acting:
             return False
@@ -269,7 +271,7 @@
         stored_at = self._writer.stored_at if dispatcher is None else dispatcher.stored_at
         return max(self._reads.answered_at, stored_at)
 
-    async def _join(self) -> None:
+    async def _announce_member(self) -> None:
         """Tell the other hosts where this one listens for peers."""
         settings = self._settings
         while not self._reads.cell_follower.started:
@@ -283,20 +285,20 @@
             self._reads.cell_follower.read_from,
         )
         record = make_record(MEMBER + settings.host, member)
-        while await self._writer.write([record], MEMBER_PATIENCE) is not WriteOutcome.STORED:
+        while await self._writer.write([record], MEMBER_WRITE_TIMEOUT) is not WriteOutcome.STORED:
             self._journal.tell(Part.PEERS, 'could not make itself known yet.')
 
-    async def _own(self) -> None:
+    async def _run_terms(self) -> None:
         """Own the cell whenever it falls to this host."""
         settings = self._settings
         parts = DispatcherParts(
             topic=self._owner_topic,
             follower=self._reads.cell_follower,
-            jobs=self._jobs,
+            jobs=self._cell_projection,
             runners=self._reads.runners,
             configuration=self._reads.configuration,
             election=self._election,
-            links=self._links,
+            links=self._peer_links,
             advisor=self._advisor,
             completions=self._completions,
             make_runner=_make_runner,
@@ -309,7 +311,7 @@
             list_age=lambda: self._reads.runners_follower.age(self._clock.monotonic()),
         )
         while True:
-            term = await self._election.wait_for_term(self._may_own)
+            term = await self._election.wait_for_term(self._may_claim)
             self._dispatcher = Dispatcher(parts, term)
             # What a host that does not own knows of the runners may be old.
             await self._reads.runners_follower.read_now()
@@ -318,7 +320,7 @@
             finally:
                 self._dispatcher = None
 
-    def _may_own(self) -> bool:
+    def _may_claim(self) -> bool:
         # A host that does not keep the list of runners reads it once it owns.
         return not self._stopping and self._reads.started
 
@@ -331,9 +333,9 @@
                 self._reads.cell_follower.age(self._clock.monotonic()),
                 self._logs.dropped,
             )
-            await curio.sleep(GAUGE_SECONDS)
+            await curio.sleep(GAUGE_UPDATE_SECONDS)
 
-    async def _take_signal(self, number: int) -> None:
+    async def _handle_signal(self, number: int) -> None:
         if number == signal.SIGHUP:
             self._reload()
             return
@@ -352,17 +354,17 @@
 
     async def _stop(self) -> None:
         """Hand the cell over, let the balancer notice, finish what is in flight."""
-        began = self._clock.monotonic()
+        stop_began_at = self._clock.monotonic()
         self._journal.tell(Part.LIFE, 'is stopping; it is not ready any more.')
         if self._dispatcher is not None:
             await self._dispatcher.end()
-        last = began + self._settings.grace - EXIT_MARGIN
-        while self._clock.monotonic() < min(last, began + BALANCER_SECONDS):
+        deadline = stop_began_at + self._settings.grace - EXIT_MARGIN_SECONDS
+        while self._clock.monotonic() < min(deadline, stop_began_at + BALANCER_NOTICE_SECONDS):
             await curio.sleep(POLL_SECONDS)
-        self._callers.finish()
-        while self._callers.busy and self._clock.monotonic() < last:
+        self._client_server.finish()
+        while self._client_server.busy and self._clock.monotonic() < deadline:
             await curio.sleep(POLL_SECONDS)
-        self._journal.tell(Part.LIFE, 'has stopped.', unanswered=self._callers.busy)
+        self._journal.tell(Part.LIFE, 'has stopped.', unanswered=self._client_server.busy)
 
 
 def _make_runner(registration: Registration) -> Runner:
--- a/dandelionreel/entry_metrics.py
+++ b/dandelionreel/entry_metrics.py
@@ -16,7 +16,7 @@
 ACCOUNTS_PATH = '/accounts'
 TEXT_TYPE = 'text/plain; version=0.0.4'
 #: Seconds; the store answers in 4 ms, clients wait 3 s.
-ANSWER_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 3)
+ANSWER_SECONDS_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 3)
 
 
 class EntryMetrics:
@@ -26,18 +26,18 @@
         """Keep a registry of its own."""
         self._registry = CollectorRegistry()
         self.refusals = RefusalCounts()
-        self._view_accounts: Callable[[], dict[str, Any]] = dict
+        self._get_accounts_view: Callable[[], dict[str, Any]] = dict
         self._answers = Counter(
             'dandelionreel_answers',
             'Answers to clients.',
             ('method', 'status'),
             registry=self._registry,
         )
-        self._seconds = Histogram(
+        self._answer_seconds = Histogram(
             'dandelionreel_answer_seconds',
             'Time to answer a client.',
             ('method',),
-            buckets=ANSWER_BUCKETS,
+            buckets=ANSWER_SECONDS_BUCKETS,
             registry=self._registry,
         )
         self._unreadable = Counter(
@@ -50,27 +50,29 @@
         self._store_age = self._gauge('store_age_seconds', 'Age of what is known of the store.')
         self._jobs = self._gauge('jobs_under_way', 'Jobs that are not over, at the owner.')
         self._tasks = self._gauge('tasks', 'Runs held by runners, at the owner.', 'phase')
-        self._crashed = self._gauge(
+        self._crashed_runs = self._gauge(
             'crashed_runs', 'Runs under which a runner has crashed, in this term of the owner.'
         )
-        self._dropped = self._gauge('log_lines_dropped', 'Log lines that nobody read in time.')
-        self._bytes = self._gauge('outside_bytes', 'Bytes to and from servers.', 'kind')
-        self._used = self._gauge(
+        self._dropped_lines = self._gauge(
+            'log_lines_dropped', 'Log lines that nobody read in time.'
+        )
+        self._peer_bytes = self._gauge('outside_bytes', 'Bytes to and from servers.', 'kind')
+        self._account_used = self._gauge(
             'account_used', 'What an account has running, at the owner.', 'account', 'resource'
         )
-        self._refused = self._gauge(
+        self._account_refused = self._gauge(
             'account_refused', 'Calls of an account that this host refused.', 'account'
         )
-        self._processor = self._gauge('cpu_seconds', 'Processor time of this process.')
+        self._cpu_seconds = self._gauge('cpu_seconds', 'Processor time of this process.')
 
-    def show_accounts(self, view: Callable[[], dict[str, Any]]) -> None:
+    def show_accounts(self, get_view: Callable[[], dict[str, Any]]) -> None:
         """Show what ``view()`` returns at ``ACCOUNTS_PATH``."""
-        self._view_accounts = view
+        self._get_accounts_view = get_view
 
     def note_answer(self, method: str, status: int, seconds: float) -> None:
         """Count an answer to a client."""
         self._answers.labels(method, str(status)).inc()
-        self._seconds.labels(method).observe(seconds)
+        self._answer_seconds.labels(method).observe(seconds)
 
     def note_unreadable(self, topic: str, reason: str) -> None:
         """Count a record in the store that cannot be read."""
@@ -81,29 +83,29 @@
         cell: Cell | None,
         configuration: Configuration | None,
         store_age: float,
-        dropped: int,
+        dropped_lines: int,
     ) -> None:
         """Set the gauges."""
         self._owner.set(cell is not None)
         self._store_age.set(store_age)
-        self._dropped.set(dropped)
+        self._dropped_lines.set(dropped_lines)
         for kind, count in control_bytes_by_kind.items():
-            self._bytes.labels(kind).set(count)
+            self._peer_bytes.labels(kind).set(count)
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        self._processor.set(usage.ru_utime + usage.ru_stime)
+        self._cpu_seconds.set(usage.ru_utime + usage.ru_stime)
         self._update_cell(cell)
         self._update_accounts(cell, configuration)
 
     async def handle(self, request: Request) -> Answer:
         """Serve the text of all metrics, or what is known of client accounts."""
         if request.path == ACCOUNTS_PATH:
-            return answer_json(self._view_accounts())
+            return answer_json(self._get_accounts_view())
         return Answer(HTTP_OK, (('content-type', TEXT_TYPE),), generate_latest(self._registry))
 
     def _update_cell(self, cell: Cell | None) -> None:
         jobs = cell.job_by_id.values() if cell else ()
         self._jobs.set(sum(not job.over for job in jobs))
-        self._crashed.set(cell.crashed_runs if cell else 0)
+        self._crashed_runs.set(cell.crashed_runs if cell else 0)
         count_by_phase = dict.fromkeys(Holding, 0)
         for runner in cell.runner_by_id.values() if cell else ():
             for allocation in runner.allocation_by_run.values():
@@ -112,14 +114,14 @@
             self._tasks.labels(phase.value).set(count)
 
     def _update_accounts(self, cell: Cell | None, configuration: Configuration | None) -> None:
-        self._used.clear()
+        self._account_used.clear()
         if cell is not None:
             for account in list_accounts(configuration):
                 used = cell.quotas.used(account.name)
-                self._used.labels(account.name, 'cpu').set(used.cpu)
-                self._used.labels(account.name, 'memory_mb').set(used.memory_mb)
+                self._account_used.labels(account.name, 'cpu').set(used.cpu)
+                self._account_used.labels(account.name, 'memory_mb').set(used.memory_mb)
         for name, count in self.refusals.count_by_account.items():
-            self._refused.labels(name).set(count)
+            self._account_refused.labels(name).set(count)
 
-    def _gauge(self, name: str, text: str, *labels: str) -> Gauge:
-        return Gauge(f'dandelionreel_{name}', text, labels, registry=self._registry)
+    def _gauge(self, name: str, description: str, *labels: str) -> Gauge:
+        return Gauge(f'dandelionreel_{name}', description, labels, registry=self._registry)
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -28,7 +28,7 @@
 )
 from dandelionreel.platform import Address
 
-AnswerAsked = Callable[[Frame], Awaitable[Message]]
+OwnerQueryHandler = Callable[[Frame], Awaitable[Message]]
 
 
 async def listen_peers(
@@ -39,7 +39,7 @@
     advisor: LocalAdvisor,
     completions: CompletionAnswers,
     exchange: ConfigurationExchange,
-    answer_asked: AnswerAsked,
+    answer_owner_query: OwnerQueryHandler,
     clock: Clock,
     journal: Journal,
 ) -> None:
@@ -48,16 +48,16 @@
     ``answer_asked`` tells whether this host acts as the owner, or could.
     """
     peers = PeerServer(election.incarnation, clock, EchoBook(), journal, Traffic())
-    answerers = (
+    handlers = (
         (Forward, front.handle_relayed),
         (OwnerFailing, election.take_failing),
-        (OwnerAsked, answer_asked),
+        (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer),
         (CompletionsTold, completions.merge_completions),
         (CompletionsSeen, completions.merge_zone_completions),
         (CompletionsWanted, completions.answer_wanted),
         (ConfigurationWanted, exchange.answer),
     )
-    for kind, answerer in answerers:
-        peers.answer(kind, answerer)
+    for kind, handler in handlers:
+        peers.answer(kind, handler)
     await peers.start(stack, address.host, address.port)
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -19,25 +19,25 @@
     def __init__(
         self,
         configuration: ConfigurationProjection,
-        contact: ContactWatch,
+        partition_detector: ContactWatch,
         writer: GroupWriter,
         follower: Follower,
-        owned: Callable[[], Dispatcher | None],
+        get_dispatcher: Callable[[], Dispatcher | None],
         clock: Clock,
         journal: Journal,
     ) -> None:
         """Judge by these parts of the host."""
         self.rotation = Rotation()
         self._configuration = configuration
-        self._contact = contact
+        self._partition_detector = partition_detector
         self._writer = writer
         self._follower = follower
-        self._owned = owned
+        self._get_dispatcher = get_dispatcher
         self._clock = clock
         self._journal = journal
         self._stopping = False
         #: Why clients are to go elsewhere, as the balancer was last told.
-        self._told = 'it is starting'
+        self._last_reason = 'it is starting'
 
     def stop(self) -> None:
         """Ask for no clients any more: the host is stopping."""
@@ -45,34 +45,34 @@
 
     def is_unready(self) -> bool:
         """Return whether clients should go elsewhere just now."""
-        return bool(find_hindrance(self._condition()))
+        return bool(find_hindrance(self._gather_inputs()))
 
     async def answer(self, request: Request) -> Answer:
         """Answer one question of the balancer."""
-        condition = self._condition()
-        hindrance = find_hindrance(condition)
-        self._tell(hindrance, condition)
-        self.rotation.note_question(self._clock.monotonic(), ready=not hindrance)
-        return Answer(HTTP_UNAVAILABLE if hindrance else HTTP_OK)
+        inputs = self._gather_inputs()
+        reason = find_hindrance(inputs)
+        self._log_change(reason, inputs)
+        self.rotation.note_question(self._clock.monotonic(), ready=not reason)
+        return Answer(HTTP_UNAVAILABLE if reason else HTTP_OK)
 
-    def _tell(self, hindrance: str, condition: Condition) -> None:
-        if hindrance == self._told:
+    def _log_change(self, reason: str, inputs: Condition) -> None:
+        if reason == self._last_reason:
             return
-        self._told = hindrance
+        self._last_reason = reason
         self._journal.tell(
             Part.LIFE,
-            f'asks for no clients: {hindrance}.' if hindrance else 'asks for clients.',
-            store_age=seconds_or_none(condition.store_age),
+            f'asks for no clients: {reason}.' if reason else 'asks for clients.',
+            store_age=seconds_or_none(inputs.store_age),
         )
 
-    def _condition(self) -> Condition:
+    def _gather_inputs(self) -> Condition:
         now = self._clock.monotonic()
-        dispatcher = self._owned()
-        owner_fails = dispatcher is not None and dispatcher.store_is_failing
+        dispatcher = self._get_dispatcher()
+        owner_store_is_failing = dispatcher is not None and dispatcher.store_is_failing
         return Condition(
             stopping=self._stopping,
             configured=self._configuration.current is not None,
-            cut_off=self._contact.cut_off,
-            store_takes_nothing=self._writer.store_is_failing(now) or owner_fails,
+            cut_off=self._partition_detector.cut_off,
+            store_takes_nothing=self._writer.store_is_failing(now) or owner_store_is_failing,
             store_age=self._follower.age(now),
         )
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -23,17 +23,17 @@
 
 #: Seconds that a read waits at the store for news. The owner's heartbeats end
 #: most reads of the cell's topic sooner.
-CELL_WAIT = 0.5
-OPERATOR_WAIT = 2.0
-RUNNERS_WAIT = 1.0
+CELL_WAIT_SECONDS = 0.5
+OPERATOR_WAIT_SECONDS = 2.0
+RUNNERS_WAIT_SECONDS = 1.0
 #: Seconds in which records are gathered into one read at the owner: of the
 #: cell's records, most of them its own, and of the runners' heartbeats.
-OWNER_CELL_PAUSE = 0.15
-OWNER_RUNNERS_PAUSE = 0.2
+OWNER_CELL_PAUSE_SECONDS = 0.15
+OWNER_RUNNERS_PAUSE_SECONDS = 0.2
 #: The same on the other hosts. There a client that asks for a job that is not over ends the pause.
-CELL_PAUSE = 0.25
-RUNNERS_PAUSE = 2.0
-OPERATOR_PAUSE = 0.1
+CELL_PAUSE_SECONDS = 0.25
+RUNNERS_PAUSE_SECONDS = 2.0
+OPERATOR_PAUSE_SECONDS = 0.1
 
 NoteUnreadable = Callable[[str, str], None]
 
@@ -45,14 +45,14 @@
         self,
         host: str,
         store: Address,
-        owns: Callable[[], bool],
+        owns_cell: Callable[[], bool],
         note_unreadable: NoteUnreadable,
         clock: Clock,
         journal: Journal,
     ) -> None:
         """Read for ``host``; ``owns()`` tells whether it owns the cell."""
         self._host = host
-        self._owns = owns
+        self._owns_cell = owns_cell
         self._note_unreadable = note_unreadable
         self._clock = clock
         self._journal = journal
@@ -63,21 +63,23 @@
         self.configuration = ConfigurationProjection(
             codec,
             journal,
-            self._watch_unreadable('operator', Part.CONTRACTS),
+            self._make_unreadable_log('operator', Part.CONTRACTS),
         )
         self.runners = RunnerProjection(
             codec,
             clock,
             journal,
             self.configuration.has_service,
-            self._watch_unreadable('runners', Part.WORKERS),
+            self._make_unreadable_log('runners', Part.WORKERS),
+        )
+        self.cell = CellProjection(clock, journal, self._make_unreadable_log('cell', Part.LOG))
+        self.cell_follower = self._follow('cell', CELL_TOPIC, self.cell, CELL_WAIT_SECONDS)
+        self.runners_follower = self._follow(
+            'runners', RUNNERS_TOPIC, self.runners, RUNNERS_WAIT_SECONDS
         )
-        self.jobs = CellProjection(clock, journal, self._watch_unreadable('cell', Part.LOG))
-        self.cell_follower = self._follow('cell', CELL_TOPIC, self.jobs, CELL_WAIT)
-        self.runners_follower = self._follow('runners', RUNNERS_TOPIC, self.runners, RUNNERS_WAIT)
         self.followers = (
             self.cell_follower,
-            self._follow('operator', OPERATOR_TOPIC, self.configuration, OPERATOR_WAIT),
+            self._follow('operator', OPERATOR_TOPIC, self.configuration, OPERATOR_WAIT_SECONDS),
             self.runners_follower,
         )
 
@@ -89,34 +91,37 @@
     @property
     def complete(self) -> bool:
         """Return whether all that is wanted has been read, and the store answers."""
-        return all(one.suspended or (one.complete and one.reached) for one in self.followers)
+        return all(
+            follower.suspended or (follower.complete and follower.reached)
+            for follower in self.followers
+        )
 
     @property
     def started(self) -> bool:
         """Return whether a first snapshot of all that is wanted has been read."""
-        return all(one.started or one.suspended for one in self.followers)
+        return all(follower.started or follower.suspended for follower in self.followers)
 
-    def _follow(self, name: str, topic: str, folder: Projection, wait: float) -> Follower:
+    def _follow(self, name: str, topic: str, projection: Projection, max_wait: float) -> Follower:
         return Follower(
             name,
             self.topics[topic],
-            folder,
+            projection,
             self._clock,
             self._journal,
-            wait,
+            max_wait,
             lambda: self._pause(topic),
-            lambda: topic != RUNNERS_TOPIC or self._wants_runners(),
+            lambda: topic != RUNNERS_TOPIC or self._needs_runner_list(),
         )
 
-    def _wants_runners(self) -> bool:
-        return self._owns() or keeps_runners(self.jobs.state.member_by_host, self._host)
+    def _needs_runner_list(self) -> bool:
+        return self._owns_cell() or keeps_runners(self.cell.state.member_by_host, self._host)
 
-    def _watch_unreadable(self, topic: str, part: Part) -> UnreadableLog:
+    def _make_unreadable_log(self, topic: str, part: Part) -> UnreadableLog:
         return UnreadableLog(topic, part, self._clock, self._journal, self._note_unreadable)
 
     def _pause(self, topic: str) -> float:
         if topic == OPERATOR_TOPIC:
-            return OPERATOR_PAUSE
-        if self._owns():
-            return OWNER_CELL_PAUSE if topic == CELL_TOPIC else OWNER_RUNNERS_PAUSE
-        return CELL_PAUSE if topic == CELL_TOPIC else RUNNERS_PAUSE
+            return OPERATOR_PAUSE_SECONDS
+        if self._owns_cell():
+            return OWNER_CELL_PAUSE_SECONDS if topic == CELL_TOPIC else OWNER_RUNNERS_PAUSE_SECONDS
+        return CELL_PAUSE_SECONDS if topic == CELL_TOPIC else RUNNERS_PAUSE_SECONDS
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -33,7 +33,7 @@
 from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._projections import CellProjection
-from dandelionreel.cell.store._writer import AnswerTimes, GroupWriter, WriteOutcome
+from dandelionreel.cell.store._writer import AppendLatency, GroupWriter, WriteOutcome
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step
 from features.store_parts import LONG, Host, journal, make_owner_context, until
@@ -471,11 +471,11 @@
 
 @given('answers of {seconds:f} s and then {misses:d} misses')
 def answers(context, seconds, misses):
-    context.times = AnswerTimes()
+    context.times = AppendLatency()
     for _ in range(40):
         context.times.note_answer(seconds)
     for _ in range(misses):
-        context.times.note_miss()
+        context.times.note_timeout()
 
 
 @then('the next one is waited for about {patience:f} s')
