--- a/dandelionreel/accounts/__init__.py
+++ b/dandelionreel/accounts/__init__.py
@@ -1,4 +1,4 @@
-"""Client accounts: keys, quotas, shares. Both interfaces of the product count by these."""
+"""Client accounts: API keys, quotas and fair shares, as both interfaces of the product use them."""
 
 from dandelionreel.accounts._account import Account, Caller
 from dandelionreel.accounts._amounts import Amounts
--- a/dandelionreel/accounts/_account.py
+++ b/dandelionreel/accounts/_account.py
@@ -1,4 +1,4 @@
-"""Client accounts: who may send work, how much of it may run, and how it is shared out."""
+"""A client account of the configuration, and the account that a request was authenticated for."""
 
 from dataclasses import dataclass, field
 from typing import Generic
@@ -10,23 +10,23 @@
 class Account(Generic[AmountsT]):
     """One client account of a configuration.
 
-    ``weight`` is its share when all is full, and how many jobs a second it may expect
-    to be served. ``quota`` is what it may have running, ``None`` for no limit.
+    ``weight`` is its share of a full cell, and the number of jobs per second that it may
+    expect to be served. ``quota`` limits what it may have running, ``None`` for no limit.
     """
 
     name: str
     weight: float = 1.0
     quota: AmountsT | None = None
-    #: Digests of its API keys; the keys themselves are not kept.
+    #: Digests of its API keys; the keys themselves are not stored.
     key_digests: frozenset[bytes] = field(default=frozenset(), repr=False)
 
 
 @dataclass(frozen=True)
 class Caller:
-    """Whose call a request is, as the host that took it has found.
+    """The account of a request, as determined by the host that received it.
 
-    ``version`` is that of the configuration by which ``key_digest`` was looked up. A call
-    without an account (a public queue, or no accounts configured) has an empty name.
+    ``version`` is the version of the configuration in which ``key_digest`` was looked up. A
+    request without an account (a public queue, or no accounts configured) has an empty name.
     """
 
     account: str = ''
--- a/dandelionreel/accounts/_directory.py
+++ b/dandelionreel/accounts/_directory.py
@@ -1,4 +1,4 @@
-"""All client accounts of one version of the configuration, by name and by key."""
+"""Lookup of the client accounts of one configuration version by name and by key."""
 
 from collections.abc import Iterable
 from typing import Generic
@@ -8,10 +8,10 @@
 
 
 class AccountDirectory(Generic[AmountsT]):
-    """Finds accounts; never changed once it is made.
+    """Immutable index of accounts by name and by key.
 
-    Of accounts with the same name, and of those with the same key, the first one counts:
-    every host reads the same order, so all of them decide alike.
+    Of accounts with the same name or the same key, the first one is used: every host reads
+    them in the same order, so all hosts decide alike.
     """
 
     def __init__(
@@ -19,23 +19,25 @@
         accounts: Iterable[Account[AmountsT]],
         previous: 'AccountDirectory[AmountsT] | None' = None,
     ) -> None:
-        """Index accounts; those that are the same objects as in ``former`` cost nothing."""
+        """Index accounts; objects shared with ``previous`` are not indexed again."""
         self.account_by_name: dict[str, Account[AmountsT]] = {}
-        #: What is wrong with the accounts as they were given, in words.
+        #: Descriptions of the errors in the given accounts.
         self.problems: list[str] = []
         for account in accounts:
             if account.name in self.account_by_name:
-                self.problems.append(f'account {account.name!r} is given twice, the first counts')
+                self.problems.append(
+                    f'account {account.name!r} is defined more than once; the first one is used'
+                )
                 continue
             self.account_by_name[account.name] = account
-        #: Whether some key is that of two accounts, which needs all of them in order.
+        #: Whether two accounts share a key: the index is then built from all accounts in order.
         self._has_shared_keys = False
         self._account_by_digest: dict[bytes, Account[AmountsT]] = {}
         if previous is None or previous._has_shared_keys or not self._update_index(previous):
             self._build_index()
 
     def find(self, key_digest: bytes) -> Account[AmountsT] | None:
-        """Return the account with that key."""
+        """Return the account with this key, if any."""
         return self._account_by_digest.get(key_digest)
 
     def _build_index(self) -> None:
@@ -46,12 +48,12 @@
                 if first is not account:
                     self._has_shared_keys = True
                     self.problems.append(
-                        f'a key of account {account.name!r} is one of {first.name!r}, who keeps it'
+                        f'account {account.name!r} has a key of {first.name!r}, which keeps it'
                     )
         self._account_by_digest = index
 
     def _update_index(self, previous: 'AccountDirectory[AmountsT]') -> bool:
-        """Take over the former index with what has changed; return whether no key is shared."""
+        """Update a copy of the previous index; return ``False`` where a key is shared."""
         index = previous._account_by_digest.copy()
         for name, account in previous.account_by_name.items():
             if self.account_by_name.get(name) is not account:
--- a/dandelionreel/accounts/_usage.py
+++ b/dandelionreel/accounts/_usage.py
@@ -1,4 +1,4 @@
-"""What each client account uses, and the two rules that hold it to its terms."""
+"""Resource usage of client accounts, and the rules for quota and fair share."""
 
 from typing import Generic
 
@@ -6,27 +6,27 @@
 
 
 class Usage(Generic[AmountsT]):
-    """Amounts in use by account: the one count that quotas and shares are checked against."""
+    """Amounts in use by account, which quotas and shares are checked against."""
 
     def __init__(self, zero: AmountsT) -> None:
-        """Start with nothing in use; ``nothing`` is the zero of the amounts."""
+        """Start with nothing in use; ``zero`` is the zero value of the amounts."""
         self._zero = zero
         self._used_by_account: dict[str, AmountsT] = {}
 
     def add(self, account: str, amounts: AmountsT) -> None:
-        """Count more."""
+        """Add amounts to an account's usage."""
         self._used_by_account[account] = self.of(account) + amounts
 
     def remove(self, account: str, amounts: AmountsT) -> None:
-        """Count less."""
+        """Subtract amounts from an account's usage."""
         self._used_by_account[account] = self.of(account) - amounts
 
     def of(self, account: str) -> AmountsT:
-        """Return what an account uses."""
+        """Return the amounts that an account uses."""
         return self._used_by_account.get(account, self._zero)
 
     def total(self) -> AmountsT:
-        """Return what all accounts use together."""
+        """Return the usage of all accounts together."""
         total = self._zero
         for used in self._used_by_account.values():
             total += used
@@ -34,12 +34,12 @@
 
 
 def within_quota(used: AmountsT, additional: AmountsT, quota: AmountsT | None) -> bool:
-    """Return whether ``more`` may be started beside what is used; ``None`` is no quota."""
+    """Return whether ``used + additional`` is within the quota; ``None`` is no quota."""
     return quota is None or (used + additional).fits(quota)
 
 
 def weighted_share(used: AmountsT, capacity: AmountsT, weight: float) -> float:
-    """Return the key of weighted dominant resource fairness; the lowest goes first.
+    """Return the weighted dominant share; the account with the lowest one is served first.
 
     After Ghodsi et al., Dominant Resource Fairness, NSDI 2011.
     """
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -1,8 +1,8 @@
-"""The book that every host folds the cell's own records into, in log order.
+"""State of the cell, which every host folds from the records of the cell's topic in log order.
 
-A record that cannot be read changes nothing that is known. Of a key that was not known
-before it, only what guards somebody follows: a job is there and is not started, an
-owner may be at work, its tasks may run anywhere.
+A record that cannot be read leaves the known value of its key unchanged. Where there is none,
+the safe assumption is made: the job exists and must not be started, an owner may be acting,
+and its tasks may run on any runner.
 """
 
 import copy
@@ -43,20 +43,20 @@
 _RUNNERS_IN_USE = msgspec.json.Decoder(Attended)
 _MEMBER = msgspec.json.Decoder(Member)
 
-#: Stands for an owner of which nothing can be read: it may be at work, and have
-#: followed another one. Its heartbeats are waited for like those of any owner.
+#: Stands for an owner whose record cannot be read: it may be acting, and may have succeeded
+#: another one. Its heartbeats are waited for like those of any owner.
 UNKNOWN_OWNER = Owner(0, '', '', unsettled=UNSETTLED_SECONDS)
-#: Stands for runners whose names cannot be read. No runner has this name, so what may
-#: run on them is left alone until all leases must be over.
+#: Stands for runners whose names cannot be read. No runner has this name, so the tasks that
+#: may run on them are not started elsewhere until all leases must have expired.
 UNKNOWN_RUNNER = '?'
 
 
 @dataclass(frozen=True)
 class StoredJob:
-    """All that stands in the store about one job; without a submission it is over.
+    """The stored records of one job; without a submission it is over.
 
-    Of an unreadable record it is only known that it is there. Such a job is shown,
-    and not started: which of its tasks are done is not known.
+    Of an unreadable record only the existence is known. Such a job is shown but not started,
+    as it is not known which of its tasks are done.
     """
 
     id: str
@@ -68,30 +68,30 @@
 
     @property
     def unreadable(self) -> bool:
-        """Return whether the job is not over and something needed to run it is not known."""
+        """Return whether the job is not over and a record needed to run it cannot be read."""
         if self.progress is not None and self.progress.state in FINAL_STATES:
             return False
         return self.submission_unreadable or self.progress_unreadable
 
     @property
     def account(self) -> str:
-        """Return the client account whose job it is, empty where none is known."""
+        """Return the client account of the job, empty where none is known."""
         if self.submission is not None:
             return self.submission.account
         return '' if self.progress is None else self.progress.account
 
     @property
     def may_be_resubmitted(self) -> bool:
-        """Return whether its client's retry may store the job anew, so that it can be read.
+        """Return whether a retry of the client may overwrite an unreadable submission.
 
-        Not where progress is stored: a job that began anew would run tasks twice.
+        Not where progress is stored: a job that starts over would run tasks twice.
         """
         never_started = self.progress is None and not self.progress_unreadable
         return self.submission_unreadable and never_started and not self.cancelled
 
     @property
     def state(self) -> JobState:
-        """Return what clients are told."""
+        """Return the state that clients are shown."""
         progress = self.progress
         if progress is not None and progress.state in FINAL_STATES:
             return progress.state
@@ -106,15 +106,15 @@
 class CellState:
     """Jobs, members and the owner, folded from records in log order.
 
-    ``changed`` collects the jobs that were touched since it was last taken.
+    ``changed`` has the ids of jobs whose records changed since the last ``take_changed``.
     """
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Start with an empty state."""
         self.clear()
 
     def clear(self) -> None:
-        """Forget everything, before a snapshot is folded."""
+        """Drop everything, before a snapshot is folded."""
         self.submission_by_id: dict[str, Submission] = {}
         self.cancellation_by_id: dict[str, Cancellation] = {}
         self.progress_by_id: dict[str, Progress] = {}
@@ -126,13 +126,13 @@
         self.unreadable_keys: set[str] = set()
 
     def take_changed(self) -> set[str]:
-        """Return the jobs that were touched since the last call."""
+        """Return the jobs whose records changed since the last call."""
         taken = self.changed
         self.changed = set()
         return taken
 
     def find(self, job: str) -> StoredJob | None:
-        """Return what is known of a job, ``None`` when it is not known."""
+        """Return the records of a job, ``None`` for an unknown job."""
         submission = self.submission_by_id.get(job)
         progress = self.progress_by_id.get(job)
         stored = StoredJob(
@@ -148,11 +148,11 @@
         return stored if progress is not None and progress.state in FINAL_STATES else None
 
     def accepted_at(self, job: str) -> float:
-        """Return when a job that stands in the store was accepted, in wall-clock seconds."""
+        """Return when a stored job was accepted, in wall-clock seconds."""
         return self.submission_by_id[job].accepted_at
 
     def jobs_ended_before(self, wall_time: float) -> list[str]:
-        """Return the jobs that ended before then, in seconds since the epoch."""
+        """Return the jobs that ended before a time in seconds since the epoch."""
         return [
             job
             for job, progress in self.progress_by_id.items()
@@ -160,10 +160,10 @@
         ]
 
     def earlier_runners(self) -> set[str]:
-        """Return the runners on which tasks of the owner, or of earlier ones, may run.
+        """Return the runners on which tasks started by the owner or its predecessors may run.
 
-        Where their list cannot be read, the jobs name them: a runner is stored with a
-        job before the job's first start there.
+        Where their list cannot be read, they are taken from the jobs' progress: a runner is
+        stored there before the job's first start on it.
         """
         if self.runners_in_use is not None:
             return set(self.runners_in_use.runners)
@@ -175,15 +175,15 @@
         return runners
 
     def owner_has_ended(self) -> bool:
-        """Return whether another life has begun on the owner's host."""
+        """Return whether the owner's process has been replaced by a later one on its host."""
         return self.owner is not None and self.has_ended(self.owner)
 
     def has_ended(self, owner: Owner) -> bool:
-        """Return whether a later life has begun on the host of that owner.
+        """Return whether a later process has started on the host of that owner.
 
-        A store that loses answers may carry an append out seconds later, so the word
-        of an earlier life can land after the owner's. Taken for a later one, it would
-        end the wait for a living owner's leases, and its tasks would run twice.
+        A store that loses answers may execute an append seconds later, so the member record
+        of an earlier process can land after the owner's. Taken for a later process, it would
+        end the wait for the leases of a living owner, and its tasks would run twice.
         """
         member = self.member_by_host.get(owner.host)
         if member is None or member.incarnation in {'', owner.term}:
@@ -191,7 +191,7 @@
         return member.read_from > owner.read_from
 
     def count_waiting(self, queue: str) -> int:
-        """Return how many jobs of a queue are accepted and have not begun."""
+        """Return how many accepted jobs of a queue have not started."""
         count = 0
         for job, submission in self.submission_by_id.items():
             if submission.queue != queue or job in self.cancellation_by_id:
@@ -202,12 +202,13 @@
         return count
 
     def load_snapshot(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
-        """Forget everything but what unreadable records of a snapshot hide; take the rest.
+        """Replace the state by a snapshot; keep the last known values of unreadable records.
 
-        A snapshot has only the newest record of a key. A job whose record became
-        unreadable would be forgotten, and an owner's silence begin anew.
+        A snapshot has only the newest record of a key. Without the last known values, a job
+        whose record became unreadable would be lost, and the silence of an owner would be
+        measured from the snapshot on.
         """
-        # Clearing makes new collections, so the copy keeps the former ones.
+        # Clearing makes new collections, so the copy keeps the previous ones.
         previous = copy.copy(self)
         self.clear()
         errors = self.fold(records)
@@ -224,13 +225,13 @@
         return errors
 
     def fold(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
-        """Take records in log order; return for each one why it cannot be read."""
+        """Fold records in log order; return for each the error if it cannot be read."""
         return [self._fold_or_mark_unreadable(record) for record in records]
 
     def _unknown_owner(self) -> Owner:
-        """Return what is known of an owner from what it has stored.
+        """Return a stand-in for an unreadable owner, with the highest epoch of any record.
 
-        A claim of a lower epoch than it had would be refused, one after the other.
+        The store would refuse every claim with a lower epoch than the owner had.
         """
         epochs = [progress.epoch for progress in self.progress_by_id.values()]
         if self.runners_in_use is not None:
@@ -295,7 +296,7 @@
         self.changed.add(job)
 
     def _drop_inconsistent_progress(self, job: str, submission: Submission) -> None:
-        """Take progress that was read before its job for unreadable if it does not fit."""
+        """Mark progress that was read before its submission as unreadable if it does not match."""
         progress = self.progress_by_id.get(job)
         if progress is None:
             return
@@ -318,7 +319,7 @@
         self.changed.add(job)
 
     def _values_by_name(self, key: str) -> dict:
-        """Return the collection that a key's fact is kept in."""
+        """Return the dictionary that has the values of a key's prefix."""
         by_prefix: dict[str, dict] = {
             SUBMISSION: self.submission_by_id,
             CANCELLATION: self.cancellation_by_id,
@@ -330,8 +331,8 @@
 
 def _decode_submission(job: str, content: bytes) -> Submission:
     if not job or '.' in job:
-        # Runners name tasks with dots between the parts.
-        raise UnreadableError(Reason.KEY, f'{job!r} is no job id')
+        # Runners join the parts of a task name by dots.
+        raise UnreadableError(Reason.KEY, f'{job!r} is not a valid job id')
     submission = decode_json(_SUBMISSION, content)
     check_spec(submission.spec)
     return submission
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -1,4 +1,4 @@
-"""Follows a topic: a snapshot first, then every record in order."""
+"""Reads a topic into a projection: a snapshot first, then every record in order."""
 
 import abc
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 from dandelionreel.cell.model import RecordBatch, RecordsExpired, StoreError, Topic
 from dandelionreel.kernel import Clock, Journal, Part, Signal
 
-#: Seconds between tries while the store is out of reach.
+#: Seconds between attempts while the store is unreachable.
 RETRY_SECONDS = 0.15
-#: Seconds between looks whether a topic that is left alone is wanted again.
+#: Seconds between checks whether a topic that is not read is needed again.
 SUSPENDED_CHECK_SECONDS = 0.5
-#: Bytes of one read at first, and the fewest and most. A record may have as many as the
-#: fewest: asked for less, a store might never send it.
+#: Initial, minimum and maximum size of one read. A record may be as large as the minimum:
+#: a store that is asked for less might never send it.
 INITIAL_READ_BYTES = 524_288
 MIN_READ_BYTES = 262_144
 MAX_READ_BYTES = 1_048_576
@@ -25,37 +25,37 @@
 
 
 class Projection(abc.ABC):
-    """Takes the records of a topic."""
+    """State that is built from the records of a topic."""
 
     @abc.abstractmethod
     def load_snapshot(self, snapshot: RecordBatch) -> None:
-        """Forget what was known and take a snapshot."""
+        """Replace the state by a snapshot."""
 
     @abc.abstractmethod
     def fold(self, batch: RecordBatch) -> None:
-        """Take the records that follow."""
+        """Fold the next records of the topic."""
 
 
 class ReadSize:
-    """How many bytes to ask for at once. No I/O.
+    """Adapts the number of bytes of one read. No I/O.
 
-    Load pattern: a host with a slow link has missed more than one read can bring in time. A read
-    that fails is followed by one of half its size, and what failed is not asked for again before
-    the end has been reached.
+    Load pattern: a host with a slow link has missed more than one read can deliver in time. After
+    a read that fails, the size is halved, and it does not grow beyond that again before the end
+    of the topic has been reached.
     """
 
     def __init__(self) -> None:
-        """Start with what takes a second on such a link."""
+        """Start with a size that takes one second on a slow link."""
         self.bytes = INITIAL_READ_BYTES
         self._max_bytes = MAX_READ_BYTES
 
     def note_failure(self) -> None:
-        """Ask for less."""
+        """Halve the size after a read that failed."""
         self.bytes = max(MIN_READ_BYTES, self.bytes // 2)
         self._max_bytes = self.bytes
 
     def note_answer(self, *, reached_end: bool) -> None:
-        """Ask for more where there is more."""
+        """Double the size unless the end of the topic was reached."""
         if reached_end:
             self._max_bytes = MAX_READ_BYTES
             return
@@ -63,7 +63,7 @@
 
 
 class Follower:
-    """Keeps a folder up to date with its topic, and knows how fresh it is."""
+    """Keeps a projection up to date with its topic, and knows how fresh it is."""
 
     def __init__(
         self,
@@ -76,11 +76,11 @@
         pause: Callable[[], float],
         is_wanted: Callable[[], bool] = _always,
     ) -> None:
-        """Wait up to ``wait`` seconds for news, and ``pause()`` between reads.
+        """Let a read wait up to ``wait`` seconds for new records, and pause between reads.
 
-        The pause gathers the records of a busy topic into fewer reads, each of
-        which is a call to the store that somebody pays for. While the topic is not
-        ``wanted`` nothing is read; then it begins again with a snapshot.
+        The seconds of ``pause()`` collect the records of a busy topic into fewer reads, as each
+        read is a paid call to the store. While ``is_wanted()`` is false nothing is read;
+        afterwards reading begins again with a snapshot.
         """
         self._name = name
         self._topic = topic
@@ -90,16 +90,16 @@
         self._wait = wait
         self._pause = pause
         self._is_wanted = is_wanted
-        #: Whether the topic is left alone because it is not wanted.
+        #: Whether the topic is not read because it is not wanted.
         self.suspended = False
         self._read_requested = curio.Event()
         self._offset: int | None = None
         self._read_size = ReadSize()
-        #: Offset behind the first snapshot of this process's life.
+        #: Next offset after the first snapshot that this process has read.
         self.read_from = 0
         #: Everything that was in the topic at this time has been folded.
         self.fresh_at = NEVER
-        #: Since when reads have been answered without a failure.
+        #: Since when all reads have succeeded; ``NEVER`` after a failure.
         self.reachable_since = NEVER
         self.lost_at = NEVER
         #: When the store last answered a read.
@@ -118,16 +118,16 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether all that stood in the topic at some time has been folded."""
+        """Return whether the end of the topic has been reached since the last snapshot."""
         return self.fresh_at != NEVER
 
     @property
     def offset(self) -> int:
-        """Return the offset behind the last record folded."""
+        """Return the offset after the last folded record."""
         return self._offset or 0
 
     def age(self, now: float) -> float:
-        """Return the greatest age of what has been folded, in seconds."""
+        """Return the maximum age of the projection in seconds."""
         return now - self.fresh_at
 
     async def read_now(self) -> None:
@@ -135,7 +135,7 @@
         await self._read_requested.set()
 
     async def wait_fresh(self, since: float, timeout: float) -> bool:
-        """Wait until all that was in the topic at ``since`` has been folded."""
+        """Wait until all that was in the topic at ``since`` is folded; ``False`` on timeout."""
         deadline = self._clock.monotonic() + timeout
         if self.fresh_at < since:
             await self.read_now()
@@ -148,7 +148,7 @@
         return True
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Read the topic until cancelled."""
         while True:
             self.suspended = not self._is_wanted()
             if self.suspended:
@@ -160,9 +160,9 @@
             except RecordsExpired as error:
                 self._journal.tell(Part.LOG, f'starts again from a snapshot: {error}.')
                 self._offset = None
-                # Pages of a snapshot are read one after the other: until what followed
-                # has been read too, a job that ended meanwhile is in none of them, and
-                # would count as unknown (clients were answered 410).
+                # Pages of a snapshot are read one after the other: a job that ended meanwhile
+                # may be in none of them, and counted as unknown (clients were answered 410)
+                # until the records after the snapshot had been read.
                 self.fresh_at = NEVER
             except StoreError as error:
                 self._read_size.note_failure()
@@ -177,7 +177,7 @@
         if reached:
             self.fresh_at = sent_at
         await self.changed.notify()
-        # An answer without records would else be asked for again at once, for ever.
+        # Without a pause, an answer without records would lead to a busy loop.
         if reached or self._offset == offset_before:
             await self._wait_for_request(self._pause())
 
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -1,4 +1,4 @@
-"""What every host knows from the store: the configuration and the jobs."""
+"""Projections of the operator's and the cell's topics: the configuration and the jobs."""
 
 from dandelionreel.cell.model import (
     OWNER_KEY,
@@ -14,16 +14,16 @@
 from dandelionreel.kernel import Clock, Journal, Part, SystemClock
 
 NEVER = float('-inf')
-#: Weight of the newest gap between heartbeats in the usual one, and the longest
-#: gap in seconds that counts: a change of owner is no usual gap.
+#: Weight of the newest gap between heartbeats in the moving average, and the upper bound
+#: of a gap in it: a change of owner must not distort the average.
 NEWEST_GAP_WEIGHT = 0.3
 MAX_GAP_SECONDS = 1.0
-#: Lines on what is wrong in one configuration.
+#: Log lines on the errors in one configuration.
 MAX_LOGGED_PROBLEMS = 20
 
 
 class ConfigurationProjection(Projection):
-    """Keeps the newest configuration that can be read; never an older one after it."""
+    """Keeps the newest readable configuration; never returns to an older version."""
 
     def __init__(
         self,
@@ -38,44 +38,45 @@
             'operator', Part.CONTRACTS, SystemClock(), journal
         )
         self.current: Configuration | None = None
-        #: The record of the configuration in force, for peers that have an older one.
+        #: The encoded configuration in force, to be sent to peers that have an older one.
         self.content = b''
-        #: All services that any configuration read so far has named: jobs of a queue
-        #: that was dropped still run on the runners of theirs.
+        #: All services that any configuration read so far has named: jobs of a removed
+        #: queue still run on the runners of its service.
         self._services: set[str] = set()
 
     def load_snapshot(self, snapshot: RecordBatch) -> None:
-        """Take the newest record of each key."""
+        """Read the newest record of each key."""
         self.fold(snapshot)
 
     def fold(self, batch: RecordBatch) -> None:
-        """Take the records that follow."""
-        # All are decoded: the last one may be unreadable, or of another writer and older.
+        """Read the next records of the topic."""
+        # Decodes all of them: the last one may be unreadable, or an older version that another
+        # writer has appended.
         for record in batch.records:
             if record.key == self._codec.configuration_key and not record.dropped:
                 self._apply_record(record)
             elif not record.key and record.error is not None:
-                self._unreadable.refuse('', record.error, 'it is passed over')
+                self._unreadable.refuse('', record.error, 'it is ignored')
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the version in force, 0 where there is no configuration yet."""
         return 0 if self.current is None else self.current.version
 
     def adopt(self, content: bytes, peer: str) -> bool:
-        """Take a configuration that a peer has read; return whether it is newer."""
+        """Use a configuration received from a peer if it is newer; return whether it is."""
         record = KeyedRecord(self._codec.configuration_key, content)
         return self._apply_record(record, peer)
 
     def has_service(self, service: str) -> bool:
-        """Return whether a configuration names the service; any one before the first."""
+        """Return whether a configuration has named the service; ``True`` if there is none."""
         return self.current is None or service in self._services
 
     def _apply_record(self, record: KeyedRecord, peer: str = '') -> bool:
         try:
             decoded = self._decode(record)
         except UnreadableError as error:
-            self._unreadable.refuse(record.key, error, 'the configuration in force stays')
+            self._unreadable.refuse(record.key, error, 'the configuration in force is kept')
             return False
         self._unreadable.accept(record.key)
         if self.current is not None and decoded.version <= self.current.version:
@@ -100,7 +101,7 @@
         for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self._journal.tell(
                 Part.CONTRACTS,
-                f'cannot use all of the configuration: {problem}.',
+                f'the configuration is partly unusable: {problem}.',
                 version=version,
                 problems=len(problems),
             )
@@ -112,7 +113,7 @@
 
 
 class CellProjection(Projection):
-    """Folds the cell's own records and notes when the owner was last heard."""
+    """Folds the cell's own records, and notes when the owner's last heartbeat arrived."""
 
     def __init__(
         self,
@@ -120,20 +121,20 @@
         journal: Journal,
         unreadable: UnreadableLog | None = None,
     ) -> None:
-        """Start with nothing known."""
+        """Start with an empty state."""
         self._clock = clock
         self._unreadable = unreadable or UnreadableLog('cell', Part.LOG, clock, journal)
         self.state = CellState()
-        #: The owner's last sign of life in the store was no later than that.
+        #: When the owner's last heartbeat was read: it was written no later than this.
         self.owner_heard_at = NEVER
-        #: Seconds between two heartbeats, as they usually arrive.
+        #: Moving average of the seconds between two heartbeats.
         self.average_heartbeat_gap = 0.0
 
     def load_snapshot(self, snapshot: RecordBatch) -> None:
-        """Forget, and take the newest record of each key.
+        """Replace the state by the newest record of each key.
 
-        An owner of which nothing else is known counts as heard of just now: it may have written
-        right before the snapshot was read, and its leases last from then.
+        An owner that was not known before counts as just heard: it may have written right
+        before the snapshot was read, and its leases last from then.
         """
         previous_owner = self.state.owner
         self._report_errors(snapshot.records, self.state.load_snapshot(snapshot.records))
@@ -141,11 +142,11 @@
             self.owner_heard_at = self._clock.monotonic()
 
     def fold(self, batch: RecordBatch) -> None:
-        """Take the records that follow.
+        """Fold the next records of the topic.
 
-        An ownership record that cannot be read is no heartbeat: else another writer
-        could keep a dead owner in office. It is no sign of silence either, so an owner
-        of which nothing else is known counts as heard of just now.
+        An ownership record that cannot be read is not a heartbeat: otherwise another writer
+        could keep the cell with a dead owner. It does not prove silence either, so an owner
+        that was not known before counts as just heard.
         """
         previous_owner = self.state.owner
         errors = self.state.fold(batch.records)
@@ -170,4 +171,4 @@
             if error is None:
                 self._unreadable.accept(record.key)
                 continue
-            self._unreadable.refuse(record.key, error, 'what is known of it stands')
+            self._unreadable.refuse(record.key, error, 'its last known content is kept')
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -1,9 +1,9 @@
-"""What every host believes of the runners' entries.
+"""Projection of the runners' topic, in which each runner has an entry with its registration.
 
-An entry may come from another writer. One that cannot be read, or that names a service
-which no configuration names, names no runner to use. What may run there already stays
-where it was last known: it counts, it is looked at, and it is not started elsewhere
-before its leases must have run out.
+An entry may come from another writer. No tasks are started by an entry that cannot be read, or
+whose service is in no configuration. Tasks that may run on the runner already are still
+attributed to its last known registration: they are counted, the runner is polled, and they are
+not started elsewhere before their leases must have expired.
 """
 
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class RunnerProjection(Projection):
-    """Keeps the registrations of runners, and when one was last seen."""
+    """Keeps the registrations of runners, including removed ones."""
 
     def __init__(
         self,
@@ -37,25 +37,25 @@
         has_service: Callable[[str], bool] = _accept_any_service,
         unreadable: UnreadableLog | None = None,
     ) -> None:
-        """Start with no runners; use those of services that ``names_service`` knows."""
+        """Start without runners; only those of a service for which ``has_service()`` are usable."""
         self._codec = codec
         self._clock = clock
         self._journal = journal
         self._has_service = has_service
         self._unreadable = unreadable or UnreadableLog('runners', Part.WORKERS, clock, journal)
-        #: The last good registration of each incarnation whose entry is there; it is not
-        #: usable while the newest entry is not.
+        #: The last valid registration of each incarnation with an entry; it is marked as
+        #: unusable while the newest entry is invalid.
         self.registration_by_id: dict[str, Registration] = {}
-        #: The incarnation that the last good entry of each runner is of.
+        #: The incarnation of the last valid entry of each runner.
         self._incarnation_by_runner: dict[str, str] = {}
-        #: Incarnations whose entry has gone: their last registration and when.
+        #: Incarnations without an entry: their last registration and the time of removal.
         self.removed_by_id: dict[str, tuple[Registration, float]] = {}
 
     def load_snapshot(self, snapshot: RecordBatch) -> None:
-        """Take the newest entries; those that are not among them are gone.
+        """Fold the newest entries, and remove runners without one.
 
-        The first ones get one line together: one for each would be 176 lines on each
-        host of a large site, and push out of short logs what was decided last.
+        The first snapshot is logged in one line: one for each runner would be 176 lines on each
+        host of a large site, and push the latest decisions out of short logs.
         """
         first = not self.registration_by_id
         present = {record.key for record in snapshot.records if not record.dropped}
@@ -73,11 +73,11 @@
             )
 
     def fold(self, batch: RecordBatch) -> None:
-        """Take the records that follow."""
+        """Fold the next records of the topic."""
         self._fold_records(batch, log_each=True)
 
     def find(self, incarnation: str) -> Registration | None:
-        """Return the last good registration that was seen of an incarnation."""
+        """Return the last valid registration of an incarnation, removed ones included."""
         registration = self.registration_by_id.get(incarnation)
         if registration is None and incarnation in self.removed_by_id:
             registration, _ = self.removed_by_id[incarnation]
@@ -96,7 +96,7 @@
             self._register(record.key, registration, log=log_each)
 
     def _decode(self, record: KeyedRecord) -> Registration:
-        """Return what an entry says if it can be relied upon."""
+        """Return the registration of an entry; raises ``UnreadableError`` for an invalid one."""
         if record.error is not None:
             raise record.error
         registration = self._codec.decode_registration(record.key, record.content or b'')
@@ -107,25 +107,25 @@
         return registration
 
     def _check_unchanged(self, runner: str, registration: Registration) -> None:
-        """Refuse an entry that moves an incarnation, or does not tell which one it is of.
+        """Refuse an entry that changes an incarnation's address or service, or has none.
 
         An incarnation has one address and one service. Of two entries that differ one is
-        wrong, and orders go where the first one said.
+        wrong, and orders are sent to the address of the first one.
         """
         previous = self._find_newest(runner)
         if previous is None:
             return
         if previous.incarnation is not None and registration.incarnation is None:
-            raise UnreadableError(Reason.FIELDS, 'it does not tell its incarnation')
+            raise UnreadableError(Reason.FIELDS, 'the incarnation is missing')
         if previous.runner != registration.runner or not self._has_service(previous.service):
             return
         before = (previous.service, previous.address, previous.port)
         if before != (registration.service, registration.address, registration.port):
-            message = f'it was of {previous.service!r} at {previous.address}:{previous.port}'
+            message = f'the entry was of {previous.service!r} at {previous.address}:{previous.port}'
             raise UnreadableError(Reason.CHANGED, message)
 
     def _mark_unusable(self, runner: str, error: UnreadableError) -> None:
-        self._unreadable.refuse(runner, error, 'nothing new is started there')
+        self._unreadable.refuse(runner, error, 'no tasks are started there')
         previous = self._find_newest(runner)
         if previous is not None and previous.usable:
             self.registration_by_id[previous.runner] = replace(previous, usable=False)
@@ -166,11 +166,11 @@
             )
 
     def _find_newest(self, runner: str) -> Registration | None:
-        """Return the last good registration under a runner's id, if its entry is there."""
+        """Return the last valid registration of a runner's id, if it has an entry."""
         return self.registration_by_id.get(self._incarnation_by_runner.get(runner, ''))
 
     def _retire(self, runner: str) -> str:
-        """Note that the entry of a runner's incarnation has gone; return it, empty for none."""
+        """Note the removal of a runner's entry; return its incarnation, empty for none."""
         incarnation = self._incarnation_by_runner.pop(runner, '')
         registration = self.registration_by_id.pop(incarnation, None)
         if registration is not None:
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -1,7 +1,7 @@
-"""Group commit: everything that waits goes into one append, the newest of each key.
+"""Group commit: all waiting records go into one append, only the newest of each key.
 
-Load pattern: the tasks of a job end within milliseconds of each other, and each end is a newer
-record of the same job. Only the last of those that wait is appended.
+Load pattern: the tasks of a job end within milliseconds of each other, and each end leads to a
+newer record of the same job. Only the newest waiting one is appended.
 """
 
 import enum
@@ -21,36 +21,35 @@
 )
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 
-#: Records of one append: keeps a backlog's append within a few milliseconds.
+#: Keeps the append of a backlog within a few milliseconds.
 MAX_APPEND_RECORDS = 200
-#: Bytes of one append, well below what the store takes at once.
+#: Well below the store's limit for one append.
 MAX_APPEND_BYTES = 1_000_000
-#: Bounds in seconds for an append's answer. The wait follows what was measured and doubles with
-#: each miss, so that a slow store is not taken for a silent one.
+#: Bounds of a fenced append's timeout. It follows the measured latency and doubles with each
+#: timeout, so that a slow store is not taken for a silent one.
 MIN_TIMEOUT_SECONDS = 0.3
 MAX_TIMEOUT_SECONDS = 0.9
-#: Seconds that a plain writer waits for every answer: an append that is sent again while the first
-#: one is queued at the store makes the queue longer.
+#: Constant for unfenced writers: an append that is sent again while the first one is queued at
+#: the store makes the queue longer.
 UNFENCED_TIMEOUT_SECONDS = 0.9
-#: The wait is this many times the typical answer, and doubles after each miss.
+#: Ratio of the timeout to the typical latency.
 TIMEOUT_FACTOR = 8.0
-#: Weight of the newest answer in the typical one.
+#: Weight of the newest latency in the moving average.
 NEWEST_LATENCY_WEIGHT = 0.2
-#: Seconds of refusals or resets, and of silence, after which the store counts as out of
-#: reach. Silence is also what a slow store looks like at first.
+#: Seconds of refused or reset connections, and of silence, after which the store counts as
+#: unreachable. Longer for silence, as a slow store looks silent at first.
 REFUSING_SECONDS = 0.2
 SILENT_SECONDS = 1.0
-#: Seconds for which a failed append tells something about the store.
+#: Seconds after which a failed append says nothing about the store any more.
 FAILURE_MEMORY_SECONDS = 1.5
-#: Seconds between tries while the store refuses or stays silent. Plain writers pause twice as long
-#: after each failure, up to the longest pause, with jitter, so that they do not fill a slow store's
-#: queue.
+#: Seconds between attempts while appends fail. Unfenced writers double the pause after each
+#: failure, up to the maximum, with jitter, so that they do not fill a slow store's queue.
 RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 0.8
 
 
 class WriteOutcome(enum.Enum):
-    """What became of records that were to be written."""
+    """What became of records that were to be written; ``UNKNOWN`` ones may be stored."""
 
     STORED = 'stored'
     REFUSED = 'refused'
@@ -68,41 +67,40 @@
 
 
 class AppendLatency:
-    """How long answers take, and so how long one is worth waiting for. No I/O."""
+    """Moving average of the latency of appends, and the timeout derived from it. No I/O."""
 
     def __init__(self) -> None:
-        """Start with a quick server."""
+        """Assume a fast store, whose timeout is the minimum."""
         self._typical_seconds = MIN_TIMEOUT_SECONDS / TIMEOUT_FACTOR
         self._backoff_factor = 1.0
 
     @property
     def typical_seconds(self) -> float:
-        """Return how long an answer typically takes, in seconds."""
+        """Return the moving average of the latency in seconds."""
         return self._typical_seconds
 
     @property
     def timeout(self) -> float:
-        """Return how long to wait for the next answer, in seconds."""
+        """Return the timeout of the next append in seconds."""
         wanted = max(MIN_TIMEOUT_SECONDS, self._typical_seconds * TIMEOUT_FACTOR)
         return min(MAX_TIMEOUT_SECONDS, wanted * self._backoff_factor)
 
     def note_answer(self, seconds: float) -> None:
-        """Learn from an answer."""
+        """Update the average by the latency of an answered append."""
         self._typical_seconds += NEWEST_LATENCY_WEIGHT * (seconds - self._typical_seconds)
         self._backoff_factor = 1.0
 
     def note_timeout(self) -> None:
-        """Wait longer next time: the server may be slow, not silent."""
+        """Double the next timeout: the store may be slow, not silent."""
         self._backoff_factor *= 2
 
 
 class GroupWriter:
     """Appends to one topic, one append at a time.
 
-    Plain writers append records that may be repeated without harm, so an
-    append without an answer is simply sent again. A fenced writer repeats the
-    very same append under the same sequence number: the store answers it as
-    the first time, and refuses it for good once a higher epoch has written.
+    The records of an unfenced writer are idempotent, so an append without an answer is simply
+    sent again. A fenced writer repeats the identical append under the same sequence number: the
+    store answers it as the first time, and refuses it once a higher epoch has written.
     """
 
     def __init__(
@@ -112,7 +110,7 @@
         journal: Journal,
         fence: WriterFence | None = None,
     ) -> None:
-        """Write to ``topic``; ``fence`` names the next append of a fenced writer."""
+        """Write to ``topic``; ``fence`` has the epoch and sequence number of the next append."""
         self._topic = topic
         self._clock = clock
         self._journal = journal
@@ -123,18 +121,18 @@
         self._pause = RETRY_SECONDS
         self._failed_fast = False
         self.fenced = False
-        #: How many writes were given up: their records stand nowhere, or may not.
+        #: How many writes were given up: their records are not stored, or may not be.
         self.given_up = 0
-        #: Since when no append has succeeded, infinite while they do.
+        #: Since when no append has succeeded, infinite while appends succeed.
         self.failing_since = float('inf')
         self.failed_at = float('-inf')
-        #: When the latest append that was answered had been sent.
+        #: When the latest successful append was sent.
         self.stored_at = float('-inf')
 
     def store_is_failing(self, now: float) -> bool:
-        """Return whether the store takes nothing from this host just now.
+        """Return whether the store currently accepts no appends of this host.
 
-        An idle writer learns nothing, so what it knew of an outage is forgotten in time.
+        An idle writer does not notice the end of an outage, so a failure expires after a while.
         """
         if now - self.failed_at > FAILURE_MEMORY_SECONDS:
             return False
@@ -143,11 +141,11 @@
 
     @property
     def typical_latency(self) -> float:
-        """Return how long an append usually takes just now."""
+        """Return the moving average of an append's latency in seconds."""
         return self._latency.typical_seconds
 
     async def write(self, records: Sequence[KeyedRecord], timeout: float) -> WriteOutcome:
-        """Append the records within ``patience`` seconds and tell what became of them."""
+        """Append the records within ``timeout`` seconds and return what became of them."""
         pending = _PendingWrite(records, self._clock.monotonic() + timeout)
         self._waiting.append(pending)
         await self._event.set()
@@ -155,7 +153,7 @@
         return pending.outcome or WriteOutcome.UNKNOWN
 
     async def run(self) -> None:
-        """Append what waits, for ever."""
+        """Append waiting records until the writer is fenced off."""
         while not self.fenced:
             await self._event.wait()
             self._event.clear()
@@ -178,14 +176,14 @@
         while writes:
             batch = _keep_newest(writes)
             if not batch:
-                # Only waits for what was written before.
+                # A write without records only waits for those before it.
                 await _complete(writes, WriteOutcome.STORED)
                 return
             sent_at = self._clock.monotonic()
             try:
                 await self._topic.append(batch, self._timeout, self._fence)
             except FencedError as error:
-                self._journal.tell(Part.LOG, f'lost the right to write: {error}.')
+                self._journal.tell(Part.LOG, f'the store has fenced off this writer: {error}.')
                 self.fenced = True
                 await _complete(writes, WriteOutcome.FENCED)
                 return
@@ -213,13 +211,13 @@
             return
 
     async def _retry(self, writes: list[_PendingWrite], error: StoreError) -> list[_PendingWrite]:
-        """Return the entries that are tried again, after a pause."""
+        """Return the writes that are to be tried again, after a pause."""
         now = self._clock.monotonic()
         kept = []
         for pending in writes:
             pending.in_doubt = pending.in_doubt or error.verdict is not Verdict.NOT_RUN
-            # What a fenced append holds must stay the same until it is known
-            # not to have taken place.
+            # The content of a fenced append must not change until it is known that the store
+            # has not executed it.
             if now < pending.deadline or (self._fence is not None and pending.in_doubt):
                 kept.append(pending)
                 continue
@@ -233,13 +231,13 @@
         return kept
 
     async def _abandon_expired(self, now: float) -> None:
-        """Give up what has waited too long behind an append that fails; it was never sent.
+        """Give up writes that have waited too long behind a failing append.
 
-        Only who knows that may ask another host.
+        They were never sent and are reported as such: only then may the caller ask another host.
         """
         expired = [pending for pending in self._waiting if pending.deadline <= now]
-        # Taken out without a pause: what is queued meanwhile stays behind all that waits, or
-        # an older record of a job could land behind its newest.
+        # No await between the two: writes that are queued meanwhile must stay behind all waiting
+        # ones, or an older record of a job could be appended after its newest.
         self._waiting = deque(pending for pending in self._waiting if now < pending.deadline)
         for pending in expired:
             await self._abandon(pending)
@@ -259,7 +257,7 @@
 
 
 def _keep_newest(writes: Sequence[_PendingWrite]) -> list[KeyedRecord]:
-    """Return the newest record of each key: of one append, the store keeps no other."""
+    """Return the newest record of each key; the store would keep no others of one append."""
     record_by_key: dict[str, KeyedRecord] = {}
     for pending in writes:
         for record in pending.records:
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -1,4 +1,4 @@
-"""What an entry host shows of client accounts: use, quota, share, what waits, refusals."""
+"""The status of client accounts that an entry host shows: usage, quota, share and refusals."""
 
 from collections import Counter
 from typing import Any
@@ -10,19 +10,19 @@
 
 #: Accounts that are shown by name, those with the largest weight first.
 MAX_LISTED_ACCOUNTS = 100
-#: Stands for all other accounts.
+#: Name under which the refusals of all other accounts are counted.
 OTHER_ACCOUNTS = 'others'
 
 
 class RefusalCounts:
-    """How many calls of each account this host has refused; bounded in its names."""
+    """Counts the refused requests of each account, for a bounded number of names."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without refusals."""
         self.count_by_account: Counter[str] = Counter()
 
     def note(self, account: str) -> None:
-        """Count a call that was refused."""
+        """Count a refused request."""
         has_own_count = (
             account in self.count_by_account or len(self.count_by_account) < MAX_LISTED_ACCOUNTS
         )
@@ -35,7 +35,7 @@
     cell_state: CellState,
     refusals: RefusalCounts,
 ) -> dict[str, Any]:
-    """Return what is shown; only the owner, with its ``cell``, knows use and what waits."""
+    """Return the status; only the owner, which has a ``cell``, knows usage and waiting jobs."""
     owner = cell_state.owner
     member = None if owner is None else cell_state.member_by_host.get(owner.host)
     return {
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -1,4 +1,4 @@
-"""The parts of an entry host that serve clients, put together."""
+"""Assembles the parts of an entry host that serve clients."""
 
 from collections.abc import Callable
 from typing import Any
@@ -36,7 +36,7 @@
     journal: Journal,
     metrics: EntryMetrics,
 ) -> ClientFront:
-    """Return the front; it counts its answers in ``metrics``."""
+    """Return the handler of client requests, which counts its answers in ``metrics``."""
     metrics.show_accounts(lambda: _view_accounts(reads, get_dispatcher(), metrics))
     codec = JsonClientCodec()
     follower = reads.cell_follower
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -54,14 +54,14 @@
 METRICS_PORT = 9464
 #: Seconds between updates of the gauges.
 GAUGE_UPDATE_SECONDS = 1.0
-#: Seconds for which a stopping host still takes connections: the balancer
-#: needs two looks, a second apart, to notice.
+#: Seconds for which a stopping host still accepts connections: the balancer removes it after
+#: two failed checks, one second apart.
 BALANCER_NOTICE_SECONDS = 2.5
-#: Seconds kept free before a stopping host is killed.
+#: Seconds between the end of a host's shutdown and the time at which it would be killed.
 EXIT_MARGIN_SECONDS = 1.0
 POLL_SECONDS = 0.05
 MEMBER_WRITE_TIMEOUT = 5.0
-#: Stop and reload.
+#: The first two stop the host, the last one checks its settings file.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
@@ -89,7 +89,7 @@
             self._journal,
         )
         self._cell_projection = self._reads.cell
-        # Claims and the owner's records must not wait behind submissions.
+        # A connection of its own: claims and the owner's records must not wait behind submissions.
         self._owner_topic = StoreTopic(CELL_TOPIC, settings.store)
         self._writer = GroupWriter(self._reads.topics[CELL_TOPIC], self._clock, self._journal)
         incarnation = name_incarnation(settings.host)
@@ -186,8 +186,8 @@
         self._client_server = Server(
             self._client_api.handle,
             ServerLimits(connections=settings.connections),
-            # A client that keeps its connection would go on asking a host in vain that
-            # the balancer sends nobody to.
+            # Closes kept connections of an unready host: its clients would otherwise go on
+            # sending requests in vain to a host that the balancer has taken out.
             self._readiness.is_unready,
         )
 
@@ -272,7 +272,7 @@
         return max(self._reads.answered_at, stored_at)
 
     async def _announce_member(self) -> None:
-        """Tell the other hosts where this one listens for peers."""
+        """Publish in the store where this host listens for peers."""
         settings = self._settings
         while not self._reads.cell_follower.started:
             await curio.sleep(POLL_SECONDS)
@@ -286,10 +286,10 @@
         )
         record = make_record(MEMBER + settings.host, member)
         while await self._writer.write([record], MEMBER_WRITE_TIMEOUT) is not WriteOutcome.STORED:
-            self._journal.tell(Part.PEERS, 'could not make itself known yet.')
+            self._journal.tell(Part.PEERS, 'has not published its member record yet; trying again.')
 
     async def _run_terms(self) -> None:
-        """Own the cell whenever it falls to this host."""
+        """Dispatch the cell's jobs during each term that this host wins."""
         settings = self._settings
         parts = DispatcherParts(
             topic=self._owner_topic,
@@ -313,7 +313,7 @@
         while True:
             term = await self._election.wait_for_term(self._may_claim)
             self._dispatcher = Dispatcher(parts, term)
-            # What a host that does not own knows of the runners may be old.
+            # The list of runners may be outdated on a host that did not own the cell.
             await self._reads.runners_follower.read_now()
             try:
                 await self._dispatcher.run()
@@ -321,7 +321,7 @@
                 self._dispatcher = None
 
     def _may_claim(self) -> bool:
-        # A host that does not keep the list of runners reads it once it owns.
+        # A host that does not follow the list of runners reads it once it owns the cell.
         return not self._stopping and self._reads.started
 
     async def _update_gauges(self) -> None:
@@ -344,16 +344,16 @@
         await self._stop_requested.set()
 
     def _reload(self) -> None:
-        """Read the settings again; addresses stay those of the start."""
+        """Check the settings file again; the addresses in use stay those of the start."""
         try:
             load_host_settings(self._settings_path)
         except (SettingsError, OSError) as error:
-            self._journal.tell(Part.LIFE, f'keeps its settings: {error}.')
+            self._journal.tell(Part.LIFE, f'the settings file is invalid and ignored: {error}.')
             return
-        self._journal.tell(Part.LIFE, 'has read its settings again.')
+        self._journal.tell(Part.LIFE, 'the settings file is valid; changes apply after a restart.')
 
     async def _stop(self) -> None:
-        """Hand the cell over, let the balancer notice, finish what is in flight."""
+        """Hand over the cell, wait for the balancer to notice, and finish open requests."""
         stop_began_at = self._clock.monotonic()
         self._journal.tell(Part.LIFE, 'is stopping; it is not ready any more.')
         if self._dispatcher is not None:
@@ -372,7 +372,7 @@
 
 
 def main(environment: Environment | None = None) -> int:
-    """Run an entry host with the settings file that the environment names."""
+    """Run an entry host with the settings file that is named by the environment."""
     from dandelionreel.platform import DEFAULT_PATH, SETTINGS_VARIABLE
 
     environment = environment or Environment(program='dandelionreel-entry')
--- a/dandelionreel/entry_metrics.py
+++ b/dandelionreel/entry_metrics.py
@@ -12,18 +12,18 @@
 from dandelionreel.http import Answer, Request, answer_json, control_bytes_by_kind
 
 HTTP_OK = 200
-#: Where client accounts are shown; every other path has the metrics.
+#: Path of the status of client accounts; all other paths serve the metrics.
 ACCOUNTS_PATH = '/accounts'
 TEXT_TYPE = 'text/plain; version=0.0.4'
-#: Seconds; the store answers in 4 ms, clients wait 3 s.
+#: In seconds; the store answers in 4 ms, clients wait 3 s.
 ANSWER_SECONDS_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 3)
 
 
 class EntryMetrics:
-    """What one host counts."""
+    """The metrics of one entry host."""
 
     def __init__(self) -> None:
-        """Keep a registry of its own."""
+        """Register all metrics in a registry of their own."""
         self._registry = CollectorRegistry()
         self.refusals = RefusalCounts()
         self._get_accounts_view: Callable[[], dict[str, Any]] = dict
@@ -66,7 +66,7 @@
         self._cpu_seconds = self._gauge('cpu_seconds', 'Processor time of this process.')
 
     def show_accounts(self, get_view: Callable[[], dict[str, Any]]) -> None:
-        """Show what ``view()`` returns at ``ACCOUNTS_PATH``."""
+        """Serve the result of ``get_view()`` at ``ACCOUNTS_PATH``."""
         self._get_accounts_view = get_view
 
     def note_answer(self, method: str, status: int, seconds: float) -> None:
@@ -97,7 +97,7 @@
         self._update_accounts(cell, configuration)
 
     async def handle(self, request: Request) -> Answer:
-        """Serve the text of all metrics, or what is known of client accounts."""
+        """Serve all metrics, or the status of client accounts."""
         if request.path == ACCOUNTS_PATH:
             return answer_json(self._get_accounts_view())
         return Answer(HTTP_OK, (('content-type', TEXT_TYPE),), generate_latest(self._registry))
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -1,4 +1,4 @@
-"""What an entry host answers its peers."""
+"""The server of an entry host for the messages of its peers."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
@@ -45,7 +45,7 @@
 ) -> None:
     """Answer peers at an address until the stack closes.
 
-    ``answer_asked`` tells whether this host acts as the owner, or could.
+    ``answer_owner_query`` replies whether this host acts as the owner, or could.
     """
     peers = PeerServer(election.incarnation, clock, EchoBook(), journal, Traffic())
     handlers = (
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -1,4 +1,4 @@
-"""Whether an entry host asks the balancer for clients, and what it told it last."""
+"""The readiness endpoint of an entry host, by which the load balancer selects hosts."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 class EntryReadiness:
-    """Answers the balancer."""
+    """Answers the readiness checks of the load balancer and logs changes."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Judge by these parts of the host."""
+        """Determine readiness from these parts of the host."""
         self.rotation = Rotation()
         self._configuration = configuration
         self._partition_detector = partition_detector
@@ -36,19 +36,19 @@
         self._clock = clock
         self._journal = journal
         self._stopping = False
-        #: Why clients are to go elsewhere, as the balancer was last told.
+        #: Why the host was not ready at the last check; empty if it was.
         self._last_reason = 'it is starting'
 
     def stop(self) -> None:
-        """Ask for no clients any more: the host is stopping."""
+        """Report not ready from now on: the host is stopping."""
         self._stopping = True
 
     def is_unready(self) -> bool:
-        """Return whether clients should go elsewhere just now."""
+        """Return whether clients should currently use another host."""
         return bool(find_hindrance(self._gather_inputs()))
 
     async def answer(self, request: Request) -> Answer:
-        """Answer one question of the balancer."""
+        """Answer one readiness check."""
         inputs = self._gather_inputs()
         reason = find_hindrance(inputs)
         self._log_change(reason, inputs)
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -1,4 +1,4 @@
-"""What an entry host reads from the store, and how often."""
+"""The topics that an entry host follows, and how often it reads them."""
 
 from collections.abc import Callable
 
@@ -21,16 +21,16 @@
     StoreTopic,
 )
 
-#: Seconds that a read waits at the store for news. The owner's heartbeats end
-#: most reads of the cell's topic sooner.
+#: Seconds that a read waits at the store for new records. The owner's heartbeats end most
+#: reads of the cell's topic sooner.
 CELL_WAIT_SECONDS = 0.5
 OPERATOR_WAIT_SECONDS = 2.0
 RUNNERS_WAIT_SECONDS = 1.0
-#: Seconds in which records are gathered into one read at the owner: of the
-#: cell's records, most of them its own, and of the runners' heartbeats.
+#: Seconds between reads at the owner, in which records are collected: the cell's records, most
+#: of them its own, and the runners' heartbeats.
 OWNER_CELL_PAUSE_SECONDS = 0.15
 OWNER_RUNNERS_PAUSE_SECONDS = 0.2
-#: The same on the other hosts. There a client that asks for a job that is not over ends the pause.
+#: The same at other hosts, where a client request for an unfinished job ends the pause.
 CELL_PAUSE_SECONDS = 0.25
 RUNNERS_PAUSE_SECONDS = 2.0
 OPERATOR_PAUSE_SECONDS = 0.1
@@ -39,7 +39,7 @@
 
 
 class EntryReads:
-    """Topics, what is folded from them, and the followers that keep it up to date."""
+    """Topics, their projections, and the followers that keep these up to date."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Read for ``host``; ``owns()`` tells whether it owns the cell."""
+        """Read for ``host``; ``owns_cell()`` returns whether it owns the cell."""
         self._host = host
         self._owns_cell = owns_cell
         self._note_unreadable = note_unreadable
@@ -90,7 +90,7 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether all that is wanted has been read, and the store answers."""
+        """Return whether all needed topics have been read to the end, and the store answers."""
         return all(
             follower.suspended or (follower.complete and follower.reached)
             for follower in self.followers
@@ -98,7 +98,7 @@
 
     @property
     def started(self) -> bool:
-        """Return whether a first snapshot of all that is wanted has been read."""
+        """Return whether the first snapshots of all needed topics have been read."""
         return all(follower.started or follower.suspended for follower in self.followers)
 
     def _follow(self, name: str, topic: str, projection: Projection, max_wait: float) -> Follower:
