--- a/features/accounts.feature
+++ b/features/accounts.feature
@@ -1,10 +1,10 @@
 Feature: Client accounts and their API keys
 
-  # Guards against calls that are served without a key, and against refusals that tell why.
-  Scenario Outline: What a call must bring
-    Given a front with the accounts blue and red
-    When the jobs are counted with the headers <headers>
-    Then the answer is a <status>, and the log names no key
+  # Guards against requests served without a key, and against refusals that reveal the reason.
+  Scenario Outline: Which requests are authenticated
+    Given a client API with the accounts blue and red
+    When a client counts the jobs with the headers <headers>
+    Then the answer is a <status>, and no key is logged
 
     Examples: served
       | headers                                   | status |
@@ -31,27 +31,27 @@
       | Authorization: Bearer blue-key-1, Authorization: Bearer blue-key-1 | 401  |
       | Authorization: Bearer 100 kB                                     | 401    |
 
-  # Guards against a key that is let in for its form, and against an answer that differs.
-  Scenario: Whatever stands in the header, only a known key is let in
-    Given a front with the accounts blue and red
-    Then drawn headers are answered alike unless they carry a known key
+  # Guards against accepting a key for its format, and against refusals that differ.
+  Scenario: Only a known key is accepted, whatever the header contains
+    Given a client API with the accounts blue and red
+    Then random headers get the same answer unless they contain a known key
 
   Scenario: A public queue needs no key
-    Given a front with the accounts blue and red
-    When the jobs of the public queue are counted without a key
-    Then the answer is a 200, and the log names no key
+    Given a client API with the accounts blue and red
+    When a client counts the jobs of the public queue without a key
+    Then the answer is a 200, and no key is logged
 
   Scenario: Without accounts in the configuration no key is needed
-    Given a front without accounts
-    When the jobs are counted with the headers none
-    Then the answer is a 200, and the log names no key
+    Given a client API without accounts
+    When a client counts the jobs with the headers none
+    Then the answer is a 200, and no key is logged
 
-  # Guards against a 401 for a key that was added where this host has not read it yet.
+  # Guards against a 401 for a new key that this host has not read yet.
   Scenario Outline: A key that this host does not know
-    Given a front with the accounts blue and red
+    Given a client API with the accounts blue and red
     And peers that <peers>
-    When the jobs are counted with the headers Authorization: Bearer new-key
-    Then the answer is a <status>, and the log names no key
+    When a client counts the jobs with the headers Authorization: Bearer new-key
+    Then the answer is a <status>, and no key is logged
 
     Examples:
       | peers                                      | status |
@@ -60,18 +60,18 @@
       | do not answer while the store is silent    | 503    |
       | do not answer while the store serves       | 401    |
 
-  # Guards against load from unknown keys: they share one question to peers.
+  # Guards against load from unknown keys: they share one query to peers.
   Scenario: A hundred unknown keys
-    Given a front with the accounts blue and red
+    Given a client API with the accounts blue and red
     And peers that have the same configuration
-    When a hundred calls come with unknown keys
+    When a hundred requests come with unknown keys
     Then peers were asked once
 
-  # Guards against a relayed call that is served by the older of two configurations.
-  Scenario Outline: A call that a peer passes on
-    Given a front with the accounts blue and red, in version 5
-    When a peer that has version <version> passes on a call of <caller> with <key>
-    Then the answer is a <status>, and the log names no key
+  # Guards against serving a forwarded request by the older of two configurations.
+  Scenario Outline: A request that a peer forwards
+    Given a client API with the accounts blue and red, in version 5
+    When a peer with configuration version <version> forwards a request of <caller> with <key>
+    Then the answer is a <status>, and no key is logged
 
     Examples:
       | version | caller | key         | status |
@@ -80,25 +80,25 @@
       | 4       | blue   | removed-key | 401    |
       | 6       | green  | added-key   | 200    |
 
-  # Guards against a revoked key that a host lets in that has long heard of nothing.
-  Scenario Outline: A host that may be behind
-    Given a front with the accounts blue and red, of which a newer version may be <age> s old
-    And keys are checked by configurations of <limit>
-    When the jobs are counted with the headers Authorization: Bearer blue-key-1
-    Then the answer is a <status>, and the log names no key
+  # Guards against a revoked key at a host that has not received a configuration for long.
+  Scenario Outline: A host whose configuration may be outdated
+    Given a client API with the accounts blue and red, whose configuration may be outdated by <age> s
+    And the maximum age of a configuration that keys are checked by is <limit>
+    When a client counts the jobs with the headers Authorization: Bearer blue-key-1
+    Then the answer is a <status>, and no key is logged
 
     Examples:
       | age | limit      | status |
       | 3   | 5 s        | 200    |
       | 6   | 5 s        | 503    |
-      | 60  | any age    | 200    |
+      | 60  | unlimited   | 200    |
 
-  # Guards against an account that learns of another one's job.
+  # Guards against an account that gets information about another one's job.
   Scenario Outline: A job of the account blue
-    Given a front with the accounts blue and red
+    Given a client API with the accounts blue and red
     And a job of <owner> that is <state>
     When <caller> asks by <method>
-    Then the answer is a <status>, and the log names no key
+    Then the answer is a <status>, and no key is logged
 
     Examples:
       | owner   | state     | caller | method | status |
@@ -114,11 +114,11 @@
       | blue    | completed | blue   | POST   | 200    |
       | nobody  | completed | red    | GET    | 200    |
 
-  # Guards against a job that waits for ever as its account may never run a part of it.
-  Scenario Outline: A job that never fits its account's quota
-    Given a front with the accounts blue and red
-    When blue hands in a step of <count> <kind> of <cpu> cores, of 8 that it may have running
-    Then the answer is a <status>, and the log names no key
+  # Guards against a job that waits for ever because a part of it exceeds the quota.
+  Scenario Outline: A job that exceeds its account's quota
+    Given a client API with the accounts blue and red
+    When blue submits a step of <count> <kind> of <cpu> cores, with a quota of 8 cores
+    Then the answer is a <status>, and no key is logged
 
     Examples:
       | count | kind           | cpu | status |
@@ -127,8 +127,8 @@
       | 3     | gang members   | 3   | 429    |
       | 2     | gang members   | 4   | 503    |
 
-  # Guards against one wrong row that costs the other accounts.
-  Scenario Outline: Accounts that cannot be used in full
+  # Guards against one invalid row that makes other accounts unusable.
+  Scenario Outline: Invalid accounts in a configuration
     When a configuration has the accounts <rows>
     Then <usable> are in force, with <problems> problems, and no problem names a key
 
@@ -150,16 +150,16 @@
       | [{"name":"a"}]                                                         | a:     | 0        |
       | []                                                                     | none   | 0        |
 
-  # Guards against work for each key where one of them changes.
+  # Guards against digesting all keys where one of them changes.
   Scenario: One of 10,000 keys changes
     Given a configuration of 100 accounts with 100 keys each
-    When a version comes in which one account has another key
+    When a version arrives in which one account has another key
     Then 100 keys were digested, and every key finds its account
 
-  # Guards against a host that the store turns away and that goes on taking a revoked key.
-  Scenario Outline: The store turns a host away while a key is revoked
-    Given a host whose store answered last <age> s ago, and peers with a newer configuration
-    When it looks whether it is behind
+  # Guards against a host without the store that goes on accepting a revoked key.
+  Scenario Outline: A host loses the store while a key is revoked
+    Given a host whose last answer of the store is <age> s old, and peers with a newer configuration
+    When it checks whether its configuration is outdated
     Then it <outcome>
 
     Examples:
@@ -167,14 +167,14 @@
       | 0.1 | has the old configuration        |
       | 1.0 | has the newer configuration      |
 
-  # Guards against one reading of the operator's topic that stays silent while others go on.
-  Scenario: The owner decides by a newer configuration
-    Given a host whose store answered last 0.1 s ago, and peers with a newer configuration
-    When it reads that the owner has the newer one
+  # Guards against a stalled read of the operator's topic while other topics are read.
+  Scenario: The owner has a newer configuration
+    Given a host whose last answer of the store is 0.1 s old, and peers with a newer configuration
+    When it reads that the owner has the newer configuration
     Then it has the newer configuration
 
-  # Guards against a host that lost the store before it had read of any peer.
+  # Guards against a host that lost the store before it had read any peer's record.
   Scenario: A host that knows no peer yet
     Given a host that knows no peer, with a seed that has a newer configuration
-    When it looks whether it is behind
+    When it checks whether its configuration is outdated
     Then it has the newer configuration
--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,13 +1,13 @@
-Feature: Entries of other writers
+Feature: Unreadable runner entries and records in the store
 
-  # Guards against trusting an entry that no runner has written.
-  Scenario Outline: The entry of a runner at work becomes unreadable
-    Given a runner at work whose entry is good
+  # Guards against trusting an entry that another writer has left under a runner's key.
+  Scenario Outline: The entry of a runner with a running task becomes unreadable
+    Given a runner with a running task and a valid entry
     When its entry becomes <entry>
-    Then nothing new is started on it
-    And what runs there counts, and is not started elsewhere
-    And it is still looked at where it was last known
-    And its next good entry brings it back
+    Then no further task is started on it
+    And its task counts there, and is not started elsewhere
+    And it is still polled at its last known address
+    And its next valid entry makes it usable again
 
     Examples:
       | entry                        |
@@ -21,8 +21,8 @@
       | labels that are no list      |
       | a capacity that is text      |
       | an empty service             |
-      | a service that is not named  |
-      | a state that is not named    |
+      | a service that is not configured  |
+      | an unknown state    |
       | a capacity below zero        |
       | memory below zero            |
       | a capacity of 400 digits     |
@@ -46,12 +46,12 @@
       | bytes that are no text       |
       | text of another encoding     |
       | a field that is no text      |
-      | half a surrogate pair        |
+      | an unpaired surrogate        |
 
-  # An entry that no host ever read as good has no address to trust: nobody is asked there.
-  Scenario Outline: An entry that never was good
-    Given a host that knows two good entries
-    When there is a third one with <entry>
+  # An entry that no host has ever read as valid has no trusted address: it is not polled.
+  Scenario Outline: An entry that was never valid
+    Given a host that knows two valid entries
+    When there is a third entry with <entry>
     Then only the two runners are known
 
     Examples:
@@ -66,8 +66,8 @@
       | labels that are no list      |
       | a capacity that is text      |
       | an empty service             |
-      | a service that is not named  |
-      | a state that is not named    |
+      | a service that is not configured  |
+      | an unknown state    |
       | a capacity below zero        |
       | memory below zero            |
       | a capacity of 400 digits     |
@@ -91,64 +91,64 @@
       | bytes that are no text       |
       | text of another encoding     |
       | a field that is no text      |
-      | half a surrogate pair        |
+      | an unpaired surrogate        |
 
   Scenario: The entry of a runner names another service of the configuration
-    Given a runner at work whose entry is good
+    Given a runner with a running task and a valid entry
     When its entry becomes one of another service
-    Then nothing new is started on it
-    And what runs there counts, and is not started elsewhere
-    And it is still looked at where it was last known
-    And its next good entry brings it back
+    Then no further task is started on it
+    And its task counts there, and is not started elsewhere
+    And it is still polled at its last known address
+    And its next valid entry makes it usable again
 
   Scenario: A runner whose entry is unreadable dies
-    Given a runner at work whose entry is good
+    Given a runner with a running task and a valid entry
     When its entry becomes no JSON
-    And all its leases have run out
-    Then what ran there starts elsewhere
+    And all its leases have expired
+    Then its task is started elsewhere
 
-  # Guards against taking a runner for replaced by an entry that cannot be used.
-  Scenario Outline: An entry at the address of a runner proves nothing
-    Given a runner at work whose own entry has gone
+  # Guards against taking a runner for replaced because of an unusable entry at its address.
+  Scenario Outline: Another entry at the address of a runner does not replace it
+    Given a runner with a running task whose entry was removed
     When another entry at its address has <entry>
-    Then what runs there still counts, and is not started elsewhere
+    Then its task stays assigned to it, and is not started elsewhere
 
     Examples:
       | entry                         |
       | nothing wrong                 |
-      | a service that is not named   |
-      | a state that is not named     |
+      | a service that is not configured   |
+      | an unknown state     |
       | a capacity below zero         |
       | no JSON                       |
 
   # The configuration is read from another topic, and may come after the entries.
-  Scenario: An entry was taken before any configuration was known
-    Given a runner at work whose own entry has gone
-    When an entry of an unnamed service at its address is read before the configuration
-    Then what runs there still counts, and is not started elsewhere
-
-  Scenario: An entry becomes unreadable between the decision to start a task and its order
-    Given a runner at work whose entry is good
-    When a second task is to start on it and its entry becomes no JSON
+  Scenario: An entry was accepted before any configuration was known
+    Given a runner with a running task whose entry was removed
+    When an entry of an unconfigured service at its address is read before the configuration
+    Then its task stays assigned to it, and is not started elsewhere
+
+  Scenario: An entry becomes unreadable before the order to start a task is sent
+    Given a runner with a running task and a valid entry
+    When the start of a second task on it is planned, and its entry becomes no JSON
     Then the order is not sent
 
-  Scenario: The next owner does not ask where an entry cannot be used
-    Given a runner at work whose entry is good
+  Scenario: The next owner does not poll a runner with an unusable entry
+    Given a runner with a running task and a valid entry
     When its entry becomes no JSON
     And another term begins
-    Then the next owner looks at i-2 only
+    Then the next owner polls i-2 only
 
-  Scenario: An entry that changes between good and bad before a snapshot is read again
-    Given a runner at work whose entry is good
+  Scenario: An unreadable entry is read again from a snapshot
+    Given a runner with a running task and a valid entry
     When its entry becomes no JSON
     And the host starts again from a snapshot
-    Then it is still looked at where it was last known
-    And nothing new is started on it
+    Then it is still polled at its last known address
+    And no further task is started on it
 
-  # Guards against one record without a key that ends the reading of a topic.
-  Scenario Outline: Records that name no key
+  # Guards against one record without a key that stops the reading of a topic.
+  Scenario Outline: Records without a valid key
     Given a host that follows a topic
-    When it reads <record> between two good entries
+    When it reads <record> between two valid entries
     Then it knows both entries and has read to the end
 
     Examples:
@@ -164,39 +164,39 @@
     When its read of three entries is cut in the last one
     Then the last one is read again whole
 
-  Scenario: A read that is shorter than its head
+  Scenario: A read that is shorter than its header
     Given a host that follows a topic
-    When its read is cut in the head
+    When its read is cut in the header
     Then it counts as a failure of the store
 
   Scenario Outline: A page of newest records with an item that cannot be read
     Given a host that follows a topic
-    When it reads a page with an item <item> between two good ones
+    When it reads a page with an item <item> between two valid ones
     Then it knows both entries and has read to the end
 
     Examples:
       | item                    |
       | without a key           |
       | with a number as key    |
-      | with half a pair as key |
+      | with an unpaired surrogate as key |
       | with bad base64         |
-      | with half a pair as value |
+      | with an unpaired surrogate as value |
       | with a list as value    |
       | with a text as offset   |
       | that is null            |
 
   Scenario: An item of a known runner on a page cannot be read
-    Given a runner at work whose entry is good
+    Given a runner with a running task and a valid entry
     When a page shows its entry with bad base64
-    Then nothing new is started on it
-    And it is still looked at where it was last known
+    Then no further task is started on it
+    And it is still polled at its last known address
 
-  Scenario: Pages that do not get on
+  Scenario: Pages that make no progress
     Given a host that follows a topic
-    When each page ends with the key that it began behind
+    When each page ends with the key after which it began
     Then it counts as a failure of the store
 
-  # Guards against losing a configuration to an unreadable one behind it.
+  # Guards against losing a configuration because the next one is unreadable.
   Scenario Outline: The newest configuration cannot be read
     Given a host with configuration 3
     When it reads configuration 5 and then <record>
@@ -213,7 +213,7 @@
       | a version of 400 digits |
       | a negative timeout   |
 
-  # A client had its job accepted, and was then told that no such job exists (410).
+  # Guards against a client whose job was accepted and is then reported as unknown (410).
   Scenario Outline: A record of an accepted job cannot be read
     Given a host that has read <before>
     When the record of <key> becomes <record>
@@ -224,24 +224,24 @@
       | before               | key | record           | state   | handled     |
       | nothing              | j   | no JSON          | queued  | not started |
       | nothing              | j   | nested deeply    | queued  | not started |
-      | nothing              | j   | a wild count     | queued  | not started |
+      | nothing              | j   | a huge count     | queued  | not started |
       | nothing              | j   | a tiny interval  | queued    | not started |
       | nothing              | j   | a cycle of steps | queued  | not started |
       | a job                | j   | no JSON          | queued  | started     |
-      | a job                | j   | a wild count     | queued  | started     |
+      | a job                | j   | a huge count     | queued  | started     |
       | a job                | e   | no JSON          | running | not started |
-      | a job                | e   | a bad mask       | running | not started |
-      | a job                | e   | a step too many  | running | not started |
+      | a job                | e   | an invalid mask       | running | not started |
+      | a job                | e   | an unknown step  | running | not started |
       | a job                | c   | no JSON          | queued  | started     |
       | a job under way      | e   | no JSON          | running | started     |
-      | a job under way      | e   | a step too many  | running | started     |
+      | a job under way      | e   | an unknown step  | running | started     |
       | a completed job      | e   | no JSON          | completed | not started |
       | nothing              | e   | no JSON          | running | not started |
 
-  # Guards against one client's job that stops all others.
-  Scenario Outline: What no host would read is not accepted
-    When a client hands in a job with <part>
-    Then it is refused as bad input
+  # Guards against one client's job that blocks all others.
+  Scenario Outline: A job whose record no host could read is refused
+    When a client submits a job with <part>
+    Then it is refused as invalid
 
     Examples:
       | part                    |
@@ -262,19 +262,19 @@
       | e   | no JSON       |
       | j   | nested deeply |
 
-  Scenario: A client hands an unreadable job in again
+  Scenario: A client submits an unreadable job again
     Given a host that has read nothing
     When the record of j becomes no JSON
-    And the same job is handed in again
+    And the same job is submitted again
     Then the job is shown as queued
     And the job is started
 
   # Guards against claiming the cell because its ownership record cannot be read.
   Scenario Outline: The ownership record cannot be read
-    Given a host that hears an owner's heartbeats
+    Given a host that reads an owner's heartbeats
     When the ownership record becomes <record>
     Then it does not count as a heartbeat
-    And the owner is the same as before
+    And the known owner is unchanged
     And a host that starts now waits for a heartbeat before it claims
 
     Examples:
@@ -289,12 +289,12 @@
   Scenario: The list of runners that may hold an owner's tasks cannot be read
     Given a job that an owner has started on the runner i-1
     When a host that has read no list takes over, and the list is no JSON
-    Then it leaves that job alone until the leases must be over
+    Then it starts no task of that job until all leases must have expired
 
-  Scenario Outline: Where a host listens cannot be read
+  Scenario Outline: The address of a peer cannot be read
     Given a host that knows a peer
     When the peer's record becomes <record>
-    Then the peer is where it was
+    Then the known address of the peer is unchanged
 
     Examples:
       | record                 |
@@ -304,11 +304,11 @@
       | an address of 300 characters |
       | nested deeply          |
 
-  # Guards against taking a run for lost because another row of the list cannot be read.
+  # Guards against taking a run for lost because its row in the list cannot be read.
   Scenario Outline: A runner lists something that cannot be read
     Given a runner that runs two tasks
     When it lists the first one, and in place of the second <row>
-    Then the second one still counts on it
+    Then the second task still counts there
 
     Examples:
       | row                        |
@@ -324,7 +324,7 @@
     Then the ends that can be read count
     And no end from 6 on is acknowledged
 
-  # Guards against forgetting ends of a job that cannot be read yet.
+  # Guards against losing ends of a job whose submission cannot be read yet.
   Scenario: A job cannot be read while its ends are listed
     Given a successor that cannot read a job's submission
     When a runner lists an end of the job as done
@@ -334,22 +334,22 @@
 
   Scenario: A runner lists nothing that can be read
     Given a runner that runs two tasks
-    When it answers a look with no JSON
+    When it answers a poll with no JSON
     Then that counts as no answer
 
-  Scenario: A writer that repeats itself
+  Scenario: A writer that repeats the same unreadable entry
     Given a host that follows a topic
-    When it reads the same unreadable entry 100 times, and then a good one
-    Then it tells of the two changes and counts 100 unreadable records
+    When it reads the same unreadable entry 100 times, and then a valid one
+    Then it logs the two changes and counts 100 unreadable records
 
-  Scenario: A writer that never writes the same twice
+  Scenario: A writer of unreadable entries with ever new keys
     Given a host that follows a topic
     When it reads 5000 unreadable entries of different keys
-    Then it tells of 20 at most and counts 5000 unreadable records
+    Then it logs 20 at most and counts 5000 unreadable records
 
-  Scenario Outline: Mutated records, drawn at random
-    When <cases> batches mutated from good ones are read with seed <seed>
-    Then none of them costs a good record, an offset or the reader
+  Scenario Outline: Randomly mutated records
+    When <cases> batches with a mutated record are read with seed <seed>
+    Then no valid record and no offset is lost, and no reader fails
 
     Examples:
       | cases | seed |
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -1,8 +1,8 @@
-"""Seeded fuzzing of everything that reads what others may have written.
+"""Seeded fuzzing of the code that reads records which other writers may have written.
 
-Each case is a batch of good records with one that was mutated from a good one. The
-mutated record must cost nothing but itself: no error reaches the follower, the offset
-moves on, and both neighbours are known.
+Each case is a batch of valid records and one that was mutated from a valid one. Only the mutated
+record may be lost: no error reaches the follower, the offset advances, and the records before
+and after it are known.
 """
 
 import json
@@ -22,20 +22,20 @@
 from features.entry_parts import (
     BAD_FRAMES,
     CONFIGURATION,
-    DEEP,
-    ENTRY,
-    GOOD_CELL,
+    DEEP_JSON,
     JOB,
     START,
     SUBMISSION,
-    Reader,
+    VALID_CELL_RECORDS,
+    VALID_ENTRY,
+    HostProjections,
     encode,
-    frame,
-    page,
-    raw_topic,
+    encode_page,
+    encode_record,
+    make_raw_topic,
 )
 
-VALUES = (
+WRONG_VALUES = (
     None,
     True,
     -1,
@@ -62,7 +62,7 @@
     {},
     {'a': {}},
 )
-PLAIN = json.dumps(ENTRY).encode()
+VALID_ENTRY_BYTES = json.dumps(VALID_ENTRY).encode()
 GOOD_VIEW = {
     'clock_ms': 482113,
     'running': [[f'{JOB}.0.0.0', 4001, 'ab', 41, 2000], [f'{JOB}.0.0.1', 4002, '', 0]],
@@ -70,22 +70,22 @@
 }
 
 
-#: Seconds of processor time within which any one case must be over.
+#: Maximum processor time of one case.
 CASE_SECONDS = 1.0
 
 
-class TooLong(Exception):
-    """One record keeps its reader busy for ever."""
+class CaseTimeoutError(Exception):
+    """The processing of one record takes too long."""
 
 
 @contextmanager
-def bounded():
-    """Raise ``TooLong`` in a case that takes longer than a host may be held up."""
+def limit_cpu_time():
+    """Raise ``CaseTimeoutError`` in a case that takes longer than a host may be blocked."""
 
-    def ring(number, where):
-        raise TooLong(f'it takes over {CASE_SECONDS} s')
+    def raise_timeout(number, frame):
+        raise CaseTimeoutError(f'it takes over {CASE_SECONDS} s')
 
-    former = signal.signal(signal.SIGVTALRM, ring)
+    former = signal.signal(signal.SIGVTALRM, raise_timeout)
     signal.setitimer(signal.ITIMER_VIRTUAL, CASE_SECONDS)
     try:
         yield
@@ -95,31 +95,39 @@
 
 
 @dataclass
-class Findings:
-    """How many cases were played, and those that went wrong, by what was mutated."""
+class FuzzResults:
+    """The number of cases that were run, and the failures by what was mutated."""
 
-    played: int = 0
-    wrong: list[str] = field(default_factory=list)
-    wrong_by_kind: Counter = field(default_factory=Counter)
+    run_count: int = 0
+    failures: list[str] = field(default_factory=list)
+    failure_count_by_kind: Counter = field(default_factory=Counter)
 
-    def note(self, kind, cause):
-        self.wrong_by_kind[kind] += 1
-        self.wrong.append(f'{kind}: {cause}')
+    def add_failure(self, kind, cause):
+        self.failure_count_by_kind[kind] += 1
+        self.failures.append(f'{kind}: {cause}')
 
 
 class Mutator:
-    """Draws mutations of one record's content."""
+    """Draws random mutations of a record's content."""
 
     def __init__(self, draw):
         self.draw = draw
 
     def content(self, good):
-        """Return the content of a record, mutated."""
-        ways = (self.cut, self.flip, self.insert, self.field, self.field, self.field, self.encode)
-        return self.draw.choice(ways)(good)
+        """Return the mutated content of a record."""
+        possible_mutations = (
+            self.cut,
+            self.flip,
+            self.insert,
+            self.field,
+            self.field,
+            self.field,
+            self.encode,
+        )
+        return self.draw.choice(possible_mutations)(good)
 
     def cut(self, good):
-        # Cut to nothing it would drop its key, which everybody can read.
+        # Empty content would be a valid removal of the key.
         return good[: self.draw.randrange(1, len(good))]
 
     def flip(self, good):
@@ -130,35 +138,41 @@
 
     def insert(self, good):
         at = self.draw.randrange(len(good))
-        more = self.draw.choice((b'\x00', b'\xff', b'"', b'[[[', DEEP, b'9' * 5000, b'NaN', b','))
+        more = self.draw.choice(
+            (b'\x00', b'\xff', b'"', b'[[[', DEEP_JSON, b'9' * 5000, b'NaN', b',')
+        )
         return good[:at] + more + good[at:]
 
     def encode(self, good):
         return good.decode().encode(self.draw.choice(('utf-16', 'utf-32', 'cp500')))
 
     def field(self, good):
-        """Change one value, at any depth, to one of another type or size."""
+        """Replace one value, at any depth, by one of another type or size."""
         document = json.loads(good)
-        holders = [document]
-        for holder in holders:
-            inner = holder.values() if isinstance(holder, dict) else holder
-            holders.extend(value for value in inner if isinstance(value, dict | list))
-        holder = self.draw.choice([holder for holder in holders if holder] or [document])
-        if not holder:
+        containers = [document]
+        for container in containers:
+            inner = container.values() if isinstance(container, dict) else container
+            containers.extend(value for value in inner if isinstance(value, dict | list))
+        container = self.draw.choice(
+            [container for container in containers if container] or [document]
+        )
+        if not container:
             return b'[]'
-        place = self.draw.choice(list(holder) if isinstance(holder, dict) else range(len(holder)))
+        position = self.draw.choice(
+            list(container) if isinstance(container, dict) else range(len(container))
+        )
         if self.draw.random() < 0.15:
-            del holder[place]
+            del container[position]
         elif self.draw.random() < 0.1:
-            holder[place] = '@deep@'
+            container[position] = '@deep@'
         else:
-            holder[place] = self.draw.choice(VALUES)
-        return json.dumps(document).encode().replace(b'"@deep@"', DEEP)
+            container[position] = self.draw.choice(WRONG_VALUES)
+        return json.dumps(document).encode().replace(b'"@deep@"', DEEP_JSON)
 
 
-def follow(topic, folder, reader, offset):
-    """Read once, from ``offset`` or a snapshot, and return the follower."""
-    follower = Follower('raw', topic, folder, reader.clock, None, 0.0, lambda: 0.0)
+def read_once(topic, projection, projections, offset):
+    """Read once, from ``offset`` or a snapshot for ``None``, and return the follower."""
+    follower = Follower('raw', topic, projection, projections.clock, None, 0.0, lambda: 0.0)
     follower._offset = offset
 
     curio.run(follower._step)
@@ -166,15 +180,15 @@
 
 
 class Fuzz:
-    """Plays cases one after the other; ``seed`` draws all of them."""
+    """Runs cases one after the other, all drawn by ``seed``."""
 
     def __init__(self, seed):
         self.draw = random.Random(seed)
         self.mutator = Mutator(self.draw)
-        self.findings = Findings()
+        self.results = FuzzResults()
 
-    def play(self, cases):
-        """Play that many cases and return what went wrong."""
+    def run_cases(self, cases):
+        """Run that many cases and return the results."""
         kinds = (
             self.runners,
             self.runners,
@@ -188,153 +202,170 @@
         )
         for number in range(cases):
             kind = kinds[number % len(kinds)]
-            self.findings.played += 1
+            self.results.run_count += 1
             try:
-                with bounded():
+                with limit_cpu_time():
                     kind()
             except Exception as error:
-                self.findings.note(kind.__name__, f'{type(error).__name__} {error}'[:120])
-        return self.findings
+                self.results.add_failure(kind.__name__, f'{type(error).__name__} {error}'[:120])
+        return self.results
 
-    def step(self, topic, folder, reader, *records):
+    def read_records(self, topic, projection, projections, *records):
         """Let a follower read these records and check that it has read all of them."""
-        topic, raw = raw_topic(topic)
+        topic, raw = make_raw_topic(topic)
         raw.frames = list(records)
-        follower = follow(topic, folder, reader, 0)
+        follower = read_once(topic, projection, projections, 0)
         assert follower.offset == len(records), f'offset {follower.offset}'
 
     def runners(self):
-        reader = Reader()
-        bad = self.mutator.content(PLAIN)
+        projections = HostProjections()
+        mutated = self.mutator.content(VALID_ENTRY_BYTES)
         if self.draw.random() < 0.3:
-            bad_key = b'i-1'
+            mutated_key = b'i-1'
         else:
-            bad_key = b'i-3'
-        self.step(
+            mutated_key = b'i-3'
+        self.read_records(
             'keyed.servers',
-            reader.runners,
-            reader,
-            frame(b'i-1', PLAIN),
-            frame(bad_key, bad),
-            frame(b'i-2', PLAIN.replace(b':7000', b':7001')),
+            projections.runners,
+            projections,
+            encode_record(b'i-1', VALID_ENTRY_BYTES),
+            encode_record(mutated_key, mutated),
+            encode_record(b'i-2', VALID_ENTRY_BYTES.replace(b':7000', b':7001')),
         )
-        known = reader.runners.registration_by_id
+        known = projections.runners.registration_by_id
         assert {'i-1', 'i-2'} <= known.keys(), 'a neighbour is not known'
         for registration in known.values():
             check_registration(registration)
-        small = SmallCell(())
-        small.cell.see_runners(known, START)
+        small_cell = SmallCell(())
+        small_cell.cell.see_runners(known, START)
 
     def configuration(self):
-        reader = Reader()
+        projections = HostProjections()
         good = json.dumps(CONFIGURATION).encode()
-        self.step(
+        self.read_records(
             'keyed.op',
-            reader.configuration,
-            reader,
-            frame(b'config', good),
-            frame(b'config', self.mutator.content(good)),
+            projections.configuration,
+            projections,
+            encode_record(b'config', good),
+            encode_record(b'config', self.mutator.content(good)),
         )
-        assert reader.configuration.current is not None, 'the older version is not in force'
-        assert reader.configuration.current.version >= 3
-        reader.configuration.current.find_queue('h', '/urgent/x')
+        assert projections.configuration.current is not None, 'the older version is not in force'
+        assert projections.configuration.current.version >= 3
+        projections.configuration.current.find_queue('h', '/urgent/x')
 
     def cell_records(self):
-        reader = Reader()
-        records = {key.encode(): encode(fact) for key, fact in GOOD_CELL.items()}
-        bad_key = self.draw.choice(list(records))
-        bad = frame(bad_key, self.mutator.content(records[bad_key]))
-        good = [frame(key, content) for key, content in records.items()]
+        projections = HostProjections()
+        records = {
+            key.encode(): encode(record_content)
+            for key, record_content in VALID_CELL_RECORDS.items()
+        }
+        mutated_key = self.draw.choice(list(records))
+        mutated = encode_record(mutated_key, self.mutator.content(records[mutated_key]))
+        good = [encode_record(key, content) for key, content in records.items()]
         first = self.draw.random() < 0.5
-        self.step(
+        self.read_records(
             'keyed.cell',
-            reader.jobs,
-            reader,
+            projections.jobs,
+            projections,
             *([] if first else good),
-            bad,
-            *([frame(key, records[key]) for key in records if key != bad_key] if first else []),
-            frame(b'j/00000000000000aa', encode(SUBMISSION)),
+            mutated,
+            *(
+                [encode_record(key, records[key]) for key in records if key != mutated_key]
+                if first
+                else []
+            ),
+            encode_record(b'j/00000000000000aa', encode(SUBMISSION)),
         )
-        book = reader.jobs.state
-        assert book.find('00000000000000aa') is not None, 'a neighbour is not known'
-        assert book.find(JOB) is not None, 'the job is not known'
+        cell_state = projections.jobs.state
+        assert cell_state.find('00000000000000aa') is not None, 'a neighbour is not known'
+        assert cell_state.find(JOB) is not None, 'the job is not known'
         cell = Cell(9, 3.0)
         for job in (JOB, '00000000000000aa'):
-            booked = book.find(job)
-            if booked.submission is not None and not getattr(booked, 'unreadable', False):
-                cell.see_job(booked, START, START)
+            stored_job = cell_state.find(job)
+            if stored_job.submission is not None and not getattr(stored_job, 'unreadable', False):
+                cell.see_job(stored_job, START, START)
         for run in cell.job_by_id.values():
             run.ready_steps(START)
             run.progress(9, START)
-        assert book.owner is None or 0 <= book.owner.epoch < 2**53, 'the owner has a wild epoch'
-        for member in book.member_by_host.values():
-            assert 0 < member.port < 65536, 'a member has a wild port'
+        assert cell_state.owner is None or 0 <= cell_state.owner.epoch < 2**53, (
+            'the epoch of the owner is out of range'
+        )
+        for member in cell_state.member_by_host.values():
+            assert 0 < member.port < 65536, 'the port of a member is out of range'
 
     def frames(self):
-        reader = Reader()
-        bad = self.draw.choice(list(BAD_FRAMES.values()))
-        self.step(
+        projections = HostProjections()
+        mutated = self.draw.choice(list(BAD_FRAMES.values()))
+        self.read_records(
             'keyed.servers',
-            reader.runners,
-            reader,
-            frame(b'i-1', PLAIN),
-            bad,
-            frame(b'i-2', PLAIN.replace(b':7000', b':7001')),
+            projections.runners,
+            projections,
+            encode_record(b'i-1', VALID_ENTRY_BYTES),
+            mutated,
+            encode_record(b'i-2', VALID_ENTRY_BYTES.replace(b':7000', b':7001')),
         )
-        assert {'i-1', 'i-2'} == reader.runners.registration_by_id.keys()
+        assert {'i-1', 'i-2'} == projections.runners.registration_by_id.keys()
 
     def pages(self):
         """One item of a page, or the page itself, is mutated."""
-        reader = Reader()
-        topic, raw = raw_topic()
-        good = page([('i-1', PLAIN), ('i-2', PLAIN.replace(b':7000', b':7001'))])
+        projections = HostProjections()
+        topic, raw = make_raw_topic()
+        good = encode_page(
+            [('i-1', VALID_ENTRY_BYTES), ('i-2', VALID_ENTRY_BYTES.replace(b':7000', b':7001'))]
+        )
         document = json.loads(good)
         if self.draw.random() < 0.6:
             item = dict(document['items'][0], key='i-3')
-            item[self.draw.choice(list(item))] = self.draw.choice(VALUES)
+            item[self.draw.choice(list(item))] = self.draw.choice(WRONG_VALUES)
             document['items'].insert(self.draw.randrange(3), item)
             raw.pages = [json.dumps(document).encode()]
-            follow(topic, reader.runners, reader, None)
-            assert {'i-1', 'i-2'} <= reader.runners.registration_by_id.keys(), 'a neighbour'
+            read_once(topic, projections.runners, projections, None)
+            assert {'i-1', 'i-2'} <= projections.runners.registration_by_id.keys(), 'a neighbour'
             return
         raw.pages = [self.mutator.content(good), good, good]
         try:
-            follow(topic, reader.runners, reader, None)
+            read_once(topic, projections.runners, projections, None)
         except StoreError:
-            follow(topic, reader.runners, reader, None)
+            read_once(topic, projections.runners, projections, None)
 
     def raw_reads(self):
-        """A whole answer is cut or altered: what was whole in it counts, the rest is read again."""
-        reader = Reader()
-        topic, raw = raw_topic()
-        raw.frames = [frame(f'i-{number}'.encode(), PLAIN) for number in range(4)]
+        """A whole answer is cut or altered: its complete records count, the rest is read again."""
+        projections = HostProjections()
+        topic, raw = make_raw_topic()
+        raw.frames = [
+            encode_record(f'i-{number}'.encode(), VALID_ENTRY_BYTES) for number in range(4)
+        ]
         if self.draw.random() < 0.5:
             raw.cut = self.draw.randrange(len(b''.join(raw.frames)) + 16)
         else:
             joined = self.mutator.flip(b''.join(raw.frames))
             raw.frames = [joined, b'', b'', b'']
         try:
-            follower = follow(topic, reader.runners, reader, 0)
+            follower = read_once(topic, projections.runners, projections, 0)
         except StoreError:
             return
         if raw.cut:
-            assert follower.offset == len(reader.runners.registration_by_id), 'a part was taken'
+            assert follower.offset == len(projections.runners.registration_by_id), (
+                'an incomplete record was read'
+            )
             assert follower.offset < 4, 'a record that was cut is not read again'
 
     def views(self):
-        """What a runner lists: whatever is not read must not count as gone or acknowledged."""
-        bad = self.mutator.content(encode(GOOD_VIEW))
+        """A runner's list: what cannot be read must not count as gone or acknowledged."""
+        mutated = self.mutator.content(encode(GOOD_VIEW))
         try:
-            view = decode_view(bad)
+            view = decode_view(mutated)
         except RunnerError:
             return
         assert view.clock >= 0
         for ended in view.ended:
-            assert 0 < ended.number < 2**53, 'a wild number hides the ends behind it'
+            assert 0 < ended.number < 2**53, (
+                'the number of an end is out of range and hides later ends'
+            )
 
 
 def check_registration(registration):
-    """Check that nothing was taken at its word that no runner can be."""
+    """Check that no impossible values of a runner were accepted."""
     if not getattr(registration, 'usable', True):
         return
     assert 0 < registration.port < 65536, f'port {registration.port}'
@@ -343,6 +374,6 @@
     assert registration.service, 'no service'
     room = registration.capacity
     for amount in (room.cpu, room.memory_mb, room.gpu):
-        assert 0 <= amount < 2**40, 'a wild capacity'
+        assert 0 <= amount < 2**40, 'the capacity is out of range'
     remaining = registration.remaining
-    assert remaining is None or 0 <= remaining < 1e9, 'wild time left'
+    assert remaining is None or 0 <= remaining < 1e9, 'the remaining time is out of range'
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -1,4 +1,4 @@
-"""Records of other writers: bad ones by name, and a store that answers with raw bytes."""
+"""Invalid records by name, and a store that answers with prepared bytes."""
 
 import base64
 import io
@@ -33,11 +33,11 @@
 from dandelionreel.platform import Address, JsonRecordCodec, StoreTopic
 
 LENGTH = struct.Struct('>I')
-DEEP = b'[' * 5000 + b']' * 5000
+DEEP_JSON = b'[' * 5000 + b']' * 5000
 START = 1000.0
 JOB = '0123456789abcdef'
 
-ENTRY = {
+VALID_ENTRY = {
     'service': 'desk',
     'address': '10.0.0.1:7000',
     'zone': 'north',
@@ -82,7 +82,7 @@
 ATTENDED = Attended(4, ('i-1', 'i-2'))
 MEMBER = Member('north', '10.0.1.1', 7810, 'entry-1/0a', 1.0)
 
-GOOD_CELL = {
+VALID_CELL_RECORDS = {
     f'j/{JOB}': SUBMISSION,
     f'e/{JOB}': PROGRESS,
     f'c/{JOB}': Cancellation(995.0),
@@ -92,69 +92,69 @@
 }
 
 
-def entry(**fields):
-    """Return a runner's entry as bytes, with some fields changed; ``None`` leaves one out."""
-    changed = {**ENTRY, **fields}
+def make_entry(**fields):
+    """Return a runner's entry as bytes, with fields replaced, or left out for ``None``."""
+    changed = {**VALID_ENTRY, **fields}
     kept = {name: value for name, value in changed.items() if value is not None}
     return json.dumps(kept).encode()
 
 
-def capacity(**fields):
-    return entry(capacity={**ENTRY['capacity'], **fields})
+def make_entry_with_capacity(**fields):
+    return make_entry(capacity={**VALID_ENTRY['capacity'], **fields})
 
 
 BAD_ENTRIES = {
-    'without a service': entry(service=None),
-    'without an address': entry(address=None),
-    'without a zone': entry(zone=None),
-    'without a state': entry(state=None),
-    'without a capacity': entry(capacity=None),
-    'a service that is a number': entry(service=7),
-    'a state that is a list': entry(state=['ready']),
-    'labels that are no list': entry(labels='a'),
-    'a capacity that is text': entry(capacity='32000'),
-    'an empty service': entry(service=''),
-    'a service that is not named': entry(service='elsewhere'),
-    'a state that is not named': entry(state='resting'),
-    'a capacity below zero': capacity(cpu=-1),
-    'memory below zero': capacity(mem_mb=-1),
-    'a capacity of 400 digits': capacity(cpu=int('9' * 400)),
-    'a capacity with a fraction': capacity(cpu=1.5),
-    'port 0': entry(address='10.0.0.1:0'),
-    'port 99999': entry(address='10.0.0.1:99999'),
-    'a port of other digits': entry(address='10.0.0.1:\u0667\u0668'),
-    'a port of superscripts': entry(address='10.0.0.1:\u00b2'),
-    'an address without a port': entry(address='10.0.0.1'),
-    'an address of 300 characters': entry(address='a' * 300 + ':7000'),
-    'an address with a zero byte': entry(address='10.0.0\x00.1:7000'),
-    'time left below zero': entry(state='draining', remaining_ms=-5),
+    'without a service': make_entry(service=None),
+    'without an address': make_entry(address=None),
+    'without a zone': make_entry(zone=None),
+    'without a state': make_entry(state=None),
+    'without a capacity': make_entry(capacity=None),
+    'a service that is a number': make_entry(service=7),
+    'a state that is a list': make_entry(state=['ready']),
+    'labels that are no list': make_entry(labels='a'),
+    'a capacity that is text': make_entry(capacity='32000'),
+    'an empty service': make_entry(service=''),
+    'a service that is not configured': make_entry(service='elsewhere'),
+    'an unknown state': make_entry(state='resting'),
+    'a capacity below zero': make_entry_with_capacity(cpu=-1),
+    'memory below zero': make_entry_with_capacity(mem_mb=-1),
+    'a capacity of 400 digits': make_entry_with_capacity(cpu=int('9' * 400)),
+    'a capacity with a fraction': make_entry_with_capacity(cpu=1.5),
+    'port 0': make_entry(address='10.0.0.1:0'),
+    'port 99999': make_entry(address='10.0.0.1:99999'),
+    'a port of other digits': make_entry(address='10.0.0.1:\u0667\u0668'),
+    'a port of superscripts': make_entry(address='10.0.0.1:\u00b2'),
+    'an address without a port': make_entry(address='10.0.0.1'),
+    'an address of 300 characters': make_entry(address='a' * 300 + ':7000'),
+    'an address with a zero byte': make_entry(address='10.0.0\x00.1:7000'),
+    'time left below zero': make_entry(state='draining', remaining_ms=-5),
     'nothing but null': b'null',
     'a list': b'[]',
     'a number': b'7',
     'no JSON': b'ready',
-    'cut short': entry()[:-9],
-    'two values': entry() + entry(),
-    'nested deeply': DEEP,
-    'nested deeply in a field': entry(labels=None)[:-1] + b',"more":' + DEEP + b'}',
+    'cut short': make_entry()[:-9],
+    'two values': make_entry() + make_entry(),
+    'nested deeply': DEEP_JSON,
+    'nested deeply in a field': make_entry(labels=None)[:-1] + b',"more":' + DEEP_JSON + b'}',
     'bytes that are no text': b'\xff\xfe\x00\x01',
-    'text of another encoding': entry().decode().encode('utf-16'),
-    'a field that is no text': entry(zone='north').replace(b'north', b'n\xffrth'),
-    'half a surrogate pair': entry().replace(b'north', b'\\ud800'),
+    'text of another encoding': make_entry().decode().encode('utf-16'),
+    'a field that is no text': make_entry(zone='north').replace(b'north', b'n\xffrth'),
+    'an unpaired surrogate': make_entry().replace(b'north', b'\\ud800'),
 }
 
 
-def frame(key, content):
-    """Return a record as the store gives it; the key is bytes."""
+def encode_record(key, content):
+    """Return a record in the encoding of the store; the key is bytes."""
     raw = bytes([len(key)]) + key + content
     return LENGTH.pack(len(raw)) + raw
 
 
-#: Records that name no key, each with its length.
+#: Records without a valid key, each with its length prefix.
 BAD_FRAMES = {
     'a record of no bytes': LENGTH.pack(0),
     'a record of one byte': LENGTH.pack(1) + b'\x00',
-    'a key of no bytes': frame(b'', entry()),
-    'a key that is no text': frame(b'\xff\xfe', entry()),
+    'a key of no bytes': encode_record(b'', make_entry()),
+    'a key that is no text': encode_record(b'\xff\xfe', make_entry()),
     'a key longer than its record': LENGTH.pack(4) + b'\x09abc',
 }
 
@@ -165,11 +165,11 @@
     def __init__(self):
         self.frames = []
         self.pages = []
-        #: Bytes that a read's answer ends with, or is cut by.
+        #: Bytes that are cut off the end of a read's answer.
         self.cut = 0
 
     async def exchange(self, request, timeout):
-        """Answer a page of newest records, or a read."""
+        """Answer the request for a page of newest records, or a read."""
         if request.path == '/v1/log-newest':
             return Answer(200, (), self.pages.pop(0))
         offset = int(request.query_by_name['from'])
@@ -180,7 +180,7 @@
         """Nothing is open."""
 
 
-def page(rows, end=0, has_more=False):
+def encode_page(rows, end=0, has_more=False):
     """Return a page of newest records; a row is a key and its content, or already JSON."""
     items = []
     for row in rows:
@@ -191,7 +191,7 @@
     return json.dumps({'items': items, 'has_more': has_more, 'end': end}).encode()
 
 
-def raw_topic(name='keyed.servers'):
+def make_raw_topic(name='keyed.servers'):
     """Return a topic, and the raw store that answers it."""
     topic = StoreTopic(name, Address('127.0.0.1', 1))
     topic._reads = RawStore()
@@ -199,51 +199,53 @@
 
 
 class ListJournal(Journal):
-    """Keeps lines in a list."""
+    """A journal that appends its lines to a list."""
 
     def __init__(self, lines):
         super().__init__(io.StringIO(), 'test')
         self._lines = lines
 
     def tell(self, part, sentence, **fields):
-        """Keep one line."""
+        """Append one line."""
         self._lines.append({'part': part.value, 'text': sentence, **fields})
 
 
-class Reader:
-    """What one host knows: all three folders, with a clock and a log that can be read."""
+class HostProjections:
+    """The three projections of one host, with a manual clock and a captured log."""
 
     def __init__(self):
         self.clock = ManualClock(START)
-        #: What the journal was told: fields and text of each line.
+        #: The logged lines: the fields and the text of each.
         self.lines = []
         #: Unreadable records by topic and reason.
         self.unreadable = Counter()
         journal = ListJournal(self.lines)
         codec = JsonRecordCodec()
         self.configuration = ConfigurationProjection(
-            codec, journal, self.watch('operator', Part.CONTRACTS, journal)
+            codec, journal, self.make_unreadable_log('operator', Part.CONTRACTS, journal)
         )
         self.runners = RunnerProjection(
             codec,
             self.clock,
             journal,
             self.configuration.has_service,
-            self.watch('runners', Part.WORKERS, journal),
+            self.make_unreadable_log('runners', Part.WORKERS, journal),
+        )
+        self.jobs = CellProjection(
+            self.clock, journal, self.make_unreadable_log('cell', Part.LOG, journal)
         )
-        self.jobs = CellProjection(self.clock, journal, self.watch('cell', Part.LOG, journal))
 
-    def watch(self, topic, part, journal):
-        return UnreadableLog(topic, part, self.clock, journal, self.note)
+    def make_unreadable_log(self, topic, part, journal):
+        return UnreadableLog(topic, part, self.clock, journal, self.count_unreadable)
 
-    def note(self, topic, reason):
-        """Count as the metrics do."""
+    def count_unreadable(self, topic, reason):
+        """Count an unreadable record, as the metrics do."""
         self.unreadable[topic, reason] += 1
 
     def lines_of(self, runner):
-        """Return the lines that name a runner."""
+        """Return the lines with a field that is the runner's id."""
         return [line for line in self.lines if runner in line.values()]
 
 
-def encode(fact):
-    return msgspec.json.encode(fact)
+def encode(record_content):
+    return msgspec.json.encode(record_content)
--- a/features/entry_reading.py
+++ b/features/entry_reading.py
@@ -1,45 +1,47 @@
-"""A host that reads entries and configurations, for scenarios that need no process."""
+"""Projections that read entries and configurations, for scenarios without a process."""
 
 import json
 
-from features.entry_fuzz import follow
-from features.entry_parts import CONFIGURATION, Reader, frame, raw_topic
+from features.entry_fuzz import read_once
+from features.entry_parts import CONFIGURATION, HostProjections, encode_record, make_raw_topic
 
 OTHER = '10.0.0.2:7000'
 
 
-def operator_reads(reader, *documents):
-    """Let a host read configurations, all in one batch."""
-    topic, raw = raw_topic('keyed.op')
-    raw.frames = [frame(b'config', content) for content in documents]
-    follow(topic, reader.configuration, reader, 0)
+def read_configurations(projections, *documents):
+    """Let the projections of a host read configurations, all in one batch."""
+    topic, raw = make_raw_topic('keyed.op')
+    raw.frames = [encode_record(b'config', content) for content in documents]
+    read_once(topic, projections.configuration, projections, 0)
 
 
-def configuration(**fields):
+def make_configuration_record(**fields):
     return json.dumps({**CONFIGURATION, **fields}).encode()
 
 
 def read_entries(context, *records):
-    """Let the host read entries ``(runner, content)``, and the owner's cell see them."""
-    raw = [frame(runner.encode(), content) for runner, content in records]
+    """Let the host read entries ``(runner, content)``, and update the owner's cell by them."""
+    raw = [encode_record(runner.encode(), content) for runner, content in records]
     context.raw.frames.extend(raw)
-    context.follower = follow(context.topic, context.reader.runners, context.reader, context.offset)
+    context.follower = read_once(
+        context.topic, context.projections.runners, context.projections, context.offset
+    )
     context.offset = context.follower.offset
-    see_entries(context)
+    show_entries_to_owner(context)
 
 
-def see_entries(context):
+def show_entries_to_owner(context):
     small = getattr(context, 'small', None)
     if small is not None:
-        small.registration_by_id = context.reader.runners.registration_by_id
+        small.registration_by_id = context.projections.runners.registration_by_id
         small.see_runners()
 
 
-def reader_of_entries(context):
-    context.reader = Reader()
-    operator_reads(
-        context.reader,
-        configuration(services=[{'name': 'desk'}, {'name': 'other'}]),
+def prepare_projections(context):
+    context.projections = HostProjections()
+    read_configurations(
+        context.projections,
+        make_configuration_record(services=[{'name': 'desk'}, {'name': 'other'}]),
     )
-    context.topic, context.raw = raw_topic()
+    context.topic, context.raw = make_raw_topic()
     context.offset = 0
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -1,10 +1,10 @@
-"""Steps on client accounts, their keys and whose job is whose."""
+"""Steps on client accounts, their keys, quotas and jobs."""
 
 import json
 
 import curio
 from behave import given, then, when
-from hypothesis import given as drawn
+from hypothesis import given as hypothesis_given
 from hypothesis import settings, strategies
 
 from dandelionreel.accounts import Caller, digest_key
@@ -43,8 +43,8 @@
 JOB = '0123456789abcdef'
 
 
-class Lines:
-    """Keeps what is logged."""
+class LogCapture:
+    """Captures the log."""
 
     def __init__(self):
         self.text = ''
@@ -53,11 +53,11 @@
         self.text += line if isinstance(line, str) else line.decode()
 
     def flush(self):
-        """Nothing is kept back."""
+        """Nothing is buffered."""
 
 
 class FreshFollower:
-    """A follower that has read all there is."""
+    """A follower that has read the whole topic."""
 
     complete = True
     fresh_at = float('inf')
@@ -69,8 +69,8 @@
         return True
 
 
-class FullWriter:
-    """A writer that the store refuses."""
+class RefusingWriter:
+    """A writer whose writes are all refused."""
 
     failing_since = failed_at = 0.0
 
@@ -81,66 +81,72 @@
         return WriteOutcome.REFUSED
 
 
-class ExchangePeers:
-    """Links to a peer that tells its configuration, or does not answer."""
+class StubPeers:
+    """Links to a peer that replies with its configuration, or does not answer."""
 
     def __init__(self, given=None):
         self.given = given
-        self.asked = 0
+        self.query_count = 0
 
     async def ask(self, member, message, timeout):
         assert isinstance(message, ConfigurationWanted), message
-        self.asked += 1
+        self.query_count += 1
         if self.given is None:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
         return Frame(1, 'peer/1', 0, 0, self.given)
 
 
 def make_document(version, rows):
-    """Return a configuration as the operator writes it."""
+    """Return a configuration in the format of the operator."""
     route = {'name': 'plain', 'host': 'h', 'path_prefix': '/plain/', 'service': 'desk'}
     return json.dumps({'version': version, 'routes': [route], 'tenants': rows}).encode()
 
 
-def make_exchange(context, folder, given, store_age):
-    """Return an exchange with one peer, of which the store has answered so long ago."""
-    context.book = CellState()
-    context.book.fold([make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 1))])
-    context.links = ExchangePeers(given)
+def make_exchange(context, projection, given, store_age):
+    """Return an exchange with one peer, of a host whose store answered so many seconds ago."""
+    context.cell_state = CellState()
+    context.cell_state.fold([make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 1))])
+    context.links = StubPeers(given)
     clock = ManualClock(NOW)
     return ConfigurationExchange(
-        'me', context.book, context.links, folder, lambda: NOW - store_age, clock, context.journal
+        'me',
+        context.cell_state,
+        context.links,
+        projection,
+        lambda: NOW - store_age,
+        clock,
+        context.journal,
     )
 
 
-def make_folder(context, configuration):
-    folder = ConfigurationProjection(JsonRecordCodec(), context.journal)
-    folder.current = configuration
-    return folder
+def make_projection(context, configuration):
+    projection = ConfigurationProjection(JsonRecordCodec(), context.journal)
+    projection.current = configuration
+    return projection
 
 
-def build_front(context, accounts, version=5, longest_age=None):
-    context.lines = Lines()
+def build_api(context, accounts, version=5, longest_age=None):
+    context.lines = LogCapture()
     context.journal = Journal(context.lines, 'me')
     context.journal.open()
     context.stack.callback(context.journal.close)
     queues = (make_plain_queue('plain'), make_plain_queue('open', public=True))
-    context.folder = make_folder(context, make_configuration(queues, accounts, version))
+    context.projection = make_projection(context, make_configuration(queues, accounts, version))
     context.jobs = CellProjection(ManualClock(NOW), context.journal)
     context.exchange = make_exchange(
-        context, context.folder, ConfigurationGiven(version, b'', True), 0.1
+        context, context.projection, ConfigurationGiven(version, b'', True), 0.1
     )
-    rebuild(context, longest_age)
+    rebuild_api(context, longest_age)
 
 
-def rebuild(context, longest_age=None):
+def rebuild_api(context, longest_age=None):
     clock = ManualClock(NOW)
     relay = Relay('me', context.jobs.state, context.links, clock, context.journal)
     context.front = make_front(
-        context.folder,
+        context.projection,
         context.jobs,
         FreshFollower(),
-        FullWriter(),
+        RefusingWriter(),
         relay,
         exchange=context.exchange,
         clock=clock,
@@ -148,44 +154,46 @@
     )
 
 
-@given('a front with the accounts blue and red')
-def front_with_accounts(context):
+@given('a client API with the accounts blue and red')
+def api_with_accounts(context):
     blue = make_account('blue', 3, 8, ('blue-key-1', 'blue-key-2'))
-    build_front(context, (blue, make_account('red', 1, None, ('red-key-1',))))
+    build_api(context, (blue, make_account('red', 1, None, ('red-key-1',))))
 
 
-@given('a front with the accounts blue and red, in version {version:d}')
-def front_in_version(context, version):
-    front_with_accounts(context)
-    assert context.folder.version == version
+@given('a client API with the accounts blue and red, in version {version:d}')
+def api_in_version(context, version):
+    api_with_accounts(context)
+    assert context.projection.version == version
 
 
-@given('a front without accounts')
-def front_without_accounts(context):
-    build_front(context, None)
+@given('a client API without accounts')
+def api_without_accounts(context):
+    build_api(context, None)
 
 
-@given('a front with the accounts blue and red, of which a newer version may be {age:g} s old')
-def front_behind(context, age):
-    front_with_accounts(context)
-    context.exchange = make_exchange(context, context.folder, None, age)
+@given(
+    'a client API with the accounts blue and red, whose configuration may be outdated by {age:g} s'
+)
+def api_with_outdated_configuration(context, age):
+    api_with_accounts(context)
+    context.exchange = make_exchange(context, context.projection, None, age)
 
 
-@given('keys are checked by configurations of {limit}')
-def key_age(context, limit):
-    rebuild(context, None if limit == 'any age' else float(limit.split()[0]))
+@given('the maximum age of a configuration that keys are checked by is {limit}')
+def maximum_key_age(context, limit):
+    rebuild_api(context, None if limit == 'unlimited' else float(limit.split()[0]))
 
 
 @given('peers that {peers}')
 def peers_that(context, peers):
     rows = [{'name': 'blue', 'api_keys': ['new-key']}]
     silent = 9.0 if 'store is silent' in peers else 0.1
-    given_by_words = {
+    reply_by_words = {
         'have a configuration with that key': ConfigurationGiven(6, make_document(6, rows), True),
         'have the same configuration': ConfigurationGiven(5, b'', True),
     }
-    context.exchange = make_exchange(context, context.folder, given_by_words.get(peers), silent)
-    rebuild(context)
+    context.exchange = make_exchange(context, context.projection, reply_by_words.get(peers), silent)
+    rebuild_api(context)
 
 
 def parse_headers(text):
@@ -201,33 +209,33 @@
     context.answer = curio.run(context.front.handle, request)
 
 
-@when('the jobs are counted with the headers {headers}')
+@when('a client counts the jobs with the headers {headers}')
 def count_with(context, headers):
     ask(context, 'GET', '/plain/', parse_headers(headers))
 
 
-@when('the jobs of the public queue are counted without a key')
+@when('a client counts the jobs of the public queue without a key')
 def count_public(context):
     ask(context, 'GET', '/open/', ())
 
 
-@then('the answer is a {status:d}, and the log names no key')
+@then('the answer is a {status:d}, and no key is logged')
 def answer_and_log(context, status):
     assert context.answer.status == status, context.answer
     challenge = context.answer.header('www-authenticate')
     assert (challenge == 'Bearer') is (status == 401), context.answer
-    told = context.lines.text + repr(context.answer)
-    assert not [key for key in KEYS if key in told], told
+    output = context.lines.text + repr(context.answer)
+    assert not [key for key in KEYS if key in output], output
 
 
-@then('drawn headers are answered alike unless they carry a known key')
-def drawn_headers(context):
+@then('random headers get the same answer unless they contain a known key')
+def random_headers(context):
     words = strategies.sampled_from(['bearer', 'Bearer', 'Basic', *KEYS[:3], ' ', '  ', '\t', 'é'])
     texts = strategies.text(max_size=40) | strategies.lists(words, max_size=6).map(''.join)
-    first = []
+    first_refusal = []
 
     @settings(max_examples=400, deadline=None, database=None, derandomize=True)
-    @drawn(texts)
+    @hypothesis_given(texts)
     def check(text):
         ask(context, 'GET', '/plain/', (('authorization', text),))
         scheme, _, key = text.partition(' ')
@@ -235,27 +243,27 @@
         if known:
             assert context.answer.status == 200, (text, context.answer)
             return
-        first.append(context.answer)
-        assert context.answer == first[0], (text, context.answer)
+        first_refusal.append(context.answer)
+        assert context.answer == first_refusal[0], (text, context.answer)
         assert context.answer.status == 401, (text, context.answer)
 
     check()
 
 
-@when('a hundred calls come with unknown keys')
-def many_unknown(context):
+@when('a hundred requests come with unknown keys')
+def many_unknown_keys(context):
     for number in range(100):
         ask(context, 'GET', '/plain/', (('authorization', f'Bearer unknown-{number}'),))
         assert context.answer.status == 401, context.answer
 
 
 @then('peers were asked once')
-def asked_once(context):
-    assert context.links.asked == 1, context.links.asked
+def queried_once(context):
+    assert context.links.query_count == 1, context.links.query_count
 
 
-@when('a peer that has version {version:d} passes on a call of {caller} with {key}')
-def passed_on(context, version, caller, key):
+@when('a peer with configuration version {version:d} forwards a request of {caller} with {key}')
+def forwarded_request(context, version, caller, key):
     request = Request('GET', '/plain/', (('host', 'h'),))
     found = Caller(caller, digest_key(key), version)
     frame = Frame(1, 'peer/1', 0, 0, Forward(request, 1.0, 1, found))
@@ -280,7 +288,7 @@
     ask(context, method, f'/plain/{JOB}', headers, body)
 
 
-@when('blue hands in a step of {count:d} {kind} of {cpu:g} cores, of 8 that it may have running')
+@when('blue submits a step of {count:d} {kind} of {cpu:g} cores, with a quota of 8 cores')
 def hands_in_step(context, count, kind, cpu):
     asked = {'count': count, 'cpu': int(cpu * 1000), 'gang': kind == 'gang members'}
     body = json.dumps({'spec': 'x', 'steps': [asked]}).encode()
@@ -318,7 +326,7 @@
     context.codec.decode_configuration(make_document(1, context.rows))
 
 
-@when('a version comes in which one account has another key')
+@when('a version arrives in which one account has another key')
 def one_key_changes(context):
     context.digested = []
     real = _accounts.digest_key
@@ -345,33 +353,35 @@
     assert context.accounts.find(digest_key('key-7-3')) is None
 
 
-@given('a host whose store answered last {age:g} s ago, and peers with a newer configuration')
+@given(
+    'a host whose last answer of the store is {age:g} s old, and peers with a newer configuration'
+)
 def host_behind(context, age):
-    context.journal = Journal(Lines(), 'me')
-    folder = make_folder(context, make_configuration((make_plain_queue('plain'),), ()))
-    given_by_peer = ConfigurationGiven(6, make_document(6, []), True)
-    context.exchange = make_exchange(context, folder, given_by_peer, age)
-    context.folder = folder
+    context.journal = Journal(LogCapture(), 'me')
+    projection = make_projection(context, make_configuration((make_plain_queue('plain'),), ()))
+    peer_reply = ConfigurationGiven(6, make_document(6, []), True)
+    context.exchange = make_exchange(context, projection, peer_reply, age)
+    context.projection = projection
 
 
 @given('a host that knows no peer, with a seed that has a newer configuration')
 def host_with_seed(context):
     host_behind(context, 1.0)
-    context.book.clear()
+    context.cell_state.clear()
     context.exchange._seeds = (Member('', '127.0.0.1', 1),)
 
 
-@when('it looks whether it is behind')
-def looks(context):
+@when('it checks whether its configuration is outdated')
+def check_configuration(context):
     curio.run(curio.ignore_after, 0.05, context.exchange.run)
 
 
-@when('it reads that the owner has the newer one')
+@when('it reads that the owner has the newer configuration')
 def reads_owner(context):
-    context.book.fold([make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1', version=6))])
-    looks(context)
+    context.cell_state.fold([make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1', version=6))])
+    check_configuration(context)
 
 
 @then('it has the {which} configuration')
 def has_configuration(context, which):
-    assert context.folder.version == (6 if which == 'newer' else 5), context.folder.version
+    assert context.projection.version == (6 if which == 'newer' else 5), context.projection.version
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the operator's and the cell's own records, where they cannot be read."""
+"""Steps on records of the operator's and the cell's topics that cannot be read."""
 
 import curio
 import msgspec
@@ -20,16 +20,16 @@
 from dandelionreel.platform import decode_submission
 from features.entry_parts import (
     CONFIGURATION,
-    DEEP,
+    DEEP_JSON,
     JOB,
     MEMBER,
     OWNER,
     PROGRESS,
     SUBMISSION,
-    Reader,
+    HostProjections,
     encode,
 )
-from features.entry_reading import configuration, operator_reads
+from features.entry_reading import make_configuration_record, read_configurations
 from features.steps.succession_steps import make_dispatcher
 from features.store_parts import Host
 from standins import MemoryTopic
@@ -37,19 +37,19 @@
 
 @given('a host with configuration 3')
 def host_with_configuration(context):
-    context.reader = Reader()
-    operator_reads(context.reader, configuration(version=3))
+    context.projections = HostProjections()
+    read_configurations(context.projections, make_configuration_record(version=3))
 
 
 BAD_CONFIGURATIONS = {
     'no JSON': b'{"version":',
     'a list': b'[]',
-    'routes that are text': configuration(version=6, routes='all'),
-    'no version': configuration(version=None),
-    'nested deeply': DEEP,
-    'a version below zero': configuration(version=-1),
-    'a version of 400 digits': configuration(version=int('9' * 400)),
-    'a negative timeout': configuration(
+    'routes that are text': make_configuration_record(version=6, routes='all'),
+    'no version': make_configuration_record(version=None),
+    'nested deeply': DEEP_JSON,
+    'a version below zero': make_configuration_record(version=-1),
+    'a version of 400 digits': make_configuration_record(version=int('9' * 400)),
+    'a negative timeout': make_configuration_record(
         version=6, routes=[{**CONFIGURATION['routes'][0], 'timeout_ms': -1}]
     ),
 }
@@ -57,12 +57,14 @@
 
 @when('it reads configuration 5 and then {record}')
 def reads_configurations(context, record):
-    operator_reads(context.reader, configuration(version=5), BAD_CONFIGURATIONS[record])
+    read_configurations(
+        context.projections, make_configuration_record(version=5), BAD_CONFIGURATIONS[record]
+    )
 
 
 @then('configuration 5 is in force')
 def in_force(context):
-    assert context.reader.configuration.current.version == 5
+    assert context.projections.configuration.current.version == 5
 
 
 def changed_spec(*steps):
@@ -76,14 +78,14 @@
 BAD_RECORDS = {
     'no JSON': b'{"queue":',
     'a list': b'[]',
-    'nested deeply': DEEP,
-    'a wild count': changed_spec(Step(10**15, Demand(), 1.0)),
+    'nested deeply': DEEP_JSON,
+    'a huge count': changed_spec(Step(10**15, Demand(), 1.0)),
     'a cycle of steps': changed_spec(Step(1, Demand(), 1.0, (0,))),
     'a tiny interval': encode(
         Submission('urgent', 'desk', 9.0, JobSpec('x', SUBMISSION.spec.steps, 2, 1.0, 1e-300))
     ),
-    'a bad mask': changed_progress(DoneTasks(0, 0, '-x')),
-    'a step too many': changed_progress(DoneTasks(0, 9, '1')),
+    'an invalid mask': changed_progress(DoneTasks(0, 0, '-x')),
+    'an unknown step': changed_progress(DoneTasks(0, 9, '1')),
     'an epoch below zero': encode(msgspec.structs.replace(OWNER, epoch=-1)),
     'an epoch of 400 digits': b'{"epoch":' + b'9' * 400 + b',"host":"x","term":"x/1"}',
     'a host that is a number': b'{"epoch":9,"host":7,"term":"x/1"}',
@@ -107,7 +109,7 @@
 
 
 def append(context, *records):
-    """Put records into the topic and let the host read all that is new."""
+    """Append records to the topic and let the host read all new ones."""
     if records:
         curio.run(context.memory.append, records, 0.1)
     curio.run(context.host.follower._step)
@@ -119,13 +121,13 @@
     append(context, KeyedRecord(f'{key}/{JOB}', BAD_RECORDS[record]))
 
 
-@when('a client hands in a job with {part}')
+@when('a client submits a job with {part}')
 def hand_in_part(context, part):
-    # Of a field that stands twice the last one counts.
+    # Of a field that is given twice the last one counts.
     context.body = b'{"spec":"x","steps":[{"count":1}],"repeat_count":2,%s}' % part.encode()
 
 
-@then('it is refused as bad input')
+@then('it is refused as invalid')
 def bad_input(context):
     try:
         decode_submission(context.body)
@@ -142,23 +144,23 @@
     append(context)
 
 
-@when('the same job is handed in again')
+@when('the same job is submitted again')
 def handed_in_again(context):
-    booked = context.host.folder.state.find(JOB)
+    stored_job = context.host.folder.state.find(JOB)
     # A host that took the job for accepted would not store it again.
-    assert booked.may_be_resubmitted
+    assert stored_job.may_be_resubmitted
     append(context, make_record(f'j/{JOB}', SUBMISSION))
 
 
 @then('the job is shown as {state}')
 def shown_as(context, state):
-    booked = context.host.folder.state.find(JOB)
-    assert booked is not None, 'the job is not known'
-    assert booked.state is JobState(state), booked
+    stored_job = context.host.folder.state.find(JOB)
+    assert stored_job is not None, 'the job is not known'
+    assert stored_job.state is JobState(state), stored_job
 
 
 def start_term(context):
-    """Return the dispatcher of a term that the host begins with what it knows."""
+    """Return the dispatcher of a term that the host begins with its present state."""
     clock, former = context.host.clock, context.host.folder.state.owner
     clock.advance(SILENT_SECONDS)
     term = Term(9, 'me/1', WriterFence(9, 1), clock.now - 1, False, False, former=former)
@@ -169,15 +171,15 @@
 
 @then('the job is {handled}')
 def handled(context, handled):
-    booked = context.host.folder.state.find(JOB)
+    stored_job = context.host.folder.state.find(JOB)
     dispatcher = start_term(context)
     cell = dispatcher.cell
     job = cell.job_by_id.get(JOB)
     startable = job is not None and not job.over and bool(job.ready_steps(context.host.clock.now))
-    assert startable is (handled == 'started'), (booked, job)
+    assert startable is (handled == 'started'), (stored_job, job)
 
 
-@given("a host that hears an owner's heartbeats")
+@given("a host that reads an owner's heartbeats")
 def hears_owner(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
@@ -196,10 +198,10 @@
     assert context.host.folder.owner_heard_at == context.is_confirmed
 
 
-@then('the owner is the same as before')
+@then('the known owner is unchanged')
 def same_owner(context):
     assert context.host.folder.state.owner == OWNER
-    # Nor after the host has had to start again from a snapshot.
+    # Also after the host has had to start again from a snapshot.
     context.host.follower._offset = None
     append(context)
     assert context.host.folder.state.owner == OWNER
@@ -216,7 +218,7 @@
     late.clock.advance(SILENT_SECONDS + 0.1)
     late.follower.fresh_at = late.clock.now
     assert late.election._vacancy() is Vacancy.SILENT
-    # Whoever claims then has to expect tasks of an owner of which it knows nothing.
+    # A host that claims then must expect running tasks of the unknown owner.
     assert late.folder.state.owner.unsettled == UNSETTLED_SECONDS
 
 
@@ -234,7 +236,7 @@
     context.dispatcher = start_term(context)
 
 
-@then('it leaves that job alone until the leases must be over')
+@then('it starts no task of that job until all leases must have expired')
 def left_alone(context):
     cell = context.dispatcher.cell
     assert cell.is_blocked(cell.job_by_id[JOB])
@@ -255,6 +257,6 @@
     append(context, KeyedRecord('m/entry-1', BAD_RECORDS[record]))
 
 
-@then('the peer is where it was')
+@then('the known address of the peer is unchanged')
 def peer_is(context):
     assert context.host.folder.state.member_by_host == {'entry-1': MEMBER}
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,44 +1,44 @@
-"""Steps on entries and records that other writers may have left in the store."""
+"""Steps on invalid entries and records that other writers may have left in the store."""
 
 from behave import given, then, when
 
 from dandelionreel.cell.model import StoreError
 from features.cell_parts import SmallCell, step
-from features.entry_fuzz import Fuzz, follow
+from features.entry_fuzz import Fuzz, read_once
 from features.entry_parts import (
     BAD_ENTRIES,
     BAD_FRAMES,
-    Reader,
-    entry,
-    frame,
-    page,
-    raw_topic,
+    HostProjections,
+    encode_page,
+    encode_record,
+    make_entry,
+    make_raw_topic,
 )
 from features.entry_reading import (
     OTHER,
-    configuration,
-    operator_reads,
+    make_configuration_record,
+    prepare_projections,
+    read_configurations,
     read_entries,
-    reader_of_entries,
-    see_entries,
+    show_entries_to_owner,
 )
 
 
-@given('a runner at work whose entry is good')
+@given('a runner with a running task and a valid entry')
 def runner_at_work(context):
-    reader_of_entries(context)
+    prepare_projections(context)
     context.small = SmallCell(())
-    read_entries(context, ('i-1', entry()))
+    read_entries(context, ('i-1', make_entry()))
     context.small.poll('i-1')
     context.small.add_job('j1', [step(cpu=8000)])
     context.small.plan()
     (context.run,) = context.small.runs_on('i-1')
-    read_entries(context, ('i-2', entry(address=OTHER)))
+    read_entries(context, ('i-2', make_entry(address=OTHER)))
 
 
 @when('its entry becomes one of another service')
 def other_service(context):
-    read_entries(context, ('i-1', entry(service='other')))
+    read_entries(context, ('i-1', make_entry(service='other')))
 
 
 @when('its entry becomes {bad}')
@@ -46,7 +46,7 @@
     read_entries(context, ('i-1', BAD_ENTRIES[bad]))
 
 
-@then('nothing new is started on it')
+@then('no further task is started on it')
 def nothing_new(context):
     small = context.small
     small.poll('i-1', running=[context.run])
@@ -55,7 +55,7 @@
     assert not small.cell.runner_by_id['i-1'].usable(small.now)
 
 
-@then('what runs there counts, and is not started elsewhere')
+@then('its task counts there, and is not started elsewhere')
 def counts(context):
     small = context.small
     small.poll('i-2')
@@ -64,53 +64,53 @@
     assert context.run in small.runs_on('i-1')
 
 
-@then('it is still looked at where it was last known')
+@then('it is still polled at its last known address')
 def looked_at(context):
     registration = context.small.cell.runner_by_id['i-1'].registration
     assert (registration.address, registration.port) == ('10.0.0.1', 7000), registration
-    assert context.reader.runners.find('i-1').port == 7000
+    assert context.projections.runners.find('i-1').port == 7000
     assert context.small.cell.runner_by_id['i-1'].listed
 
 
-@then('its next good entry brings it back')
+@then('its next valid entry makes it usable again')
 def brought_back(context):
-    read_entries(context, ('i-1', entry()))
+    read_entries(context, ('i-1', make_entry()))
     small = context.small
     small.poll('i-1', running=[context.run])
     assert small.cell.runner_by_id['i-1'].usable(small.now)
 
 
-@when('all its leases have run out')
+@when('all its leases have expired')
 def leases_ran_out(context):
     context.small.poll('i-2')
     context.small.cell.runner_lapsed('i-1')
 
 
-@then('what ran there starts elsewhere')
+@then('its task is started elsewhere')
 def starts_elsewhere(context):
     made = context.small.plan().starts
     assert [(start.task, start.runner) for start in made] == [(context.run[0], 'i-2')]
 
 
-@given('a host that knows two good entries')
+@given('a host that knows two valid entries')
 def two_entries(context):
-    reader_of_entries(context)
+    prepare_projections(context)
     context.small = SmallCell(())
-    read_entries(context, ('i-1', entry()), ('i-2', entry(address=OTHER)))
+    read_entries(context, ('i-1', make_entry()), ('i-2', make_entry(address=OTHER)))
 
 
-@when('there is a third one with {bad}')
+@when('there is a third entry with {bad}')
 def third_entry(context, bad):
     read_entries(context, ('i-3', BAD_ENTRIES[bad]))
 
 
 @then('only the two runners are known')
 def two_known(context):
-    assert context.reader.runners.registration_by_id.keys() == {'i-1', 'i-2'}
+    assert context.projections.runners.registration_by_id.keys() == {'i-1', 'i-2'}
     assert context.small.cell.runner_by_id.keys() == {'i-1', 'i-2'}
 
 
-@given('a runner at work whose own entry has gone')
+@given('a runner with a running task whose entry was removed')
 def entry_gone(context):
     runner_at_work(context)
     read_entries(context, ('i-1', b''))
@@ -118,29 +118,29 @@
 
 @when('another entry at its address has {bad}')
 def other_at_address(context, bad):
-    content = entry() if bad == 'nothing wrong' else BAD_ENTRIES[bad]
+    content = make_entry() if bad == 'nothing wrong' else BAD_ENTRIES[bad]
     read_entries(context, ('i-9', content))
 
 
-@then('what runs there still counts, and is not started elsewhere')
+@then('its task stays assigned to it, and is not started elsewhere')
 def counts_here(context):
-    see_entries(context)
+    show_entries_to_owner(context)
     assert context.small.runs_on('i-1') == (context.run,), context.small.runs_on('i-1')
     assert not context.small.plan().starts
 
 
-@when('an entry of an unnamed service at its address is read before the configuration')
+@when('an entry of an unconfigured service at its address is read before the configuration')
 def unnamed_before_configuration(context):
-    context.late = Reader()
-    topic, raw = raw_topic()
-    raw.frames = [frame(b'i-9', BAD_ENTRIES['a service that is not named'])]
-    follow(topic, context.late.runners, context.late, 0)
+    context.late = HostProjections()
+    topic, raw = make_raw_topic()
+    raw.frames = [encode_record(b'i-9', BAD_ENTRIES['a service that is not configured'])]
+    read_once(topic, context.late.runners, context.late, 0)
     assert 'i-9' in context.late.runners.registration_by_id
-    operator_reads(context.late, configuration())
-    context.reader = context.late
+    read_configurations(context.late, make_configuration_record())
+    context.projections = context.late
 
 
-@when('a second task is to start on it and its entry becomes no JSON')
+@when('the start of a second task on it is planned, and its entry becomes no JSON')
 def start_pending(context):
     context.small.add_job('j2', [step(cpu=4000)])
     (context.pending,) = context.small.plan(start=False).starts
@@ -157,73 +157,79 @@
 @when('another term begins')
 def another_term(context):
     context.small = SmallCell((), epoch=2)
-    see_entries(context)
+    show_entries_to_owner(context)
 
 
-@then('the next owner looks at i-2 only')
+@then('the next owner polls i-2 only')
 def looks_at_one(context):
     assert context.small.cell.runner_by_id.keys() == {'i-2'}
 
 
 @when('the host starts again from a snapshot')
 def starts_again(context):
-    context.raw.pages = [page([('i-1', BAD_ENTRIES['no JSON']), ('i-2', entry(address=OTHER))])]
-    follow(context.topic, context.reader.runners, context.reader, None)
-    see_entries(context)
+    context.raw.pages = [
+        encode_page([('i-1', BAD_ENTRIES['no JSON']), ('i-2', make_entry(address=OTHER))])
+    ]
+    read_once(context.topic, context.projections.runners, context.projections, None)
+    show_entries_to_owner(context)
 
 
 @given('a host that follows a topic')
 def following(context):
-    reader_of_entries(context)
+    prepare_projections(context)
 
 
-@when('it reads {bad} between two good entries')
+@when('it reads {bad} between two valid entries')
 def bad_frame(context, bad):
     context.raw.frames = [
-        frame(b'i-1', entry()),
+        encode_record(b'i-1', make_entry()),
         BAD_FRAMES[bad],
-        frame(b'i-2', entry(address=OTHER)),
+        encode_record(b'i-2', make_entry(address=OTHER)),
     ]
-    context.follower = follow(context.topic, context.reader.runners, context.reader, 0)
+    context.follower = read_once(context.topic, context.projections.runners, context.projections, 0)
     context.end = 3
 
 
 @then('it knows both entries and has read to the end')
 def knows_both(context):
-    assert context.reader.runners.registration_by_id.keys() == {'i-1', 'i-2'}
+    assert context.projections.runners.registration_by_id.keys() == {'i-1', 'i-2'}
     assert context.follower.offset == context.end
 
 
 @when('its read of three entries is cut in the last one')
 def read_cut(context):
     context.raw.frames = [
-        frame(b'i-1', entry()),
-        frame(b'i-2', entry(address=OTHER)),
-        frame(b'i-3', entry(address='10.0.0.3:7000')),
+        encode_record(b'i-1', make_entry()),
+        encode_record(b'i-2', make_entry(address=OTHER)),
+        encode_record(b'i-3', make_entry(address='10.0.0.3:7000')),
     ]
     context.raw.cut = 5
-    context.follower = follow(context.topic, context.reader.runners, context.reader, 0)
+    context.follower = read_once(context.topic, context.projections.runners, context.projections, 0)
 
 
 @then('the last one is read again whole')
 def read_again(context):
     assert context.follower.offset == 2
     context.raw.cut = 0
-    again = follow(context.topic, context.reader.runners, context.reader, 2)
+    again = read_once(context.topic, context.projections.runners, context.projections, 2)
     assert again.offset == 3
-    assert 'i-3' in context.reader.runners.registration_by_id
+    assert 'i-3' in context.projections.runners.registration_by_id
 
 
-@when('its read is cut in the head')
+@when('its read is cut in the header')
 def head_cut(context):
     context.raw.cut = 7
-    context.attempt = lambda: follow(context.topic, context.reader.runners, context.reader, 0)
+    context.attempt = lambda: read_once(
+        context.topic, context.projections.runners, context.projections, 0
+    )
 
 
-@when('each page ends with the key that it began behind')
+@when('each page ends with the key after which it began')
 def stuck_pages(context):
-    context.raw.pages = [page([('i-1', entry())], has_more=True)] * 9
-    context.attempt = lambda: follow(context.topic, context.reader.runners, context.reader, None)
+    context.raw.pages = [encode_page([('i-1', make_entry())], has_more=True)] * 9
+    context.attempt = lambda: read_once(
+        context.topic, context.projections.runners, context.projections, None
+    )
 
 
 @then('it counts as a failure of the store')
@@ -232,53 +238,55 @@
         context.attempt()
     except StoreError:
         return
-    raise AssertionError('nothing was said')
+    raise AssertionError('no StoreError was raised')
 
 
 BAD_ITEMS = {
     'without a key': {'value': 'e30=', 'offset': 1},
     'with a number as key': {'key': 7, 'value': 'e30=', 'offset': 1},
-    'with half a pair as key': {'key': '\ud800', 'value': 'e30=', 'offset': 1},
+    'with an unpaired surrogate as key': {'key': '\ud800', 'value': 'e30=', 'offset': 1},
     'with bad base64': {'key': 'i-3', 'value': '!', 'offset': 1},
-    'with half a pair as value': {'key': 'i-3', 'value': '\ud800', 'offset': 1},
+    'with an unpaired surrogate as value': {'key': 'i-3', 'value': '\ud800', 'offset': 1},
     'with a list as value': {'key': 'i-3', 'value': [], 'offset': 1},
     'with a text as offset': {'key': 'i-3', 'value': 'e30=', 'offset': 'x'},
     'that is null': None,
 }
 
 
-@when('it reads a page with an item {item} between two good ones')
+@when('it reads a page with an item {item} between two valid ones')
 def bad_item(context, item):
-    rows = [('i-1', entry()), BAD_ITEMS[item], ('i-2', entry(address=OTHER))]
-    context.raw.pages = [page(rows, end=8)]
-    context.follower = follow(context.topic, context.reader.runners, context.reader, None)
+    rows = [('i-1', make_entry()), BAD_ITEMS[item], ('i-2', make_entry(address=OTHER))]
+    context.raw.pages = [encode_page(rows, end=8)]
+    context.follower = read_once(
+        context.topic, context.projections.runners, context.projections, None
+    )
     context.end = 8
 
 
 @when('a page shows its entry with bad base64')
 def own_bad_item(context):
-    rows = [{'key': 'i-1', 'value': '!', 'offset': 1}, ('i-2', entry(address=OTHER))]
-    context.raw.pages = [page(rows)]
-    follow(context.topic, context.reader.runners, context.reader, None)
-    see_entries(context)
+    rows = [{'key': 'i-1', 'value': '!', 'offset': 1}, ('i-2', make_entry(address=OTHER))]
+    context.raw.pages = [encode_page(rows)]
+    read_once(context.topic, context.projections.runners, context.projections, None)
+    show_entries_to_owner(context)
 
 
-@when('it reads the same unreadable entry 100 times, and then a good one')
+@when('it reads the same unreadable entry 100 times, and then a valid one')
 def repeats_itself(context):
     bad = ('i-1', BAD_ENTRIES['no JSON'])
-    read_entries(context, ('i-1', entry()))
+    read_entries(context, ('i-1', make_entry()))
     for _ in range(100):
         read_entries(context, bad)
-        context.reader.clock.advance(1.0)
-    read_entries(context, ('i-1', entry()))
+        context.projections.clock.advance(1.0)
+    read_entries(context, ('i-1', make_entry()))
 
 
-@then('it tells of the two changes and counts 100 unreadable records')
+@then('it logs the two changes and counts 100 unreadable records')
 def tells_changes(context):
-    lines = context.reader.lines_of('i-1')
+    lines = context.projections.lines_of('i-1')
     assert len([line for line in lines if 'cannot be read' in line['text']]) == 1, lines
     assert len([line for line in lines if 'can be read again' in line['text']]) == 1, lines
-    assert sum(context.reader.unreadable.values()) == 100, context.reader.unreadable
+    assert sum(context.projections.unreadable.values()) == 100, context.projections.unreadable
 
 
 @when('it reads 5000 unreadable entries of different keys')
@@ -287,20 +295,20 @@
     read_entries(context, *records)
 
 
-@then('it tells of 20 at most and counts 5000 unreadable records')
+@then('it logs 20 at most and counts 5000 unreadable records')
 def tells_few(context):
-    lines = [line for line in context.reader.lines if 'cannot be read' in line['text']]
+    lines = [line for line in context.projections.lines if 'cannot be read' in line['text']]
     assert 1 <= len(lines) <= 20, len(lines)
-    assert sum(context.reader.unreadable.values()) == 5000
-    assert not context.reader.runners.registration_by_id
+    assert sum(context.projections.unreadable.values()) == 5000
+    assert not context.projections.runners.registration_by_id
 
 
-@when('{cases:d} batches mutated from good ones are read with seed {seed:d}')
+@when('{cases:d} batches with a mutated record are read with seed {seed:d}')
 def fuzz(context, cases, seed):
-    context.findings = Fuzz(seed).play(cases)
+    context.results = Fuzz(seed).run_cases(cases)
 
 
-@then('none of them costs a good record, an offset or the reader')
+@then('no valid record and no offset is lost, and no reader fails')
 def nothing_lost(context):
-    findings = context.findings
-    assert not findings.wrong, (dict(findings.wrong_by_kind), findings.wrong[:10])
+    results = context.results
+    assert not results.failures, (dict(results.failure_count_by_kind), results.failures[:10])
--- a/features/steps/entry_view_steps.py
+++ b/features/steps/entry_view_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what runners list, where it cannot be read."""
+"""Steps on runners' lists that cannot be read."""
 
 import json
 
@@ -28,7 +28,7 @@
 
 
 def look(context, running=(), finished=()):
-    """Let the owner take a look's answer."""
+    """Let the owner process the answer of a poll."""
     body = {'clock_ms': 482113, 'running': list(running), 'finished': list(finished)}
     context.view = decode_view(json.dumps(body).encode())
     small = context.small
@@ -51,7 +51,7 @@
     look(context, [row(first, '', 5, 0), bad_rows[bad]])
 
 
-@then('the second one still counts on it')
+@then('the second task still counts there')
 def still_counts(context):
     assert set(context.runs) == set(context.small.runs_on('w1'))
     assert not context.effect.lost
@@ -83,8 +83,8 @@
 @given("a successor that cannot read a job's submission")
 def unreadable_job(context):
     context.small = SmallCell(('w1',), epoch=2)
-    booked = StoredJob(JOB, None, False, None, submission_unreadable=True)
-    context.small.cell.see_job(booked, context.small.now, context.small.now)
+    stored_job = StoredJob(JOB, None, False, None, submission_unreadable=True)
+    context.small.cell.see_job(stored_job, context.small.now, context.small.now)
     assert not context.small.plan().starts
 
 
@@ -107,7 +107,7 @@
     assert context.small.cell.runner_by_id['w1'].acknowledgeable == 1
 
 
-@when('it answers a look with no JSON')
+@when('it answers a poll with no JSON')
 def answers_nothing(context):
     context.attempt = lambda: decode_view(b'{"clock_ms":')
 
@@ -118,4 +118,4 @@
         context.attempt()
     except RunnerError:
         return
-    raise AssertionError('it was taken for an answer')
+    raise AssertionError('no RunnerError was raised')
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the store, with a topic in memory that is told to fail."""
+"""Steps on the store, with an in-memory topic that fails on demand."""
 
 from contextlib import suppress
 
@@ -39,7 +39,7 @@
 from features.store_parts import LONG, Host, journal, make_owner_context, until
 from standins import MemoryTopic
 
-PATIENCE = 0.35
+WRITE_TIMEOUT = 0.35
 FAULTS = {
     'succeed': [],
     'refuse once': ['refuse'],
@@ -61,7 +61,7 @@
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal())
         await curio.spawn(writer.run, daemon=True)
-        return await writer.write([KeyedRecord(f'{SUBMISSION}x', b'{}')], PATIENCE)
+        return await writer.write([KeyedRecord(f'{SUBMISSION}x', b'{}')], WRITE_TIMEOUT)
 
     context.outcome = curio.run(write)
 
@@ -71,14 +71,14 @@
     assert context.outcome.value == outcome, context.outcome
 
 
-@given('a host that is number {place:d} of {count:d} in the order of claims')
+@given('a host that is number {place:d} of {count:d} in the claim order')
 def host_in_order(context, place, count):
     hosts = [f'h{number:03}' for number in range(count)]
     members = {host: Member('north', '127.0.0.1', 1) for host in hosts}
     context.read = is_successor(members, hosts[place - 1])
 
 
-@given('a host that no other host has heard of')
+@given('a host that is not a member yet')
 def unheard_host(context):
     members = {f'h{number}': Member('north', '127.0.0.1', 1) for number in range(97)}
     context.read = is_successor(members, 'new')
@@ -89,8 +89,8 @@
     assert context.read is (fate == 'read')
 
 
-class CountedTopic(MemoryTopic):
-    """Counts its snapshots."""
+class SnapshotCountingTopic(MemoryTopic):
+    """A topic that counts its snapshots."""
 
     snapshots = 0
 
@@ -100,7 +100,7 @@
 
 
 def make_follower(context, topic, jobs):
-    """Make a follower of a topic in which these jobs stand."""
+    """Make a follower of a topic with submissions of these jobs."""
     context.topic = topic
     submission = Submission('q', 'desk', 0.0, JobSpec('payload', (step(),)))
     for job in jobs:
@@ -114,14 +114,14 @@
         journal(),
         0.02,
         lambda: 0.0,
-        lambda: context.wanted,
+        lambda: context.is_wanted,
     )
 
 
-@given('a follower of a topic that is not wanted')
-def unwanted(context):
-    context.wanted = False
-    make_follower(context, CountedTopic(), 'x')
+@given('a follower of a topic that is not needed')
+def topic_not_needed(context):
+    context.is_wanted = False
+    make_follower(context, SnapshotCountingTopic(), 'x')
 
 
 @then('nothing is read')
@@ -131,26 +131,26 @@
     assert not context.follower.started
 
 
-@when('it is wanted and hurried')
-def wanted_again(context):
+@when('it is needed and told to read now')
+def topic_needed_again(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
         await curio.sleep(0)
-        context.wanted = True
+        context.is_wanted = True
         await context.follower.read_now()
         await context.follower.wait_fresh(SystemClock().monotonic(), LONG)
 
     curio.run(follow)
 
 
-@then('it knows the newest records at once')
+@then('it knows the newest records after one snapshot')
 def knows_store(context):
     assert context.folder.state.find('x') is not None
     assert context.topic.snapshots == 1
 
 
 class SlowTopic(MemoryTopic):
-    """Records of 50 KB, of which 6 come in time."""
+    """A topic with records of 50 KB, of which a read delivers 6 in time."""
 
     reads = 0
 
@@ -163,15 +163,15 @@
         return RecordBatch(records, offset + len(records), len(self.records))
 
 
-@given('a follower that has 1 MB to read, and a link on which 0.3 MB come in time')
+@given('a follower that has 1 MB to read, and a link that delivers 0.3 MB in time')
 def slow_link(context):
-    context.wanted = True
+    context.is_wanted = True
     make_follower(context, SlowTopic(), [f'{number}' for number in range(20)])
     context.follower._offset = 0
 
 
 @when('it follows')
-def follow_on(context):
+def follow_slow_link(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
         context.fresh = await context.follower.wait_fresh(SystemClock().monotonic(), 2)
@@ -186,7 +186,7 @@
     assert context.topic.reads <= count, context.topic.reads
 
 
-@given('a writer to which {count:d} newer and newer records of a job are given during an append')
+@given('a writer that is given {count:d} successive records of a job during an append')
 def many_records(context, count):
     context.topic = MemoryTopic()
 
@@ -202,13 +202,13 @@
     curio.run(write)
 
 
-@then('the store has taken one more append of 1 record, the newest')
+@then('the store has executed one more append, of the newest record only')
 def one_append(context):
     assert context.topic.appends == 2, context.topic.appends
     assert [record.content for record in context.topic.records] == [b'{}', b'19']
 
 
-@then('each of the {count:d} is known to be stored')
+@then('each of the {count:d} is reported as stored')
 def all_stored(context, count):
     assert context.outcomes == [WriteOutcome.STORED] * (1 + count)
 
@@ -219,28 +219,28 @@
     context.topic.faults.extend(['refuse'] * 20)
 
 
-@when('a job comes that may wait for 0.3 s for its turn')
+@when('a job with a timeout of 0.3 s is submitted')
 def job_behind(context):
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal(), WriterFence(1, 1))
         await curio.spawn(writer.run, daemon=True)
-        beat = await curio.spawn(writer.write, [KeyedRecord(OWNER_KEY, b'{}')], LONG)
+        heartbeat = await curio.spawn(writer.write, [KeyedRecord(OWNER_KEY, b'{}')], LONG)
         await curio.sleep(0.05)
         job = [KeyedRecord(f'{SUBMISSION}x', b'{}')]
         context.outcome = await curio.ignore_after(1, writer.write, job, 0.3)
-        await beat.join()
+        await heartbeat.join()
         await writer.write([], LONG)
 
     curio.run(write)
 
 
-@then('its client is told so within 1 s')
-def refused_soon(context):
+@then('its write is refused within 1 s')
+def refused_in_time(context):
     assert context.outcome is WriteOutcome.REFUSED, context.outcome
 
 
-@then('the store never holds it')
-def never_held(context):
+@then('the store never contains it')
+def never_stored(context):
     assert [record.key for record in context.topic.records] == [OWNER_KEY]
 
 
@@ -285,20 +285,20 @@
     curio.run(write)
 
 
-@then('every record stands in the store once')
-def once(context):
+@then('every record is in the store once')
+def each_record_once(context):
     assert [record.key for record in context.topic.records] == ['e/1', 'e/2']
     assert context.topic.appends == 3
 
 
-@given('a host that reads a record of another version')
+@given('a host that reads a record in an unknown format')
 def other_version(context):
     context.topic = MemoryTopic()
     curio.run(context.topic.append, [KeyedRecord(f'{SUBMISSION}j1', b'{"shape": 9}')], 0.1)
     context.host = Host('a', context.topic)
 
 
-@when('a job is stored behind it')
+@when('a job is stored after it')
 def another_job(context):
     submission = Submission('urgent', 'desk', 5.0, JobSpec('payload', ()))
     curio.run(context.topic.append, [make_record(f'{SUBMISSION}j2', submission)], 0.1)
@@ -327,7 +327,7 @@
         curio.run(context.topic.append, [record_by_name[name]], 0.1)
 
 
-@when('its owner notes that it is {state}')
+@when('its owner stores that it is {state}')
 def owner_notes(context, state):
     progress = Progress(1, JobState(state), ended_at=7.0)
     curio.run(context.topic.append, make_progress_records('j1', progress), 0.1)
@@ -343,14 +343,14 @@
 def reads_and_shows(context, count, state):
     snapshot = curio.run(context.topic.snapshot)
     kept = [record for record in snapshot.records if record.content]
-    book = CellState()
-    book.fold(snapshot.records)
+    cell_state = CellState()
+    cell_state.fold(snapshot.records)
     assert len(kept) == count, kept
-    assert book.find('j1').state is JobState(state)
+    assert cell_state.find('j1').state is JobState(state)
 
 
 @given('a follower that is behind')
-def behind(context):
+def follower_behind(context):
     context.topic = MemoryTopic()
     context.host = Host('a', context.topic)
     for epoch in (1, 2, 3):
@@ -358,8 +358,8 @@
         curio.run(context.topic.append, [claim], 0.1)
 
 
-@when('the records that it has not read are gone')
-def expired(context):
+@when('the records that it has not read have expired')
+def records_expired(context):
     context.topic.first = 2
 
     async def follow():
@@ -370,12 +370,12 @@
     curio.run(follow)
 
 
-@then('it knows what the newest records say')
+@then('it knows the content of the newest records')
 def knows_newest(context):
     assert context.host.folder.state.owner.epoch == 3
 
 
-@given('a runner whose leases ran out 5 s after its last answer')
+@given('a runner whose leases expired 5 s after its last answer')
 def silent_runner(context):
     context.clock = ManualClock(1000)
     context.owner = make_owner_context(Cell(1, 3.0), context.clock)
@@ -385,7 +385,7 @@
 
 
 class SilentRunner(Runner):
-    """A runner whose link was cut after the bytes had left."""
+    """A runner whose answers are lost: requests may have arrived."""
 
     async def start(self, order, check):
         raise RunnerError('no answer in time', Verdict.UNKNOWN)
@@ -415,16 +415,16 @@
 def send_one_start(context):
     job = context.small.add_job('j1', [step()])
     job.stored_runners.add('w1')
-    made = context.small.plan(start=False)
+    plan = context.small.plan(start=False)
 
     async def send():
-        await Orders(context.owner).send_starts(made.starts)
+        await Orders(context.owner).send_starts(plan.starts)
         await until(lambda: context.small.cell.runner_by_id['w1'].suspect)
 
     curio.run(send)
 
 
-@then('the runner gets nothing more until it has answered a look')
+@then('the runner gets no more starts until it has answered a poll')
 def nothing_until_look(context):
     small = context.small
     small.add_job('j2', [step()])
@@ -438,7 +438,7 @@
     context.owner.writer.stored_at = 1000 + seconds
 
 
-@then('7 s after it the tasks there count as {fate}, and new starts are {starts}')
+@then('7 s after it its tasks count as {fate}, and new starts are {starts}')
 def judged_tasks(context, fate, starts):
     context.clock.now = 1007.0
     assert context.owner.leases_ran_out(context.state) is (fate == 'gone')
@@ -454,12 +454,12 @@
     async def write():
         context.writer = GroupWriter(context.topic, context.clock, journal())
         await curio.spawn(context.writer.run, daemon=True)
-        await context.writer.write([KeyedRecord('j/x', b'x')], PATIENCE)
+        await context.writer.write([KeyedRecord('j/x', b'x')], WRITE_TIMEOUT)
 
     curio.run(write)
 
 
-@then('the store counts as out of reach')
+@then('the store counts as unreachable')
 def out_of_reach(context):
     assert context.writer.store_is_failing(context.writer.failed_at)
 
@@ -469,8 +469,8 @@
     assert not context.writer.store_is_failing(context.writer.failed_at + 2)
 
 
-@given('answers of {seconds:f} s and then {misses:d} misses')
-def answers(context, seconds, misses):
+@given('answers after {seconds:f} s and then {misses:d} timeouts')
+def answers_and_timeouts(context, seconds, misses):
     context.times = AppendLatency()
     for _ in range(40):
         context.times.note_answer(seconds)
@@ -478,6 +478,6 @@
         context.times.note_timeout()
 
 
-@then('the next one is waited for about {patience:f} s')
-def waited_for(context, patience):
+@then('the next timeout is about {patience:f} s')
+def timeout_is(context, patience):
     assert abs(context.times.timeout - patience) < 0.05, context.times.timeout
--- a/features/store.feature
+++ b/features/store.feature
@@ -1,7 +1,7 @@
-Feature: What stands in the store, under lost answers and late appends
+Feature: Records in the store, with lost answers and late appends
 
-  # Guards against calling a submission refused that may have been stored.
-  Scenario Outline: What a client is told about its submission
+  # Guards against reporting a submission as refused that may have been stored.
+  Scenario Outline: The outcome of a submission
     Given a store whose appends <faults>
     When a submission is written
     Then it is <outcome>
@@ -15,9 +15,9 @@
       | lose, then refuse       | unknown |
       | stay silent always      | unknown |
 
-  # Guards against every host reading what all runners write.
-  Scenario Outline: Which hosts keep the list of runners at hand
-    Given a host that is number <place> of <count> in the order of claims
+  # Guards against the load of all hosts reading the entries of all runners.
+  Scenario Outline: Which hosts follow the list of runners
+    Given a host that is number <place> of <count> in the claim order
     Then the list of runners is <read>
 
     Examples:
@@ -28,37 +28,37 @@
       | 8     | 8     | read         |
 
   # Guards against a new owner that does not know the runners of cancelled jobs.
-  Scenario: A host that does not know its place yet
-    Given a host that no other host has heard of
+  Scenario: A host that does not know its place in the claim order yet
+    Given a host that is not a member yet
     Then the list of runners is read
 
-  Scenario: A host that did not keep the list of runners owns the cell
-    Given a follower of a topic that is not wanted
+  Scenario: A host that did not follow the list of runners owns the cell
+    Given a follower of a topic that is not needed
     Then nothing is read
-    When it is wanted and hurried
-    Then it knows the newest records at once
+    When it is needed and told to read now
+    Then it knows the newest records after one snapshot
 
   # Guards against a host with a slow link that never catches up.
   Scenario: A host behind a slow link catches up
-    Given a follower that has 1 MB to read, and a link on which 0.3 MB come in time
+    Given a follower that has 1 MB to read, and a link that delivers 0.3 MB in time
     When it follows
     Then it knows the newest record after 16 reads at most
 
-  # Guards against appending records of a job that a newer one replaces.
-  Scenario: Many ends of one job during an append
-    Given a writer to which 20 newer and newer records of a job are given during an append
-    Then the store has taken one more append of 1 record, the newest
-    And each of the 20 is known to be stored
+  # Guards against appending records of a job that a newer record replaces.
+  Scenario: Many records of one job during an append
+    Given a writer that is given 20 successive records of a job during an append
+    Then the store has executed one more append, of the newest record only
+    And each of the 20 is reported as stored
 
-  # Guards against keeping a client in doubt whose job waits behind a failing append.
-  Scenario: A job comes while an earlier append is tried again and again
+  # Guards against leaving a client in doubt whose job waits behind a failing append.
+  Scenario: A job is submitted while an earlier append is retried
     Given an owner whose heartbeat the store refuses for 2 s
-    When a job comes that may wait for 0.3 s for its turn
-    Then its client is told so within 1 s
-    And the store never holds it
+    When a job with a timeout of 0.3 s is submitted
+    Then its write is refused within 1 s
+    And the store never contains it
 
-  # Guards against a former owner's append that overwrites its successor's.
-  Scenario: A late append of a former owner
+  # Guards against a late append of a previous owner that overwrites its successor's.
+  Scenario: A late append of a previous owner
     Given an owner whose last append is late
     When a successor has written and the late append lands
     Then the store holds what the successor wrote
@@ -66,7 +66,7 @@
   Scenario: An owner whose answer was lost repeats its append without harm
     Given an owner whose append lost its answer
     When it writes again
-    Then every record stands in the store once
+    Then every record is in the store once
 
   # Guards against two owners of one epoch.
   Scenario: Two hosts claim at the same moment
@@ -85,35 +85,35 @@
     When the owner asks for a successor
     Then the host owns the cell with the next epoch
 
-  # Guards against one unreadable record that ends the reading of the store.
+  # Guards against one unreadable record that stops the reading of the store.
   Scenario: A record that cannot be read
-    Given a host that reads a record of another version
-    When a job is stored behind it
+    Given a host that reads a record in an unknown format
+    When a job is stored after it
     Then the host knows the job
 
-  # Guards against claims whose condition is never met while jobs keep coming.
-  Scenario: A claim while jobs keep coming
+  # Guards against claims whose condition is never met while jobs are submitted.
+  Scenario: A claim while jobs are submitted
     Given a host that follows an owner
     And a job is stored right before each of the next 9 appends
     When the owner asks for a successor
     Then the host owns the cell with epoch 3
     And 2 appends were made
 
-  Scenario: A cell that its owner has left while jobs keep coming
+  Scenario: A claim of a released cell while jobs are submitted
     Given a host that follows an owner that has left the cell
     And a job is stored right before each of the next 9 appends
     When it claims
     Then the host owns the cell with epoch 2
     And 1 appends were made
 
-  # Guards against replacing an owner that was not read yet.
-  Scenario: Two hosts claim a cell that was left, and one reads late
+  # Guards against replacing a new owner whose claim was not read yet.
+  Scenario: Two hosts claim a released cell, and one reads late
     Given a host that follows an owner that has left the cell
     And another host has claimed it, which this host reads 0.8 s late
     When it claims until then
     Then the other host owns the cell, and 1 appends were made
 
-  # Guards against a small host, or one that is not ready, that keeps the cell.
+  # Guards against a small host that keeps the cell, and against handing it to an unready host.
   Scenario Outline: A small host that owns the cell
     Given a host of <cores> cores that owns the cell
     And a host of <others> cores that <answers>
@@ -139,7 +139,7 @@
       | acts  | does not claim |
       | ended | claims        |
 
-  # Guards against all hosts of a zone appending to a slow store.
+  # Guards against the load of all hosts of a zone appending to a slow store.
   Scenario Outline: Who writes for a zone
     Given the hosts n-large, n-1, n-2, s-large, s-1
     Then <me> has its clients' jobs written by <deputy>, with <avoided> out of reach
@@ -156,10 +156,10 @@
     Given the hosts n-1, s-1, n-large, s-large
     Then after the owner n-large they claim in the order s-large, n-1, s-1
 
-  # Guards against a fresh host that reads jobs which are long over.
-  Scenario Outline: What stays in the store of a job that is over
+  # Guards against a starting host that reads many records of finished jobs.
+  Scenario Outline: Records of a finished job that remain in the store
     Given a job of which the store has <records>
-    When its owner notes that it is <state>
+    When its owner stores that it is <state>
     Then a host that starts now reads 1 record and shows it as <state>
 
     Examples:
@@ -168,24 +168,24 @@
       | the submission                      | failed    |
       | the submission and its cancellation | cancelled |
 
-  Scenario: A repeated submission does not bring a job back that is over
+  Scenario: A repeated submission does not restart a finished job
     Given a job of which the store has the submission
-    When its owner notes that it is completed
+    When its owner stores that it is completed
     And a late repetition of the submission lands
     Then a host that starts now reads 2 record and shows it as completed
 
-  # Guards against relying on what a snapshot does not hold any more.
+  # Guards against reading on from an offset that the store does not have any more.
   Scenario: A follower whose offset has expired
     Given a follower that is behind
-    When the records that it has not read are gone
-    Then it knows what the newest records say
+    When the records that it has not read have expired
+    Then it knows the content of the newest records
 
-  Scenario: An older owner's heartbeat does not bring it back
+  Scenario: A late heartbeat does not bring an older owner back
     Given the claims of the epochs 1 and 2, and a late heartbeat of epoch 1
     Then the owner is that of epoch 2
 
-  # Guards against believing a peer that does not know the newest configuration.
-  Scenario Outline: What a peer's answer is worth
+  # Guards against relying on a peer with an outdated configuration.
+  Scenario Outline: How a peer's answer to a forwarded request is used
     Given a peer that answers <status>
     When a request is passed on to it
     Then the client <outcome>
@@ -198,8 +198,8 @@
       | 503    | is served here   |
       | 504    | is left in doubt |
 
-  # Guards against handing a job to a peer that never gets it.
-  Scenario Outline: A job is not handed to a peer that does not say that it can act
+  # Guards against forwarding a job to a peer that cannot act on it.
+  Scenario Outline: A job is only forwarded to a peer that confirms that it can act
     Given an owner that <answers> when it is asked whether it acts
     When a request is passed on to it
     Then no job was handed to it
@@ -210,16 +210,16 @@
       | says nothing          |
       | says that it does not |
 
-  # Guards against keeping jobs from an owner because one answer came late.
-  Scenario: A state that does not come in time keeps no jobs away
+  # Guards against forwarding no jobs to an owner because one answer was late.
+  Scenario: One late answer does not stop the forwarding of jobs
     Given a peer that answers 200
     And it is deaf to the next question
     When a host asks it for a state and gets no answer in 0.1 s
     And a request is passed on to it
     Then the client is told so
 
-  # Guards against asking a peer that does not answer again and again.
-  Scenario Outline: When a peer that does not answer is asked again
+  # Guards against querying an unresponsive peer too often.
+  Scenario Outline: When an unresponsive peer is queried again
     Given a peer that has not answered <misses> requests in a row
     When <seconds> s later a request comes
     Then the peer <fate>
@@ -233,11 +233,11 @@
       | 9      | 4.1     | is asked     |
       | 1100   | 4.1     | is asked     |
 
-  # Guards against an old owner that takes leases for run out which its successor renews.
-  Scenario Outline: Leases of a silent runner, at an owner that the store does not answer
-    Given a runner whose leases ran out 5 s after its last answer
+  # Guards against an old owner that takes leases for expired which its successor renews.
+  Scenario Outline: Leases of a silent runner, at an owner without an answer of the store
+    Given a runner whose leases expired 5 s after its last answer
     When the owner's last append was answered <seconds> s after that answer
-    Then 7 s after it the tasks there count as <fate>, and new starts are <starts>
+    Then 7 s after it its tasks count as <fate>, and new starts are <starts>
 
     Examples:
       | seconds | fate | starts    |
@@ -245,14 +245,14 @@
       | 4       | held | forbidden |
       | 6       | gone | allowed   |
 
-  # Guards against starts that are sent into a partition.
-  Scenario: One start without an answer keeps others away
+  # Guards against many starts that are sent into a partition.
+  Scenario: A start without an answer blocks further starts
     Given an owner with a runner that does not answer
     When it sends one start there
-    Then the runner gets nothing more until it has answered a look
+    Then the runner gets no more starts until it has answered a poll
 
-  # Guards against taking one owner's end for the end of all before it.
-  Scenario Outline: An owner that follows a killed one
+  # Guards against taking the end of one owner for the end of all earlier ones.
+  Scenario Outline: The successor of a killed owner
     Given a former owner that was killed when earlier owners might act for <unsettled> s
     When a host takes over
     Then it leaves jobs on unseen runners alone for <wait> s
@@ -262,15 +262,15 @@
       | 0         | 8.72 |
       | 12        | 12   |
 
-  # Guards against hosts out of rotation that nothing tells of the store's return.
+  # Guards against unready hosts that do not notice the return of the store.
   Scenario: A host that writes nothing after an outage
     Given a writer whose appends were refused for a while
-    Then the store counts as out of reach
+    Then the store counts as unreachable
     And 2 s later it does not
 
-  Scenario Outline: How long an answer is waited for
-    Given answers of <seconds> s and then <misses> misses
-    Then the next one is waited for about <patience> s
+  Scenario Outline: The timeout of an append
+    Given answers after <seconds> s and then <misses> timeouts
+    Then the next timeout is about <patience> s
 
     Examples:
       | seconds | misses | patience |
