--- a/bench/guards.py
+++ b/bench/guards.py
@@ -152,7 +152,7 @@
     Guard(
         'a run that was well for long counts for nothing',
         'cell/decisions/_losses.py',
-        '>= SOUND_SECONDS',
+        '>= HEALTHY_SECONDS',
         '>= 1e9',
         'losses.feature:NEVER HAD',
     ),
@@ -173,7 +173,7 @@
     Guard(
         'first starts of a lost owner raise doubt',
         'cell/decisions/_losses.py',
-        'job.note_doubt()',
+        'job.mark_crashes_incomplete()',
         'pass',
         'losses.feature:SUCCESSOR',
     ),
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -219,7 +219,7 @@
     def rank(self, urgency: Urgency) -> Rank:
         """Return the place of a step."""
         job = urgency.job
-        return Rank(False, False, 0, 0, job.accepted, job.id, urgency.step.name)
+        return Rank(False, False, 0, 0, job.accepted_at, job.id, urgency.step.name)
 
 
 class FirstCome(Planner):
@@ -371,7 +371,7 @@
                 name, 'desk', '10.0.0.1', number, f'zone-{zone}', self.load.capacity, labels, False
             )
             self._work[name] = {}
-        self.cell.see_runners(registrations, 0)
+        self.cell.update_runners(registrations, 0)
         for name, state in self.cell.runner_by_id.items():
             state.recorded = True
             self._poll_once(name)
@@ -379,7 +379,7 @@
     def _poll_once(self, runner: str, *ended: EndedRun) -> None:
         running = tuple(RunningTask(*run, '', 0, 0) for run in self._work[runner])
         view = RunnerView(self._now, running, ended)
-        self.cell.viewed(self.cell.runner_by_id[runner], view, self._now, self._now)
+        self.cell.handle_view(self.cell.runner_by_id[runner], view, self._now, self._now)
 
     def _cut_off(self, cut: Cut) -> None:
         for state in self.cell.runner_by_id.values():
@@ -399,7 +399,7 @@
 
     def _expire_leases(self) -> None:
         for runner in self._unseen_by_runner:
-            self.cell.runner_lapsed(runner)
+            self.cell.handle_lapsed_runner(runner)
 
     def _reconnect(self) -> None:
         ends_by_runner = self._unseen_by_runner
@@ -419,9 +419,9 @@
         account = self._draw_account()
         spec = JobSpec('', steps)
         submission = Submission(kind.queue.name, 'desk', self._now, spec, '', account)
-        self.cell.see_job(BookedJob(job_id, submission, False, None), self._now, self._now)
+        self.cell.update_job(BookedJob(job_id, submission, False, None), self._now, self._now)
         weight = kind.worth * min(MOST_WEIGHT, 0.3 + 0.7 * work / usual)
-        if not self.cell.job_by_id[job_id].beyond_rate:
+        if not self.cell.job_by_id[job_id].exceeds_account_rate:
             self._weight_by_job[job_id] = weight
             self._owed_work.append((weight, work / MILLI))
             for tally in self._tallies(kind.queue.name, account):
@@ -504,7 +504,9 @@
                 return
             question = heapq.heappop(self._waiting)[2]
             self._busy[urgent] += 1
-            takes = question.advice.decision + question.advice.per_runner * len(question.runners)
+            takes = question.advice.decision_seconds + question.advice.seconds_per_runner * len(
+                question.runners
+            )
             self._later(takes, self._answer, question, urgent)
 
     def _answer(self, question: AdviceRequest, urgent: bool) -> None:
@@ -515,7 +517,7 @@
             for runner in question.runners
             if random.Random(f'{question.step}{runner}{self._seed}').random() < share
         ]
-        until = self._now + question.advice.valid
+        until = self._now + question.advice.valid_seconds
         self.cell.tickets.note(question.step, question.runners, permits, until)
         self._ask()
 
@@ -525,14 +527,14 @@
 
     def _start(self, allocation: Allocation) -> None:
         if not self.cell.may_start(allocation) or allocation.runner in self._unseen_by_runner:
-            self.cell.withdraw(allocation)
+            self.cell.release_start(allocation)
             return
         job = self.cell.job_by_id[allocation.task.job]
         kind = self._kind_of(job.id)
         if job.id not in self._begun:
             self._begun.add(job.id)
             waits = self.tally_by_queue[kind.queue.name].first_waits
-            waits.append(self._now - job.accepted)
+            waits.append(self._now - job.accepted_at)
         step = job.find_step(allocation.task)
         # Members of a gang end together; else each task has a duration of its own.
         name = step.name if step.step.gang else allocation.task
@@ -544,11 +546,11 @@
         fails = random.Random(f'{name}{allocation.run}{self._seed}').random() < kind.fails
         run = (allocation.task, allocation.run)
         self._work[allocation.runner][run] = (self._now, takes, saved)
-        self.cell.start_answered(allocation, StartReply.STARTED, self._now)
+        self.cell.handle_start_reply(allocation, StartReply.STARTED, self._now)
         self._later(takes, self._end, allocation, Outcome.FAILED if fails else Outcome.DONE)
 
     def _stop(self, allocation: Allocation) -> None:
-        self.cell.stop_answered(allocation, self._now)
+        self.cell.handle_stop_reply(allocation, self._now)
         self._end(allocation, Outcome.STOPPED)
 
     def _end(self, allocation: Allocation, outcome: Outcome) -> None:
@@ -584,7 +586,7 @@
             return
         job = self.cell.job_by_id[job_id]
         kind = self._kind_of(job_id)
-        took = (self._now - job.accepted) / self.cell.objective_of(job)
+        took = (self._now - job.accepted_at) / self.cell.objective_of(job)
         for tally in self._tallies(kind.queue.name, job.account):
             if job.state is JobState.COMPLETED and took <= 1:
                 tally.in_time += 1
--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -81,7 +81,7 @@
     def _unsuited_steps(self, listed: dict[str, Registration]) -> list[Step]:
         """Return the kinds of steps under way that no active runner suits, one of each."""
         step_by_need: dict[tuple[str, str], Step] = {}
-        for job in self._cell.live_by_id.values():
+        for job in self._cell.unfinished_job_by_id.values():
             for step in job.spec.steps:
                 if step.required_label or step.data_rack:
                     step_by_need[step.required_label, step.data_rack] = step
@@ -94,9 +94,9 @@
 
     def _is_idle(self, state: RunnerState) -> bool:
         """Return whether a runner holds nothing, and has forgotten all ends that it listed."""
-        if state.id in self._cell.unseen or state.allocation_by_run:
+        if state.id in self._cell.unseen_runners or state.allocation_by_run:
             return False
-        return state.noted == state.confirmed
+        return state.processed_end == state.confirmed_end
 
 
 def _may_take(registration: Registration) -> bool:
--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -70,7 +70,7 @@
             return []
         demand = counted_demand(step)
         slotted = [
-            (count_slots(demand, runner.room), runner)
+            (count_slots(demand, runner.free_capacity), runner)
             for runner in runners
             if runner.id not in known.asked
         ]
@@ -99,7 +99,7 @@
         wanted = []
         seats = 0
         for runner in sorted(runners, key=partial(_is_elsewhere, zone)):
-            slots = count_slots(demand, runner.room, limit)
+            slots = count_slots(demand, runner.free_capacity, limit)
             if runner.id in known.allowed and slots and seats < step.waiting:
                 wanted.append(runner)
                 seats += slots
@@ -193,4 +193,4 @@
 
 
 def _seconds(advice: AdvicePolicy, runners: int) -> float:
-    return advice.decision + advice.per_runner * runners
+    return advice.decision_seconds + advice.seconds_per_runner * runners
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.decisions._crashes import Crash
 from dandelionreel.cell.decisions._holdings import Holdings
 from dandelionreel.cell.decisions._job_rates import JobRates
-from dandelionreel.cell.decisions._ledger import NEVER, Allocation, Holding, RunnerState
+from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._losses import Losses
 from dandelionreel.cell.decisions._quotas import QuotaLedger
 from dandelionreel.cell.decisions._runner_views import PollEffect, RunnerViews
@@ -36,7 +36,7 @@
 REFUSED_QUIET = 0.3
 UNHEALTHY_QUIET = 1.0
 #: How much slower than ours a runner's clock may run.
-CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02
 
 
 class Cell:
@@ -48,12 +48,12 @@
         self.configuration: Configuration | None = None
         self._holdings = Holdings()
         self.job_by_id = self._holdings.job_by_id
-        self.live_by_id = self._holdings.live_by_id
+        self.unfinished_job_by_id = self._holdings.unfinished_job_by_id
         self.runner_by_id = self._holdings.runner_by_id
         self.tickets = TicketBook()
         self.zone_reachability = ZoneReachability()
         #: Runners on which tasks of earlier owners may run unseen.
-        self.unseen: set[str] = set()
+        self.unseen_runners: set[str] = set()
         #: Jobs of which something in the store cannot be read.
         self.unreadable_jobs: set[str] = set()
         #: Runners that are known to have ended.
@@ -64,9 +64,9 @@
         self.awaits_completions = False
         #: Runs under which a runner has crashed, in this term.
         self.crashed_runs = 0
-        self.quotas = QuotaLedger(self._holdings, self.unseen)
+        self.quotas = QuotaLedger(self._holdings, self.unseen_runners)
         self._rates = JobRates()
-        self._losses = Losses(self.live_by_id, self._holdings.dirty)
+        self._losses = Losses(self.unfinished_job_by_id, self._holdings.dirty)
         self._runner_views = RunnerViews(
             self._holdings, self._losses, self.unreadable_jobs, self.queue_of
         )
@@ -92,9 +92,9 @@
         """Return what runs of a job that is over may still take, by runner."""
         return self.quotas.leftovers_of(job, wall) if job.account else ()
 
-    def held_of(self, job_id: str) -> list[Allocation]:
+    def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return all runs that are held for a job, on whichever runner."""
-        return self._holdings.held_of(job_id)
+        return self._holdings.allocations_of_job(job_id)
 
     def service_of(self, job: JobRun) -> str:
         """Return the service whose runners run the job."""
@@ -109,10 +109,10 @@
         if self.awaits_completions and job.runners:
             return True
         if ANY_RUNNER in job.runners:
-            return bool(self.unseen)
-        return not self.unseen.isdisjoint(job.runners)
+            return bool(self.unseen_runners)
+        return not self.unseen_runners.isdisjoint(job.runners)
 
-    def see_job(self, booked: BookedJob, now: float, wall: float) -> None:
+    def update_job(self, booked: BookedJob, now: float, wall: float) -> None:
         """Take a job, or the news of one, from the store.
 
         Nothing is started of a job that cannot be read, unless it is known here. Its
@@ -125,16 +125,16 @@
         elif booked.id in self.unreadable_jobs:
             self.unreadable_jobs.remove(booked.id)
             for runner in self.runner_by_id.values():
-                runner.read_again()
+                runner.reprocess_ends()
         if job is None and booked.submission is not None and not booked.unreadable:
             age = max(0.0, wall - booked.submission.accepted_at)
             job = JobRun(booked.id, booked.submission, now - age)
-            job.beyond_rate = self._is_beyond_rate(job)
+            job.exceeds_account_rate = self._is_beyond_rate(job)
             if booked.progress is not None:
                 job.restore(booked.progress)
             self.job_by_id[booked.id] = job
-            self.live_by_id[booked.id] = job
-        elif job is not None and job.take_end(booked.progress):
+            self.unfinished_job_by_id[booked.id] = job
+        elif job is not None and job.apply_final_state(booked.progress):
             self._holdings.stop_job(job.id)
         if booked.cancelled:
             self.cancel(booked.id)
@@ -142,10 +142,10 @@
     def cancel(self, job_id: str) -> None:
         """Stop a job whose cancellation stands in the store."""
         job = self.job_by_id.get(job_id)
-        if job is not None and not job.over:
+        if job is not None and not job.is_over:
             self._cancel(job)
 
-    def take_complete(self, jobs: Iterable[str]) -> list[str]:
+    def mark_complete(self, jobs: Iterable[str]) -> list[str]:
         """Take the word of former owners that jobs are complete; return those that were not."""
         taken = []
         for job_id in jobs:
@@ -159,21 +159,21 @@
 
     def forget_job(self, job_id: str, wall: float) -> None:
         """Drop a job that the store has dropped."""
-        self.live_by_id.pop(job_id, None)
+        self.unfinished_job_by_id.pop(job_id, None)
         job = self.job_by_id.pop(job_id, None)
         if job is not None:
             self.quotas.keep_leftovers(job, wall)
             self._holdings.stop_job(job.id)
             self.tickets.drop_job(job_id)
 
-    def drop_over(self, wall: float) -> None:
+    def drop_finished_jobs(self, wall: float) -> None:
         """Stop looking at jobs that are over, so that a plan costs what is left."""
-        over = [job for job in self.live_by_id.values() if job.over]
+        over = [job for job in self.unfinished_job_by_id.values() if job.is_over]
         for job in over:
             self.quotas.keep_leftovers(job, wall)
-            self.live_by_id.pop(job.id)
+            self.unfinished_job_by_id.pop(job.id)
 
-    def take_dirty(self) -> list[JobRun]:
+    def take_dirty_jobs(self) -> list[JobRun]:
         """Return the jobs whose progress must be stored, once."""
         taken = []
         for job_id in self._holdings.dirty:
@@ -184,7 +184,7 @@
         self._holdings.dirty.clear()
         return taken
 
-    def note_unstored(self, job: JobRun) -> None:
+    def mark_dirty(self, job: JobRun) -> None:
         """Have a job's progress stored again: the last time, the store did not take it."""
         job.dirty = True
         self._holdings.dirty.add(job.id)
@@ -195,7 +195,7 @@
 
     # Runners
 
-    def see_runners(
+    def update_runners(
         self,
         registrations: dict[str, Registration],
         now: float,
@@ -221,7 +221,7 @@
                 known.listed = False
         return fresh
 
-    def leave_runner(self, runner_id: str) -> None:
+    def forget_runner(self, runner_id: str) -> None:
         """Forget a runner that holds nothing; it may be taken again."""
         self.runner_by_id.pop(runner_id, None)
 
@@ -232,7 +232,7 @@
         self.runner_by_id[state.id] = state
         return state
 
-    def runner_ended(self, runner_id: str, *, proven: bool) -> list[Crash]:
+    def handle_ended_runner(self, runner_id: str, *, proven: bool) -> list[Crash]:
         """Forget a runner on which nothing runs; one ``proven`` to be dead stays so.
 
         Its entry stays listed for some seconds and would bring it back. Returns the crashes under
@@ -241,7 +241,7 @@
         if proven:
             self._dead.add(runner_id)
         runner = self.runner_by_id.pop(runner_id, None)
-        self.unseen.discard(runner_id)
+        self.unseen_runners.discard(runner_id)
         if runner is None:
             return []
         crashes = self._losses.note_end(runner) if proven else []
@@ -249,37 +249,37 @@
         self._take_crashes(crashes)
         return crashes
 
-    def runner_lapsed(self, runner_id: str) -> None:
+    def handle_lapsed_runner(self, runner_id: str) -> None:
         """Every lease that a runner was granted has run out."""
-        self.unseen.discard(runner_id)
+        self.unseen_runners.discard(runner_id)
         runner = self.runner_by_id[runner_id]
         self._losses.note_lapse(runner)
         self._holdings.lose_all(runner)
 
-    def find_outlived(self) -> dict[str, RunnerState]:
+    def find_replaced_runners(self) -> dict[str, RunnerState]:
         """Return unseen incarnations that are over, each with a later one that has answered.
 
         An entry of a later one is no proof: other writers may have written it.
         """
-        if not self.unseen:
+        if not self.unseen_runners:
             return {}
         answered = [state.id for state in self.runner_by_id.values() if state.answered_at != NEVER]
-        later_by_unseen = find_later(self.unseen, answered)
+        later_by_unseen = find_later(self.unseen_runners, answered)
         return {unseen: self.runner_by_id[later] for unseen, later in later_by_unseen.items()}
 
-    def give_up_unseen(self, runners: Iterable[str]) -> list[Crash]:
+    def drop_unseen_runners(self, runners: Iterable[str]) -> list[Crash]:
         """Take what earlier owners started on unseen runners for gone.
 
         One whose entry is still there is only out of reach.
         """
         crashes = []
-        given_up = self.unseen.intersection(runners)
+        given_up = self.unseen_runners.intersection(runners)
         for runner_id in given_up:
             known = self.runner_by_id.get(runner_id)
             if known is not None and known.listed:
                 continue
             crashes.extend(self._losses.note_unseen(runner_id))
-        self.unseen -= given_up
+        self.unseen_runners -= given_up
         self._take_crashes(crashes)
         return crashes
 
@@ -306,7 +306,7 @@
         """Decide that a task starts on a runner, and count it there."""
         demand = counted_demand(step)
         job = self.job_by_id[task.name.job]
-        job.held_by = ''
+        job.hold_reason = ''
         allocation = Allocation(
             task.name,
             run,
@@ -330,10 +330,10 @@
 
     def may_start(self, allocation: Allocation) -> bool:
         """Return whether the start is still wanted; asked right before it is sent."""
-        if allocation.phase is not Holding.STARTING:
+        if allocation.phase is not AllocationPhase.STARTING:
             return False
         job = self.job_by_id.get(allocation.task.job)
-        if job is None or job.over:
+        if job is None or job.is_over:
             return False
         runner = self.runner_by_id.get(allocation.runner)
         if runner is None or not runner.registration.usable or runner.draining:
@@ -342,7 +342,7 @@
         # room may have shrunk meanwhile, and it would take more than it has.
         return runner.has_room_for(allocation)
 
-    def start_answered(
+    def handle_start_reply(
         self,
         allocation: Allocation,
         reply: StartReply,
@@ -363,20 +363,20 @@
         step = self.step_of(allocation)
         if runner is not None:
             if reply is StartReply.UNHEALTHY:
-                runner.quiet_until = now + UNHEALTHY_QUIET
+                runner.no_starts_until = now + UNHEALTHY_QUIET
             elif reply is StartReply.NO_ROOM:
-                runner.quiet_until = now + REFUSED_QUIET
+                runner.no_starts_until = now + REFUSED_QUIET
         if step is not None:
             if reply is StartReply.NO_TICKET:
                 self.tickets.revoke(step.name, allocation.runner)
             if reply is StartReply.INVALID:
                 step.not_before = now + UNHEALTHY_QUIET
         if in_doubt:
-            self.take_back(allocation)
+            self.revoke_start(allocation)
             return
-        self.withdraw(allocation)
+        self.release_start(allocation)
 
-    def take_back(self, allocation: Allocation) -> None:
+    def revoke_start(self, allocation: Allocation) -> None:
         """Take back a start that may still arrive: it counts until a stop has forbidden it.
 
         A gang cannot come together any more. Its other members would wait for as long as
@@ -387,7 +387,7 @@
         if step is not None and step.step.gang:
             self.stop_members(step)
 
-    def withdraw(self, allocation: Allocation) -> None:
+    def release_start(self, allocation: Allocation) -> None:
         """Take back a start of which it is known that it does not run."""
         runner = self.runner_by_id.get(allocation.runner)
         if runner is not None and (allocation.task, allocation.run) in runner.allocation_by_run:
@@ -397,18 +397,20 @@
         """Have a run stopped; it counts until it is known to be gone."""
         self._holdings.stop(allocation)
 
-    def stop_answered(self, allocation: Allocation, now: float) -> None:
+    def handle_stop_reply(self, allocation: Allocation, now: float) -> None:
         """The runner has taken the stop: a later look tells when it is gone."""
-        allocation.settled_at = now
+        allocation.order_answered_at = now
 
     # Looks
 
-    def viewed(self, runner: RunnerState, view: RunnerView, asked: float, now: float) -> PollEffect:
+    def handle_view(
+        self, runner: RunnerState, view: RunnerView, asked: float, now: float
+    ) -> PollEffect:
         """Take all that a runner lists; ``asked`` is when the look was sent."""
         effect = self._runner_views.take(runner, view, asked, now)
         self._take_crashes(effect.crashes)
         if view.complete:
-            self.unseen.discard(runner.id)
+            self.unseen_runners.discard(runner.id)
         return effect
 
     def step_of(self, allocation: Allocation) -> StepRun | None:
--- a/dandelionreel/cell/decisions/_crashes.py
+++ b/dandelionreel/cell/decisions/_crashes.py
@@ -19,14 +19,14 @@
 #: Crashes of any kind after which a task is quarantined.
 QUARANTINE_CRASHES = 2
 #: Seconds after which a run is no cause of its runner's crash, and clears its task of earlier ones.
-SOUND_SECONDS = 20.0
+HEALTHY_SECONDS = 20.0
 
 _TaskKey = tuple[int, int, int]
 
 
 @dataclass(frozen=True)
 class Crash:
-    """A runner has crashed under a run; ``close`` as ``CrashedRun`` says.
+    """A runner has crashed under a run; ``during_start`` as ``CrashedRun`` says.
 
     ``count`` are all crashes under its task, ``given_up`` says whether it was the last one.
     """
@@ -34,7 +34,7 @@
     task: TaskName
     run: int
     runner: str
-    close: bool
+    during_start: bool
     count: int
     given_up: bool
 
@@ -48,7 +48,7 @@
         self._start_by_task: dict[_TaskKey, StoredStart] = {}
         #: Whether a runner of the job was lost with a former owner: what it had started
         #: there, and whether the runner crashed under it, is not known.
-        self.doubtful = False
+        self.incomplete = False
 
     @property
     def crashed(self) -> tuple[CrashedRun, ...]:
@@ -72,13 +72,13 @@
         for start in starts:
             self._start_by_task[_key(start)] = start
 
-    def note(self, task: TaskName, run: int, *, close: bool) -> bool:
+    def note(self, task: TaskName, run: int, *, during_start: bool) -> bool:
         """Count a crash under a run; return whether it is news."""
         key = _key(task)
         runs = self._runs_by_task.setdefault(key, {})
         if run in runs:
             return False
-        runs[run] = CrashedRun(*key, run, close)
+        runs[run] = CrashedRun(*key, run, during_start)
         return True
 
     def clear(self, task: TaskName) -> bool:
@@ -105,7 +105,7 @@
         would give the task one runner more.
         """
         key = _key(task)
-        if not self.doubtful and key not in self._runs_by_task:
+        if not self.incomplete and key not in self._runs_by_task:
             return False
         self._start_by_task[key] = StoredStart(*key, run, runner)
         return True
@@ -124,7 +124,7 @@
 
     def _count_close(self, task: TaskName) -> int:
         runs = self._runs_by_task.get(_key(task), {})
-        return sum(run.close for run in runs.values())
+        return sum(run.during_start for run in runs.values())
 
 
 def _key(named: TaskName | CrashedRun | StoredStart) -> _TaskKey:
--- a/dandelionreel/cell/decisions/_holdings.py
+++ b/dandelionreel/cell/decisions/_holdings.py
@@ -1,9 +1,9 @@
 """Jobs, runners and the runs that tie them; every change to a run goes through here. No I/O."""
 
 from dandelionreel.cell.decisions._job_runs import JobRuns
-from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState
+from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, TaskRun
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun
 from dandelionreel.cell.decisions._stops import Stops
 from dandelionreel.cell.model import TaskName
 
@@ -15,7 +15,7 @@
         """Start empty."""
         self.job_by_id: dict[str, JobRun] = {}
         #: The jobs of which something may still have to start.
-        self.live_by_id: dict[str, JobRun] = {}
+        self.unfinished_job_by_id: dict[str, JobRun] = {}
         self.runner_by_id: dict[str, RunnerState] = {}
         #: Jobs whose progress may have to be stored.
         self.dirty: set[str] = set()
@@ -40,11 +40,11 @@
     def lose(self, runner: RunnerState, allocation: Allocation) -> None:
         """Drop a run that is known to be gone without an end."""
         job = self.free(runner, allocation)
-        found = None if job is None else job.find(allocation.task)
+        found = None if job is None else job.find_task(allocation.task)
         if found is None:
             return
         step, task = found
-        if allocation.checkpoint and task.phase is not Phase.DONE:
+        if allocation.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = allocation.checkpoint
         if not is_current(task, allocation.runner, allocation.run):
             return
@@ -60,7 +60,7 @@
     def find(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
         """Return a task with its step, ``None`` where it is not known."""
         job = self.job_by_id.get(name.job)
-        return None if job is None else job.find(name)
+        return None if job is None else job.find_task(name)
 
     def find_allocation(self, task: TaskRun) -> Allocation | None:
         """Return the allocation of a placed task."""
@@ -76,18 +76,18 @@
 
     def settle_start(self, allocation: Allocation, now: float) -> None:
         """Note that a run is known to be at work."""
-        if allocation.phase is not Holding.STARTING:
+        if allocation.phase is not AllocationPhase.STARTING:
             return
-        allocation.phase = Holding.RUNNING
+        allocation.phase = AllocationPhase.RUNNING
         allocation.started_at = now
-        allocation.settled_at = now
-        self.note_began(allocation.task.job)
+        allocation.order_answered_at = now
+        self.mark_started(allocation.task.job)
 
-    def note_began(self, job_id: str) -> None:
+    def mark_started(self, job_id: str) -> None:
         """Note that a first task of a job runs."""
         job = self.job_by_id.get(job_id)
-        if job is not None and not job.began:
-            job.note_began()
+        if job is not None and not job.has_started:
+            job.mark_started()
             self.dirty.add(job.id)
 
     def stop(self, allocation: Allocation) -> None:
@@ -101,7 +101,7 @@
     def stop_members(self, step: StepRun) -> None:
         """Stop all members of a gang that are placed."""
         for task in step.tasks:
-            allocation = self.find_allocation(task) if task.phase is Phase.PLACED else None
+            allocation = self.find_allocation(task) if task.phase is TaskPhase.PLACED else None
             if allocation is not None:
                 self.stop(allocation)
 
@@ -110,7 +110,7 @@
         for allocation in self._runs.of_job(job_id):
             self.stop(allocation)
 
-    def held_of(self, job_id: str) -> list[Allocation]:
+    def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return all that is held for a job, on whichever runner."""
         return self._runs.of_job(job_id)
 
@@ -121,4 +121,4 @@
 
 def is_current(task: TaskRun, runner: str, run: int) -> bool:
     """Return whether a run is the one of its task that counts."""
-    return task.phase is Phase.PLACED and task.runner == runner and task.run == run
+    return task.phase is TaskPhase.PLACED and task.runner == runner and task.run == run
--- a/dandelionreel/cell/decisions/_hopeless_runs.py
+++ b/dandelionreel/cell/decisions/_hopeless_runs.py
@@ -3,7 +3,12 @@
 from collections.abc import Iterable
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState, expected_end
+from dandelionreel.cell.decisions._ledger import (
+    Allocation,
+    AllocationPhase,
+    RunnerState,
+    expected_end,
+)
 from dandelionreel.cell.decisions._step_runs import StepRun
 
 #: Share of the gang timeout after which a gang that is not complete is stopped.
@@ -23,8 +28,8 @@
     for runner in cell.runner_by_id.values():
         if not runner.draining:
             continue
-        last = runner.leaves_at - EVACUATION_MARGIN
-        for allocation in _held(runner, Holding.RUNNING):
+        last = runner.may_leave_at - EVACUATION_MARGIN
+        for allocation in _held(runner, AllocationPhase.RUNNING):
             if now >= last or expected_end(allocation, now) > last:
                 cell.stop(allocation)
                 stopped.append(allocation)
@@ -41,8 +46,8 @@
 
 def _broken_gangs(cell: Cell, wall: float) -> Iterable[StepRun]:
     """Return gangs of which some members run and others do not."""
-    for job in cell.live_by_id.values():
-        if job.over or not job.began or cell.is_blocked(job):
+    for job in cell.unfinished_job_by_id.values():
+        if job.is_over or not job.has_started or cell.is_blocked(job):
             continue
         for step in job.ready_steps(wall):
             if step.step.gang and 0 < step.waiting < len(step.tasks):
@@ -53,11 +58,11 @@
     """Return gangs with a start that stayed unanswered for too long."""
     limit = now - cell.gang_timeout * GANG_SHARE
     for runner in cell.runner_by_id.values():
-        for allocation in _held(runner, Holding.STARTING):
+        for allocation in _held(runner, AllocationPhase.STARTING):
             step = cell.step_of(allocation)
             if step is not None and step.step.gang and allocation.placed_at <= limit:
                 yield step
 
 
-def _held(runner: RunnerState, phase: Holding) -> list[Allocation]:
+def _held(runner: RunnerState, phase: AllocationPhase) -> list[Allocation]:
     return [held for held in runner.allocation_by_run.values() if held.phase is phase]
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -23,7 +23,7 @@
 QUARANTINE_SECONDS = 0.5
 
 
-class Holding(enum.Enum):
+class AllocationPhase(enum.Enum):
     """Where an allocation stands."""
 
     STARTING = 'starting'
@@ -41,9 +41,9 @@
     demand: Demand
     placed_at: float
     ticket: str = ''
-    phase: Holding = Holding.STARTING
+    phase: AllocationPhase = AllocationPhase.STARTING
     #: Since when a poll that does not list the run proves that it is not there.
-    settled_at: float | None = None
+    order_answered_at: float | None = None
     #: When it was first known to run.
     started_at: float | None = None
     percent: int = 0
@@ -52,20 +52,20 @@
     expected: float = 0.0
     checkpoint: str = ''
     #: Whether ``demand`` is what the run takes; of a job that is not known nothing is.
-    known: bool = True
+    demand_known: bool = True
     #: The client account whose quota it counts against, empty for none.
     account: str = ''
     #: Whether nothing else starts there until it has proved well.
     quarantined: bool = False
     #: Whether a try of its start may have arrived and was not answered.
-    unanswered: bool = False
+    start_unanswered: bool = False
     #: Whether the connection broke while the answer to its first try was out.
-    broken: bool = False
+    connection_broken: bool = False
 
     @property
     def may_have_run(self) -> bool:
         """Return whether the run may have been on its runner."""
-        return self.unanswered or self.started_at is not None
+        return self.start_unanswered or self.started_at is not None
 
 
 class RunnerState:
@@ -80,29 +80,29 @@
         self.recorded = False
         self.used = Demand()
         #: What is free. Kept, not worked out: a plan reads it for each waiting step.
-        self.room = registration.capacity
+        self.free_capacity = registration.capacity
         self.allocation_by_run: dict[tuple[TaskName, int], Allocation] = {}
         self.answered_at = NEVER
         #: Set while looks go unanswered: nothing new is placed there.
         self.suspect = False
         #: Whether the last poll was not answered.
-        self.missed = False
+        self.missed_last_poll = False
         #: When a draining runner may be gone (monotonic seconds).
-        self.leaves_at = float('inf')
+        self.may_leave_at = float('inf')
         #: No start is sent there before then (it refused one).
-        self.quiet_until = NEVER
+        self.no_starts_until = NEVER
         #: Runs held of which nobody knows how much they take.
-        self.unknown = 0
+        self.unknown_demands = 0
         #: The highest end number whose effect stands in the store, and the
         #: highest one that has been taken into account.
-        self.acknowledged = 0
+        self.acknowledged_end = 0
         #: The highest one that the runner has answered to have forgotten.
-        self.confirmed = 0
-        self.noted = 0
+        self.confirmed_end = 0
+        self.processed_end = 0
         #: The highest one that may be acknowledged: no unreadable one is below it.
         self.readable_through: int | None = None
         #: The lowest end that must stay at the runner: its job cannot be read.
-        self.kept_end: int | None = None
+        self.retained_end: int | None = None
         #: Whether all that the last poll listed could be read.
         self.readable = True
         #: Quarantined runs that have not proved well yet.
@@ -120,9 +120,9 @@
         """Take what the runner says of itself, and when it will be gone at the earliest."""
         if registration.draining and not self.registration.draining:
             stays = DRAIN_SECONDS if registration.remaining is None else registration.remaining
-            self.leaves_at = now + max(0.0, stays - ENTRY_AGE)
+            self.may_leave_at = now + max(0.0, stays - ENTRY_AGE)
         self.registration = registration
-        self.room = registration.capacity - self.used
+        self.free_capacity = registration.capacity - self.used
 
     def usable(self, now: float) -> bool:
         """Return whether something may be started there now."""
@@ -130,15 +130,15 @@
             return False
         if not self.registration.usable:
             return False
-        if self.unknown:
+        if self.unknown_demands:
             # What is being stopped has its room until it is gone. Counted as nothing, it
             # and what was started beside it took more than the runner has.
             return False
         if self._quarantined and self._in_quarantine(now):
             return False
-        return self.knows_clock() and now >= self.quiet_until
+        return self.knows_clock() and now >= self.no_starts_until
 
-    def takes(self, *, quarantined: bool) -> bool:
+    def accepts(self, *, quarantined: bool) -> bool:
         """Return whether a task may start beside those that were placed in the same plan.
 
         A quarantined task starts by itself: of two starts that are under way when the
@@ -148,14 +148,16 @@
             return False
         if not quarantined:
             return True
-        return all(held.phase is not Holding.STARTING for held in self.allocation_by_run.values())
+        return all(
+            held.phase is not AllocationPhase.STARTING for held in self.allocation_by_run.values()
+        )
 
     def has_room_for(self, allocation: Allocation) -> bool:
         """Return whether the runner has room for all that it holds, as far as a run takes it.
 
         Its room may have shrunk since the run was placed there.
         """
-        room, demand = self.room, allocation.demand
+        room, demand = self.free_capacity, allocation.demand
         return (
             (room.cpu >= 0 or not demand.cpu)
             and (room.memory_mb >= 0 or not demand.memory_mb)
@@ -163,30 +165,30 @@
         )
 
     @property
-    def acknowledgeable(self) -> int:
+    def acknowledgeable_end(self) -> int:
         """Return the highest end that may be acknowledged once its effect is stored."""
-        last = self.noted
+        last = self.processed_end
         if self.readable_through is not None:
             last = min(last, self.readable_through)
-        if self.kept_end is not None:
-            last = min(last, self.kept_end - 1)
+        if self.retained_end is not None:
+            last = min(last, self.retained_end - 1)
         return last
 
-    def keep_end(self, number: int) -> None:
+    def retain_end(self, number: int) -> None:
         """Leave an end, and those behind it, at the runner."""
-        self.kept_end = number if self.kept_end is None else min(self.kept_end, number)
+        self.retained_end = number if self.retained_end is None else min(self.retained_end, number)
 
-    def read_again(self) -> None:
+    def reprocess_ends(self) -> None:
         """Take all ends that are still listed into account once more; each counts once."""
-        self.noted = self.acknowledged
-        self.kept_end = None
+        self.processed_end = self.acknowledged_end
+        self.retained_end = None
 
     def hold(self, allocation: Allocation) -> None:
         """Count an allocation."""
         self.allocation_by_run[allocation.task, allocation.run] = allocation
         self.used = self.used + allocation.demand
-        self.room = self.room - allocation.demand
-        self.unknown += not allocation.known
+        self.free_capacity = self.free_capacity - allocation.demand
+        self.unknown_demands += not allocation.demand_known
         if allocation.quarantined:
             self._quarantined.append(allocation)
 
@@ -194,8 +196,8 @@
         """Stop counting an allocation; more than once does no harm."""
         if self.allocation_by_run.pop((allocation.task, allocation.run), None) is not None:
             self.used = self.used - allocation.demand
-            self.room = self.room + allocation.demand
-            self.unknown -= not allocation.known
+            self.free_capacity = self.free_capacity + allocation.demand
+            self.unknown_demands -= not allocation.demand_known
             if allocation in self._quarantined:
                 self._quarantined.remove(allocation)
 
@@ -234,11 +236,11 @@
         it may have taken moves the time at which its tasks are surely gone, and
         a crashed runner's tasks would never start elsewhere.
         """
-        if not self.knows_clock() or self.missed:
+        if not self.knows_clock() or self.missed_last_poll:
             return None
         return self.extend_lease(now, seconds)
 
-    def lapsed(self, now: float, drift: float) -> bool:
+    def leases_expired(self, now: float, drift: float) -> bool:
         """Return whether every lease granted there has run out for sure.
 
         The runner's clock has advanced by at least ``1 - drift`` of the time
@@ -259,7 +261,7 @@
 
 def expected_end(allocation: Allocation, now: float) -> float:
     """Return when a run is thought to end, in monotonic seconds."""
-    if allocation.phase is Holding.STOPPING:
+    if allocation.phase is AllocationPhase.STOPPING:
         return now
     began = allocation.started_at or allocation.placed_at
     usual = began + allocation.expected
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_losses.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from dandelionreel.cell.decisions._crashes import SOUND_SECONDS, Crash
+from dandelionreel.cell.decisions._crashes import HEALTHY_SECONDS, Crash
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, RunnerState
 from dandelionreel.cell.decisions._runs import JobRun
 from dandelionreel.cell.model import Registration, StoredStart, TaskName
@@ -27,12 +27,12 @@
 class Losses:
     """Counts the crashes of runners under the tasks of jobs that are not over."""
 
-    def __init__(self, live_by_id: dict[str, JobRun], dirty: set[str]) -> None:
+    def __init__(self, unfinished_job_by_id: dict[str, JobRun], dirty: set[str]) -> None:
         """Count for the jobs of ``live_by_id``; add those that have to be stored to ``dirty``.
 
         Others keep both.
         """
-        self._live_by_id = live_by_id
+        self._live_by_id = unfinished_job_by_id
         self._dirty = dirty
         self._lapsed_by_address: dict[Address, _Lapsed] = {}
 
@@ -79,11 +79,11 @@
         crashes: list[Crash] = []
         for job in self._live_by_id.values():
             if job.may_run_on(runner_id):
-                job.note_doubt()
+                job.mark_crashes_incomplete()
                 self._dirty.add(job.id)
             for start in job.crashes.started_on(runner_id):
                 task = _task(job.id, start)
-                crashes.extend(self._take(job, task, start.run, runner_id, close=False))
+                crashes.extend(self._take(job, task, start.run, runner_id, during_start=False))
         return crashes
 
     def _count_lapsed(self, address: Address) -> list[Crash]:
@@ -101,11 +101,13 @@
             job = self._live_by_id.get(run.task.job)
             if job is None or not run.may_have_run:
                 continue
-            if run.started_at is not None and answered_at - run.started_at >= SOUND_SECONDS:
+            if run.started_at is not None and answered_at - run.started_at >= HEALTHY_SECONDS:
                 job.clear_crashes(run.task)
                 self._dirty.add(job.id)
                 continue
-            crashes.extend(self._take(job, run.task, run.run, runner_id, close=run.broken))
+            crashes.extend(
+                self._take(job, run.task, run.run, runner_id, during_start=run.connection_broken)
+            )
         return crashes
 
     def _take(
@@ -115,16 +117,16 @@
         run: int,
         runner: str,
         *,
-        close: bool,
+        during_start: bool,
     ) -> list[Crash]:
-        if not job.note_crashed(task, run, close=close):
+        if not job.note_crashed(task, run, during_start=during_start):
             return []
         self._dirty.add(job.id)
         count = job.crashes.count(task)
-        return [Crash(task, run, runner, close, count, job.crashes.is_given_up(task))]
+        return [Crash(task, run, runner, during_start, count, job.crashes.is_given_up(task))]
 
 
-def note_last_words(
+def apply_last_registrations(
     runners: Iterable[RunnerState],
     find_registration: Callable[[str], Registration | None],
     now: float,
--- a/dandelionreel/cell/decisions/_objectives.py
+++ b/dandelionreel/cell/decisions/_objectives.py
@@ -22,7 +22,7 @@
     """
     waits = 0.0
     if queue is not None and queue.advice is not None:
-        waits = queue.advice.decision + TYPICAL_REQUEST * queue.advice.per_runner
+        waits = queue.advice.decision_seconds + TYPICAL_REQUEST * queue.advice.seconds_per_runner
     chain = chain_seconds(
         spec, [step.estimate * _waves(step, quota) + waits for step in spec.steps]
     )
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -15,7 +15,7 @@
 )
 from dandelionreel.cell.decisions._runs import JobRun
 from dandelionreel.cell.decisions._seating import Seat, choose_seat, group_seats, seat_gang, suits
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, counted_demand
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, counted_demand
 from dandelionreel.cell.decisions._waiting import (
     USELESS,
     Candidate,
@@ -196,7 +196,7 @@
         count = 0
         for runner, _ in seats:
             if current.reservations.may_start(runner.id, candidate.rank, until):
-                count += count_slots(demand, runner.room, step.step.max_per_runner)
+                count += count_slots(demand, runner.free_capacity, step.step.max_per_runner)
         return count >= step.waiting
 
     def _permitted(
@@ -257,11 +257,11 @@
         seats = [
             seat
             for seat in seats
-            if demand.fits(seat[0].room)
+            if demand.fits(seat[0].free_capacity)
             and current.reservations.may_start(seat[0].id, candidate.rank, until)
         ]
         for task in step.tasks if seats else ():
-            if task.phase is not Phase.WAITING:
+            if task.phase is not TaskPhase.WAITING:
                 continue
             if not allowed or current.starts_left <= 0:
                 return True
@@ -398,7 +398,7 @@
 
 def _free(runners: dict[str, RunnerState]) -> float:
     """Return the free processors; a runner over its room takes none away from others."""
-    return sum(max(0, runner.room.cpu) for runner in runners.values())
+    return sum(max(0, runner.free_capacity.cpu) for runner in runners.values())
 
 
 def _may_ask(queue: Queue, current: _Round) -> bool:
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -11,7 +11,12 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState, expected_end
+from dandelionreel.cell.decisions._ledger import (
+    Allocation,
+    AllocationPhase,
+    RunnerState,
+    expected_end,
+)
 from dandelionreel.cell.decisions._reservations import count_slots
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import Queue
@@ -87,14 +92,14 @@
         """Return, for each seat that a runner can offer, what must stop for it."""
         demand = counted_demand(step)
         limit = step.step.max_per_runner
-        room = runner.room
+        room = runner.free_capacity
         for allocation in runner.allocation_by_run.values():
-            if allocation.phase is Holding.STOPPING:
+            if allocation.phase is AllocationPhase.STOPPING:
                 room += allocation.demand
         seats: list[list[Allocation]] = [[] for _ in range(count_slots(demand, room, limit))]
         taken: list[Allocation] = []
         for victim in self._find_victims(queue, runner, now):
-            if victim.phase is Holding.STOPPING:
+            if victim.phase is AllocationPhase.STOPPING:
                 continue
             room += victim.demand
             taken.append(victim)
@@ -117,7 +122,7 @@
 
     def _may_stop(self, allocation: Allocation, queue: Queue, now: float) -> bool:
         job = self._cell.job_by_id.get(allocation.task.job)
-        if job is None or allocation.phase is not Holding.RUNNING:
+        if job is None or allocation.phase is not AllocationPhase.RUNNING:
             return False
         theirs = self._cell.queue_of(job)
         step = job.find_step(allocation.task)
@@ -128,7 +133,7 @@
         if spec.gang or spec.long_running or not spec.checkpointing:
             return False
         end = expected_end(allocation, now)
-        in_time = end + AHEAD_SECONDS < job.accepted + self._cell.objective_of(job)
+        in_time = end + AHEAD_SECONDS < job.accepted_at + self._cell.objective_of(job)
         return in_time and end > now + STOP_SECONDS
 
 
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -92,8 +92,8 @@
         count = self._count(candidate, quota)
         if step.step.gang:
             count = self._grant(candidate, quota, count)
-        if not count and job.held_by != QUOTA:
-            job.held_by = QUOTA
+        if not count and job.hold_reason != QUOTA:
+            job.hold_reason = QUOTA
             self.fresh.append(job)
         return count
 
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -44,7 +44,7 @@
     def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
         """Return what runs of a job may still take, by runner."""
         demand_by_runner: dict[str, Demand] = {}
-        for held in self._holdings.held_of(job.id):
+        for held in self._holdings.allocations_of_job(job.id):
             before = demand_by_runner.get(held.runner, Demand())
             demand_by_runner[held.runner] = before + held.demand
         remaining = job.remaining_demand(wall)
@@ -88,9 +88,9 @@
     def _count_unseen(self, wall: float) -> None:
         """Count what jobs may run unseen: what is left of them, as far as runners hold it."""
         runners_by_account: dict[str, set[str]] = {}
-        for job in self._holdings.live_by_id.values():
+        for job in self._holdings.unfinished_job_by_id.values():
             runners = self._unseen_runners(job)
-            if not job.account or not runners or job.over:
+            if not job.account or not runners or job.is_over:
                 continue
             runners_by_account.setdefault(job.account, set()).update(runners)
             held = self._capacity(runners)
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -182,7 +182,7 @@
 ) -> list[tuple[float, int]]:
     """Return when a runner gains seats, and how many each time."""
     gains = []
-    room = runner.room
+    room = runner.free_capacity
     seats = count_slots(demand, room, limit)
     if seats:
         gains.append((now, seats))
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -5,10 +5,10 @@
 
 from dandelionreel.cell.decisions._crashes import Crash
 from dandelionreel.cell.decisions._holdings import Holdings, is_current
-from dandelionreel.cell.decisions._ledger import NEVER, Allocation, Holding, RunnerState
+from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._losses import Losses
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, TaskRun, counted_demand
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun, counted_demand
 from dandelionreel.cell.model import (
     Demand,
     EndedRun,
@@ -62,14 +62,14 @@
         runner.note_clock(view.clock, now)
         runner.answered_at = now
         runner.suspect = False
-        runner.missed = False
+        runner.missed_last_poll = False
         runner.readable_through = view.readable_through
         for ended in view.ended:
-            if ended.number <= runner.noted:
+            if ended.number <= runner.processed_end:
                 continue
-            runner.noted = ended.number
+            runner.processed_end = ended.number
             if ended.task.job in self._unreadable_jobs:
-                runner.keep_end(ended.number)
+                runner.retain_end(ended.number)
             effect.ended.append((ended, self._take_end(runner, ended)))
         listed = set()
         for running in view.running:
@@ -92,11 +92,11 @@
         row may not be readable: taken for gone, its task would start again.
         """
         for allocation in tuple(runner.allocation_by_run.values()):
-            if (allocation.task, allocation.run) in listed or allocation.settled_at is None:
+            if (allocation.task, allocation.run) in listed or allocation.order_answered_at is None:
                 continue
             # A poll that was under way when the order was answered may have
             # been listed before the order took effect.
-            if asked > allocation.settled_at:
+            if asked > allocation.order_answered_at:
                 effect.lost.append(allocation)
                 self._holdings.lose(runner, allocation)
 
@@ -106,11 +106,11 @@
         job = holdings.job_by_id.get(ended.task.job)
         if allocation is not None:
             holdings.free(runner, allocation)
-        found = None if job is None else job.find(ended.task)
+        found = None if job is None else job.find_task(ended.task)
         if job is None or found is None:
             return allocation
         step, task = found
-        if ended.checkpoint and task.phase is not Phase.DONE:
+        if ended.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = ended.checkpoint
         if ended.outcome is Outcome.DONE and not step.step.long_running:
             self._take_done(job, step, ended)
@@ -141,7 +141,7 @@
         holdings = self._holdings
         members = step.tasks if step.step.gang else [step.tasks[ended.task.index]]
         for member in members:
-            current = holdings.find_allocation(member) if member.phase is Phase.PLACED else None
+            current = holdings.find_allocation(member) if member.phase is TaskPhase.PLACED else None
             # Members of the gang that is done end by themselves; a later run
             # of the same task must not go on.
             if current is not None and current.run != ended.run:
@@ -171,7 +171,7 @@
         """Count a run that an earlier owner started, and keep it if it is wanted."""
         holdings = self._holdings
         job = holdings.job_by_id.get(running.task.job)
-        found = None if job is None else job.find(running.task)
+        found = None if job is None else job.find_task(running.task)
         account = '' if job is None else job.account
         allocation = _make_adopted(runner, running, now, found, account)
         holdings.hold(runner, allocation)
@@ -179,10 +179,10 @@
             holdings.stop(allocation)
             return
         step, task = found
-        if job.over or task.phase is Phase.DONE:
+        if job.is_over or task.phase is TaskPhase.DONE:
             holdings.stop(allocation)
             return
-        if task.phase is Phase.PLACED:
+        if task.phase is TaskPhase.PLACED:
             if task.run > running.run:
                 holdings.stop(allocation)
                 return
@@ -191,7 +191,7 @@
             if current is not None:
                 holdings.stop(current)
         step.place(task, runner.id, running.run)
-        holdings.note_began(job.id)
+        holdings.mark_started(job.id)
 
 
 def _make_adopted(
@@ -207,13 +207,13 @@
         runner.id,
         Demand() if found is None else counted_demand(found[0]),
         now,
-        phase=Holding.RUNNING,
+        phase=AllocationPhase.RUNNING,
         started_at=now,
-        settled_at=now,
+        order_answered_at=now,
         percent=running.percent,
         gauge=running.gauge,
         checkpoint=running.checkpoint,
         expected=0.0 if found is None else found[0].step.estimate,
-        known=found is not None,
+        demand_known=found is not None,
         account=account,
     )
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -2,7 +2,7 @@
 
 from dandelionreel.cell.decisions._crashes import JobCrashes
 from dandelionreel.cell.decisions._objectives import objective
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, TaskRun, counted_demand
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun, counted_demand
 from dandelionreel.cell.model import (
     FINAL_STATES,
     Demand,
@@ -33,9 +33,9 @@
         """Start with nothing done."""
         self.id = job
         self.submission = submission
-        self.accepted = accepted
+        self.accepted_at = accepted
         self.cancelled = False
-        self.began = False
+        self.has_started = False
         self.state = JobState.QUEUED
         self.ended_at = 0.0
         self._steps_by_occurrence: dict[int, list[StepRun]] = {}
@@ -44,9 +44,9 @@
         self.crashes = JobCrashes()
         self._objective: tuple[Queue | None, Demand | None, float] | None = None
         #: Whether it is beyond what its account may expect to be served a second.
-        self.beyond_rate = False
+        self.exceeds_account_rate = False
         #: What keeps it from starting, as was last logged.
-        self.held_by = ''
+        self.hold_reason = ''
         #: Whether the newest progress is not on its way to the store.
         self.dirty = False
         #: Whether the store has the submission: nothing starts before.
@@ -69,7 +69,7 @@
         return self.submission.spec
 
     @property
-    def shown_state(self) -> JobState:
+    def reported_state(self) -> JobState:
         """Return what clients are told: nothing that a crash could take back."""
         if self.cancelled and self.stored_state not in {JobState.COMPLETED, JobState.FAILED}:
             return JobState.CANCELLED
@@ -80,7 +80,7 @@
         return runner in self.stored_runners or ANY_RUNNER in self.stored_runners
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Return whether nothing is to be started any more."""
         return self.cancelled or self.state is JobState.COMPLETED or self.state is JobState.FAILED
 
@@ -103,7 +103,7 @@
             return None
         return self.steps(name.occurrence)[name.step]
 
-    def find(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
+    def find_task(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
         """Return a task with its step, ``None`` where the job has no such task."""
         step = self.find_step(name)
         if step is None or not 0 <= name.index < len(step.tasks):
@@ -179,7 +179,7 @@
         for task in step.tasks if step.step.gang else (step.tasks[name.index],):
             # Each member of a gang lists its end, and an end is listed until it is
             # acknowledged: only the first one is news that has to be stored.
-            self.dirty = self.dirty or task.phase is not Phase.DONE
+            self.dirty = self.dirty or task.phase is not TaskPhase.DONE
             step.finish(task)
         self._check_complete()
 
@@ -196,18 +196,18 @@
         self.dirty = True
         task = step.tasks[index]
         task.failures += 1
-        if task.failures >= most and not step.step.long_running and not self.over:
+        if task.failures >= most and not step.step.long_running and not self.is_over:
             self.state = JobState.FAILED
 
-    def note_crashed(self, name: TaskName, run: int, *, close: bool) -> bool:
+    def note_crashed(self, name: TaskName, run: int, *, during_start: bool) -> bool:
         """Count a crash of a runner under a run, once; return whether it is news.
 
         After too many of them the job has failed, also one whose tasks last.
         """
-        found = self.find(name)
-        if found is None or self.over or found[1].phase is Phase.DONE:
+        found = self.find_task(name)
+        if found is None or self.is_over or found[1].phase is TaskPhase.DONE:
             return False
-        if not self.crashes.note(name, run, close=close):
+        if not self.crashes.note(name, run, during_start=during_start):
             return False
         self.dirty = True
         found[1].quarantined = self.crashes.is_quarantined(name)
@@ -217,20 +217,20 @@
 
     def note_complete(self) -> bool:
         """Take the word that all tasks are done; return whether that is news."""
-        if self.over:
+        if self.is_over:
             return False
         self.state = JobState.COMPLETED
         self.dirty = True
         return True
 
-    def note_doubt(self) -> None:
+    def mark_crashes_incomplete(self) -> None:
         """Note that runners may have crashed under its tasks, of which nothing is known."""
-        self.dirty = self.dirty or not self.crashes.doubtful
-        self.crashes.doubtful = True
+        self.dirty = self.dirty or not self.crashes.incomplete
+        self.crashes.incomplete = True
 
     def clear_crashes(self, name: TaskName) -> None:
         """Forget the crashes under a task that was well for so long that it caused none."""
-        found = self.find(name)
+        found = self.find_task(name)
         if found is not None and self.crashes.clear(name):
             found[1].quarantined = False
             self.dirty = True
@@ -245,18 +245,18 @@
         """Note that a run is known to be over, however it ended."""
         self.dirty = self.crashes.end(name, run) or self.dirty
 
-    def note_began(self) -> None:
+    def mark_started(self) -> None:
         """Note that a first task runs."""
-        if self.began:
+        if self.has_started:
             return
-        self.began = True
+        self.has_started = True
         self.dirty = True
         if self.state is JobState.QUEUED:
             self.state = JobState.RUNNING
 
     def restore(self, progress: Progress) -> None:
         """Take what an earlier owner has noted."""
-        self.began = progress.state is not JobState.QUEUED
+        self.has_started = progress.state is not JobState.QUEUED
         self.runners.update(progress.runners)
         self.stored_runners.update(progress.runners)
         self.stored_state = progress.state
@@ -278,13 +278,13 @@
         self._restore_crashes(progress)
         self._skip_done_occurrences()
 
-    def take_end(self, progress: Progress | None) -> bool:
+    def apply_final_state(self, progress: Progress | None) -> bool:
         """Take a final state that the store has and this job has not; return whether.
 
         A client repeated its request while this owner had read only a part of what
         stands in the store, so a job that was over was taken for a new one.
         """
-        if progress is None or self.over or progress.state not in FINAL_STATES:
+        if progress is None or self.is_over or progress.state not in FINAL_STATES:
             return False
         self.restore(progress)
         return True
@@ -296,23 +296,25 @@
         leftovers: tuple[Leftover, ...] = (),
     ) -> Progress:
         """Return what is to be kept in the store; ``leftovers`` of a job that is over."""
-        if self.over and not self.ended_at:
+        if self.is_over and not self.ended_at:
             self.ended_at = wall
         done = []
         # A job that is over needs no more than its state.
         for occurrence, steps in self._steps_by_occurrence.items():
-            if self.over:
+            if self.is_over:
                 break
             for step in steps:
                 if not step.done:
                     continue
                 mask = sum(
-                    1 << index for index, task in enumerate(step.tasks) if task.phase is Phase.DONE
+                    1 << index
+                    for index, task in enumerate(step.tasks)
+                    if task.phase is TaskPhase.DONE
                 )
                 done.append(DoneTasks(occurrence, step.name.step, f'{mask:x}'))
-        failed = () if self.over else tuple(sorted(self._failed_runs, key=_failed_order))
+        failed = () if self.is_over else tuple(sorted(self._failed_runs, key=_failed_order))
         state = JobState.CANCELLED if self._shows_cancelled() else self.state
-        if self.over:
+        if self.is_over:
             return Progress(
                 epoch,
                 state,
@@ -331,13 +333,13 @@
             tuple(sorted(self.runners)),
             self.crashes.crashed,
             self.crashes.starts,
-            self.crashes.doubtful,
+            self.crashes.incomplete,
             self.account,
         )
 
     def _restore_crashes(self, progress: Progress) -> None:
         self.crashes.restore(progress.crashed, progress.starts)
-        self.crashes.doubtful = progress.doubtful
+        self.crashes.incomplete = progress.doubtful
         for crashed in progress.crashed:
             task = self.steps(crashed.occurrence)[crashed.step].tasks[crashed.index]
             task.quarantined = self.crashes.is_quarantined(task.name)
@@ -347,7 +349,7 @@
 
     def _check_complete(self) -> None:
         self._skip_done_occurrences()
-        if self._done_occurrences == self.spec.occurrences and not self.over:
+        if self._done_occurrences == self.spec.occurrences and not self.is_over:
             self.state = JobState.COMPLETED
 
     def _skip_done_occurrences(self) -> None:
--- a/dandelionreel/cell/decisions/_seating.py
+++ b/dandelionreel/cell/decisions/_seating.py
@@ -39,7 +39,9 @@
     limit = step.step.max_per_runner
     rack = step.step.data_rack
     for runner, ticket in seats:
-        if not demand.fits(runner.room) or not runner.takes(quarantined=task.quarantined):
+        if not demand.fits(runner.free_capacity) or not runner.accepts(
+            quarantined=task.quarantined
+        ):
             continue
         if limit and runner.count_step(step.name) >= limit:
             continue
@@ -58,7 +60,7 @@
 def _left_over(demand: Demand, runner: RunnerState) -> float:
     """Return the share of a runner that stays free, processors and memory together."""
     capacity = runner.registration.capacity
-    room = runner.room
+    room = runner.free_capacity
     return (room.cpu - demand.cpu) / max(1, capacity.cpu) + (
         room.memory_mb - demand.memory_mb
     ) / max(1, capacity.memory_mb)
@@ -92,9 +94,9 @@
     # Fullest runners first: what stays free stays together.
     ordered = sorted(allowed, key=lambda seat: _left_over(demand, seat[0]))
     for runner, ticket in ordered:
-        if not runner.takes(quarantined=quarantined):
+        if not runner.accepts(quarantined=quarantined):
             continue
-        slots = count_slots(demand, runner.room, limit)
+        slots = count_slots(demand, runner.free_capacity, limit)
         if limit:
             slots = min(slots, limit - runner.count_step(step.name))
         seats.extend([(runner, ticket)] * min(slots, needed - len(seats)))
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -6,7 +6,7 @@
 from dandelionreel.cell.decisions._cell import Cell
 from dandelionreel.cell.decisions._ledger import Allocation
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase
 
 #: Seconds without a change, beyond what runs are expected to take, until a job is stalled.
 STALL_SECONDS = 3.0
@@ -59,7 +59,7 @@
         stalled: list[StalledJob] = []
         for known, job in due:
             steps = job.unfinished_steps(wall)
-            held = self._cell.held_of(job.id)
+            held = self._cell.allocations_of_job(job.id)
             if len(stalled) == MAX_JOBS:
                 break
             if steps and _is_overdue(known, held, now):
@@ -72,7 +72,7 @@
         former = self._progress_by_job
         self._progress_by_job = {}
         due = []
-        for job in self._cell.live_by_id.values():
+        for job in self._cell.unfinished_job_by_id.values():
             changes = job.count_changes()
             known = former.get(job.id)
             if known is None or known.changes != changes:
@@ -101,7 +101,7 @@
 
     def _describe_step(self, step: StepRun, now: float) -> str:
         tickets = self._cell.tickets.of(step.name)
-        placed = sum(task.phase is Phase.PLACED for task in step.tasks)
+        placed = sum(task.phase is TaskPhase.PLACED for task in step.tasks)
         return (
             f'{step.name.occurrence}.{step.name.step}: {step.waiting} waiting, {placed} placed, '
             f'{step.done} done; {len(tickets.allowed)} of {len(tickets.asked)} runners allowed, '
--- a/dandelionreel/cell/decisions/_step_runs.py
+++ b/dandelionreel/cell/decisions/_step_runs.py
@@ -6,7 +6,7 @@
 from dandelionreel.cell.model import Demand, Step, StepName, TaskName
 
 
-class Phase(enum.Enum):
+class TaskPhase(enum.Enum):
     """Where a task stands."""
 
     WAITING = 'waiting'
@@ -19,7 +19,7 @@
     """One task. While placed, ``run`` on ``runner`` is its only run that counts."""
 
     name: TaskName
-    phase: Phase = Phase.WAITING
+    phase: TaskPhase = TaskPhase.WAITING
     run: int = 0
     runner: str = ''
     checkpoint: str = ''
@@ -55,7 +55,7 @@
 
     def place(self, task: TaskRun, runner: str, run: int) -> None:
         """Note that ``run`` of a waiting task is on its way to ``runner``."""
-        task.phase = Phase.PLACED
+        task.phase = TaskPhase.PLACED
         task.runner = runner
         task.run = run
         self.waiting -= 1
@@ -63,18 +63,18 @@
 
     def release(self, task: TaskRun) -> None:
         """Let a placed task wait again."""
-        task.phase = Phase.WAITING
+        task.phase = TaskPhase.WAITING
         task.runner = ''
         self.waiting += 1
         self.changes += 1
 
     def finish(self, task: TaskRun) -> None:
         """Note that a task is done, wherever it stood."""
-        if task.phase is Phase.DONE:
+        if task.phase is TaskPhase.DONE:
             return
-        if task.phase is Phase.WAITING:
+        if task.phase is TaskPhase.WAITING:
             self.waiting -= 1
-        task.phase = Phase.DONE
+        task.phase = TaskPhase.DONE
         task.runner = ''
         self.done += 1
         self.changes += 1
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -1,6 +1,6 @@
 """Which runs must be told to stop, and which of them once more. No I/O."""
 
-from dandelionreel.cell.decisions._ledger import Allocation, Holding
+from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase
 
 #: Seconds that a runner may take over a stop that it has answered, and so may still
 #: list the run: the longest that is granted to runners.
@@ -16,9 +16,9 @@
 
     def order(self, allocation: Allocation) -> None:
         """Have a run stopped; it counts until it is known to be gone."""
-        if allocation.phase is Holding.STOPPING:
+        if allocation.phase is AllocationPhase.STOPPING:
             return
-        allocation.phase = Holding.STOPPING
+        allocation.phase = AllocationPhase.STOPPING
         self._send(allocation)
 
     def repeat(self, allocation: Allocation, asked: float) -> None:
@@ -28,9 +28,9 @@
         nobody would tell the runner again, and it would run to its end. A poll that was
         sent (at ``asked``) when the stop must have taken effect proves that it has not.
         """
-        if allocation.phase is not Holding.STOPPING or allocation.settled_at is None:
+        if allocation.phase is not AllocationPhase.STOPPING or allocation.order_answered_at is None:
             return
-        if asked >= allocation.settled_at + STOP_SECONDS:
+        if asked >= allocation.order_answered_at + STOP_SECONDS:
             self._send(allocation)
 
     def take(self) -> list[Allocation]:
@@ -41,5 +41,5 @@
 
     def _send(self, allocation: Allocation) -> None:
         # Until the stop is answered, a poll that does not list the run proves nothing.
-        allocation.settled_at = None
+        allocation.order_answered_at = None
         self._due.append(allocation)
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -59,10 +59,10 @@
     def rank(self, urgency: Urgency) -> Rank:
         """Return the place of a step."""
         job = urgency.job
-        may_wait = urgency.now - job.accepted < LONGEST_BEHIND
+        may_wait = urgency.now - job.accepted_at < LONGEST_BEHIND
         return Rank(
             may_wait and urgency.late == USELESS,
-            may_wait and job.beyond_rate,
+            may_wait and job.exceeds_account_rate,
             urgency.priority,
             urgency.late if may_wait else 0,
             urgency.deadline,
@@ -79,9 +79,9 @@
 ) -> list[Candidate]:
     """Return the steps whose turn has come, the most urgent first."""
     candidates = []
-    cell.drop_over(wall)
-    for job in cell.live_by_id.values():
-        if job.over or cell.is_blocked(job):
+    cell.drop_finished_jobs(wall)
+    for job in cell.unfinished_job_by_id.values():
+        if job.is_over or cell.is_blocked(job):
             continue
         queue = cell.queue_of(job)
         priority = queue.priority if queue else 0
@@ -89,8 +89,8 @@
         for step in job.ready_steps(wall):
             if now < step.not_before:
                 continue
-            late = _lateness(now + step.step.estimate, job.accepted, allowed)
-            urgency = Urgency(job, step, priority, late, job.accepted + allowed, now)
+            late = _lateness(now + step.step.estimate, job.accepted_at, allowed)
+            urgency = Urgency(job, step, priority, late, job.accepted_at + allowed, now)
             candidates.append(Candidate(job, step, queue, late, make_rank(urgency)))
     candidates.sort(key=_rank)
     return candidates
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -169,7 +169,7 @@
 
     async def _put(self, host: str, question: AdviceRequest) -> None:
         advice = question.advice
-        expected = advice.decision + advice.per_runner * len(question.runners)
+        expected = advice.decision_seconds + advice.seconds_per_runner * len(question.runners)
         patience = expected * PATIENCE_FACTOR + PATIENCE_SECONDS
         try:
             permits = await self._ask_host(host, question, patience)
@@ -182,7 +182,7 @@
             self._quiet_until_by_host[host] = self._clock.monotonic() + PEER_QUIET
             await self._failed(question)
         else:
-            until = self._clock.monotonic() + question.advice.valid
+            until = self._clock.monotonic() + question.advice.valid_seconds
             await self._answered(question, permits, until)
         finally:
             self._busy.discard(host)
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -12,7 +12,7 @@
 from dandelionreel.cell.membership._claim_order import claim_delay
 from dandelionreel.cell.model import (
     OWNER_KEY,
-    UNSETTLED_SECONDS,
+    PREDECESSOR_LEASE_SECONDS,
     ConflictError,
     Member,
     Owner,
@@ -385,7 +385,7 @@
             fence.epoch,
             self._host,
             self.incarnation,
-            unsettled=UNSETTLED_SECONDS,
+            unsettled=PREDECESSOR_LEASE_SECONDS,
             read_from=self._follower.read_from,
         )
         claim = make_record(OWNER_KEY, owner)
--- a/dandelionreel/cell/model/__init__.py
+++ b/dandelionreel/cell/model/__init__.py
@@ -16,15 +16,14 @@
     TaskName,
 )
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
     CANCELLATION,
     FINAL_STATES,
     MEMBER,
     OWNER_KEY,
+    PREDECESSOR_LEASE_SECONDS,
     PROGRESS,
+    RUNNERS_IN_USE_KEY,
     SUBMISSION,
-    UNSETTLED_SECONDS,
-    Attended,
     Cancellation,
     CrashedRun,
     DoneTasks,
@@ -33,6 +32,7 @@
     Member,
     Owner,
     Progress,
+    RunnersInUse,
     StoredStart,
     Submission,
     make_progress_records,
@@ -76,11 +76,11 @@
 )
 
 __all__ = (
-    'ATTENDED_KEY',
+    'RUNNERS_IN_USE_KEY',
     'AdviceError',
     'AdvicePolicy',
     'AdviceService',
-    'Attended',
+    'RunnersInUse',
     'CANCELLATION',
     'Cancellation',
     'Check',
@@ -132,7 +132,7 @@
     'SubmissionError',
     'TaskName',
     'Topic',
-    'UNSETTLED_SECONDS',
+    'PREDECESSOR_LEASE_SECONDS',
     'UnreadableError',
     'UnreadableLog',
     'WriterFence',
--- a/dandelionreel/cell/model/_model.py
+++ b/dandelionreel/cell/model/_model.py
@@ -155,9 +155,9 @@
 class AdvicePolicy:
     """How long the policy service takes for a queue's steps, in seconds."""
 
-    decision: float
-    per_runner: float
-    valid: float
+    decision_seconds: float
+    seconds_per_runner: float
+    valid_seconds: float
 
 
 @dataclass(frozen=True)
--- a/dandelionreel/cell/model/_records.py
+++ b/dandelionreel/cell/model/_records.py
@@ -18,11 +18,11 @@
 CANCELLATION = 'c/'
 PROGRESS = 'e/'
 MEMBER = 'm/'
-ATTENDED_KEY = 'runners'
+RUNNERS_IN_USE_KEY = 'runners'
 
 #: Seconds for which leases of the latest owner may last that only it renews. Taken as well where
 #: the record of the owner cannot be read.
-UNSETTLED_SECONDS = 17.8
+PREDECESSOR_LEASE_SECONDS = 17.8
 #: No owner writes more; a wild figure would keep its successor from ever starting tasks.
 LONGEST_UNSETTLED = 60
 #: Whole numbers are exact in JSON up to here. An epoch beyond would outbid every owner.
@@ -76,14 +76,14 @@
 class CrashedRun(msgspec.Struct, frozen=True, array_like=True):
     """A run under which its runner has crashed; kept by run so that one loss counts once.
 
-    ``close`` says that the connection broke while the answer to its start was out.
+    ``during_start`` says that the connection broke while the answer to its start was out.
     """
 
     occurrence: Count
     step: Count
     index: Count
     run: Count
-    close: bool = False
+    during_start: bool = False
 
 
 class StoredStart(msgspec.Struct, frozen=True, array_like=True):
@@ -153,7 +153,7 @@
     version: Count = 0
 
 
-class Attended(msgspec.Struct, frozen=True):
+class RunnersInUse(msgspec.Struct, frozen=True):
     """The runners on which an owner's tasks may run.
 
     It is stored before the first start on a runner, so a successor waits for
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -104,7 +104,7 @@
         """Append all or none; return the first offset. Raises ``StoreError``."""
 
     @abc.abstractmethod
-    async def read(self, offset: int, wait: float, most_bytes: int) -> RecordBatch:
+    async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
         """Return records from ``offset`` on, waiting up to ``wait`` seconds.
 
         About ``most_bytes`` of them come at once. Raises ``StoreError`` or ``RecordsExpired``.
@@ -208,15 +208,15 @@
 class RunnerError(Exception):
     """A runner gave no usable answer; the verdict says whether it may have acted.
 
-    ``broken`` says that its connection ended while the answer was out, as it does at once
-    when its process ends; else it was silent.
+    ``connection_broken`` says that the connection closed while the request was pending, as it does
+    at once when the process of the runner exits. Otherwise the runner was silent.
     """
 
-    def __init__(self, message: str, verdict: Verdict, *, broken: bool = False) -> None:
+    def __init__(self, message: str, verdict: Verdict, *, connection_broken: bool = False) -> None:
         """Keep the message, the verdict and whether the connection broke."""
         super().__init__(message)
         self.verdict = verdict
-        self.broken = broken
+        self.connection_broken = connection_broken
 
 
 class RunnerFenced(Exception):
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -62,7 +62,7 @@
         """Take what peers were told by the owners before."""
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
-        self._owner_context.cell.take_complete(known)
+        self._owner_context.cell.mark_complete(known)
         await self.ask_all(self._peers())
         self._owner_context.cell.awaits_completions = False
         await self._owner_context.wake.notify()
@@ -124,7 +124,7 @@
         if not isinstance(told, CompletionsTold):
             return False
         self._completions.note(told.jobs)
-        taken = self._owner_context.cell.take_complete(told.jobs)
+        taken = self._owner_context.cell.mark_complete(told.jobs)
         if taken:
             self._owner_context.journal.tell(
                 Part.JOBS,
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -7,15 +7,15 @@
 from dandelionreel.cell.decisions import ANY_RUNNER, AdviceRequest, Cell, JobRun, Plan, Planner
 from dandelionreel.cell.membership import BEAT_SECONDS, AdvicePool, Term
 from dandelionreel.cell.model import (
-    ATTENDED_KEY,
     CANCELLATION,
     OWNER_KEY,
+    RUNNERS_IN_USE_KEY,
     SUBMISSION,
-    Attended,
     Cancellation,
     JobState,
     KeyedRecord,
     Permit,
+    RunnersInUse,
     Submission,
     make_record,
 )
@@ -147,7 +147,7 @@
         if known is not None and known.stored:
             return Written.STORED
         booked = BookedJob(job_id, submission, cancelled=False, progress=None)
-        self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
+        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
         job = self.cell.job_by_id[job_id]
         self._log_rate(job)
         job.stored = False
@@ -166,9 +166,9 @@
         writing = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
         return await curio.ignore_after(patience, writing.join) or Written.UNKNOWN
 
-    async def take_complete(self, jobs: tuple[str, ...]) -> None:
+    async def mark_complete(self, jobs: tuple[str, ...]) -> None:
         """Take jobs as complete that hosts have shown so behind a cut, and have that stored."""
-        taken = self.cell.take_complete(jobs)
+        taken = self.cell.mark_complete(jobs)
         if not taken:
             return
         self._journal.tell(
@@ -183,7 +183,7 @@
     def state_of(self, job_id: str) -> JobState | None:
         """Return what clients are told about a job, ``None`` if it is not known."""
         job = self.cell.job_by_id.get(job_id)
-        return None if job is None or not job.stored else job.shown_state
+        return None if job is None or not job.stored else job.reported_state
 
     def account_of(self, job_id: str) -> str:
         """Return the client account of a job that is known here, empty for none."""
@@ -191,7 +191,7 @@
         return '' if job is None else job.account
 
     def _log_rate(self, job: JobRun) -> None:
-        if job.beyond_rate:
+        if job.exceeds_account_rate:
             self._journal.tell_frequent(
                 Part.JOBS,
                 f"job {job.id} is beyond its account's share: it waits behind others.",
@@ -251,7 +251,7 @@
         Each word of this owner says so, the last one too: its successor would else
         wait for one lease of this owner while an earlier one renews on.
         """
-        if not self.cell.unseen:
+        if not self.cell.unseen_runners:
             return 0.0
         left = self._rounds.predecessors.until - self._clock.monotonic()
         return round(max(0.0, left), 2)
@@ -267,11 +267,13 @@
             records = [make_record(OWNER_KEY, owner)]
             # Runners that only a former owner has seen are kept for the next one: it
             # has to wait for them too, should this owner be killed meanwhile.
-            attended = frozenset(self.cell.runner_by_id) | self.cell.unseen
+            attended = frozenset(self.cell.runner_by_id) | self.cell.unseen_runners
             if attended != stored:
-                fact = Attended(self._owner_context.term.epoch, tuple(sorted(attended)))
-                records.append(make_record(ATTENDED_KEY, fact))
-            outcome = await self._owner_context.store_progress(self.cell.take_dirty(), *records)
+                fact = RunnersInUse(self._owner_context.term.epoch, tuple(sorted(attended)))
+                records.append(make_record(RUNNERS_IN_USE_KEY, fact))
+            outcome = await self._owner_context.store_progress(
+                self.cell.take_dirty_jobs(), *records
+            )
             if outcome is Written.FENCED:
                 await self._owner_context.lose('another host has written with a higher epoch')
                 return
@@ -306,17 +308,17 @@
     def _see_job(self, job_id: str) -> None:
         booked = self._parts.jobs.book.find(job_id)
         if booked is not None and booked.unreadable:
-            self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
+            self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
             return
         if booked is None or booked.submission is None:
             self._forget_job(job_id, booked)
             return
-        self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
+        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
         self.cell.job_by_id[job_id].stored = True
 
     def _forget_job(self, job_id: str, booked: BookedJob | None) -> None:
         job = self.cell.job_by_id.get(job_id)
-        if job is not None and not job.over:
+        if job is not None and not job.is_over:
             self._journal.tell(
                 Part.JOBS,
                 f'job {job_id} is under way here and over in the store.',
@@ -374,7 +376,7 @@
             used, quota = self.cell.quotas.used(job.account), self.cell.quota_of(job)
             self._journal.tell_frequent(
                 Part.PLACEMENT,
-                f'job {job.id} waits for {job.held_by}.',
+                f'job {job.id} waits for {job.hold_reason}.',
                 job=job.id,
                 account=job.account,
                 cpu=used.cpu,
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -69,8 +69,8 @@
             usable=len(usable),
             draining=sum(runner.draining for runner in runners),
             suspect=sum(runner.suspect for runner in runners),
-            unseen=len(self._cell.unseen),
-            cores_free=sum(max(0, runner.room.cpu) for runner in usable) // MILLI,
+            unseen=len(self._cell.unseen_runners),
+            cores_free=sum(max(0, runner.free_capacity.cpu) for runner in usable) // MILLI,
             cores=sum(runner.registration.capacity.cpu for runner in usable) // MILLI,
             advice_waiting=self._pool.waiting,
             plans=tally.plans,
@@ -98,8 +98,8 @@
     def _count_waiting(self, wall: float) -> Counter[str]:
         """Return how many tasks wait whose turn has come, by queue."""
         waiting: Counter[str] = Counter()
-        for job in self._cell.live_by_id.values():
-            if job.over:
+        for job in self._cell.unfinished_job_by_id.values():
+            if job.is_over:
                 continue
             count = sum(step.waiting for step in job.ready_steps(wall))
             if count:
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -98,7 +98,7 @@
     def _take_stop(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
         cell.zone_reachability.note_answer(state.registration.zone)
-        cell.stop_answered(allocation, self._owner_context.clock.monotonic())
+        cell.handle_stop_reply(allocation, self._owner_context.clock.monotonic())
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'{allocation.runner} has taken a stop.',
@@ -126,7 +126,7 @@
                     await self._withdraw_unsent(allocation)
 
     async def _withdraw_unsent(self, allocation: Allocation) -> None:
-        self._owner_context.cell.withdraw(allocation)
+        self._owner_context.cell.release_start(allocation)
         await self._note_settled()
 
     async def _settle_start(self, allocation: Allocation) -> None:
@@ -149,23 +149,23 @@
         runner = self._owner_context.runner_by_id.get(allocation.runner)
         job = self._owner_context.cell.job_by_id.get(allocation.task.job)
         if state is None or runner is None or job is None:
-            self._owner_context.cell.withdraw(allocation)
+            self._owner_context.cell.release_start(allocation)
             return
         if state.suspect:
             # It went silent while the start was on its way to the store. Sent in vain, the
             # start would hold its task up, and count as one that the runner crashed under.
-            self._owner_context.cell.withdraw(allocation)
+            self._owner_context.cell.release_start(allocation)
             return
         self._tell_start(state, allocation, job)
         maybe_sent = await self._try_start(state, runner, allocation, job.spec.payload)
         if maybe_sent is None:
             return
         if maybe_sent:
-            self._owner_context.cell.take_back(allocation)
+            self._owner_context.cell.revoke_start(allocation)
         else:
             if state.suspect:
-                state.quiet_until = self._owner_context.clock.monotonic() + UNREACHED_QUIET
-            self._owner_context.cell.withdraw(allocation)
+                state.no_starts_until = self._owner_context.clock.monotonic() + UNREACHED_QUIET
+            self._owner_context.cell.release_start(allocation)
         await self._owner_context.wake.notify()
 
     def _fields(self, allocation: Allocation) -> dict[str, Any]:
@@ -179,7 +179,7 @@
         owners is traced by what the second one had and had not heard.
         """
         now = self._owner_context.clock.monotonic()
-        found = job.find(allocation.task)
+        found = job.find_task(allocation.task)
         configuration = self._owner_context.cell.configuration
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
@@ -191,8 +191,8 @@
             version=configuration.version if configuration else None,
             store_age=round(now - self._owner_context.writer.stored_at, 3),
             runner_age=seconds_or_none(now - state.answered_at),
-            waited=round(now - job.accepted, 3),
-            room=state.room.cpu,
+            waited=round(now - job.accepted_at, 3),
+            room=state.free_capacity.cpu,
         )
 
     async def _try_start(
@@ -219,11 +219,11 @@
             except RunnerError as error:
                 arrived = error.verdict is not Verdict.NOT_RUN
                 # Later tries meet connections that the crash has closed before.
-                allocation.broken = allocation.broken or (
-                    arrived and error.broken and not maybe_sent
+                allocation.connection_broken = allocation.connection_broken or (
+                    arrived and error.connection_broken and not maybe_sent
                 )
                 maybe_sent = maybe_sent or arrived
-                allocation.unanswered = maybe_sent
+                allocation.start_unanswered = maybe_sent
                 # Nothing more goes there until it has answered a poll: a start that may have
                 # arrived holds its task up until the lease has run out.
                 state.suspect = True
@@ -305,11 +305,11 @@
         if reply is StartReply.REPLACED:
             if not in_doubt:
                 # It never ran there, so no crash of the runner counts for it.
-                self._owner_context.cell.withdraw(allocation)
+                self._owner_context.cell.release_start(allocation)
             await self._end_replaced(state)
         else:
             now = self._owner_context.clock.monotonic()
-            self._owner_context.cell.start_answered(allocation, reply, now, in_doubt=in_doubt)
+            self._owner_context.cell.handle_start_reply(allocation, reply, now, in_doubt=in_doubt)
         if reply is not StartReply.STARTED:
             self._owner_context.journal.tell(
                 Part.PLACEMENT,
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from dandelionreel.cell.decisions import CLOCK_DRIFT, Cell, Crash, JobRun, RunnerState
+from dandelionreel.cell.decisions import MAX_CLOCK_DRIFT, Cell, Crash, JobRun, RunnerState
 from dandelionreel.cell.membership import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.model import (
     JobState,
@@ -127,7 +127,7 @@
         A successor may renew them unseen. The latest append proves that there
         was none when it was sent, so the leases must have run out by then.
         """
-        return state.lapsed(self.writer.stored_at, CLOCK_DRIFT)
+        return state.leases_expired(self.writer.stored_at, MAX_CLOCK_DRIFT)
 
     async def store_progress(
         self,
@@ -152,7 +152,7 @@
                 job.stored_state = progress.state
                 job.stored_runners.update(progress.runners)
             else:
-                self.cell.note_unstored(job)
+                self.cell.mark_dirty(job)
         return outcome
 
     async def flush(self) -> Written:
@@ -162,7 +162,7 @@
         that is given up meanwhile, an end would be acknowledged that stands nowhere.
         """
         given_up = self.writer.given_up
-        outcome = await self.store_progress(self.cell.take_dirty())
+        outcome = await self.store_progress(self.cell.take_dirty_jobs())
         return outcome if self.writer.given_up == given_up else Written.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
@@ -174,7 +174,7 @@
             tasks=len(state.allocation_by_run),
         )
         self._tell_lost(state)
-        self.tell_crashes(self.cell.runner_ended(state.id, proven=proven))
+        self.tell_crashes(self.cell.handle_ended_runner(state.id, proven=proven))
 
     def lapse_runner(self, state: RunnerState) -> None:
         """Take all that runs on a silent runner for gone: its leases have run out."""
@@ -186,7 +186,7 @@
             epoch=self.term.epoch,
         )
         self._tell_lost(state)
-        self.cell.runner_lapsed(state.id)
+        self.cell.handle_lapsed_runner(state.id)
 
     def tell_crashes(self, crashes: list[Crash]) -> None:
         """Tell under which runs a runner has crashed, and which task is given up for it."""
@@ -196,7 +196,7 @@
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
                 **self.run_fields(crash.runner, crash.task, crash.run),
-                close=crash.close,
+                close=crash.during_start,
                 crashes=crash.count,
             )
 
@@ -253,16 +253,16 @@
         wall = self.clock.wall()
         progress_by_job = {}
         for job in jobs:
-            leftovers = self.cell.leftovers_of(job, wall) if job.over else ()
+            leftovers = self.cell.leftovers_of(job, wall) if job.is_over else ()
             progress = job.progress(self.term.epoch, wall, leftovers)
             progress_by_job[job] = progress
-            if job.over:
+            if job.is_over:
                 self.journal.tell(
                     Part.JOBS,
                     f'job {job.id} is {progress.state.value}.',
                     job=job.id,
                     queue=job.submission.queue,
-                    seconds=round(self.clock.monotonic() - job.accepted, 3),
+                    seconds=round(self.clock.monotonic() - job.accepted_at, 3),
                     objective=round(self.cell.objective_of(job), 3),
                     account=job.account,
                 )
--- a/dandelionreel/cell/owner/_predecessors.py
+++ b/dandelionreel/cell/owner/_predecessors.py
@@ -4,7 +4,7 @@
 as the lost owner renews its leases, and must not start elsewhere meanwhile.
 """
 
-from dandelionreel.cell.decisions import CLOCK_DRIFT
+from dandelionreel.cell.decisions import MAX_CLOCK_DRIFT
 from dandelionreel.cell.membership import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.store import JobBook
 
@@ -18,7 +18,7 @@
     It ends at a time on the runner's clock, which the owner has extrapolated from
     its last word of it: both spans pass more slowly there.
     """
-    return (seconds + READING_AGE * CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
+    return (seconds + READING_AGE * MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
 
 
 class Predecessors:
--- a/dandelionreel/cell/owner/_rounds.py
+++ b/dandelionreel/cell/owner/_rounds.py
@@ -6,7 +6,7 @@
 
 from dandelionreel.cell.decisions import (
     ActiveRunners,
-    note_last_words,
+    apply_last_registrations,
     stop_late_gangs,
     stop_leaving,
 )
@@ -100,27 +100,27 @@
         Until each of them has listed its tasks, or all leases there must have
         run out, the jobs that the store names with it are left alone.
         """
-        self._cell.unseen.update(self._parts.jobs.book.former_runners())
+        self._cell.unseen_runners.update(self._parts.jobs.book.former_runners())
         self._tell_unseen('leaves the tasks of runners alone that it has not seen yet.', now)
 
     async def _give_up_unseen(self, now: float) -> None:
         """Take the tasks on unseen runners for gone once their leases must be over."""
-        if not self._cell.unseen:
+        if not self._cell.unseen_runners:
             return
         await self._give_up_outlived()
         if self.predecessors.look(self._parts.jobs.book, now):
             self._tell_unseen('finds that the former owner has ended.', now)
         if now > self.predecessors.until:
-            unseen = tuple(self._cell.unseen)
+            unseen = tuple(self._cell.unseen_runners)
             confirmed = [runner for runner in unseen if await self._is_confirmed(runner)]
             if confirmed:
                 self._tell_unseen('takes the leases on unseen runners for run out.', now)
-                self._owner_context.tell_crashes(self._cell.give_up_unseen(confirmed))
+                self._owner_context.tell_crashes(self._cell.drop_unseen_runners(confirmed))
 
     async def _give_up_outlived(self) -> None:
         """Take the tasks on incarnations for gone that have been followed by a later one."""
         gone = []
-        for incarnation, later in self._cell.find_outlived().items():
+        for incarnation, later in self._cell.find_replaced_runners().items():
             if await self._owner_context.confirms(later.registration.zone, self._began_at):
                 gone.append(incarnation)
         if not gone:
@@ -131,7 +131,7 @@
             epoch=self._owner_context.term.epoch,
             runners=gone,
         )
-        self._owner_context.tell_crashes(self._cell.give_up_unseen(gone))
+        self._owner_context.tell_crashes(self._cell.drop_unseen_runners(gone))
 
     async def _is_confirmed(self, runner: str) -> bool:
         """Return whether the zone of an unseen runner has told what it has shown."""
@@ -145,7 +145,7 @@
             Part.OWNERSHIP,
             sentence,
             epoch=self._owner_context.term.epoch,
-            runners=sorted(self._cell.unseen),
+            runners=sorted(self._cell.unseen_runners),
             seconds=round(self.predecessors.until - now, 3),
             former_silent=round(self.predecessors.silent, 3),
             former_ended=self.predecessors.ended,
@@ -180,11 +180,11 @@
         folder = self._parts.runners
         now = self._clock.monotonic()
         for idle in self._active.take_idle(folder.registration_by_id):
-            self._cell.leave_runner(idle.id)
+            self._cell.forget_runner(idle.id)
         active = self._active.choose(folder.registration_by_id, now)
-        fresh = self._cell.see_runners(active, now)
-        note_last_words(self._cell.runner_by_id.values(), folder.find, now)
-        for runner_id in self._cell.unseen - self._cell.runner_by_id.keys():
+        fresh = self._cell.update_runners(active, now)
+        apply_last_registrations(self._cell.runner_by_id.values(), folder.find, now)
+        for runner_id in self._cell.unseen_runners - self._cell.runner_by_id.keys():
             # Its entry has gone, but it may live and hold tasks.
             registration = folder.find(runner_id)
             if registration is not None:
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from dandelionreel.cell.decisions import Holding, PollEffect, RunnerState
+from dandelionreel.cell.decisions import AllocationPhase, PollEffect, RunnerState
 from dandelionreel.cell.model import (
     Runner,
     RunnerError,
@@ -51,9 +51,9 @@
     async def _poll_once(self, state: RunnerState, runner: Runner) -> None:
         asked = self._owner_context.clock.monotonic()
         lease_until = state.renew_lease(asked, self._owner_context.lease)
-        unstored = state.acknowledged < state.acknowledgeable
+        unstored = state.acknowledged_end < state.acknowledgeable_end
         wait = _poll_wait(state) if lease_until is not None and not unstored else 0
-        acknowledged = state.acknowledged
+        acknowledged = state.acknowledged_end
         try:
             view = await runner.poll(
                 self._owner_context.term.epoch, acknowledged, lease_until, wait
@@ -71,7 +71,7 @@
             # Another exchange has met the next life at its address meanwhile. Taken for
             # found there, its runs would be under way for ever: nobody looks there again.
             return
-        state.confirmed = acknowledged
+        state.confirmed_end = acknowledged
         self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
         was_usable = state.usable(asked)
         effect = self._take_view(state, view, asked)
@@ -79,9 +79,9 @@
             await self._owner_context.wake.notify()
         if effect.ended or unstored:
             await self._store_ends(state, effect)
-            if unstored and state.acknowledged < state.acknowledgeable:
+            if unstored and state.acknowledged_end < state.acknowledgeable_end:
                 await curio.sleep(POLL_RETRY_SECONDS)
-        if not view.complete or state.acknowledgeable < state.noted:
+        if not view.complete or state.acknowledgeable_end < state.processed_end:
             # An end that is not acknowledged is listed at once in every answer: the
             # looks would follow each other without a pause.
             await curio.sleep(POLL_RETRY_SECONDS)
@@ -92,8 +92,8 @@
 
     def _take_view(self, state: RunnerState, view: RunnerView, asked: float) -> PollEffect:
         now = self._owner_context.clock.monotonic()
-        unseen = state.id in self._owner_context.cell.unseen
-        effect = self._owner_context.cell.viewed(state, view, asked, now)
+        unseen = state.id in self._owner_context.cell.unseen_runners
+        effect = self._owner_context.cell.handle_view(state, view, asked, now)
         self._tell_effect(state, effect, now)
         self._owner_context.tell_crashes(effect.crashes)
         self._tell_readable(state, view)
@@ -109,7 +109,7 @@
         task = await curio.spawn(
             self._acknowledge,
             state,
-            state.acknowledgeable,
+            state.acknowledgeable_end,
             bool(effect.ended),
             daemon=True,
         )
@@ -125,7 +125,7 @@
         jobs = sorted(self._unstored_by_runner.get(state.id, ()))
         outcome = await self._owner_context.flush()
         if outcome is Written.STORED:
-            state.acknowledged = max(state.acknowledged, number)
+            state.acknowledged_end = max(state.acknowledged_end, number)
             self._unstored_by_runner.get(state.id, set()).difference_update(jobs)
         elif not fresh:
             return
@@ -146,16 +146,18 @@
             runner=state.id,
             jobs=jobs[:MOST_NAMED],
             number=number,
-            acknowledged=state.acknowledged,
+            acknowledged=state.acknowledged_end,
             epoch=self._owner_context.term.epoch,
             seconds=round(self._owner_context.clock.monotonic() - began, 3),
         )
 
     async def _miss_runner(self, state: RunnerState, error: RunnerError) -> None:
         now = self._owner_context.clock.monotonic()
-        first = not state.missed
-        state.missed = True
-        if not state.suspect and (error.broken or now - state.answered_at > SUSPECT_SECONDS):
+        first = not state.missed_last_poll
+        state.missed_last_poll = True
+        if not state.suspect and (
+            error.connection_broken or now - state.answered_at > SUSPECT_SECONDS
+        ):
             state.suspect = True
             self._owner_context.journal.tell(
                 Part.WORKERS,
@@ -170,13 +172,13 @@
         if (
             not state.listed
             and not state.allocation_by_run
-            and state.id not in self._owner_context.cell.unseen
+            and state.id not in self._owner_context.cell.unseen_runners
         ):
             self._owner_context.end_runner(
                 state, 'its entry has gone and it does not answer', proven=False
             )
             return
-        if first and error.broken:
+        if first and error.connection_broken:
             # Where only the connection was reset, the next poll is answered at once.
             return
         await curio.sleep(POLL_RETRY_SECONDS)
@@ -245,6 +247,7 @@
 def _poll_wait(state: RunnerState) -> float:
     """Return the seconds that a poll may wait at a runner for news."""
     stopping = any(
-        allocation.phase is Holding.STOPPING for allocation in state.allocation_by_run.values()
+        allocation.phase is AllocationPhase.STOPPING
+        for allocation in state.allocation_by_run.values()
     )
     return STOP_POLL_SECONDS if stopping else POLL_SECONDS
--- a/dandelionreel/cell/store/_job_book.py
+++ b/dandelionreel/cell/store/_job_book.py
@@ -12,15 +12,14 @@
 import msgspec
 
 from dandelionreel.cell.model import (
-    ATTENDED_KEY,
     CANCELLATION,
     FINAL_STATES,
     MEMBER,
     OWNER_KEY,
+    PREDECESSOR_LEASE_SECONDS,
     PROGRESS,
+    RUNNERS_IN_USE_KEY,
     SUBMISSION,
-    UNSETTLED_SECONDS,
-    Attended,
     Cancellation,
     JobState,
     KeyedRecord,
@@ -28,6 +27,7 @@
     Owner,
     Progress,
     Reason,
+    RunnersInUse,
     Submission,
     UnreadableError,
     check_leftovers,
@@ -40,12 +40,12 @@
 _CANCELLATION = msgspec.json.Decoder(Cancellation)
 _PROGRESS = msgspec.json.Decoder(Progress)
 _OWNER = msgspec.json.Decoder(Owner)
-_ATTENDED = msgspec.json.Decoder(Attended)
+_ATTENDED = msgspec.json.Decoder(RunnersInUse)
 _MEMBER = msgspec.json.Decoder(Member)
 
 #: Stands for an owner of which nothing can be read: it may be at work, and have
 #: followed another one. Its heartbeats are waited for like those of any owner.
-UNKNOWN_OWNER = Owner(0, '', '', unsettled=UNSETTLED_SECONDS)
+UNKNOWN_OWNER = Owner(0, '', '', unsettled=PREDECESSOR_LEASE_SECONDS)
 #: Stands for runners whose names cannot be read. No runner has this name, so what may
 #: run on them is left alone until all leases must be over.
 UNKNOWN_RUNNER = '?'
@@ -120,7 +120,7 @@
         self.progress_by_id: dict[str, Progress] = {}
         self.member_by_host: dict[str, Member] = {}
         self.owner: Owner | None = None
-        self.attended: Attended | None = None
+        self.attended: RunnersInUse | None = None
         self.changed: set[str] = set()
         #: Keys whose newest record cannot be read.
         self.unreadable_keys: set[str] = set()
@@ -167,7 +167,7 @@
         """
         if self.attended is not None:
             return set(self.attended.runners)
-        if ATTENDED_KEY not in self.unreadable_keys:
+        if RUNNERS_IN_USE_KEY not in self.unreadable_keys:
             return set()
         runners = {UNKNOWN_RUNNER}
         for progress in self.progress_by_id.values():
@@ -213,7 +213,7 @@
         errors = self.fold(records)
         if OWNER_KEY in self.unreadable_keys:
             self.owner = former.owner or self._unknown_owner()
-        if ATTENDED_KEY in self.unreadable_keys:
+        if RUNNERS_IN_USE_KEY in self.unreadable_keys:
             self.attended = former.attended
         for key in self.unreadable_keys:
             name = key[len(SUBMISSION) :]
@@ -263,7 +263,7 @@
         if record.key == OWNER_KEY:
             self._fold_owner(content)
             return
-        if record.key == ATTENDED_KEY:
+        if record.key == RUNNERS_IN_USE_KEY:
             if content is not None:
                 self.attended = decode_json(_ATTENDED, content)
             return
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -69,11 +69,11 @@
     if cell is None:
         return row
     used = cell.quotas.used(account.name)
-    jobs = [job for job in cell.live_by_id.values() if job.account == account.name]
+    jobs = [job for job in cell.unfinished_job_by_id.values() if job.account == account.name]
     row['used'] = _view_amounts(used)
     row['share'] = round(weighted_share(used, cell.capacity(), account.weight), 6)
     row['jobs'] = len(jobs)
-    row['held'] = sum(bool(job.held_by) for job in jobs)
+    row['held'] = sum(bool(job.hold_reason) for job in jobs)
     return row
 
 
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -261,7 +261,7 @@
         dispatcher = self._dispatcher
         if dispatcher is None or not dispatcher.acting:
             return False
-        await dispatcher.take_complete(jobs)
+        await dispatcher.mark_complete(jobs)
         return True
 
     def _store_answered_at(self) -> float:
--- a/dandelionreel/entry_metrics.py
+++ b/dandelionreel/entry_metrics.py
@@ -6,7 +6,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from dandelionreel.cell.decisions import Cell, Holding
+from dandelionreel.cell.decisions import AllocationPhase, Cell
 from dandelionreel.cell.model import Configuration
 from dandelionreel.entry_accounts import RefusalCounts, list_accounts
 from dandelionreel.http import Answer, Request, answer_json, control_bytes_by_kind
@@ -102,9 +102,9 @@
 
     def _update_cell(self, cell: Cell | None) -> None:
         jobs = cell.job_by_id.values() if cell else ()
-        self._jobs.set(sum(not job.over for job in jobs))
+        self._jobs.set(sum(not job.is_over for job in jobs))
         self._crashed.set(cell.crashed_runs if cell else 0)
-        count_by_phase = dict.fromkeys(Holding, 0)
+        count_by_phase = dict.fromkeys(AllocationPhase, 0)
         for runner in cell.runner_by_id.values() if cell else ():
             for allocation in runner.allocation_by_run.values():
                 count_by_phase[allocation.phase] += 1
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -206,7 +206,7 @@
         except ExchangeError as error:
             verdict = Verdict.UNKNOWN if error.sent else Verdict.NOT_RUN
             broken = isinstance(error, BrokenError)
-            raise RunnerError(f'{error}', verdict, broken=broken) from error
+            raise RunnerError(f'{error}', verdict, connection_broken=broken) from error
 
 
 def _read_clock(answer: Answer) -> tuple[float | None, str]:
--- a/dandelionreel/platform/_store.py
+++ b/dandelionreel/platform/_store.py
@@ -107,13 +107,13 @@
             return _decode_appended(answer).offset
         raise _append_error(answer)
 
-    async def read(self, offset: int, wait: float, most_bytes: int) -> RecordBatch:
+    async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
         """Return records from ``offset`` on."""
         fields = {
             'topic': self._name,
             'part': 0,
             'from': offset,
-            'max_kb': most_bytes // KILOBYTE,
+            'max_kb': max_bytes // KILOBYTE,
             'wait_ms': int(wait * MILLISECONDS),
         }
         request = Request('GET', f'/v1/log-read?{urlencode(fields)}')
--- a/features/cell_parts.py
+++ b/features/cell_parts.py
@@ -59,41 +59,41 @@
         self.allocations = []
         for number, runner in enumerate(runners):
             self.registration_by_id[runner] = make_registration(runner, port=number)
-        self.see_runners()
+        self.update_runners()
         if seen:
             for runner in runners:
                 self.poll(runner)
 
-    def see_runners(self):
+    def update_runners(self):
         """Pass the list of runners on."""
-        self.cell.see_runners(self.registration_by_id, self.now)
+        self.cell.update_runners(self.registration_by_id, self.now)
         for state in self.cell.runner_by_id.values():
             state.recorded = True
 
     def drain(self, runner):
         """Let a runner say that it will leave, in 2 s at the earliest."""
         self.registration_by_id[runner] = make_registration(runner, draining=True)
-        self.see_runners()
+        self.update_runners()
         return stop_leaving(self.cell, self.now)
 
     def add_job(self, job, steps, queue='urgent', age=0.0, progress=None, cancelled=False, zone=''):
         """Take a job as the store tells it."""
         spec = JobSpec('payload', tuple(steps))
         submission = Submission(queue, 'desk', self.now - age, spec, zone)
-        self.cell.see_job(BookedJob(job, submission, cancelled, progress), self.now, self.now)
+        self.cell.update_job(BookedJob(job, submission, cancelled, progress), self.now, self.now)
         return self.cell.job_by_id[job]
 
     def cancel(self, job):
         """Let the store tell that a job is cancelled."""
         submission = self.cell.job_by_id[job].submission
-        self.cell.see_job(BookedJob(job, submission, True, None), self.now, self.now)
+        self.cell.update_job(BookedJob(job, submission, True, None), self.now, self.now)
 
     def plan(self, start=True):
         """Plan once, and let all starts be answered as started."""
         made = self.planner.plan(self.now, self.now)
         self.allocations.extend(made.starts)
         for allocation in made.starts if start else ():
-            self.cell.start_answered(allocation, StartReply.STARTED, self.now)
+            self.cell.handle_start_reply(allocation, StartReply.STARTED, self.now)
         return made
 
     def poll(self, runner, running=(), ended=(), asked=None, complete=True):
@@ -107,7 +107,7 @@
             ends.append(EndedRun(number, name, run, Outcome(how), ''))
         view = RunnerView(self.now, listed, tuple(ends), complete)
         state = self.cell.runner_by_id[runner]
-        return self.cell.viewed(state, view, self.now if asked is None else asked, self.now)
+        return self.cell.handle_view(state, view, self.now if asked is None else asked, self.now)
 
     def runs_on(self, runner):
         """Return the runs that are counted on a runner."""
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -223,7 +223,7 @@
         for registration in known.values():
             check_registration(registration)
         small = SmallCell(())
-        small.cell.see_runners(known, START)
+        small.cell.update_runners(known, START)
 
     def configuration(self):
         reader = Reader()
@@ -262,7 +262,7 @@
         for job in (JOB, '00000000000000aa'):
             booked = book.find(job)
             if booked.submission is not None and not getattr(booked, 'unreadable', False):
-                cell.see_job(booked, START, START)
+                cell.update_job(booked, START, START)
         for run in cell.job_by_id.values():
             run.ready_steps(START)
             run.progress(9, START)
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -18,13 +18,13 @@
     UnreadableLog,
 )
 from dandelionreel.cell.model._records import (
-    Attended,
     Cancellation,
     DoneTasks,
     FailedRun,
     Member,
     Owner,
     Progress,
+    RunnersInUse,
 )
 from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
 from dandelionreel.cell.store._runner_list import RunnersFolder
@@ -79,7 +79,7 @@
     4, JobState.RUNNING, (DoneTasks(0, 0, '1'),), (FailedRun(0, 0, 1, 4001),), runners=('i-1',)
 )
 OWNER = Owner(4, 'entry-1', 'entry-1/0a', 7)
-ATTENDED = Attended(4, ('i-1', 'i-2'))
+ATTENDED = RunnersInUse(4, ('i-1', 'i-2'))
 MEMBER = Member('north', '10.0.1.1', 7810, 'entry-1/0a', 1.0)
 
 GOOD_CELL = {
--- a/features/entry_reading.py
+++ b/features/entry_reading.py
@@ -32,7 +32,7 @@
     small = getattr(context, 'small', None)
     if small is not None:
         small.registration_by_id = context.reader.runners.registration_by_id
-        small.see_runners()
+        small.update_runners()
 
 
 def reader_of_entries(context):
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -37,7 +37,7 @@
     context.small.now += later
     context.chosen = context.active.choose(context.listed, context.small.now)
     context.small.registration_by_id = context.chosen
-    context.small.see_runners()
+    context.small.update_runners()
     for runner in context.chosen:
         if not context.small.cell.runner_by_id[runner].knows_clock():
             context.small.poll(runner)
@@ -100,14 +100,14 @@
         for held in tuple(runner.allocation_by_run.values()):
             if runner is state and what in {'a task runs on x', 'a start on x is in doubt'}:
                 if 'doubt' in what:
-                    small.cell.take_back(held)
+                    small.cell.revoke_start(held)
                 continue
-            small.poll(runner.id, ended=((runner.noted + 1, held.task, held.run, 'done'),))
-        runner.confirmed = runner.noted
+            small.poll(runner.id, ended=((runner.processed_end + 1, held.task, held.run, 'done'),))
+        runner.confirmed_end = runner.processed_end
     if 'acknowledged' in what:
-        state.confirmed = state.noted - 1
+        state.confirmed_end = state.processed_end - 1
     if 'former owner' in what:
-        small.cell.unseen.add(context.name)
+        small.cell.unseen_runners.add(context.name)
 
 
 @then('the runner x {fate}')
@@ -149,11 +149,11 @@
         attendant = RunnerPoller(context.owner)
         registrations = {'w0': replace(register(0, 'a'))}
         for _ in range(3):
-            (state,) = cell.see_runners(registrations, 0.0)
+            (state,) = cell.update_runners(registrations, 0.0)
             await curio.spawn(attendant.poll, state, context.runner, daemon=True)
             await curio.sleep(0.02)
-            cell.leave_runner('w0')
-        (context.state,) = cell.see_runners(registrations, 0.0)
+            cell.forget_runner('w0')
+        (context.state,) = cell.update_runners(registrations, 0.0)
         await curio.spawn(attendant.poll, context.state, context.runner, daemon=True)
         await curio.sleep(0.12)
         context.under_way = context.runner.under_way
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -5,7 +5,7 @@
 import curio
 from behave import given, then, when
 
-from dandelionreel.cell.decisions import Holding
+from dandelionreel.cell.decisions import AllocationPhase
 from dandelionreel.cell.decisions._ledger import Allocation
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import (
@@ -19,11 +19,11 @@
 )
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
     PROGRESS,
+    RUNNERS_IN_USE_KEY,
     SUBMISSION,
-    Attended,
     Progress,
+    RunnersInUse,
     Submission,
     make_record,
 )
@@ -60,7 +60,7 @@
         [
             make_record(f'{SUBMISSION}j1', submission),
             make_record(f'{PROGRESS}j1', progress),
-            make_record(ATTENDED_KEY, Attended(1, ('w9',))),
+            make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w9',))),
         ]
     )
     term = Term(2, 'me/1', WriterFence(2, 1), host.clock.monotonic(), False, False)
@@ -74,7 +74,7 @@
 @then('that job is left alone until w9 has been seen')
 def left_alone(context):
     cell = context.dispatcher.cell
-    assert cell.is_blocked(cell.job_by_id['j1']), cell.unseen
+    assert cell.is_blocked(cell.job_by_id['j1']), cell.unseen_runners
 
 
 class Unreachable(Runner):
@@ -105,9 +105,9 @@
     context.runners._codec = OneAddress()
     read_entry(context, 'w9', b'{}', 5)
     cell = context.dispatcher.cell
-    (state,) = cell.see_runners(context.runners.registration_by_id, 0.0)
+    (state,) = cell.update_runners(context.runners.registration_by_id, 0.0)
     context.task = task('j1')
-    state.hold(Allocation(context.task, 1001, 'w9', Demand(), 0.0, phase=Holding.RUNNING))
+    state.hold(Allocation(context.task, 1001, 'w9', Demand(), 0.0, phase=AllocationPhase.RUNNING))
 
 
 def read_entry(context, runner, content, offset):
@@ -115,11 +115,11 @@
 
 
 def go_round(context):
-    async def see_runners():
+    async def update_runners():
         async with AsyncExitStack() as stack:
             await context.dispatcher._rounds._see_runners(stack)
 
-    curio.run(see_runners)
+    curio.run(update_runners)
 
 
 @when('the entry of w9 expires, and one of w8 lands at its address')
@@ -158,5 +158,5 @@
 def not_new(context):
     cell = context.dispatcher.cell
     assert 'w9' in context.runners.registration_by_id
-    assert not cell.see_runners(context.runners.registration_by_id, 1.0)
+    assert not cell.update_runners(context.runners.registration_by_id, 1.0)
     assert 'w9' not in cell.runner_by_id
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -209,7 +209,7 @@
     context.small = SmallCell(runners=())
     context.small.now = 1000
     context.small.registration_by_id['w1'] = make_registration('w1', zone='south')
-    context.small.see_runners()
+    context.small.update_runners()
     context.small.poll('w1')
     context.small.add_job(JOB, [step()])
     context.small.plan()
@@ -262,7 +262,7 @@
     complete = fate.endswith('its job as complete')
     assert (job.state is JobState.COMPLETED) is complete, job.state
     if not waits:
-        assert bool(job.ready_steps(0)) is True and job.over is complete
+        assert bool(job.ready_steps(0)) is True and job.is_over is complete
 
 
 @then('{count:d} questions were put to it')
@@ -344,7 +344,7 @@
 def peer_reports(context):
     async def take_at_owner(jobs):
         if context.owns:
-            context.small.cell.take_complete(jobs)
+            context.small.cell.mark_complete(jobs)
         return context.owns
 
     answers = CompletionAnswers(context.completions, Touch(context.cut), take_at_owner)
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -5,14 +5,14 @@
 
 from dandelionreel.cell.model import JobSpec, JobState, StartReply, Submission, WriterFence
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
     CANCELLATION,
     OWNER_KEY,
+    RUNNERS_IN_USE_KEY,
     SUBMISSION,
-    Attended,
     Cancellation,
     Owner,
     Progress,
+    RunnersInUse,
     make_progress_records,
     make_record,
 )
@@ -56,7 +56,7 @@
     context.start = small.allocations[0]
     small.cancel('j1')
     take_stops(context)
-    small.cell.stop_answered(context.start, small.now)
+    small.cell.handle_stop_reply(context.start, small.now)
 
 
 @when('a job is planned and cancelled before its start is answered')
@@ -70,8 +70,8 @@
 @when('w1 takes the stop, and then answers the start')
 def take_then_answer(context):
     small = context.small
-    small.cell.stop_answered(context.start, small.now)
-    small.cell.start_answered(context.start, StartReply.STARTED, small.now)
+    small.cell.handle_stop_reply(context.start, small.now)
+    small.cell.handle_start_reply(context.start, StartReply.STARTED, small.now)
 
 
 @when('a look that is sent {seconds:f} s later still lists the run')
@@ -86,11 +86,11 @@
     small.add_job('j1', [step()])
     context.start = small.plan(start=False).starts[0]
     if fate == 'refused':
-        small.cell.start_answered(context.start, StartReply.NO_ROOM, small.now)
+        small.cell.handle_start_reply(context.start, StartReply.NO_ROOM, small.now)
     else:
         small.cell.stop(context.start)
         small.cell.take_stops()
-        small.cell.stop_answered(context.start, small.now)
+        small.cell.handle_stop_reply(context.start, small.now)
         small.now += 1
         small.poll('w1')
     assert not small.runs_on('w1')
@@ -130,7 +130,7 @@
 def unknown_run(context):
     context.small.poll('w1', running=[FORMER_RUN])
     (context.unknown,) = context.small.cell.take_stops()
-    context.small.cell.stop_answered(context.unknown, context.small.now)
+    context.small.cell.handle_stop_reply(context.unknown, context.small.now)
 
 
 @when('w1 does not list the unknown run any more')
@@ -230,7 +230,7 @@
 
 async def append_all(topic, records):
     """Store what a former owner left, and the claim of its successor."""
-    attended = make_record(ATTENDED_KEY, Attended(1, ('w1',)))
+    attended = make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w1',)))
     await topic.append([*records, attended], 0.1, WriterFence(1, 1))
     claim = make_record(OWNER_KEY, Owner(2, 'me', 'me/1'))
     await topic.append([claim], 0.1, WriterFence(2, 0))
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -18,7 +18,7 @@
     small.registration_by_id[runner] = make_registration(
         runner, port=number, capacity=Demand(cpu, MEMORY, 0)
     )
-    small.see_runners()
+    small.update_runners()
 
 
 def add(context, cpu, **fields):
@@ -61,10 +61,10 @@
         if small.cell.may_start(start):
             sent.append(start)
             continue
-        small.cell.withdraw(start)
+        small.cell.release_start(start)
     assert len(sent) == 1, sent
     small.registration_by_id['w2'] = make_registration('w2', port=9)
-    small.see_runners()
+    small.update_runners()
     small.poll('w2')
     (start,) = small.plan().starts
     assert start.runner == 'w2' and start.task not in {one.task for one in sent}, start
@@ -155,7 +155,7 @@
     job = add(context, cpu)
     small.poll('w1', running=[(task(job), 1)])
     resize(context, 'w1', room)
-    assert small.cell.runner_by_id['w1'].room.cpu < 0
+    assert small.cell.runner_by_id['w1'].free_capacity.cpu < 0
 
 
 @when('a task of {cpu:d} needs advice')
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from dandelionreel.cell.decisions import Holding
+from dandelionreel.cell.decisions import AllocationPhase
 from dandelionreel.cell.decisions._hopeless_runs import stop_leaving
 from dandelionreel.cell.decisions._ledger import RunnerState
 from dandelionreel.cell.model import JobState
@@ -15,8 +15,8 @@
 @given('a successor that cannot see the runner w3')
 def make_successor(context):
     context.small = SmallCell(epoch=2)
-    context.small.cell.unseen.add('w3')
-    context.small.see_runners()
+    context.small.cell.unseen_runners.add('w3')
+    context.small.update_runners()
 
 
 @given('a cell with the runners {names}')
@@ -48,7 +48,7 @@
 def runner_answers(context):
     small = context.small
     small.registration_by_id['w3'] = make_registration('w3', port=7)
-    small.see_runners()
+    small.update_runners()
     small.poll('w3')
     context.made = small.plan()
 
@@ -114,7 +114,7 @@
 @when('the runner takes the stop and is looked at again')
 def stop_taken(context):
     small = context.small
-    small.cell.stop_answered(context.start, small.now)
+    small.cell.handle_stop_reply(context.start, small.now)
     small.now += 1
     small.poll(context.start.runner)
     context.made = small.plan()
@@ -176,7 +176,7 @@
     small = context.small
     small.add_job('j1', [step()])
     context.first = small.plan().starts[0]
-    small.cell.runner_lapsed(context.first.runner)
+    small.cell.handle_lapsed_runner(context.first.runner)
     small.cell.runner_by_id[context.first.runner].suspect = True
     context.second = small.plan().starts[0]
     assert context.second.runner != context.first.runner
@@ -190,7 +190,7 @@
 
 @then('the second run is stopped and the job is complete')
 def second_stopped(context):
-    assert context.second.phase is Holding.STOPPING
+    assert context.second.phase is AllocationPhase.STOPPING
     assert context.small.cell.job_by_id['j1'].state is JobState.COMPLETED
 
 
@@ -203,8 +203,8 @@
     other = next(start for start in small.allocations if start.task.index == 1)
     context.first_runner, context.second_runner = first.runner, other.runner
     # The other task ends without success, and a lost run makes room for the first one.
-    small.cell.withdraw(other)
-    small.cell.runner_lapsed(first.runner)
+    small.cell.release_start(other)
+    small.cell.handle_lapsed_runner(first.runner)
     small.cell.runner_by_id[first.runner].suspect = True
     context.first = first
     again = small.plan().starts
@@ -285,23 +285,23 @@
 
 @when('{seconds:f} s have passed')
 def time_passes(context, seconds):
-    context.lapsed = context.state.lapsed(1000 + seconds, 0.02)
+    context.leases_expired = context.state.leases_expired(1000 + seconds, 0.02)
 
 
 @when('it is looked at again and again without an answer')
 def look_in_vain(context):
     state = context.state
-    context.lapsed = False
+    context.leases_expired = False
     for tenths in range(60):
         now = 1000 + tenths / 10
         state.renew_lease(now, 5)
-        state.missed = True
-        context.lapsed = context.lapsed or state.lapsed(now, 0.02)
+        state.missed_last_poll = True
+        context.leases_expired = context.leases_expired or state.leases_expired(now, 0.02)
 
 
 @then('the leases have run out: {answer}')
 def leases_lapsed(context, answer):
-    assert context.lapsed is (answer == 'yes')
+    assert context.leases_expired is (answer == 'yes')
 
 
 @when('a job of two steps in a row is handed in')
@@ -331,7 +331,7 @@
 def job_with_rule(context, rule):
     small = context.small
     small.registration_by_id['w2'] = make_registration('w2', labels=('b', 'r-2'), port=2)
-    small.see_runners()
+    small.update_runners()
     made = {
         '4 tasks': step(count=4),
         '4 tasks, at most 2 each': step(count=4, max_per_runner=2),
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -129,7 +129,7 @@
         dispatcher._completion_gossip.begin()
         cell = dispatcher.cell
         # w1 answers no more; w2 does, and could run the task.
-        cell.see_runners({'w2': make_registration('w2')}, 0)
+        cell.update_runners({'w2': make_registration('w2')}, 0)
         context.blocked_at_first = cell.is_blocked(cell.job_by_id[JOB])
         await dispatcher._completion_gossip.ask()
         return cell
@@ -142,10 +142,10 @@
     job = context.cell.job_by_id[JOB]
     assert context.blocked_at_first, 'it could be started before peers had answered'
     assert not context.cell.is_blocked(job)
-    waits = bool(job.ready_steps(0)) and not job.over
+    waits = bool(job.ready_steps(0)) and not job.is_over
     assert waits is (outcome == 'started again'), job.state
     if not waits:
-        assert [dirty.id for dirty in context.cell.take_dirty()] == [JOB]
+        assert [dirty.id for dirty in context.cell.take_dirty_jobs()] == [JOB]
 
 
 @given('a host that the owner of epoch {epoch:d} has asked')
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from dandelionreel.cell.decisions._cell import CLOCK_DRIFT
+from dandelionreel.cell.decisions._cell import MAX_CLOCK_DRIFT
 from dandelionreel.cell.decisions._ledger import RunnerState
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
@@ -23,7 +23,7 @@
 @when('a lease is granted there and the owner releases the cell right then')
 def granted(context):
     lease_until = context.state.extend_lease(context.now, LEASE_SECONDS)
-    context.runs_out = TOLD_AT + lease_until / (1 - CLOCK_DRIFT)
+    context.runs_out = TOLD_AT + lease_until / (1 - MAX_CLOCK_DRIFT)
     term = Term(2, 'me/1', WriterFence(2, 1), context.now, True, False)
     context.given_up = Predecessors(term, LEASE_SECONDS, context.now).until
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -107,11 +107,11 @@
 
     late = False
 
-    async def read(self, offset, wait, most_bytes):
+    async def read(self, offset, wait, max_bytes):
         """Read once nothing is late any more."""
         while self.late:
             await curio.sleep(0.01)
-        return await super().read(offset, wait, most_bytes)
+        return await super().read(offset, wait, max_bytes)
 
 
 @given('a host that follows an owner that has left the cell')
--- a/features/steps/ends_steps.py
+++ b/features/steps/ends_steps.py
@@ -23,7 +23,7 @@
 def successor_waits(context):
     context.small = SmallCell(('w1', 'w2'), epoch=2, seen=False)
     context.small.poll('w2')
-    context.small.cell.unseen.add('w1')
+    context.small.cell.unseen_runners.add('w1')
     progress = Progress(1, JobState.RUNNING, runners=('w1',))
     context.small.add_job('j1', [step()], progress=progress)
     assert not context.small.plan().starts
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -4,7 +4,12 @@
 import msgspec
 from behave import given, then, when
 
-from dandelionreel.cell.membership._election import SILENT_SECONDS, UNSETTLED_SECONDS, Term, Vacancy
+from dandelionreel.cell.membership._election import (
+    PREDECESSOR_LEASE_SECONDS,
+    SILENT_SECONDS,
+    Term,
+    Vacancy,
+)
 from dandelionreel.cell.model import (
     Demand,
     JobSpec,
@@ -173,7 +178,9 @@
     dispatcher = start_term(context)
     cell = dispatcher.cell
     job = cell.job_by_id.get(JOB)
-    startable = job is not None and not job.over and bool(job.ready_steps(context.host.clock.now))
+    startable = (
+        job is not None and not job.is_over and bool(job.ready_steps(context.host.clock.now))
+    )
     assert startable is (handled == 'started'), (booked, job)
 
 
@@ -217,7 +224,7 @@
     late.follower.fresh_at = late.clock.now
     assert late.election._vacancy() is Vacancy.SILENT
     # Whoever claims then has to expect tasks of an owner of which it knows nothing.
-    assert late.folder.book.owner.unsettled == UNSETTLED_SECONDS
+    assert late.folder.book.owner.unsettled == PREDECESSOR_LEASE_SECONDS
 
 
 @given('a job that an owner has started on the runner i-1')
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -83,7 +83,7 @@
 @when('all its leases have run out')
 def leases_ran_out(context):
     context.small.poll('i-2')
-    context.small.cell.runner_lapsed('i-1')
+    context.small.cell.handle_lapsed_runner('i-1')
 
 
 @then('what ran there starts elsewhere')
@@ -206,7 +206,7 @@
 
 
 @then('the last one is read again whole')
-def read_again(context):
+def reprocess_ends(context):
     assert context.follower.offset == 2
     context.raw.cut = 0
     again = follow(context.topic, context.reader.runners, context.reader, 2)
--- a/features/steps/entry_view_steps.py
+++ b/features/steps/entry_view_steps.py
@@ -32,7 +32,7 @@
     body = {'clock_ms': 482113, 'running': list(running), 'finished': list(finished)}
     context.view = decode_view(json.dumps(body).encode())
     small = context.small
-    context.effect = small.cell.viewed(
+    context.effect = small.cell.handle_view(
         small.cell.runner_by_id['w1'], context.view, small.now, small.now
     )
 
@@ -77,14 +77,14 @@
 
 @then('no end from {number:d} on is acknowledged')
 def not_acknowledged(context, number):
-    assert context.small.cell.runner_by_id['w1'].acknowledgeable == number - 1
+    assert context.small.cell.runner_by_id['w1'].acknowledgeable_end == number - 1
 
 
 @given("a successor that cannot read a job's submission")
 def unreadable_job(context):
     context.small = SmallCell(('w1',), epoch=2)
     booked = BookedJob(JOB, None, False, None, submission_unreadable=True)
-    context.small.cell.see_job(booked, context.small.now, context.small.now)
+    context.small.cell.update_job(booked, context.small.now, context.small.now)
     assert not context.small.plan().starts
 
 
@@ -104,7 +104,7 @@
     context.small.poll('w1', ended=context.ends)
     assert context.small.cell.job_by_id[JOB].state is JobState.COMPLETED
     assert not context.small.plan().starts
-    assert context.small.cell.runner_by_id['w1'].acknowledgeable == 1
+    assert context.small.cell.runner_by_id['w1'].acknowledgeable_end == 1
 
 
 @when('it answers a look with no JSON')
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -20,7 +20,7 @@
     assert len({start.run for start in starts}) == 1
     context.unanswered = starts[0]
     for start in starts[1:]:
-        small.cell.start_answered(start, StartReply.STARTED, small.now)
+        small.cell.handle_start_reply(start, StartReply.STARTED, small.now)
 
 
 @when("the gang's share of the timeout has passed")
@@ -32,7 +32,7 @@
 @when('that start is taken back as nobody knows whether it arrived')
 def gang_taken_back(context):
     small = context.small
-    small.cell.start_answered(context.unanswered, StartReply.NO_ROOM, small.now, in_doubt=True)
+    small.cell.handle_start_reply(context.unanswered, StartReply.NO_ROOM, small.now, in_doubt=True)
 
 
 @then('its other members are stopped')
@@ -114,7 +114,7 @@
         kept = [run for run in small.runs_on(victim.runner) if run != (victim.task, victim.run)]
         listed = tuple(RunningTask(name, run, '', 0, 0.0) for name, run in kept)
         view = RunnerView(small.now, listed, (ended,))
-        small.cell.viewed(small.cell.runner_by_id[victim.runner], view, small.now, small.now)
+        small.cell.handle_view(small.cell.runner_by_id[victim.runner], view, small.now, small.now)
     context.made = small.plan()
 
 
@@ -122,7 +122,7 @@
 def waits_with_checkpoint(context):
     job = context.small.cell.job_by_id['f1']
     for victim in context.stopped:
-        found = job.find(victim.task)
+        found = job.find_task(victim.task)
         assert found[1].checkpoint.startswith('saved'), found
 
 
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -75,7 +75,7 @@
 def not_acknowledged(context):
     assert context.owner.may_act()
     assert 'e/j1' not in context.stored, context.stored
-    assert context.state.acknowledged == 0, 'acknowledged, and stored nowhere'
+    assert context.state.acknowledged_end == 0, 'acknowledged, and stored nowhere'
 
 
 @given('an owner whose heartbeat with a new runner is about to be given up')
@@ -96,7 +96,7 @@
         await curio.spawn(writer.run, daemon=True)
         await curio.spawn(writer.write, [make_record('x', 1)], 9.0, daemon=True)
         await until(lambda: topic.under_way == 1)
-        dispatcher.cell.see_runners({'w1': make_registration('w1')}, context.clock.monotonic())
+        dispatcher.cell.update_runners({'w1': make_registration('w1')}, context.clock.monotonic())
         await curio.spawn(dispatcher._beat, daemon=True)
         await until(lambda: topic.under_way == 6)
         return await topic.snapshot()
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -269,7 +269,7 @@
     crashed, starts = (CrashedRun(0, 0, 0, 1),), (StoredStart(0, 0, 0, 2, 'i-1@7'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('i-1@7',), crashed, starts)
     context.small = SmallCell((), epoch=2)
-    context.small.cell.unseen.add('i-1@7')
+    context.small.cell.unseen_runners.add('i-1@7')
     context.job = context.small.add_job('j1', [step()], progress=progress)
 
 
@@ -277,7 +277,7 @@
 def entry_read(context, incarnation):
     small = context.small
     small.registration_by_id[incarnation] = make_registration(incarnation)
-    small.see_runners()
+    small.update_runners()
 
 
 @when('{incarnation} has answered')
@@ -289,8 +289,8 @@
 @then('the task {state}, with {count:d} crashes')
 def task_state(context, state, count):
     cell = context.small.cell
-    cell.give_up_unseen(cell.find_outlived())
-    assert cell.is_blocked(context.job) is (state == 'is left alone'), cell.unseen
+    cell.drop_unseen_runners(cell.find_replaced_runners())
+    assert cell.is_blocked(context.job) is (state == 'is left alone'), cell.unseen_runners
     # One of them had been counted before.
     assert context.job.crashes.count(task('j1')) == 1 + count, context.job.crashes.crashed
     assert len(context.small.plan().starts) == (state == 'may start')
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions._ledger import QUARANTINE_SECONDS
-from dandelionreel.cell.decisions._losses import Losses, note_last_words
+from dandelionreel.cell.decisions._losses import Losses, apply_last_registrations
 from dandelionreel.cell.model import RunnerView, RunningTask, StartReply
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
@@ -31,11 +31,11 @@
 
 def start_well(context):
     small = context.small
-    small.cell.start_answered(context.start, StartReply.STARTED, small.now)
+    small.cell.handle_start_reply(context.start, StartReply.STARTED, small.now)
 
 
 def another_answers(context):
-    context.small.cell.runner_ended('w1', proven=True)
+    context.small.cell.handle_ended_runner('w1', proven=True)
 
 
 def next_life_answers(context):
@@ -43,7 +43,7 @@
     small = context.small
     port = small.registration_by_id.pop('w1').port
     small.registration_by_id['w1+'] = make_registration('w1+', port=port)
-    small.see_runners()
+    small.update_runners()
     small.poll('w1+')
 
 
@@ -61,7 +61,7 @@
 @when("another life answers at w1's address, to a look, a start and a stop")
 def replaced_thrice(context):
     state = context.small.cell.runner_by_id['w1']
-    losses = Losses(context.small.cell.live_by_id, set())
+    losses = Losses(context.small.cell.unfinished_job_by_id, set())
     assert len(losses.note_end(state)) == 1
     assert not losses.note_end(state)
     another_answers(context)
@@ -72,7 +72,7 @@
 def lapse(context):
     context.small.now += 10
     context.small.cell.runner_by_id['w1'].suspect = True
-    context.small.cell.runner_lapsed('w1')
+    context.small.cell.handle_lapsed_runner('w1')
 
 
 @when('the leases on w1 run out, then w1 answers')
@@ -85,7 +85,7 @@
 @when('the leases on w1 run out, then another life answers')
 def lapse_then_next(context):
     lapse(context)
-    context.small.cell.runner_ended('w1', proven=False)
+    context.small.cell.handle_ended_runner('w1', proven=False)
     next_life_answers(context)
 
 
@@ -94,7 +94,7 @@
     lapse(context)
     port = context.small.registration_by_id['w1'].port
     context.small.registration_by_id['w1+'] = make_registration('w1+', port=port)
-    context.small.see_runners()
+    context.small.update_runners()
 
 
 @when('w1 says that it leaves, then another life answers')
@@ -107,14 +107,14 @@
 def leaves_unheard(context):
     small = context.small
     last = replace(small.registration_by_id.pop('w1'), draining=True)
-    small.see_runners()
-    note_last_words(small.cell.runner_by_id.values(), {'w1': last}.get, small.now)
+    small.update_runners()
+    apply_last_registrations(small.cell.runner_by_id.values(), {'w1': last}.get, small.now)
     another_answers(context)
 
 
 @then('the task waits with {count:d} crashes')
 def waits(context, count):
-    found = context.job.find(task('j1'))
+    found = context.job.find_task(task('j1'))
     assert context.job.state is not JobState.FAILED
     assert not found[1].runner, found
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
@@ -123,15 +123,15 @@
 @then('the task waits with {count:d} crashes, {close:d} of them close')
 def waits_close(context, count, close):
     waits(context, count)
-    assert sum(run.close for run in context.job.crashes.crashed) == close
+    assert sum(run.during_start for run in context.job.crashes.crashed) == close
 
 
 @given('an owner with a task whose start on w1 {became}')
 def start_became(context, became):
     make_owner(context)
     start = context.start
-    start.unanswered = became in {'broke its connection', 'was met with silence'}
-    start.broken = became == 'broke its connection'
+    start.start_unanswered = became in {'broke its connection', 'was met with silence'}
+    start.connection_broken = became == 'broke its connection'
     if became.startswith('was answered'):
         start_well(context)
     if 'stop' in became:
@@ -147,8 +147,8 @@
     close = 'closely' in before
     crashed = tuple(CrashedRun(0, 0, 0, EARLIER_RUN + number, close) for number in range(count))
     make_owner(context, progress=Progress(1, JobState.RUNNING, crashed=crashed))
-    context.start.unanswered = context.start.broken = 'broke w1' in before
-    if not context.start.broken:
+    context.start.start_unanswered = context.start.connection_broken = 'broke w1' in before
+    if not context.start.connection_broken:
         start_well(context)
     if '30 s' in before:
         context.small.now += LONG_WELL
@@ -178,27 +178,27 @@
         context.listed = dict(context.small.registration_by_id)
         name = f'w{number}'
         context.small.registration_by_id = {name: context.listed[name]}
-        context.small.see_runners()
+        context.small.update_runners()
         context.small.add_job(f'j{number}', [step(cpu, seconds=60)])
         assert len(context.small.plan().starts) == 1
         context.small.registration_by_id = context.listed
-        context.small.see_runners()
+        context.small.update_runners()
 
 
 @when('two tasks break the connection of a fourth runner, which comes back')
 def two_break(context):
     small = context.small
     keep = {name: small.registration_by_id.pop(name) for name in ('w1', 'w2', 'w3')}
-    small.see_runners()
+    small.update_runners()
     context.jobs = [small.add_job(f's{number}', [step()]) for number in (1, 2)]
     starts = small.plan(start=False).starts
     assert [start.runner for start in starts] == ['w4', 'w4'], starts
     for start in starts:
-        start.unanswered = start.broken = True
+        start.start_unanswered = start.connection_broken = True
     small.registration_by_id.update(keep)
     small.registration_by_id.pop('w4')
-    small.see_runners()
-    small.cell.runner_ended('w4', proven=True)
+    small.update_runners()
+    small.cell.handle_ended_runner('w4', proven=True)
     # One fits on each of the three runners.
     small.add_job('other', [step(22_000, count=3, seconds=60)])
     context.starts = small.plan(start=False).starts
@@ -227,7 +227,7 @@
 def beside(context):
     small = context.small
     for start in context.starts:
-        small.cell.start_answered(start, StartReply.STARTED, small.now)
+        small.cell.handle_start_reply(start, StartReply.STARTED, small.now)
     small.now += QUARANTINE_SECONDS / 2
     assert not small.plan().starts
     small.now += QUARANTINE_SECONDS / 2
@@ -244,7 +244,7 @@
         starts = (StoredStart(0, 0, 0, run, 'w2' if 'w2' in stored else 'w1'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('w1', 'w2'), crashed, starts)
     context.small = SmallCell(('w1', 'w2'), epoch=2, seen=False)
-    context.small.cell.unseen.add('w1')
+    context.small.cell.unseen_runners.add('w1')
     context.job = context.small.add_job('j1', [step()], progress=progress)
 
 
@@ -257,15 +257,15 @@
 def unseen_given_up(context, entry):
     if entry == 'has gone':
         context.small.registration_by_id.pop('w1')
-        context.small.see_runners()
-    context.small.cell.give_up_unseen(tuple(context.small.cell.unseen))
+        context.small.update_runners()
+    context.small.cell.drop_unseen_runners(tuple(context.small.cell.unseen_runners))
 
 
 @then('it counts {count:d} crashes under the task')
 def counts(context, count):
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
     if count > 1:
-        assert context.job in context.small.cell.take_dirty()
+        assert context.job in context.small.cell.take_dirty_jobs()
 
 
 @then('it stores the next start before it is sent')
@@ -308,7 +308,7 @@
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
         """Break it."""
-        raise RunnerError('broken answer', Verdict.UNKNOWN, broken=True)
+        raise RunnerError('broken answer', Verdict.UNKNOWN, connection_broken=True)
 
 
 class LateRunner:
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -38,7 +38,7 @@
 def make_owner(context, clock, seconds):
     context.small = SmallCell(runners=())
     context.small.registration_by_id = {'w1': make_registration('w1', capacity=MANY)}
-    context.small.see_runners()
+    context.small.update_runners()
     context.small.poll('w1')
     context.owner = make_owner_context(context.small.cell, clock)
     context.owner.writer.stored_at = clock.monotonic()
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -8,7 +8,7 @@
 
 from dandelionreel.cell.decisions._job_rates import JobRates
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase
+from dandelionreel.cell.decisions._step_runs import TaskPhase
 from dandelionreel.cell.model import Demand, JobState, StartReply, Submission
 from dandelionreel.cell.model._model import JobSpec
 from dandelionreel.cell.model._records import Leftover, Progress
@@ -40,19 +40,19 @@
         self.submitted += 1
         job = f'{self.submitted:016x}'
         submission = Submission(queue, 'desk', self.now, JobSpec('', tuple(steps)), '', account)
-        self.cell.see_job(BookedJob(job, submission, False, progress), self.now, self.now)
+        self.cell.update_job(BookedJob(job, submission, False, progress), self.now, self.now)
         return self.cell.job_by_id[job]
 
     def placed(self, job):
         """Return how many tasks of a job are placed."""
-        return sum(task.phase is Phase.PLACED for step in job.steps(0) for task in step.tasks)
+        return sum(task.phase is TaskPhase.PLACED for step in job.steps(0) for task in step.tasks)
 
     def resize(self, runner, cores):
         """Let a runner have so many cores."""
         registration = self.registration_by_id[runner]
         capacity = Demand(1000 * cores, registration.capacity.memory_mb, 0)
         self.registration_by_id[runner] = replace(registration, capacity=capacity)
-        self.see_runners()
+        self.update_runners()
 
     def in_use(self, account):
         """Return the cores of all runs of an account, by what the runners hold."""
@@ -66,7 +66,7 @@
     def end(self, allocation, how='done'):
         """Let a runner list the end of a run."""
         runner = self.cell.runner_by_id[allocation.runner]
-        number = runner.noted + 1
+        number = runner.processed_end + 1
         self.poll(runner.id, ended=((number, allocation.task, allocation.run, how),))
 
     def end_old(self, seconds):
@@ -115,7 +115,7 @@
 def start_in_doubt(context, cores):
     context.first = context.small.hand_in('blue', [step(int(cores * 1000))])
     start = context.small.plan(start=False).starts[0]
-    context.small.cell.take_back(start)
+    context.small.cell.revoke_start(start)
     context.small.cell.cancel(context.first.id)
 
 
@@ -156,7 +156,7 @@
 @given('the account blue with a quota of {cores:g} cores, and a successor that cannot see w3')
 def successor(context, cores):
     context.small = AccountCell((blue(cores), red()), runners=RUNNERS, seen=False)
-    context.small.cell.unseen.add('w3')
+    context.small.cell.unseen_runners.add('w3')
     for runner in ('w1', 'w2'):
         context.small.poll(runner)
 
@@ -440,7 +440,7 @@
             queue = draw.choice(('urgent', 'gangs', 'batch'))
             small.hand_in(account, steps, queue)
         elif event < 0.7:
-            jobs = [job for job in small.cell.job_by_id.values() if not job.over]
+            jobs = [job for job in small.cell.job_by_id.values() if not job.is_over]
             if jobs:
                 small.cell.cancel(draw.choice(jobs).id)
         elif event < 0.8:
@@ -458,11 +458,11 @@
     for start in made.starts:
         answer = draw.random()
         if answer < 0.8:
-            small.cell.start_answered(start, StartReply.STARTED, small.now)
+            small.cell.handle_start_reply(start, StartReply.STARTED, small.now)
         elif answer < 0.9:
-            small.cell.take_back(start)
+            small.cell.revoke_start(start)
         else:
-            small.cell.start_answered(start, StartReply.NO_ROOM, small.now)
+            small.cell.handle_start_reply(start, StartReply.NO_ROOM, small.now)
 
 
 def end_some(small, draw):
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -5,7 +5,6 @@
 
 from dandelionreel.cell.model import Demand, JobSpec, JobState, Step
 from dandelionreel.cell.model._records import (
-    Attended,
     Cancellation,
     CrashedRun,
     DoneTasks,
@@ -14,6 +13,7 @@
     Member,
     Owner,
     Progress,
+    RunnersInUse,
     StoredStart,
     Submission,
 )
@@ -43,7 +43,7 @@
         leftovers=(Leftover('i-1@7', DEMAND),),
     ),
     'an owner': Owner(3, 'h', 'h/1/3', 4, True, 1.5, 6, 7),
-    'runners that are attended': Attended(3, ('i-1@7', 'i-2')),
+    'runners that are attended': RunnersInUse(3, ('i-1@7', 'i-2')),
     'a member': Member('north', '10.0.0.1', 7720, 'h/1', 2.0, 6),
 }
 
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -7,12 +7,12 @@
 
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
     MEMBER,
     OWNER_KEY,
-    Attended,
+    RUNNERS_IN_USE_KEY,
     Member,
     Owner,
+    RunnersInUse,
     make_record,
 )
 from dandelionreel.kernel import Verdict
@@ -28,7 +28,7 @@
     context.topic = MemoryTopic()
     records = [
         make_record(OWNER_KEY, Owner(1, 'other', 'other/1')),
-        make_record(ATTENDED_KEY, Attended(1, ('w9',))),
+        make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w9',))),
     ]
     curio.run(context.topic.append, records, 0.1, WriterFence(1, 3))
     context.host = Host('me', context.topic)
@@ -46,7 +46,7 @@
         return dispatcher, third, await third.own()
 
     context.dispatcher, third, term = curio.run(own_and_release)
-    assert context.dispatcher.cell.unseen == {'w9'}
+    assert context.dispatcher.cell.unseen_runners == {'w9'}
     assert term.released, term
     context.third = make_dispatcher(third, term, context.topic, third.clock)
     context.third._begin()
@@ -54,7 +54,7 @@
 
 @then('the third owner waits no less than the successor would have')
 def waits_as_long(context):
-    assert context.third.cell.unseen == {'w9'}
+    assert context.third.cell.unseen_runners == {'w9'}
     wanted = context.dispatcher._rounds.predecessors.until
     given_up = context.third._rounds.predecessors.until
     assert given_up >= wanted - 0.05, f'{wanted - given_up:.3f} s too early'
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -61,4 +61,4 @@
 @then('nothing of the job is started again')
 def nothing_again(context):
     job = context.dispatcher.cell.job_by_id.get('j1')
-    assert job is None or job.over, f'{job.id} is {job.state.value} here and over in the store'
+    assert job is None or job.is_over, f'{job.id} is {job.state.value} here and over in the store'
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -43,7 +43,7 @@
 @given('an owner of 2 runners and a job that may run on one it has not seen')
 def blocked_owner(context):
     context.small = SmallCell()
-    context.small.cell.unseen.add('w9')
+    context.small.cell.unseen_runners.add('w9')
     progress = Progress(1, JobState.RUNNING, runners=('w9',))
     context.small.add_job('j1', [step()], progress=progress)
     watch(context)
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -25,14 +25,14 @@
     forgets = False
     paged = False
 
-    async def read(self, offset, wait, most_bytes):
+    async def read(self, offset, wait, max_bytes):
         """Refuse what is forgotten; stay silent after the snapshot."""
         if self.paged:
             await curio.sleep(wait)
             raise StoreError('slow', Verdict.NOT_RUN)
         if self.forgets:
             raise RecordsExpired('forgotten')
-        return await super().read(offset, wait, most_bytes)
+        return await super().read(offset, wait, max_bytes)
 
     async def snapshot(self):
         """Read ends before and submissions after the job's end."""
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -154,9 +154,9 @@
 
     reads = 0
 
-    async def read(self, offset, wait, most_bytes):
+    async def read(self, offset, wait, max_bytes):
         self.reads += 1
-        count = most_bytes // 50_000
+        count = max_bytes // 50_000
         if min(count, len(self.records) - offset) > 6:
             raise StoreError('no answer in time', Verdict.NOT_RUN)
         records = tuple(self.records[offset : offset + count])
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -9,9 +9,9 @@
     MEMBER,
     OWNER_KEY,
     SUBMISSION,
-    Attended,
     Member,
     Owner,
+    RunnersInUse,
     make_record,
 )
 from dandelionreel.cell.owner._orders import Orders
@@ -52,12 +52,12 @@
 def waiting_successor(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.host.folder.book.attended = Attended(1, ('w9',))
+    context.host.folder.book.attended = RunnersInUse(1, ('w9',))
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
     context.dispatcher._begin()
-    context.dispatcher.cell.see_runners({'w1': make_registration('w1')}, heard_at)
+    context.dispatcher.cell.update_runners({'w1': make_registration('w1')}, heard_at)
 
 
 @when('the successor stores on which runners tasks may run')
@@ -145,7 +145,7 @@
     first, context.second = context.small.plan().starts
     context.first = first
     context.job.stored_runners.add(first.runner)
-    context.small.cell.withdraw(context.second)
+    context.small.cell.release_start(context.second)
     (context.second,) = context.small.plan(start=False).starts
     context.topic = MemoryTopic()
     context.owner = make_owner_context(
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -7,14 +7,14 @@
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
     OWNER_KEY,
+    PREDECESSOR_LEASE_SECONDS,
     PROGRESS,
+    RUNNERS_IN_USE_KEY,
     SUBMISSION,
-    UNSETTLED_SECONDS,
-    Attended,
     Owner,
     Progress,
+    RunnersInUse,
     Submission,
     make_record,
 )
@@ -39,7 +39,7 @@
         make_record(OWNER_KEY, Owner(4, 'other', 'other/1')),
         make_record(f'{SUBMISSION}j1', submission),
         make_record(f'{PROGRESS}j1', Progress(4, JobState.RUNNING, runners=('w9',))),
-        make_record(ATTENDED_KEY, Attended(4, ('w9',))),
+        make_record(RUNNERS_IN_USE_KEY, RunnersInUse(4, ('w9',))),
     ]
     curio.run(context.topic.append, records, 0.1, WriterFence(4, 3))
     context.host = Host('me', context.topic)
@@ -71,7 +71,7 @@
 
 @then('a claim says that it may last as long')
 def claim_covers(context):
-    assert context.longest <= UNSETTLED_SECONDS < context.longest + 0.2
+    assert context.longest <= PREDECESSOR_LEASE_SECONDS < context.longest + 0.2
 
 
 @given('a wait for an owner that was heard of just now')
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -14,7 +14,7 @@
         for zone in zones:
             name = f'{zone or "w"}-{number}'
             small.registration_by_id[name] = make_registration(name, zone=zone)
-    small.see_runners()
+    small.update_runners()
     for name in small.registration_by_id:
         small.poll(name)
     return small
@@ -34,7 +34,7 @@
     cell = context.small.cell
     for state in cell.runner_by_id.values():
         if state.registration.zone != 'south':
-            state.room = Demand(12_000, 65_536, 0)
+            state.free_capacity = Demand(12_000, 65_536, 0)
 
 
 @given('{count:d} runners that name no zone')
@@ -73,7 +73,7 @@
 
 def end(small, allocation):
     """Let a task be done as soon as it has started."""
-    small.cell.start_answered(allocation, StartReply.STARTED, small.now)
+    small.cell.handle_start_reply(allocation, StartReply.STARTED, small.now)
     small.poll(allocation.runner, ended=[(small.ends, allocation.task, allocation.run, 'done')])
     small.ends += 1
 
--- a/standins/_memory_topic.py
+++ b/standins/_memory_topic.py
@@ -72,7 +72,7 @@
                 self._append(records, fence, expected_end)
         self._late.clear()
 
-    async def read(self, offset: int, wait: float, most_bytes: int) -> RecordBatch:
+    async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
         """Return what follows ``offset``, waiting a little for news."""
         if self.down:
             raise StoreError('refused', Verdict.NOT_RUN)
