--- a/dandelionreel/cell/clients/_front.py
+++ b/dandelionreel/cell/clients/_front.py
@@ -18,9 +18,9 @@
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.membership import Completions, ContactWatch
 from dandelionreel.cell.model import (
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     FINAL_STATES,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Cancellation,
     ClientCodec,
     Configuration,
@@ -212,7 +212,7 @@
         )
         return await self._writes.store(
             call,
-            make_record(SUBMISSION + job_id, submission),
+            make_record(SUBMISSION_PREFIX + job_id, submission),
             lambda owner, patience: owner.accept(job_id, submission, patience),
             partial(self._log, request, job_id),
             queue=queue.name,
@@ -283,7 +283,7 @@
         over = booked.state in FINAL_STATES or self._completions.holds(job_id)
         if booked.cancelled or over:
             return self._codec.answer_accepted()
-        record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
+        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
         return await self._writes.store(
             call,
             record,
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -10,9 +10,9 @@
 from dandelionreel.cell.decisions._holdings import Holdings
 from dandelionreel.cell.decisions._job_rates import JobRates
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
-from dandelionreel.cell.decisions._losses import Losses
+from dandelionreel.cell.decisions._losses import RunnerLosses
 from dandelionreel.cell.decisions._quotas import QuotaLedger
-from dandelionreel.cell.decisions._runner_views import PollEffect, RunnerViews
+from dandelionreel.cell.decisions._runner_views import PollEffect, RunnerViewHandler
 from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskRun, counted_demand
 from dandelionreel.cell.decisions._tickets import TicketBook
@@ -66,8 +66,8 @@
         self.crashed_runs = 0
         self.quotas = QuotaLedger(self._holdings, self.unseen_runners)
         self._rates = JobRates()
-        self._losses = Losses(self.unfinished_job_by_id, self._holdings.dirty)
-        self._runner_views = RunnerViews(
+        self._losses = RunnerLosses(self.unfinished_job_by_id, self._holdings.dirty)
+        self._runner_views = RunnerViewHandler(
             self._holdings, self._losses, self.unreadable_jobs, self.queue_of
         )
 
--- a/dandelionreel/cell/decisions/_holdings.py
+++ b/dandelionreel/cell/decisions/_holdings.py
@@ -4,7 +4,7 @@
 from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._runs import JobRun
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun
-from dandelionreel.cell.decisions._stops import Stops
+from dandelionreel.cell.decisions._stops import StopQueue
 from dandelionreel.cell.model import TaskName
 
 
@@ -22,7 +22,7 @@
         self._runs = JobRuns()
         #: What the runs of each client account take together.
         self.usage = self._runs.usage
-        self._stops = Stops()
+        self._stops = StopQueue()
 
     def hold(self, runner: RunnerState, allocation: Allocation) -> None:
         """Count a run on its runner and for its job."""
@@ -33,7 +33,7 @@
         self._runs.free(runner, allocation)
         job = self.job_by_id.get(allocation.task.job)
         if job is not None:
-            job.note_run_over(allocation.task, allocation.run)
+            job.note_run_ended(allocation.task, allocation.run)
             self.dirty.add(job.id)
         return job
 
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_losses.py
@@ -24,7 +24,7 @@
     runs: tuple[Allocation, ...]
 
 
-class Losses:
+class RunnerLosses:
     """Counts the crashes of runners under the tasks of jobs that are not over."""
 
     def __init__(self, unfinished_job_by_id: dict[str, JobRun], dirty: set[str]) -> None:
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -6,7 +6,7 @@
 from dandelionreel.cell.decisions._crashes import Crash
 from dandelionreel.cell.decisions._holdings import Holdings, is_current
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
-from dandelionreel.cell.decisions._losses import Losses
+from dandelionreel.cell.decisions._losses import RunnerLosses
 from dandelionreel.cell.decisions._runs import JobRun
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun, counted_demand
 from dandelionreel.cell.model import (
@@ -31,20 +31,20 @@
     crashes: list[Crash] = field(default_factory=list)
 
     @property
-    def is_news(self) -> bool:
+    def has_changes(self) -> bool:
         """Return whether something may start or has to stop because of it; most polls only renew
         leases.
         """
         return bool(self.ended or self.adopted or self.lost or self.crashes)
 
 
-class RunnerViews:
+class RunnerViewHandler:
     """Takes what runners list."""
 
     def __init__(
         self,
         holdings: Holdings,
-        losses: Losses,
+        losses: RunnerLosses,
         unreadable_jobs: set[str],
         queue_of: Callable[[JobRun], Queue | None],
     ) -> None:
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -241,7 +241,7 @@
         stored = self.may_run_on(runner)
         return self.crashes.begin(name, run, runner) or not stored
 
-    def note_run_over(self, name: TaskName, run: int) -> None:
+    def note_run_ended(self, name: TaskName, run: int) -> None:
         """Note that a run is known to be over, however it ended."""
         self.dirty = self.crashes.end(name, run) or self.dirty
 
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -7,7 +7,7 @@
 STOP_SECONDS = 0.4
 
 
-class Stops:
+class StopQueue:
     """Stops on their way: due, then answered, until a poll proves that the run is gone."""
 
     def __init__(self) -> None:
--- a/dandelionreel/cell/model/_records.py
+++ b/dandelionreel/cell/model/_records.py
@@ -14,10 +14,10 @@
 from dandelionreel.cell.model._services import KeyedRecord
 
 OWNER_KEY = 'owner'
-SUBMISSION = 'j/'
-CANCELLATION = 'c/'
-PROGRESS = 'e/'
-MEMBER = 'm/'
+SUBMISSION_PREFIX = 'j/'
+CANCELLATION_PREFIX = 'c/'
+PROGRESS_PREFIX = 'e/'
+MEMBER_PREFIX = 'm/'
 RUNNERS_IN_USE_KEY = 'runners'
 
 #: Seconds for which leases of the latest owner may last that only it renews. Taken as well where
@@ -195,9 +195,9 @@
 
 def make_progress_records(job: str, progress: Progress) -> list[KeyedRecord]:
     """Return what keeps a job's progress; of a job that is over nothing else is kept."""
-    records = [make_record(PROGRESS + job, progress)]
+    records = [make_record(PROGRESS_PREFIX + job, progress)]
     if progress.state in FINAL_STATES:
-        records.append(make_tombstone(SUBMISSION + job))
+        records.append(make_tombstone(SUBMISSION_PREFIX + job))
         if progress.state is JobState.CANCELLED:
-            records.append(make_tombstone(CANCELLATION + job))
+            records.append(make_tombstone(CANCELLATION_PREFIX + job))
     return records
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -7,10 +7,10 @@
 from dandelionreel.cell.decisions import ANY_RUNNER, AdviceRequest, Cell, JobRun, Plan, Planner
 from dandelionreel.cell.membership import BEAT_SECONDS, AdvicePool, Term
 from dandelionreel.cell.model import (
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     OWNER_KEY,
     RUNNERS_IN_USE_KEY,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Cancellation,
     JobState,
     KeyedRecord,
@@ -151,7 +151,7 @@
         job = self.cell.job_by_id[job_id]
         self._log_rate(job)
         job.stored = False
-        record = make_record(SUBMISSION + job_id, submission)
+        record = make_record(SUBMISSION_PREFIX + job_id, submission)
         slow = self._owner_context.writer.usual_seconds > SLOW_SECONDS
         if slow:
             job.runners.add(ANY_RUNNER)
@@ -162,7 +162,7 @@
 
     async def cancel(self, job_id: str, patience: float) -> Written:
         """Store that a client has cancelled a job, and have it stopped."""
-        record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
+        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
         writing = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
         return await curio.ignore_after(patience, writing.join) or Written.UNKNOWN
 
--- a/dandelionreel/cell/owner/_rounds.py
+++ b/dandelionreel/cell/owner/_rounds.py
@@ -11,7 +11,13 @@
     stop_leaving,
 )
 from dandelionreel.cell.membership import AUTHORITY_SECONDS
-from dandelionreel.cell.model import CANCELLATION, PROGRESS, SUBMISSION, KeyedRecord, make_tombstone
+from dandelionreel.cell.model import (
+    CANCELLATION_PREFIX,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
+    KeyedRecord,
+    make_tombstone,
+)
 from dandelionreel.cell.owner._load_report import LoadReport
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.owner._parts import DispatcherParts
@@ -203,7 +209,8 @@
         records: list[KeyedRecord] = []
         for job_id in self._parts.jobs.book.jobs_ended_before(oldest):
             records.extend(
-                make_tombstone(key + job_id) for key in (SUBMISSION, CANCELLATION, PROGRESS)
+                make_tombstone(key + job_id)
+                for key in (SUBMISSION_PREFIX, CANCELLATION_PREFIX, PROGRESS_PREFIX)
             )
         if records:
             await curio.spawn(
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -75,7 +75,7 @@
         self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
         was_usable = state.usable(asked)
         effect = self._take_view(state, view, asked)
-        if effect.is_news or not was_usable:
+        if effect.has_changes or not was_usable:
             await self._owner_context.wake.notify()
         if effect.ended or unstored:
             await self._store_ends(state, effect)
--- a/dandelionreel/cell/store/_job_book.py
+++ b/dandelionreel/cell/store/_job_book.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from dandelionreel.cell.model import (
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     FINAL_STATES,
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
     PREDECESSOR_LEASE_SECONDS,
-    PROGRESS,
+    PROGRESS_PREFIX,
     RUNNERS_IN_USE_KEY,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Cancellation,
     JobState,
     KeyedRecord,
@@ -140,8 +140,8 @@
             submission,
             job in self.cancellation_by_id,
             progress,
-            submission is None and SUBMISSION + job in self.unreadable_keys,
-            progress is None and PROGRESS + job in self.unreadable_keys,
+            submission is None and SUBMISSION_PREFIX + job in self.unreadable_keys,
+            progress is None and PROGRESS_PREFIX + job in self.unreadable_keys,
         )
         if submission is not None or booked.unreadable:
             return booked
@@ -216,7 +216,7 @@
         if RUNNERS_IN_USE_KEY in self.unreadable_keys:
             self.attended = former.attended
         for key in self.unreadable_keys:
-            name = key[len(SUBMISSION) :]
+            name = key[len(SUBMISSION_PREFIX) :]
             known, earlier = self._facts_of(key), former._facts_of(key)
             fact = earlier.get(name)
             if fact is not None:
@@ -252,8 +252,8 @@
         self.unreadable_keys.add(key)
         if key == OWNER_KEY and self.owner is None:
             self.owner = UNKNOWN_OWNER
-        prefix, name = key[: len(SUBMISSION)], key[len(SUBMISSION) :]
-        if prefix in {SUBMISSION, PROGRESS}:
+        prefix, name = key[: len(SUBMISSION_PREFIX)], key[len(SUBMISSION_PREFIX) :]
+        if prefix in {SUBMISSION_PREFIX, PROGRESS_PREFIX}:
             self.changed.add(name)
 
     def _fold_one(self, record: KeyedRecord) -> None:
@@ -267,15 +267,15 @@
             if content is not None:
                 self.attended = decode_json(_ATTENDED, content)
             return
-        prefix, name = record.key[: len(SUBMISSION)], record.key[len(SUBMISSION) :]
-        if prefix == SUBMISSION:
+        prefix, name = record.key[: len(SUBMISSION_PREFIX)], record.key[len(SUBMISSION_PREFIX) :]
+        if prefix == SUBMISSION_PREFIX:
             self._fold_submission(name, content)
-        elif prefix == CANCELLATION:
+        elif prefix == CANCELLATION_PREFIX:
             _keep(self.cancellation_by_id, name, content, _CANCELLATION)
             self.changed.add(name)
-        elif prefix == PROGRESS:
+        elif prefix == PROGRESS_PREFIX:
             self._fold_progress(name, content)
-        elif prefix == MEMBER:
+        elif prefix == MEMBER_PREFIX:
             _keep(self.member_by_host, name, content, _MEMBER)
 
     def _fold_owner(self, content: bytes | None) -> None:
@@ -303,7 +303,7 @@
             check_progress(progress, submission.spec)
         except UnreadableError:
             self.progress_by_id.pop(job)
-            self.unreadable_keys.add(PROGRESS + job)
+            self.unreadable_keys.add(PROGRESS_PREFIX + job)
 
     def _fold_progress(self, job: str, content: bytes | None) -> None:
         if content is None:
@@ -320,12 +320,12 @@
     def _facts_of(self, key: str) -> dict:
         """Return the collection that a key's fact is kept in."""
         by_prefix: dict[str, dict] = {
-            SUBMISSION: self.submission_by_id,
-            CANCELLATION: self.cancellation_by_id,
-            PROGRESS: self.progress_by_id,
-            MEMBER: self.member_by_host,
+            SUBMISSION_PREFIX: self.submission_by_id,
+            CANCELLATION_PREFIX: self.cancellation_by_id,
+            PROGRESS_PREFIX: self.progress_by_id,
+            MEMBER_PREFIX: self.member_by_host,
         }
-        return by_prefix.get(key[: len(SUBMISSION)], {})
+        return by_prefix.get(key[: len(SUBMISSION_PREFIX)], {})
 
 
 def _decode_submission(job: str, content: bytes) -> Submission:
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -21,7 +21,7 @@
     PeerLinks,
     name_incarnation,
 )
-from dandelionreel.cell.model import MEMBER, Member, Registration, Runner, make_record
+from dandelionreel.cell.model import MEMBER_PREFIX, Member, Registration, Runner, make_record
 from dandelionreel.cell.owner import Dispatcher, DispatcherParts
 from dandelionreel.cell.store import GroupWriter, Written
 from dandelionreel.entry_clients import make_client_front
@@ -282,7 +282,7 @@
             settings.cores,
             self._reads.cell_follower.read_from,
         )
-        record = make_record(MEMBER + settings.host, member)
+        record = make_record(MEMBER_PREFIX + settings.host, member)
         while await self._writer.write([record], MEMBER_PATIENCE) is not Written.STORED:
             self._journal.tell(Part.PEERS, 'could not make itself known yet.')
 
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -27,7 +27,7 @@
     GOOD_CELL,
     JOB,
     START,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Reader,
     encode,
     frame,
@@ -253,7 +253,7 @@
             *([] if first else good),
             bad,
             *([frame(key, records[key]) for key in records if key != bad_key] if first else []),
-            frame(b'j/00000000000000aa', encode(SUBMISSION)),
+            frame(b'j/00000000000000aa', encode(SUBMISSION_PREFIX)),
         )
         book = reader.jobs.book
         assert book.find('00000000000000aa') is not None, 'a neighbour is not known'
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -69,26 +69,26 @@
     'services': [{'name': 'desk', 'enforces_capacity': False}],
     'limits': {'max_body_bytes': 9999},
 }
-SUBMISSION = Submission(
+SUBMISSION_PREFIX = Submission(
     'urgent',
     'desk',
     990.0,
     JobSpec('payload', (Step(2, Demand(2000, 100, 0), 0.5), Step(1, Demand(), 1.0, (0,)))),
 )
-PROGRESS = Progress(
+PROGRESS_PREFIX = Progress(
     4, JobState.RUNNING, (DoneTasks(0, 0, '1'),), (FailedRun(0, 0, 1, 4001),), runners=('i-1',)
 )
 OWNER = Owner(4, 'entry-1', 'entry-1/0a', 7)
 ATTENDED = RunnersInUse(4, ('i-1', 'i-2'))
-MEMBER = Member('north', '10.0.1.1', 7810, 'entry-1/0a', 1.0)
+MEMBER_PREFIX = Member('north', '10.0.1.1', 7810, 'entry-1/0a', 1.0)
 
 GOOD_CELL = {
-    f'j/{JOB}': SUBMISSION,
-    f'e/{JOB}': PROGRESS,
+    f'j/{JOB}': SUBMISSION_PREFIX,
+    f'e/{JOB}': PROGRESS_PREFIX,
     f'c/{JOB}': Cancellation(995.0),
     'owner': OWNER,
     'runners': ATTENDED,
-    'm/entry-1': MEMBER,
+    'm/entry-1': MEMBER_PREFIX,
 }
 
 
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -12,10 +12,10 @@
 from dandelionreel.cell.membership._configuration_exchange import ConfigurationExchange
 from dandelionreel.cell.model import JobSpec, JobState, RecordBatch, Submission, UnreadableError
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    PROGRESS,
-    SUBMISSION,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     Member,
     Owner,
     Progress,
@@ -105,7 +105,7 @@
 def make_exchange(context, folder, given, store_age):
     """Return an exchange with one peer, of which the store has answered so long ago."""
     context.book = JobBook()
-    context.book.fold([make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 1))])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 1))])
     context.links = ExchangePeers(given)
     clock = ManualClock(NOW)
     return ConfigurationExchange(
@@ -267,9 +267,9 @@
     account = '' if owner == 'nobody' else owner
     if state == 'queued':
         submission = Submission('plain', 'desk', 1.0, JobSpec('', (step(),)), '', account)
-        record = make_record(SUBMISSION + JOB, submission)
+        record = make_record(SUBMISSION_PREFIX + JOB, submission)
     else:
-        record = make_record(PROGRESS + JOB, Progress(1, JobState(state), account=account))
+        record = make_record(PROGRESS_PREFIX + JOB, Progress(1, JobState(state), account=account))
     context.jobs.fold(RecordBatch((record,), 1, 1))
 
 
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -19,9 +19,9 @@
 )
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    PROGRESS,
+    PROGRESS_PREFIX,
     RUNNERS_IN_USE_KEY,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Progress,
     RunnersInUse,
     Submission,
@@ -58,8 +58,8 @@
     progress = Progress(1, JobState.RUNNING, runners=('w9',))
     host.folder.book.fold(
         [
-            make_record(f'{SUBMISSION}j1', submission),
-            make_record(f'{PROGRESS}j1', progress),
+            make_record(f'{SUBMISSION_PREFIX}j1', submission),
+            make_record(f'{PROGRESS_PREFIX}j1', progress),
             make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w9',))),
         ]
     )
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -12,10 +12,10 @@
 from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, RunnerView, Submission
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    PROGRESS,
-    SUBMISSION,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     DoneTasks,
     Member,
     Owner,
@@ -125,9 +125,9 @@
         meanwhile = lambda: context.completions.answer(2)  # noqa: E731
     context.links = ZonePeer(peer == 'a host that is cut off as well', meanwhile)
     context.book = JobBook()
-    context.book.fold([make_record(f'{MEMBER}me', Member('south', '127.0.0.1', 1))])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
     if peer != 'no other host':
-        context.book.fold([make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 2))])
+        context.book.fold([make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 2))])
 
 
 @given("a runner of its zone that {runner} the job's only task")
@@ -135,7 +135,10 @@
     submission = Submission('urgent', 'desk', 0.0, JobSpec('x', (step(),)))
     progress = Progress(1, JobState.RUNNING, runners=('w1',))
     context.book.fold(
-        [make_record(SUBMISSION + JOB, submission), make_record(PROGRESS + JOB, progress)]
+        [
+            make_record(SUBMISSION_PREFIX + JOB, submission),
+            make_record(PROGRESS_PREFIX + JOB, progress),
+        ]
     )
     clock = ManualClock(1000)
     runners = RunnersFolder(None, clock, journal())
@@ -303,11 +306,11 @@
 @when("the cut heals, where the owner {answers}, and the store {shows} the job's end")
 def cut_heals(context, answers, shows):
     owner = {'is not known': None, 'is the host itself': 'me'}.get(answers, 'owner')
-    facts = [make_record(f'{MEMBER}owner', Member('north', '127.0.0.1', 9))]
+    facts = [make_record(f'{MEMBER_PREFIX}owner', Member('north', '127.0.0.1', 9))]
     if owner is not None:
         facts.append(make_record(OWNER_KEY, Owner(2, owner, f'{owner}/1')))
     if shows == 'shows at once':
-        facts.append(make_record(PROGRESS + JOB, Progress(2, JobState.COMPLETED)))
+        facts.append(make_record(PROGRESS_PREFIX + JOB, Progress(2, JobState.COMPLETED)))
     context.book.fold(facts)
     clock = context.completions._clock
     context.links = ReportedTo(answers == 'takes what it is told')
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -5,10 +5,10 @@
 
 from dandelionreel.cell.model import JobSpec, JobState, StartReply, Submission, WriterFence
 from dandelionreel.cell.model._records import (
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     OWNER_KEY,
     RUNNERS_IN_USE_KEY,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Cancellation,
     Owner,
     Progress,
@@ -35,12 +35,12 @@
 SUBMITTED = Submission('urgent', 'desk', 5.0, JobSpec('payload', (step(),)))
 RECORDS_BY_NAME = {
     'its submission and its cancellation': [
-        make_record(f'{SUBMISSION}j1', SUBMITTED),
-        make_record(f'{CANCELLATION}j1', Cancellation(6.0)),
+        make_record(f'{SUBMISSION_PREFIX}j1', SUBMITTED),
+        make_record(f'{CANCELLATION_PREFIX}j1', Cancellation(6.0)),
     ],
     'its final state': make_progress_records('j1', Progress(1, JobState.CANCELLED, ended_at=7.0)),
     'nothing of it': [],
-    'its submission': [make_record(f'{SUBMISSION}j1', SUBMITTED)],
+    'its submission': [make_record(f'{SUBMISSION_PREFIX}j1', SUBMITTED)],
 }
 
 
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -6,7 +6,7 @@
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.membership._election import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.model import RecordBatch, WriterFence
-from dandelionreel.cell.model._records import MEMBER, OWNER_KEY, Member, Owner, make_record
+from dandelionreel.cell.model._records import MEMBER_PREFIX, OWNER_KEY, Member, Owner, make_record
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.owner._predecessors import Predecessors
 from dandelionreel.kernel import ManualClock
@@ -68,7 +68,7 @@
     clock = ManualClock()
     context.host = host = Host('me', MemoryTopic(), clock)
     claim = make_record(OWNER_KEY, Owner(1, 'other', 'other/1'))
-    member = make_record(f'{MEMBER}other', Member('north', '127.0.0.1', 1))
+    member = make_record(f'{MEMBER_PREFIX}other', Member('north', '127.0.0.1', 1))
     host.folder.restart(RecordBatch((claim, member), 1, 1))
     host.follower._offset = 1
     for gap in gaps:
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -8,9 +8,9 @@
 from dandelionreel.cell.model import JobSpec, Submission, WriterFence
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import (
-    MEMBER,
-    PROGRESS,
-    SUBMISSION,
+    MEMBER_PREFIX,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     Member,
     Progress,
     make_record,
@@ -25,7 +25,7 @@
 from standins import MemoryTopic
 
 JOB = '0123456789abcdef'
-PEER = make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 1))
+PEER = make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 1))
 
 
 class AwayTopic(MemoryTopic):
@@ -102,8 +102,8 @@
     context.topic = MemoryTopic()
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     records = [
-        make_record(SUBMISSION + JOB, submission),
-        make_record(PROGRESS + JOB, Progress(1, JobState.RUNNING, runners=('w1',))),
+        make_record(SUBMISSION_PREFIX + JOB, submission),
+        make_record(PROGRESS_PREFIX + JOB, Progress(1, JobState.RUNNING, runners=('w1',))),
         PEER,
     ]
     curio.run(context.topic.append, records, 0.1)
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -11,7 +11,7 @@
 from dandelionreel.cell.membership._contact import MEMORY_SECONDS, Contact
 from dandelionreel.cell.membership._contact_watch import ContactWatch
 from dandelionreel.cell.model import Configuration, Service
-from dandelionreel.cell.model._records import MEMBER, Member, make_record
+from dandelionreel.cell.model._records import MEMBER_PREFIX, Member, make_record
 from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
 from dandelionreel.cell.store._job_book import JobBook
 from dandelionreel.http import Answer, Channel, Request, Server
@@ -100,7 +100,7 @@
 def make_watch(clock, links, store_answered_at):
     book = JobBook()
     for host, zone in (('me', 'north'), ('s-1', 'south'), ('s-2', 'south'), ('w-1', 'west')):
-        book.fold([make_record(f'{MEMBER}{host}', Member(zone, '127.0.0.1', 1))])
+        book.fold([make_record(f'{MEMBER_PREFIX}{host}', Member(zone, '127.0.0.1', 1))])
     return ContactWatch('me', 'north', book, links, lambda: store_answered_at, clock, journal())
 
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -8,7 +8,7 @@
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
     Member,
     Owner,
@@ -167,7 +167,7 @@
 @given('a host that follows an owner whose heartbeats are missed')
 def following_silent(context):
     context.topic = _topic_with_owner()
-    member = make_record(f'{MEMBER}other', Member('north', '10.0.0.9', 7))
+    member = make_record(f'{MEMBER_PREFIX}other', Member('north', '10.0.0.9', 7))
     curio.run(context.topic.append, [member], 0.1)
     context.host = Host('a', context.topic)
 
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -27,10 +27,10 @@
     CONFIGURATION,
     DEEP,
     JOB,
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER,
-    PROGRESS,
-    SUBMISSION,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     Reader,
     encode,
 )
@@ -85,21 +85,28 @@
     'a wild count': changed_spec(Step(10**15, Demand(), 1.0)),
     'a cycle of steps': changed_spec(Step(1, Demand(), 1.0, (0,))),
     'a tiny interval': encode(
-        Submission('urgent', 'desk', 9.0, JobSpec('x', SUBMISSION.spec.steps, 2, 1.0, 1e-300))
+        Submission(
+            'urgent', 'desk', 9.0, JobSpec('x', SUBMISSION_PREFIX.spec.steps, 2, 1.0, 1e-300)
+        )
     ),
     'a bad mask': changed_progress(DoneTasks(0, 0, '-x')),
     'a step too many': changed_progress(DoneTasks(0, 9, '1')),
     'an epoch below zero': encode(msgspec.structs.replace(OWNER, epoch=-1)),
     'an epoch of 400 digits': b'{"epoch":' + b'9' * 400 + b',"host":"x","term":"x/1"}',
     'a host that is a number': b'{"epoch":9,"host":7,"term":"x/1"}',
-    'port 0': encode(msgspec.structs.replace(MEMBER, port=0)),
-    'port 99999': encode(msgspec.structs.replace(MEMBER, port=99999)),
-    'an address of 300 characters': encode(msgspec.structs.replace(MEMBER, address='a' * 300)),
+    'port 0': encode(msgspec.structs.replace(MEMBER_PREFIX, port=0)),
+    'port 99999': encode(msgspec.structs.replace(MEMBER_PREFIX, port=99999)),
+    'an address of 300 characters': encode(
+        msgspec.structs.replace(MEMBER_PREFIX, address='a' * 300)
+    ),
 }
 BEFORE = {
     'nothing': (),
-    'a job': (make_record(f'j/{JOB}', SUBMISSION),),
-    'a job under way': (make_record(f'j/{JOB}', SUBMISSION), make_record(f'e/{JOB}', PROGRESS)),
+    'a job': (make_record(f'j/{JOB}', SUBMISSION_PREFIX),),
+    'a job under way': (
+        make_record(f'j/{JOB}', SUBMISSION_PREFIX),
+        make_record(f'e/{JOB}', PROGRESS_PREFIX),
+    ),
     'a completed job': (make_record(f'e/{JOB}', Progress(4, JobState.COMPLETED, ended_at=9.0)),),
 }
 
@@ -152,7 +159,7 @@
     booked = context.host.folder.book.find(JOB)
     # A host that took the job for accepted would not store it again.
     assert booked.may_be_stored_again
-    append(context, make_record(f'j/{JOB}', SUBMISSION))
+    append(context, make_record(f'j/{JOB}', SUBMISSION_PREFIX))
 
 
 @then('the job is shown as {state}')
@@ -231,7 +238,7 @@
 def started_on(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
-    job = (make_record(f'j/{JOB}', SUBMISSION), make_record(f'e/{JOB}', PROGRESS))
+    job = (make_record(f'j/{JOB}', SUBMISSION_PREFIX), make_record(f'e/{JOB}', PROGRESS_PREFIX))
     append(context, make_record('owner', OWNER), *job)
 
 
@@ -254,7 +261,7 @@
 def knows_peer(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
-    append(context, make_record('m/entry-1', MEMBER))
+    append(context, make_record('m/entry-1', MEMBER_PREFIX))
 
 
 @when("the peer's record becomes {record}")
@@ -264,4 +271,4 @@
 
 @then('the peer is where it was')
 def peer_is(context):
-    assert context.host.folder.book.member_by_host == {'entry-1': MEMBER}
+    assert context.host.folder.book.member_by_host == {'entry-1': MEMBER_PREFIX}
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -11,7 +11,7 @@
 from dandelionreel.ownership import DISPATCH_SHARD, Claimed, Membership, ShardEpoch, ShardFold
 
 EPOCH = 1
-MEMBER = 'me/1'
+MEMBER_PREFIX = 'me/1'
 NOW = 100_000.0
 HOUR = 3600.0
 SPEC = (
@@ -22,13 +22,13 @@
 
 def position(context, wall):
     context.offset += 1
-    return Position(context.offset, MEMBER, wall)
+    return Position(context.offset, MEMBER_PREFIX, wall)
 
 
 def intend(context, wall):
     """Begin the job's next attempt; return its number."""
     number = context.book.get('j1').next_attempt
-    intent = AttemptIntent('j1', number, EPOCH, MEMBER, ('w1',))
+    intent = AttemptIntent('j1', number, EPOCH, MEMBER_PREFIX, ('w1',))
     context.book.fold(intent, position(context, wall))
     return number
 
@@ -48,8 +48,8 @@
     context.offset = 1
     clock = ManualClock()
     shards = ShardFold(Membership(clock), clock)
-    claim = Claimed(MEMBER, (ShardEpoch(DISPATCH_SHARD, 0),))
-    shards.fold(claim, Position(0, MEMBER, 0))
+    claim = Claimed(MEMBER_PREFIX, (ShardEpoch(DISPATCH_SHARD, 0),))
+    shards.fold(claim, Position(0, MEMBER_PREFIX, 0))
     context.book = JobBook(shards, 10, 10)
     accepted = JobAccepted('j1', 'key', 'digest', load_spec(SPEC))
     context.book.fold(accepted, position(context, NOW))
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions._ledger import QUARANTINE_SECONDS
-from dandelionreel.cell.decisions._losses import Losses, apply_last_registrations
+from dandelionreel.cell.decisions._losses import RunnerLosses, apply_last_registrations
 from dandelionreel.cell.model import RunnerView, RunningTask, StartReply
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
@@ -61,7 +61,7 @@
 @when("another life answers at w1's address, to a look, a start and a stop")
 def replaced_thrice(context):
     state = context.small.cell.runner_by_id['w1']
-    losses = Losses(context.small.cell.unfinished_job_by_id, set())
+    losses = RunnerLosses(context.small.cell.unfinished_job_by_id, set())
     assert len(losses.note_end(state)) == 1
     assert not losses.note_end(state)
     another_answers(context)
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
     Member,
     Owner,
@@ -43,7 +43,7 @@
     book.fold(
         [
             make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1')),
-            make_record(f'{MEMBER}peer', Member('north', '127.0.0.1', 1)),
+            make_record(f'{MEMBER_PREFIX}peer', Member('north', '127.0.0.1', 1)),
         ]
     )
     context.relay = Relay('me', book, OnePeer(status), SystemClock(), journal())
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -7,7 +7,7 @@
 
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
     RUNNERS_IN_USE_KEY,
     Member,
@@ -130,7 +130,7 @@
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
     context.links = NextOwner(context.topic, answers)
-    member = make_record(f'{MEMBER}peer', Member('north', '127.0.0.1', 1))
+    member = make_record(f'{MEMBER_PREFIX}peer', Member('north', '127.0.0.1', 1))
     curio.run(context.topic.append, [member], 0.1)
 
 
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -7,8 +7,8 @@
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    PROGRESS,
-    SUBMISSION,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     Progress,
     Submission,
     make_progress_records,
@@ -28,8 +28,8 @@
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
     book = context.host.folder.book
-    running = make_record(f'{PROGRESS}j1', Progress(1, JobState.RUNNING, runners=('w1',)))
-    book.fold([make_record(f'{SUBMISSION}j1', JOB), running])
+    running = make_record(f'{PROGRESS_PREFIX}j1', Progress(1, JobState.RUNNING, runners=('w1',)))
+    book.fold([make_record(f'{SUBMISSION_PREFIX}j1', JOB), running])
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
     context.dispatcher._begin()
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -5,8 +5,8 @@
 
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    PROGRESS,
-    SUBMISSION,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     Progress,
     Submission,
     make_progress_records,
@@ -43,8 +43,8 @@
         await self.append(make_progress_records('j1', end), 0.1)
         second = await super().snapshot()
         self.paged = True
-        ends = [record for record in first.records if record.key.startswith(PROGRESS)]
-        others = [record for record in second.records if not record.key.startswith(PROGRESS)]
+        ends = [record for record in first.records if record.key.startswith(PROGRESS_PREFIX)]
+        others = [record for record in second.records if not record.key.startswith(PROGRESS_PREFIX)]
         return RecordBatch((*ends, *others), first.next_offset, first.next_offset)
 
 
@@ -53,7 +53,7 @@
     context.topic = ForgetfulTopic()
     context.host = Host('me', context.topic)
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
-    record = make_record(f'{SUBMISSION}j1', submission)
+    record = make_record(f'{SUBMISSION_PREFIX}j1', submission)
     curio.run(context.topic.append, [record], 0.1)
 
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -19,9 +19,9 @@
     WriterFence,
 )
 from dandelionreel.cell.model._records import (
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     OWNER_KEY,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Cancellation,
     Member,
     Owner,
@@ -61,7 +61,7 @@
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal())
         await curio.spawn(writer.run, daemon=True)
-        return await writer.write([KeyedRecord(f'{SUBMISSION}x', b'{}')], PATIENCE)
+        return await writer.write([KeyedRecord(f'{SUBMISSION_PREFIX}x', b'{}')], PATIENCE)
 
     context.outcome = curio.run(write)
 
@@ -104,7 +104,7 @@
     context.topic = topic
     submission = Submission('q', 'desk', 0.0, JobSpec('payload', (step(),)))
     for job in jobs:
-        curio.run(topic.append, [make_record(f'{SUBMISSION}{job}', submission)], LONG)
+        curio.run(topic.append, [make_record(f'{SUBMISSION_PREFIX}{job}', submission)], LONG)
     context.folder = JobFolder(SystemClock(), journal())
     context.follower = Follower(
         'cell',
@@ -226,7 +226,7 @@
         await curio.spawn(writer.run, daemon=True)
         beat = await curio.spawn(writer.write, [KeyedRecord(OWNER_KEY, b'{}')], LONG)
         await curio.sleep(0.05)
-        job = [KeyedRecord(f'{SUBMISSION}x', b'{}')]
+        job = [KeyedRecord(f'{SUBMISSION_PREFIX}x', b'{}')]
         context.outcome = await curio.ignore_after(1, writer.write, job, 0.3)
         await beat.join()
         await writer.write([], LONG)
@@ -294,14 +294,14 @@
 @given('a host that reads a record of another version')
 def other_version(context):
     context.topic = MemoryTopic()
-    curio.run(context.topic.append, [KeyedRecord(f'{SUBMISSION}j1', b'{"shape": 9}')], 0.1)
+    curio.run(context.topic.append, [KeyedRecord(f'{SUBMISSION_PREFIX}j1', b'{"shape": 9}')], 0.1)
     context.host = Host('a', context.topic)
 
 
 @when('a job is stored behind it')
 def another_job(context):
     submission = Submission('urgent', 'desk', 5.0, JobSpec('payload', ()))
-    curio.run(context.topic.append, [make_record(f'{SUBMISSION}j2', submission)], 0.1)
+    curio.run(context.topic.append, [make_record(f'{SUBMISSION_PREFIX}j2', submission)], 0.1)
 
     async def follow():
         await curio.spawn(context.host.follower.run, daemon=True)
@@ -319,8 +319,8 @@
 def stored_job(context, records):
     submission = Submission('urgent', 'desk', 5.0, JobSpec('payload', ()))
     record_by_name = {
-        'the submission': make_record(f'{SUBMISSION}j1', submission),
-        'its cancellation': make_record(f'{CANCELLATION}j1', Cancellation(6.0)),
+        'the submission': make_record(f'{SUBMISSION_PREFIX}j1', submission),
+        'its cancellation': make_record(f'{CANCELLATION_PREFIX}j1', Cancellation(6.0)),
     }
     context.topic = MemoryTopic()
     for name in records.split(' and '):
@@ -336,7 +336,7 @@
 @when('a late repetition of the submission lands')
 def late_submission(context):
     submission = Submission('urgent', 'desk', 8.0, JobSpec('payload', ()))
-    curio.run(context.topic.append, [make_record(f'{SUBMISSION}j1', submission)], 0.1)
+    curio.run(context.topic.append, [make_record(f'{SUBMISSION_PREFIX}j1', submission)], 0.1)
 
 
 @then('a host that starts now reads {count:d} record and shows it as {state}')
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -6,9 +6,9 @@
 from dandelionreel.cell.membership._election import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Member,
     Owner,
     RunnersInUse,
@@ -123,13 +123,13 @@
     context.book = JobBook()
     owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER}other', member), make_record(OWNER_KEY, owner)])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)])
 
 
 @when('word lands of a life on its host that first read it at offset {offset:d}')
 def word_of_life(context, offset):
     member = Member('north', '10.0.0.9', 7, 'other/1', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER}other', member)])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member)])
 
 
 @then('the owner is taken for {fate}')
@@ -161,7 +161,7 @@
         await context.owner.flush()
 
     async def race():
-        submission = make_record(f'{SUBMISSION}j1', context.job.submission)
+        submission = make_record(f'{SUBMISSION_PREFIX}j1', context.job.submission)
         await context.topic.append([submission], 0.1)
         await curio.spawn(context.owner.writer.run, daemon=True)
         await Orders(context.owner).send_starts([context.second])
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -9,9 +9,9 @@
 from dandelionreel.cell.model._records import (
     OWNER_KEY,
     PREDECESSOR_LEASE_SECONDS,
-    PROGRESS,
+    PROGRESS_PREFIX,
     RUNNERS_IN_USE_KEY,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Owner,
     Progress,
     RunnersInUse,
@@ -37,8 +37,8 @@
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     records = [
         make_record(OWNER_KEY, Owner(4, 'other', 'other/1')),
-        make_record(f'{SUBMISSION}j1', submission),
-        make_record(f'{PROGRESS}j1', Progress(4, JobState.RUNNING, runners=('w9',))),
+        make_record(f'{SUBMISSION_PREFIX}j1', submission),
+        make_record(f'{PROGRESS_PREFIX}j1', Progress(4, JobState.RUNNING, runners=('w9',))),
         make_record(RUNNERS_IN_USE_KEY, RunnersInUse(4, ('w9',))),
     ]
     curio.run(context.topic.append, records, 0.1, WriterFence(4, 3))
