--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -33,8 +33,8 @@
 #: than all of an earlier one, so none of them has to be stored.
 RUNS_PER_EPOCH = 1000
 #: Seconds for which a runner that refused a start gets none.
-REFUSED_QUIET = 0.3
-UNHEALTHY_QUIET = 1.0
+REFUSED_START_BACKOFF_SECONDS = 0.3
+UNHEALTHY_BACKOFF_SECONDS = 1.0
 #: How much slower than ours a runner's clock may run.
 MAX_CLOCK_DRIFT = 0.02
 
@@ -57,7 +57,7 @@
         #: Jobs of which something in the store cannot be read.
         self.unreadable_jobs: set[str] = set()
         #: Runners that are known to have ended.
-        self._dead: set[str] = set()
+        self._ended_runners: set[str] = set()
         self.gang_timeout = gang_timeout
         #: Whether peers may know jobs to be complete that are not here: nothing that has
         #: begun starts again before they have been asked.
@@ -201,9 +201,9 @@
         now: float,
     ) -> list[RunnerState]:
         """Take the list of runners; return those that are new."""
-        fresh = []
+        new_runners = []
         for runner_id, registration in registrations.items():
-            if runner_id in self._dead:
+            if runner_id in self._ended_runners:
                 continue
             known = self.runner_by_id.get(runner_id)
             if known is None:
@@ -213,13 +213,13 @@
                     continue
                 known = RunnerState(registration)
                 self.runner_by_id[runner_id] = known
-                fresh.append(known)
+                new_runners.append(known)
             known.note_registration(registration, now)
             known.listed = True
         for runner_id, known in self.runner_by_id.items():
             if runner_id not in registrations:
                 known.listed = False
-        return fresh
+        return new_runners
 
     def forget_runner(self, runner_id: str) -> None:
         """Forget a runner that holds nothing; it may be taken again."""
@@ -239,14 +239,14 @@
         its runs, which count before any of their tasks can start again.
         """
         if proven:
-            self._dead.add(runner_id)
+            self._ended_runners.add(runner_id)
         runner = self.runner_by_id.pop(runner_id, None)
         self.unseen_runners.discard(runner_id)
         if runner is None:
             return []
         crashes = self._losses.note_end(runner) if proven else []
         self._holdings.lose_all(runner)
-        self._take_crashes(crashes)
+        self._handle_crashes(crashes)
         return crashes
 
     def handle_lapsed_runner(self, runner_id: str) -> None:
@@ -273,14 +273,14 @@
         One whose entry is still there is only out of reach.
         """
         crashes = []
-        given_up = self.unseen_runners.intersection(runners)
-        for runner_id in given_up:
+        dropped = self.unseen_runners.intersection(runners)
+        for runner_id in dropped:
             known = self.runner_by_id.get(runner_id)
             if known is not None and known.listed:
                 continue
             crashes.extend(self._losses.note_unseen(runner_id))
-        self.unseen_runners -= given_up
-        self._take_crashes(crashes)
+        self.unseen_runners -= dropped
+        self._handle_crashes(crashes)
         return crashes
 
     def capacity(self) -> Demand:
@@ -363,14 +363,14 @@
         step = self.step_of(allocation)
         if runner is not None:
             if reply is StartReply.UNHEALTHY:
-                runner.no_starts_until = now + UNHEALTHY_QUIET
+                runner.no_starts_until = now + UNHEALTHY_BACKOFF_SECONDS
             elif reply is StartReply.NO_ROOM:
-                runner.no_starts_until = now + REFUSED_QUIET
+                runner.no_starts_until = now + REFUSED_START_BACKOFF_SECONDS
         if step is not None:
             if reply is StartReply.NO_TICKET:
                 self.tickets.revoke(step.name, allocation.runner)
             if reply is StartReply.INVALID:
-                step.not_before = now + UNHEALTHY_QUIET
+                step.not_before = now + UNHEALTHY_BACKOFF_SECONDS
         if in_doubt:
             self.revoke_start(allocation)
             return
@@ -404,11 +404,11 @@
     # Looks
 
     def handle_view(
-        self, runner: RunnerState, view: RunnerView, asked: float, now: float
+        self, runner: RunnerState, view: RunnerView, polled_at: float, now: float
     ) -> PollEffect:
         """Take all that a runner lists; ``asked`` is when the look was sent."""
-        effect = self._runner_views.take(runner, view, asked, now)
-        self._take_crashes(effect.crashes)
+        effect = self._runner_views.take(runner, view, polled_at, now)
+        self._handle_crashes(effect.crashes)
         if view.complete:
             self.unseen_runners.discard(runner.id)
         return effect
@@ -438,7 +438,7 @@
         self._holdings.dirty.add(job.id)
         self._holdings.stop_job(job.id)
 
-    def _take_crashes(self, crashes: list[Crash]) -> None:
+    def _handle_crashes(self, crashes: list[Crash]) -> None:
         self.crashed_runs += len(crashes)
         for crash in crashes:
             if crash.given_up:
--- a/dandelionreel/cell/decisions/_completeness.py
+++ b/dandelionreel/cell/decisions/_completeness.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, Progress, StepName
 
-HEX = 16
+HEX_BASE = 16
 
 
 def is_complete(job: str, spec: JobSpec, progress: Progress, ended: Iterable[EndedRun]) -> bool:
@@ -17,7 +17,7 @@
         return False
     done: dict[StepName, set[int]] = defaultdict(set)
     for entry in progress.done:
-        mask = int(entry.mask, HEX)
+        mask = int(entry.mask, HEX_BASE)
         indexes = {index for index in range(mask.bit_length()) if mask >> index & 1}
         done[StepName(job, entry.occurrence, entry.step)] |= indexes
     for end in ended:
--- a/dandelionreel/cell/decisions/_crashes.py
+++ b/dandelionreel/cell/decisions/_crashes.py
@@ -12,7 +12,7 @@
 
 #: Crashes right at its start after which a task is given up. After the first one it starts alone,
 #: so the second one is no chance.
-CLOSE_LIMIT = 2
+START_CRASH_LIMIT = 2
 #: Crashes of any kind after which it is given up, as one that crashes its runner late is never
 #: caught at its start.
 CRASH_LIMIT = 3
@@ -54,12 +54,12 @@
     def crashed(self) -> tuple[CrashedRun, ...]:
         """Return all runs that count, as they are stored."""
         found = [run for runs in self._runs_by_task.values() for run in runs.values()]
-        return tuple(sorted(found, key=_order))
+        return tuple(sorted(found, key=_sort_key))
 
     @property
     def starts(self) -> tuple[StoredStart, ...]:
         """Return the starts under way that are stored one by one."""
-        return tuple(sorted(self._start_by_task.values(), key=_order))
+        return tuple(sorted(self._start_by_task.values(), key=_sort_key))
 
     def restore(
         self,
@@ -72,7 +72,7 @@
         for start in starts:
             self._start_by_task[_key(start)] = start
 
-    def note(self, task: TaskName, run: int, *, during_start: bool) -> bool:
+    def record_crash(self, task: TaskName, run: int, *, during_start: bool) -> bool:
         """Count a crash under a run; return whether it is news."""
         key = _key(task)
         runs = self._runs_by_task.setdefault(key, {})
@@ -91,13 +91,15 @@
 
     def is_quarantined(self, task: TaskName) -> bool:
         """Return whether a task is to start by itself, as it may crash the next runner too."""
-        return self._count_close(task) > 0 or self.count(task) >= QUARANTINE_CRASHES
+        return self._count_start_crashes(task) > 0 or self.count(task) >= QUARANTINE_CRASHES
 
     def is_given_up(self, task: TaskName) -> bool:
         """Return whether a task has crashed so many runners that it is not started again."""
-        return self._count_close(task) >= CLOSE_LIMIT or self.count(task) >= CRASH_LIMIT
+        return (
+            self._count_start_crashes(task) >= START_CRASH_LIMIT or self.count(task) >= CRASH_LIMIT
+        )
 
-    def begin(self, task: TaskName, run: int, runner: str) -> bool:
+    def record_start(self, task: TaskName, run: int, runner: str) -> bool:
         """Note a start that is about to be sent; return whether it is to be stored before.
 
         An owner may be lost between a start and the crash. A successor that finds the
@@ -110,7 +112,7 @@
         self._start_by_task[key] = StoredStart(*key, run, runner)
         return True
 
-    def end(self, task: TaskName, run: int) -> bool:
+    def record_run_end(self, task: TaskName, run: int) -> bool:
         """Note that a run has ended, however; return whether its start was stored."""
         start = self._start_by_task.get(_key(task))
         if start is None or start.run != run:
@@ -122,14 +124,14 @@
         """Return the starts on a runner of which the store tells."""
         return [start for start in self._start_by_task.values() if start.runner == runner]
 
-    def _count_close(self, task: TaskName) -> int:
+    def _count_start_crashes(self, task: TaskName) -> int:
         runs = self._runs_by_task.get(_key(task), {})
         return sum(run.during_start for run in runs.values())
 
 
-def _key(named: TaskName | CrashedRun | StoredStart) -> _TaskKey:
-    return named.occurrence, named.step, named.index
+def _key(row: TaskName | CrashedRun | StoredStart) -> _TaskKey:
+    return row.occurrence, row.step, row.index
 
 
-def _order(named: CrashedRun | StoredStart) -> tuple[int, int, int, int]:
-    return named.occurrence, named.step, named.index, named.run
+def _sort_key(row: CrashedRun | StoredStart) -> tuple[int, int, int, int]:
+    return row.occurrence, row.step, row.index, row.run
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -13,11 +13,11 @@
 NEVER = float('-inf')
 #: Estimates are guesses; a task that outlives its own is taken to need this
 #: share of it again.
-OVERRUN_SHARE = 0.25
+OVERRUN_FRACTION = 0.25
 #: Seconds for which a draining runner stays when it does not say so.
-DRAIN_SECONDS = 2.0
+DEFAULT_DRAIN_SECONDS = 2.0
 #: Seconds that the news of a drain may have been under way.
-ENTRY_AGE = 0.3
+MAX_ENTRY_DELAY_SECONDS = 0.3
 #: Seconds that a quarantined task must have been well on a runner before anything else starts
 #: there.
 QUARANTINE_SECONDS = 0.5
@@ -119,8 +119,10 @@
     def note_registration(self, registration: Registration, now: float) -> None:
         """Take what the runner says of itself, and when it will be gone at the earliest."""
         if registration.draining and not self.registration.draining:
-            stays = DRAIN_SECONDS if registration.remaining is None else registration.remaining
-            self.may_leave_at = now + max(0.0, stays - ENTRY_AGE)
+            stays = (
+                DEFAULT_DRAIN_SECONDS if registration.remaining is None else registration.remaining
+            )
+            self.may_leave_at = now + max(0.0, stays - MAX_ENTRY_DELAY_SECONDS)
         self.registration = registration
         self.free_capacity = registration.capacity - self.used
 
@@ -265,4 +267,4 @@
         return now
     began = allocation.started_at or allocation.placed_at
     usual = began + allocation.expected
-    return max(usual, now + OVERRUN_SHARE * allocation.expected)
+    return max(usual, now + OVERRUN_FRACTION * allocation.expected)
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_losses.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class _Lapsed:
+class _LapsedRunner:
     """A silent runner whose leases ran out, with what it may have taken with it."""
 
     runner: str
@@ -34,7 +34,7 @@
         """
         self._live_by_id = unfinished_job_by_id
         self._dirty = dirty
-        self._lapsed_by_address: dict[Address, _Lapsed] = {}
+        self._lapsed_by_address: dict[Address, _LapsedRunner] = {}
 
     def note_end(self, runner: RunnerState) -> list[Crash]:
         """Count what a runner took with it whose life is proven to be over."""
@@ -54,7 +54,9 @@
         """Keep what was lost with a silent runner until it is known what became of it."""
         if not runner.draining:
             runs = tuple(runner.allocation_by_run.values())
-            self._lapsed_by_address[_address(runner)] = _Lapsed(runner.id, runner.answered_at, runs)
+            self._lapsed_by_address[_address(runner)] = _LapsedRunner(
+                runner.id, runner.answered_at, runs
+            )
 
     def note_answer(self, runner: RunnerState) -> list[Crash]:
         """Take a runner's first answer: it lives, and all that was at its address before is over.
@@ -82,8 +84,10 @@
                 job.mark_crashes_incomplete()
                 self._dirty.add(job.id)
             for start in job.crashes.started_on(runner_id):
-                task = _task(job.id, start)
-                crashes.extend(self._take(job, task, start.run, runner_id, during_start=False))
+                task = _task_name(job.id, start)
+                crashes.extend(
+                    self._record_crash(job, task, start.run, runner_id, during_start=False)
+                )
         return crashes
 
     def _count_lapsed(self, address: Address) -> list[Crash]:
@@ -106,11 +110,13 @@
                 self._dirty.add(job.id)
                 continue
             crashes.extend(
-                self._take(job, run.task, run.run, runner_id, during_start=run.connection_broken)
+                self._record_crash(
+                    job, run.task, run.run, runner_id, during_start=run.connection_broken
+                )
             )
         return crashes
 
-    def _take(
+    def _record_crash(
         self,
         job: JobRun,
         task: TaskName,
@@ -142,7 +148,7 @@
             runner.note_registration(last, now)
 
 
-def _task(job: str, start: StoredStart) -> TaskName:
+def _task_name(job: str, start: StoredStart) -> TaskName:
     return TaskName(job, start.occurrence, start.step, start.index)
 
 
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -54,7 +54,9 @@
         self._unreadable_jobs = unreadable_jobs
         self._queue_of = queue_of
 
-    def take(self, runner: RunnerState, view: RunnerView, asked: float, now: float) -> PollEffect:
+    def take(
+        self, runner: RunnerState, view: RunnerView, polled_at: float, now: float
+    ) -> PollEffect:
         """Take all that a runner lists; ``asked`` is when the look was sent."""
         effect = PollEffect()
         if runner.answered_at == NEVER or runner.suspect:
@@ -70,20 +72,20 @@
             runner.processed_end = ended.number
             if ended.task.job in self._unreadable_jobs:
                 runner.retain_end(ended.number)
-            effect.ended.append((ended, self._take_end(runner, ended)))
-        listed = set()
+            effect.ended.append((ended, self._apply_end(runner, ended)))
+        listed_runs = set()
         for running in view.running:
-            listed.add((running.task, running.run))
-            effect.adopted += self._take_running(runner, running, asked, now)
+            listed_runs.add((running.task, running.run))
+            effect.adopted += self._apply_running(runner, running, polled_at, now)
         if view.complete:
-            self._lose_unlisted(runner, listed, asked, effect)
+            self._drop_unlisted(runner, listed_runs, polled_at, effect)
         return effect
 
-    def _lose_unlisted(
+    def _drop_unlisted(
         self,
         runner: RunnerState,
-        listed: set[tuple[TaskName, int]],
-        asked: float,
+        listed_runs: set[tuple[TaskName, int]],
+        polled_at: float,
         effect: PollEffect,
     ) -> None:
         """Drop what a complete view does not list.
@@ -92,15 +94,18 @@
         row may not be readable: taken for gone, its task would start again.
         """
         for allocation in tuple(runner.allocation_by_run.values()):
-            if (allocation.task, allocation.run) in listed or allocation.order_answered_at is None:
+            if (
+                allocation.task,
+                allocation.run,
+            ) in listed_runs or allocation.order_answered_at is None:
                 continue
             # A poll that was under way when the order was answered may have
             # been listed before the order took effect.
-            if asked > allocation.order_answered_at:
+            if polled_at > allocation.order_answered_at:
                 effect.lost.append(allocation)
                 self._holdings.lose(runner, allocation)
 
-    def _take_end(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
+    def _apply_end(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
         holdings = self._holdings
         allocation = runner.allocation_by_run.get((ended.task, ended.run))
         job = holdings.job_by_id.get(ended.task.job)
@@ -113,17 +118,17 @@
         if ended.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = ended.checkpoint
         if ended.outcome is Outcome.DONE and not step.step.long_running:
-            self._take_done(job, step, ended)
+            self._apply_done(job, step, ended)
             return allocation
         if ended.outcome is Outcome.FAILED:
-            self._take_failed(job, task, runner, ended)
+            self._apply_failure(job, task, runner, ended)
         if is_current(task, runner.id, ended.run):
             step.release(task)
             if step.step.gang:
                 holdings.stop_members(step)
         return allocation
 
-    def _take_failed(
+    def _apply_failure(
         self,
         job: JobRun,
         task: TaskRun,
@@ -137,7 +142,7 @@
         if job.state is JobState.FAILED:
             self._holdings.stop_job(job.id)
 
-    def _take_done(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
+    def _apply_done(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
         holdings = self._holdings
         members = step.tasks if step.step.gang else [step.tasks[ended.task.index]]
         for member in members:
@@ -149,11 +154,11 @@
         job.note_done(ended.task)
         holdings.dirty.add(job.id)
 
-    def _take_running(
+    def _apply_running(
         self,
         runner: RunnerState,
         running: RunningTask,
-        asked: float,
+        polled_at: float,
         now: float,
     ) -> int:
         allocation = runner.allocation_by_run.get((running.task, running.run))
@@ -164,7 +169,7 @@
         allocation.gauge = running.gauge
         allocation.checkpoint = running.checkpoint or allocation.checkpoint
         self._holdings.settle_start(allocation, now)
-        self._holdings.repeat_stop(allocation, asked)
+        self._holdings.repeat_stop(allocation, polled_at)
         return 0
 
     def _adopt(self, runner: RunnerState, running: RunningTask, now: float) -> None:
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -18,7 +18,7 @@
     TaskName,
 )
 
-HEX = 16
+HEX_BASE = 16
 #: In a job's runners: its tasks may have been started anywhere.
 ANY_RUNNER = '*'
 
@@ -183,7 +183,7 @@
             step.finish(task)
         self._check_complete()
 
-    def note_failed(self, name: TaskName, run: int, most: int) -> None:
+    def note_failed(self, name: TaskName, run: int, max_failures: int) -> None:
         """Count a failed run once; after ``most`` of them the job has failed."""
         step = self.find_step(name)
         if step is None or step.complete:
@@ -196,7 +196,7 @@
         self.dirty = True
         task = step.tasks[index]
         task.failures += 1
-        if task.failures >= most and not step.step.long_running and not self.is_over:
+        if task.failures >= max_failures and not step.step.long_running and not self.is_over:
             self.state = JobState.FAILED
 
     def note_crashed(self, name: TaskName, run: int, *, during_start: bool) -> bool:
@@ -207,7 +207,7 @@
         found = self.find_task(name)
         if found is None or self.is_over or found[1].phase is TaskPhase.DONE:
             return False
-        if not self.crashes.note(name, run, during_start=during_start):
+        if not self.crashes.record_crash(name, run, during_start=during_start):
             return False
         self.dirty = True
         found[1].quarantined = self.crashes.is_quarantined(name)
@@ -239,11 +239,11 @@
         """Note a start that is about to be sent; return whether it must be stored before."""
         self.runners.add(runner)
         stored = self.may_run_on(runner)
-        return self.crashes.begin(name, run, runner) or not stored
+        return self.crashes.record_start(name, run, runner) or not stored
 
     def note_run_ended(self, name: TaskName, run: int) -> None:
         """Note that a run is known to be over, however it ended."""
-        self.dirty = self.crashes.end(name, run) or self.dirty
+        self.dirty = self.crashes.record_run_end(name, run) or self.dirty
 
     def mark_started(self) -> None:
         """Note that a first task runs."""
@@ -266,7 +266,7 @@
         self.cancelled = progress.state is JobState.CANCELLED
         self.ended_at = progress.ended_at
         for entry in progress.done:
-            mask = int(entry.mask, HEX)
+            mask = int(entry.mask, HEX_BASE)
             step = self.steps(entry.occurrence)[entry.step]
             for index, task in enumerate(step.tasks):
                 if mask >> index & 1:
@@ -312,7 +312,7 @@
                     if task.phase is TaskPhase.DONE
                 )
                 done.append(DoneTasks(occurrence, step.name.step, f'{mask:x}'))
-        failed = () if self.is_over else tuple(sorted(self._failed_runs, key=_failed_order))
+        failed = () if self.is_over else tuple(sorted(self._failed_runs, key=_failed_sort_key))
         state = JobState.CANCELLED if self._shows_cancelled() else self.state
         if self.is_over:
             return Progress(
@@ -360,5 +360,5 @@
             self._done_occurrences += 1
 
 
-def _failed_order(failed: FailedRun) -> tuple[int, int, int, int]:
+def _failed_sort_key(failed: FailedRun) -> tuple[int, int, int, int]:
     return (failed.occurrence, failed.step, failed.index, failed.run)
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -11,10 +11,10 @@
 #: Seconds without a change, beyond what runs are expected to take, until a job is stalled.
 STALL_SECONDS = 3.0
 #: Share of its expected time by which a run may be late.
-OVERRUN_SHARE = 1.0
+LATE_FRACTION = 1.0
 #: Seconds between two looks at all jobs, and until the same stall is reported again.
-LOOK_SECONDS = 1.5
-REPEAT_SECONDS = 5.0
+CHECK_INTERVAL_SECONDS = 1.5
+REPORT_INTERVAL_SECONDS = 5.0
 #: Jobs in one report, and runs named for one job.
 MAX_JOBS = 5
 MAX_RUNS = 10
@@ -48,16 +48,16 @@
         """Watch the jobs of that cell."""
         self._cell = cell
         self._progress_by_job: dict[str, _Progress] = {}
-        self._looked_at = float('-inf')
+        self._checked_at = float('-inf')
 
     def find(self, now: float, wall: float) -> list[StalledJob]:
         """Return stalled jobs that are due for a report, those without a change longest first."""
-        if now - self._looked_at < LOOK_SECONDS:
+        if now - self._checked_at < CHECK_INTERVAL_SECONDS:
             return []
-        self._looked_at = now
-        due = sorted(self._list_due(now), key=_since)
+        self._checked_at = now
+        candidates = sorted(self._find_candidates(now), key=_since)
         stalled: list[StalledJob] = []
-        for known, job in due:
+        for known, job in candidates:
             steps = job.unfinished_steps(wall)
             held = self._cell.allocations_of_job(job.id)
             if len(stalled) == MAX_JOBS:
@@ -67,20 +67,23 @@
                 stalled.append(self._describe(job, steps, held, now - known.since, now))
         return stalled
 
-    def _list_due(self, now: float) -> list[tuple[_Progress, JobRun]]:
+    def _find_candidates(self, now: float) -> list[tuple[_Progress, JobRun]]:
         """Return the jobs without a change for long that have not been reported lately."""
-        former = self._progress_by_job
+        previous = self._progress_by_job
         self._progress_by_job = {}
-        due = []
+        candidates = []
         for job in self._cell.unfinished_job_by_id.values():
             changes = job.count_changes()
-            known = former.get(job.id)
+            known = previous.get(job.id)
             if known is None or known.changes != changes:
                 known = _Progress(changes, now)
             self._progress_by_job[job.id] = known
-            if now - max(known.since + STALL_SECONDS, known.reported_at + REPEAT_SECONDS) >= 0:
-                due.append((known, job))
-        return due
+            if (
+                now - max(known.since + STALL_SECONDS, known.reported_at + REPORT_INTERVAL_SECONDS)
+                >= 0
+            ):
+                candidates.append((known, job))
+        return candidates
 
     def _describe(
         self,
@@ -115,7 +118,7 @@
 
 def _is_overdue(known: _Progress, held: Iterable[Allocation], now: float) -> bool:
     expected = max((allocation.expected for allocation in held), default=0.0)
-    return now - known.since >= STALL_SECONDS + expected * (1 + OVERRUN_SHARE)
+    return now - known.since >= STALL_SECONDS + expected * (1 + LATE_FRACTION)
 
 
 def _describe_run(allocation: Allocation, now: float) -> str:
--- a/dandelionreel/cell/decisions/_zone_reachability.py
+++ b/dandelionreel/cell/decisions/_zone_reachability.py
@@ -11,9 +11,9 @@
 #: Seconds after which an order's answer is overdue.
 OVERDUE_SECONDS = 0.08
 #: Runners of a zone that must be silent: one may have ended.
-SILENT_RUNNERS = 2
+MIN_SILENT_RUNNERS = 2
 #: Seconds after which an order that was never answered tells nothing any more.
-MEMORY_SECONDS = 1.0
+ORDER_EXPIRY_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
@@ -35,7 +35,7 @@
         recent = [
             order
             for order in self._orders_by_zone.get(zone, ())
-            if now - order.sent_at < MEMORY_SECONDS
+            if now - order.sent_at < ORDER_EXPIRY_SECONDS
         ]
         self._orders_by_zone[zone] = [*recent, _Order(runner, now)]
 
@@ -49,15 +49,15 @@
 
         Where all are in doubt, it is this host that is cut off, or nothing can be told.
         """
-        known = set(zones)
-        self._unreachable.update(zone for zone in known if self._is_silent(zone, now))
-        found = known & self._unreachable
-        return found if found < known else set()
+        all_zones = set(zones)
+        self._unreachable.update(zone for zone in all_zones if self._is_silent(zone, now))
+        unreachable = all_zones & self._unreachable
+        return unreachable if unreachable < all_zones else set()
 
     def _is_silent(self, zone: str, now: float) -> bool:
         overdue = {
             order.runner
             for order in self._orders_by_zone.get(zone, ())
-            if OVERDUE_SECONDS <= now - order.sent_at < MEMORY_SECONDS
+            if OVERDUE_SECONDS <= now - order.sent_at < ORDER_EXPIRY_SECONDS
         }
-        return len(overdue) >= SILENT_RUNNERS
+        return len(overdue) >= MIN_SILENT_RUNNERS
--- a/dandelionreel/cell/model/_checks.py
+++ b/dandelionreel/cell/model/_checks.py
@@ -8,29 +8,29 @@
 from dandelionreel.cell.model._records import CrashedRun, FailedRun, Progress, StoredStart
 from dandelionreel.cell.model._unreadable import Reason, UnreadableError
 
-MOST_STEPS = 100
-MOST_TASKS = 10_000
-MOST_OCCURRENCES = 10_000
+MAX_STEPS = 100
+MAX_TASKS = 10_000
+MAX_OCCURRENCES = 10_000
 #: More than any machine has of anything, and some days in seconds for an estimate.
-LARGEST_DEMAND = 2_147_483_648
-LONGEST_ESTIMATE = 1e9
+MAX_DEMAND = 2_147_483_648
+MAX_ESTIMATE_SECONDS = 1e9
 #: Seconds. Occurrences at shorter intervals are all due at once, and time divided by
 #: a tiny interval is infinite, which has no whole number.
-SHORTEST_INTERVAL = 0.001
+MIN_INTERVAL_SECONDS = 0.001
 #: Seconds since the epoch, either way: 30,000 years.
-FARTHEST_TIME = 1e12
-HEX = 16
+MAX_TIME_SECONDS = 1e12
+HEX_BASE = 16
 
 
 def check_spec(spec: JobSpec) -> None:
     """Raise ``UnreadableError`` for a job that is out of bounds; it says which part."""
-    if not 1 <= len(spec.steps) <= MOST_STEPS:
-        raise _out_of_bounds(f'steps: 1 to {MOST_STEPS} are allowed')
-    if not 0 <= spec.repeat_count <= MOST_OCCURRENCES:
-        raise _out_of_bounds(f'repeat_count: 0 to {MOST_OCCURRENCES} is allowed')
-    if spec.interval < 0 or 0 < spec.interval < SHORTEST_INTERVAL:
+    if not 1 <= len(spec.steps) <= MAX_STEPS:
+        raise _out_of_bounds(f'steps: 1 to {MAX_STEPS} are allowed')
+    if not 0 <= spec.repeat_count <= MAX_OCCURRENCES:
+        raise _out_of_bounds(f'repeat_count: 0 to {MAX_OCCURRENCES} is allowed')
+    if spec.interval < 0 or 0 < spec.interval < MIN_INTERVAL_SECONDS:
         raise _out_of_bounds('the interval is 0 or a millisecond at least')
-    if max(abs(spec.first_run), spec.interval) > FARTHEST_TIME:
+    if max(abs(spec.first_run), spec.interval) > MAX_TIME_SECONDS:
         raise _out_of_bounds('the first run or the interval is too far away')
     for number, step in enumerate(spec.steps):
         _check_step(number, step)
@@ -38,12 +38,12 @@
 
 def _check_step(number: int, step: Step) -> None:
     demand = step.demand
-    if not 1 <= step.count <= MOST_TASKS:
-        raise _out_of_bounds(f'step {number}: count must be 1 to {MOST_TASKS}')
+    if not 1 <= step.count <= MAX_TASKS:
+        raise _out_of_bounds(f'step {number}: count must be 1 to {MAX_TASKS}')
     amounts = (demand.cpu, demand.memory_mb, demand.gpu)
-    if min(*amounts, step.estimate) < 0 or max(amounts) > LARGEST_DEMAND:
+    if min(*amounts, step.estimate) < 0 or max(amounts) > MAX_DEMAND:
         raise _out_of_bounds(f'step {number}: cpu, mem_mb, gpu or estimate_ms is out of bounds')
-    if step.estimate > LONGEST_ESTIMATE:
+    if step.estimate > MAX_ESTIMATE_SECONDS:
         raise _out_of_bounds(f'step {number}: estimate_ms is out of bounds')
     for earlier in step.depends_on:
         # Only earlier steps may be named, so there can be no cycle.
@@ -55,24 +55,24 @@
     """Raise ``UnreadableError`` for progress on tasks that the job does not have."""
     for done in progress.done:
         step = _find_step(spec, done.occurrence, done.step)
-        if int(done.mask, HEX) >> step.count:
+        if int(done.mask, HEX_BASE) >> step.count:
             raise _out_of_bounds(f'more tasks of step {done.step} are done than it has')
     rows: tuple[FailedRun | CrashedRun | StoredStart, ...] = (
         *progress.failed,
         *progress.crashed,
         *progress.starts,
     )
-    for named in rows:
-        step = _find_step(spec, named.occurrence, named.step)
-        if named.index >= step.count:
-            raise _out_of_bounds(f'step {named.step} has no task {named.index}')
+    for row in rows:
+        step = _find_step(spec, row.occurrence, row.step)
+        if row.index >= step.count:
+            raise _out_of_bounds(f'step {row.step} has no task {row.index}')
 
 
 def check_leftovers(progress: Progress) -> None:
     """Raise ``UnreadableError`` for runs of a job that is over which take less than nothing."""
-    for left in progress.leftovers:
-        if min(left.demand.cpu, left.demand.memory_mb, left.demand.gpu) < 0:
-            raise _out_of_bounds(f'what is left on {left.runner} takes less than nothing')
+    for leftover in progress.leftovers:
+        if min(leftover.demand.cpu, leftover.demand.memory_mb, leftover.demand.gpu) < 0:
+            raise _out_of_bounds(f'what is left on {leftover.runner} takes less than nothing')
 
 
 def _find_step(spec: JobSpec, occurrence: int, number: int) -> Step:
--- a/dandelionreel/cell/model/_incarnations.py
+++ b/dandelionreel/cell/model/_incarnations.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 #: Digits of a Unix millisecond that is exact in JSON.
-LONGEST_START = 16
+MAX_START_DIGITS = 16
 _SEPARATOR = '@'
 
 
@@ -50,5 +50,5 @@
 
 def _started(incarnation: str) -> int | None:
     _, separator, suffix = incarnation.rpartition(_SEPARATOR)
-    known = separator and suffix.isdecimal() and len(suffix) <= LONGEST_START
+    known = separator and suffix.isdecimal() and len(suffix) <= MAX_START_DIGITS
     return int(suffix) if known else None
--- a/dandelionreel/cell/model/_model.py
+++ b/dandelionreel/cell/model/_model.py
@@ -49,8 +49,8 @@
 
     def dominant_share(self, whole: 'Demand') -> float:
         """Return the largest fraction of ``whole`` over the resources that it has."""
-        parts = ((self.cpu, whole.cpu), (self.memory_mb, whole.memory_mb), (self.gpu, whole.gpu))
-        return max((part / all_of for part, all_of in parts if all_of > 0), default=0.0)
+        amounts = ((self.cpu, whole.cpu), (self.memory_mb, whole.memory_mb), (self.gpu, whole.gpu))
+        return max((part / total for part, total in amounts if total > 0), default=0.0)
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -214,8 +214,8 @@
         self._queues_by_host: dict[str, list[Queue]] = {}
         for queue in queues:
             self._queues_by_host.setdefault(queue.host.lower(), []).append(queue)
-        for known in self._queues_by_host.values():
-            known.sort(key=_prefix_length, reverse=True)
+        for named_queues in self._queues_by_host.values():
+            named_queues.sort(key=_prefix_length, reverse=True)
 
     @property
     def services(self) -> set[str]:
--- a/dandelionreel/cell/model/_records.py
+++ b/dandelionreel/cell/model/_records.py
@@ -24,20 +24,20 @@
 #: the record of the owner cannot be read.
 PREDECESSOR_LEASE_SECONDS = 17.8
 #: No owner writes more; a wild figure would keep its successor from ever starting tasks.
-LONGEST_UNSETTLED = 60
+MAX_UNSETTLED_SECONDS = 60
 #: Whole numbers are exact in JSON up to here. An epoch beyond would outbid every owner.
-LARGEST = 9_007_199_254_740_992
-LAST_PORT = 65_535
+MAX_EXACT_INTEGER = 9_007_199_254_740_992
+MAX_PORT = 65_535
 #: More than any host has, in cores.
-MOST_CORES = 100_000
+MAX_CORES = 100_000
 
-Count = Annotated[int, msgspec.Meta(ge=0, lt=LARGEST)]
+Count = Annotated[int, msgspec.Meta(ge=0, lt=MAX_EXACT_INTEGER)]
 Mask = Annotated[str, msgspec.Meta(pattern='^[0-9a-f]{1,4000}$')]
 Text = Annotated[str, msgspec.Meta(min_length=1)]
 HostName = Annotated[str, msgspec.Meta(pattern='^[0-9A-Za-z._-]{1,253}$')]
-Port = Annotated[int, msgspec.Meta(ge=1, le=LAST_PORT)]
-Cores = Annotated[float, msgspec.Meta(ge=0, le=MOST_CORES)]
-Unsettled = Annotated[float, msgspec.Meta(ge=0, le=LONGEST_UNSETTLED)]
+Port = Annotated[int, msgspec.Meta(ge=1, le=MAX_PORT)]
+Cores = Annotated[float, msgspec.Meta(ge=0, le=MAX_CORES)]
+Unsettled = Annotated[float, msgspec.Meta(ge=0, le=MAX_UNSETTLED_SECONDS)]
 
 
 class Submission(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -20,14 +20,14 @@
 NoteUnreadable = Callable[[str, str], None]
 
 #: Characters of a message or of a key that go into a log line.
-TEXT_LENGTH = 120
+MAX_TEXT_CHARACTERS = 120
 #: Keys of which it is remembered what was logged last. A writer of ever new keys pushes out the
 #: oldest.
-KEYS_REMEMBERED = 4000
+MAX_REMEMBERED_KEYS = 4000
 #: Lines in so many seconds: a writer of ever new keys must not fill the log. One
 #: bad entry of every runner of a small site is still told.
-LINES_TOLD = 20
-TELL_SECONDS = 10.0
+MAX_LINES_PER_WINDOW = 20
+WINDOW_SECONDS = 10.0
 
 
 class Reason(enum.Enum):
@@ -47,7 +47,7 @@
 
     def __init__(self, reason: Reason, message: str) -> None:
         """Keep the reason, and a message that is cut to a line's length."""
-        super().__init__(message[:TEXT_LENGTH])
+        super().__init__(message[:MAX_TEXT_CHARACTERS])
         self.reason = reason
 
 
@@ -87,8 +87,8 @@
         self._note = note
         self._reason_by_key: OrderedDict[str, Reason] = OrderedDict()
         self._window_until = float('-inf')
-        self._told = 0
-        self._untold = 0
+        self._lines_in_window = 0
+        self._suppressed_lines = 0
 
     def refuse(self, key: str, error: UnreadableError, meaning: str) -> None:
         """Count an unreadable record; ``meaning`` says what follows from it."""
@@ -97,7 +97,7 @@
         if self._reason_by_key.get(key) is error.reason:
             return
         self._reason_by_key[key] = error.reason
-        if len(self._reason_by_key) > KEYS_REMEMBERED:
+        if len(self._reason_by_key) > MAX_REMEMBERED_KEYS:
             self._reason_by_key.popitem(last=False)
         self._tell(key, f'cannot be read, {meaning}: {error}', error.reason)
 
@@ -113,18 +113,18 @@
     def _tell(self, key: str, outcome: str, reason: Reason) -> None:
         now = self._clock.monotonic()
         if now >= self._window_until:
-            self._window_until = now + TELL_SECONDS
-            self._told = 0
-        if self._told >= LINES_TOLD:
-            self._untold += 1
+            self._window_until = now + WINDOW_SECONDS
+            self._lines_in_window = 0
+        if self._lines_in_window >= MAX_LINES_PER_WINDOW:
+            self._suppressed_lines += 1
             return
-        self._told += 1
-        name = key[:TEXT_LENGTH]
+        self._lines_in_window += 1
+        name = key[:MAX_TEXT_CHARACTERS]
         self._journal.tell(
             self._part,
             f'the record of {name!r} in {self._topic} {outcome}.',
             key=name,
             reason=reason.value,
-            untold=self._untold,
+            untold=self._suppressed_lines,
         )
-        self._untold = 0
+        self._suppressed_lines = 0
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -17,7 +17,7 @@
 from features.cell_parts import SmallCell, make_registration, step, task
 from features.store_parts import make_owner_context
 
-LONG_WELL = 30
+LONG_RUN_SECONDS = 30
 EARLIER_RUN = 7
 
 
@@ -29,16 +29,16 @@
     assert context.start.runner == 'w1', context.start
 
 
-def start_well(context):
+def confirm_start(context):
     small = context.small
     small.cell.handle_start_reply(context.start, StartReply.STARTED, small.now)
 
 
-def another_answers(context):
+def replace_runner(context):
     context.small.cell.handle_ended_runner('w1', proven=True)
 
 
-def next_life_answers(context):
+def answer_as_new_incarnation(context):
     """Another life registers at w1's address and answers its first look."""
     small = context.small
     port = small.registration_by_id.pop('w1').port
@@ -50,12 +50,12 @@
 @given('an owner with a task that runs on w1')
 def running(context):
     make_owner(context)
-    start_well(context)
+    confirm_start(context)
 
 
 @when("another life answers at w1's address")
 def replaced(context):
-    another_answers(context)
+    replace_runner(context)
 
 
 @when("another life answers at w1's address, to a look, a start and a stop")
@@ -64,8 +64,8 @@
     losses = RunnerLosses(context.small.cell.unfinished_job_by_id, set())
     assert len(losses.note_end(state)) == 1
     assert not losses.note_end(state)
-    another_answers(context)
-    another_answers(context)
+    replace_runner(context)
+    replace_runner(context)
 
 
 @when('the leases on w1 run out')
@@ -79,14 +79,14 @@
 def lapse_then_answer(context):
     lapse(context)
     context.small.poll('w1')
-    next_life_answers(context)
+    answer_as_new_incarnation(context)
 
 
 @when('the leases on w1 run out, then another life answers')
 def lapse_then_next(context):
     lapse(context)
     context.small.cell.handle_ended_runner('w1', proven=False)
-    next_life_answers(context)
+    answer_as_new_incarnation(context)
 
 
 @when('the leases on w1 run out, then another life is listed')
@@ -100,16 +100,16 @@
 @when('w1 says that it leaves, then another life answers')
 def leaves(context):
     context.small.drain('w1')
-    another_answers(context)
+    replace_runner(context)
 
 
 @when('w1 says that it leaves as its entry goes, then another answers')
-def leaves_unheard(context):
+def leaves_with_entry(context):
     small = context.small
     last = replace(small.registration_by_id.pop('w1'), draining=True)
     small.update_runners()
     apply_last_registrations(small.cell.runner_by_id.values(), {'w1': last}.get, small.now)
-    another_answers(context)
+    replace_runner(context)
 
 
 @then('the task waits with {count:d} crashes')
@@ -133,11 +133,11 @@
     start.start_unanswered = became in {'broke its connection', 'was met with silence'}
     start.connection_broken = became == 'broke its connection'
     if became.startswith('was answered'):
-        start_well(context)
+        confirm_start(context)
     if 'stop' in became:
         context.small.cell.stop(start)
     if '30 s' in became:
-        context.small.now += LONG_WELL
+        context.small.now += LONG_RUN_SECONDS
         context.small.poll('w1', running=[(start.task, start.run)])
 
 
@@ -149,9 +149,9 @@
     make_owner(context, progress=Progress(1, JobState.RUNNING, crashed=crashed))
     context.start.start_unanswered = context.start.connection_broken = 'broke w1' in before
     if not context.start.connection_broken:
-        start_well(context)
+        confirm_start(context)
     if '30 s' in before:
-        context.small.now += LONG_WELL
+        context.small.now += LONG_RUN_SECONDS
         context.small.poll('w1', running=[(context.start.task, context.start.run)])
 
 
@@ -162,7 +162,7 @@
     else:
         # Listed by a former owner's runner: the run on w1 is still being stopped.
         context.job.note_done(task('j1'))
-    another_answers(context)
+    replace_runner(context)
 
 
 @then('its job is told as {state}')
@@ -250,7 +250,7 @@
 
 @when("it finds that another life answers at w1's address")
 def finds_replaced(context):
-    another_answers(context)
+    replace_runner(context)
 
 
 @when('the leases on w1 must have run out and its entry {entry}')
@@ -320,19 +320,19 @@
     async def poll(self, epoch, acknowledged, lease_until, wait):
         """List what ran before."""
         start = self.context.start
-        another_answers(self.context)
+        replace_runner(self.context)
         listed = RunningTask(start.task, start.run, '', 0, 0.0)
         return RunnerView(self.context.small.now, (listed,), ())
 
 
 @when('a look at w1 is answered after another life was met there')
 def late_answer(context):
-    owner = own_context(context)
+    owner = make_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, LateRunner(context))
 
 
-def own_context(context):
+def make_context(context):
     return make_owner_context(context.small.cell, ManualClock(context.small.now))
 
 
@@ -344,7 +344,7 @@
 
 @when('w1 falls silent before the start is sent')
 def falls_silent(context):
-    owner = own_context(context)
+    owner = make_context(context)
     context.runner = owner.runner_by_id['w1'] = CountingRunner()
     context.small.cell.runner_by_id['w1'].suspect = True
 
@@ -368,7 +368,7 @@
 
 @when('the connection of the look breaks')
 def look_breaks(context):
-    owner = own_context(context)
+    owner = make_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, BreakingRunner())
 
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -19,10 +19,10 @@
 from standins import MemoryTopic
 
 
-class ForgetfulTopic(MemoryTopic):
+class TruncatingTopic(MemoryTopic):
     """Forgets its history once, and reads keys in two pages, between which a job ends."""
 
-    forgets = False
+    truncated = False
     paged = False
 
     async def read(self, offset, wait, max_bytes):
@@ -30,14 +30,14 @@
         if self.paged:
             await curio.sleep(wait)
             raise StoreError('slow', Verdict.NOT_RUN)
-        if self.forgets:
+        if self.truncated:
             raise RecordsExpired('forgotten')
         return await super().read(offset, wait, max_bytes)
 
     async def snapshot(self):
         """Read ends before and submissions after the job's end."""
         first = await super().snapshot()
-        if not self.forgets:
+        if not self.truncated:
             return first
         end = Progress(1, JobState.COMPLETED, ended_at=1.0)
         await self.append(make_progress_records('j1', end), 0.1)
@@ -50,7 +50,7 @@
 
 @given('a host that knows all that stands in the store')
 def has_read(context):
-    context.topic = ForgetfulTopic()
+    context.topic = TruncatingTopic()
     context.host = Host('me', context.topic)
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     record = make_record(f'{SUBMISSION_PREFIX}j1', submission)
@@ -58,14 +58,14 @@
 
 
 @when('the store forgets its history and a job ends while the host reads a snapshot')
-def forgets(context):
+def truncated(context):
     async def play():
         host = context.host
         await curio.spawn(host.follower.run, daemon=True)
         assert await host.follower.wait_fresh(host.clock.monotonic(), 5.0)
         assert host.folder.book.find('j1') is not None
         context.began = host.follower.fresh_at
-        context.topic.forgets = True
+        context.topic.truncated = True
         await until(lambda: context.topic.paged)
         await curio.sleep(0.01)
 
