--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -178,7 +178,7 @@
         job = holdings.job_by_id.get(running.task.job)
         found = None if job is None else job.find_task(running.task)
         account = '' if job is None else job.account
-        allocation = _make_adopted(runner, running, now, found, account)
+        allocation = _make_adopted_allocation(runner, running, now, found, account)
         holdings.hold(runner, allocation)
         if job is None or found is None:
             holdings.stop(allocation)
@@ -199,7 +199,7 @@
         holdings.mark_started(job.id)
 
 
-def _make_adopted(
+def _make_adopted_allocation(
     runner: RunnerState,
     running: RunningTask,
     now: float,
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -57,14 +57,14 @@
         self._checked_at = now
         candidates = sorted(self._find_candidates(now), key=_since)
         stalled: list[StalledJob] = []
-        for known, job in candidates:
+        for progress, job in candidates:
             steps = job.unfinished_steps(wall)
             held = self._cell.allocations_of_job(job.id)
             if len(stalled) == MAX_JOBS:
                 break
-            if steps and _is_overdue(known, held, now):
-                known.reported_at = now
-                stalled.append(self._describe(job, steps, held, now - known.since, now))
+            if steps and _is_overdue(progress, held, now):
+                progress.reported_at = now
+                stalled.append(self._describe(job, steps, held, now - progress.since, now))
         return stalled
 
     def _find_candidates(self, now: float) -> list[tuple[_Progress, JobRun]]:
@@ -74,15 +74,18 @@
         candidates = []
         for job in self._cell.unfinished_job_by_id.values():
             changes = job.count_changes()
-            known = previous.get(job.id)
-            if known is None or known.changes != changes:
-                known = _Progress(changes, now)
-            self._progress_by_job[job.id] = known
+            progress = previous.get(job.id)
+            if progress is None or progress.changes != changes:
+                progress = _Progress(changes, now)
+            self._progress_by_job[job.id] = progress
             if (
-                now - max(known.since + STALL_SECONDS, known.reported_at + REPORT_INTERVAL_SECONDS)
+                now
+                - max(
+                    progress.since + STALL_SECONDS, progress.reported_at + REPORT_INTERVAL_SECONDS
+                )
                 >= 0
             ):
-                candidates.append((known, job))
+                candidates.append((progress, job))
         return candidates
 
     def _describe(
@@ -116,9 +119,9 @@
     return entry[0].since
 
 
-def _is_overdue(known: _Progress, held: Iterable[Allocation], now: float) -> bool:
+def _is_overdue(progress: _Progress, held: Iterable[Allocation], now: float) -> bool:
     expected = max((allocation.expected for allocation in held), default=0.0)
-    return now - known.since >= STALL_SECONDS + expected * (1 + LATE_FRACTION)
+    return now - progress.since >= STALL_SECONDS + expected * (1 + LATE_FRACTION)
 
 
 def _describe_run(allocation: Allocation, now: float) -> str:
