--- a/dandelionreel/cell/decisions/__init__.py
+++ b/dandelionreel/cell/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""What starts where, what waits and what stops. No I/O."""
+"""Scheduling decisions: which runs start on which runners, wait or stop. No I/O."""
 
 from dandelionreel.cell.decisions._active_runners import ActiveRunners
 from dandelionreel.cell.decisions._advice_requests import AdviceRequest
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -1,6 +1,6 @@
-"""The owner's whole knowledge of jobs and runners, and every change to it. No I/O.
+"""The owner's in-memory state of jobs and runners, and all changes to it. No I/O.
 
-The dispatcher reports what it has seen and sends what this decides.
+The dispatcher passes events in and sends the starts and stops that are decided here.
 """
 
 from collections.abc import Iterable
@@ -29,21 +29,21 @@
 )
 from dandelionreel.cell.store import BookedJob
 
-#: Run numbers of one epoch for one task. Numbers of a later owner are higher
-#: than all of an earlier one, so none of them has to be stored.
+#: Run numbers that one epoch has for one task. A later owner's numbers are higher than all
+#: of an earlier owner's, so run numbers need not be stored.
 RUNS_PER_EPOCH = 1000
-#: Seconds for which a runner that refused a start gets none.
+#: Seconds without further starts after a runner had no room, and after it was unhealthy.
 REFUSED_START_BACKOFF_SECONDS = 0.3
 UNHEALTHY_BACKOFF_SECONDS = 1.0
-#: How much slower than ours a runner's clock may run.
+#: Largest fraction by which a runner's clock may run slower than the owner's.
 MAX_CLOCK_DRIFT = 0.02
 
 
 class Cell:
-    """Jobs by id, runners by id, and the rules between them."""
+    """All jobs and runners that the owner of a cell knows."""
 
     def __init__(self, epoch: int, gang_timeout: float) -> None:
-        """Start empty, as the owner with that epoch."""
+        """Create an empty state for the owner with this epoch."""
         self.epoch = epoch
         self.configuration: Configuration | None = None
         self._holdings = Holdings()
@@ -52,17 +52,17 @@
         self.runner_by_id = self._holdings.runner_by_id
         self.tickets = TicketBook()
         self.zone_reachability = ZoneReachability()
-        #: Runners on which tasks of earlier owners may run unseen.
+        #: Runners that may still run tasks of earlier owners and have not been polled yet.
         self.unseen_runners: set[str] = set()
-        #: Jobs of which something in the store cannot be read.
+        #: Jobs with an unreadable record in the store.
         self.unreadable_jobs: set[str] = set()
-        #: Runners that are known to have ended.
+        #: Runners whose process is proven to have ended; their entries are ignored.
         self._ended_runners: set[str] = set()
         self.gang_timeout = gang_timeout
-        #: Whether peers may know jobs to be complete that are not here: nothing that has
-        #: begun starts again before they have been asked.
+        #: Set until peers have been asked which jobs are complete. Their answer may be newer
+        #: than the store, so until then no job with earlier starts is started again.
         self.awaits_completions = False
-        #: Runs under which a runner has crashed, in this term.
+        #: Number of runs during which a runner crashed, in this owner's term.
         self.crashed_runs = 0
         self.quotas = QuotaLedger(self._holdings, self.unseen_runners)
         self._rates = JobRates()
@@ -74,37 +74,37 @@
     # Jobs
 
     def queue_of(self, job: JobRun) -> Queue | None:
-        """Return the job's queue in the configuration in force."""
+        """Return the job's queue in the current configuration."""
         if self.configuration is None:
             return None
         return self.configuration.queue_by_name.get(job.submission.queue)
 
     def quota_of(self, job: JobRun) -> Demand | None:
-        """Return what the job's account may have running, ``None`` for no limit."""
+        """Return the resource quota of the job's account, ``None`` for no limit."""
         account = self._account_of(job)
         return None if account is None else account.quota
 
     def objective_of(self, job: JobRun) -> float:
-        """Return the seconds within which a job counts as served in time."""
+        """Return the job's target completion time in seconds after its acceptance."""
         return job.objective(self.queue_of(job), self.quota_of(job))
 
     def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
-        """Return what runs of a job that is over may still take, by runner."""
+        """Return the resources that runs of a finished job may still use, by runner."""
         return self.quotas.leftovers_of(job, wall) if job.account else ()
 
     def allocations_of_job(self, job_id: str) -> list[Allocation]:
-        """Return all runs that are held for a job, on whichever runner."""
+        """Return the allocations of a job on all runners."""
         return self._holdings.allocations_of_job(job_id)
 
     def service_of(self, job: JobRun) -> str:
-        """Return the service whose runners run the job."""
+        """Return the service (pool of runners) that runs the job."""
         queue = self.queue_of(job)
         return job.submission.service if queue is None else queue.service
 
     def is_blocked(self, job: JobRun) -> bool:
-        """Return whether a former owner's tasks of the job may run unseen.
+        """Return whether runs that an earlier owner started for the job may still be running.
 
-        Starting one of them elsewhere could make it run twice at once.
+        Starting such a task on another runner could make it run twice at the same time.
         """
         if self.awaits_completions and job.runners:
             return True
@@ -113,11 +113,11 @@
         return not self.unseen_runners.isdisjoint(job.runners)
 
     def update_job(self, booked: BookedJob, now: float, wall: float) -> None:
-        """Take a job, or the news of one, from the store.
+        """Apply what the store holds for a job, new or known.
 
-        Nothing is started of a job that cannot be read, unless it is known here. Its
-        ends stay at their runners: acknowledged while nobody can note them, a task that
-        is done would be started again once the job can be read.
+        An unreadable job that is not known here is not started. The ends of its runs are not
+        acknowledged: the runners would forget them, and a task that is done would be started
+        again once the job can be read.
         """
         job = self.job_by_id.get(booked.id)
         if booked.unreadable and job is None:
@@ -140,13 +140,13 @@
             self.cancel(booked.id)
 
     def cancel(self, job_id: str) -> None:
-        """Stop a job whose cancellation stands in the store."""
+        """Stop a job whose cancellation is stored."""
         job = self.job_by_id.get(job_id)
         if job is not None and not job.is_over:
             self._cancel(job)
 
     def mark_complete(self, jobs: Iterable[str]) -> list[str]:
-        """Take the word of former owners that jobs are complete; return those that were not."""
+        """Mark jobs that earlier owners report as complete; return those that were not yet."""
         taken = []
         for job_id in jobs:
             job = self.job_by_id.get(job_id)
@@ -158,7 +158,7 @@
         return taken
 
     def forget_job(self, job_id: str, wall: float) -> None:
-        """Drop a job that the store has dropped."""
+        """Remove a job whose records the store has dropped."""
         self.unfinished_job_by_id.pop(job_id, None)
         job = self.job_by_id.pop(job_id, None)
         if job is not None:
@@ -167,14 +167,14 @@
             self.tickets.drop_job(job_id)
 
     def drop_finished_jobs(self, wall: float) -> None:
-        """Stop looking at jobs that are over, so that a plan costs what is left."""
+        """Drop finished jobs from planning, so that its cost depends on unfinished jobs only."""
         over = [job for job in self.unfinished_job_by_id.values() if job.is_over]
         for job in over:
             self.quotas.keep_leftovers(job, wall)
             self.unfinished_job_by_id.pop(job.id)
 
     def take_dirty_jobs(self) -> list[JobRun]:
-        """Return the jobs whose progress must be stored, once."""
+        """Return the jobs with unsaved progress and mark them as saved."""
         taken = []
         for job_id in self._holdings.dirty:
             job = self.job_by_id.get(job_id)
@@ -185,12 +185,12 @@
         return taken
 
     def mark_dirty(self, job: JobRun) -> None:
-        """Have a job's progress stored again: the last time, the store did not take it."""
+        """Mark a job's progress as unsaved after a failed write to the store."""
         job.dirty = True
         self._holdings.dirty.add(job.id)
 
     def take_stops(self) -> list[Allocation]:
-        """Return the runs that must be told to stop, once."""
+        """Return the pending stops and clear them."""
         return self._holdings.take_stops()
 
     # Runners
@@ -200,15 +200,15 @@
         registrations: dict[str, Registration],
         now: float,
     ) -> list[RunnerState]:
-        """Take the list of runners; return those that are new."""
+        """Apply the list of registered runners; return those that are new."""
         new_runners = []
         for runner_id, registration in registrations.items():
             if runner_id in self._ended_runners:
                 continue
             known = self.runner_by_id.get(runner_id)
             if known is None:
-                # Nothing of ours can be on a runner that was not used, and asking at an
-                # address from an entry that cannot be trusted helps nobody.
+                # A runner that was never used runs none of our tasks, so there is no reason
+                # to poll an address from an entry that cannot be used.
                 if not registration.usable:
                     continue
                 known = RunnerState(registration)
@@ -222,21 +222,22 @@
         return new_runners
 
     def forget_runner(self, runner_id: str) -> None:
-        """Forget a runner that holds nothing; it may be taken again."""
+        """Remove a runner without allocations; its entry may add it again."""
         self.runner_by_id.pop(runner_id, None)
 
     def add_unlisted(self, registration: Registration) -> RunnerState:
-        """Take a runner whose entry has gone, to look at what it still holds."""
+        """Add a runner whose entry has been removed, to poll it for runs that it still has."""
         state = RunnerState(registration)
         state.listed = False
         self.runner_by_id[state.id] = state
         return state
 
     def handle_ended_runner(self, runner_id: str, *, proven: bool) -> list[Crash]:
-        """Forget a runner on which nothing runs; one ``proven`` to be dead stays so.
+        """Remove a runner on which nothing runs any more.
 
-        Its entry stays listed for some seconds and would bring it back. Returns the crashes under
-        its runs, which count before any of their tasks can start again.
+        A runner whose end is ``proven`` is not added again, although its entry stays listed for
+        some seconds. Returns the crashes during its runs; they are counted before any of these
+        tasks can start again.
         """
         if proven:
             self._ended_runners.add(runner_id)
@@ -250,16 +251,16 @@
         return crashes
 
     def handle_lapsed_runner(self, runner_id: str) -> None:
-        """Every lease that a runner was granted has run out."""
+        """Drop the runs of a runner whose leases have all expired."""
         self.unseen_runners.discard(runner_id)
         runner = self.runner_by_id[runner_id]
         self._losses.note_lapse(runner)
         self._holdings.lose_all(runner)
 
     def find_replaced_runners(self) -> dict[str, RunnerState]:
-        """Return unseen incarnations that are over, each with a later one that has answered.
+        """Return the unseen incarnations that have ended, each with its answering successor.
 
-        An entry of a later one is no proof: other writers may have written it.
+        Only an answer proves a later incarnation: another writer may have written its entry.
         """
         if not self.unseen_runners:
             return {}
@@ -268,9 +269,9 @@
         return {unseen: self.runner_by_id[later] for unseen, later in later_by_unseen.items()}
 
     def drop_unseen_runners(self, runners: Iterable[str]) -> list[Crash]:
-        """Take what earlier owners started on unseen runners for gone.
+        """Stop waiting for runs of earlier owners on unseen runners; their leases have expired.
 
-        One whose entry is still there is only out of reach.
+        Counts crashes only for runners whose entry is gone: others may just be unreachable.
         """
         crashes = []
         dropped = self.unseen_runners.intersection(runners)
@@ -284,7 +285,7 @@
         return crashes
 
     def capacity(self) -> Demand:
-        """Return what all runners that are listed hold together."""
+        """Return the total capacity of all listed runners."""
         total = Demand()
         for runner in self.runner_by_id.values():
             if runner.listed:
@@ -303,7 +304,7 @@
         ticket: str,
         expected: float,
     ) -> Allocation:
-        """Decide that a task starts on a runner, and count it there."""
+        """Allocate a task's next run to a runner; the start is sent later."""
         demand = counted_demand(step)
         job = self.job_by_id[task.name.job]
         job.hold_reason = ''
@@ -324,12 +325,12 @@
         return allocation
 
     def next_run(self, tasks: Iterable[TaskRun]) -> int:
-        """Return a run number above all earlier ones of these tasks."""
+        """Return a run number higher than all earlier runs of these tasks."""
         lowest = self.epoch * RUNS_PER_EPOCH
         return max(lowest, *(task.run for task in tasks)) + 1
 
     def may_start(self, allocation: Allocation) -> bool:
-        """Return whether the start is still wanted; asked right before it is sent."""
+        """Return whether a placed start may still be sent; checked right before sending."""
         if allocation.phase is not AllocationPhase.STARTING:
             return False
         job = self.job_by_id.get(allocation.task.job)
@@ -338,8 +339,8 @@
         runner = self.runner_by_id.get(allocation.runner)
         if runner is None or not runner.registration.usable or runner.draining:
             return False
-        # A start may wait for the store for a second after it was placed. Its runner's
-        # room may have shrunk meanwhile, and it would take more than it has.
+        # A start may wait for the store for a second after it was placed. The runner may have
+        # reported a smaller capacity meanwhile and would be overcommitted.
         return runner.has_room_for(allocation)
 
     def handle_start_reply(
@@ -350,11 +351,11 @@
         *,
         in_doubt: bool = False,
     ) -> None:
-        """Take a runner's answer to a start; ``in_doubt`` after a try without an answer.
+        """Apply a runner's reply to a start; ``in_doubt`` if an earlier attempt got no answer.
 
-        A refusal speaks of its own try only. An earlier one may be carried out
-        seconds later, so the run counts until a stop has forbidden it: the task
-        would else start elsewhere and run twice at once.
+        A refusal is valid for its own attempt only. An earlier attempt may still be executed
+        seconds later, so the allocation is kept until a stop has ruled that out. Otherwise
+        the task could start elsewhere and run twice at the same time.
         """
         if reply in {StartReply.STARTED, StartReply.OUTDATED}:
             self._holdings.settle_start(allocation, now)
@@ -377,10 +378,10 @@
         self.release_start(allocation)
 
     def revoke_start(self, allocation: Allocation) -> None:
-        """Take back a start that may still arrive: it counts until a stop has forbidden it.
+        """Revoke a start that may still arrive; it stays allocated until a stop rules it out.
 
-        A gang cannot come together any more. Its other members would wait for as long as
-        the runner is silent, and give up by themselves.
+        Its gang cannot become complete any more, so the other members are stopped. Otherwise
+        they would wait while the runner is silent, and then give up by themselves.
         """
         self.stop(allocation)
         step = self.step_of(allocation)
@@ -388,25 +389,25 @@
             self.stop_members(step)
 
     def release_start(self, allocation: Allocation) -> None:
-        """Take back a start of which it is known that it does not run."""
+        """Free the allocation of a start that is known not to run."""
         runner = self.runner_by_id.get(allocation.runner)
         if runner is not None and (allocation.task, allocation.run) in runner.allocation_by_run:
             self._holdings.lose(runner, allocation)
 
     def stop(self, allocation: Allocation) -> None:
-        """Have a run stopped; it counts until it is known to be gone."""
+        """Stop a run; it stays allocated until the runner is known not to have it."""
         self._holdings.stop(allocation)
 
     def handle_stop_reply(self, allocation: Allocation, now: float) -> None:
-        """The runner has taken the stop: a later look tells when it is gone."""
+        """Note that the runner acknowledged a stop; a later poll shows when the run is gone."""
         allocation.order_answered_at = now
 
-    # Looks
+    # Polls
 
     def handle_view(
         self, runner: RunnerState, view: RunnerView, polled_at: float, now: float
     ) -> PollEffect:
-        """Take all that a runner lists; ``asked`` is when the look was sent."""
+        """Apply a runner's poll answer; ``polled_at`` is when the poll was sent."""
         effect = self._runner_views.take(runner, view, polled_at, now)
         self._handle_crashes(effect.crashes)
         if view.complete:
@@ -414,11 +415,11 @@
         return effect
 
     def step_of(self, allocation: Allocation) -> StepRun | None:
-        """Return the step of an allocation, ``None`` where its job is not known."""
+        """Return the step of an allocation, ``None`` if its job is unknown."""
         return self._holdings.step_of(allocation)
 
     def stop_members(self, step: StepRun) -> None:
-        """Stop all members of a gang that are placed."""
+        """Stop all placed members of a gang."""
         self._holdings.stop_members(step)
 
     def _account_of(self, job: JobRun) -> Account[Demand] | None:
--- a/dandelionreel/cell/decisions/_completeness.py
+++ b/dandelionreel/cell/decisions/_completeness.py
@@ -1,4 +1,4 @@
-"""Whether a job is complete, by what stands in the store and what runners list. No I/O."""
+"""Checks whether a job is complete, by its stored progress and by ended runs. No I/O."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -9,9 +9,9 @@
 
 
 def is_complete(job: str, spec: JobSpec, progress: Progress, ended: Iterable[EndedRun]) -> bool:
-    """Return whether all tasks of a job are done, as far as these facts go.
+    """Return whether all tasks of a job are done according to this data.
 
-    Of jobs with a schedule, and of tasks that last, nothing is said.
+    Returns false for repeated jobs and for jobs with long-running steps.
     """
     if spec.repeat_count or any(step.long_running for step in spec.steps):
         return False
@@ -32,6 +32,6 @@
 def _is_step_complete(spec: JobSpec, number: int, done: set[int]) -> bool:
     step = spec.steps[number]
     if step.gang:
-        # One end stands for all members of the gang.
+        # A gang succeeds as a whole: one member that is done proves the step.
         return bool(done)
     return set(range(step.count)) <= done
--- a/dandelionreel/cell/decisions/_crashes.py
+++ b/dandelionreel/cell/decisions/_crashes.py
@@ -1,24 +1,25 @@
-"""Decides which tasks crash their runners, and when to give one up. No I/O.
+"""Detects tasks that crash their runners, and decides when to give one up. No I/O.
 
-Load pattern: a task crashes each runner that starts it. A crashed runner reports nothing, so by
-failed runs alone the task would start for ever. Most tasks on a runner that crashes are not the
-cause. Two signs tell the culprit: its start was still unanswered when the connections broke, and it
-crashes a runner on which nothing else starts.
+Load pattern: a task crashes each runner that starts it. A crashed runner reports nothing, so if
+only failed runs were counted, the task would be restarted forever. Most tasks on a crashed runner
+are not the cause. Two signs identify the culprit: its start was still unanswered when the
+connection broke, and it crashes a runner on which nothing else starts.
 """
 
 from dataclasses import dataclass
 
 from dandelionreel.cell.model import CrashedRun, StoredStart, TaskName
 
-#: Crashes right at its start after which a task is given up. After the first one it starts alone,
-#: so the second one is no chance.
+#: Crashes during its start after which a task is given up. After the first crash the task starts
+#: alone, so a second one is no coincidence.
 START_CRASH_LIMIT = 2
-#: Crashes of any kind after which it is given up, as one that crashes its runner late is never
-#: caught at its start.
+#: Crashes of any kind after which a task is given up. Covers tasks that crash their runner some
+#: time after the start.
 CRASH_LIMIT = 3
 #: Crashes of any kind after which a task is quarantined.
 QUARANTINE_CRASHES = 2
-#: Seconds after which a run is no cause of its runner's crash, and clears its task of earlier ones.
+#: Seconds after which a run is not blamed for a crash of its runner, and earlier crashes of its
+#: task are cleared.
 HEALTHY_SECONDS = 20.0
 
 _TaskKey = tuple[int, int, int]
@@ -26,9 +27,10 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """A runner has crashed under a run; ``during_start`` as ``CrashedRun`` says.
+    """A runner crash during a run; ``during_start`` as in ``CrashedRun``.
 
-    ``count`` are all crashes under its task, ``given_up`` says whether it was the last one.
+    ``count`` is the number of crashes during runs of the task. ``given_up`` says whether the task
+    is not started again.
     """
 
     task: TaskName
@@ -40,25 +42,25 @@
 
 
 class JobCrashes:
-    """The crashes of runners under one job's tasks, each counted once by its run."""
+    """Runner crashes during runs of one job's tasks; each run counts once."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty history."""
         self._runs_by_task: dict[_TaskKey, dict[int, CrashedRun]] = {}
         self._start_by_task: dict[_TaskKey, StoredStart] = {}
-        #: Whether a runner of the job was lost with a former owner: what it had started
-        #: there, and whether the runner crashed under it, is not known.
+        #: Set when a runner of the job was lost together with an earlier owner. Which tasks that
+        #: owner had started there, and whether the runner crashed during them, is unknown.
         self.incomplete = False
 
     @property
     def crashed(self) -> tuple[CrashedRun, ...]:
-        """Return all runs that count, as they are stored."""
+        """Return all counted runs in their stored form."""
         found = [run for runs in self._runs_by_task.values() for run in runs.values()]
         return tuple(sorted(found, key=_sort_key))
 
     @property
     def starts(self) -> tuple[StoredStart, ...]:
-        """Return the starts under way that are stored one by one."""
+        """Return the starts in progress that are recorded individually."""
         return tuple(sorted(self._start_by_task.values(), key=_sort_key))
 
     def restore(
@@ -66,14 +68,14 @@
         crashed: tuple[CrashedRun, ...],
         starts: tuple[StoredStart, ...],
     ) -> None:
-        """Take what an earlier owner has stored."""
+        """Restore the history that an earlier owner stored."""
         for run in crashed:
             self._runs_by_task.setdefault(_key(run), {})[run.run] = run
         for start in starts:
             self._start_by_task[_key(start)] = start
 
     def record_crash(self, task: TaskName, run: int, *, during_start: bool) -> bool:
-        """Count a crash under a run; return whether it is news."""
+        """Count a runner crash during a run; return whether it was not counted before."""
         key = _key(task)
         runs = self._runs_by_task.setdefault(key, {})
         if run in runs:
@@ -82,29 +84,29 @@
         return True
 
     def clear(self, task: TaskName) -> bool:
-        """Forget the crashes under a task that is no cause of any; return whether it had one."""
+        """Clear the crashes of a task that did not cause them; return whether there were any."""
         return bool(self._runs_by_task.pop(_key(task), None))
 
     def count(self, task: TaskName) -> int:
-        """Return how many runners have crashed under a task."""
+        """Return the number of runner crashes during runs of a task."""
         return len(self._runs_by_task.get(_key(task), ()))
 
     def is_quarantined(self, task: TaskName) -> bool:
-        """Return whether a task is to start by itself, as it may crash the next runner too."""
+        """Return whether a task must start alone, since it may crash the next runner too."""
         return self._count_start_crashes(task) > 0 or self.count(task) >= QUARANTINE_CRASHES
 
     def is_given_up(self, task: TaskName) -> bool:
-        """Return whether a task has crashed so many runners that it is not started again."""
+        """Return whether a task has crashed too many runners to be started again."""
         return (
             self._count_start_crashes(task) >= START_CRASH_LIMIT or self.count(task) >= CRASH_LIMIT
         )
 
     def record_start(self, task: TaskName, run: int, runner: str) -> bool:
-        """Note a start that is about to be sent; return whether it is to be stored before.
+        """Record a start that is about to be sent; return whether to store it first.
 
-        An owner may be lost between a start and the crash. A successor that finds the
-        runner gone counts the start that stands in the store; else each owner that is lost
-        would give the task one runner more.
+        An owner may be lost between a start and the crash. Its successor counts the stored start
+        as a crash if the runner is gone. Without that, each lost owner would let the task crash
+        one more runner.
         """
         key = _key(task)
         if not self.incomplete and key not in self._runs_by_task:
@@ -113,7 +115,7 @@
         return True
 
     def record_run_end(self, task: TaskName, run: int) -> bool:
-        """Note that a run has ended, however; return whether its start was stored."""
+        """Record that a run has ended in any way; return whether its start was stored."""
         start = self._start_by_task.get(_key(task))
         if start is None or start.run != run:
             return False
@@ -121,7 +123,7 @@
         return True
 
     def started_on(self, runner: str) -> list[StoredStart]:
-        """Return the starts on a runner of which the store tells."""
+        """Return the recorded starts on a runner."""
         return [start for start in self._start_by_task.values() if start.runner == runner]
 
     def _count_start_crashes(self, task: TaskName) -> int:
--- a/dandelionreel/cell/decisions/_job_runs.py
+++ b/dandelionreel/cell/decisions/_job_runs.py
@@ -1,6 +1,6 @@
-"""What runs or may run, by job and by client account. No I/O.
+"""Index of allocations by job, and their usage by client account. No I/O.
 
-A job is stopped at the cost of its own runs, whatever else runs on its runners.
+With the index, stopping a job costs time proportional to its own runs only.
 """
 
 from dandelionreel.accounts import Usage
@@ -11,23 +11,23 @@
 
 
 class JobRuns:
-    """Allocations by job; every one that a runner holds is here, and no other."""
+    """Indexes by job exactly the allocations that runners hold."""
 
     def __init__(self) -> None:
-        """Start with nothing held."""
+        """Create an empty index."""
         self._allocations_by_job: dict[str, dict[RunKey, Allocation]] = {}
-        #: What the runs of each account take together.
+        #: Resources that the runs of each account use in total.
         self.usage: Usage[Demand] = Usage(Demand())
 
     def hold(self, runner: RunnerState, allocation: Allocation) -> None:
-        """Count an allocation on its runner, for its job and for its account."""
+        """Add an allocation to its runner, its job and its account."""
         runner.hold(allocation)
         self.usage.add(allocation.account, allocation.demand)
         held = self._allocations_by_job.setdefault(allocation.task.job, {})
         held[_key(allocation)] = allocation
 
     def free(self, runner: RunnerState, allocation: Allocation) -> None:
-        """Stop counting an allocation; more than once does no harm."""
+        """Remove an allocation; idempotent."""
         runner.free(allocation)
         held = self._allocations_by_job.get(allocation.task.job)
         if held is None:
@@ -38,7 +38,7 @@
             self._allocations_by_job.pop(allocation.task.job)
 
     def of_job(self, job_id: str) -> list[Allocation]:
-        """Return all that is held for a job, on whichever runner."""
+        """Return the allocations of a job on all runners."""
         return list(self._allocations_by_job.get(job_id, {}).values())
 
 
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -1,8 +1,8 @@
-"""What every runner holds, by run: the only guard against giving it too much.
+"""Allocations of each runner by run: the only guard against overcommitting a runner.
 
-An allocation lives from the moment that its start is decided until the runner
-has listed its end, its lease has lapsed, or the start was refused: what is
-being stopped, and what may still arrive, counts all the while.
+An allocation exists from the decision to start it until the runner has listed its end, its
+lease has expired, or the start was refused. Runs that are being stopped and starts that may
+still arrive therefore count too.
 """
 
 import enum
@@ -11,20 +11,19 @@
 from dandelionreel.cell.model import Demand, Registration, StepName, TaskName
 
 NEVER = float('-inf')
-#: Estimates are guesses; a task that outlives its own is taken to need this
-#: share of it again.
+#: Estimates are guesses: a task that exceeds its estimate is expected to need at least this
+#: fraction of it more.
 OVERRUN_FRACTION = 0.25
-#: Seconds for which a draining runner stays when it does not say so.
+#: Seconds that a draining runner is assumed to stay if it does not report them.
 DEFAULT_DRAIN_SECONDS = 2.0
-#: Seconds that the news of a drain may have been under way.
+#: Largest expected delay in seconds of an entry that announces a drain.
 MAX_ENTRY_DELAY_SECONDS = 0.3
-#: Seconds that a quarantined task must have been well on a runner before anything else starts
-#: there.
+#: Seconds that a quarantined task must have run on a runner before anything else starts there.
 QUARANTINE_SECONDS = 0.5
 
 
 class AllocationPhase(enum.Enum):
-    """Where an allocation stands."""
+    """Phase of an allocation."""
 
     STARTING = 'starting'
     RUNNING = 'running'
@@ -42,70 +41,71 @@
     placed_at: float
     ticket: str = ''
     phase: AllocationPhase = AllocationPhase.STARTING
-    #: Since when a poll that does not list the run proves that it is not there.
+    #: When the runner answered the last start or stop; a poll sent later proves whether the run
+    #: is there.
     order_answered_at: float | None = None
-    #: When it was first known to run.
+    #: When the run was first known to be running.
     started_at: float | None = None
     percent: int = 0
     gauge: float = 0.0
-    #: How long the task is thought to run, in seconds.
+    #: Expected duration of the run in seconds.
     expected: float = 0.0
     checkpoint: str = ''
-    #: Whether ``demand`` is what the run takes; of a job that is not known nothing is.
+    #: Whether ``demand`` is known; it is not if the job is unknown.
     demand_known: bool = True
-    #: The client account whose quota it counts against, empty for none.
+    #: Client account whose quota it counts against; empty for none.
     account: str = ''
-    #: Whether nothing else starts there until it has proved well.
+    #: Whether nothing else starts on the runner until this run has proved healthy.
     quarantined: bool = False
-    #: Whether a try of its start may have arrived and was not answered.
+    #: Whether an attempt to start it may have arrived but was not answered.
     start_unanswered: bool = False
-    #: Whether the connection broke while the answer to its first try was out.
+    #: Whether the connection broke while the first attempt to start it was unanswered.
     connection_broken: bool = False
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether the run may have been on its runner."""
+        """Return whether the run may have started on its runner."""
         return self.start_unanswered or self.started_at is not None
 
 
 class RunnerState:
-    """One runner: its registration, its clock, its room and its allocations."""
+    """State of one runner: registration, clock, free capacity and allocations."""
 
     def __init__(self, registration: Registration) -> None:
-        """Start empty and not yet looked at."""
+        """Create the state of a runner that has not been polled yet."""
         self.id = registration.runner
         self.registration = registration
         self.listed = True
-        #: Set once the store says that tasks may run there.
+        #: Set once the store records that tasks may run there; a start requires it.
         self.recorded = False
         self.used = Demand()
-        #: What is free. Kept, not worked out: a plan reads it for each waiting step.
+        #: Maintained incrementally, since a plan reads it for each waiting step.
         self.free_capacity = registration.capacity
         self.allocation_by_run: dict[tuple[TaskName, int], Allocation] = {}
         self.answered_at = NEVER
-        #: Set while looks go unanswered: nothing new is placed there.
+        #: Set while polls go unanswered: nothing new is placed there.
         self.suspect = False
-        #: Whether the last poll was not answered.
+        #: Whether the last poll was unanswered.
         self.missed_last_poll = False
-        #: When a draining runner may be gone (monotonic seconds).
+        #: Earliest time at which a draining runner may be gone (monotonic seconds).
         self.may_leave_at = float('inf')
-        #: No start is sent there before then (it refused one).
+        #: No start is sent before this time, after the runner refused one.
         self.no_starts_until = NEVER
-        #: Runs held of which nobody knows how much they take.
+        #: Number of allocations whose demand is unknown.
         self.unknown_demands = 0
-        #: The highest end number whose effect stands in the store, and the
-        #: highest one that has been taken into account.
+        #: Highest number of an ended run whose effect is stored.
         self.acknowledged_end = 0
-        #: The highest one that the runner has answered to have forgotten.
+        #: Highest one whose acknowledgement the runner has confirmed.
         self.confirmed_end = 0
+        #: Highest one that has been processed.
         self.processed_end = 0
-        #: The highest one that may be acknowledged: no unreadable one is below it.
+        #: Highest one below which all ends could be read, as the last poll reported.
         self.readable_through: int | None = None
-        #: The lowest end that must stay at the runner: its job cannot be read.
+        #: Lowest end that must not be acknowledged, since its job cannot be read.
         self.retained_end: int | None = None
-        #: Whether all that the last poll listed could be read.
+        #: Whether the last poll answer was readable in full.
         self.readable = True
-        #: Quarantined runs that have not proved well yet.
+        #: Quarantined runs that have not proved healthy yet.
         self._quarantined: list[Allocation] = []
         self._clock = 0.0
         self._clock_at = NEVER
@@ -113,11 +113,11 @@
 
     @property
     def draining(self) -> bool:
-        """Return whether the runner has said that it will leave."""
+        """Return whether the runner has announced that it will stop."""
         return self.registration.draining
 
     def note_registration(self, registration: Registration, now: float) -> None:
-        """Take what the runner says of itself, and when it will be gone at the earliest."""
+        """Apply a registration; on a new drain, compute when the runner may be gone."""
         if registration.draining and not self.registration.draining:
             stays = (
                 DEFAULT_DRAIN_SECONDS if registration.remaining is None else registration.remaining
@@ -127,24 +127,24 @@
         self.free_capacity = registration.capacity - self.used
 
     def usable(self, now: float) -> bool:
-        """Return whether something may be started there now."""
+        """Return whether runs may be started there now."""
         if not self.listed or not self.recorded or self.draining or self.suspect:
             return False
         if not self.registration.usable:
             return False
         if self.unknown_demands:
-            # What is being stopped has its room until it is gone. Counted as nothing, it
-            # and what was started beside it took more than the runner has.
+            # A run of an unknown job uses capacity until it is gone, though its demand counts
+            # as zero. With other runs started beside it, the runner would be overcommitted.
             return False
         if self._quarantined and self._in_quarantine(now):
             return False
         return self.knows_clock() and now >= self.no_starts_until
 
     def accepts(self, *, quarantined: bool) -> bool:
-        """Return whether a task may start beside those that were placed in the same plan.
+        """Return whether a task may start beside those placed in the same plan.
 
-        A quarantined task starts by itself: of two starts that are under way when the
-        runner crashes, neither could be told to be the cause.
+        A quarantined task starts alone: if a runner crashes with two starts in progress, it
+        cannot be told which one caused the crash.
         """
         if self._quarantined:
             return False
@@ -155,9 +155,9 @@
         )
 
     def has_room_for(self, allocation: Allocation) -> bool:
-        """Return whether the runner has room for all that it holds, as far as a run takes it.
+        """Return whether the runner is not overcommitted in any resource that a run demands.
 
-        Its room may have shrunk since the run was placed there.
+        Its capacity may have shrunk since the run was placed there.
         """
         room, demand = self.free_capacity, allocation.demand
         return (
@@ -168,7 +168,7 @@
 
     @property
     def acknowledgeable_end(self) -> int:
-        """Return the highest end that may be acknowledged once its effect is stored."""
+        """Return the number of the last end that may be acknowledged once its effect is stored."""
         last = self.processed_end
         if self.readable_through is not None:
             last = min(last, self.readable_through)
@@ -177,16 +177,16 @@
         return last
 
     def retain_end(self, number: int) -> None:
-        """Leave an end, and those behind it, at the runner."""
+        """Withhold the acknowledgement of an end and of all later ones."""
         self.retained_end = number if self.retained_end is None else min(self.retained_end, number)
 
     def reprocess_ends(self) -> None:
-        """Take all ends that are still listed into account once more; each counts once."""
+        """Process all ends that are still listed again; processing an end is idempotent."""
         self.processed_end = self.acknowledged_end
         self.retained_end = None
 
     def hold(self, allocation: Allocation) -> None:
-        """Count an allocation."""
+        """Add an allocation."""
         self.allocation_by_run[allocation.task, allocation.run] = allocation
         self.used = self.used + allocation.demand
         self.free_capacity = self.free_capacity - allocation.demand
@@ -195,7 +195,7 @@
             self._quarantined.append(allocation)
 
     def free(self, allocation: Allocation) -> None:
-        """Stop counting an allocation; more than once does no harm."""
+        """Remove an allocation; idempotent."""
         if self.allocation_by_run.pop((allocation.task, allocation.run), None) is not None:
             self.used = self.used - allocation.demand
             self.free_capacity = self.free_capacity + allocation.demand
@@ -204,49 +204,48 @@
                 self._quarantined.remove(allocation)
 
     def count_step(self, step: StepName) -> int:
-        """Return how many runs of a step are held, those being stopped too.
+        """Return the number of allocated runs of a step, including those being stopped.
 
-        A task of which an earlier run was done elsewhere is over, while its last
-        run is still being stopped here; another task of the step would be one more
-        than may run together.
+        A task may be done by an earlier run elsewhere while its last run is still being stopped
+        here. If that run did not count, the step could exceed its limit per runner.
         """
         return sum(StepName.of(task) == step for task, _ in self.allocation_by_run)
 
     def note_clock(self, clock: float, now: float) -> None:
-        """Keep the runner's clock as an answer told it; ``now`` is when it came."""
+        """Record the runner's clock from an answer that arrived at ``now``."""
         self._clock = clock
         self._clock_at = now
 
     def knows_clock(self) -> bool:
-        """Return whether leases can be expressed on the runner's clock."""
+        """Return whether the runner's clock is known, which leases require."""
         return self._clock_at != NEVER
 
     def clock_at(self, now: float) -> float:
-        """Return about what the runner's clock shows."""
+        """Return an estimate of the runner's clock."""
         return self._clock + (now - self._clock_at)
 
     def extend_lease(self, now: float, seconds: float) -> float:
-        """Return the end of a new lease on the runner's clock, and count it as granted."""
+        """Grant a lease; return its end on the runner's clock."""
         lease_until = self.clock_at(now) + seconds
         self._lease_until = max(self._lease_until, lease_until)
         return lease_until
 
     def renew_lease(self, now: float, seconds: float) -> float | None:
-        """Return the lease that a poll carries, ``None`` for none.
+        """Return the lease to send with a poll, ``None`` for no renewal.
 
-        A runner that did not answer the last poll gets none: each renewal that
-        it may have taken moves the time at which its tasks are surely gone, and
-        a crashed runner's tasks would never start elsewhere.
+        A runner that did not answer the last poll gets no renewal: each one postpones the time
+        at which its tasks are certainly gone, and the tasks of a crashed runner would never be
+        started elsewhere.
         """
         if not self.knows_clock() or self.missed_last_poll:
             return None
         return self.extend_lease(now, seconds)
 
     def leases_expired(self, now: float, drift: float) -> bool:
-        """Return whether every lease granted there has run out for sure.
+        """Return whether every lease granted to the runner has certainly expired.
 
-        The runner's clock has advanced by at least ``1 - drift`` of the time
-        since it was last told, so what it shows is never overestimated.
+        The runner's clock has advanced by at least ``1 - drift`` times the elapsed time since
+        its last answer, so the estimate is never ahead of it.
         """
         if not self.knows_clock():
             return False
@@ -262,7 +261,7 @@
 
 
 def expected_end(allocation: Allocation, now: float) -> float:
-    """Return when a run is thought to end, in monotonic seconds."""
+    """Return the expected end of a run in monotonic seconds."""
     if allocation.phase is AllocationPhase.STOPPING:
         return now
     began = allocation.started_at or allocation.placed_at
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_losses.py
@@ -1,7 +1,7 @@
-"""Handles runs that were lost with their runner. No I/O.
+"""Detects runs that were lost in a crash of their runner. No I/O.
 
-Only one thing proves a crash: another incarnation answers at the runner's address, though the
-runner had not said that it would leave. Until then a run may only be out of reach.
+The only proof of a crash is an answer of another incarnation at the runner's address, if the
+runner had not announced a drain. Until then a silent runner may just be unreachable.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class _LapsedRunner:
-    """A silent runner whose leases ran out, with what it may have taken with it."""
+    """A silent runner whose leases have expired, with the runs that it may have lost."""
 
     runner: str
     answered_at: float
@@ -25,19 +25,19 @@
 
 
 class RunnerLosses:
-    """Counts the crashes of runners under the tasks of jobs that are not over."""
+    """Counts runner crashes during runs of unfinished jobs."""
 
     def __init__(self, unfinished_job_by_id: dict[str, JobRun], dirty: set[str]) -> None:
-        """Count for the jobs of ``live_by_id``; add those that have to be stored to ``dirty``.
+        """Count for ``unfinished_job_by_id``; add jobs that must be stored to ``dirty``.
 
-        Others keep both.
+        Both are owned and updated by the caller.
         """
         self._live_by_id = unfinished_job_by_id
         self._dirty = dirty
         self._lapsed_by_address: dict[Address, _LapsedRunner] = {}
 
     def note_end(self, runner: RunnerState) -> list[Crash]:
-        """Count what a runner took with it whose life is proven to be over."""
+        """Count the runs that were lost with a runner whose process is proven to have ended."""
         if runner.draining:
             return []
         crashes = self._count(
@@ -51,7 +51,7 @@
         return crashes
 
     def note_lapse(self, runner: RunnerState) -> None:
-        """Keep what was lost with a silent runner until it is known what became of it."""
+        """Keep the runs of a silent runner until it is known whether it has crashed."""
         if not runner.draining:
             runs = tuple(runner.allocation_by_run.values())
             self._lapsed_by_address[_address(runner)] = _LapsedRunner(
@@ -59,24 +59,24 @@
             )
 
     def note_answer(self, runner: RunnerState) -> list[Crash]:
-        """Take a runner's first answer: it lives, and all that was at its address before is over.
+        """Handle a runner's first answer: any earlier process at its address has ended.
 
-        An entry is no proof, as entries of former incarnations land late.
+        An entry is no proof, since entries of earlier incarnations may arrive late.
         """
         lapsed = self._lapsed_by_address.get(_address(runner))
         if lapsed is None:
             return []
         if lapsed.runner == runner.id:
-            # It was only out of reach.
+            # The runner was only unreachable.
             self._lapsed_by_address.pop(_address(runner))
             return []
         return self._count_lapsed(_address(runner))
 
     def note_unseen(self, runner_id: str) -> list[Crash]:
-        """Count what a former owner had stored of a runner that this one never reached.
+        """Count the stored starts of earlier owners on a runner that this owner never reached.
 
-        The runner has ended, or its entry has gone. First starts are not stored one by one, so
-        other tasks of these jobs may have run there; from now on their starts are stored.
+        The runner has ended, or its entry is gone. First starts are not stored individually, so
+        other tasks of these jobs may have run there; their starts are stored from now on.
         """
         crashes: list[Crash] = []
         for job in self._live_by_id.values():
@@ -137,10 +137,10 @@
     find_registration: Callable[[str], Registration | None],
     now: float,
 ) -> None:
-    """Take what runners whose entries have gone said last: that they leave, for instance.
+    """Apply the last registrations of runners whose entries have been removed.
 
-    Read together with the removal, the word would be missed, and a runner that left as it
-    had said would count as crashed.
+    A drain that is read together with the removal of the entry would be missed otherwise, and a
+    runner that stopped as announced would count as crashed.
     """
     for runner in runners:
         last = None if runner.listed else find_registration(runner.id)
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -1,4 +1,4 @@
-"""What a poll at a runner changes: runs that are at work, ends, and runs that are gone. No I/O."""
+"""Applies the answers to runner polls: running, ended and missing runs. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -23,7 +23,11 @@
 
 @dataclass
 class PollEffect:
-    """What a poll at a runner has changed."""
+    """Changes made by a poll answer.
+
+    ``ended`` has the allocation of each ended run, if there was one. ``adopted`` counts the runs
+    taken over from earlier owners.
+    """
 
     ended: list[tuple[EndedRun, Allocation | None]] = field(default_factory=list)
     adopted: int = 0
@@ -32,14 +36,15 @@
 
     @property
     def has_changes(self) -> bool:
-        """Return whether something may start or has to stop because of it; most polls only renew
-        leases.
+        """Return whether runs may start or must stop because of it.
+
+        Most polls only renew leases.
         """
         return bool(self.ended or self.adopted or self.lost or self.crashes)
 
 
 class RunnerViewHandler:
-    """Takes what runners list."""
+    """Updates jobs and allocations from the poll answers of runners."""
 
     def __init__(
         self,
@@ -48,7 +53,7 @@
         unreadable_jobs: set[str],
         queue_of: Callable[[JobRun], Queue | None],
     ) -> None:
-        """Change ``holdings``; others keep ``unreadable_jobs``."""
+        """Update ``holdings``; the caller maintains ``unreadable_jobs``."""
         self._holdings = holdings
         self._losses = losses
         self._unreadable_jobs = unreadable_jobs
@@ -57,7 +62,7 @@
     def take(
         self, runner: RunnerState, view: RunnerView, polled_at: float, now: float
     ) -> PollEffect:
-        """Take all that a runner lists; ``asked`` is when the look was sent."""
+        """Apply a poll answer; ``polled_at`` is when the poll was sent."""
         effect = PollEffect()
         if runner.answered_at == NEVER or runner.suspect:
             effect.crashes = self._losses.note_answer(runner)
@@ -88,10 +93,10 @@
         polled_at: float,
         effect: PollEffect,
     ) -> None:
-        """Drop what a complete view does not list.
+        """Drop allocations that a complete view does not list.
 
-        In any other, a run that is not listed may be among the ends that are not, or its
-        row may not be readable: taken for gone, its task would start again.
+        In an incomplete view, a missing run may be among the ends that are not listed, or its row
+        may be unreadable. If it were dropped, its task would be started again.
         """
         for allocation in tuple(runner.allocation_by_run.values()):
             if (
@@ -99,8 +104,8 @@
                 allocation.run,
             ) in listed_runs or allocation.order_answered_at is None:
                 continue
-            # A poll that was under way when the order was answered may have
-            # been listed before the order took effect.
+            # The answer to a poll that was in flight when the start or stop was answered may
+            # show the state before it took effect.
             if polled_at > allocation.order_answered_at:
                 effect.lost.append(allocation)
                 self._holdings.lose(runner, allocation)
@@ -147,8 +152,8 @@
         members = step.tasks if step.step.gang else [step.tasks[ended.task.index]]
         for member in members:
             current = holdings.find_allocation(member) if member.phase is TaskPhase.PLACED else None
-            # Members of the gang that is done end by themselves; a later run
-            # of the same task must not go on.
+            # Members of the successful gang run end by themselves; a later run of the same task
+            # must be stopped.
             if current is not None and current.run != ended.run:
                 holdings.stop(current)
         job.note_done(ended.task)
@@ -173,7 +178,7 @@
         return 0
 
     def _adopt(self, runner: RunnerState, running: RunningTask, now: float) -> None:
-        """Count a run that an earlier owner started, and keep it if it is wanted."""
+        """Allocate a run that an earlier owner started; stop it if it is not wanted."""
         holdings = self._holdings
         job = holdings.job_by_id.get(running.task.job)
         found = None if job is None else job.find_task(running.task)
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -1,4 +1,4 @@
-"""One job under way: which of its tasks are done, running or waiting. No I/O."""
+"""State of one job: which of its tasks are done, running or waiting. No I/O."""
 
 from dandelionreel.cell.decisions._crashes import JobCrashes
 from dandelionreel.cell.decisions._objectives import objective
@@ -19,18 +19,18 @@
 )
 
 HEX_BASE = 16
-#: In a job's runners: its tasks may have been started anywhere.
+#: Entry in a job's runners: its tasks may have been started on any runner.
 ANY_RUNNER = '*'
 
 
 class JobRun:
-    """One job: its steps by occurrence, failures, and what clients are told.
+    """One job: its steps by occurrence, its failures and the state shown to clients.
 
-    ``accepted`` is on this process's monotonic clock, in seconds.
+    ``accepted`` is in seconds on this process's monotonic clock.
     """
 
     def __init__(self, job: str, submission: Submission, accepted: float) -> None:
-        """Start with nothing done."""
+        """Create a job without progress."""
         self.id = job
         self.submission = submission
         self.accepted_at = accepted
@@ -43,49 +43,48 @@
         self._failed_runs: set[FailedRun] = set()
         self.crashes = JobCrashes()
         self._objective: tuple[Queue | None, Demand | None, float] | None = None
-        #: Whether it is beyond what its account may expect to be served a second.
+        #: Whether it exceeds the rate of jobs that its account is guaranteed.
         self.exceeds_account_rate = False
-        #: What keeps it from starting, as was last logged.
+        #: Why it is not started, as last logged.
         self.hold_reason = ''
-        #: Whether the newest progress is not on its way to the store.
+        #: Whether there is progress that has not been sent to the store.
         self.dirty = False
-        #: Whether the store has the submission: nothing starts before.
+        #: Whether the submission is stored; nothing starts before.
         self.stored = True
-        #: What the store says of it, and so what clients are told.
+        #: The stored state, which clients are told.
         self.stored_state = JobState.QUEUED
-        #: Runners on which its tasks may have been started, and those of them
-        #: that the store names.
+        #: Runners on which its tasks may have been started, and the stored ones of them.
         self.runners: set[str] = set()
         self.stored_runners: set[str] = set()
 
     @property
     def account(self) -> str:
-        """Return the client account whose job it is, empty for none."""
+        """Return the client account that owns the job, empty for none."""
         return self.submission.account
 
     @property
     def spec(self) -> JobSpec:
-        """Return what the client handed in."""
+        """Return the job as submitted by the client."""
         return self.submission.spec
 
     @property
     def reported_state(self) -> JobState:
-        """Return what clients are told: nothing that a crash could take back."""
+        """Return the state shown to clients: only what is stored and survives a crash."""
         if self.cancelled and self.stored_state not in {JobState.COMPLETED, JobState.FAILED}:
             return JobState.CANCELLED
         return self.stored_state
 
     def may_run_on(self, runner: str) -> bool:
-        """Return whether the store says that its tasks may run on a runner."""
+        """Return whether a runner is stored as one on which its tasks may run."""
         return runner in self.stored_runners or ANY_RUNNER in self.stored_runners
 
     @property
     def is_over(self) -> bool:
-        """Return whether nothing is to be started any more."""
+        """Return whether the job has ended, so that nothing more is started."""
         return self.cancelled or self.state is JobState.COMPLETED or self.state is JobState.FAILED
 
     def steps(self, occurrence: int) -> list[StepRun]:
-        """Return the steps of one occurrence, made when first asked for."""
+        """Return the steps of one occurrence, created on first use."""
         known = self._steps_by_occurrence.get(occurrence)
         if known is None:
             known = [
@@ -96,7 +95,7 @@
         return known
 
     def find_step(self, name: TaskName | StepName) -> StepRun | None:
-        """Return the step of a task, ``None`` where the job has no such step."""
+        """Return the step of a task, ``None`` if the job has no such step."""
         if not 0 <= name.occurrence < self.spec.occurrences:
             return None
         if not 0 <= name.step < len(self.spec.steps):
@@ -104,16 +103,16 @@
         return self.steps(name.occurrence)[name.step]
 
     def find_task(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
-        """Return a task with its step, ``None`` where the job has no such task."""
+        """Return a task with its step, ``None`` if the job has no such task."""
         step = self.find_step(name)
         if step is None or not 0 <= name.index < len(step.tasks):
             return None
         return step, step.tasks[name.index]
 
     def objective(self, queue: Queue | None, quota: Demand | None = None) -> float:
-        """Return the job's objective in seconds, computed once for each configuration.
+        """Return the job's target completion time in seconds, cached for each configuration.
 
-        ``quota`` is what its account may have running.
+        ``quota`` limits what its account may have running.
         """
         known = self._objective
         if known is None or known[0] is not queue or known[1] is not quota:
@@ -122,7 +121,7 @@
         return known[2]
 
     def remaining_demand(self, wall: float) -> Demand:
-        """Return what all tasks take that may run and are neither done nor known to run."""
+        """Return the total demand of the waiting tasks of all due occurrences."""
         total = Demand()
         for occurrence in range(self._done_occurrences, self.due_occurrences(wall)):
             for step in self.steps(occurrence):
@@ -130,7 +129,7 @@
         return total
 
     def due_occurrences(self, wall: float) -> int:
-        """Return how many occurrences have come due at ``wall`` seconds."""
+        """Return how many occurrences are due at the Unix time ``wall``."""
         if not self.spec.repeat_count:
             return 1
         since = wall - self.spec.first_run
@@ -141,7 +140,7 @@
         return min(self.spec.occurrences, int(since / self.spec.interval) + 1)
 
     def ready_steps(self, wall: float) -> list[StepRun]:
-        """Return the steps with waiting tasks whose turn has come."""
+        """Return the due steps with waiting tasks whose dependencies are complete."""
         ready = []
         for occurrence in range(self._done_occurrences, self.due_occurrences(wall)):
             steps = self.steps(occurrence)
@@ -153,13 +152,13 @@
         return ready
 
     def count_changes(self) -> int:
-        """Return how many times a task has been placed, released or finished."""
+        """Return how many times any task has been placed, released or finished."""
         return sum(step.changes for steps in self._steps_by_occurrence.values() for step in steps)
 
     def unfinished_steps(self, wall: float) -> list[StepRun]:
-        """Return the steps whose turn has come and that still have something to do.
+        """Return the due incomplete steps whose dependencies are complete.
 
-        A step whose tasks last has nothing more to do once all of them are placed.
+        A long-running step is left out once all its tasks are placed.
         """
         unfinished = []
         for occurrence in range(self._done_occurrences, self.due_occurrences(wall)):
@@ -172,19 +171,19 @@
         return unfinished
 
     def note_done(self, name: TaskName) -> None:
-        """Note a task's end as done; a gang's members are done together."""
+        """Mark a task as done; all members of a gang are done together."""
         step = self.find_step(name)
         if step is None or not 0 <= name.index < len(step.tasks):
             return
         for task in step.tasks if step.step.gang else (step.tasks[name.index],):
-            # Each member of a gang lists its end, and an end is listed until it is
-            # acknowledged: only the first one is news that has to be stored.
+            # Each member of a gang reports its end, and an end is listed until it is
+            # acknowledged. Only the first report changes the progress.
             self.dirty = self.dirty or task.phase is not TaskPhase.DONE
             step.finish(task)
         self._check_complete()
 
     def note_failed(self, name: TaskName, run: int, max_failures: int) -> None:
-        """Count a failed run once; after ``most`` of them the job has failed."""
+        """Count a failed run once; after ``max_failures`` of a task the job has failed."""
         step = self.find_step(name)
         if step is None or step.complete:
             return
@@ -200,9 +199,9 @@
             self.state = JobState.FAILED
 
     def note_crashed(self, name: TaskName, run: int, *, during_start: bool) -> bool:
-        """Count a crash of a runner under a run, once; return whether it is news.
+        """Count a runner crash during a run once; return whether it was not counted before.
 
-        After too many of them the job has failed, also one whose tasks last.
+        After too many crashes the job has failed, even if its step is long-running.
         """
         found = self.find_task(name)
         if found is None or self.is_over or found[1].phase is TaskPhase.DONE:
@@ -216,7 +215,7 @@
         return True
 
     def note_complete(self) -> bool:
-        """Take the word that all tasks are done; return whether that is news."""
+        """Mark the whole job as complete; return whether it was unfinished."""
         if self.is_over:
             return False
         self.state = JobState.COMPLETED
@@ -224,29 +223,29 @@
         return True
 
     def mark_crashes_incomplete(self) -> None:
-        """Note that runners may have crashed under its tasks, of which nothing is known."""
+        """Note that runners may have crashed during its tasks without a record of it."""
         self.dirty = self.dirty or not self.crashes.incomplete
         self.crashes.incomplete = True
 
     def clear_crashes(self, name: TaskName) -> None:
-        """Forget the crashes under a task that was well for so long that it caused none."""
+        """Clear the crashes of a task that ran long enough to prove that it did not cause them."""
         found = self.find_task(name)
         if found is not None and self.crashes.clear(name):
             found[1].quarantined = False
             self.dirty = True
 
     def note_start(self, name: TaskName, run: int, runner: str) -> bool:
-        """Note a start that is about to be sent; return whether it must be stored before."""
+        """Record a start that is about to be sent; return whether to store it first."""
         self.runners.add(runner)
         stored = self.may_run_on(runner)
         return self.crashes.record_start(name, run, runner) or not stored
 
     def note_run_ended(self, name: TaskName, run: int) -> None:
-        """Note that a run is known to be over, however it ended."""
+        """Record that a run has ended in any way."""
         self.dirty = self.crashes.record_run_end(name, run) or self.dirty
 
     def mark_started(self) -> None:
-        """Note that a first task runs."""
+        """Mark the job as running once its first task runs."""
         if self.has_started:
             return
         self.has_started = True
@@ -255,14 +254,14 @@
             self.state = JobState.RUNNING
 
     def restore(self, progress: Progress) -> None:
-        """Take what an earlier owner has noted."""
+        """Restore the progress that an earlier owner stored."""
         self.has_started = progress.state is not JobState.QUEUED
         self.runners.update(progress.runners)
         self.stored_runners.update(progress.runners)
         self.stored_state = progress.state
         self.state = progress.state
-        # The cancellation's own record is dropped with the job's end. A submission
-        # that lands late would else bring the job back.
+        # The record of a cancellation is dropped when the job ends. Without this state, a
+        # submission that arrives late would revive the job.
         self.cancelled = progress.state is JobState.CANCELLED
         self.ended_at = progress.ended_at
         for entry in progress.done:
@@ -279,10 +278,10 @@
         self._skip_done_occurrences()
 
     def apply_final_state(self, progress: Progress | None) -> bool:
-        """Take a final state that the store has and this job has not; return whether.
+        """Apply a final state that is stored but not known here; return whether it was applied.
 
-        A client repeated its request while this owner had read only a part of what
-        stands in the store, so a job that was over was taken for a new one.
+        Happens if a client repeats its request while this owner has read only a part of the
+        store: the owner then takes a finished job for a new one.
         """
         if progress is None or self.is_over or progress.state not in FINAL_STATES:
             return False
@@ -295,11 +294,11 @@
         wall: float,
         leftovers: tuple[Leftover, ...] = (),
     ) -> Progress:
-        """Return what is to be kept in the store; ``leftovers`` of a job that is over."""
+        """Return the record to store; ``leftovers`` apply to a finished job only."""
         if self.is_over and not self.ended_at:
             self.ended_at = wall
         done = []
-        # A job that is over needs no more than its state.
+        # Of a finished job only the state is needed.
         for occurrence, steps in self._steps_by_occurrence.items():
             if self.is_over:
                 break
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that make no progress although a step's turn has come, and what they wait for. No I/O."""
+"""Finds jobs without progress although a step is due, with what they wait for. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,21 +8,21 @@
 from dandelionreel.cell.decisions._runs import JobRun
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase
 
-#: Seconds without a change, beyond what runs are expected to take, until a job is stalled.
+#: Seconds without a change, beyond the expected duration of runs, after which a job is stalled.
 STALL_SECONDS = 3.0
-#: Share of its expected time by which a run may be late.
+#: Fraction of its expected duration by which a run may be late.
 LATE_FRACTION = 1.0
-#: Seconds between two looks at all jobs, and until the same stall is reported again.
+#: Seconds between two checks of all jobs, and between two reports of the same job.
 CHECK_INTERVAL_SECONDS = 1.5
 REPORT_INTERVAL_SECONDS = 5.0
-#: Jobs in one report, and runs named for one job.
+#: Jobs in one report, and runs listed for one job.
 MAX_JOBS = 5
 MAX_RUNS = 10
 
 
 @dataclass(frozen=True)
 class StalledJob:
-    """A job without progress for ``seconds``; ``steps`` and ``runs`` are for people."""
+    """A job without progress for ``seconds``; ``steps`` and ``runs`` are readable descriptions."""
 
     job: str
     queue: str
@@ -34,7 +34,7 @@
 
 @dataclass
 class _Progress:
-    """How often a job's tasks had changed when last seen, and since when (monotonic seconds)."""
+    """Number of changes of a job's tasks, and since when it is unchanged (monotonic seconds)."""
 
     changes: int
     since: float
@@ -45,13 +45,13 @@
     """Finds the jobs of a cell that are stalled."""
 
     def __init__(self, cell: Cell) -> None:
-        """Watch the jobs of that cell."""
+        """Watch the jobs of ``cell``."""
         self._cell = cell
         self._progress_by_job: dict[str, _Progress] = {}
         self._checked_at = float('-inf')
 
     def find(self, now: float, wall: float) -> list[StalledJob]:
-        """Return stalled jobs that are due for a report, those without a change longest first."""
+        """Return the stalled jobs that are due for a report, longest stall first."""
         if now - self._checked_at < CHECK_INTERVAL_SECONDS:
             return []
         self._checked_at = now
@@ -68,7 +68,7 @@
         return stalled
 
     def _find_candidates(self, now: float) -> list[tuple[_Progress, JobRun]]:
-        """Return the jobs without a change for long that have not been reported lately."""
+        """Return the jobs without a recent change that have not been reported recently."""
         previous = self._progress_by_job
         self._progress_by_job = {}
         candidates = []
--- a/dandelionreel/cell/decisions/_step_runs.py
+++ b/dandelionreel/cell/decisions/_step_runs.py
@@ -1,4 +1,4 @@
-"""The tasks of one step: which of them are done, running or waiting. No I/O."""
+"""State of one step: which of its tasks are done, placed or waiting. No I/O."""
 
 import enum
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class TaskPhase(enum.Enum):
-    """Where a task stands."""
+    """Phase of a task."""
 
     WAITING = 'waiting'
     PLACED = 'placed'
@@ -16,7 +16,7 @@
 
 @dataclass
 class TaskRun:
-    """One task. While placed, ``run`` on ``runner`` is its only run that counts."""
+    """One task. While it is placed, its only current run is ``run`` on ``runner``."""
 
     name: TaskName
     phase: TaskPhase = TaskPhase.WAITING
@@ -24,9 +24,9 @@
     runner: str = ''
     checkpoint: str = ''
     failures: int = 0
-    #: Runners on which it failed: the next run goes elsewhere if it can.
+    #: Runners on which it failed; the next run goes elsewhere if possible.
     avoid: set[str] = field(default_factory=set)
-    #: Whether it starts by itself: runners have crashed under it, and it may be the cause.
+    #: Whether it starts alone, since it may have caused crashes of its runners.
     quarantined: bool = False
 
 
@@ -34,7 +34,7 @@
     """One step of one occurrence."""
 
     def __init__(self, name: StepName, step: Step) -> None:
-        """Start with all tasks waiting."""
+        """Create the step with all tasks waiting."""
         self.name = name
         self.step = step
         self.tasks = [
@@ -45,7 +45,7 @@
         self.done = 0
         #: How many times a task has been placed, released or finished.
         self.changes = 0
-        #: A start of this step is not tried again before then.
+        #: Earliest time of the next start, after a runner rejected one as invalid.
         self.not_before = 0.0
 
     @property
@@ -54,7 +54,7 @@
         return self.done == len(self.tasks)
 
     def place(self, task: TaskRun, runner: str, run: int) -> None:
-        """Note that ``run`` of a waiting task is on its way to ``runner``."""
+        """Mark a waiting task as placed on ``runner`` with number ``run``."""
         task.phase = TaskPhase.PLACED
         task.runner = runner
         task.run = run
@@ -62,14 +62,14 @@
         self.changes += 1
 
     def release(self, task: TaskRun) -> None:
-        """Let a placed task wait again."""
+        """Return a placed task to waiting."""
         task.phase = TaskPhase.WAITING
         task.runner = ''
         self.waiting += 1
         self.changes += 1
 
     def finish(self, task: TaskRun) -> None:
-        """Note that a task is done, wherever it stood."""
+        """Mark a task as done, from any phase."""
         if task.phase is TaskPhase.DONE:
             return
         if task.phase is TaskPhase.WAITING:
@@ -81,5 +81,5 @@
 
 
 def counted_demand(step: StepRun) -> Demand:
-    """Return what a task of the step takes from a runner's room."""
+    """Return the capacity that a task of the step uses on a runner."""
     return step.step.counted_demand
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -1,32 +1,35 @@
-"""Which runs must be told to stop, and which of them once more. No I/O."""
+"""Stops to send to runners, including repeated ones. No I/O."""
 
 from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase
 
-#: Seconds that a runner may take over a stop that it has answered, and so may still
-#: list the run: the longest that is granted to runners.
+#: Longest time in seconds that a runner may take to stop a run after it has answered the stop.
+#: Until then it may still list the run.
 MAX_STOP_SECONDS = 0.4
 
 
 class StopQueue:
-    """Stops on their way: due, then answered, until a poll proves that the run is gone."""
+    """Stops that are still to be sent.
+
+    An allocation stays in the stopping phase until a poll proves that the run is gone.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing to stop."""
+        """Create an empty queue."""
         self._queue: list[Allocation] = []
 
     def order(self, allocation: Allocation) -> None:
-        """Have a run stopped; it counts until it is known to be gone."""
+        """Queue the stop of a run; it stays allocated until it is known to be gone."""
         if allocation.phase is AllocationPhase.STOPPING:
             return
         allocation.phase = AllocationPhase.STOPPING
         self._enqueue(allocation)
 
     def repeat(self, allocation: Allocation, polled_at: float) -> None:
-        """Have a run stopped once more that a poll lists long after its stop was taken.
+        """Queue another stop for a run that a poll still lists long after its stop was answered.
 
-        The stop may have overtaken the start. Such a run counts as being stopped, so
-        nobody would tell the runner again, and it would run to its end. A poll that was
-        sent (at ``asked``) when the stop must have taken effect proves that it has not.
+        The stop may have overtaken the start. The run would then be in the stopping phase without
+        any further stop, and run to its end. A poll that was sent (at ``polled_at``) after the
+        stop must have taken effect proves that it has not.
         """
         if allocation.phase is not AllocationPhase.STOPPING or allocation.order_answered_at is None:
             return
@@ -34,12 +37,12 @@
             self._enqueue(allocation)
 
     def take(self) -> list[Allocation]:
-        """Return the runs that must be told to stop, once."""
+        """Return the queued stops and clear the queue."""
         taken = self._queue
         self._queue = []
         return taken
 
     def _enqueue(self, allocation: Allocation) -> None:
-        # Until the stop is answered, a poll that does not list the run proves nothing.
+        # Until the stop is answered, a poll without the run does not prove that it is gone.
         allocation.order_answered_at = None
         self._queue.append(allocation)
--- a/dandelionreel/cell/decisions/_zone_reachability.py
+++ b/dandelionreel/cell/decisions/_zone_reachability.py
@@ -1,18 +1,18 @@
-"""Decides which availability zones cannot be reached, by their runners' overdue answers. No I/O.
+"""Decides which availability zones are unreachable, by overdue answers of runners. No I/O.
 
-Load pattern: a zone is cut off while many starts a second go there, and each start that is lost
-holds its task up until the partition heals. Two silent runners of a zone of which no runner answers
-stand for all of them.
+Load pattern: a zone is partitioned while many starts per second go there, and each lost start
+delays its task until the partition heals. If two runners of a zone are silent and no other runner
+there answers, the whole zone is considered unreachable.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-#: Seconds after which an order's answer is overdue.
+#: Seconds after which the answer to an order (a start or a stop) is overdue.
 OVERDUE_SECONDS = 0.08
-#: Runners of a zone that must be silent: one may have ended.
+#: Runners of a zone that must be silent; a single one may have ended.
 MIN_SILENT_RUNNERS = 2
-#: Seconds after which an order that was never answered tells nothing any more.
+#: Seconds after which an unanswered order is no evidence any more.
 ORDER_EXPIRY_SECONDS = 1.0
 
 
@@ -23,15 +23,15 @@
 
 
 class ZoneReachability:
-    """Orders that are not answered yet, by zone, and zones that are in doubt."""
+    """Unanswered orders by zone, and the zones considered unreachable."""
 
     def __init__(self) -> None:
-        """Start without a doubt."""
+        """Consider all zones reachable at first."""
         self._orders_by_zone: dict[str, list[_Order]] = {}
         self._unreachable: set[str] = set()
 
     def note_order(self, zone: str, runner: str, now: float) -> None:
-        """Note that an order leaves for a runner."""
+        """Record that an order is sent to a runner."""
         recent = [
             order
             for order in self._orders_by_zone.get(zone, ())
@@ -40,14 +40,15 @@
         self._orders_by_zone[zone] = [*recent, _Order(runner, now)]
 
     def note_answer(self, zone: str) -> None:
-        """Note that some runner of a zone has answered: it can be reached."""
+        """Record an answer of a runner: its zone is reachable."""
         self._orders_by_zone.pop(zone, None)
         self._unreachable.discard(zone)
 
     def unreachable_zones(self, zones: Iterable[str], now: float) -> set[str]:
-        """Return the zones that get nothing new until one there answers; never all ``zones``.
+        """Return the zones that get no new starts until a runner there answers.
 
-        Where all are in doubt, it is this host that is cut off, or nothing can be told.
+        Returns none if all ``zones`` seem unreachable: then this host may be the one that is
+        partitioned.
         """
         all_zones = set(zones)
         self._unreachable.update(zone for zone in all_zones if self._is_silent(zone, now))
--- a/dandelionreel/cell/model/__init__.py
+++ b/dandelionreel/cell/model/__init__.py
@@ -1,4 +1,4 @@
-"""What a cell is made of: its facts, their records, and the services that it needs."""
+"""Model of a cell: jobs and runners, stored records, and interfaces of external services."""
 
 from dandelionreel.cell.model._checks import check_leftovers, check_progress, check_spec
 from dandelionreel.cell.model._incarnations import find_later, incarnation_id, runner_id
--- a/dandelionreel/cell/model/_checks.py
+++ b/dandelionreel/cell/model/_checks.py
@@ -1,7 +1,7 @@
-"""Bounds of what a job may ask for, and whether a job's progress belongs to it.
+"""Validates the bounds of jobs, and that stored progress fits its job.
 
-A client's job and a job from the store are checked alike: whatever is accepted can be
-read again, and no count from another writer keeps the owner busy for ever.
+Jobs from clients and from the store are checked alike: an accepted job can always be read again,
+and no huge count from another writer can keep the owner busy forever.
 """
 
 from dandelionreel.cell.model._model import JobSpec, Step
@@ -11,25 +11,26 @@
 MAX_STEPS = 100
 MAX_TASKS = 10_000
 MAX_OCCURRENCES = 10_000
-#: More than any machine has of anything, and some days in seconds for an estimate.
+#: More than any machine has of any resource.
 MAX_DEMAND = 2_147_483_648
+#: 31 years: longer than any task.
 MAX_ESTIMATE_SECONDS = 1e9
-#: Seconds. Occurrences at shorter intervals are all due at once, and time divided by
-#: a tiny interval is infinite, which has no whole number.
+#: Occurrences at shorter intervals would all be due at once, and dividing a time by a tiny
+#: interval gives infinity, which cannot be converted to an integer.
 MIN_INTERVAL_SECONDS = 0.001
-#: Seconds since the epoch, either way: 30,000 years.
+#: Unix time, positive or negative: 30,000 years.
 MAX_TIME_SECONDS = 1e12
 HEX_BASE = 16
 
 
 def check_spec(spec: JobSpec) -> None:
-    """Raise ``UnreadableError`` for a job that is out of bounds; it says which part."""
+    """Raise ``UnreadableError`` for a job that is out of bounds; the message names the part."""
     if not 1 <= len(spec.steps) <= MAX_STEPS:
         raise _out_of_bounds(f'steps: 1 to {MAX_STEPS} are allowed')
     if not 0 <= spec.repeat_count <= MAX_OCCURRENCES:
         raise _out_of_bounds(f'repeat_count: 0 to {MAX_OCCURRENCES} is allowed')
     if spec.interval < 0 or 0 < spec.interval < MIN_INTERVAL_SECONDS:
-        raise _out_of_bounds('the interval is 0 or a millisecond at least')
+        raise _out_of_bounds('the interval must be 0 or at least one millisecond')
     if max(abs(spec.first_run), spec.interval) > MAX_TIME_SECONDS:
         raise _out_of_bounds('the first run or the interval is too far away')
     for number, step in enumerate(spec.steps):
@@ -46,13 +47,15 @@
     if step.estimate > MAX_ESTIMATE_SECONDS:
         raise _out_of_bounds(f'step {number}: estimate_ms is out of bounds')
     for earlier in step.depends_on:
-        # Only earlier steps may be named, so there can be no cycle.
+        # Only earlier steps are allowed, so dependencies have no cycle.
         if not 0 <= earlier < number:
-            raise _out_of_bounds(f'step {number}: depends_on names {earlier}, no earlier step')
+            raise _out_of_bounds(
+                f'step {number}: depends_on names {earlier}, which is no earlier step'
+            )
 
 
 def check_progress(progress: Progress, spec: JobSpec) -> None:
-    """Raise ``UnreadableError`` for progress on tasks that the job does not have."""
+    """Raise ``UnreadableError`` for progress of tasks that the job does not have."""
     for done in progress.done:
         step = _find_step(spec, done.occurrence, done.step)
         if int(done.mask, HEX_BASE) >> step.count:
@@ -69,10 +72,10 @@
 
 
 def check_leftovers(progress: Progress) -> None:
-    """Raise ``UnreadableError`` for runs of a job that is over which take less than nothing."""
+    """Raise ``UnreadableError`` for negative demands in the leftovers of a finished job."""
     for leftover in progress.leftovers:
         if min(leftover.demand.cpu, leftover.demand.memory_mb, leftover.demand.gpu) < 0:
-            raise _out_of_bounds(f'what is left on {leftover.runner} takes less than nothing')
+            raise _out_of_bounds(f'negative demand of the leftover on {leftover.runner}')
 
 
 def _find_step(spec: JobSpec, occurrence: int, number: int) -> Step:
--- a/dandelionreel/cell/model/_incarnations.py
+++ b/dandelionreel/cell/model/_incarnations.py
@@ -1,20 +1,20 @@
-"""Names for the processes that run under a runner's id, one after the other.
+"""Ids of incarnations: the successive processes that run under one runner id.
 
-A runner may start again under the id that it had, with all its counts anew. Whatever is known
-of a process is kept under its incarnation, so that nothing of it is taken for the next one's.
+A runner may restart under the same id with all its counters reset. State of a process is kept
+under the id of its incarnation, so that it is not attributed to the next process.
 """
 
 from collections.abc import Iterable
 
-#: Digits of a Unix millisecond that is exact in JSON.
+#: Decimal digits of the largest Unix time in milliseconds that JSON keeps exactly.
 MAX_START_DIGITS = 16
 _SEPARATOR = '@'
 
 
 def incarnation_id(runner: str, started: int | None) -> str:
-    """Return the id of the incarnation of ``runner`` that started at a Unix millisecond.
+    """Return the id of the incarnation of ``runner`` that started at a Unix time in milliseconds.
 
-    Where runners do not tell when they started, their ids name incarnations by themselves.
+    If the runner does not report its start time, its own id names the incarnation.
     """
     if started is None and _SEPARATOR not in runner:
         return runner
@@ -23,13 +23,13 @@
 
 
 def runner_id(incarnation: str) -> str:
-    """Return the id of the runner that an incarnation is of."""
+    """Return the runner id of an incarnation."""
     runner, separator, _ = incarnation.rpartition(_SEPARATOR)
     return runner if separator else incarnation
 
 
 def find_later(incarnations: Iterable[str], others: Iterable[str]) -> dict[str, str]:
-    """Return those incarnations of which a later one is among ``others``, with that one."""
+    """Map each incarnation that has a later one among ``others`` to the latest one."""
     latest_by_runner: dict[str, str] = {}
     for other in others:
         known = latest_by_runner.get(runner_id(other))
--- a/dandelionreel/cell/model/_model.py
+++ b/dandelionreel/cell/model/_model.py
@@ -1,4 +1,4 @@
-"""Jobs of steps, the queues that take them, and the runners that run their tasks."""
+"""Jobs, queues, services and runners."""
 
 import enum
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What one task occupies: thousandths of a core, megabytes, accelerators."""
+    """An amount of resources: thousandths of a core, megabytes and accelerators."""
 
     cpu: int = 0
     memory_mb: int = 0
@@ -36,11 +36,11 @@
         return self.cpu <= room.cpu and self.memory_mb <= room.memory_mb and self.gpu <= room.gpu
 
     def times(self, count: int) -> 'Demand':
-        """Return what that many tasks demand together."""
+        """Return the demand multiplied by ``count``."""
         return Demand(self.cpu * count, self.memory_mb * count, self.gpu * count)
 
     def at_most(self, other: 'Demand') -> 'Demand':
-        """Return the smaller of both in each resource."""
+        """Return the minimum of both for each resource."""
         return Demand(
             min(self.cpu, other.cpu),
             min(self.memory_mb, other.memory_mb),
@@ -48,16 +48,17 @@
         )
 
     def dominant_share(self, whole: 'Demand') -> float:
-        """Return the largest fraction of ``whole`` over the resources that it has."""
+        """Return the largest fraction of ``whole`` over its non-zero resources."""
         amounts = ((self.cpu, whole.cpu), (self.memory_mb, whole.memory_mb), (self.gpu, whole.gpu))
         return max((part / total for part, total in amounts if total > 0), default=0.0)
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One step of a job: ``count`` equal tasks.
+    """One step of a job: ``count`` identical tasks.
 
-    ``depends_on`` numbers earlier steps. ``estimate`` is the caller's guess of
-    one task's duration in seconds. ``max_per_runner`` of 0 means no limit.
+    ``depends_on`` has the numbers of earlier steps. ``estimate`` is the client's estimate of a
+    task's duration in seconds. ``max_per_runner`` of 0 means no limit. Tasks of a step that
+    ``fills`` use the processor time that other tasks leave.
     """
 
     count: int
@@ -79,9 +80,9 @@
 
     @property
     def counted_demand(self) -> Demand:
-        """Return what a task takes from a runner's room.
+        """Return the capacity that a task uses on a runner.
 
-        Tasks that fill get the processors that others leave, so theirs do not count.
+        Tasks that fill use leftover processor time, so their processor demand does not count.
         """
         if self.fills:
             return Demand(0, self.demand.memory_mb, self.demand.gpu)
@@ -89,15 +90,15 @@
 
     @property
     def smallest_start(self) -> Demand:
-        """Return what starts at once: a task, or all members of a gang."""
+        """Return the demand of the smallest unit to start: a task, or all members of a gang."""
         return self.counted_demand.times(self.count) if self.gang else self.counted_demand
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a client handed in.
+    """A job as submitted by a client.
 
-    ``payload`` is passed to every task. A job without a schedule has one
-    occurrence, number 0; ``first_run`` is in seconds since the epoch.
+    ``payload`` is passed to every task. A job without a schedule has one occurrence, number 0.
+    ``first_run`` is a Unix time and ``interval`` is in seconds.
     """
 
     payload: str
@@ -108,13 +109,13 @@
 
     @property
     def occurrences(self) -> int:
-        """Return how many times the steps run."""
+        """Return how many times the steps are run."""
         return max(1, self.repeat_count)
 
 
 @dataclass(frozen=True, order=True)
 class StepName:
-    """A step of one occurrence of a job."""
+    """Identifies a step of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -128,7 +129,7 @@
 
 @dataclass(frozen=True, order=True)
 class TaskName:
-    """A task of one occurrence of a job."""
+    """Identifies a task of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -137,12 +138,12 @@
 
     @property
     def label(self) -> str:
-        """Return the task within its job, as lines of the log name it."""
+        """Return the name of the task within its job, as used in log lines."""
         return f'{self.occurrence}.{self.step}.{self.index}'
 
 
 class JobState(enum.Enum):
-    """What clients are told about a job."""
+    """State of a job as shown to clients."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -153,7 +154,7 @@
 
 @dataclass(frozen=True)
 class AdvicePolicy:
-    """How long the policy service takes for a queue's steps, in seconds."""
+    """Expected latency of advice for a queue's steps, and how long it is valid, in seconds."""
 
     decision_seconds: float
     seconds_per_runner: float
@@ -162,11 +163,11 @@
 
 @dataclass(frozen=True)
 class Queue:
-    """Where jobs are handed in, and how they are served.
+    """Where jobs are submitted, and how they are scheduled.
 
-    A job's objective is ``slack`` times its longest chain of work and
-    ``latency`` seconds more. A ``priority`` of 0 comes first. A ``public`` queue takes
-    calls without an API key.
+    The target completion time of a job is ``slack`` times the duration of its longest dependency
+    chain plus ``latency`` seconds. Priority 0 is the highest. A ``public`` queue accepts calls
+    without an API key.
     """
 
     name: str
@@ -184,7 +185,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A pool of runners; some check their capacity themselves."""
+    """A pool of runners; with ``enforces_capacity`` they check their capacity themselves."""
 
     name: str
     enforces_capacity: bool
@@ -205,7 +206,7 @@
         body_bytes: int,
         accounts: Accounts | None = None,
     ) -> None:
-        """Index queues and services by name; without ``accounts`` no call needs a key."""
+        """Index queues and services by name; without ``accounts`` no call needs an API key."""
         self.version = version
         self.body_bytes = body_bytes
         self.accounts = accounts
@@ -219,16 +220,16 @@
 
     @property
     def services(self) -> set[str]:
-        """Return the services that this version names."""
+        """Return the names of all services in this version."""
         routed = {queue.service for queue in self.queue_by_name.values()}
         return routed | self.service_by_name.keys()
 
     def find_account(self, name: str) -> Account[Demand] | None:
-        """Return the client account of that name, ``None`` where this version has none."""
+        """Return the client account with this name, ``None`` if this version has none."""
         return None if self.accounts is None else self.accounts.account_by_name.get(name)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue of that host with the longest prefix of ``path``."""
+        """Return the queue of this host whose prefix matches most of ``path``."""
         for queue in self._queues_by_host.get(host.lower(), ()):
             if path.startswith(queue.path_prefix):
                 return queue
@@ -241,13 +242,13 @@
 
 @dataclass(frozen=True)
 class Registration:
-    """A runner as it describes itself.
+    """A runner's description of itself.
 
-    ``remaining`` is the least time in seconds that a draining runner will
-    stay, ``None`` while it does not drain. ``usable`` is false while its newest
-    entry cannot be used: the rest is then what the last good one said, by which
-    the runner is looked at and what runs there counts. ``incarnation`` tells apart the
-    processes that have run under one id, ``None`` where they do not tell.
+    ``remaining`` is the minimum time in seconds that a draining runner will stay, ``None`` if it
+    does not drain or does not report the time. ``usable`` is false while its newest entry cannot
+    be used: the other fields are then from its last good entry, so that the runner is still
+    polled and its runs still count. ``incarnation`` distinguishes the processes that have run
+    under one id, ``None`` if they do not report it.
     """
 
     runner: str
--- a/dandelionreel/cell/model/_records.py
+++ b/dandelionreel/cell/model/_records.py
@@ -1,9 +1,9 @@
-"""The cell's own records, one key a fact; every host folds them into its book.
+"""The cell's own records in the store, one key for each fact; every host replays them.
 
-A job stands under three keys, each with one kind of writer: its submission (the host that accepted
-it), its cancellation (any host) and its progress (the owner of the cell, fenced by its epoch). So
-no writer overwrites another, in whatever order appends land. Of a job that is over only the
-progress stays, as a host that starts reads all keys.
+A job has three keys, each with one kind of writer: its submission (the host that accepted it),
+its cancellation (any host) and its progress (the owner of the cell, fenced by its epoch). So no
+writer overwrites another, in whatever order appends arrive. Of a finished job only the progress
+is kept, since a starting host reads all keys.
 """
 
 from typing import Annotated
@@ -20,12 +20,12 @@
 MEMBER_PREFIX = 'm/'
 RUNNERS_IN_USE_KEY = 'runners'
 
-#: Seconds for which leases of the latest owner may last that only it renews. Taken as well where
-#: the record of the owner cannot be read.
+#: Seconds for which a successor assumes that leases of the previous owner may last that only that
+#: owner has renewed. Also used if the record of the owner cannot be read.
 PREDECESSOR_LEASE_SECONDS = 17.8
-#: No owner writes more; a wild figure would keep its successor from ever starting tasks.
+#: No owner writes more; an absurd value would keep its successor from ever starting tasks.
 MAX_UNSETTLED_SECONDS = 60
-#: Whole numbers are exact in JSON up to here. An epoch beyond would outbid every owner.
+#: Integers below this are exact in JSON. A larger epoch would outrank every owner.
 MAX_EXACT_INTEGER = 9_007_199_254_740_992
 MAX_PORT = 65_535
 #: More than any host has, in cores.
@@ -41,10 +41,10 @@
 
 
 class Submission(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An accepted job; ``accepted_at`` is wall-clock seconds at that host.
+    """An accepted job; ``accepted_at`` is a Unix time by the clock of the accepting host.
 
-    ``zone`` is the availability zone of the host that its client handed it to, ``account``
-    the client account whose job it is, empty for none.
+    ``zone`` is the availability zone of that host, ``account`` the client account that owns the
+    job, empty for none.
     """
 
     queue: str
@@ -62,9 +62,9 @@
 
 
 class FailedRun(msgspec.Struct, frozen=True, array_like=True):
-    """A run that ended ``failed``; kept by run so that one end counts once.
+    """A run that has failed; keyed by run so that each end counts once.
 
-    The runs of a gang share their number and count once, as task 0.
+    The runs of a gang share their run number and count once, as task 0.
     """
 
     occurrence: Count
@@ -74,9 +74,9 @@
 
 
 class CrashedRun(msgspec.Struct, frozen=True, array_like=True):
-    """A run under which its runner has crashed; kept by run so that one loss counts once.
+    """A run during which its runner crashed; keyed by run so that each loss counts once.
 
-    ``during_start`` says that the connection broke while the answer to its start was out.
+    ``during_start`` says that the connection broke while the start was unanswered.
     """
 
     occurrence: Count
@@ -87,7 +87,7 @@
 
 
 class StoredStart(msgspec.Struct, frozen=True, array_like=True):
-    """A start of a task under which runners have crashed, or may have; stored before it is sent."""
+    """A start of a task that has, or may have, crashed runners; stored before it is sent."""
 
     occurrence: Count
     step: Count
@@ -97,7 +97,7 @@
 
 
 class DoneTasks(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks of one step that are done: bit N of ``mask``, in hex, is task N."""
+    """Tasks of one step that are done; bit N of the hexadecimal ``mask`` is task N."""
 
     occurrence: Count
     step: Count
@@ -105,20 +105,19 @@
 
 
 class Leftover(msgspec.Struct, frozen=True, array_like=True):
-    """What runs of a job that is over may still take on a runner until they are gone."""
+    """Resources that runs of a finished job may still use on a runner until they are gone."""
 
     runner: Text
     demand: Demand
 
 
 class Progress(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How far a job is, as noted by the owner with that epoch.
+    """Progress of a job, written by the owner with this epoch.
 
-    ``runners`` are all on which a task of the job may ever have been started:
-    it is stored before the first start there, so a successor that cannot reach
-    some runner knows which jobs to leave alone. ``doubtful`` as ``JobCrashes`` says.
-    ``account`` is kept as nothing else of a job that is over says whose it was, with the
-    ``leftovers`` of its runs.
+    ``runners`` are all runners on which a task of the job may have been started. They are stored
+    before the first start there, so a successor that cannot reach some runner knows which jobs it
+    must not start again. ``doubtful`` is ``JobCrashes.incomplete``. ``account`` is stored because
+    no other record of a finished job has it, and the ``leftovers`` count against its quota.
     """
 
     epoch: Count
@@ -135,12 +134,12 @@
 
 
 class Owner(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Who owns the cell: written at the claim and with every heartbeat.
+    """The owner of the cell, written when it claims ownership and with every heartbeat.
 
-    ``released`` says that the owner has stopped for good. ``unsettled`` is for
-    how many seconds more an owner before this one may renew leases unseen.
-    ``read_from`` is the offset at which this life of the host first read the topic,
-    ``version`` that of the configuration by which it decides.
+    ``beat`` counts heartbeats. ``released`` says that the owner has stopped for good.
+    ``unsettled`` is the number of seconds for which earlier owners may still renew leases without
+    being noticed. ``read_from`` is the offset at which this incarnation of the host first read the
+    topic, ``version`` that of the configuration in use.
     """
 
     epoch: Count
@@ -156,8 +155,8 @@
 class RunnersInUse(msgspec.Struct, frozen=True):
     """The runners on which an owner's tasks may run.
 
-    It is stored before the first start on a runner, so a successor waits for
-    the leases of no other runner.
+    Stored before the first start on a runner, so that a successor waits only for leases of these
+    runners.
     """
 
     epoch: Count
@@ -165,10 +164,10 @@
 
 
 class Member(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Where a host's daemon listens for its peers; ``incarnation`` names its life.
+    """Where a host's daemon listens for its peers; ``incarnation`` identifies its process.
 
-    ``cores`` is its share of a processor, times the speed of one. ``read_from`` is the
-    offset at which that life first read the topic, which orders the lives of a host.
+    ``cores`` is its processor share times the relative speed of a core. ``read_from`` is the
+    offset at which that process first read the topic, which orders the incarnations of a host.
     """
 
     zone: str
@@ -179,22 +178,22 @@
     read_from: Count = 0
 
 
-#: A job that is over shows one of these.
+#: States of finished jobs.
 FINAL_STATES = frozenset((JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED))
 
 
 def make_record(key: str, fact: object) -> KeyedRecord:
-    """Return the record that keeps ``fact`` under ``key``."""
+    """Return the record that stores ``fact`` under ``key``."""
     return KeyedRecord(key, msgspec.json.encode(fact))
 
 
 def make_tombstone(key: str) -> KeyedRecord:
-    """Return the record that drops ``key``."""
+    """Return the record that deletes ``key``."""
     return KeyedRecord(key, None)
 
 
 def make_progress_records(job: str, progress: Progress) -> list[KeyedRecord]:
-    """Return what keeps a job's progress; of a job that is over nothing else is kept."""
+    """Return the records that store a job's progress; for a finished job, also delete the rest."""
     records = [make_record(PROGRESS_PREFIX + job, progress)]
     if progress.state in FINAL_STATES:
         records.append(make_tombstone(SUBMISSION_PREFIX + job))
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -1,4 +1,4 @@
-"""What the cell needs from its surroundings: a store, runners, a policy service."""
+"""Interfaces of external services: the store, runners, the policy service and codecs."""
 
 import abc
 import enum
@@ -17,16 +17,16 @@
 from dandelionreel.http import Answer
 from dandelionreel.kernel import Verdict
 
-#: Asked right before bytes leave: may they?
+#: Called right before a request is sent; a false result prevents it.
 Check = Callable[[], bool]
 
 
 @dataclass(frozen=True)
 class KeyedRecord:
-    """The content that a key has from ``offset`` on; ``None`` drops the key.
+    """The content of a key from ``offset`` on; ``None`` deletes the key.
 
-    ``error`` says why already the topic could not read the record; the key is then
-    empty where not even that is known.
+    ``error`` says why the topic could not decode the record; the key is then empty if it is
+    unknown too.
     """
 
     key: str
@@ -36,15 +36,15 @@
 
     @property
     def dropped(self) -> bool:
-        """Return whether the record drops its key."""
+        """Return whether the record deletes its key."""
         return self.content is None and self.error is None
 
 
 @dataclass(frozen=True)
 class RecordBatch:
-    """Records in order; ``next_offset`` is where the next read goes on.
+    """Records in order; the next read starts at ``next_offset``.
 
-    The topic ended at ``end`` when the batch was read.
+    ``end`` is the end offset of the topic when the batch was read.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -53,16 +53,16 @@
 
     @property
     def reached_end(self) -> bool:
-        """Return whether nothing more was in the topic."""
+        """Return whether the batch goes up to the end of the topic."""
         return self.next_offset >= self.end
 
 
 @dataclass(frozen=True)
 class WriterFence:
-    """Names a writer's term and the place of one append within it.
+    """Identifies a writer's epoch and one append within it.
 
-    The store refuses the appends of every lower epoch, and a sequence number
-    out of turn; a repeated append is answered as the first time.
+    The store rejects appends with a lower epoch or an out-of-order sequence number. A repeated
+    append gets the answer of the first one.
     """
 
     epoch: int
@@ -70,28 +70,28 @@
 
 
 class StoreError(Exception):
-    """The store did not do what was asked; the verdict says whether it may have."""
+    """A request to the store failed; the verdict says whether it may have been executed."""
 
     def __init__(self, message: str, verdict: Verdict) -> None:
-        """Keep the message and the verdict."""
+        """Create an error with a message and a verdict."""
         super().__init__(message)
         self.verdict = verdict
 
 
 class FencedError(StoreError):
-    """A writer with a higher epoch, or another one with this epoch, has written."""
+    """Another writer with the same or a higher epoch has written."""
 
 
 class ConflictError(StoreError):
-    """The topic did not end where the append expected it to."""
+    """The end offset of the topic was not the one that the append expected."""
 
 
 class RecordsExpired(Exception):
-    """The records at that offset are gone: start again from a snapshot."""
+    """The records at this offset were deleted: the reader must load a snapshot."""
 
 
 class Topic(abc.ABC):
-    """A log of keyed records that keeps the newest record of every key."""
+    """A compacted log of keyed records: it keeps the newest record of each key."""
 
     @abc.abstractmethod
     async def append(
@@ -101,26 +101,26 @@
         fence: WriterFence | None = None,
         expected_end: int | None = None,
     ) -> int:
-        """Append all or none; return the first offset. Raises ``StoreError``."""
+        """Append all records or none; return the first offset. Raises ``StoreError``."""
 
     @abc.abstractmethod
     async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
         """Return records from ``offset`` on, waiting up to ``wait`` seconds.
 
-        About ``most_bytes`` of them come at once. Raises ``StoreError`` or ``RecordsExpired``.
+        A batch has about ``max_bytes`` at most. Raises ``StoreError`` or ``RecordsExpired``.
         """
 
     @abc.abstractmethod
     async def snapshot(self) -> RecordBatch:
-        """Return the newest record of each key; later ones must be read behind it."""
+        """Return the newest record of each key; later records must be read from its end on."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Give up connections."""
+        """Close connections."""
 
 
 class Outcome(enum.Enum):
-    """How a run ended."""
+    """How a run ended, as reported by its runner."""
 
     DONE = 'done'
     FAILED = 'failed'
@@ -131,7 +131,7 @@
 
 
 class StartReply(enum.Enum):
-    """A runner's answer to a start; nothing runs but for ``STARTED``."""
+    """A runner's reply to a start; the task runs only after ``STARTED``."""
 
     STARTED = 'started'
     FENCED = 'fenced'
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True)
 class StartOrder:
-    """One run of one task; ``lease_until`` is on the runner's own clock."""
+    """The order to start one run of a task; ``lease_until`` is by the runner's clock."""
 
     task: TaskName
     run: int
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True)
 class StartAnswer:
-    """The reply, and the runner's clock in seconds where it told it."""
+    """A reply, with the runner's clock in seconds if the runner reported it."""
 
     reply: StartReply
     clock: float | None
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True)
 class RunningTask:
-    """A task as a runner lists it; ``percent`` is its progress or presence."""
+    """A running task as listed by its runner; ``percent`` is its progress or presence."""
 
     task: TaskName
     run: int
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True)
 class EndedRun:
-    """An end that a runner keeps until it is acknowledged by its number."""
+    """The end of a run; the runner keeps it until its ``number`` is acknowledged."""
 
     number: int
     task: TaskName
@@ -189,12 +189,12 @@
 
 @dataclass(frozen=True)
 class RunnerView:
-    """What a runner knows; ``clock`` is its own, in seconds.
+    """A runner's answer to a poll; ``clock`` is its own clock in seconds.
 
-    It may have more ends than it lists, and some of what it listed may not be readable.
-    The view is then not ``complete``, so that a run that is not in it may still be there;
-    ends above ``readable_through`` must not be acknowledged, since the runner would
-    forget one that nobody has read. ``incarnation`` as in the runner's ``Registration``.
+    If the runner has more ends than it listed, or some rows were unreadable, the view is not
+    ``complete``: a run that is missing from it may still exist. Ends above ``readable_through``
+    must not be acknowledged, since the runner would forget an end that nobody has read.
+    ``incarnation`` is that of the runner's ``Registration``.
     """
 
     clock: float
@@ -206,14 +206,14 @@
 
 
 class RunnerError(Exception):
-    """A runner gave no usable answer; the verdict says whether it may have acted.
+    """A runner gave no usable answer; the verdict says whether it may have executed the request.
 
     ``connection_broken`` says that the connection closed while the request was pending, as it does
     at once when the process of the runner exits. Otherwise the runner was silent.
     """
 
     def __init__(self, message: str, verdict: Verdict, *, connection_broken: bool = False) -> None:
-        """Keep the message, the verdict and whether the connection broke."""
+        """Create an error with a message, a verdict and whether the connection broke."""
         super().__init__(message)
         self.verdict = verdict
         self.connection_broken = connection_broken
@@ -224,19 +224,19 @@
 
 
 class RunnerReplaced(Exception):
-    """Another runner answers at that address: the one that was meant has ended."""
+    """Another incarnation answers at this address: the intended one has ended."""
 
 
 class Runner(abc.ABC):
-    """One runner; its errors are ``RunnerError``, ``RunnerFenced``, ``RunnerReplaced``."""
+    """Client of one runner; raises ``RunnerError``, ``RunnerFenced`` or ``RunnerReplaced``."""
 
     @abc.abstractmethod
     async def start(self, order: StartOrder, check: Check) -> StartAnswer:
-        """Start a task; repeating an order does no harm."""
+        """Start a task; idempotent."""
 
     @abc.abstractmethod
     async def stop(self, task: TaskName, run: int, epoch: int) -> None:
-        """Stop a run, also one whose start has not arrived yet."""
+        """Stop a run, even if its start has not arrived yet."""
 
     @abc.abstractmethod
     async def poll(
@@ -246,16 +246,16 @@
         lease_until: float | None,
         wait: float,
     ) -> RunnerView:
-        """Renew all leases and list everything, waiting for a new end."""
+        """Renew all leases and list all runs, waiting up to ``wait`` seconds for a new end."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Give up connections."""
+        """Close connections."""
 
 
 @dataclass(frozen=True)
 class Permit:
-    """A runner that may run a step, with the ticket that its starts carry."""
+    """Permission for a runner to run a step, with the ticket to send with each start."""
 
     runner: str
     ticket: str
@@ -266,7 +266,7 @@
 
 
 class AdviceService(abc.ABC):
-    """Says which runners may run a step."""
+    """Client of the policy service, which decides which runners may run a step."""
 
     @abc.abstractmethod
     async def ask(
@@ -275,51 +275,51 @@
         runners: Sequence[str],
         timeout: float,
     ) -> tuple[Permit, ...]:
-        """Return the permits among ``runners``; raises ``AdviceError``."""
+        """Return permits for those of ``runners`` that may run it; raises ``AdviceError``."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Give up connections."""
+        """Close connections."""
 
 
 class SubmissionError(ValueError):
-    """The body is not a job; the message says which part is wrong."""
+    """A request body is not a valid job; the message names the invalid part."""
 
 
 class ClientCodec(abc.ABC):
-    """The form in which clients hand jobs in and are told about them."""
+    """Decodes job submissions and encodes answers to clients."""
 
     @abc.abstractmethod
     def decode_submission(self, body: bytes) -> JobSpec:
-        """Return the job that a body describes; raises ``SubmissionError``."""
+        """Decode a job from a request body; raises ``SubmissionError``."""
 
     @abc.abstractmethod
     def answer_accepted(self) -> Answer:
-        """Tell that the request stands in the store."""
+        """Answer that the request has been stored."""
 
     @abc.abstractmethod
     def answer_state(self, state: JobState) -> Answer:
-        """Tell a job's state."""
+        """Answer with a job's state."""
 
     @abc.abstractmethod
     def answer_pending(self, count: int) -> Answer:
-        """Tell how many jobs of a queue have not begun."""
+        """Answer with the number of jobs of a queue that have not started."""
 
     @abc.abstractmethod
     def answer_unknown_job(self) -> Answer:
-        """Tell that no such job exists."""
+        """Answer that no such job exists."""
 
 
 class RecordCodec(abc.ABC):
-    """The form of what the operator and the runners write in the store."""
+    """Decodes the records that the operator and the runners write to the store."""
 
-    #: The operator's key under which the configuration stands.
+    #: The key under which the operator stores the configuration.
     configuration_key: str
 
     @abc.abstractmethod
     def decode_configuration(self, content: bytes) -> Configuration:
-        """Return the configuration; raises ``UnreadableError``."""
+        """Decode a configuration; raises ``UnreadableError``."""
 
     @abc.abstractmethod
     def decode_registration(self, runner: str, content: bytes) -> Registration:
-        """Return a runner's registration; raises ``UnreadableError``."""
+        """Decode a runner's registration; raises ``UnreadableError``."""
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -1,8 +1,8 @@
-"""Records that cannot be read: why, and how that is told and counted.
+"""Unreadable records: their reasons, and how they are logged and counted.
 
-Other writers may put anything into a topic. Whatever reads a record raises
-``UnreadableError``, and nothing else, for one that it cannot use; whoever folds it
-catches that for each record, so that one of them costs no other.
+Other writers may put anything into a topic. A decoder raises only ``UnreadableError`` for a record
+that it cannot use. The caller that applies records catches it for each one, so that an unreadable
+record does not affect others.
 """
 
 import enum
@@ -16,22 +16,22 @@
 
 Decoded = TypeVar('Decoded')
 
-#: Counts an unreadable record by its topic and reason.
+#: Counts an unreadable record by topic and reason.
 NoteUnreadable = Callable[[str, str], None]
 
-#: Characters of a message or of a key that go into a log line.
+#: Characters of a message or a key after which it is truncated in a log line.
 MAX_TEXT_CHARACTERS = 120
-#: Keys of which it is remembered what was logged last. A writer of ever new keys pushes out the
-#: oldest.
+#: Keys whose last logged reason is remembered; the oldest are evicted if a writer keeps adding
+#: keys.
 MAX_REMEMBERED_KEYS = 4000
-#: Lines in so many seconds: a writer of ever new keys must not fill the log. One
-#: bad entry of every runner of a small site is still told.
+#: Rate limit of log lines, so that a writer that keeps adding keys cannot fill the log. It still
+#: allows one bad entry for every runner of a small site.
 MAX_LINES_PER_WINDOW = 20
 WINDOW_SECONDS = 10.0
 
 
 class Reason(enum.Enum):
-    """Why a record cannot be read; its value labels the counter."""
+    """Why a record is unreadable; the value is the label of the counter."""
 
     FRAME = 'frame'
     KEY = 'key'
@@ -43,18 +43,18 @@
 
 
 class UnreadableError(ValueError):
-    """A record that cannot be read; it changes nothing that is known but its own key."""
+    """A record cannot be read; it affects no other key than its own."""
 
     def __init__(self, reason: Reason, message: str) -> None:
-        """Keep the reason, and a message that is cut to a line's length."""
+        """Create an error with a reason and a message, truncated for log lines."""
         super().__init__(message[:MAX_TEXT_CHARACTERS])
         self.reason = reason
 
 
 def decode_json(decoder: msgspec.json.Decoder[Decoded], content: bytes) -> Decoded:
-    """Return what the content says; raises ``UnreadableError``.
+    """Decode JSON; raises ``UnreadableError``.
 
-    Deep nesting raises ``RecursionError``, which is no ``ValueError``.
+    The decoder raises ``RecursionError`` for deep nesting, which is no ``ValueError``.
     """
     try:
         return decoder.decode(content)
@@ -65,10 +65,10 @@
 
 
 class UnreadableLog:
-    """Tells which keys of one topic cannot be read, and counts all such records.
+    """Logs which keys of one topic are unreadable, and counts all unreadable records.
 
-    A key is told when it becomes unreadable, when the reason changes and when it can
-    be read again: a writer that repeats itself each second adds no lines.
+    A key is logged when it becomes unreadable, when the reason changes and when it becomes
+    readable again. A writer that repeats a bad record each second adds no more lines.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         journal: Journal,
         note: NoteUnreadable | None = None,
     ) -> None:
-        """Count each record with ``note``."""
+        """Log for one topic; ``note`` counts each unreadable record."""
         self._topic = topic
         self._part = part
         self._clock = clock
@@ -91,7 +91,7 @@
         self._suppressed_lines = 0
 
     def refuse(self, key: str, error: UnreadableError, meaning: str) -> None:
-        """Count an unreadable record; ``meaning`` says what follows from it."""
+        """Count and log an unreadable record; ``meaning`` describes the consequence."""
         if self._note is not None:
             self._note(self._topic, error.reason.value)
         if self._reason_by_key.get(key) is error.reason:
@@ -102,12 +102,12 @@
         self._tell(key, f'cannot be read, {meaning}: {error}', error.reason)
 
     def accept(self, key: str) -> None:
-        """Take note that a key can be read."""
+        """Handle a readable record of a key."""
         if key in self._reason_by_key:
             self._tell(key, 'can be read again', self._reason_by_key.pop(key))
 
     def drop(self, key: str) -> None:
-        """Take note that a key has gone."""
+        """Handle the deletion of a key."""
         self._reason_by_key.pop(key, None)
 
     def _tell(self, key: str, outcome: str, reason: Reason) -> None:
--- a/features/capacity.feature
+++ b/features/capacity.feature
@@ -1,79 +1,79 @@
-Feature: Runners whose room changes while they run
+Feature: Runners whose capacity changes at run time
 
-  # Guards against overfilling a runner whose room shrinks between a decision and its start.
-  Scenario Outline: A runner's room changes between a decision and its start
+  # Guards against overcommitting a runner whose capacity shrinks between a decision and its start.
+  Scenario Outline: A runner's capacity changes between a decision and its start
     Given a cell with the runners w1
     And a task of 20000 is decided to start on w1
-    When w1 says that it has <room>
-    Then what was decided <outcome>
+    When w1 reports a capacity of <capacity>
+    Then the decided start <outcome>
 
     Examples:
-      | room  | outcome      |
-      | 32000 | is sent      |
-      | 20000 | is sent      |
-      | 16000 | is not sent  |
-      | 0     | is not sent  |
+      | capacity | outcome     |
+      | 32000    | is sent     |
+      | 20000    | is sent     |
+      | 16000    | is not sent |
+      | 0        | is not sent |
 
-  # Two starts wait for the store as their runner's room shrinks to that of one of them.
+  # Two starts wait for the store while their runner's capacity shrinks to that of one of them.
   Scenario: One of two starts still fits
     Given a cell with the runners w1
     And a task of 14000 is decided to start on w1
     And a task of 14000 is decided to start on w1
-    When w1 says that it has 16000
+    When w1 reports a capacity of 16000
     Then one of the two is sent and the other one starts elsewhere later
 
-  Scenario Outline: What runs over a room that has shrunk
+  Scenario Outline: A task keeps running after the capacity has shrunk below its demand
     Given a cell with the runners w1
     And a task of 20000 runs on w1
-    When w1 says that it has <room>
-    Then the task goes on, and a task of 4000 <outcome>
+    When w1 reports a capacity of <capacity>
+    Then the task keeps running, and a task of 4000 <outcome>
 
     Examples:
-      | room  | outcome        |
-      | 16000 | does not start |
-      | 23999 | does not start |
-      | 24000 | starts on w1   |
-      | 32000 | starts on w1   |
+      | capacity | outcome        |
+      | 16000    | does not start |
+      | 23999    | does not start |
+      | 24000    | starts on w1   |
+      | 32000    | starts on w1   |
 
-  Scenario: Room that grows again
+  Scenario: Capacity that grows again
     Given a cell with the runners w1
     And a task of 20000 runs on w1
-    When w1 says that it has 16000
-    And w1 says that it has 24000
-    Then the task goes on, and a task of 4000 starts on w1
+    When w1 reports a capacity of 16000
+    And w1 reports a capacity of 24000
+    Then the task keeps running, and a task of 4000 starts on w1
 
-  # A gang had runners reserved that then shrank: it waited for seats that could not come.
+  # Guards against a gang that waits forever for reserved runners whose capacity has shrunk.
   Scenario: Reserved runners shrink
     Given a cell with the runners w1, w2, w3
     And a gang of 2 tasks of 30000 for which w1 and w2 are reserved
-    When w1 says that it has 16000
+    When w1 reports a capacity of 16000
     Then the gang starts on w2 and w3 once they are free
 
-  # A successor finds more on a runner than the runner now says that it has.
-  Scenario: A successor finds a runner over its room
-    Given a successor that finds a task of 20000 on w1, which says that it has 16000
-    Then the task goes on, and a task of 4000 does not start
+  # The tasks that a successor finds on a runner may exceed the capacity that the runner reports.
+  Scenario: A successor finds an overcommitted runner
+    Given a successor that finds a task of 20000 on w1, which reports a capacity of 16000
+    Then the task keeps running, and a task of 4000 does not start
 
-  # Guards against starting by an old list of runners where the store answers appends only.
-  Scenario Outline: The list of runners is old
+  # Guards against starting tasks by a stale list of runners while the store answers only appends.
+  Scenario Outline: The list of runners is stale
     Given an owner whose list of runners is <age> seconds old
     Then it <outcome>
 
     Examples:
-      | age | outcome                |
-      | 0.3 | may start tasks        |
-      | 2.4 | may start tasks        |
-      | 2.6 | may not, and says so   |
+      | age | outcome                          |
+      | 0.3 | may start tasks                  |
+      | 2.4 | may start tasks                  |
+      | 2.6 | may not start tasks, and logs it |
 
-  # Guards against a runner over its room that hides what others have free.
-  Scenario: A runner over its room does not hide what others have free
+  # Guards against counting the negative free capacity of one runner against that of others.
+  Scenario: An overcommitted runner does not reduce the free capacity of others
     Given a cell with the runners w1, w2 whose queue needs advice
-    And w1 has 0 and is found with a task of 32000
+    And w1 has a capacity of 0 and already runs a task of 32000
     When a task of 4000 needs advice
     Then advice is asked for it about w2
 
-  # Guards against a gang that asks about all runners because the first one has shrunk.
-  Scenario: One runner that has shrunk does not stand for all
-    Given a cell with 24 runners whose queue needs advice, of which the first has no room
+  # Guards against a gang that requests advice on all runners because the first one has shrunk.
+  Scenario: A runner without capacity does not make a gang ask about all runners
+    Given a cell with 24 runners whose queue needs advice, of which the first has no capacity
     When a gang of 4 tasks of 8000 needs advice
     Then advice is asked for it about fewer than 24 runners
--- a/features/snapshot.feature
+++ b/features/snapshot.feature
@@ -1,7 +1,7 @@
-Feature: A snapshot that is read again
+Feature: Loading another snapshot after records have expired
 
-  # Guards against telling a client that a job does not exist while it ends.
-  Scenario: A host reads a snapshot again that lacks a job which ends meanwhile
-    Given a host that knows all that stands in the store
-    When the store forgets its history and a job ends while the host reads a snapshot
-    Then what it has read does not count as complete before it has read what followed
+  # Guards against answering that a job is unknown if it ends while a snapshot is read.
+  Scenario: A job ends while a host reads a snapshot, and is missing from it
+    Given a host that has loaded all records of the store
+    When the store drops old records and a job ends while the host reads a snapshot
+    Then the host does not count as up to date before it has read the later records
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -1,4 +1,4 @@
-"""Steps on runners whose room changes, without processes."""
+"""Steps for runners whose capacity changes; no processes are started."""
 
 from behave import given, then, when
 
@@ -22,7 +22,7 @@
 
 
 def add_job_of_one(context, cpu, **fields):
-    """Take a job of one task; return its id."""
+    """Submit a job of one task; return its id."""
     context.count = getattr(context, 'count', 0) + 1
     context.small.add_job(f'j{context.count}', [step(cpu, seconds=5, **fields)])
     return f'j{context.count}'
@@ -42,12 +42,12 @@
     assert start.runner == runner, start
 
 
-@when('{runner} says that it has {cpu:d}')
+@when('{runner} reports a capacity of {cpu:d}')
 def says(context, runner, cpu):
     resize(context, runner, cpu)
 
 
-@then('what was decided {outcome}')
+@then('the decided start {outcome}')
 def start_outcome(context, outcome):
     (start,) = context.small.allocations
     assert context.small.cell.may_start(start) is (outcome == 'is sent')
@@ -70,7 +70,7 @@
     assert start.runner == 'w2' and start.task not in {one.task for one in sent}, start
 
 
-@then('the task goes on, and a task of {cpu:d} {outcome}')
+@then('the task keeps running, and a task of {cpu:d} {outcome}')
 def goes_on(context, cpu, outcome):
     small = context.small
     assert not small.cell.take_stops()
@@ -82,7 +82,7 @@
 @given('a gang of {count:d} tasks of {cpu:d} for which w1 and w2 are reserved')
 def reserved(context, count, cpu):
     small = context.small
-    # Each runner is full; w1 and w2 come free first.
+    # All runners are full; w1 and w2 become free first.
     for number, seconds in enumerate((1, 2, 9), 1):
         small.add_job(f'full{number}', [step(32_000, seconds=seconds)])
         small.plan()
@@ -101,7 +101,7 @@
     assert {start.runner for start in plan.starts} == {'w2', 'w3'}, plan.starts
 
 
-@given('a successor that finds a task of {cpu:d} on w1, which says that it has {room:d}')
+@given('a successor that finds a task of {cpu:d} on w1, which reports a capacity of {room:d}')
 def successor_finds(context, cpu, room):
     context.small = SmallCell(('w1',), epoch=2, seen=False)
     resize(context, 'w1', room)
@@ -123,10 +123,10 @@
     assert context.owner.may_start()
 
 
-@then('it may not, and says so')
+@then('it may not start tasks, and logs it')
 def may_not(context):
     assert not context.owner.may_start()
-    assert context.owner.may_act(), 'it must renew leases all the same'
+    assert context.owner.may_act(), 'the owner must still renew leases'
     lines = Lines()
     host = Host('me', MemoryTopic())
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
@@ -149,7 +149,7 @@
     make_advised(context, ('w1', 'w2'))
 
 
-@given('w1 has {room:d} and is found with a task of {cpu:d}')
+@given('w1 has a capacity of {room:d} and already runs a task of {cpu:d}')
 def runs_over(context, room, cpu):
     small = context.small
     job = add_job_of_one(context, cpu)
@@ -170,7 +170,7 @@
     assert 'w2' in question.runners, question
 
 
-@given('a cell with 24 runners whose queue needs advice, of which the first has no room')
+@given('a cell with 24 runners whose queue needs advice, of which the first has no capacity')
 def advised_many(context):
     make_advised(context, tuple(f'w{number}' for number in range(24)))
     resize(context, 'w0', 0)
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -1,4 +1,4 @@
-"""Steps on runs that are lost with their runner, without processes."""
+"""Steps for runs that are lost with their runner; no processes are started."""
 
 from dataclasses import replace
 
@@ -39,7 +39,7 @@
 
 
 def answer_as_new_incarnation(context):
-    """Another life registers at w1's address and answers its first look."""
+    """Register another incarnation at w1's address and answer its first poll."""
     small = context.small
     port = small.registration_by_id.pop('w1').port
     small.registration_by_id['w1+'] = make_registration('w1+', port=port)
@@ -53,12 +53,12 @@
     confirm_start(context)
 
 
-@when("another life answers at w1's address")
+@when("another incarnation answers at w1's address")
 def replaced(context):
     replace_runner(context)
 
 
-@when("another life answers at w1's address, to a look, a start and a stop")
+@when("another incarnation answers at w1's address, to a poll, a start and a stop")
 def replaced_thrice(context):
     state = context.small.cell.runner_by_id['w1']
     losses = RunnerLosses(context.small.cell.unfinished_job_by_id, set())
@@ -68,28 +68,28 @@
     replace_runner(context)
 
 
-@when('the leases on w1 run out')
+@when('the leases on w1 expire')
 def lapse(context):
     context.small.now += 10
     context.small.cell.runner_by_id['w1'].suspect = True
     context.small.cell.handle_lapsed_runner('w1')
 
 
-@when('the leases on w1 run out, then w1 answers')
+@when('the leases on w1 expire, then w1 answers')
 def lapse_then_answer(context):
     lapse(context)
     context.small.poll('w1')
     answer_as_new_incarnation(context)
 
 
-@when('the leases on w1 run out, then another life answers')
+@when('the leases on w1 expire, then another incarnation answers')
 def lapse_then_next(context):
     lapse(context)
     context.small.cell.handle_ended_runner('w1', proven=False)
     answer_as_new_incarnation(context)
 
 
-@when('the leases on w1 run out, then another life is listed')
+@when('the leases on w1 expire, then another incarnation is listed')
 def lapse_then_listed(context):
     lapse(context)
     port = context.small.registration_by_id['w1'].port
@@ -97,13 +97,13 @@
     context.small.update_runners()
 
 
-@when('w1 says that it leaves, then another life answers')
+@when('w1 announces a drain, then another incarnation answers')
 def leaves(context):
     context.small.drain('w1')
     replace_runner(context)
 
 
-@when('w1 says that it leaves as its entry goes, then another answers')
+@when('w1 announces a drain as its entry is removed, then another answers')
 def leaves_with_entry(context):
     small = context.small
     last = replace(small.registration_by_id.pop('w1'), draining=True)
@@ -120,7 +120,7 @@
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
 
 
-@then('the task waits with {count:d} crashes, {close:d} of them close')
+@then('the task waits with {count:d} crashes, {close:d} of them during its start')
 def waits_close(context, count, close):
     waits(context, count)
     assert sum(run.during_start for run in context.job.crashes.crashed) == close
@@ -130,7 +130,7 @@
 def start_became(context, became):
     make_owner(context)
     start = context.start
-    start.start_unanswered = became in {'broke its connection', 'was met with silence'}
+    start.start_unanswered = became in {'broke its connection', 'timed out'}
     start.connection_broken = became == 'broke its connection'
     if became.startswith('was answered'):
         confirm_start(context)
@@ -144,7 +144,7 @@
 @given('an owner with a task under which {before}')
 def crashed_before(context, before):
     count = int(before[0]) if before[0].isdigit() else 0
-    close = 'closely' in before
+    close = 'at its start' in before
     crashed = tuple(CrashedRun(0, 0, 0, EARLIER_RUN + number, close) for number in range(count))
     make_owner(context, progress=Progress(1, JobState.RUNNING, crashed=crashed))
     context.start.start_unanswered = context.start.connection_broken = 'broke w1' in before
@@ -155,17 +155,17 @@
         context.small.poll('w1', running=[(context.start.task, context.start.run)])
 
 
-@when("its job is {over}, and another life answers at w1's address")
+@when("its job is {over}, and another incarnation answers at w1's address")
 def over_before(context, over):
     if over == 'cancelled':
         context.small.cancel('j1')
     else:
-        # Listed by a former owner's runner: the run on w1 is still being stopped.
+        # An earlier run of the task is done on another runner; the one on w1 is still being stopped.
         context.job.note_done(task('j1'))
     replace_runner(context)
 
 
-@then('its job is told as {state}')
+@then('its job is reported as {state}')
 def job_state(context, state):
     assert context.job.progress(1, 0.0).state is JobState(state), context.job.state
 
@@ -174,7 +174,7 @@
 def busy_owner(context):
     context.small = SmallCell(('w1', 'w2', 'w3', 'w4'))
     for number, cpu in enumerate((9000, 8000), 1):
-        # Only one runner is listed, so the work lies there.
+        # Only one runner is listed, so the work is placed there.
         context.listed = dict(context.small.registration_by_id)
         name = f'w{number}'
         context.small.registration_by_id = {name: context.listed[name]}
@@ -199,7 +199,7 @@
     small.registration_by_id.pop('w4')
     small.update_runners()
     small.cell.handle_ended_runner('w4', proven=True)
-    # One fits on each of the three runners.
+    # One task fits on each of the three runners.
     small.add_job('other', [step(22_000, count=3, seconds=60)])
     context.starts = small.plan(start=False).starts
 
@@ -240,7 +240,7 @@
     if 'first' in stored:
         crashed = ()
     else:
-        run = EARLIER_RUN if 'as counted' in stored else EARLIER_RUN + 1
+        run = EARLIER_RUN if 'already counted' in stored else EARLIER_RUN + 1
         starts = (StoredStart(0, 0, 0, run, 'w2' if 'w2' in stored else 'w1'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('w1', 'w2'), crashed, starts)
     context.small = SmallCell(('w1', 'w2'), epoch=2, seen=False)
@@ -248,14 +248,14 @@
     context.job = context.small.add_job('j1', [step()], progress=progress)
 
 
-@when("it finds that another life answers at w1's address")
+@when("it finds that another incarnation answers at w1's address")
 def finds_replaced(context):
     replace_runner(context)
 
 
 @when('the leases on w1 must have run out and its entry {entry}')
 def unseen_given_up(context, entry):
-    if entry == 'has gone':
+    if entry == 'is gone':
         context.small.registration_by_id.pop('w1')
         context.small.update_runners()
     context.small.cell.drop_unseen_runners(tuple(context.small.cell.unseen_runners))
@@ -292,40 +292,40 @@
 
 
 class CountingRunner:
-    """Takes all starts."""
+    """Runner that accepts and counts all starts."""
 
     def __init__(self):
         self.starts = 0
 
     async def start(self, order, check):
-        """Answer as started."""
+        """Answer that the task has started."""
         self.starts += 1
         return StartAnswer(StartReply.STARTED, None)
 
 
 class BreakingRunner:
-    """Breaks the connection of each look."""
+    """Runner that breaks the connection of each poll."""
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        """Break it."""
+        """Break the connection."""
         raise RunnerError('broken answer', Verdict.UNKNOWN, connection_broken=True)
 
 
 class LateRunner:
-    """Answers a look for a life that another exchange has found to be over meanwhile."""
+    """Runner that answers a poll after another exchange has found its incarnation to have ended."""
 
     def __init__(self, context):
         self.context = context
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        """List what ran before."""
+        """List the run of the ended incarnation."""
         start = self.context.start
         replace_runner(self.context)
         listed = RunningTask(start.task, start.run, '', 0, 0.0)
         return RunnerView(self.context.small.now, (listed,), ())
 
 
-@when('a look at w1 is answered after another life was met there')
+@when('a poll of w1 is answered after another incarnation was found there')
 def late_answer(context):
     owner = make_context(context)
     state = context.small.cell.runner_by_id['w1']
@@ -342,7 +342,7 @@
     context.job.stored_runners.add('w1')
 
 
-@when('w1 falls silent before the start is sent')
+@when('w1 becomes silent before the start is sent')
 def falls_silent(context):
     owner = make_context(context)
     context.runner = owner.runner_by_id['w1'] = CountingRunner()
@@ -361,19 +361,19 @@
     waits(context, 0)
 
 
-@given('an owner that looks at w1')
+@given('an owner that polls w1')
 def looking(context):
     context.small = SmallCell(('w1',))
 
 
-@when('the connection of the look breaks')
+@when('the connection of the poll breaks')
 def look_breaks(context):
     owner = make_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, BreakingRunner())
 
 
-@then('nothing is placed on w1 until a look is answered')
+@then('nothing is placed on w1 until a poll is answered')
 def nothing_placed(context):
     context.small.add_job('j1', [step()])
     assert not context.small.plan().starts
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the stored form of the cell's own records."""
+"""Steps for the stored form of the cell's own records."""
 
 import msgspec
 from behave import given, then
@@ -24,7 +24,7 @@
         'q', 's', 1.5, JobSpec('p', (Step(2, DEMAND, 0.5, depends_on=(0,)),)), 'north', 'blue'
     ),
     'a cancellation': Cancellation(2.5),
-    'progress of a job at work': Progress(
+    'progress of a running job': Progress(
         3,
         JobState.RUNNING,
         (DoneTasks(0, 1, '5'),),
@@ -35,7 +35,7 @@
         doubtful=True,
         account='blue',
     ),
-    'progress of a job that is over': Progress(
+    'progress of a finished job': Progress(
         3,
         JobState.COMPLETED,
         ended_at=9.5,
@@ -43,12 +43,12 @@
         leftovers=(Leftover('i-1@7', DEMAND),),
     ),
     'an owner': Owner(3, 'h', 'h/1/3', 4, True, 1.5, 6, 7),
-    'runners that are attended': RunnersInUse(3, ('i-1@7', 'i-2')),
+    'runners in use': RunnersInUse(3, ('i-1@7', 'i-2')),
     'a member': Member('north', '10.0.0.1', 7720, 'h/1', 2.0, 6),
 }
 
 
-@given('{fact} as this version knows it')
+@given('{fact} as created by this version')
 def known_fact(context, fact):
     context.fact = FACTS[fact]
 
@@ -59,7 +59,7 @@
     assert msgspec.json.encode(context.fact).decode() == stored, msgspec.json.encode(context.fact)
 
 
-@then('what was stored so is read as the same fact')
+@then('the stored form is decoded to the same fact')
 def read_back(context):
     read = msgspec.json.decode(context.stored, type=type(context.fact))
     assert read == context.fact, read
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -1,4 +1,4 @@
-"""Steps on snapshots that are read again."""
+"""Steps for snapshots that are loaded after records have expired."""
 
 import curio
 from behave import given, then, when
@@ -20,13 +20,13 @@
 
 
 class TruncatingTopic(MemoryTopic):
-    """Forgets its history once, and reads keys in two pages, between which a job ends."""
+    """Topic that drops old records and reads a snapshot in two parts, between which a job ends."""
 
     truncated = False
     paged = False
 
     async def read(self, offset, wait, max_bytes):
-        """Refuse what is forgotten; stay silent after the snapshot."""
+        """Refuse expired records; answer nothing after the snapshot."""
         if self.paged:
             await curio.sleep(wait)
             raise StoreError('slow', Verdict.NOT_RUN)
@@ -35,7 +35,7 @@
         return await super().read(offset, wait, max_bytes)
 
     async def snapshot(self):
-        """Read ends before and submissions after the job's end."""
+        """Return progress from before the end of the job, and submissions from after it."""
         first = await super().snapshot()
         if not self.truncated:
             return first
@@ -48,7 +48,7 @@
         return RecordBatch((*ends, *others), first.next_offset, first.next_offset)
 
 
-@given('a host that knows all that stands in the store')
+@given('a host that has loaded all records of the store')
 def has_read(context):
     context.topic = TruncatingTopic()
     context.host = Host('me', context.topic)
@@ -57,7 +57,7 @@
     curio.run(context.topic.append, [record], 0.1)
 
 
-@when('the store forgets its history and a job ends while the host reads a snapshot')
+@when('the store drops old records and a job ends while the host reads a snapshot')
 def truncated(context):
     async def play():
         host = context.host
@@ -72,8 +72,8 @@
     curio.run(play)
 
 
-@then('what it has read does not count as complete before it has read what followed')
+@then('the host does not count as up to date before it has read the later records')
 def not_complete(context):
     known = context.host.folder.book.find('j1')
     fresh = context.host.follower.fresh_at >= context.began
-    assert known is not None or not fresh, 'counts as read, and the job is not known'
+    assert known is not None or not fresh, 'the host counts as up to date without knowing the job'
