--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -408,7 +408,7 @@
         self, runner: RunnerState, view: RunnerView, polled_at: float, now: float
     ) -> PollEffect:
         """Apply a runner's poll answer; ``polled_at`` is when the poll was sent."""
-        effect = self._runner_views.take(runner, view, polled_at, now)
+        effect = self._runner_views.apply(runner, view, polled_at, now)
         self._handle_crashes(effect.crashes)
         if view.complete:
             self.unseen_runners.discard(runner.id)
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -59,7 +59,7 @@
         self._unreadable_jobs = unreadable_jobs
         self._queue_of = queue_of
 
-    def take(
+    def apply(
         self, runner: RunnerState, view: RunnerView, polled_at: float, now: float
     ) -> PollEffect:
         """Apply a poll answer; ``polled_at`` is when the poll was sent."""
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -21,7 +21,7 @@
     small.update_runners()
 
 
-def add_job_of_one(context, cpu, **fields):
+def submit_single_task(context, cpu, **fields):
     """Submit a job of one task; return its id."""
     context.count = getattr(context, 'count', 0) + 1
     context.small.add_job(f'j{context.count}', [step(cpu, seconds=5, **fields)])
@@ -30,20 +30,20 @@
 
 @given('a task of {cpu:d} is decided to start on {runner}')
 def decided(context, cpu, runner):
-    add_job_of_one(context, cpu)
+    submit_single_task(context, cpu)
     (start,) = context.small.plan(start=False).starts
     assert start.runner == runner, start
 
 
 @given('a task of {cpu:d} runs on {runner}')
 def runs(context, cpu, runner):
-    add_job_of_one(context, cpu)
+    submit_single_task(context, cpu)
     (start,) = context.small.plan().starts
     assert start.runner == runner, start
 
 
 @when('{runner} reports a capacity of {cpu:d}')
-def says(context, runner, cpu):
+def report_capacity(context, runner, cpu):
     resize(context, runner, cpu)
 
 
@@ -75,7 +75,7 @@
     small = context.small
     assert not small.cell.take_stops()
     assert len(small.runs_on('w1')) == 1
-    add_job_of_one(context, cpu)
+    submit_single_task(context, cpu)
     assert bool(small.plan().starts) is (outcome == 'starts on w1')
 
 
@@ -105,7 +105,7 @@
 def successor_finds(context, cpu, room):
     context.small = SmallCell(('w1',), epoch=2, seen=False)
     resize(context, 'w1', room)
-    job = add_job_of_one(context, cpu)
+    job = submit_single_task(context, cpu)
     context.small.poll('w1', running=[(task(job), 1001)])
     assert context.small.used('w1') == cpu
 
@@ -152,7 +152,7 @@
 @given('w1 has a capacity of {room:d} and already runs a task of {cpu:d}')
 def runs_over(context, room, cpu):
     small = context.small
-    job = add_job_of_one(context, cpu)
+    job = submit_single_task(context, cpu)
     small.poll('w1', running=[(task(job), 1)])
     resize(context, 'w1', room)
     assert small.cell.runner_by_id['w1'].free_capacity.cpu < 0
@@ -160,7 +160,7 @@
 
 @when('a task of {cpu:d} needs advice')
 def advised_task(context, cpu):
-    add_job_of_one(context, cpu)
+    submit_single_task(context, cpu)
     context.questions = context.small.plan().questions
 
 
