--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -32,7 +32,8 @@
 #: Run numbers that one epoch has for one task. A later owner's numbers are higher than all
 #: of an earlier owner's, so run numbers need not be stored.
 RUNS_PER_EPOCH = 1000
-#: Seconds without further starts after a runner had no room, and after it was unhealthy.
+#: Seconds without further starts after a runner refused one: for lack of capacity, or because it
+#: was unhealthy.
 REFUSED_START_BACKOFF_SECONDS = 0.3
 UNHEALTHY_BACKOFF_SECONDS = 1.0
 #: Largest fraction by which a runner's clock may run slower than the owner's.
@@ -52,7 +53,7 @@
         self.runner_by_id = self._holdings.runner_by_id
         self.tickets = TicketBook()
         self.zone_reachability = ZoneReachability()
-        #: Runners that may still run tasks of earlier owners and have not been polled yet.
+        #: Runners that may still run tasks of earlier owners and have not listed their runs yet.
         self.unseen_runners: set[str] = set()
         #: Jobs with an unreadable record in the store.
         self.unreadable_jobs: set[str] = set()
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -41,8 +41,8 @@
     placed_at: float
     ticket: str = ''
     phase: AllocationPhase = AllocationPhase.STARTING
-    #: When the runner answered the last start or stop; a poll sent later proves whether the run
-    #: is there.
+    #: When the runner answered the last start or stop, if it did. A complete answer to a poll that
+    #: was sent later and does not list the run proves that it is gone.
     order_answered_at: float | None = None
     #: When the run was first known to be running.
     started_at: float | None = None
@@ -79,7 +79,7 @@
         #: Set once the store records that tasks may run there; a start requires it.
         self.recorded = False
         self.used = Demand()
-        #: Maintained incrementally, since a plan reads it for each waiting step.
+        #: Kept up to date instead of computed, since a plan reads it for each waiting step.
         self.free_capacity = registration.capacity
         self.allocation_by_run: dict[tuple[TaskName, int], Allocation] = {}
         self.answered_at = NEVER
@@ -99,7 +99,7 @@
         self.confirmed_end = 0
         #: Highest one that has been processed.
         self.processed_end = 0
-        #: Highest one below which all ends could be read, as the last poll reported.
+        #: Highest one that may be acknowledged: no unreadable end has a lower number.
         self.readable_through: int | None = None
         #: Lowest end that must not be acknowledged, since its job cannot be read.
         self.retained_end: int | None = None
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -31,7 +31,7 @@
             await curio.sleep(wait)
             raise StoreError('slow', Verdict.NOT_RUN)
         if self.truncated:
-            raise RecordsExpired('forgotten')
+            raise RecordsExpired('expired')
         return await super().read(offset, wait, max_bytes)
 
     async def snapshot(self):
