--- a/bench/guards.py
+++ b/bench/guards.py
@@ -180,7 +180,7 @@
     Guard(
         'room is looked at before each send',
         'cell/decisions/_cell.py',
-        'return runner.has_room_for(allocation)',
+        'return runner.has_capacity_for(allocation)',
         'return True',
         'capacity.feature:ROOM',
     ),
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -25,7 +25,7 @@
     Registration,
     RunnerView,
     StartReply,
-    find_later,
+    find_later_incarnations,
 )
 from dandelionreel.cell.store import BookedJob
 
@@ -266,7 +266,7 @@
         if not self.unseen_runners:
             return {}
         answered = [state.id for state in self.runner_by_id.values() if state.answered_at != NEVER]
-        later_by_unseen = find_later(self.unseen_runners, answered)
+        later_by_unseen = find_later_incarnations(self.unseen_runners, answered)
         return {unseen: self.runner_by_id[later] for unseen, later in later_by_unseen.items()}
 
     def drop_unseen_runners(self, runners: Iterable[str]) -> list[Crash]:
@@ -342,7 +342,7 @@
             return False
         # A start may wait for the store for a second after it was placed. The runner may have
         # reported a smaller capacity meanwhile and would be overcommitted.
-        return runner.has_room_for(allocation)
+        return runner.has_capacity_for(allocation)
 
     def handle_start_reply(
         self,
--- a/dandelionreel/cell/decisions/_holdings.py
+++ b/dandelionreel/cell/decisions/_holdings.py
@@ -1,6 +1,6 @@
 """Jobs, runners and the runs that tie them; every change to a run goes through here. No I/O."""
 
-from dandelionreel.cell.decisions._job_runs import JobRuns
+from dandelionreel.cell.decisions._job_runs import AllocationIndex
 from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._runs import JobRun
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun
@@ -19,7 +19,7 @@
         self.runner_by_id: dict[str, RunnerState] = {}
         #: Jobs whose progress may have to be stored.
         self.dirty: set[str] = set()
-        self._runs = JobRuns()
+        self._runs = AllocationIndex()
         #: What the runs of each client account take together.
         self.usage = self._runs.usage
         self._stops = StopQueue()
--- a/dandelionreel/cell/decisions/_job_runs.py
+++ b/dandelionreel/cell/decisions/_job_runs.py
@@ -10,7 +10,7 @@
 RunKey = tuple[str, TaskName, int]
 
 
-class JobRuns:
+class AllocationIndex:
     """Indexes by job exactly the allocations that runners hold."""
 
     def __init__(self) -> None:
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -154,7 +154,7 @@
             held.phase is not AllocationPhase.STARTING for held in self.allocation_by_run.values()
         )
 
-    def has_room_for(self, allocation: Allocation) -> bool:
+    def has_capacity_for(self, allocation: Allocation) -> bool:
         """Return whether the runner is not overcommitted in any resource that a run demands.
 
         Its capacity may have shrunk since the run was placed there.
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_losses.py
@@ -32,7 +32,7 @@
 
         Both are owned and updated by the caller.
         """
-        self._live_by_id = unfinished_job_by_id
+        self._unfinished_job_by_id = unfinished_job_by_id
         self._dirty = dirty
         self._lapsed_by_address: dict[Address, _LapsedRunner] = {}
 
@@ -79,7 +79,7 @@
         other tasks of these jobs may have run there; their starts are stored from now on.
         """
         crashes: list[Crash] = []
-        for job in self._live_by_id.values():
+        for job in self._unfinished_job_by_id.values():
             if job.may_run_on(runner_id):
                 job.mark_crashes_incomplete()
                 self._dirty.add(job.id)
@@ -102,7 +102,7 @@
     ) -> list[Crash]:
         crashes: list[Crash] = []
         for run in held:
-            job = self._live_by_id.get(run.task.job)
+            job = self._unfinished_job_by_id.get(run.task.job)
             if job is None or not run.may_have_run:
                 continue
             if run.started_at is not None and answered_at - run.started_at >= HEALTHY_SECONDS:
--- a/dandelionreel/cell/model/__init__.py
+++ b/dandelionreel/cell/model/__init__.py
@@ -1,7 +1,11 @@
 """Model of a cell: jobs and runners, stored records, and interfaces of external services."""
 
 from dandelionreel.cell.model._checks import check_leftovers, check_progress, check_spec
-from dandelionreel.cell.model._incarnations import find_later, incarnation_id, runner_id
+from dandelionreel.cell.model._incarnations import (
+    find_later_incarnations,
+    incarnation_id,
+    runner_id,
+)
 from dandelionreel.cell.model._model import (
     AdvicePolicy,
     Configuration,
@@ -140,7 +144,7 @@
     'check_progress',
     'check_spec',
     'decode_json',
-    'find_later',
+    'find_later_incarnations',
     'incarnation_id',
     'make_progress_records',
     'make_record',
--- a/dandelionreel/cell/model/_incarnations.py
+++ b/dandelionreel/cell/model/_incarnations.py
@@ -28,7 +28,7 @@
     return runner if separator else incarnation
 
 
-def find_later(incarnations: Iterable[str], others: Iterable[str]) -> dict[str, str]:
+def find_later_incarnations(incarnations: Iterable[str], others: Iterable[str]) -> dict[str, str]:
     """Map each incarnation that has a later one among ``others`` to the latest one."""
     latest_by_runner: dict[str, str] = {}
     for other in others:
@@ -44,11 +44,11 @@
 
 
 def _is_later(incarnation: str, other: str) -> bool:
-    started, other_started = _started(incarnation), _started(other)
+    started, other_started = _start_time(incarnation), _start_time(other)
     return started is not None and other_started is not None and started > other_started
 
 
-def _started(incarnation: str) -> int | None:
+def _start_time(incarnation: str) -> int | None:
     _, separator, suffix = incarnation.rpartition(_SEPARATOR)
     known = separator and suffix.isdecimal() and len(suffix) <= MAX_START_DIGITS
     return int(suffix) if known else None
--- a/dandelionreel/cell/model/_model.py
+++ b/dandelionreel/cell/model/_model.py
@@ -31,9 +31,13 @@
             self.gpu - other.gpu,
         )
 
-    def fits(self, room: 'Demand') -> bool:
-        """Return whether the demand is within ``room`` in every resource."""
-        return self.cpu <= room.cpu and self.memory_mb <= room.memory_mb and self.gpu <= room.gpu
+    def fits(self, capacity: 'Demand') -> bool:
+        """Return whether the demand is within ``capacity`` in every resource."""
+        return (
+            self.cpu <= capacity.cpu
+            and self.memory_mb <= capacity.memory_mb
+            and self.gpu <= capacity.gpu
+        )
 
     def times(self, count: int) -> 'Demand':
         """Return the demand multiplied by ``count``."""
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -90,7 +90,7 @@
         self._lines_in_window = 0
         self._suppressed_lines = 0
 
-    def refuse(self, key: str, error: UnreadableError, meaning: str) -> None:
+    def log_unreadable(self, key: str, error: UnreadableError, meaning: str) -> None:
         """Count and log an unreadable record; ``meaning`` describes the consequence."""
         if self._note is not None:
             self._note(self._topic, error.reason.value)
@@ -101,12 +101,12 @@
             self._reason_by_key.popitem(last=False)
         self._tell(key, f'cannot be read, {meaning}: {error}', error.reason)
 
-    def accept(self, key: str) -> None:
+    def log_readable(self, key: str) -> None:
         """Handle a readable record of a key."""
         if key in self._reason_by_key:
             self._tell(key, 'can be read again', self._reason_by_key.pop(key))
 
-    def drop(self, key: str) -> None:
+    def forget(self, key: str) -> None:
         """Handle the deletion of a key."""
         self._reason_by_key.pop(key, None)
 
--- a/dandelionreel/cell/store/_directory.py
+++ b/dandelionreel/cell/store/_directory.py
@@ -55,7 +55,7 @@
             if record.key == self._codec.configuration_key and not record.dropped:
                 self._apply(record)
             elif not record.key and record.error is not None:
-                self._unreadable.refuse('', record.error, 'it is passed over')
+                self._unreadable.log_unreadable('', record.error, 'it is passed over')
 
     @property
     def version(self) -> int:
@@ -75,9 +75,9 @@
         try:
             decoded = self._decode(record)
         except UnreadableError as error:
-            self._unreadable.refuse(record.key, error, 'the configuration in force stays')
+            self._unreadable.log_unreadable(record.key, error, 'the configuration in force stays')
             return False
-        self._unreadable.accept(record.key)
+        self._unreadable.log_readable(record.key)
         if self.current is not None and decoded.version <= self.current.version:
             return False
         self.current = decoded
@@ -168,6 +168,6 @@
     ) -> None:
         for record, error in zip(records, errors, strict=True):
             if error is None:
-                self._unreadable.accept(record.key)
+                self._unreadable.log_readable(record.key)
                 continue
-            self._unreadable.refuse(record.key, error, 'what is known of it stands')
+            self._unreadable.log_unreadable(record.key, error, 'what is known of it stands')
--- a/dandelionreel/cell/store/_runner_list.py
+++ b/dandelionreel/cell/store/_runner_list.py
@@ -125,14 +125,14 @@
             raise UnreadableError(Reason.CHANGED, message)
 
     def _refuse(self, runner: str, error: UnreadableError) -> None:
-        self._unreadable.refuse(runner, error, 'nothing new is started there')
+        self._unreadable.log_unreadable(runner, error, 'nothing new is started there')
         known = self._find_newest(runner)
         if known is not None and known.usable:
             self.registration_by_id[known.runner] = replace(known, usable=False)
 
     def _take(self, runner: str, registration: Registration, *, tell: bool) -> None:
         incarnation = registration.runner
-        self._unreadable.accept(runner)
+        self._unreadable.log_readable(runner)
         known = self._find_newest(runner)
         if known is not None and known.runner != incarnation:
             self._retire(runner)
@@ -158,7 +158,7 @@
         )
 
     def _remove(self, runner: str) -> None:
-        self._unreadable.drop(runner)
+        self._unreadable.forget(runner)
         incarnation = self._retire(runner)
         if incarnation:
             self._journal.tell(
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -23,7 +23,7 @@
     incarnation_id,
     runner_id,
 )
-from dandelionreel.cell.model._incarnations import find_later
+from dandelionreel.cell.model._incarnations import find_later_incarnations
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
 from dandelionreel.cell.store._runner_list import RunnersFolder
@@ -415,7 +415,7 @@
     @settings(max_examples=400, database=None, derandomize=True)
     @drawn(strategies.lists(context.names, max_size=3), strategies.lists(context.names, max_size=3))
     def check(names, others):
-        for name, later in find_later(names, others).items():
+        for name, later in find_later_incarnations(names, others).items():
             assert runner_id(name) == runner_id(later)
             assert int(later.rpartition('@')[2]) > int(name.rpartition('@')[2])
 
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -362,12 +362,12 @@
 
 
 @given('an owner that polls w1')
-def looking(context):
+def polling(context):
     context.small = SmallCell(('w1',))
 
 
 @when('the connection of the poll breaks')
-def look_breaks(context):
+def poll_breaks(context):
     owner = make_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, BreakingRunner())
