--- a/bench/replay.py
+++ b/bench/replay.py
@@ -17,9 +17,9 @@
 from bench.replay_report import Tally, tell_result
 from dandelionreel.accounts import Account, AccountDirectory, weighted_share
 from dandelionreel.cell.decisions import AdviceRequest, Allocation, Cell, Planner
-from dandelionreel.cell.decisions._preemption import Preemption, RoomMade
+from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
 from dandelionreel.cell.decisions._reservations import Rank
-from dandelionreel.cell.decisions._waiting import OwedFirst, Urgency, WaitingOrder
+from dandelionreel.cell.decisions._waiting import RankInputs, WaitingOrder, WithinRateFirst
 from dandelionreel.cell.membership._advisors import PATIENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
@@ -216,7 +216,7 @@
 class Arrival(WaitingOrder):
     """Whoever came first is served first."""
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step."""
         job = urgency.job
         return Rank(False, False, 0, 0, job.accepted, job.id, urgency.step.name)
@@ -233,7 +233,7 @@
 class NoPreemption(Preemption):
     """Nothing is stopped for anybody."""
 
-    def find_room(self, *asked: object) -> RoomMade | None:
+    def find_room(self, *asked: object) -> PreemptionPlan | None:
         """Return that there is no room."""
         return None
 
@@ -247,12 +247,12 @@
         self._preemption = NoPreemption(cell)
 
 
-class NoShares(OwedFirst):
+class NoShares(WithinRateFirst):
     """Accounts do not matter: priority, then the earliest objective."""
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step."""
-        return super().rank(urgency)._replace(behind=False)
+        return super().rank(urgency)._replace(beyond_rate=False)
 
 
 class SharesWithinQueues(WaitingOrder):
@@ -264,12 +264,12 @@
         self._whole = Demand()
         self._now = -1.0
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step; its account's share stands for its lateness."""
-        rank = OwedFirst().rank(urgency)._replace(behind=False)
-        return rank._replace(late=int(SHARE_STEPS * self.share(urgency)))
+        rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
+        return rank._replace(lateness=int(SHARE_STEPS * self.share(urgency)))
 
-    def share(self, urgency: Urgency) -> float:
+    def share(self, urgency: RankInputs) -> float:
         """Return the weighted dominant share of a step's account."""
         if urgency.now != self._now:
             self._now = urgency.now
@@ -282,10 +282,12 @@
 class WeightedShares(SharesWithinQueues):
     """The account with the least use for its weight, over all queues."""
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step; its account's share goes before its queue."""
-        rank = OwedFirst().rank(urgency)._replace(behind=False)
-        return rank._replace(priority=int(SHARE_STEPS * self.share(urgency)), late=rank.priority)
+        rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
+        return rank._replace(
+            priority=int(SHARE_STEPS * self.share(urgency)), lateness=rank.priority
+        )
 
 
 POLICIES: dict[str, Callable[[Cell], Planner]] = {
@@ -488,7 +490,7 @@
             self._later(STOP_SECONDS, self._stop, allocation)
         for allocation in made.starts:
             self._later(ORDER_SECONDS, self._start, allocation)
-        for question in made.questions:
+        for question in made.advice_requests:
             heapq.heappush(self._waiting, (question.priority, next(self._order), question))
         self._ask()
         if self._now < until:
@@ -516,7 +518,7 @@
             if random.Random(f'{question.step}{runner}{self._seed}').random() < share
         ]
         until = self._now + question.advice.valid
-        self.cell.tickets.note(question.step, question.runners, permits, until)
+        self.cell.tickets.note_answer(question.step, question.runners, permits, until)
         self._ask()
 
     def _kind_of(self, job_id: str) -> Kind:
--- a/dandelionreel/cell/decisions/__init__.py
+++ b/dandelionreel/cell/decisions/__init__.py
@@ -5,10 +5,13 @@
 from dandelionreel.cell.decisions._cell import CLOCK_DRIFT, Cell
 from dandelionreel.cell.decisions._completeness import is_complete
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._hopeless_runs import stop_late_gangs, stop_leaving
 from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState
 from dandelionreel.cell.decisions._losses import note_last_words
 from dandelionreel.cell.decisions._planner import Plan, Planner
+from dandelionreel.cell.decisions._preventive_stops import (
+    stop_incomplete_gangs,
+    stop_on_draining_runners,
+)
 from dandelionreel.cell.decisions._runner_views import PollEffect
 from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._stalled_jobs import StalledJobs
@@ -34,6 +37,6 @@
     'TaskRun',
     'is_complete',
     'note_last_words',
-    'stop_late_gangs',
-    'stop_leaving',
+    'stop_incomplete_gangs',
+    'stop_on_draining_runners',
 )
--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -45,7 +45,7 @@
             self._review(listed)
         return {runner: listed[runner] for runner in self._active}
 
-    def take_idle(self, listed: dict[str, Registration]) -> list[RunnerState]:
+    def release_idle(self, listed: dict[str, Registration]) -> list[RunnerState]:
         """Return the runners that are not needed any more, which nothing is known to hold."""
         if len(listed) <= FEWEST_ACTIVE or self._use() > LOWEST_USE:
             return []
--- a/dandelionreel/cell/decisions/_holdings.py
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -8,7 +8,7 @@
 from dandelionreel.cell.model import TaskName
 
 
-class Holdings:
+class AllocationTable:
     """What is held where, by job and by runner."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
             self.dirty.add(job.id)
         return job
 
-    def lose(self, runner: RunnerState, allocation: Allocation) -> None:
+    def drop_lost(self, runner: RunnerState, allocation: Allocation) -> None:
         """Drop a run that is known to be gone without an end."""
         job = self.free(runner, allocation)
         found = None if job is None else job.find(allocation.task)
@@ -52,10 +52,10 @@
         if step.step.gang:
             self.stop_members(step)
 
-    def lose_all(self, runner: RunnerState) -> None:
+    def drop_all_lost(self, runner: RunnerState) -> None:
         """Drop all that a runner held: it is gone without an end."""
         for allocation in tuple(runner.allocation_by_run.values()):
-            self.lose(runner, allocation)
+            self.drop_lost(runner, allocation)
 
     def find(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
         """Return a task with its step, ``None`` where it is not known."""
@@ -74,7 +74,7 @@
         job = self.job_by_id.get(allocation.task.job)
         return None if job is None else job.find_step(allocation.task)
 
-    def settle_start(self, allocation: Allocation, now: float) -> None:
+    def confirm_start(self, allocation: Allocation, now: float) -> None:
         """Note that a run is known to be at work."""
         if allocation.phase is not Holding.STARTING:
             return
@@ -110,7 +110,7 @@
         for allocation in self._runs.of_job(job_id):
             self.stop(allocation)
 
-    def held_of(self, job_id: str) -> list[Allocation]:
+    def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return all that is held for a job, on whichever runner."""
         return self._runs.of_job(job_id)
 
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 
 from dandelionreel.accounts import Account
+from dandelionreel.cell.decisions._allocation_table import AllocationTable
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._holdings import Holdings
 from dandelionreel.cell.decisions._job_rates import JobRates
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, Holding, RunnerState
 from dandelionreel.cell.decisions._losses import Losses
@@ -15,7 +15,7 @@
 from dandelionreel.cell.decisions._runner_views import PollEffect, RunnerViews
 from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskRun, counted_demand
-from dandelionreel.cell.decisions._tickets import TicketBook
+from dandelionreel.cell.decisions._tickets import TicketCache
 from dandelionreel.cell.decisions._zone_reachability import ZoneReachability
 from dandelionreel.cell.model import (
     Configuration,
@@ -46,11 +46,11 @@
         """Start empty, as the owner with that epoch."""
         self.epoch = epoch
         self.configuration: Configuration | None = None
-        self._holdings = Holdings()
-        self.job_by_id = self._holdings.job_by_id
-        self.live_by_id = self._holdings.live_by_id
-        self.runner_by_id = self._holdings.runner_by_id
-        self.tickets = TicketBook()
+        self._allocations = AllocationTable()
+        self.job_by_id = self._allocations.job_by_id
+        self.live_by_id = self._allocations.live_by_id
+        self.runner_by_id = self._allocations.runner_by_id
+        self.tickets = TicketCache()
         self.zone_reachability = ZoneReachability()
         #: Runners on which tasks of earlier owners may run unseen.
         self.unseen: set[str] = set()
@@ -64,11 +64,11 @@
         self.awaits_completions = False
         #: Runs under which a runner has crashed, in this term.
         self.crashed_runs = 0
-        self.quotas = QuotaLedger(self._holdings, self.unseen)
+        self.quotas = QuotaLedger(self._allocations, self.unseen)
         self._rates = JobRates()
-        self._losses = Losses(self.live_by_id, self._holdings.dirty)
+        self._losses = Losses(self.live_by_id, self._allocations.dirty)
         self._runner_views = RunnerViews(
-            self._holdings, self._losses, self.unreadable_jobs, self.queue_of
+            self._allocations, self._losses, self.unreadable_jobs, self.queue_of
         )
 
     # Jobs
@@ -92,9 +92,9 @@
         """Return what runs of a job that is over may still take, by runner."""
         return self.quotas.leftovers_of(job, wall) if job.account else ()
 
-    def held_of(self, job_id: str) -> list[Allocation]:
+    def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return all runs that are held for a job, on whichever runner."""
-        return self._holdings.held_of(job_id)
+        return self._allocations.allocations_of_job(job_id)
 
     def service_of(self, job: JobRun) -> str:
         """Return the service whose runners run the job."""
@@ -135,7 +135,7 @@
             self.job_by_id[booked.id] = job
             self.live_by_id[booked.id] = job
         elif job is not None and job.take_end(booked.progress):
-            self._holdings.stop_job(job.id)
+            self._allocations.stop_job(job.id)
         if booked.cancelled:
             self.cancel(booked.id)
 
@@ -152,8 +152,8 @@
             job = self.job_by_id.get(job_id)
             if job is None or not job.note_complete():
                 continue
-            self._holdings.dirty.add(job_id)
-            self._holdings.stop_job(job.id)
+            self._allocations.dirty.add(job_id)
+            self._allocations.stop_job(job.id)
             taken.append(job_id)
         return taken
 
@@ -163,7 +163,7 @@
         job = self.job_by_id.pop(job_id, None)
         if job is not None:
             self.quotas.keep_leftovers(job, wall)
-            self._holdings.stop_job(job.id)
+            self._allocations.stop_job(job.id)
             self.tickets.drop_job(job_id)
 
     def drop_over(self, wall: float) -> None:
@@ -176,22 +176,22 @@
     def take_dirty(self) -> list[JobRun]:
         """Return the jobs whose progress must be stored, once."""
         taken = []
-        for job_id in self._holdings.dirty:
+        for job_id in self._allocations.dirty:
             job = self.job_by_id.get(job_id)
             if job is not None and job.dirty:
                 job.dirty = False
                 taken.append(job)
-        self._holdings.dirty.clear()
+        self._allocations.dirty.clear()
         return taken
 
     def note_unstored(self, job: JobRun) -> None:
         """Have a job's progress stored again: the last time, the store did not take it."""
         job.dirty = True
-        self._holdings.dirty.add(job.id)
+        self._allocations.dirty.add(job.id)
 
     def take_stops(self) -> list[Allocation]:
         """Return the runs that must be told to stop, once."""
-        return self._holdings.take_stops()
+        return self._allocations.take_stops()
 
     # Runners
 
@@ -245,7 +245,7 @@
         if runner is None:
             return []
         crashes = self._losses.note_end(runner) if proven else []
-        self._holdings.lose_all(runner)
+        self._allocations.drop_all_lost(runner)
         self._take_crashes(crashes)
         return crashes
 
@@ -254,7 +254,7 @@
         self.unseen.discard(runner_id)
         runner = self.runner_by_id[runner_id]
         self._losses.note_lapse(runner)
-        self._holdings.lose_all(runner)
+        self._allocations.drop_all_lost(runner)
 
     def find_outlived(self) -> dict[str, RunnerState]:
         """Return unseen incarnations that are over, each with a later one that has answered.
@@ -319,7 +319,7 @@
             quarantined=task.quarantined,
             account=job.account,
         )
-        self._holdings.hold(runner, allocation)
+        self._allocations.hold(runner, allocation)
         step.place(task, runner.id, run)
         return allocation
 
@@ -357,7 +357,7 @@
         would else start elsewhere and run twice at once.
         """
         if reply in {StartReply.STARTED, StartReply.OUTDATED}:
-            self._holdings.settle_start(allocation, now)
+            self._allocations.confirm_start(allocation, now)
             return
         runner = self.runner_by_id.get(allocation.runner)
         step = self.step_of(allocation)
@@ -391,11 +391,11 @@
         """Take back a start of which it is known that it does not run."""
         runner = self.runner_by_id.get(allocation.runner)
         if runner is not None and (allocation.task, allocation.run) in runner.allocation_by_run:
-            self._holdings.lose(runner, allocation)
+            self._allocations.drop_lost(runner, allocation)
 
     def stop(self, allocation: Allocation) -> None:
         """Have a run stopped; it counts until it is known to be gone."""
-        self._holdings.stop(allocation)
+        self._allocations.stop(allocation)
 
     def stop_answered(self, allocation: Allocation, now: float) -> None:
         """The runner has taken the stop: a later look tells when it is gone."""
@@ -413,11 +413,11 @@
 
     def step_of(self, allocation: Allocation) -> StepRun | None:
         """Return the step of an allocation, ``None`` where its job is not known."""
-        return self._holdings.step_of(allocation)
+        return self._allocations.step_of(allocation)
 
     def stop_members(self, step: StepRun) -> None:
         """Stop all members of a gang that are placed."""
-        self._holdings.stop_members(step)
+        self._allocations.stop_members(step)
 
     def _account_of(self, job: JobRun) -> Account[Demand] | None:
         if self.configuration is None:
@@ -433,11 +433,11 @@
     def _cancel(self, job: JobRun) -> None:
         job.cancelled = True
         job.dirty = True
-        self._holdings.dirty.add(job.id)
-        self._holdings.stop_job(job.id)
+        self._allocations.dirty.add(job.id)
+        self._allocations.stop_job(job.id)
 
     def _take_crashes(self, crashes: list[Crash]) -> None:
         self.crashed_runs += len(crashes)
         for crash in crashes:
             if crash.given_up:
-                self._holdings.stop_job(crash.task.job)
+                self._allocations.stop_job(crash.task.job)
--- a/dandelionreel/cell/decisions/_objectives.py
+++ b/dandelionreel/cell/decisions/_objectives.py
@@ -6,7 +6,7 @@
 TYPICAL_REQUEST = 30
 
 
-def chain_seconds(spec: JobSpec, seconds_by_step: list[float]) -> float:
+def critical_path_seconds(spec: JobSpec, seconds_by_step: list[float]) -> float:
     """Return the longest chain of steps, given how long each one takes."""
     ends: list[float] = []
     for step, seconds in zip(spec.steps, seconds_by_step, strict=True):
@@ -23,7 +23,7 @@
     waits = 0.0
     if queue is not None and queue.advice is not None:
         waits = queue.advice.decision + TYPICAL_REQUEST * queue.advice.per_runner
-    chain = chain_seconds(
+    chain = critical_path_seconds(
         spec, [step.estimate * _waves(step, quota) + waits for step in spec.steps]
     )
     return chain if queue is None else queue.slack * chain + queue.latency
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -5,7 +5,12 @@
 from dandelionreel.cell.decisions._advice_requests import AdviceRequest, AdviceRequests
 from dandelionreel.cell.decisions._cell import Cell
 from dandelionreel.cell.decisions._ledger import Allocation, RunnerState
-from dandelionreel.cell.decisions._preemption import PATIENCE, STOP_SECONDS, Preemption, RoomMade
+from dandelionreel.cell.decisions._preemption import (
+    PATIENCE,
+    STOP_SECONDS,
+    Preemption,
+    PreemptionPlan,
+)
 from dandelionreel.cell.decisions._quota_gate import QuotaGate
 from dandelionreel.cell.decisions._reservations import (
     BACKFILL_MARGIN,
@@ -13,14 +18,20 @@
     Reservations,
     count_slots,
 )
+from dandelionreel.cell.decisions._runner_choice import (
+    Seat,
+    choose_seat,
+    group_seats,
+    seat_gang,
+    suits,
+)
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._seating import Seat, choose_seat, group_seats, seat_gang, suits
 from dandelionreel.cell.decisions._step_runs import Phase, StepRun, counted_demand
 from dandelionreel.cell.decisions._waiting import (
     USELESS,
     Candidate,
-    OwedFirst,
     WaitingOrder,
+    WithinRateFirst,
     list_candidates,
 )
 from dandelionreel.cell.model import Queue, StepName
@@ -46,8 +57,8 @@
 
     starts: list[Allocation] = field(default_factory=list)
     preempted: list[Allocation] = field(default_factory=list)
-    questions: list[AdviceRequest] = field(default_factory=list)
-    held: list[JobRun] = field(default_factory=list)
+    advice_requests: list[AdviceRequest] = field(default_factory=list)
+    quota_blocked: list[JobRun] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
@@ -71,13 +82,13 @@
     askable_by_service: dict[str, float]
     #: Questions that are not urgent for which hosts are free.
     patient_requests: float
-    most_starts: float
+    max_starts: float
     made: Plan = field(default_factory=Plan)
 
     @property
     def starts_left(self) -> float:
         """Return how many more starts may be sent."""
-        return self.most_starts - len(self.made.starts)
+        return self.max_starts - len(self.made.starts)
 
 
 class Planner:
@@ -86,7 +97,7 @@
     def __init__(self, cell: Cell, order: WaitingOrder | None = None) -> None:
         """Place the tasks of that cell in an ``order``."""
         self._cell = cell
-        self._order = order or OwedFirst()
+        self._order = order or WithinRateFirst()
         self._gate = QuotaGate(cell)
         self._advice_requests = AdviceRequests(cell)
         self._preemption = Preemption(cell)
@@ -99,7 +110,7 @@
         now: float,
         wall: float,
         patient_requests: float = INFINITE,
-        most_starts: float = INFINITE,
+        max_starts: float = INFINITE,
     ) -> Plan:
         """Place what can be placed, and count it as held; no more than ``most_starts``.
 
@@ -118,14 +129,14 @@
         reserves = self._renew_reservations(candidates, usable, now)
         askable = {service: REQUESTED_SHARE * _free(runners) for service, runners in usable.items()}
         current = _Round(
-            now, usable, self._reservations, reserves, askable, patient_requests, most_starts
+            now, usable, self._reservations, reserves, askable, patient_requests, max_starts
         )
         for candidate in candidates:
             service = self._cell.service_of(candidate.job)
             runners = current.runners_by_service.get(service)
             if runners:
                 self._serve(candidate, runners, current)
-        current.made.held.extend(self._gate.fresh)
+        current.made.quota_blocked.extend(self._gate.fresh)
         return current.made
 
     def _renew_reservations(
@@ -355,7 +366,7 @@
         free = reservations.unreserved(runners)
         reservation = reservations.find(candidate.step, candidate.rank, free, now)
         soon = reservation is not None and reservation.at <= now + PATIENCE
-        if not soon and candidate.late < USELESS:
+        if not soon and candidate.lateness < USELESS:
             room = self._preemption.find_room(
                 candidate.step, queue, reservations.unreserved(ready), now
             )
@@ -372,7 +383,7 @@
             reservations.hold(reservation)
         return reservation
 
-    def _preempt(self, room: RoomMade, current: _Round) -> None:
+    def _preempt(self, room: PreemptionPlan, current: _Round) -> None:
         for victim in room.victims:
             self._cell.stop(victim)
         current.made.preempted.extend(room.victims)
@@ -408,4 +419,4 @@
 def _put(queue: Queue, questions: list[AdviceRequest], current: _Round) -> None:
     if queue.priority != URGENT:
         current.patient_requests -= len(questions)
-    current.made.questions.extend(questions)
+    current.made.advice_requests.extend(questions)
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class RoomMade:
+class PreemptionPlan:
     """Where a gang fits once ``victims`` have been stopped."""
 
     runners: frozenset[str]
@@ -54,7 +54,7 @@
         queue: Queue,
         runners: Iterable[RunnerState],
         now: float,
-    ) -> RoomMade | None:
+    ) -> PreemptionPlan | None:
         """Return the seats for a whole gang that cost the least, ``None`` without enough."""
         offers: list[tuple[float, str, int]] = []
         seats_by_runner = {}
@@ -75,7 +75,7 @@
             victims.extend(seats[place])
             if place + 1 < len(seats):
                 heapq.heappush(offers, (_cost(seats[place + 1]), runner_id, place + 1))
-        return RoomMade(frozenset(runners_used), tuple(victims))
+        return PreemptionPlan(frozenset(runners_used), tuple(victims))
 
     def _seats(
         self,
--- a/dandelionreel/cell/decisions/_hopeless_runs.py
+++ b/dandelionreel/cell/decisions/_preventive_stops.py
@@ -13,7 +13,7 @@
 EVACUATION_MARGIN = 0.7
 
 
-def stop_leaving(cell: Cell, now: float) -> list[Allocation]:
+def stop_on_draining_runners(cell: Cell, now: float) -> list[Allocation]:
     """Stop what would not end before its draining runner is gone; return it.
 
     What runs there when the runner leaves is lost without an end, and can
@@ -31,7 +31,7 @@
     return stopped
 
 
-def stop_late_gangs(cell: Cell, now: float, wall: float) -> list[StepRun]:
+def stop_incomplete_gangs(cell: Cell, now: float, wall: float) -> list[StepRun]:
     """Stop the gangs that did not come together in time; return them."""
     late = [*_broken_gangs(cell, wall), *_slow_gangs(cell, now)]
     for step in late:
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -6,7 +6,7 @@
 have not been seen yet.
 """
 
-from dandelionreel.cell.decisions._holdings import Holdings
+from dandelionreel.cell.decisions._allocation_table import AllocationTable
 from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.model import Demand, Leftover, Progress
 
@@ -26,9 +26,9 @@
 class QuotaLedger:
     """What each account has in use, for one owner."""
 
-    def __init__(self, holdings: Holdings, unseen: set[str]) -> None:
+    def __init__(self, allocations: AllocationTable, unseen: set[str]) -> None:
         """Count ``holdings``, and what may run on runners of ``unseen``; others keep both."""
-        self._holdings = holdings
+        self._allocations = allocations
         self._unseen = unseen
         self._left_by_place: dict[_Place, tuple[str, Demand]] = {}
         self._unseen_by_account: dict[str, Demand] = {}
@@ -44,7 +44,7 @@
     def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
         """Return what runs of a job may still take, by runner."""
         demand_by_runner: dict[str, Demand] = {}
-        for held in self._holdings.held_of(job.id):
+        for held in self._allocations.allocations_of_job(job.id):
             before = demand_by_runner.get(held.runner, Demand())
             demand_by_runner[held.runner] = before + held.demand
         remaining = job.remaining_demand(wall)
@@ -62,7 +62,7 @@
 
     def used(self, account: str) -> Demand:
         """Return what runs, or may run, of an account."""
-        return self._holdings.usage.of(account) + self._unseen_by_account.get(account, Demand())
+        return self._allocations.usage.of(account) + self._unseen_by_account.get(account, Demand())
 
     def room(self, account: str, quota: Demand | None) -> Demand | None:
         """Return how much more an account may start, ``None`` for any amount.
@@ -88,7 +88,7 @@
     def _count_unseen(self, wall: float) -> None:
         """Count what jobs may run unseen: what is left of them, as far as runners hold it."""
         runners_by_account: dict[str, set[str]] = {}
-        for job in self._holdings.live_by_id.values():
+        for job in self._allocations.live_by_id.values():
             runners = self._unseen_runners(job)
             if not job.account or not runners or job.over:
                 continue
@@ -107,12 +107,14 @@
         """Return what runners hold together; one that was never listed holds the most."""
         total = Demand()
         for runner in runners:
-            state = self._holdings.runner_by_id.get(runner)
+            state = self._allocations.runner_by_id.get(runner)
             total += self._largest_runner() if state is None else state.registration.capacity
         return total
 
     def _largest_runner(self) -> Demand:
-        capacities = [state.registration.capacity for state in self._holdings.runner_by_id.values()]
+        capacities = [
+            state.registration.capacity for state in self._allocations.runner_by_id.values()
+        ]
         return Demand(
             max((capacity.cpu for capacity in capacities), default=UNKNOWN_AMOUNT),
             max((capacity.memory_mb for capacity in capacities), default=UNKNOWN_AMOUNT),
@@ -127,5 +129,5 @@
         """Return whether runs of a job that is over may still be on a runner."""
         if runner in self._unseen:
             return True
-        state = self._holdings.runner_by_id.get(runner)
+        state = self._allocations.runner_by_id.get(runner)
         return state is not None and any(task.job == job for task, _ in state.allocation_by_run)
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -29,10 +29,10 @@
 class Rank(NamedTuple):
     """A step's place in the order of what waits, by the first field that differs."""
 
-    useless: bool
-    behind: bool
+    expired: bool
+    beyond_rate: bool
     priority: int
-    late: int
+    lateness: int
     deadline: float
     job: str
     step: StepName
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from dandelionreel.cell.decisions._allocation_table import AllocationTable, is_current
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._holdings import Holdings, is_current
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, Holding, RunnerState
 from dandelionreel.cell.decisions._losses import Losses
 from dandelionreel.cell.decisions._runs import JobRun
@@ -43,13 +43,13 @@
 
     def __init__(
         self,
-        holdings: Holdings,
+        allocations: AllocationTable,
         losses: Losses,
         unreadable_jobs: set[str],
         queue_of: Callable[[JobRun], Queue | None],
     ) -> None:
         """Change ``holdings``; others keep ``unreadable_jobs``."""
-        self._holdings = holdings
+        self._allocations = allocations
         self._losses = losses
         self._unreadable_jobs = unreadable_jobs
         self._queue_of = queue_of
@@ -98,14 +98,14 @@
             # been listed before the order took effect.
             if asked > allocation.settled_at:
                 effect.lost.append(allocation)
-                self._holdings.lose(runner, allocation)
+                self._allocations.drop_lost(runner, allocation)
 
     def _take_end(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
-        holdings = self._holdings
+        allocations = self._allocations
         allocation = runner.allocation_by_run.get((ended.task, ended.run))
-        job = holdings.job_by_id.get(ended.task.job)
+        job = allocations.job_by_id.get(ended.task.job)
         if allocation is not None:
-            holdings.free(runner, allocation)
+            allocations.free(runner, allocation)
         found = None if job is None else job.find(ended.task)
         if job is None or found is None:
             return allocation
@@ -120,7 +120,7 @@
         if is_current(task, runner.id, ended.run):
             step.release(task)
             if step.step.gang:
-                holdings.stop_members(step)
+                allocations.stop_members(step)
         return allocation
 
     def _take_failed(
@@ -133,21 +133,21 @@
         queue = self._queue_of(job)
         task.avoid.add(runner.id)
         job.note_failed(ended.task, ended.run, queue.max_attempts if queue else 1)
-        self._holdings.dirty.add(job.id)
+        self._allocations.dirty.add(job.id)
         if job.state is JobState.FAILED:
-            self._holdings.stop_job(job.id)
+            self._allocations.stop_job(job.id)
 
     def _take_done(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
-        holdings = self._holdings
+        allocations = self._allocations
         members = step.tasks if step.step.gang else [step.tasks[ended.task.index]]
         for member in members:
-            current = holdings.find_allocation(member) if member.phase is Phase.PLACED else None
+            current = allocations.find_allocation(member) if member.phase is Phase.PLACED else None
             # Members of the gang that is done end by themselves; a later run
             # of the same task must not go on.
             if current is not None and current.run != ended.run:
-                holdings.stop(current)
+                allocations.stop(current)
         job.note_done(ended.task)
-        holdings.dirty.add(job.id)
+        allocations.dirty.add(job.id)
 
     def _take_running(
         self,
@@ -163,35 +163,35 @@
         allocation.percent = running.percent
         allocation.gauge = running.gauge
         allocation.checkpoint = running.checkpoint or allocation.checkpoint
-        self._holdings.settle_start(allocation, now)
-        self._holdings.repeat_stop(allocation, asked)
+        self._allocations.confirm_start(allocation, now)
+        self._allocations.repeat_stop(allocation, asked)
         return 0
 
     def _adopt(self, runner: RunnerState, running: RunningTask, now: float) -> None:
         """Count a run that an earlier owner started, and keep it if it is wanted."""
-        holdings = self._holdings
-        job = holdings.job_by_id.get(running.task.job)
+        allocations = self._allocations
+        job = allocations.job_by_id.get(running.task.job)
         found = None if job is None else job.find(running.task)
         account = '' if job is None else job.account
         allocation = _make_adopted(runner, running, now, found, account)
-        holdings.hold(runner, allocation)
+        allocations.hold(runner, allocation)
         if job is None or found is None:
-            holdings.stop(allocation)
+            allocations.stop(allocation)
             return
         step, task = found
         if job.over or task.phase is Phase.DONE:
-            holdings.stop(allocation)
+            allocations.stop(allocation)
             return
         if task.phase is Phase.PLACED:
             if task.run > running.run:
-                holdings.stop(allocation)
+                allocations.stop(allocation)
                 return
-            current = holdings.find_allocation(task)
+            current = allocations.find_allocation(task)
             step.release(task)
             if current is not None:
-                holdings.stop(current)
+                allocations.stop(current)
         step.place(task, runner.id, running.run)
-        holdings.note_began(job.id)
+        allocations.note_began(job.id)
 
 
 def _make_adopted(
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -59,7 +59,7 @@
         stalled: list[StalledJob] = []
         for known, job in due:
             steps = job.unfinished_steps(wall)
-            held = self._cell.held_of(job.id)
+            held = self._cell.allocations_of_job(job.id)
             if len(stalled) == MAX_JOBS:
                 break
             if steps and _is_overdue(known, held, now):
--- a/dandelionreel/cell/decisions/_tickets.py
+++ b/dandelionreel/cell/decisions/_tickets.py
@@ -45,7 +45,7 @@
         }
 
 
-class TicketBook:
+class TicketCache:
     """Tickets by step."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         """Return whether a start of a step on a runner may carry its ticket now."""
         return self.of(step).until_by_runner.get(runner, 0.0) > now
 
-    def note(
+    def note_answer(
         self,
         step: StepName,
         asked: Iterable[str],
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -26,18 +26,18 @@
     step: StepRun
     queue: Queue | None
     #: As ``USELESS`` says.
-    late: int
+    lateness: int
     rank: Rank
 
 
 @dataclass(frozen=True)
-class Urgency:
+class RankInputs:
     """What a step's place in the order is worked out from; times in monotonic seconds."""
 
     job: JobRun
     step: StepRun
     priority: int
-    late: int
+    lateness: int
     deadline: float
     now: float
 
@@ -46,34 +46,34 @@
     """Orders what waits; the lowest rank goes first."""
 
     @abc.abstractmethod
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, inputs: RankInputs) -> Rank:
         """Return the place of a step."""
 
 
-class OwedFirst(WaitingOrder):
+class WithinRateFirst(WaitingOrder):
     """What accounts may expect goes first, then priority, then the earliest objective.
 
     Jobs that are too late for any use go behind all others.
     """
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, inputs: RankInputs) -> Rank:
         """Return the place of a step."""
-        job = urgency.job
-        may_wait = urgency.now - job.accepted < LONGEST_BEHIND
+        job = inputs.job
+        may_wait = inputs.now - job.accepted < LONGEST_BEHIND
         return Rank(
-            may_wait and urgency.late == USELESS,
+            may_wait and inputs.lateness == USELESS,
             may_wait and job.beyond_rate,
-            urgency.priority,
-            urgency.late if may_wait else 0,
-            urgency.deadline,
+            inputs.priority,
+            inputs.lateness if may_wait else 0,
+            inputs.deadline,
             job.id,
-            urgency.step.name,
+            inputs.step.name,
         )
 
 
 def list_candidates(
     cell: Cell,
-    make_rank: Callable[[Urgency], Rank],
+    make_rank: Callable[[RankInputs], Rank],
     now: float,
     wall: float,
 ) -> list[Candidate]:
@@ -89,9 +89,9 @@
         for step in job.ready_steps(wall):
             if now < step.not_before:
                 continue
-            late = _lateness(now + step.step.estimate, job.accepted, allowed)
-            urgency = Urgency(job, step, priority, late, job.accepted + allowed, now)
-            candidates.append(Candidate(job, step, queue, late, make_rank(urgency)))
+            lateness = _lateness(now + step.step.estimate, job.accepted, allowed)
+            inputs = RankInputs(job, step, priority, lateness, job.accepted + allowed, now)
+            candidates.append(Candidate(job, step, queue, lateness, make_rank(inputs)))
     candidates.sort(key=_rank)
     return candidates
 
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -350,7 +350,7 @@
         self._tell_preempted(made)
         self._log_held(made)
         await self._orders.send_starts(made.starts)
-        for question in made.questions:
+        for question in made.advice_requests:
             await self._pool.ask(question)
         spent = self._clock.monotonic() - began
         await curio.sleep(max(PLAN_PAUSE, PLAN_REST * spent))
@@ -370,7 +370,7 @@
             )
 
     def _log_held(self, made: Plan) -> None:
-        for job in made.held:
+        for job in made.quota_blocked:
             used, quota = self.cell.quotas.used(job.account), self.cell.quota_of(job)
             self._journal.tell_frequent(
                 Part.PLACEMENT,
@@ -391,7 +391,7 @@
         permits: tuple[Permit, ...],
         until: float,
     ) -> None:
-        self.cell.tickets.note(question.step, question.runners, permits, until)
+        self.cell.tickets.note_answer(question.step, question.runners, permits, until)
         self._journal.tell_frequent(
             Part.PLACEMENT,
             f'{len(permits)} of {len(question.runners)} runners are allowed.',
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -45,7 +45,7 @@
         tally.longest_plan = max(tally.longest_plan, seconds)
         tally.starts += len(made.starts)
         tally.stopped += len(made.preempted)
-        tally.questions += len(made.questions)
+        tally.questions += len(made.advice_requests)
 
     def look(self, now: float, wall: float, epoch: int) -> None:
         """Log one line a second as long as something waits, and the jobs that are stalled."""
--- a/dandelionreel/cell/owner/_rounds.py
+++ b/dandelionreel/cell/owner/_rounds.py
@@ -7,8 +7,8 @@
 from dandelionreel.cell.decisions import (
     ActiveRunners,
     note_last_words,
-    stop_late_gangs,
-    stop_leaving,
+    stop_incomplete_gangs,
+    stop_on_draining_runners,
 )
 from dandelionreel.cell.membership import AUTHORITY_SECONDS
 from dandelionreel.cell.model import CANCELLATION, PROGRESS, SUBMISSION, KeyedRecord, make_tombstone
@@ -154,14 +154,14 @@
 
     def _stop_doomed(self, now: float) -> None:
         """Stop gangs that are not complete, and tasks whose runner is leaving."""
-        for step in stop_late_gangs(self._cell, now, self._clock.wall()):
+        for step in stop_incomplete_gangs(self._cell, now, self._clock.wall()):
             self._journal.tell_frequent(
                 Part.PLACEMENT,
                 'stopped a gang that did not come together.',
                 job=step.name.job,
                 step=step.name.step,
             )
-        for allocation in stop_leaving(self._cell, now):
+        for allocation in stop_on_draining_runners(self._cell, now):
             self._journal.tell_frequent(
                 Part.PLACEMENT,
                 f'moves a task away from {allocation.runner}, which is leaving.',
@@ -179,7 +179,7 @@
         """
         folder = self._parts.runners
         now = self._clock.monotonic()
-        for idle in self._active.take_idle(folder.registration_by_id):
+        for idle in self._active.release_idle(folder.registration_by_id):
             self._cell.leave_runner(idle.id)
         active = self._active.choose(folder.registration_by_id, now)
         fresh = self._cell.see_runners(active, now)
--- a/features/cell_parts.py
+++ b/features/cell_parts.py
@@ -1,7 +1,7 @@
 """A cell with runners and jobs, for scenarios that need no process."""
 
 from dandelionreel.cell.decisions import Cell, Planner
-from dandelionreel.cell.decisions._hopeless_runs import stop_leaving
+from dandelionreel.cell.decisions._preventive_stops import stop_on_draining_runners
 from dandelionreel.cell.model import (
     AdvicePolicy,
     Configuration,
@@ -74,7 +74,7 @@
         """Let a runner say that it will leave, in 2 s at the earliest."""
         self.registration_by_id[runner] = make_registration(runner, draining=True)
         self.see_runners()
-        return stop_leaving(self.cell, self.now)
+        return stop_on_draining_runners(self.cell, self.now)
 
     def add_job(self, job, steps, queue='urgent', age=0.0, progress=None, cancelled=False, zone=''):
         """Take a job as the store tells it."""
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -112,7 +112,7 @@
 
 @then('the runner x {fate}')
 def runner_fate(context, fate):
-    left = {state.id for state in context.active.take_idle(context.listed)}
+    left = {state.id for state in context.active.release_idle(context.listed)}
     assert left, 'none is left'
     assert (context.name in left) is (fate == 'may be left'), fate
 
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -40,43 +40,43 @@
 
 @then('nothing is asked')
 def nothing_asked(context):
-    assert not context.made.questions, context.made.questions
+    assert not context.plan.advice_requests, context.plan.advice_requests
 
 
 @when('50 jobs of a task of 8000 are handed in')
 def fifty_jobs(context):
     for number in range(50):
         context.small.add_job(f'j{number:02}', [step(8000)])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('{count:d} questions are asked')
 def questions_asked(context, count):
-    assert len(context.made.questions) == count, context.made.questions
+    assert len(context.plan.advice_requests) == count, context.plan.advice_requests
 
 
 @when('a gang of 20 tasks of 9000 asks for tickets')
 def gang_asks(context):
     context.small.add_job('j1', [step(9000, count=20, gang=True)])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('{count:d} questions name {runners:d} runners, none of them twice')
 def questions_name(context, count, runners):
-    named = [runner for question in context.made.questions for runner in question.runners]
-    assert len(context.made.questions) == count, context.made.questions
+    named = [runner for question in context.plan.advice_requests for runner in question.runners]
+    assert len(context.plan.advice_requests) == count, context.plan.advice_requests
     assert len(named) == len(set(named)) == runners, len(named)
 
 
 @then('nothing more is asked until the last answer')
 def nothing_more(context):
     small = context.small
-    for question in context.made.questions[:-1]:
-        small.cell.tickets.note(question.step, question.runners, [], small.now + 2)
-    assert not small.plan().questions
-    last = context.made.questions[-1]
-    small.cell.tickets.note(last.step, last.runners, [], small.now + 2)
-    assert small.plan().questions
+    for question in context.plan.advice_requests[:-1]:
+        small.cell.tickets.note_answer(question.step, question.runners, [], small.now + 2)
+    assert not small.plan().advice_requests
+    last = context.plan.advice_requests[-1]
+    small.cell.tickets.note_answer(last.step, last.runners, [], small.now + 2)
+    assert small.plan().advice_requests
 
 
 @given('8 hosts that are slow to answer')
@@ -133,23 +133,23 @@
 @when('a job of 2 tasks is handed in')
 def two_tasks(context):
     context.small.add_job('j1', [step(count=2)])
-    context.made = context.small.plan()
-    assert not context.made.starts
+    context.plan = context.small.plan()
+    assert not context.plan.starts
 
 
 @then('the question names 12 runners')
 def question_names(context):
-    assert [len(question.runners) for question in context.made.questions] == [12]
-    assert not context.small.plan().questions
+    assert [len(question.runners) for question in context.plan.advice_requests] == [12]
+    assert not context.small.plan().advice_requests
 
 
 @then('the job starts on the runners that are allowed')
 def starts_allowed(context):
     small = context.small
-    question = context.made.questions[0]
+    question = context.plan.advice_requests[0]
     allowed = question.runners[3]
     permits = [Permit(allowed, 'ticket')]
-    small.cell.tickets.note(question.step, question.runners, permits, small.now + 2)
+    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
     starts = small.plan().starts
     assert {(start.runner, start.ticket) for start in starts} == {(allowed, 'ticket')}
 
@@ -158,28 +158,28 @@
 def late_gang(context):
     small = context.small
     small.add_job('g1', [step(count=2, gang=True)], age=3600)
-    question = small.plan().questions[0]
+    question = small.plan().advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in question.runners]
-    small.cell.tickets.note(question.step, question.runners, permits, small.now - 1)
-    context.made = small.plan()
+    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now - 1)
+    context.plan = small.plan()
 
 
 @then('new tickets are asked for')
 def tickets_asked(context):
-    assert len(context.made.questions) == 1
+    assert len(context.plan.advice_requests) == 1
 
 
 @when('its tickets expire before it could start')
 def tickets_expire(context):
     small = context.small
-    question = context.made.questions[0]
+    question = context.plan.advice_requests[0]
     context.allowed = question.runners[3]
     permits = [Permit(context.allowed, 'ticket')]
-    small.cell.tickets.note(question.step, question.runners, permits, small.now + 2)
+    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
     small.now += 3
-    context.made = small.plan()
+    context.plan = small.plan()
 
 
 @then('the next question names only allowed runners')
 def asks_allowed(context):
-    assert [question.runners for question in context.made.questions] == [(context.allowed,)]
+    assert [question.runners for question in context.plan.advice_requests] == [(context.allowed,)]
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -137,13 +137,13 @@
 def unknown_gone(context):
     context.small.now += 1
     context.small.poll('w1')
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('the new job starts')
 def new_job_starts(context):
-    assert len(context.made.starts) == 1, context.made
-    assert context.small.used('w1') == context.made.starts[0].demand.cpu
+    assert len(context.plan.starts) == 1, context.plan
+    assert context.small.used('w1') == context.plan.starts[0].demand.cpu
 
 
 @given('an owner whose start loses its answer and is then refused: {reply}')
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -161,7 +161,7 @@
 @when('a task of {cpu:d} needs advice')
 def advised_task(context, cpu):
     add(context, cpu)
-    context.questions = context.small.plan().questions
+    context.questions = context.small.plan().advice_requests
 
 
 @then('advice is asked for it about w2')
@@ -179,7 +179,7 @@
 @when('a gang of {count:d} tasks of {cpu:d} needs advice')
 def advised_gang(context, count, cpu):
     context.small.add_job('gang', [step(cpu, count, gang=True)])
-    context.questions = context.small.plan().questions
+    context.questions = context.small.plan().advice_requests
 
 
 @then('advice is asked for it about fewer than {count:d} runners')
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import Holding
-from dandelionreel.cell.decisions._hopeless_runs import stop_leaving
 from dandelionreel.cell.decisions._ledger import RunnerState
+from dandelionreel.cell.decisions._preventive_stops import stop_on_draining_runners
 from dandelionreel.cell.model import JobState
 from dandelionreel.cell.model._records import Progress
 from features.cell_parts import SmallCell, make_registration, step, task
@@ -27,21 +27,21 @@
 @when('a job is handed in')
 def hand_in(context):
     context.small.add_job('j1', [step()])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @when('it takes a job that the store names with {runner}')
 def take_job(context, runner):
     progress = Progress(1, JobState.RUNNING, runners=(runner,))
     context.small.add_job('j1', [step()], progress=progress)
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @when('it takes a job that the store names as {state}')
 def take_over_job(context, state):
     progress = Progress(1, JobState(state), ended_at=5.0)
     context.small.add_job('j1', [step()], progress=progress)
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @when('w3 answers and does not hold the task')
@@ -50,18 +50,18 @@
     small.registration_by_id['w3'] = make_registration('w3', port=7)
     small.see_runners()
     small.poll('w3')
-    context.made = small.plan()
+    context.plan = small.plan()
 
 
 @then('it starts at once')
 def starts(context):
-    assert len(context.made.starts) == 1, context.made
+    assert len(context.plan.starts) == 1, context.plan
 
 
 @then('it is left alone')
 @then('nothing starts')
 def nothing(context):
-    assert not context.made.starts, context.made
+    assert not context.plan.starts, context.plan
 
 
 @given('a running job that fills w1')
@@ -76,19 +76,19 @@
     context.small.cancel('j1')
     assert context.small.cell.take_stops()
     context.small.add_job('j2', [step()])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @when('w1 lists the end of the stopped run')
 def stopped_end(context):
     run = context.small.runs_on('w1')[0][1]
     context.small.poll('w1', ended=[(1, task('j1'), run, 'stopped')])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('the other job starts')
 def other_starts(context):
-    assert [start.task.job for start in context.made.starts] == ['j2']
+    assert [start.task.job for start in context.plan.starts] == ['j2']
 
 
 @given('a job whose start was not answered and is taken back')
@@ -102,12 +102,12 @@
 def look_early(context):
     context.small.now += 1
     context.small.poll(context.start.runner)
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('the task waits for nobody else to run it')
 def still_counted(context):
-    assert not context.made.starts
+    assert not context.plan.starts
     assert context.small.runs_on(context.start.runner)
 
 
@@ -117,12 +117,12 @@
     small.cell.stop_answered(context.start, small.now)
     small.now += 1
     small.poll(context.start.runner)
-    context.made = small.plan()
+    context.plan = small.plan()
 
 
 @then('the task starts with a higher run number')
 def higher_run(context):
-    assert context.made.starts[0].run > context.start.run
+    assert context.plan.starts[0].run > context.start.run
 
 
 @when('a look that was sent {order} the start was answered does not list it')
@@ -219,14 +219,14 @@
     if context.again.task == first.task:
         small.poll(first.runner, ended=[(1, first.task, first.run, 'done')])
     small.cell.runner_by_id[first.runner].suspect = True
-    context.made = small.plan()
+    context.plan = small.plan()
 
 
 @then('it does not start on w2 before the stopped run has ended')
 def not_beside(context):
     small = context.small
     assert context.again.task == context.first.task, context.again
-    assert not context.made.starts, context.made.starts
+    assert not context.plan.starts, context.plan.starts
     stopped = small.cell.take_stops()
     assert stopped == [context.again]
     ended = [(1, context.again.task, context.again.run, 'stopped')]
@@ -255,7 +255,7 @@
 @when('1.5 s later the task still runs')
 def still_runs(context):
     context.small.now += 1.5
-    stop_leaving(context.small.cell, context.small.now)
+    stop_on_draining_runners(context.small.cell, context.small.now)
 
 
 @then('the task is {fate:w}')
@@ -307,24 +307,24 @@
 @when('a job of two steps in a row is handed in')
 def two_steps(context):
     context.small.add_job('j1', [step(), step(depends_on=(0,))])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('only the first step starts')
 def first_step(context):
-    assert [start.task.step for start in context.made.starts] == [0]
+    assert [start.task.step for start in context.plan.starts] == [0]
 
 
 @when('the first step is done')
 def first_step_done(context):
-    start = context.made.starts[0]
+    start = context.plan.starts[0]
     context.small.poll(start.runner, ended=[(1, start.task, start.run, 'done')])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('the second step starts')
 def second_step(context):
-    assert [start.task.step for start in context.made.starts] == [1]
+    assert [start.task.step for start in context.plan.starts] == [1]
 
 
 @when('a job with {rule} is handed in')
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from dandelionreel.cell.decisions._hopeless_runs import stop_late_gangs
+from dandelionreel.cell.decisions._preventive_stops import stop_incomplete_gangs
 from dandelionreel.cell.model import EndedRun, Outcome, Permit, RunnerView, RunningTask, StartReply
 from features.cell_parts import step
 
@@ -26,7 +26,7 @@
 @when("the gang's share of the timeout has passed")
 def gang_times_out(context):
     context.small.now += 2
-    stop_late_gangs(context.small.cell, context.small.now, context.small.now)
+    stop_incomplete_gangs(context.small.cell, context.small.now, context.small.now)
 
 
 @when('that start is taken back as nobody knows whether it arrived')
@@ -44,7 +44,7 @@
 @when('a gang of {count:d} tasks of {cpu:d} is handed in')
 def hand_in_gang(context, count, cpu):
     context.small.add_job('j1', [step(cpu, count, gang=True)], queue='gangs')
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @given('urgent tasks that fill w1 for 2 s and half of w2 for 2 s')
@@ -60,12 +60,12 @@
     small = context.small
     small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue='gangs')
     small.add_job('b1', [step(4000, seconds=seconds)], queue='batch')
-    context.made = small.plan()
+    context.plan = small.plan()
 
 
 @then('the batch task {outcome}')
 def batch_outcome(context, outcome):
-    started = [start.task.job for start in context.made.starts]
+    started = [start.task.job for start in context.plan.starts]
     assert started == (['b1'] if outcome == 'starts' else []), started
 
 
@@ -95,14 +95,14 @@
     # The cell whose queue asks for advice has no queue of gangs.
     queue = 'urgent' if 'plain' in context.small.cell.configuration.queue_by_name else 'gangs'
     context.small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue=queue)
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('{count:d} of them are stopped')
 def are_stopped(context, count):
     stopped = context.small.cell.take_stops()
     assert len(stopped) == count, stopped
-    assert stopped == context.made.preempted
+    assert stopped == context.plan.preempted
 
 
 @when('the stopped tasks are listed with their checkpoints')
@@ -115,7 +115,7 @@
         listed = tuple(RunningTask(name, run, '', 0, 0.0) for name, run in kept)
         view = RunnerView(small.now, listed, (ended,))
         small.cell.viewed(small.cell.runner_by_id[victim.runner], view, small.now, small.now)
-    context.made = small.plan()
+    context.plan = small.plan()
 
 
 @then('each stopped task waits with its checkpoint')
@@ -129,25 +129,25 @@
 @when('it is allowed on both runners by tickets that have expired')
 def expired_on_both(context):
     small = context.small
-    question = context.made.questions[0]
+    question = context.plan.advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in question.runners]
-    small.cell.tickets.note(question.step, question.runners, permits, small.now - 1)
-    context.made = small.plan()
+    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now - 1)
+    context.plan = small.plan()
 
 
 @then('nothing is stopped, and new tickets are asked for')
 def nothing_stopped(context):
     assert not context.small.cell.take_stops()
-    assert len(context.made.questions) == 1
+    assert len(context.plan.advice_requests) == 1
 
 
 @when('the tickets are there')
 def tickets_there(context):
     small = context.small
-    question = context.made.questions[0]
+    question = context.plan.advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in question.runners]
-    small.cell.tickets.note(question.step, question.runners, permits, small.now + 2)
-    context.made = small.plan()
+    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
+    context.plan = small.plan()
 
 
 @when('the urgent tasks are done')
@@ -156,12 +156,12 @@
     small.now += 2
     for number, start in enumerate(small.allocations[:3]):
         small.poll(start.runner, ended=[(number + 1, start.task, start.run, 'done')])
-    context.made = small.plan()
+    context.plan = small.plan()
 
 
 @then('the gang starts')
 def gang_starts(context):
-    assert [start.task.job for start in context.made.starts][:2] == ['g1', 'g1']
+    assert [start.task.job for start in context.plan.starts][:2] == ['g1', 'g1']
 
 
 @given('a gang that waits for both of them')
@@ -177,4 +177,4 @@
 def urgent_later(context, seconds, later):
     context.small.now += later
     context.small.add_job('urgent', [step(seconds=seconds)])
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -70,7 +70,7 @@
             if len(context.runner.started) > 60 and 'urgent' not in context.small.cell.job_by_id:
                 add_job(context, 'urgent', [step(1000)], 'urgent')
             made = context.small.planner.plan(
-                context.small.now, context.small.now, most_starts=context.orders.free
+                context.small.now, context.small.now, max_starts=context.orders.free
             )
             context.plans += 1
             await context.orders.send_starts(made.starts)
@@ -105,7 +105,7 @@
     job = add_job(context, 'advised', [step(1000)], 'advised')
     small.planner.plan(small.now, small.now)
     name = job.steps(0)[0].name
-    small.cell.tickets.note(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
+    small.cell.tickets.note_answer(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
     (context.start,) = small.planner.plan(small.now, small.now).starts
     assert ADVISED.advice == AdvicePolicy(0.01, 0.0001, 2.0) and context.start.ticket
 
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -41,42 +41,42 @@
 def long_batch(context):
     for number in range(3):
         context.small.add_job(f'j{number}', [step(count=2, seconds=30)], queue='batch')
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @when('{count:d} batch jobs are handed in')
 def batch_jobs(context, count):
     for number in range(count):
         context.small.add_job(f'j{number}', [step(count=2)], queue='batch')
-    context.made = context.small.plan()
+    context.plan = context.small.plan()
 
 
 @then('their questions name {count:d} runners or more')
 def named_runners(context, count):
-    named = {runner for question in context.made.questions for runner in question.runners}
+    named = {runner for question in context.plan.advice_requests for runner in question.runners}
     assert len(named) >= count, sorted(named)
 
 
 @when('a batch job is handed in that the store is slow to take')
 def slow_job(context):
     context.small.add_job('j1', [step(count=2)], queue='batch').stored = False
-    context.made = context.small.plan()
-    assert len(context.made.questions) == 1
+    context.plan = context.small.plan()
+    assert len(context.plan.advice_requests) == 1
 
 
 @when('it has tickets for runners with room')
 def has_tickets(context):
     small = context.small
-    (question,) = context.made.questions
+    (question,) = context.plan.advice_requests
     permits = [Permit(runner, 'ticket') for runner in question.runners[:4]]
-    small.cell.tickets.note(question.step, question.runners, permits, small.now + 2)
+    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
 
 
 @then('nothing is asked until they have expired')
 def asked_once(context):
-    assert not context.small.plan().questions
+    assert not context.small.plan().advice_requests
     context.small.now += 2
-    assert context.small.plan().questions
+    assert context.small.plan().advice_requests
 
 
 @when('{count:d} batch jobs are handed in while {free:d} hosts are free')
@@ -84,12 +84,12 @@
     small = context.small
     for number in range(count):
         small.add_job(f'j{number}', [step(count=2)], queue='batch', age=number / 10)
-    context.made = small.planner.plan(small.now, small.now, free)
+    context.plan = small.planner.plan(small.now, small.now, free)
 
 
 @then('the {count:d} jobs whose objectives end first ask')
 def first_ask(context, count):
-    asking = [question.step.job for question in context.made.questions]
+    asking = [question.step.job for question in context.plan.advice_requests]
     assert asking == [f'j{number}' for number in range(9, 9 - count, -1)], asking
 
 
@@ -98,7 +98,7 @@
     small = context.small
     small.add_job('now', [step()])
     made = small.planner.plan(small.now, small.now, 0)
-    assert [question.step.job for question in made.questions] == ['now']
+    assert [question.step.job for question in made.advice_requests] == ['now']
 
 
 class SlowPlanner:
@@ -161,7 +161,7 @@
     small.now = context.dispatcher._clock.monotonic() + 1
     small.poll('w1')
     made = small.planner.plan(small.now, small.now)
-    assert made.starts or made.questions, 'it waits for an answer that nobody asked for'
+    assert made.starts or made.advice_requests, 'it waits for an answer that nobody asked for'
 
 
 def busy_cell(runners, kind):
@@ -180,7 +180,7 @@
         small.add_job(name, [waits], queue='gangs' if kind == 'gangs' else 'batch')
         tickets = small.cell.tickets.of(StepName(name, 0, 0))
         tickets.pending = 2
-        small.cell.tickets.note(StepName(name, 0, 0), ('r0', 'r1'), [Permit('r1', 't')], 9e9)
+        small.cell.tickets.note_answer(StepName(name, 0, 0), ('r0', 'r1'), [Permit('r1', 't')], 9e9)
     small.plan()
     return small
 
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -148,10 +148,10 @@
         steps = [step(1000, 2, gang=kind == 'as gangs')]
         small.add_job(job, steps, queue=queue, zone=context.zones[number % 3])
     made = small.plan()
-    while made.questions:
-        for question in made.questions:
+    while made.advice_requests:
+        for question in made.advice_requests:
             permits = [Permit(runner, 'ticket') for runner in question.runners]
-            small.cell.tickets.note(question.step, question.runners, permits, small.now + 2)
+            small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
         made = small.plan()
 
 
