--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -18,21 +18,21 @@
 from dandelionreel.cell.model import AdvicePolicy, Demand, Queue, StepName
 
 #: The service answers for at most this many runners at once.
-MOST_RUNNERS = 100
+MAX_RUNNERS_PER_REQUEST = 100
 #: Runners named at least: a question's fixed time outweighs theirs.
-FEWEST_RUNNERS = 12
+MIN_RUNNERS_PER_REQUEST = 12
 #: Share of runners that is expected to be allowed, and how many times more than needed are asked
 #: about. A gang's seats are mostly taken, so it asks about more.
-ALLOWED_SHARE = 0.3
-SURPLUS = 1.6
-GANG_SURPLUS = 4.0
+EXPECTED_ALLOWED_SHARE = 0.3
+OVERSAMPLING_FACTOR = 1.6
+GANG_OVERSAMPLING_FACTOR = 4.0
 #: Runners in one of a gang's requests.
-GANG_RUNNERS = 45
+MAX_RUNNERS_PER_GANG_REQUEST = 45
 #: Tasks for which a runner has room to be as good as any: more of one step seldom
 #: get there, as others take its room meanwhile.
-ENOUGH_SLOTS = 2
+SUFFICIENT_SLOTS = 2
 #: Seconds before a reserved time at which its tickets should be there.
-EARLY_SECONDS = 0.25
+TICKET_LEAD_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
@@ -52,7 +52,7 @@
         """Look at what is known in that cell."""
         self._cell = cell
 
-    def first(
+    def for_new_runners(
         self,
         queue: Queue,
         step: StepRun,
@@ -65,24 +65,24 @@
         Nothing is asked for a single task about runners that have no room: its
         tickets would have expired when they have.
         """
-        known = self._cell.tickets.of(step.name)
-        if not known.may_ask(now):
+        tickets = self._cell.tickets.of(step.name)
+        if not tickets.may_ask(now):
             return []
         demand = counted_demand(step)
-        slotted = [
+        slots_and_runners = [
             (count_slots(demand, runner.room), runner)
             for runner in runners
-            if runner.id not in known.asked
+            if runner.id not in tickets.asked
         ]
         if step.step.gang:
-            slotted.sort(key=_most_slots(zone))
+            slots_and_runners.sort(key=_by_slots(zone))
         else:
-            slotted = [entry for entry in slotted if entry[0]]
-            slotted.sort(key=_spread(step.name, zone))
-        fresh = [runner for _, runner in slotted]
-        return self._ask(queue, step, fresh[: self._enough(step)])
+            slots_and_runners = [item for item in slots_and_runners if item[0]]
+            slots_and_runners.sort(key=_by_step_hash(step.name, zone))
+        unasked = [runner for _, runner in slots_and_runners]
+        return self._split(queue, step, unasked[: self._runners_to_ask(step)])
 
-    def again(
+    def for_expired_tickets(
         self,
         queue: Queue,
         step: StepRun,
@@ -91,21 +91,21 @@
         zone: str = '',
     ) -> list[AdviceRequest]:
         """Return the question for new tickets of allowed runners with room, ``zone``'s first."""
-        known = self._cell.tickets.of(step.name)
-        if not known.may_ask(now):
+        tickets = self._cell.tickets.of(step.name)
+        if not tickets.may_ask(now):
             return []
         demand = counted_demand(step)
         limit = step.step.max_per_runner
-        wanted = []
-        seats = 0
+        chosen = []
+        slots_found = 0
         for runner in sorted(runners, key=partial(_is_elsewhere, zone)):
             slots = count_slots(demand, runner.room, limit)
-            if runner.id in known.allowed and slots and seats < step.waiting:
-                wanted.append(runner)
-                seats += slots
-        return self._ask(queue, step, wanted)
+            if runner.id in tickets.allowed and slots and slots_found < step.waiting:
+                chosen.append(runner)
+                slots_found += slots
+        return self._split(queue, step, chosen)
 
-    def reserved(
+    def for_reservation(
         self,
         queue: Queue,
         step: StepRun,
@@ -116,30 +116,35 @@
 
         They name every allowed runner: which of them have seats first changes from plan to plan.
         """
-        known = self._cell.tickets.of(step.name)
-        if not known.may_ask(now) or queue.advice is None:
+        tickets = self._cell.tickets.of(step.name)
+        if not tickets.may_ask(now) or queue.advice is None:
             return []
-        valid = known.valid(reservation.at)
+        valid = tickets.valid(reservation.at)
         if reservation.runners <= valid.keys():
             return []
-        advice_seconds = _seconds(queue.advice, min(GANG_RUNNERS, len(known.allowed)))
-        if reservation.at - now > advice_seconds + EARLY_SECONDS:
+        advice_seconds = _expected_seconds(
+            queue.advice, min(MAX_RUNNERS_PER_GANG_REQUEST, len(tickets.allowed))
+        )
+        if reservation.at - now > advice_seconds + TICKET_LEAD_SECONDS:
             return []
-        found = (self._cell.runner_by_id.get(runner) for runner in sorted(known.allowed))
-        wanted = [runner for runner in found if runner is not None and runner.id not in valid]
-        return self._ask(queue, step, wanted)
+        found = (self._cell.runner_by_id.get(runner) for runner in sorted(tickets.allowed))
+        chosen = [runner for runner in found if runner is not None and runner.id not in valid]
+        return self._split(queue, step, chosen)
 
-    def _enough(self, step: StepRun) -> int:
+    def _runners_to_ask(self, step: StepRun) -> int:
         """Return how many runners are likely to hold the whole step."""
         demand = counted_demand(step)
-        per_runner = max(1, self._usual_slots(demand, step.step.max_per_runner))
+        per_runner = max(1, self._median_slots(demand, step.step.max_per_runner))
         needed = -(-step.waiting // per_runner)
         if step.step.gang:
-            return max(FEWEST_RUNNERS, int(needed / ALLOWED_SHARE * GANG_SURPLUS) + 1)
-        likely = int(needed / ALLOWED_SHARE * SURPLUS) + 1
-        return min(MOST_RUNNERS, max(FEWEST_RUNNERS, likely))
-
-    def _usual_slots(self, demand: Demand, limit: int) -> int:
+            return max(
+                MIN_RUNNERS_PER_REQUEST,
+                int(needed / EXPECTED_ALLOWED_SHARE * GANG_OVERSAMPLING_FACTOR) + 1,
+            )
+        likely = int(needed / EXPECTED_ALLOWED_SHARE * OVERSAMPLING_FACTOR) + 1
+        return min(MAX_RUNNERS_PER_REQUEST, max(MIN_RUNNERS_PER_REQUEST, likely))
+
+    def _median_slots(self, demand: Demand, limit: int) -> int:
         """Return how many tasks the middle one of all runners takes when it is empty.
 
         The middle one, as any single runner may have shrunk.
@@ -150,11 +155,16 @@
         )
         return slots[len(slots) // 2] if slots else 1
 
-    def _ask(self, queue: Queue, step: StepRun, runners: list[RunnerState]) -> list[AdviceRequest]:
+    def _split(
+        self, queue: Queue, step: StepRun, runners: list[RunnerState]
+    ) -> list[AdviceRequest]:
         if not runners or queue.advice is None:
             return []
         ids = [runner.id for runner in runners]
-        count = -(-len(ids) // (GANG_RUNNERS if step.step.gang else MOST_RUNNERS))
+        count = -(
+            -len(ids)
+            // (MAX_RUNNERS_PER_GANG_REQUEST if step.step.gang else MAX_RUNNERS_PER_REQUEST)
+        )
         # Equal parts: the answers are waited for together.
         parts = [tuple(ids[number::count]) for number in range(count)]
         self._cell.tickets.of(step.name).pending += len(parts)
@@ -165,32 +175,32 @@
     return runner.registration.zone != zone
 
 
-def _most_slots(zone: str) -> Callable[[tuple[int, RunnerState]], tuple[int, bool]]:
+def _by_slots(zone: str) -> Callable[[tuple[int, RunnerState]], tuple[int, bool]]:
     """Return an order of runners by room, those of the zone first among equals."""
 
-    def place(entry: tuple[int, RunnerState]) -> tuple[int, bool]:
-        slots, runner = entry
+    def sort_key(item: tuple[int, RunnerState]) -> tuple[int, bool]:
+        slots, runner = item
         return -slots, _is_elsewhere(zone, runner)
 
-    return place
+    return sort_key
 
 
-def _spread(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
+def _by_step_hash(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
     """Return an order of runners that differs from step to step, the zone's and roomy first.
 
     In one order for all, steps would compete for the same few runners and their tickets.
     """
 
-    def place(entry: tuple[int, RunnerState]) -> tuple[bool, int, int]:
-        slots, runner = entry
+    def sort_key(item: tuple[int, RunnerState]) -> tuple[bool, int, int]:
+        slots, runner = item
         return (
             _is_elsewhere(zone, runner),
-            -min(slots, ENOUGH_SLOTS),
+            -min(slots, SUFFICIENT_SLOTS),
             crc32(f'{step.job}{runner.id}'.encode()),
         )
 
-    return place
+    return sort_key
 
 
-def _seconds(advice: AdvicePolicy, runners: int) -> float:
+def _expected_seconds(advice: AdvicePolicy, runners: int) -> float:
     return advice.decision + advice.per_runner * runners
--- a/dandelionreel/cell/decisions/_job_rates.py
+++ b/dandelionreel/cell/decisions/_job_rates.py
@@ -21,10 +21,10 @@
 
         Jobs that were accepted out of order, by hosts whose clocks differ, fill no bucket twice.
         """
-        most = max(1.0, rate * BURST_SECONDS)
+        burst = max(1.0, rate * BURST_SECONDS)
         filled_at = self._filled_at_by_account.get(account, accepted_at)
-        tokens = self._tokens_by_account.get(account, most)
-        tokens = min(most, tokens + rate * max(0.0, accepted_at - filled_at))
+        tokens = self._tokens_by_account.get(account, burst)
+        tokens = min(burst, tokens + rate * max(0.0, accepted_at - filled_at))
         self._filled_at_by_account[account] = max(filled_at, accepted_at)
         within = tokens >= 1
         self._tokens_by_account[account] = tokens - within
--- a/dandelionreel/cell/decisions/_objectives.py
+++ b/dandelionreel/cell/decisions/_objectives.py
@@ -3,7 +3,7 @@
 from dandelionreel.cell.model import Demand, JobSpec, Queue, Step
 
 #: Runners that a request to the policy service names, as objectives count it.
-TYPICAL_REQUEST = 30
+TYPICAL_REQUEST_RUNNERS = 30
 
 
 def critical_path_seconds(spec: JobSpec, seconds_by_step: list[float]) -> float:
@@ -20,21 +20,21 @@
 
     A step that is wider than its account's quota runs in waves.
     """
-    waits = 0.0
+    advice_seconds = 0.0
     if queue is not None and queue.advice is not None:
-        waits = queue.advice.decision + TYPICAL_REQUEST * queue.advice.per_runner
-    chain = critical_path_seconds(
-        spec, [step.estimate * _waves(step, quota) + waits for step in spec.steps]
+        advice_seconds = queue.advice.decision + TYPICAL_REQUEST_RUNNERS * queue.advice.per_runner
+    path_seconds = critical_path_seconds(
+        spec, [step.estimate * _count_waves(step, quota) + advice_seconds for step in spec.steps]
     )
-    return chain if queue is None else queue.slack * chain + queue.latency
+    return path_seconds if queue is None else queue.slack * path_seconds + queue.latency
 
 
-def _waves(step: Step, quota: Demand | None) -> int:
+def _count_waves(step: Step, quota: Demand | None) -> int:
     """Return how many times a step's tasks have to take turns."""
     if quota is None or step.gang:
         return 1
-    at_once = count_fitting(step.counted_demand, quota, step.count)
-    return -(-step.count // max(1, at_once))
+    concurrent = count_fitting(step.counted_demand, quota, step.count)
+    return -(-step.count // max(1, concurrent))
 
 
 def count_fitting(demand: Demand, room: Demand, most: int) -> int:
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -6,8 +6,8 @@
 from dandelionreel.cell.decisions._cell import Cell
 from dandelionreel.cell.decisions._ledger import Allocation, RunnerState
 from dandelionreel.cell.decisions._preemption import (
-    PATIENCE,
-    STOP_SECONDS,
+    MAX_WAIT_WITHOUT_PREEMPTION_SECONDS,
+    STOP_LATENCY_SECONDS,
     Preemption,
     PreemptionPlan,
 )
@@ -19,16 +19,16 @@
     count_slots,
 )
 from dandelionreel.cell.decisions._runner_choice import (
-    Seat,
-    choose_seat,
-    group_seats,
-    seat_gang,
-    suits,
+    TicketedRunner,
+    assign_gang,
+    choose_runner,
+    group_by_location,
+    has_required_label,
 )
 from dandelionreel.cell.decisions._runs import JobRun
 from dandelionreel.cell.decisions._step_runs import Phase, StepRun, counted_demand
 from dandelionreel.cell.decisions._waiting import (
-    USELESS,
+    TOO_LATE,
     Candidate,
     WaitingOrder,
     WithinRateFirst,
@@ -38,13 +38,13 @@
 
 #: Processors for which advice is requested, as a multiple of those that are free: without a limit
 #: every waiting step would ask about the same room.
-REQUESTED_SHARE = 1.5
+REQUESTED_CPU_FACTOR = 1.5
 #: Seconds for which reservations stand while the same gangs wait: each is computed from all runs on
 #: all runners that its gang may use.
-RESERVE_SECONDS = 0.05
+RESERVATION_REFRESH_SECONDS = 0.05
 #: The priority of queues whose requests are never held back.
-URGENT = 0
-INFINITE = float('inf')
+URGENT_PRIORITY = 0
+NO_LIMIT = float('inf')
 
 
 @dataclass
@@ -70,25 +70,25 @@
 
 
 @dataclass
-class _Round:
+class _PlanState:
     """What one plan works with."""
 
     now: float
     runners_by_service: dict[str, dict[str, RunnerState]]
     reservations: Reservations
     #: Whether the reservations are made in this plan, or still stand.
-    reserves: bool
+    makes_reservations: bool
     #: Processors of each service for which single tasks may still ask advice.
-    askable_by_service: dict[str, float]
+    requestable_cpu_by_service: dict[str, float]
     #: Questions that are not urgent for which hosts are free.
-    patient_requests: float
+    deferrable_requests_left: float
     max_starts: float
-    made: Plan = field(default_factory=Plan)
+    plan: Plan = field(default_factory=Plan)
 
     @property
     def starts_left(self) -> float:
         """Return how many more starts may be sent."""
-        return self.max_starts - len(self.made.starts)
+        return self.max_starts - len(self.plan.starts)
 
 
 class Planner:
@@ -109,8 +109,8 @@
         self,
         now: float,
         wall: float,
-        patient_requests: float = INFINITE,
-        max_starts: float = INFINITE,
+        max_deferrable_requests: float = NO_LIMIT,
+        max_starts: float = NO_LIMIT,
     ) -> Plan:
         """Place what can be placed, and count it as held; no more than ``most_starts``.
 
@@ -126,18 +126,27 @@
         self._gate.begin(candidates, now, wall)
         self._preemption.begin()
         usable = self._usable(now)
-        reserves = self._renew_reservations(candidates, usable, now)
-        askable = {service: REQUESTED_SHARE * _free(runners) for service, runners in usable.items()}
-        current = _Round(
-            now, usable, self._reservations, reserves, askable, patient_requests, max_starts
+        makes_reservations = self._renew_reservations(candidates, usable, now)
+        requestable_cpu = {
+            service: REQUESTED_CPU_FACTOR * _free_cpu(runners)
+            for service, runners in usable.items()
+        }
+        state = _PlanState(
+            now,
+            usable,
+            self._reservations,
+            makes_reservations,
+            requestable_cpu,
+            max_deferrable_requests,
+            max_starts,
         )
         for candidate in candidates:
             service = self._cell.service_of(candidate.job)
-            runners = current.runners_by_service.get(service)
+            runners = state.runners_by_service.get(service)
             if runners:
-                self._serve(candidate, runners, current)
-        current.made.quota_blocked.extend(self._gate.fresh)
-        return current.made
+                self._handle_candidate(candidate, runners, state)
+        state.plan.quota_blocked.extend(self._gate.newly_blocked)
+        return state.plan
 
     def _renew_reservations(
         self,
@@ -150,7 +159,7 @@
         They are where a gang has come or gone, or one has been told where it may run.
         """
         gangs = [self._gang_version(one.step) for one in candidates if one.step.step.gang]
-        if now < self._reserved_at + RESERVE_SECONDS and gangs == self._reserved_for:
+        if now < self._reserved_at + RESERVATION_REFRESH_SECONDS and gangs == self._reserved_for:
             return False
         self._reservations = Reservations(sum(len(runners) for runners in usable.values()))
         self._reserved_at = now
@@ -168,15 +177,15 @@
         for runner in usable:
             if runner.registration.zone in unreachable_zones:
                 continue
-            known = by_service.setdefault(runner.registration.service, {})
-            known[runner.id] = runner
+            runners_by_id = by_service.setdefault(runner.registration.service, {})
+            runners_by_id[runner.id] = runner
         return by_service
 
-    def _serve(
+    def _handle_candidate(
         self,
         candidate: Candidate,
         runners: dict[str, RunnerState],
-        current: _Round,
+        state: _PlanState,
     ) -> None:
         step = candidate.step
         allowed = self._gate.count_allowed(candidate)
@@ -185,98 +194,104 @@
                 self._gate.claim(candidate)
             return
         if candidate.queue is None or candidate.queue.advice is None:
-            seats = [(runner, '') for runner in runners.values() if suits(step, runner)]
+            ticketed = [
+                (runner, '') for runner in runners.values() if has_required_label(step, runner)
+            ]
         else:
-            seats = self._permitted(step, runners, current.now)
+            ticketed = self._runners_with_tickets(step, runners, state.now)
         if step.step.gang:
-            self._serve_gang(candidate, seats, runners, current)
+            self._handle_gang(candidate, ticketed, runners, state)
             return
-        may_place = candidate.job.stored and current.starts_left > 0
-        placed = may_place and self._place_tasks(candidate, seats, current, allowed)
-        if not placed and not self._has_seats(candidate, seats, current):
-            self._ask(candidate, runners, current)
+        may_place = candidate.job.stored and state.starts_left > 0
+        placed = may_place and self._place_tasks(candidate, ticketed, state, allowed)
+        if not placed and not self._can_place_all(candidate, ticketed, state):
+            self._request_advice(candidate, runners, state)
 
-    def _has_seats(self, candidate: Candidate, seats: list[Seat], current: _Round) -> bool:
+    def _can_place_all(
+        self, candidate: Candidate, ticketed: list[TicketedRunner], state: _PlanState
+    ) -> bool:
         """Return whether tickets and room are there for all that waits of a step.
 
         So it is for a job that the store is slow to take, which must not ask again in every plan.
         """
         step = candidate.step
         demand = counted_demand(step)
-        until = current.now + step.step.estimate * BACKFILL_MARGIN
+        ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         count = 0
-        for runner, _ in seats:
-            if current.reservations.may_start(runner.id, candidate.rank, until):
+        for runner, _ in ticketed:
+            if state.reservations.may_start(runner.id, candidate.rank, ends_by):
                 count += count_slots(demand, runner.room, step.step.max_per_runner)
         return count >= step.waiting
 
-    def _permitted(
+    def _runners_with_tickets(
         self,
         step: StepRun,
         runners: dict[str, RunnerState],
         now: float,
-    ) -> list[Seat]:
+    ) -> list[TicketedRunner]:
         """Return the runners for which the step has tickets."""
         tickets = self._cell.tickets.of(step.name).valid(now)
         return [
             (runners[runner], ticket) for runner, ticket in tickets.items() if runner in runners
         ]
 
-    def _ask(
+    def _request_advice(
         self,
         candidate: Candidate,
         runners: dict[str, RunnerState],
-        current: _Round,
+        state: _PlanState,
     ) -> None:
         """Ask for tickets when they would let something start."""
         queue, step = candidate.queue, candidate.step
         service = self._cell.service_of(candidate.job)
-        if queue is None or queue.advice is None or current.askable_by_service[service] <= 0:
+        if queue is None or queue.advice is None or state.requestable_cpu_by_service[service] <= 0:
             return
-        if not _may_ask(queue, current):
+        if not _may_request(queue, state):
             return
-        current.askable_by_service[service] -= step.waiting * counted_demand(step).cpu
-        if not self._cell.tickets.of(step.name).may_ask(current.now):
+        state.requestable_cpu_by_service[service] -= step.waiting * counted_demand(step).cpu
+        if not self._cell.tickets.of(step.name).may_ask(state.now):
             return
         # Tickets for a reserved runner would expire before anything may start there.
-        until = current.now + step.step.estimate * BACKFILL_MARGIN
-        suiting = [
+        ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
+        eligible = [
             runner
             for runner in runners.values()
-            if suits(step, runner)
-            and current.reservations.may_start(runner.id, candidate.rank, until)
+            if has_required_label(step, runner)
+            and state.reservations.may_start(runner.id, candidate.rank, ends_by)
         ]
-        questions = []
+        requests = []
         zone = candidate.job.submission.zone
         if self._cell.tickets.of(step.name).asked:
-            questions = self._advice_requests.again(queue, step, suiting, current.now, zone)
-        if not questions:
-            questions = self._advice_requests.first(queue, step, suiting, current.now, zone)
-        _put(queue, questions, current)
+            requests = self._advice_requests.for_expired_tickets(
+                queue, step, eligible, state.now, zone
+            )
+        if not requests:
+            requests = self._advice_requests.for_new_runners(queue, step, eligible, state.now, zone)
+        _add_requests(queue, requests, state)
 
     def _place_tasks(
         self,
         candidate: Candidate,
-        seats: list[Seat],
-        current: _Round,
+        ticketed: list[TicketedRunner],
+        state: _PlanState,
         allowed: int,
     ) -> bool:
         """Place as many tasks as fit and are ``allowed``; return whether all found a place."""
         step = candidate.step
-        until = current.now + step.step.estimate * BACKFILL_MARGIN
+        ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         demand = counted_demand(step)
-        seats = [
-            seat
-            for seat in seats
-            if demand.fits(seat[0].room)
-            and current.reservations.may_start(seat[0].id, candidate.rank, until)
+        ticketed = [
+            entry
+            for entry in ticketed
+            if demand.fits(entry[0].room)
+            and state.reservations.may_start(entry[0].id, candidate.rank, ends_by)
         ]
-        for task in step.tasks if seats else ():
+        for task in step.tasks if ticketed else ():
             if task.phase is not Phase.WAITING:
                 continue
-            if not allowed or current.starts_left <= 0:
+            if not allowed or state.starts_left <= 0:
                 return True
-            chosen = choose_seat(step, task, demand, seats, candidate.job.submission.zone)
+            chosen = choose_runner(step, task, demand, ticketed, candidate.job.submission.zone)
             if chosen is None and task.quarantined:
                 continue
             if chosen is None:
@@ -284,89 +299,95 @@
             runner, ticket = chosen
             allowed -= 1
             run = self._cell.next_run((task,))
-            current.made.starts.append(
-                self._cell.place(step, task, runner, run, current.now, ticket, step.step.estimate)
+            state.plan.starts.append(
+                self._cell.place(step, task, runner, run, state.now, ticket, step.step.estimate)
             )
         return not step.waiting
 
-    def _serve_gang(
+    def _handle_gang(
         self,
         candidate: Candidate,
-        seats: list[Seat],
+        ticketed: list[TicketedRunner],
         runners: dict[str, RunnerState],
-        current: _Round,
+        state: _PlanState,
     ) -> None:
         step = candidate.step
         if step.waiting < len(step.tasks):
             return
-        until = current.now + step.step.estimate * BACKFILL_MARGIN
+        ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         rank = candidate.rank
-        free = [seat for seat in seats if current.reservations.may_start(seat[0].id, rank, until)]
-        may_place = candidate.job.stored and current.starts_left > 0
-        if may_place and self._place_gang(candidate, free, current):
-            current.reservations.release(step)
+        free = [
+            entry for entry in ticketed if state.reservations.may_start(entry[0].id, rank, ends_by)
+        ]
+        may_place = candidate.job.stored and state.starts_left > 0
+        if may_place and self._place_gang(candidate, free, state):
+            state.reservations.remove_step(step)
             return
         self._gate.claim(candidate)
-        if current.reserves:
-            self._reserve(candidate, runners, current)
+        if state.makes_reservations:
+            self._reserve_or_request(candidate, runners, state)
 
-    def _reserve(
+    def _reserve_or_request(
         self,
         candidate: Candidate,
         runners: dict[str, RunnerState],
-        current: _Round,
+        state: _PlanState,
     ) -> None:
         """Keep room for a gang, and have its tickets ready in time."""
         step, queue = candidate.step, candidate.queue
         if queue is None:
             return
         if queue.advice is None:
-            suiting = [runner for runner in runners.values() if suits(step, runner)]
-            self._find_seats(candidate, queue, suiting, suiting, current)
+            eligible = [runner for runner in runners.values() if has_required_label(step, runner)]
+            self._reserve_slots(candidate, queue, eligible, eligible, state)
             return
-        known = self._cell.tickets.of(step.name)
-        if known.asking and not known.asked:
+        tickets = self._cell.tickets.of(step.name)
+        if tickets.is_pending and not tickets.asked:
             return
         reservation = None
-        if not current.reservations.full:
-            allowed = self._allowed(step, runners)
-            valid = known.valid(current.now + STOP_SECONDS)
+        if not state.reservations.full:
+            allowed = self._allowed_runners(step, runners)
+            valid = tickets.valid(state.now + STOP_LATENCY_SECONDS)
             ready = [runner for runner in allowed if runner.id in valid]
-            reservation = self._find_seats(candidate, queue, allowed, ready, current)
-        if not _may_ask(queue, current) or not known.may_ask(current.now):
+            reservation = self._reserve_slots(candidate, queue, allowed, ready, state)
+        if not _may_request(queue, state) or not tickets.may_ask(state.now):
             return
         if reservation is None:
-            suiting = [runner for runner in runners.values() if suits(step, runner)]
+            eligible = [runner for runner in runners.values() if has_required_label(step, runner)]
             zone = candidate.job.submission.zone
-            questions = self._advice_requests.first(queue, step, suiting, current.now, zone)
+            requests = self._advice_requests.for_new_runners(queue, step, eligible, state.now, zone)
         else:
-            questions = self._advice_requests.reserved(queue, step, reservation, current.now)
-        _put(queue, questions, current)
+            requests = self._advice_requests.for_reservation(queue, step, reservation, state.now)
+        _add_requests(queue, requests, state)
 
-    def _allowed(self, step: StepRun, runners: dict[str, RunnerState]) -> list[RunnerState]:
+    def _allowed_runners(self, step: StepRun, runners: dict[str, RunnerState]) -> list[RunnerState]:
         """Return the runners that a step may use, looked up by its permits."""
         found = (runners.get(runner_id) for runner_id in self._cell.tickets.of(step.name).allowed)
-        return [runner for runner in found if runner is not None and suits(step, runner)]
+        return [
+            runner for runner in found if runner is not None and has_required_label(step, runner)
+        ]
 
-    def _find_seats(
+    def _reserve_slots(
         self,
         candidate: Candidate,
         queue: Queue,
         runners: list[RunnerState],
         ready: list[RunnerState],
-        current: _Round,
+        state: _PlanState,
     ) -> Reservation | None:
         """Reserve where a gang fits first, and stop others for it if that is late.
 
         Starts may be sent to ``ready`` runners; others are stopped only there.
         """
-        reservations, now = current.reservations, current.now
+        reservations, now = state.reservations, state.now
         if reservations.full:
             return None
         free = reservations.unreserved(runners)
         reservation = reservations.find(candidate.step, candidate.rank, free, now)
-        soon = reservation is not None and reservation.at <= now + PATIENCE
-        if not soon and candidate.lateness < USELESS:
+        in_time = (
+            reservation is not None and reservation.at <= now + MAX_WAIT_WITHOUT_PREEMPTION_SECONDS
+        )
+        if not in_time and candidate.lateness < TOO_LATE:
             room = self._preemption.find_room(
                 candidate.step, queue, reservations.unreserved(ready), now
             )
@@ -375,48 +396,48 @@
                 at = now
                 room = self._preemption.find_room(candidate.step, queue, free, now)
             else:
-                at = now + STOP_SECONDS
-                self._preempt(room, current)
+                at = now + STOP_LATENCY_SECONDS
+                self._preempt(room, state)
             if room is not None:
                 reservation = Reservation(candidate.step, at, room.runners, candidate.rank)
         if reservation is not None:
-            reservations.hold(reservation)
+            reservations.add(reservation)
         return reservation
 
-    def _preempt(self, room: PreemptionPlan, current: _Round) -> None:
+    def _preempt(self, room: PreemptionPlan, state: _PlanState) -> None:
         for victim in room.victims:
             self._cell.stop(victim)
-        current.made.preempted.extend(room.victims)
+        state.plan.preempted.extend(room.victims)
 
-    def _place_gang(self, candidate: Candidate, allowed: list[Seat], current: _Round) -> bool:
+    def _place_gang(
+        self, candidate: Candidate, allowed: list[TicketedRunner], state: _PlanState
+    ) -> bool:
         step = candidate.step
-        for group in group_seats(step, allowed, candidate.job.submission.zone):
-            seats = seat_gang(step, group)
-            if seats is None:
+        for group in group_by_location(step, allowed, candidate.job.submission.zone):
+            assigned = assign_gang(step, group)
+            if assigned is None:
                 continue
             run = self._cell.next_run(step.tasks)
             checkpoint = next((task.checkpoint for task in step.tasks if task.checkpoint), '')
-            for task, (runner, ticket) in zip(step.tasks, seats, strict=True):
+            for task, (runner, ticket) in zip(step.tasks, assigned, strict=True):
                 task.checkpoint = checkpoint
-                current.made.starts.append(
-                    self._cell.place(
-                        step, task, runner, run, current.now, ticket, step.step.estimate
-                    )
+                state.plan.starts.append(
+                    self._cell.place(step, task, runner, run, state.now, ticket, step.step.estimate)
                 )
             return True
         return False
 
 
-def _free(runners: dict[str, RunnerState]) -> float:
+def _free_cpu(runners: dict[str, RunnerState]) -> float:
     """Return the free processors; a runner over its room takes none away from others."""
     return sum(max(0, runner.room.cpu) for runner in runners.values())
 
 
-def _may_ask(queue: Queue, current: _Round) -> bool:
-    return queue.priority == URGENT or current.patient_requests > 0
+def _may_request(queue: Queue, state: _PlanState) -> bool:
+    return queue.priority == URGENT_PRIORITY or state.deferrable_requests_left > 0
 
 
-def _put(queue: Queue, questions: list[AdviceRequest], current: _Round) -> None:
-    if queue.priority != URGENT:
-        current.patient_requests -= len(questions)
-    current.made.advice_requests.extend(questions)
+def _add_requests(queue: Queue, requests: list[AdviceRequest], state: _PlanState) -> None:
+    if queue.priority != URGENT_PRIORITY:
+        state.deferrable_requests_left -= len(requests)
+    state.plan.advice_requests.extend(requests)
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -18,13 +18,13 @@
 
 #: Seconds that a gang waits for tasks to end by themselves before others are
 #: stopped for it: about what its tickets and the stops take anyhow.
-PATIENCE = 0.8
+MAX_WAIT_WITHOUT_PREEMPTION_SECONDS = 0.8
 #: Seconds by which a task's job must be ahead of its objective to be stopped: it waits for new
 #: tickets and room.
-AHEAD_SECONDS = 3.0
+OBJECTIVE_MARGIN_SECONDS = 3.0
 #: Seconds until a stopped task's end is listed: 0.2 to 0.4 s by the workers'
 #: contract, and a poll under way.
-STOP_SECONDS = 0.45
+STOP_LATENCY_SECONDS = 0.45
 
 
 @dataclass(frozen=True)
@@ -42,11 +42,11 @@
         """Stop tasks of that cell."""
         self._cell = cell
         #: What may be stopped on a runner for a priority, the largest first.
-        self._victims: dict[tuple[str, int], list[Allocation]] = {}
+        self._victims_by_runner: dict[tuple[str, int], list[Allocation]] = {}
 
     def begin(self) -> None:
         """Begin a plan: within one, only what it stops itself may not be stopped again."""
-        self._victims.clear()
+        self._victims_by_runner.clear()
 
     def find_room(
         self,
@@ -56,28 +56,30 @@
         now: float,
     ) -> PreemptionPlan | None:
         """Return the seats for a whole gang that cost the least, ``None`` without enough."""
-        offers: list[tuple[float, str, int]] = []
-        seats_by_runner = {}
+        slot_heap: list[tuple[float, str, int]] = []
+        slots_by_runner = {}
         for runner in runners:
-            found = self._seats(step, queue, runner, now)
-            if found:
-                seats_by_runner[runner.id] = found
-                offers.append((_cost(found[0]), runner.id, 0))
-        heapq.heapify(offers)
-        runners_used: set[str] = set()
+            runner_slots = self._victims_by_slot(step, queue, runner, now)
+            if runner_slots:
+                slots_by_runner[runner.id] = runner_slots
+                slot_heap.append((_total_cpu(runner_slots[0]), runner.id, 0))
+        heapq.heapify(slot_heap)
+        chosen_runners: set[str] = set()
         victims: list[Allocation] = []
         for _ in step.tasks:
-            if not offers:
+            if not slot_heap:
                 return None
-            _, runner_id, place = heapq.heappop(offers)
-            seats = seats_by_runner[runner_id]
-            runners_used.add(runner_id)
-            victims.extend(seats[place])
-            if place + 1 < len(seats):
-                heapq.heappush(offers, (_cost(seats[place + 1]), runner_id, place + 1))
-        return PreemptionPlan(frozenset(runners_used), tuple(victims))
-
-    def _seats(
+            _, runner_id, slot_index = heapq.heappop(slot_heap)
+            slots = slots_by_runner[runner_id]
+            chosen_runners.add(runner_id)
+            victims.extend(slots[slot_index])
+            if slot_index + 1 < len(slots):
+                heapq.heappush(
+                    slot_heap, (_total_cpu(slots[slot_index + 1]), runner_id, slot_index + 1)
+                )
+        return PreemptionPlan(frozenset(chosen_runners), tuple(victims))
+
+    def _victims_by_slot(
         self,
         step: StepRun,
         queue: Queue,
@@ -91,50 +93,52 @@
         for allocation in runner.allocation_by_run.values():
             if allocation.phase is Holding.STOPPING:
                 room += allocation.demand
-        seats: list[list[Allocation]] = [[] for _ in range(count_slots(demand, room, limit))]
-        taken: list[Allocation] = []
+        slots: list[list[Allocation]] = [[] for _ in range(count_slots(demand, room, limit))]
+        pending: list[Allocation] = []
         for victim in self._find_victims(queue, runner, now):
             if victim.phase is Holding.STOPPING:
                 continue
             room += victim.demand
-            taken.append(victim)
-            more = count_slots(demand, room, limit) - len(seats)
-            if more > 0:
-                seats.append(taken)
-                seats.extend([] for _ in range(more - 1))
-                taken = []
-        return seats
+            pending.append(victim)
+            gained = count_slots(demand, room, limit) - len(slots)
+            if gained > 0:
+                slots.append(pending)
+                slots.extend([] for _ in range(gained - 1))
+                pending = []
+        return slots
 
     def _find_victims(self, queue: Queue, runner: RunnerState, now: float) -> list[Allocation]:
         key = (runner.id, queue.priority)
-        victims = self._victims.get(key)
+        victims = self._victims_by_runner.get(key)
         if victims is None:
             held = runner.allocation_by_run.values()
-            victims = [allocation for allocation in held if self._may_stop(allocation, queue, now)]
-            victims.sort(key=_largest)
-            self._victims[key] = victims
+            victims = [
+                allocation for allocation in held if self._may_preempt(allocation, queue, now)
+            ]
+            victims.sort(key=_by_cpu_descending)
+            self._victims_by_runner[key] = victims
         return victims
 
-    def _may_stop(self, allocation: Allocation, queue: Queue, now: float) -> bool:
+    def _may_preempt(self, allocation: Allocation, queue: Queue, now: float) -> bool:
         job = self._cell.job_by_id.get(allocation.task.job)
         if job is None or allocation.phase is not Holding.RUNNING:
             return False
-        theirs = self._cell.queue_of(job)
+        queue_of_job = self._cell.queue_of(job)
         step = job.find_step(allocation.task)
-        if theirs is None or step is None or theirs.priority <= queue.priority:
+        if queue_of_job is None or step is None or queue_of_job.priority <= queue.priority:
             return False
         spec = step.step
         # A gang would lose its other members; lasting tasks serve their own users.
         if spec.gang or spec.long_running or not spec.checkpointing:
             return False
         end = expected_end(allocation, now)
-        in_time = end + AHEAD_SECONDS < job.accepted + self._cell.objective_of(job)
-        return in_time and end > now + STOP_SECONDS
+        in_time = end + OBJECTIVE_MARGIN_SECONDS < job.accepted + self._cell.objective_of(job)
+        return in_time and end > now + STOP_LATENCY_SECONDS
 
 
-def _cost(victims: list[Allocation]) -> float:
+def _total_cpu(victims: list[Allocation]) -> float:
     return sum(victim.demand.cpu for victim in victims)
 
 
-def _largest(allocation: Allocation) -> int:
+def _by_cpu_descending(allocation: Allocation) -> int:
     return -allocation.demand.cpu
--- a/dandelionreel/cell/decisions/_preventive_stops.py
+++ b/dandelionreel/cell/decisions/_preventive_stops.py
@@ -7,10 +7,10 @@
 from dandelionreel.cell.decisions._step_runs import StepRun
 
 #: Share of the gang timeout after which a gang that is not complete is stopped.
-GANG_SHARE = 0.55
+GANG_TIMEOUT_SHARE = 0.55
 #: Seconds before a draining runner may be gone by which its tasks must have
 #: ended: a stop takes up to 0.4 s and has to be listed.
-EVACUATION_MARGIN = 0.7
+EVACUATION_MARGIN_SECONDS = 0.7
 
 
 def stop_on_draining_runners(cell: Cell, now: float) -> list[Allocation]:
@@ -23,9 +23,9 @@
     for runner in cell.runner_by_id.values():
         if not runner.draining:
             continue
-        last = runner.leaves_at - EVACUATION_MARGIN
-        for allocation in _held(runner, Holding.RUNNING):
-            if now >= last or expected_end(allocation, now) > last:
+        latest_end = runner.leaves_at - EVACUATION_MARGIN_SECONDS
+        for allocation in _allocations_in_phase(runner, Holding.RUNNING):
+            if now >= latest_end or expected_end(allocation, now) > latest_end:
                 cell.stop(allocation)
                 stopped.append(allocation)
     return stopped
@@ -33,13 +33,13 @@
 
 def stop_incomplete_gangs(cell: Cell, now: float, wall: float) -> list[StepRun]:
     """Stop the gangs that did not come together in time; return them."""
-    late = [*_broken_gangs(cell, wall), *_slow_gangs(cell, now)]
-    for step in late:
+    incomplete = [*_partly_placed_gangs(cell, wall), *_unstarted_gangs(cell, now)]
+    for step in incomplete:
         cell.stop_members(step)
-    return late
+    return incomplete
 
 
-def _broken_gangs(cell: Cell, wall: float) -> Iterable[StepRun]:
+def _partly_placed_gangs(cell: Cell, wall: float) -> Iterable[StepRun]:
     """Return gangs of which some members run and others do not."""
     for job in cell.live_by_id.values():
         if job.over or not job.began or cell.is_blocked(job):
@@ -49,15 +49,15 @@
                 yield step
 
 
-def _slow_gangs(cell: Cell, now: float) -> Iterable[StepRun]:
+def _unstarted_gangs(cell: Cell, now: float) -> Iterable[StepRun]:
     """Return gangs with a start that stayed unanswered for too long."""
-    limit = now - cell.gang_timeout * GANG_SHARE
+    limit = now - cell.gang_timeout * GANG_TIMEOUT_SHARE
     for runner in cell.runner_by_id.values():
-        for allocation in _held(runner, Holding.STARTING):
+        for allocation in _allocations_in_phase(runner, Holding.STARTING):
             step = cell.step_of(allocation)
             if step is not None and step.step.gang and allocation.placed_at <= limit:
                 yield step
 
 
-def _held(runner: RunnerState, phase: Holding) -> list[Allocation]:
+def _allocations_in_phase(runner: RunnerState, phase: Holding) -> list[Allocation]:
     return [held for held in runner.allocation_by_run.values() if held.phase is phase]
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -17,42 +17,42 @@
 
 #: Seconds for which a gang waits for its account's quota before nothing else of that account
 #: starts, however urgent.
-LONGEST_HELD = 20.0
+MAX_QUOTA_WAIT_SECONDS = 20.0
 #: Seconds for which quota is kept for a gang that finds no seats; it may never find any.
-LONGEST_CLAIM = 5.0
+MAX_CLAIM_SECONDS = 5.0
 #: What keeps a job from starting, in words for the log.
-QUOTA = "its account's quota"
+HELD_BY_QUOTA = "its account's quota"
 
 
 @dataclass
 class _GangWait:
     """How long a gang has waited for quota, and for seats once it had the quota."""
 
-    patience: float = LONGEST_HELD
-    held_since: float | None = None
+    max_wait: float = MAX_QUOTA_WAIT_SECONDS
+    blocked_since: float | None = None
     granted_since: float | None = None
 
-    def note_held(self, now: float) -> None:
+    def note_blocked(self, now: float) -> None:
         """Note that there is no quota for the gang."""
         self.granted_since = None
-        if self.held_since is None:
-            self.held_since = now
+        if self.blocked_since is None:
+            self.blocked_since = now
 
     def note_granted(self, now: float) -> None:
         """Note that there is; who does not use it for long has to wait longer next time."""
         if self.granted_since is None:
             self.granted_since = now
-        if self.held_since is not None and not self.may_claim(now):
-            self.held_since = None
-            self.patience *= 2
+        if self.blocked_since is not None and not self.may_claim(now):
+            self.blocked_since = None
+            self.max_wait *= 2
 
     def may_claim(self, now: float) -> bool:
         """Return whether quota may be kept for the gang."""
-        return self.granted_since is None or now - self.granted_since < LONGEST_CLAIM
+        return self.granted_since is None or now - self.granted_since < MAX_CLAIM_SECONDS
 
-    def goes_first(self, now: float) -> bool:
+    def is_starved(self, now: float) -> bool:
         """Return whether all else of its account has to wait."""
-        return self.held_since is not None and now - self.held_since >= self.patience
+        return self.blocked_since is not None and now - self.blocked_since >= self.max_wait
 
 
 class QuotaGate:
@@ -64,24 +64,24 @@
         self._now = 0.0
         self._wait_by_gang: dict[StepName, _GangWait] = {}
         #: The gang for which all else of an account waits.
-        self._first_by_account: dict[str, StepName] = {}
+        self._starved_gang_by_account: dict[str, StepName] = {}
         #: What gangs of an account need that have not started in this plan.
         self._claimed_by_account: dict[str, Demand] = {}
         #: Jobs that are held back since this plan.
-        self.fresh: list[JobRun] = []
+        self.newly_blocked: list[JobRun] = []
 
     def begin(self, candidates: Iterable[Candidate], now: float, wall: float) -> None:
         """Begin a plan over these candidates."""
         self._now = now
         self._cell.quotas.refresh(now, wall)
         self._claimed_by_account.clear()
-        self.fresh = []
+        self.newly_blocked = []
         self._wait_by_gang = {
             one.step.name: self._wait_by_gang[one.step.name]
             for one in candidates
             if one.step.name in self._wait_by_gang
         }
-        self._first_by_account = self._find_first()
+        self._starved_gang_by_account = self._find_starved_gangs()
 
     def count_allowed(self, candidate: Candidate) -> int:
         """Return how many waiting tasks may start; of a gang all or none."""
@@ -91,10 +91,10 @@
             return step.waiting
         count = self._count(candidate, quota)
         if step.step.gang:
-            count = self._grant(candidate, quota, count)
-        if not count and job.held_by != QUOTA:
-            job.held_by = QUOTA
-            self.fresh.append(job)
+            count = self._count_gang(candidate, quota, count)
+        if not count and job.held_by != HELD_BY_QUOTA:
+            job.held_by = HELD_BY_QUOTA
+            self.newly_blocked.append(job)
         return count
 
     def claim(self, candidate: Candidate) -> None:
@@ -103,20 +103,20 @@
         wait = self._wait_by_gang.get(step.name)
         if wait is None or not wait.may_claim(self._now):
             return
-        if not self._may_go_first(job, step.name):
+        if not self._may_use_quota(job, step.name):
             return
         claimed = self._claimed_by_account.get(job.account, Demand())
         self._claimed_by_account[job.account] = claimed + step.step.smallest_start
 
     def _count(self, candidate: Candidate, quota: Demand) -> int:
         job, step = candidate.job, candidate.step
-        if not self._may_go_first(job, step.name):
+        if not self._may_use_quota(job, step.name):
             return 0
         claimed = self._claimed_by_account.get(job.account, Demand())
         room = quota - self._cell.quotas.used(job.account) - claimed
         return count_fitting(counted_demand(step), room, step.waiting)
 
-    def _grant(self, candidate: Candidate, quota: Demand, count: int) -> int:
+    def _count_gang(self, candidate: Candidate, quota: Demand, count: int) -> int:
         """Return how many members of a gang may start, and note how long it has waited."""
         step = candidate.step
         if not step.step.smallest_start.fits(quota):
@@ -125,25 +125,25 @@
             return 0
         wait = self._wait_by_gang.setdefault(step.name, _GangWait())
         if count < len(step.tasks):
-            wait.note_held(self._now)
+            wait.note_blocked(self._now)
             return 0
         wait.note_granted(self._now)
         return count
 
-    def _may_go_first(self, job: JobRun, name: StepName) -> bool:
+    def _may_use_quota(self, job: JobRun, name: StepName) -> bool:
         """Return whether no gang of the account waits for so long that all else has to."""
-        return self._first_by_account.get(job.account, name) == name
+        return self._starved_gang_by_account.get(job.account, name) == name
 
-    def _find_first(self) -> dict[str, StepName]:
+    def _find_starved_gangs(self) -> dict[str, StepName]:
         """Return the gang of each account that has been held back for too long."""
-        first: dict[str, StepName] = {}
-        for name, wait in sorted(self._wait_by_gang.items(), key=_held_since):
+        gang_by_account: dict[str, StepName] = {}
+        for name, wait in sorted(self._wait_by_gang.items(), key=_blocked_since):
             job = self._cell.job_by_id.get(name.job)
-            if job is not None and wait.goes_first(self._now):
-                first.setdefault(job.account, name)
-        return first
+            if job is not None and wait.is_starved(self._now):
+                gang_by_account.setdefault(job.account, name)
+        return gang_by_account
 
 
-def _held_since(entry: tuple[StepName, _GangWait]) -> float:
-    held_since = entry[1].held_since
-    return float('inf') if held_since is None else held_since
+def _blocked_since(entry: tuple[StepName, _GangWait]) -> float:
+    blocked_since = entry[1].blocked_since
+    return float('inf') if blocked_since is None else blocked_since
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -12,15 +12,15 @@
 
 #: Seconds after the end of a job for which runs of it may be left anywhere: longer than the
 #: leases of any owner, with clocks that differ.
-LEFT_SECONDS = 30.0
+LEFTOVER_SECONDS = 30.0
 #: Seconds for which the count of what may run unseen stands.
-UNSEEN_SECONDS = 0.05
+UNSEEN_REFRESH_SECONDS = 0.05
 
 #: Stands for what a runner has of which nothing is known.
-UNKNOWN_AMOUNT = 2_147_483_648
+UNKNOWN_CAPACITY = 2_147_483_648
 
 #: A job and a runner.
-_Place = tuple[str, str]
+_JobOnRunner = tuple[str, str]
 
 
 class QuotaLedger:
@@ -30,16 +30,19 @@
         """Count ``holdings``, and what may run on runners of ``unseen``; others keep both."""
         self._allocations = allocations
         self._unseen = unseen
-        self._left_by_place: dict[_Place, tuple[str, Demand]] = {}
+        self._leftover_by_job_and_runner: dict[_JobOnRunner, tuple[str, Demand]] = {}
         self._unseen_by_account: dict[str, Demand] = {}
-        self._counted_at = float('-inf')
+        self._refreshed_at = float('-inf')
 
     def expect_leftovers(self, job: str, progress: Progress, wall: float) -> None:
         """Take what a former owner has stored of a job that is over."""
-        if wall - progress.ended_at > LEFT_SECONDS:
+        if wall - progress.ended_at > LEFTOVER_SECONDS:
             return
-        for left in progress.leftovers:
-            self._left_by_place[job, left.runner] = (progress.account, left.demand)
+        for leftover in progress.leftovers:
+            self._leftover_by_job_and_runner[job, leftover.runner] = (
+                progress.account,
+                leftover.demand,
+            )
 
     def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
         """Return what runs of a job may still take, by runner."""
@@ -56,9 +59,12 @@
         """Go on counting what a job that is over may have left on runners not seen yet."""
         if not self._unseen:
             return
-        for left in self.leftovers_of(job, wall):
-            if left.runner in self._unseen:
-                self._left_by_place[job.id, left.runner] = (job.account, left.demand)
+        for leftover in self.leftovers_of(job, wall):
+            if leftover.runner in self._unseen:
+                self._leftover_by_job_and_runner[job.id, leftover.runner] = (
+                    job.account,
+                    leftover.demand,
+                )
 
     def used(self, account: str) -> Demand:
         """Return what runs, or may run, of an account."""
@@ -73,17 +79,17 @@
 
     def refresh(self, now: float, wall: float) -> None:
         """Count anew what may run unseen, if that is due."""
-        if now < self._counted_at + UNSEEN_SECONDS:
+        if now < self._refreshed_at + UNSEEN_REFRESH_SECONDS:
             return
-        self._counted_at = now
+        self._refreshed_at = now
         self._unseen_by_account = {}
         if self._unseen:
             self._count_unseen(wall)
-        for place, (account, demand) in tuple(self._left_by_place.items()):
-            if self._is_left(*place):
+        for key, (account, demand) in tuple(self._leftover_by_job_and_runner.items()):
+            if self._may_still_run(*key):
                 self._count(account, demand)
             else:
-                self._left_by_place.pop(place)
+                self._leftover_by_job_and_runner.pop(key)
 
     def _count_unseen(self, wall: float) -> None:
         """Count what jobs may run unseen: what is left of them, as far as runners hold it."""
@@ -116,16 +122,16 @@
             state.registration.capacity for state in self._allocations.runner_by_id.values()
         ]
         return Demand(
-            max((capacity.cpu for capacity in capacities), default=UNKNOWN_AMOUNT),
-            max((capacity.memory_mb for capacity in capacities), default=UNKNOWN_AMOUNT),
-            max((capacity.gpu for capacity in capacities), default=UNKNOWN_AMOUNT),
+            max((capacity.cpu for capacity in capacities), default=UNKNOWN_CAPACITY),
+            max((capacity.memory_mb for capacity in capacities), default=UNKNOWN_CAPACITY),
+            max((capacity.gpu for capacity in capacities), default=UNKNOWN_CAPACITY),
         )
 
     def _count(self, account: str, demand: Demand) -> None:
         counted = self._unseen_by_account.get(account, Demand())
         self._unseen_by_account[account] = counted + demand
 
-    def _is_left(self, job: str, runner: str) -> bool:
+    def _may_still_run(self, job: str, runner: str) -> bool:
         """Return whether runs of a job that is over may still be on a runner."""
         if runner in self._unseen:
             return True
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -17,8 +17,8 @@
 
 #: Gangs that reserve at the same time: so many, and one for so many runners. More would idle
 #: runners that the first ones do not need yet.
-FEWEST_RESERVING = 4
-RUNNERS_PER_RESERVING = 15
+MIN_RESERVING_GANGS = 4
+RUNNERS_PER_RESERVING_GANG = 15
 #: A task may backfill when it ends before the reservation even if it takes this
 #: many times as long as expected.
 BACKFILL_MARGIN = 1.25
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Freed:
+class FreedCapacity:
     """What a runner's runs will have freed together at a time (monotonic seconds)."""
 
     at: float
@@ -68,13 +68,13 @@
         """Start with none, on that many runners."""
         self._by_runner: dict[str, Reservation] = {}
         self._count = 0
-        self._most = max(FEWEST_RESERVING, runners // RUNNERS_PER_RESERVING)
-        self._freed_by_runner: dict[str, list[Freed]] = {}
+        self._max_count = max(MIN_RESERVING_GANGS, runners // RUNNERS_PER_RESERVING_GANG)
+        self._freed_by_runner: dict[str, list[FreedCapacity]] = {}
 
     @property
     def full(self) -> bool:
         """Return whether no further gang may reserve."""
-        return self._count >= self._most
+        return self._count >= self._max_count
 
     def may_start(self, runner: str, rank: Rank, until: float) -> bool:
         """Return whether a task that ends at ``until`` leaves a reservation alone.
@@ -99,28 +99,28 @@
 
         Returns ``None`` when it would not fit even if all of them were empty.
         """
-        return find_seats(step, rank, runners, now, self._freed_by_runner)
+        return find_earliest_slots(step, rank, runners, now, self._freed_by_runner)
 
-    def release(self, step: StepRun) -> None:
+    def remove_step(self, step: StepRun) -> None:
         """Give the runners of a step free that has started."""
         runners = [runner for runner, held in self._by_runner.items() if held.step is step]
         self._count -= bool(runners)
         for runner in runners:
             self._by_runner.pop(runner)
 
-    def hold(self, reservation: Reservation) -> None:
+    def add(self, reservation: Reservation) -> None:
         """Keep the runners of a reservation for its gang."""
         self._count += 1
         for runner in reservation.runners:
             self._by_runner[runner] = reservation
 
 
-def find_seats(
+def find_earliest_slots(
     step: StepRun,
     rank: Rank,
     runners: list[RunnerState],
     now: float,
-    freed_by_runner: dict[str, list[Freed]],
+    freed_by_runner: dict[str, list[FreedCapacity]],
 ) -> Reservation | None:
     """Return when and where all members of a gang fit, by what is expected to end.
 
@@ -128,79 +128,79 @@
     """
     demand = counted_demand(step)
     limit = step.step.max_per_runner
-    gains: list[tuple[float, str, int]] = []
+    slot_gains: list[tuple[float, str, int]] = []
     for runner in runners:
         freed = freed_by_runner.get(runner.id)
         if freed is None:
-            freed = freed_by_runner[runner.id] = _add_up_ends(runner, now)
-        for at, more in _seat_gains(runner, freed, demand, limit, now):
-            gains.append((at, runner.id, more))
-    return _choose_first(step, rank, gains)
+            freed = freed_by_runner[runner.id] = _accumulate_freed(runner, now)
+        for at, gained in _slot_gains(runner, freed, demand, limit, now):
+            slot_gains.append((at, runner.id, gained))
+    return _choose_earliest(step, rank, slot_gains)
 
 
-def _choose_first(
+def _choose_earliest(
     step: StepRun,
     rank: Rank,
-    gains: list[tuple[float, str, int]],
+    slot_gains: list[tuple[float, str, int]],
 ) -> Reservation | None:
     """Return the runners whose seats come free first, by time, runner and number."""
     needed = len(step.tasks)
     chosen: set[str] = set()
-    seats = 0
-    heapq.heapify(gains)
-    while gains:
-        at, runner_id, more = heapq.heappop(gains)
-        seats += more
+    slots = 0
+    heapq.heapify(slot_gains)
+    while slot_gains:
+        at, runner_id, gained = heapq.heappop(slot_gains)
+        slots += gained
         chosen.add(runner_id)
-        if seats >= needed:
+        if slots >= needed:
             return Reservation(step, at, frozenset(chosen), rank)
     return None
 
 
-def _add_up_ends(runner: RunnerState, now: float) -> list[Freed]:
+def _accumulate_freed(runner: RunnerState, now: float) -> list[FreedCapacity]:
     ends = [
         (expected_end(allocation, now), allocation.demand)
         for allocation in runner.allocation_by_run.values()
     ]
-    ends.sort(key=_end)
+    ends.sort(key=_end_time)
     freed = []
     cpu = memory_mb = gpu = 0
     for at, demand in ends:
         cpu += demand.cpu
         memory_mb += demand.memory_mb
         gpu += demand.gpu
-        freed.append(Freed(at, cpu, memory_mb, gpu))
+        freed.append(FreedCapacity(at, cpu, memory_mb, gpu))
     return freed
 
 
-def _seat_gains(
+def _slot_gains(
     runner: RunnerState,
-    freed: list[Freed],
+    freed: list[FreedCapacity],
     demand: Demand,
     limit: int,
     now: float,
 ) -> list[tuple[float, int]]:
     """Return when a runner gains seats, and how many each time."""
-    gains = []
+    slot_gains = []
     room = runner.room
-    seats = count_slots(demand, room, limit)
-    if seats:
-        gains.append((now, seats))
-    for then in freed:
-        more = _count(
+    slots = count_slots(demand, room, limit)
+    if slots:
+        slot_gains.append((now, slots))
+    for capacity in freed:
+        gained = _count(
             demand,
-            room.cpu + then.cpu,
-            room.memory_mb + then.memory_mb,
-            room.gpu + then.gpu,
+            room.cpu + capacity.cpu,
+            room.memory_mb + capacity.memory_mb,
+            room.gpu + capacity.gpu,
             limit,
         )
-        if more > seats:
-            gains.append((then.at, more - seats))
-            seats = more
-    return gains
+        if gained > slots:
+            slot_gains.append((capacity.at, gained - slots))
+            slots = gained
+    return slot_gains
 
 
-def _end(entry: tuple[float, Demand]) -> float:
+def _end_time(entry: tuple[float, Demand]) -> float:
     return entry[0]
 
 
--- a/dandelionreel/cell/decisions/_runner_choice.py
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -13,49 +13,49 @@
 from dandelionreel.cell.model import Demand
 
 #: A runner that may take a task, with the ticket that the start carries.
-Seat = tuple[RunnerState, str]
+TicketedRunner = tuple[RunnerState, str]
 
 
-def suits(step: StepRun, runner: RunnerState) -> bool:
+def has_required_label(step: StepRun, runner: RunnerState) -> bool:
     """Return whether a runner has the label that a step requires."""
     required = step.step.required_label
     return not required or required in runner.registration.labels
 
 
-def choose_seat(
+def choose_runner(
     step: StepRun,
     task: TaskRun,
     demand: Demand,
-    seats: list[Seat],
+    ticketed: list[TicketedRunner],
     zone: str = '',
-) -> Seat | None:
+) -> TicketedRunner | None:
     """Return the runner that is left with the least room, of those that fit.
 
     Those of ``zone`` come first. One that is quarantined goes where the least is lost
     with it.
     """
     best = None
-    best_key = None
+    best_preference = None
     limit = step.step.max_per_runner
     rack = step.step.data_rack
-    for runner, ticket in seats:
+    for runner, ticket in ticketed:
         if not demand.fits(runner.room) or not runner.takes(quarantined=task.quarantined):
             continue
         if limit and runner.count_step(step.name) >= limit:
             continue
-        key = (
+        preference = (
             runner.id in task.avoid,
             runner.used.cpu if task.quarantined else 0,
             bool(rack) and rack not in runner.registration.labels,
             runner.registration.zone != zone,
-            _left_over(demand, runner),
+            _remaining_share(demand, runner),
         )
-        if best_key is None or key < best_key:
-            best, best_key = (runner, ticket), key
+        if best_preference is None or preference < best_preference:
+            best, best_preference = (runner, ticket), preference
     return best
 
 
-def _left_over(demand: Demand, runner: RunnerState) -> float:
+def _remaining_share(demand: Demand, runner: RunnerState) -> float:
     """Return the share of a runner that stays free, processors and memory together."""
     capacity = runner.registration.capacity
     room = runner.room
@@ -64,40 +64,42 @@
     ) / max(1, capacity.memory_mb)
 
 
-def group_seats(step: StepRun, allowed: list[Seat], zone: str = '') -> Iterable[list[Seat]]:
+def group_by_location(
+    step: StepRun, available: list[TicketedRunner], zone: str = ''
+) -> Iterable[list[TicketedRunner]]:
     """Return the sets of runners to try for a gang: single racks first where asked.
 
     Then single zones, that ``zone`` first: a gang is as good as its member behind a cut.
     """
     if step.step.same_rack:
-        by_rack: dict[str, list[Seat]] = {}
-        for runner, ticket in allowed:
+        by_rack: dict[str, list[TicketedRunner]] = {}
+        for runner, ticket in available:
             rack = runner.registration.labels[-1] if runner.registration.labels else ''
             by_rack.setdefault(rack, []).append((runner, ticket))
         yield from sorted(by_rack.values(), key=len)
-    by_zone: dict[str, list[Seat]] = {}
-    for seat in allowed:
-        by_zone.setdefault(seat[0].registration.zone, []).append(seat)
+    by_zone: dict[str, list[TicketedRunner]] = {}
+    for entry in available:
+        by_zone.setdefault(entry[0].registration.zone, []).append(entry)
     yield from (by_zone[name] for name in sorted(by_zone, key=zone.__ne__))
-    yield allowed
+    yield available
 
 
-def seat_gang(step: StepRun, allowed: list[Seat]) -> list[Seat] | None:
+def assign_gang(step: StepRun, available: list[TicketedRunner]) -> list[TicketedRunner] | None:
     """Return a runner for each member, or ``None`` when not all fit at once."""
     demand = counted_demand(step)
     limit = step.step.max_per_runner
     quarantined = any(task.quarantined for task in step.tasks)
-    seats: list[Seat] = []
+    assigned: list[TicketedRunner] = []
     needed = len(step.tasks)
     # Fullest runners first: what stays free stays together.
-    ordered = sorted(allowed, key=lambda seat: _left_over(demand, seat[0]))
-    for runner, ticket in ordered:
+    fullest_first = sorted(available, key=lambda seat: _remaining_share(demand, seat[0]))
+    for runner, ticket in fullest_first:
         if not runner.takes(quarantined=quarantined):
             continue
         slots = count_slots(demand, runner.room, limit)
         if limit:
             slots = min(slots, limit - runner.count_step(step.name))
-        seats.extend([(runner, ticket)] * min(slots, needed - len(seats)))
-        if len(seats) == needed:
-            return seats
+        assigned.extend([(runner, ticket)] * min(slots, needed - len(assigned)))
+        if len(assigned) == needed:
+            return assigned
     return None
--- a/dandelionreel/cell/decisions/_tickets.py
+++ b/dandelionreel/cell/decisions/_tickets.py
@@ -20,7 +20,7 @@
     asked: set[str] = field(default_factory=set)
     allowed: set[str] = field(default_factory=set)
     ticket_by_runner: dict[str, str] = field(default_factory=dict)
-    until_by_runner: dict[str, float] = field(default_factory=dict)
+    expires_at_by_runner: dict[str, float] = field(default_factory=dict)
     #: Questions that have not been answered yet.
     pending: int = 0
     #: How many questions have been answered, or have failed.
@@ -28,20 +28,20 @@
     not_before: float = 0.0
 
     @property
-    def asking(self) -> bool:
+    def is_pending(self) -> bool:
         """Return whether an answer is on its way."""
         return self.pending > 0
 
     def may_ask(self, now: float) -> bool:
         """Return whether a question may be put now: none is under way, none failed just now."""
-        return not self.asking and now >= self.not_before
+        return not self.is_pending and now >= self.not_before
 
     def valid(self, now: float) -> dict[str, str]:
         """Return tickets by runner that a start may carry now."""
         return {
             runner: ticket
             for runner, ticket in self.ticket_by_runner.items()
-            if self.until_by_runner[runner] > now
+            if self.expires_at_by_runner[runner] > now
         }
 
 
@@ -54,46 +54,46 @@
 
     def of(self, step: StepName) -> StepTickets:
         """Return what is known for a step."""
-        known = self._tickets_by_step.get(step)
-        if known is None:
-            known = StepTickets()
-            self._tickets_by_step[step] = known
-        return known
+        tickets = self._tickets_by_step.get(step)
+        if tickets is None:
+            tickets = StepTickets()
+            self._tickets_by_step[step] = tickets
+        return tickets
 
     def is_valid(self, step: StepName, runner: str, now: float) -> bool:
         """Return whether a start of a step on a runner may carry its ticket now."""
-        return self.of(step).until_by_runner.get(runner, 0.0) > now
+        return self.of(step).expires_at_by_runner.get(runner, 0.0) > now
 
     def note_answer(
         self,
         step: StepName,
         asked: Iterable[str],
         permits: Iterable[Permit],
-        until: float,
+        expires_at: float,
     ) -> None:
         """Keep an answer; its tickets are good until then (monotonic seconds)."""
-        known = self.of(step)
-        known.pending = max(0, known.pending - 1)
-        known.answers += 1
-        known.asked.update(asked)
+        tickets = self.of(step)
+        tickets.pending = max(0, tickets.pending - 1)
+        tickets.answers += 1
+        tickets.asked.update(asked)
         for permit in permits:
-            known.allowed.add(permit.runner)
-            known.ticket_by_runner[permit.runner] = permit.ticket
-            known.until_by_runner[permit.runner] = until - TICKET_MARGIN
+            tickets.allowed.add(permit.runner)
+            tickets.ticket_by_runner[permit.runner] = permit.ticket
+            tickets.expires_at_by_runner[permit.runner] = expires_at - TICKET_MARGIN
 
     def note_failure(self, step: StepName, not_before: float) -> None:
         """Ask again for the step, but not before then."""
-        known = self.of(step)
-        known.pending = max(0, known.pending - 1)
-        known.answers += 1
-        known.not_before = not_before
+        tickets = self.of(step)
+        tickets.pending = max(0, tickets.pending - 1)
+        tickets.answers += 1
+        tickets.not_before = not_before
 
     def revoke(self, step: StepName, runner: str) -> None:
         """Forget a ticket that the runner did not take."""
-        self.of(step).until_by_runner[runner] = 0.0
+        self.of(step).expires_at_by_runner[runner] = 0.0
 
     def drop_job(self, job: str) -> None:
         """Forget all steps of a job."""
-        steps = [known for known in self._tickets_by_step if known.job == job]
+        steps = [name for name in self._tickets_by_step if name.job == job]
         for step in steps:
             self._tickets_by_step.pop(step)
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -11,11 +11,11 @@
 from dandelionreel.cell.model import Queue
 
 #: A job that is later than this many objectives earns nothing any more.
-LATEST = 3.0
+MAX_USEFUL_LATENESS = 3.0
 #: How late such a job counts as: 0 is in time, 1 late but still of use.
-USELESS = 2
+TOO_LATE = 2
 #: Seconds after which a job no longer waits behind others: no load of theirs starves it.
-LONGEST_BEHIND = 60.0
+MAX_DEFERRAL_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
@@ -59,12 +59,12 @@
     def rank(self, inputs: RankInputs) -> Rank:
         """Return the place of a step."""
         job = inputs.job
-        may_wait = inputs.now - job.accepted < LONGEST_BEHIND
+        may_defer = inputs.now - job.accepted < MAX_DEFERRAL_SECONDS
         return Rank(
-            may_wait and inputs.lateness == USELESS,
-            may_wait and job.beyond_rate,
+            may_defer and inputs.lateness == TOO_LATE,
+            may_defer and job.beyond_rate,
             inputs.priority,
-            inputs.lateness if may_wait else 0,
+            inputs.lateness if may_defer else 0,
             inputs.deadline,
             job.id,
             inputs.step.name,
@@ -85,12 +85,12 @@
             continue
         queue = cell.queue_of(job)
         priority = queue.priority if queue else 0
-        allowed = cell.objective_of(job)
+        objective = cell.objective_of(job)
         for step in job.ready_steps(wall):
             if now < step.not_before:
                 continue
-            lateness = _lateness(now + step.step.estimate, job.accepted, allowed)
-            inputs = RankInputs(job, step, priority, lateness, job.accepted + allowed, now)
+            lateness = _lateness(now + step.step.estimate, job.accepted, objective)
+            inputs = RankInputs(job, step, priority, lateness, job.accepted + objective, now)
             candidates.append(Candidate(job, step, queue, lateness, make_rank(inputs)))
     candidates.sort(key=_rank)
     return candidates
@@ -100,10 +100,10 @@
     return candidate.rank
 
 
-def _lateness(end: float, accepted: float, allowed: float) -> int:
+def _lateness(end: float, accepted: float, objective: float) -> int:
     """Return 0 for in time, 1 for late but still of use, 2 for neither."""
-    if end <= accepted + allowed:
+    if end <= accepted + objective:
         return 0
-    if end <= accepted + LATEST * allowed:
+    if end <= accepted + MAX_USEFUL_LATENESS * objective:
         return 1
-    return USELESS
+    return TOO_LATE
