--- a/bench/replay.py
+++ b/bench/replay.py
@@ -233,7 +233,7 @@
 class NoPreemption(Preemption):
     """Nothing is stopped for anybody."""
 
-    def find_room(self, *asked: object) -> PreemptionPlan | None:
+    def plan_preemption(self, *asked: object) -> PreemptionPlan | None:
         """Return that there is no room."""
         return None
 
--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -1,7 +1,7 @@
-"""Chooses the runners that an owner polls. No I/O.
+"""Selects the subset of runners that an owner polls. No I/O.
 
-Load pattern: a cell has many times the runners that its work needs, and each one that is polled
-costs its owner a connection and processor time. The owner polls twice as many as its work needs.
+Load pattern: a cell has many times more runners than its work needs, and each polled runner costs
+the owner a connection and CPU time. The owner polls about twice as many runners as the work needs.
 """
 
 import itertools
@@ -12,30 +12,30 @@
 from dandelionreel.cell.decisions._ledger import RunnerState
 from dandelionreel.cell.model import Registration, Step
 
-#: Runners that are attended to however little there is to do.
+#: Number of runners polled even when the cell is idle.
 MIN_ACTIVE_RUNNERS = 400
-#: Share of the active runners' processors in use above which there are to be more of them,
-#: and below which some idle ones are left alone.
+#: CPU utilization of the active runners above which runners are added, and below which idle
+#: ones are released.
 MAX_CPU_UTILIZATION = 0.5
 MIN_CPU_UTILIZATION = 0.3
-#: Seconds between two looks at how much is in use.
+#: Seconds between two checks of the utilization.
 REVIEW_INTERVAL_SECONDS = 0.5
-#: Runners that are added for a step that none of the active ones suits.
+#: Runners added for a step whose label or rack no active runner has.
 RUNNERS_ADDED_PER_STEP = 50
 EMPTY_RACK: list[str] = []
 
 
 class ActiveRunners:
-    """Chooses among the runners that are listed, for one term of an owner."""
+    """Tracks which of the listed runners are active, for one term of an owner."""
 
     def __init__(self, cell: Cell) -> None:
-        """Choose for the work of that cell."""
+        """Size the set by the work in ``cell``."""
         self._cell = cell
         self._active: dict[str, None] = {}
         self._last_review_at = float('-inf')
 
     def choose(self, listed: dict[str, Registration], now: float) -> dict[str, Registration]:
-        """Return the registrations of the runners to attend to; all where they are few."""
+        """Return the registrations of the runners to poll: all, if there are only a few."""
         if len(listed) <= MIN_ACTIVE_RUNNERS:
             return listed
         known = (*self._active, *self._cell.runner_by_id)
@@ -46,7 +46,7 @@
         return {runner: listed[runner] for runner in self._active}
 
     def release_idle(self, listed: dict[str, Registration]) -> list[RunnerState]:
-        """Return the runners that are not needed any more, which nothing is known to hold."""
+        """Deactivate and return surplus runners that are known to hold nothing."""
         if len(listed) <= MIN_ACTIVE_RUNNERS or self._cpu_utilization() > MIN_CPU_UTILIZATION:
             return []
         excess = len(self._active) - self._target_count(listed)
@@ -73,7 +73,7 @@
             self._active.update({one.runner: None for one in added})
 
     def _target_count(self, listed: dict[str, Registration]) -> int:
-        """Return how many runners the work needs."""
+        """Return how many active runners keep utilization within ``MAX_CPU_UTILIZATION``."""
         capacity = sum(listed[one].capacity.cpu for one in self._active)
         used = sum(state.used.cpu for state in self._cell.runner_by_id.values())
         mean_capacity = capacity / max(1, len(self._active))
@@ -85,7 +85,7 @@
         return sum(state.used.cpu for state in states) / max(1, capacity)
 
     def _steps_without_runner(self, listed: dict[str, Registration]) -> list[Step]:
-        """Return the kinds of steps under way that no active runner suits, one of each."""
+        """Return steps that no active runner can take, one for each pair of label and rack."""
         step_by_need: dict[tuple[str, str], Step] = {}
         for job in self._cell.live_by_id.values():
             for step in job.spec.steps:
@@ -99,7 +99,7 @@
         ]
 
     def _is_idle(self, state: RunnerState) -> bool:
-        """Return whether a runner holds nothing, and has forgotten all ends that it listed."""
+        """Return whether a runner holds no runs and has discarded every end that it listed."""
         if state.id in self._cell.unseen or state.allocation_by_run:
             return False
         return state.noted == state.confirmed
@@ -115,7 +115,7 @@
 
 
 def _interleave_zones(registrations: Iterable[Registration]) -> Iterator[str]:
-    """Return usable runners, a whole rack of each zone in turn."""
+    """Return the usable runners rack by rack, alternating between the zones."""
     racks_by_zone: dict[str, dict[str, list[str]]] = {}
     for one in registrations:
         if _accepts_starts(one):
--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -1,9 +1,10 @@
-"""Decides what to ask the policy service, and when. No I/O.
+"""Decides which runners to ask the policy service about, and when. No I/O.
 
-Load pattern: hundreds of steps wait, and answering about all of their runners takes longer than all
-hosts have together. A request for single tasks names as many runners with room as it is likely to
-need, and none is made beyond what the free room can take. A gang needs seats on many runners at
-once: its request is split so that several hosts ask at the same time.
+Load pattern: hundreds of steps wait, and asking the service about every runner for each of them
+would take more time than all hosts together have. A request for single tasks names about as many
+runners with free capacity as the step is likely to need, and no requests are made beyond the free
+capacity of the cell. A gang needs slots on many runners at once, so its request is split and
+several hosts send the parts in parallel.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,27 +18,27 @@
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import AdvicePolicy, Demand, Queue, StepName
 
-#: The service answers for at most this many runners at once.
+#: The service answers for at most this many runners in one request.
 MAX_RUNNERS_PER_REQUEST = 100
-#: Runners named at least: a question's fixed time outweighs theirs.
+#: Fewer would save nothing, as the fixed time of a request outweighs the time per runner.
 MIN_RUNNERS_PER_REQUEST = 12
-#: Share of runners that is expected to be allowed, and how many times more than needed are asked
-#: about. A gang's seats are mostly taken, so it asks about more.
+#: Share of the runners that the service is expected to allow, and the factor by which a request
+#: exceeds the expected need. Most slots for a gang are in use, so a gang asks about more runners.
 EXPECTED_ALLOWED_SHARE = 0.3
 OVERSAMPLING_FACTOR = 1.6
 GANG_OVERSAMPLING_FACTOR = 4.0
-#: Runners in one of a gang's requests.
+#: Runners in each part of a gang's request.
 MAX_RUNNERS_PER_GANG_REQUEST = 45
-#: Tasks for which a runner has room to be as good as any: more of one step seldom
-#: get there, as others take its room meanwhile.
+#: Free slots above which a runner is not preferred further: more tasks of one step seldom start
+#: there, as other steps use the capacity in the meantime.
 SUFFICIENT_SLOTS = 2
-#: Seconds before a reserved time at which its tickets should be there.
+#: Seconds before the start of a reservation at which its tickets should have arrived.
 TICKET_LEAD_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
 class AdviceRequest:
-    """The policy service is to be asked which of these runners may run a step."""
+    """A request to the policy service: which of these runners may run a step."""
 
     step: StepName
     runners: tuple[str, ...]
@@ -46,10 +47,10 @@
 
 
 class AdviceRequests:
-    """Decides over the questions of one cell."""
+    """Builds the requests to the policy service for the steps of one cell."""
 
     def __init__(self, cell: Cell) -> None:
-        """Look at what is known in that cell."""
+        """Use the tickets and runners of ``cell``."""
         self._cell = cell
 
     def for_new_runners(
@@ -60,10 +61,10 @@
         now: float,
         zone: str = '',
     ) -> list[AdviceRequest]:
-        """Return the questions about runners that were not asked for yet, ``zone``'s first.
+        """Return requests for runners not asked about yet, those in ``zone`` first.
 
-        Nothing is asked for a single task about runners that have no room: its
-        tickets would have expired when they have.
+        For single tasks, runners without free capacity are left out: the tickets would expire
+        before the capacity is free.
         """
         tickets = self._cell.tickets.of(step.name)
         if not tickets.may_ask(now):
@@ -77,7 +78,7 @@
         if step.step.gang:
             slots_and_runners.sort(key=_by_slots(zone))
         else:
-            slots_and_runners = [item for item in slots_and_runners if item[0]]
+            slots_and_runners = [entry for entry in slots_and_runners if entry[0]]
             slots_and_runners.sort(key=_by_step_hash(step.name, zone))
         unasked = [runner for _, runner in slots_and_runners]
         return self._split(queue, step, unasked[: self._runners_to_ask(step)])
@@ -90,7 +91,7 @@
         now: float,
         zone: str = '',
     ) -> list[AdviceRequest]:
-        """Return the question for new tickets of allowed runners with room, ``zone``'s first."""
+        """Return requests for new tickets on allowed runners with free slots, ``zone`` first."""
         tickets = self._cell.tickets.of(step.name)
         if not tickets.may_ask(now):
             return []
@@ -112,9 +113,10 @@
         reservation: Reservation,
         now: float,
     ) -> list[AdviceRequest]:
-        """Return the requests for a gang's tickets, in time for its seats.
+        """Return requests for a gang's tickets, timed to arrive before its reservation starts.
 
-        They name every allowed runner: which of them have seats first changes from plan to plan.
+        They name every allowed runner, as the runners with the earliest slots change from plan to
+        plan.
         """
         tickets = self._cell.tickets.of(step.name)
         if not tickets.may_ask(now) or queue.advice is None:
@@ -132,7 +134,7 @@
         return self._split(queue, step, chosen)
 
     def _runners_to_ask(self, step: StepRun) -> int:
-        """Return how many runners are likely to hold the whole step."""
+        """Return how many runners to ask about so that the whole step is likely to fit."""
         demand = counted_demand(step)
         per_runner = max(1, self._median_slots(demand, step.step.max_per_runner))
         needed = -(-step.waiting // per_runner)
@@ -145,9 +147,9 @@
         return min(MAX_RUNNERS_PER_REQUEST, max(MIN_RUNNERS_PER_REQUEST, likely))
 
     def _median_slots(self, demand: Demand, limit: int) -> int:
-        """Return how many tasks the middle one of all runners takes when it is empty.
+        """Return the median number of tasks that an empty runner of the cell can hold.
 
-        The middle one, as any single runner may have shrunk.
+        The median, as the capacity of any single runner may have shrunk.
         """
         slots = sorted(
             count_slots(demand, runner.registration.capacity, limit)
@@ -165,7 +167,7 @@
             -len(ids)
             // (MAX_RUNNERS_PER_GANG_REQUEST if step.step.gang else MAX_RUNNERS_PER_REQUEST)
         )
-        # Equal parts: the answers are waited for together.
+        # Equal parts, as a gang waits for the slowest answer.
         parts = [tuple(ids[number::count]) for number in range(count)]
         self._cell.tickets.of(step.name).pending += len(parts)
         return [AdviceRequest(step.name, part, queue.priority, queue.advice) for part in parts]
@@ -176,23 +178,23 @@
 
 
 def _by_slots(zone: str) -> Callable[[tuple[int, RunnerState]], tuple[int, bool]]:
-    """Return an order of runners by room, those of the zone first among equals."""
+    """Return a sort key: most free slots first, then runners in ``zone``."""
 
-    def sort_key(item: tuple[int, RunnerState]) -> tuple[int, bool]:
-        slots, runner = item
+    def sort_key(entry: tuple[int, RunnerState]) -> tuple[int, bool]:
+        slots, runner = entry
         return -slots, _is_elsewhere(zone, runner)
 
     return sort_key
 
 
 def _by_step_hash(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
-    """Return an order of runners that differs from step to step, the zone's and roomy first.
+    """Return a sort key: runners in ``zone``, then with free slots, then by a hash of the job.
 
-    In one order for all, steps would compete for the same few runners and their tickets.
+    With the same order for all, jobs would compete for the same few runners and their tickets.
     """
 
-    def sort_key(item: tuple[int, RunnerState]) -> tuple[bool, int, int]:
-        slots, runner = item
+    def sort_key(entry: tuple[int, RunnerState]) -> tuple[bool, int, int]:
+        slots, runner = entry
         return (
             _is_elsewhere(zone, runner),
             -min(slots, SUFFICIENT_SLOTS),
--- a/dandelionreel/cell/decisions/_allocation_table.py
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -1,4 +1,7 @@
-"""Jobs, runners and the runs that tie them; every change to a run goes through here. No I/O."""
+"""Jobs, runners and the allocations that link them. No I/O.
+
+Every change to an allocation goes through this module.
+"""
 
 from dandelionreel.cell.decisions._job_runs import JobRuns
 from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState
@@ -9,27 +12,27 @@
 
 
 class AllocationTable:
-    """What is held where, by job and by runner."""
+    """All allocations of a cell, by job and by runner."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without jobs and runners."""
         self.job_by_id: dict[str, JobRun] = {}
-        #: The jobs of which something may still have to start.
+        #: Jobs that may still have tasks to start.
         self.live_by_id: dict[str, JobRun] = {}
         self.runner_by_id: dict[str, RunnerState] = {}
-        #: Jobs whose progress may have to be stored.
+        #: Ids of jobs whose progress may have to be written to the store.
         self.dirty: set[str] = set()
         self._runs = JobRuns()
-        #: What the runs of each client account take together.
+        #: Total demand of the runs of each client account.
         self.usage = self._runs.usage
         self._stops = Stops()
 
     def hold(self, runner: RunnerState, allocation: Allocation) -> None:
-        """Count a run on its runner and for its job."""
+        """Add an allocation to its runner and its job."""
         self._runs.hold(runner, allocation)
 
     def free(self, runner: RunnerState, allocation: Allocation) -> JobRun | None:
-        """Stop counting a run that is over; return its job, ``None`` where it is not known."""
+        """Remove the allocation of a finished run; return its job, ``None`` if unknown."""
         self._runs.free(runner, allocation)
         job = self.job_by_id.get(allocation.task.job)
         if job is not None:
@@ -38,7 +41,7 @@
         return job
 
     def drop_lost(self, runner: RunnerState, allocation: Allocation) -> None:
-        """Drop a run that is known to be gone without an end."""
+        """Remove a run that is known to be gone but whose end was never listed."""
         job = self.free(runner, allocation)
         found = None if job is None else job.find(allocation.task)
         if found is None:
@@ -53,29 +56,29 @@
             self.stop_members(step)
 
     def drop_all_lost(self, runner: RunnerState) -> None:
-        """Drop all that a runner held: it is gone without an end."""
+        """Remove all runs of a runner that was lost before it listed their ends."""
         for allocation in tuple(runner.allocation_by_run.values()):
             self.drop_lost(runner, allocation)
 
     def find(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
-        """Return a task with its step, ``None`` where it is not known."""
+        """Return a task with its step, ``None`` if the task is unknown."""
         job = self.job_by_id.get(name.job)
         return None if job is None else job.find(name)
 
     def find_allocation(self, task: TaskRun) -> Allocation | None:
-        """Return the allocation of a placed task."""
+        """Return the allocation of a placed task, ``None`` if there is none."""
         runner = self.runner_by_id.get(task.runner)
         if runner is None:
             return None
         return runner.allocation_by_run.get((task.name, task.run))
 
     def step_of(self, allocation: Allocation) -> StepRun | None:
-        """Return the step of an allocation, ``None`` where its job is not known."""
+        """Return the step of an allocation, ``None`` if its job is unknown."""
         job = self.job_by_id.get(allocation.task.job)
         return None if job is None else job.find_step(allocation.task)
 
     def confirm_start(self, allocation: Allocation, now: float) -> None:
-        """Note that a run is known to be at work."""
+        """Note that the runner has confirmed a start."""
         if allocation.phase is not Holding.STARTING:
             return
         allocation.phase = Holding.RUNNING
@@ -84,41 +87,41 @@
         self.note_began(allocation.task.job)
 
     def note_began(self, job_id: str) -> None:
-        """Note that a first task of a job runs."""
+        """Note that the first task of a job has started."""
         job = self.job_by_id.get(job_id)
         if job is not None and not job.began:
             job.note_began()
             self.dirty.add(job.id)
 
     def stop(self, allocation: Allocation) -> None:
-        """Have a run stopped; it counts until it is known to be gone."""
+        """Request a stop of a run; its allocation stays until the run is known to be gone."""
         self._stops.order(allocation)
 
     def repeat_stop(self, allocation: Allocation, asked: float) -> None:
-        """Have a run stopped once more that a poll sent at ``asked`` should not list."""
+        """Repeat the stop of a run if a poll sent at ``asked`` should no longer list it."""
         self._stops.repeat(allocation, asked)
 
     def stop_members(self, step: StepRun) -> None:
-        """Stop all members of a gang that are placed."""
+        """Stop all placed members of a gang."""
         for task in step.tasks:
             allocation = self.find_allocation(task) if task.phase is Phase.PLACED else None
             if allocation is not None:
                 self.stop(allocation)
 
     def stop_job(self, job_id: str) -> None:
-        """Stop all that runs of a job."""
+        """Stop all runs of a job."""
         for allocation in self._runs.of_job(job_id):
             self.stop(allocation)
 
     def allocations_of_job(self, job_id: str) -> list[Allocation]:
-        """Return all that is held for a job, on whichever runner."""
+        """Return all allocations of a job, over all runners."""
         return self._runs.of_job(job_id)
 
     def take_stops(self) -> list[Allocation]:
-        """Return the runs that must be told to stop, once."""
+        """Return the stops to send; each is returned only once."""
         return self._stops.take()
 
 
 def is_current(task: TaskRun, runner: str, run: int) -> bool:
-    """Return whether a run is the one of its task that counts."""
+    """Return whether a run is the current run of its task."""
     return task.phase is Phase.PLACED and task.runner == runner and task.run == run
--- a/dandelionreel/cell/decisions/_job_rates.py
+++ b/dandelionreel/cell/decisions/_job_rates.py
@@ -1,15 +1,17 @@
-"""Which jobs an account may expect to be served: so many a second as its weight says. No I/O.
+"""Classifies jobs as within or beyond the job rate of their account. No I/O.
 
-Load pattern: one account sends many times its usual. What it sends beyond its rate waits
-behind what others may expect, whatever its priority, and is served from what they leave.
+The weight of an account is its rate in jobs a second.
+
+Load pattern: one account submits many times its usual load. Jobs beyond its rate are ranked behind
+the jobs within the rates of other accounts, whatever their priority, and run on spare capacity.
 """
 
-#: Seconds of its rate that an account may use at once.
+#: Size of the token bucket, in seconds of the account's rate.
 BURST_SECONDS = 1.0
 
 
 class JobRates:
-    """A token bucket for each account, by the time at which its jobs were accepted."""
+    """A token bucket for each account, refilled by the acceptance times of its jobs."""
 
     def __init__(self) -> None:
         """Start with full buckets."""
@@ -17,9 +19,10 @@
         self._filled_at_by_account: dict[str, float] = {}
 
     def take(self, account: str, rate: float, accepted_at: float) -> bool:
-        """Return whether a job is within the rate of its account, in jobs a second.
+        """Take a token for a job; return whether the job is within ``rate`` (jobs a second).
 
-        Jobs that were accepted out of order, by hosts whose clocks differ, fill no bucket twice.
+        Jobs may arrive out of order, as the clocks of the accepting hosts differ; the bucket is
+        not refilled twice for the same period.
         """
         burst = max(1.0, rate * BURST_SECONDS)
         filled_at = self._filled_at_by_account.get(account, accepted_at)
--- a/dandelionreel/cell/decisions/_objectives.py
+++ b/dandelionreel/cell/decisions/_objectives.py
@@ -1,13 +1,13 @@
-"""Within how many seconds a job counts as served in time. No I/O."""
+"""Computes the latency objective of a job. No I/O."""
 
 from dandelionreel.cell.model import Demand, JobSpec, Queue, Step
 
-#: Runners that a request to the policy service names, as objectives count it.
+#: Number of runners assumed for a request to the policy service.
 TYPICAL_REQUEST_RUNNERS = 30
 
 
 def critical_path_seconds(spec: JobSpec, seconds_by_step: list[float]) -> float:
-    """Return the longest chain of steps, given how long each one takes."""
+    """Return the length of the critical path through the steps, in seconds."""
     ends: list[float] = []
     for step, seconds in zip(spec.steps, seconds_by_step, strict=True):
         start = max((ends[earlier] for earlier in step.depends_on), default=0.0)
@@ -16,9 +16,9 @@
 
 
 def objective(queue: Queue | None, spec: JobSpec, quota: Demand | None = None) -> float:
-    """Return the seconds within which a job counts as served in time.
+    """Return the latency objective of a job, in seconds from its acceptance.
 
-    A step that is wider than its account's quota runs in waves.
+    A step whose tasks don't fit into the account's quota together is counted in several waves.
     """
     advice_seconds = 0.0
     if queue is not None and queue.advice is not None:
@@ -30,20 +30,20 @@
 
 
 def _count_waves(step: Step, quota: Demand | None) -> int:
-    """Return how many times a step's tasks have to take turns."""
+    """Return in how many waves a step's tasks run under the quota."""
     if quota is None or step.gang:
         return 1
     concurrent = count_fitting(step.counted_demand, quota, step.count)
     return -(-step.count // max(1, concurrent))
 
 
-def count_fitting(demand: Demand, room: Demand, most: int) -> int:
-    """Return how many tasks of a demand fit into a room, at most so many."""
+def count_fitting(demand: Demand, available: Demand, most: int) -> int:
+    """Return how many tasks of a demand fit into ``available``, limited to ``most``."""
     count = most
     for asked, have in (
-        (demand.cpu, room.cpu),
-        (demand.memory_mb, room.memory_mb),
-        (demand.gpu, room.gpu),
+        (demand.cpu, available.cpu),
+        (demand.memory_mb, available.memory_mb),
+        (demand.gpu, available.gpu),
     ):
         if asked:
             count = min(count, have // asked)
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -1,4 +1,4 @@
-"""Which waiting task starts where, now. No I/O, no clock of its own."""
+"""Plans which waiting tasks start on which runners. No I/O; the caller passes the time."""
 
 from dataclasses import dataclass, field
 
@@ -36,23 +36,23 @@
 )
 from dandelionreel.cell.model import Queue, StepName
 
-#: Processors for which advice is requested, as a multiple of those that are free: without a limit
-#: every waiting step would ask about the same room.
+#: CPU demand for which advice is requested, as a multiple of the free CPU: without a limit every
+#: waiting step would ask about the same free capacity.
 REQUESTED_CPU_FACTOR = 1.5
-#: Seconds for which reservations stand while the same gangs wait: each is computed from all runs on
-#: all runners that its gang may use.
+#: Seconds between recomputations of the reservations while the same gangs wait: each one is
+#: computed from all runs on all runners that its gang may use.
 RESERVATION_REFRESH_SECONDS = 0.05
-#: The priority of queues whose requests are never held back.
+#: Priority of the queues whose advice requests are never deferred.
 URGENT_PRIORITY = 0
 NO_LIMIT = float('inf')
 
 
 @dataclass
 class Plan:
-    """Starts to send and questions to ask, each in order of urgency.
+    """Starts and advice requests to send, each in order of urgency.
 
-    ``preempted`` are runs that are stopped for a gang, ``held`` jobs that have begun to wait
-    for their account's quota.
+    ``preempted`` are runs that are stopped for a gang, ``quota_blocked`` jobs that have begun to
+    wait for their account's quota.
     """
 
     starts: list[Allocation] = field(default_factory=list)
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class _GangVersion:
-    """What makes a gang's reservation out of date when it changes."""
+    """Inputs of a gang's reservation; it is recomputed when they change."""
 
     step: StepName
     answers: int
@@ -71,16 +71,16 @@
 
 @dataclass
 class _PlanState:
-    """What one plan works with."""
+    """Intermediate state of one plan."""
 
     now: float
     runners_by_service: dict[str, dict[str, RunnerState]]
     reservations: Reservations
-    #: Whether the reservations are made in this plan, or still stand.
+    #: Whether this plan recomputes the reservations.
     makes_reservations: bool
-    #: Processors of each service for which single tasks may still ask advice.
+    #: CPU demand of single tasks for which advice may still be requested, by service.
     requestable_cpu_by_service: dict[str, float]
-    #: Questions that are not urgent for which hosts are free.
+    #: Number of non-urgent requests that free hosts can still send.
     deferrable_requests_left: float
     max_starts: float
     plan: Plan = field(default_factory=Plan)
@@ -92,10 +92,10 @@
 
 
 class Planner:
-    """Decides over a cell; each call looks at all that waits."""
+    """Plans the starts of a cell; each call considers all waiting steps."""
 
     def __init__(self, cell: Cell, order: WaitingOrder | None = None) -> None:
-        """Place the tasks of that cell in an ``order``."""
+        """Place the tasks of ``cell`` in the order of ``order``."""
         self._cell = cell
         self._order = order or WithinRateFirst()
         self._gate = QuotaGate(cell)
@@ -112,13 +112,13 @@
         max_deferrable_requests: float = NO_LIMIT,
         max_starts: float = NO_LIMIT,
     ) -> Plan:
-        """Place what can be placed, and count it as held; no more than ``most_starts``.
+        """Place waiting tasks and allocate their capacity, up to about ``max_starts``.
 
-        A gang is placed whole where any start may be.
+        A gang is placed whole, even if it exceeds the remaining starts.
 
-        Requests that are not urgent are made only while hosts are free for them: queued for a host
-        they would keep the order in which they were made, and a gang's first tickets would expire
-        before its last ones come.
+        Non-urgent advice requests are made only while hosts are free to send them. Queued at a
+        host, they would keep the order in which they were made, and a gang's first tickets would
+        expire before its last ones arrive.
         """
         candidates = list_candidates(self._cell, self._order.rank, now, wall)
         if not candidates:
@@ -154,9 +154,9 @@
         usable: dict[str, dict[str, RunnerState]],
         now: float,
     ) -> bool:
-        """Drop the reservations where they may be out of date; return whether.
+        """Discard the reservations if they may be outdated; return whether they were discarded.
 
-        They are where a gang has come or gone, or one has been told where it may run.
+        They are outdated when a gang was added or removed, or got an answer of the policy service.
         """
         gangs = [self._gang_version(one.step) for one in candidates if one.step.step.gang]
         if now < self._reserved_at + RESERVATION_REFRESH_SECONDS and gangs == self._reserved_for:
@@ -210,9 +210,10 @@
     def _can_place_all(
         self, candidate: Candidate, ticketed: list[TicketedRunner], state: _PlanState
     ) -> bool:
-        """Return whether tickets and room are there for all that waits of a step.
+        """Return whether tickets and capacity suffice for all waiting tasks of a step.
 
-        So it is for a job that the store is slow to take, which must not ask again in every plan.
+        A job that the store has not yet taken can be in this state for several plans, and must
+        not request advice again in each of them.
         """
         step = candidate.step
         demand = counted_demand(step)
@@ -229,7 +230,7 @@
         runners: dict[str, RunnerState],
         now: float,
     ) -> list[TicketedRunner]:
-        """Return the runners for which the step has tickets."""
+        """Return the usable runners for which the step has valid tickets."""
         tickets = self._cell.tickets.of(step.name).valid(now)
         return [
             (runners[runner], ticket) for runner, ticket in tickets.items() if runner in runners
@@ -241,7 +242,7 @@
         runners: dict[str, RunnerState],
         state: _PlanState,
     ) -> None:
-        """Ask for tickets when they would let something start."""
+        """Request advice for single tasks if the tickets would let some of them start."""
         queue, step = candidate.queue, candidate.step
         service = self._cell.service_of(candidate.job)
         if queue is None or queue.advice is None or state.requestable_cpu_by_service[service] <= 0:
@@ -251,7 +252,7 @@
         state.requestable_cpu_by_service[service] -= step.waiting * counted_demand(step).cpu
         if not self._cell.tickets.of(step.name).may_ask(state.now):
             return
-        # Tickets for a reserved runner would expire before anything may start there.
+        # Tickets for a reserved runner would expire before the step may start there.
         ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         eligible = [
             runner
@@ -276,7 +277,7 @@
         state: _PlanState,
         allowed: int,
     ) -> bool:
-        """Place as many tasks as fit and are ``allowed``; return whether all found a place."""
+        """Place as many tasks as fit, at most ``allowed``; return whether all found one."""
         step = candidate.step
         ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         demand = counted_demand(step)
@@ -333,7 +334,7 @@
         runners: dict[str, RunnerState],
         state: _PlanState,
     ) -> None:
-        """Keep room for a gang, and have its tickets ready in time."""
+        """Reserve slots for a gang, and request its tickets in time for them."""
         step, queue = candidate.step, candidate.queue
         if queue is None:
             return
@@ -361,7 +362,7 @@
         _add_requests(queue, requests, state)
 
     def _allowed_runners(self, step: StepRun, runners: dict[str, RunnerState]) -> list[RunnerState]:
-        """Return the runners that a step may use, looked up by its permits."""
+        """Return the usable runners on which the policy service allows a step."""
         found = (runners.get(runner_id) for runner_id in self._cell.tickets.of(step.name).allowed)
         return [
             runner for runner in found if runner is not None and has_required_label(step, runner)
@@ -375,9 +376,9 @@
         ready: list[RunnerState],
         state: _PlanState,
     ) -> Reservation | None:
-        """Reserve where a gang fits first, and stop others for it if that is late.
+        """Reserve the earliest slots for a gang; preempt other tasks if those are too far off.
 
-        Starts may be sent to ``ready`` runners; others are stopped only there.
+        The gang has valid tickets for the ``ready`` runners; tasks are preempted only there.
         """
         reservations, now = state.reservations, state.now
         if reservations.full:
@@ -388,26 +389,26 @@
             reservation is not None and reservation.at <= now + MAX_WAIT_WITHOUT_PREEMPTION_SECONDS
         )
         if not in_time and candidate.lateness < TOO_LATE:
-            room = self._preemption.find_room(
+            preemption = self._preemption.plan_preemption(
                 candidate.step, queue, reservations.unreserved(ready), now
             )
-            if room is None:
-                # Its tickets are needed first, so they are asked for at once.
+            if preemption is None:
+                # The gang needs tickets first, so the reservation is due now to request them.
                 at = now
-                room = self._preemption.find_room(candidate.step, queue, free, now)
+                preemption = self._preemption.plan_preemption(candidate.step, queue, free, now)
             else:
                 at = now + STOP_LATENCY_SECONDS
-                self._preempt(room, state)
-            if room is not None:
-                reservation = Reservation(candidate.step, at, room.runners, candidate.rank)
+                self._preempt(preemption, state)
+            if preemption is not None:
+                reservation = Reservation(candidate.step, at, preemption.runners, candidate.rank)
         if reservation is not None:
             reservations.add(reservation)
         return reservation
 
-    def _preempt(self, room: PreemptionPlan, state: _PlanState) -> None:
-        for victim in room.victims:
+    def _preempt(self, preemption: PreemptionPlan, state: _PlanState) -> None:
+        for victim in preemption.victims:
             self._cell.stop(victim)
-        state.plan.preempted.extend(room.victims)
+        state.plan.preempted.extend(preemption.victims)
 
     def _place_gang(
         self, candidate: Candidate, allowed: list[TicketedRunner], state: _PlanState
@@ -429,7 +430,7 @@
 
 
 def _free_cpu(runners: dict[str, RunnerState]) -> float:
-    """Return the free processors; a runner over its room takes none away from others."""
+    """Return the free CPU; an overcommitted runner counts as zero."""
     return sum(max(0, runner.room.cpu) for runner in runners.values())
 
 
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -1,9 +1,9 @@
-"""Decides which running tasks make room for a gang of a more urgent queue. No I/O.
+"""Decides which running tasks to preempt for a gang of a more urgent queue. No I/O.
 
-Load pattern: most processors are in use by small tasks, and a gang needs many large seats at once
-on the runners that it is allowed; to wait for them takes longer than its objective. Only tasks of
-less urgent queues that keep checkpoints are stopped, as they lose next to nothing, and only once
-the gang has tickets for all the runners that it will use.
+Load pattern: most CPU is in use by small tasks, and a gang needs many large slots at once on the
+runners where it is allowed; waiting for them to end takes longer than the gang's objective. Only
+checkpointing tasks of less urgent queues are stopped, as they lose almost no work, and only once
+the gang has tickets for all runners that it will use.
 """
 
 import heapq
@@ -16,46 +16,49 @@
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import Queue
 
-#: Seconds that a gang waits for tasks to end by themselves before others are
-#: stopped for it: about what its tickets and the stops take anyhow.
+#: A gang whose slots come free by themselves within this time preempts nothing: getting tickets
+#: and stopping tasks takes about as long.
 MAX_WAIT_WITHOUT_PREEMPTION_SECONDS = 0.8
-#: Seconds by which a task's job must be ahead of its objective to be stopped: it waits for new
-#: tickets and room.
+#: Seconds by which a job must be ahead of its objective for its tasks to be preempted: they have to
+#: wait for new tickets and capacity.
 OBJECTIVE_MARGIN_SECONDS = 3.0
-#: Seconds until a stopped task's end is listed: 0.2 to 0.4 s by the workers'
-#: contract, and a poll under way.
+#: Seconds until the end of a stopped task is listed: 0.2 to 0.4 s by the workers' contract, plus
+#: the poll in progress.
 STOP_LATENCY_SECONDS = 0.45
 
 
 @dataclass(frozen=True)
 class PreemptionPlan:
-    """Where a gang fits once ``victims`` have been stopped."""
+    """Runners that can hold a gang once ``victims`` have been stopped."""
 
     runners: frozenset[str]
     victims: tuple[Allocation, ...]
 
 
 class Preemption:
-    """Decides over the running tasks of one cell."""
+    """Chooses victims among the running tasks of one cell."""
 
     def __init__(self, cell: Cell) -> None:
-        """Stop tasks of that cell."""
+        """Choose among the tasks of ``cell``."""
         self._cell = cell
-        #: What may be stopped on a runner for a priority, the largest first.
+        #: Preemptible runs by runner and by priority of the gang, the largest first.
         self._victims_by_runner: dict[tuple[str, int], list[Allocation]] = {}
 
     def begin(self) -> None:
-        """Begin a plan: within one, only what it stops itself may not be stopped again."""
+        """Begin a plan: clear the cached victims.
+
+        Within one plan they stay valid but for the runs that the plan itself stops.
+        """
         self._victims_by_runner.clear()
 
-    def find_room(
+    def plan_preemption(
         self,
         step: StepRun,
         queue: Queue,
         runners: Iterable[RunnerState],
         now: float,
     ) -> PreemptionPlan | None:
-        """Return the seats for a whole gang that cost the least, ``None`` without enough."""
+        """Return the slots for a whole gang that preempt the least CPU, ``None`` if too few."""
         slot_heap: list[tuple[float, str, int]] = []
         slots_by_runner = {}
         for runner in runners:
@@ -86,21 +89,21 @@
         runner: RunnerState,
         now: float,
     ) -> list[list[Allocation]]:
-        """Return, for each seat that a runner can offer, what must stop for it."""
+        """Return the runs to stop for each slot that a runner can offer."""
         demand = counted_demand(step)
         limit = step.step.max_per_runner
-        room = runner.room
+        free = runner.room
         for allocation in runner.allocation_by_run.values():
             if allocation.phase is Holding.STOPPING:
-                room += allocation.demand
-        slots: list[list[Allocation]] = [[] for _ in range(count_slots(demand, room, limit))]
+                free += allocation.demand
+        slots: list[list[Allocation]] = [[] for _ in range(count_slots(demand, free, limit))]
         pending: list[Allocation] = []
         for victim in self._find_victims(queue, runner, now):
             if victim.phase is Holding.STOPPING:
                 continue
-            room += victim.demand
+            free += victim.demand
             pending.append(victim)
-            gained = count_slots(demand, room, limit) - len(slots)
+            gained = count_slots(demand, free, limit) - len(slots)
             if gained > 0:
                 slots.append(pending)
                 slots.extend([] for _ in range(gained - 1))
@@ -128,7 +131,7 @@
         if queue_of_job is None or step is None or queue_of_job.priority <= queue.priority:
             return False
         spec = step.step
-        # A gang would lose its other members; lasting tasks serve their own users.
+        # Stopping one member stops its whole gang; long-running tasks serve users of their own.
         if spec.gang or spec.long_running or not spec.checkpointing:
             return False
         end = expected_end(allocation, now)
--- a/dandelionreel/cell/decisions/_preventive_stops.py
+++ b/dandelionreel/cell/decisions/_preventive_stops.py
@@ -1,4 +1,4 @@
-"""Runs that come to nothing unless they are stopped now. No I/O."""
+"""Stops runs on draining runners and members of incomplete gangs. No I/O."""
 
 from collections.abc import Iterable
 
@@ -6,18 +6,18 @@
 from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState, expected_end
 from dandelionreel.cell.decisions._step_runs import StepRun
 
-#: Share of the gang timeout after which a gang that is not complete is stopped.
+#: Share of the gang timeout after which an incomplete gang is stopped.
 GANG_TIMEOUT_SHARE = 0.55
-#: Seconds before a draining runner may be gone by which its tasks must have
-#: ended: a stop takes up to 0.4 s and has to be listed.
+#: Seconds before a draining runner may exit by which its tasks must have ended: a stop takes up to
+#: 0.4 s, and a poll has to list the end.
 EVACUATION_MARGIN_SECONDS = 0.7
 
 
 def stop_on_draining_runners(cell: Cell, now: float) -> list[Allocation]:
-    """Stop what would not end before its draining runner is gone; return it.
+    """Stop and return the runs that would not end before their draining runner exits.
 
-    What runs there when the runner leaves is lost without an end, and can
-    start elsewhere only once its lease has run out.
+    A run that is still there when the runner exits is lost without a listed end, and can start
+    elsewhere only after its lease has expired.
     """
     stopped = []
     for runner in cell.runner_by_id.values():
@@ -32,7 +32,7 @@
 
 
 def stop_incomplete_gangs(cell: Cell, now: float, wall: float) -> list[StepRun]:
-    """Stop the gangs that did not come together in time; return them."""
+    """Stop and return the gangs whose members have not all started in time."""
     incomplete = [*_partly_placed_gangs(cell, wall), *_unstarted_gangs(cell, now)]
     for step in incomplete:
         cell.stop_members(step)
@@ -40,7 +40,7 @@
 
 
 def _partly_placed_gangs(cell: Cell, wall: float) -> Iterable[StepRun]:
-    """Return gangs of which some members run and others do not."""
+    """Return gangs of which only some members are placed."""
     for job in cell.live_by_id.values():
         if job.over or not job.began or cell.is_blocked(job):
             continue
@@ -50,7 +50,7 @@
 
 
 def _unstarted_gangs(cell: Cell, now: float) -> Iterable[StepRun]:
-    """Return gangs with a start that stayed unanswered for too long."""
+    """Return gangs with a start that the runner has not confirmed for too long."""
     limit = now - cell.gang_timeout * GANG_TIMEOUT_SHARE
     for runner in cell.runner_by_id.values():
         for allocation in _allocations_in_phase(runner, Holding.STARTING):
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -1,8 +1,8 @@
-"""How many tasks of a step its account's quota lets start, plan by plan. No I/O.
+"""Limits in each plan how many tasks of a step may start under its account's quota. No I/O.
 
 Load pattern: an account has single tasks and a gang waiting, and its quota is used up. Each
-task that ends lets a single one start; the gang needs the room of many at once and would
-wait for as long as there are single ones.
+task that ends lets a single task start; the gang needs the quota of many tasks at once and would
+starve for as long as single tasks wait.
 """
 
 from collections.abc import Iterable
@@ -15,31 +15,31 @@
 from dandelionreel.cell.decisions._waiting import Candidate
 from dandelionreel.cell.model import Demand, StepName
 
-#: Seconds for which a gang waits for its account's quota before nothing else of that account
-#: starts, however urgent.
+#: Seconds for which a gang waits for its account's quota before all other tasks of that account,
+#: however urgent, wait for it.
 MAX_QUOTA_WAIT_SECONDS = 20.0
-#: Seconds for which quota is kept for a gang that finds no seats; it may never find any.
+#: Seconds for which quota is kept for a gang that finds no slots; it may never find any.
 MAX_CLAIM_SECONDS = 5.0
-#: What keeps a job from starting, in words for the log.
+#: The reason for a blocked job in the log; readers of the log match it.
 HELD_BY_QUOTA = "its account's quota"
 
 
 @dataclass
 class _GangWait:
-    """How long a gang has waited for quota, and for seats once it had the quota."""
+    """Since when a gang has waited for quota, and for slots once it had the quota."""
 
     max_wait: float = MAX_QUOTA_WAIT_SECONDS
     blocked_since: float | None = None
     granted_since: float | None = None
 
     def note_blocked(self, now: float) -> None:
-        """Note that there is no quota for the gang."""
+        """Note that the quota does not suffice for the gang."""
         self.granted_since = None
         if self.blocked_since is None:
             self.blocked_since = now
 
     def note_granted(self, now: float) -> None:
-        """Note that there is; who does not use it for long has to wait longer next time."""
+        """Note that the quota suffices; a gang that leaves it unused waits longer next time."""
         if self.granted_since is None:
             self.granted_since = now
         if self.blocked_since is not None and not self.may_claim(now):
@@ -51,27 +51,27 @@
         return self.granted_since is None or now - self.granted_since < MAX_CLAIM_SECONDS
 
     def is_starved(self, now: float) -> bool:
-        """Return whether all else of its account has to wait."""
+        """Return whether the other tasks of the account have to wait for the gang."""
         return self.blocked_since is not None and now - self.blocked_since >= self.max_wait
 
 
 class QuotaGate:
-    """Holds steps back whose account has no quota left for them."""
+    """Blocks the steps whose account has no quota left for them."""
 
     def __init__(self, cell: Cell) -> None:
-        """Decide by the quotas of that cell."""
+        """Apply the quotas of ``cell``."""
         self._cell = cell
         self._now = 0.0
         self._wait_by_gang: dict[StepName, _GangWait] = {}
-        #: The gang for which all else of an account waits.
+        #: The gang for which all other tasks of an account wait.
         self._starved_gang_by_account: dict[str, StepName] = {}
-        #: What gangs of an account need that have not started in this plan.
+        #: Demand of an account's gangs that have not started in this plan.
         self._claimed_by_account: dict[str, Demand] = {}
-        #: Jobs that are held back since this plan.
+        #: Jobs that this plan has begun to block.
         self.newly_blocked: list[JobRun] = []
 
     def begin(self, candidates: Iterable[Candidate], now: float, wall: float) -> None:
-        """Begin a plan over these candidates."""
+        """Begin a plan; gangs that are no longer candidates are forgotten."""
         self._now = now
         self._cell.quotas.refresh(now, wall)
         self._claimed_by_account.clear()
@@ -84,7 +84,7 @@
         self._starved_gang_by_account = self._find_starved_gangs()
 
     def count_allowed(self, candidate: Candidate) -> int:
-        """Return how many waiting tasks may start; of a gang all or none."""
+        """Return how many waiting tasks of a step may start; all or none for a gang."""
         job, step = candidate.job, candidate.step
         quota = self._cell.quota_of(job)
         if quota is None:
@@ -98,7 +98,7 @@
         return count
 
     def claim(self, candidate: Candidate) -> None:
-        """Keep the quota of a gang that waits from what is less urgent."""
+        """Keep quota for a waiting gang, so that later candidates cannot use it."""
         job, step = candidate.job, candidate.step
         wait = self._wait_by_gang.get(step.name)
         if wait is None or not wait.may_claim(self._now):
@@ -113,14 +113,14 @@
         if not self._may_use_quota(job, step.name):
             return 0
         claimed = self._claimed_by_account.get(job.account, Demand())
-        room = quota - self._cell.quotas.used(job.account) - claimed
-        return count_fitting(counted_demand(step), room, step.waiting)
+        available = quota - self._cell.quotas.used(job.account) - claimed
+        return count_fitting(counted_demand(step), available, step.waiting)
 
     def _count_gang(self, candidate: Candidate, quota: Demand, count: int) -> int:
-        """Return how many members of a gang may start, and note how long it has waited."""
+        """Return how many members of a gang may start, and note since when it waits."""
         step = candidate.step
         if not step.step.smallest_start.fits(quota):
-            # It can never start by itself, so nothing else waits for it.
+            # The gang exceeds the whole quota and can never start: nothing else waits for it.
             self._wait_by_gang.pop(step.name, None)
             return 0
         wait = self._wait_by_gang.setdefault(step.name, _GangWait())
@@ -131,11 +131,11 @@
         return count
 
     def _may_use_quota(self, job: JobRun, name: StepName) -> bool:
-        """Return whether no gang of the account waits for so long that all else has to."""
+        """Return whether a step may use quota: no other gang of the account is starved."""
         return self._starved_gang_by_account.get(job.account, name) == name
 
     def _find_starved_gangs(self) -> dict[str, StepName]:
-        """Return the gang of each account that has been held back for too long."""
+        """Return the starved gang of each account that has been blocked for the longest time."""
         gang_by_account: dict[str, StepName] = {}
         for name, wait in sorted(self._wait_by_gang.items(), key=_blocked_since):
             job = self._cell.job_by_id.get(name.job)
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -1,33 +1,36 @@
-"""How much of its quota each client account may still start. No I/O.
+"""Tracks how much of its quota each client account uses. No I/O.
 
-Load pattern: an account sends many times its usual while owners change, orders time out and
-its quota is changed. Counted is whatever may be running: runs, orders that may have been
-carried out, what is being stopped, and what former owners may have started on runners that
-have not been seen yet.
+Load pattern: an account submits many times its usual load while owners change, orders time out and
+its quota is changed. Everything that may be running is counted: confirmed runs, starts that may
+have been carried out, runs that are being stopped, and whatever former owners may have started on
+runners that this owner has not seen yet.
 """
 
 from dandelionreel.cell.decisions._allocation_table import AllocationTable
 from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.model import Demand, Leftover, Progress
 
-#: Seconds after the end of a job for which runs of it may be left anywhere: longer than the
-#: leases of any owner, with clocks that differ.
+#: Seconds after the end of a job for which some of its runs may still be running: longer than the
+#: leases of any owner, with allowance for clock differences.
 LEFTOVER_SECONDS = 30.0
-#: Seconds for which the count of what may run unseen stands.
+#: Seconds between recounts of what may run on unseen runners.
 UNSEEN_REFRESH_SECONDS = 0.05
 
-#: Stands for what a runner has of which nothing is known.
+#: Assumed for each resource of an unseen runner as long as no runner is known.
 UNKNOWN_CAPACITY = 2_147_483_648
 
-#: A job and a runner.
+#: Job id and runner id.
 _JobOnRunner = tuple[str, str]
 
 
 class QuotaLedger:
-    """What each account has in use, for one owner."""
+    """The quota usage of each account, as one owner counts it."""
 
     def __init__(self, allocations: AllocationTable, unseen: set[str]) -> None:
-        """Count ``holdings``, and what may run on runners of ``unseen``; others keep both."""
+        """Count ``allocations``, and what may run on the runners of ``unseen``.
+
+        The caller updates both.
+        """
         self._allocations = allocations
         self._unseen = unseen
         self._leftover_by_job_and_runner: dict[_JobOnRunner, tuple[str, Demand]] = {}
@@ -35,7 +38,7 @@
         self._refreshed_at = float('-inf')
 
     def expect_leftovers(self, job: str, progress: Progress, wall: float) -> None:
-        """Take what a former owner has stored of a job that is over."""
+        """Count what a job that is over may have left running, as a former owner stored it."""
         if wall - progress.ended_at > LEFTOVER_SECONDS:
             return
         for leftover in progress.leftovers:
@@ -45,7 +48,7 @@
             )
 
     def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
-        """Return what runs of a job may still take, by runner."""
+        """Return the demand of the runs that a job still has, or may have, by runner."""
         demand_by_runner: dict[str, Demand] = {}
         for held in self._allocations.allocations_of_job(job.id):
             before = demand_by_runner.get(held.runner, Demand())
@@ -56,7 +59,7 @@
         return tuple(Leftover(*entry) for entry in sorted(demand_by_runner.items()))
 
     def keep_leftovers(self, job: JobRun, wall: float) -> None:
-        """Go on counting what a job that is over may have left on runners not seen yet."""
+        """Keep counting what a job that is over may have left on unseen runners."""
         if not self._unseen:
             return
         for leftover in self.leftovers_of(job, wall):
@@ -67,18 +70,18 @@
                 )
 
     def used(self, account: str) -> Demand:
-        """Return what runs, or may run, of an account."""
+        """Return the demand of all that runs, or may run, for an account."""
         return self._allocations.usage.of(account) + self._unseen_by_account.get(account, Demand())
 
-    def room(self, account: str, quota: Demand | None) -> Demand | None:
-        """Return how much more an account may start, ``None`` for any amount.
+    def remaining(self, account: str, quota: Demand | None) -> Demand | None:
+        """Return how much more an account may start, ``None`` for no limit.
 
-        It is less than nothing after a quota has been lowered: nothing is stopped for that.
+        Negative after the quota was lowered below the usage, as no run is stopped for that.
         """
         return None if quota is None else quota - self.used(account)
 
     def refresh(self, now: float, wall: float) -> None:
-        """Count anew what may run unseen, if that is due."""
+        """Recount what may run on unseen runners, if that is due."""
         if now < self._refreshed_at + UNSEEN_REFRESH_SECONDS:
             return
         self._refreshed_at = now
@@ -92,7 +95,7 @@
                 self._leftover_by_job_and_runner.pop(key)
 
     def _count_unseen(self, wall: float) -> None:
-        """Count what jobs may run unseen: what is left of them, as far as runners hold it."""
+        """Count the remaining demand of jobs that may run unseen, capped by runner capacity."""
         runners_by_account: dict[str, set[str]] = {}
         for job in self._allocations.live_by_id.values():
             runners = self._unseen_runners(job)
@@ -106,11 +109,11 @@
             self._unseen_by_account[account] = counted.at_most(self._capacity(runners))
 
     def _unseen_runners(self, job: JobRun) -> set[str]:
-        """Return the runners not seen yet on which a job may run."""
+        """Return the unseen runners on which a job may have runs."""
         return self._unseen if ANY_RUNNER in job.runners else self._unseen & job.runners
 
     def _capacity(self, runners: set[str]) -> Demand:
-        """Return what runners hold together; one that was never listed holds the most."""
+        """Return the total capacity of runners; an unknown one counts as the largest known."""
         total = Demand()
         for runner in runners:
             state = self._allocations.runner_by_id.get(runner)
@@ -132,7 +135,7 @@
         self._unseen_by_account[account] = counted + demand
 
     def _may_still_run(self, job: str, runner: str) -> bool:
-        """Return whether runs of a job that is over may still be on a runner."""
+        """Return whether a runner may still have runs of a job that is over."""
         if runner in self._unseen:
             return True
         state = self._allocations.runner_by_id.get(runner)
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -1,8 +1,8 @@
-"""Room kept free for gangs that do not fit yet. No I/O.
+"""Reserves runners for gangs that do not fit yet. No I/O.
 
-Load pattern: a wide gang needs many large seats at once, while single tasks take every seat the
-moment it is free. Each waiting gang, in order of urgency, gets the runners on which its seats come
-free first; until then only what ends before that time may start there (backfilling).
+Load pattern: a wide gang needs many large slots at once, while single tasks use every slot as soon
+as it is free. Each waiting gang, in order of urgency, reserves the runners on which its slots come
+free first; until then only tasks that end before that time may start there (backfilling).
 """
 
 import heapq
@@ -15,19 +15,19 @@
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import Demand, StepName
 
-#: Gangs that reserve at the same time: so many, and one for so many runners. More would idle
-#: runners that the first ones do not need yet.
+#: Number of gangs that may hold a reservation at the same time: one for every 15 runners, and at
+#: least 4. More would leave runners idle that the most urgent gangs do not need yet.
 MIN_RESERVING_GANGS = 4
 RUNNERS_PER_RESERVING_GANG = 15
-#: A task may backfill when it ends before the reservation even if it takes this
-#: many times as long as expected.
+#: A task may backfill if it would end before the reservation starts even when it takes this many
+#: times its estimate.
 BACKFILL_MARGIN = 1.25
-#: More tasks than any step has.
+#: More tasks than any step has: stands for "no limit".
 UNLIMITED = sys.maxsize
 
 
 class Rank(NamedTuple):
-    """A step's place in the order of what waits, by the first field that differs."""
+    """Sort key of a waiting step; lower ranks are placed first."""
 
     expired: bool
     beyond_rate: bool
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class FreedCapacity:
-    """What a runner's runs will have freed together at a time (monotonic seconds)."""
+    """Capacity that a runner's runs will have freed in total by ``at`` (monotonic seconds)."""
 
     at: float
     cpu: int
@@ -50,10 +50,7 @@
 
 @dataclass(frozen=True)
 class Reservation:
-    """Runners kept for a step until about ``at`` (monotonic seconds).
-
-    ``rank`` is the step's place in the order of what waits; lower ones go first.
-    """
+    """Runners reserved for a gang, which should start at about ``at`` (monotonic seconds)."""
 
     step: StepRun
     at: float
@@ -62,10 +59,10 @@
 
 
 class Reservations:
-    """The reservations of one plan."""
+    """The current reservations; they are kept for several plans."""
 
     def __init__(self, runners: int = 0) -> None:
-        """Start with none, on that many runners."""
+        """Start with no reservation, for a cell with that many usable runners."""
         self._by_runner: dict[str, Reservation] = {}
         self._count = 0
         self._max_count = max(MIN_RESERVING_GANGS, runners // RUNNERS_PER_RESERVING_GANG)
@@ -73,13 +70,14 @@
 
     @property
     def full(self) -> bool:
-        """Return whether no further gang may reserve."""
+        """Return whether no further gang may reserve runners."""
         return self._count >= self._max_count
 
     def may_start(self, runner: str, rank: Rank, until: float) -> bool:
-        """Return whether a task that ends at ``until`` leaves a reservation alone.
+        """Return whether a task that ends at ``until`` may start despite a reservation.
 
-        Only what is less urgent than the gang has to, as a reservation stands for several plans.
+        Steps that rank before the gang may always start: they can arrive after the reservation
+        was made, as it is kept for several plans.
         """
         held = self._by_runner.get(runner)
         return held is None or rank <= held.rank or until <= held.at
@@ -95,21 +93,21 @@
         runners: list[RunnerState],
         now: float,
     ) -> Reservation | None:
-        """Return the unreserved runners on which the gang fits first.
+        """Return a reservation of the runners on which the gang fits earliest.
 
-        Returns ``None`` when it would not fit even if all of them were empty.
+        Returns ``None`` if it would not fit even with all of them empty.
         """
         return find_earliest_slots(step, rank, runners, now, self._freed_by_runner)
 
     def remove_step(self, step: StepRun) -> None:
-        """Give the runners of a step free that has started."""
+        """Release the runners reserved for a step that has started."""
         runners = [runner for runner, held in self._by_runner.items() if held.step is step]
         self._count -= bool(runners)
         for runner in runners:
             self._by_runner.pop(runner)
 
     def add(self, reservation: Reservation) -> None:
-        """Keep the runners of a reservation for its gang."""
+        """Reserve the runners of a reservation for its gang."""
         self._count += 1
         for runner in reservation.runners:
             self._by_runner[runner] = reservation
@@ -122,9 +120,10 @@
     now: float,
     freed_by_runner: dict[str, list[FreedCapacity]],
 ) -> Reservation | None:
-    """Return when and where all members of a gang fit, by what is expected to end.
+    """Return when and where all members of a gang fit, by the expected ends of other runs.
 
-    ``freed_by_runner`` is filled in: the ends on a runner are the same for all gangs.
+    ``freed_by_runner`` is a cache that is filled in here: the expected ends on a runner are the
+    same for all gangs.
     """
     demand = counted_demand(step)
     limit = step.step.max_per_runner
@@ -143,7 +142,7 @@
     rank: Rank,
     slot_gains: list[tuple[float, str, int]],
 ) -> Reservation | None:
-    """Return the runners whose seats come free first, by time, runner and number."""
+    """Return the runners whose slots come free first; ties go by runner id and count."""
     needed = len(step.tasks)
     chosen: set[str] = set()
     slots = 0
@@ -180,18 +179,18 @@
     limit: int,
     now: float,
 ) -> list[tuple[float, int]]:
-    """Return when a runner gains seats, and how many each time."""
+    """Return the times at which slots on a runner come free, and how many each time."""
     slot_gains = []
-    room = runner.room
-    slots = count_slots(demand, room, limit)
+    free = runner.room
+    slots = count_slots(demand, free, limit)
     if slots:
         slot_gains.append((now, slots))
     for capacity in freed:
         gained = _count(
             demand,
-            room.cpu + capacity.cpu,
-            room.memory_mb + capacity.memory_mb,
-            room.gpu + capacity.gpu,
+            free.cpu + capacity.cpu,
+            free.memory_mb + capacity.memory_mb,
+            free.gpu + capacity.gpu,
             limit,
         )
         if gained > slots:
@@ -204,13 +203,13 @@
     return entry[0]
 
 
-def count_slots(demand: Demand, room: Demand, limit: int = 0) -> int:
-    """Return how many tasks of that demand fit into a room; 0 is no ``limit``."""
-    return _count(demand, room.cpu, room.memory_mb, room.gpu, limit)
+def count_slots(demand: Demand, free: Demand, limit: int = 0) -> int:
+    """Return how many tasks of a demand fit into ``free``; a ``limit`` of 0 is none."""
+    return _count(demand, free.cpu, free.memory_mb, free.gpu, limit)
 
 
 def _count(demand: Demand, cpu: int, memory_mb: int, gpu: int, limit: int) -> int:
-    """Return how many tasks fit; without a ``Demand`` made for each room it is asked for."""
+    """Return how many tasks fit; takes plain numbers, as building a ``Demand`` is slow here."""
     slots = UNLIMITED
     if demand.cpu:
         slots = cpu // demand.cpu
--- a/dandelionreel/cell/decisions/_runner_choice.py
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -1,8 +1,8 @@
-"""Chooses the runners that tasks are placed on. No I/O.
+"""Chooses the runners on which tasks are placed. No I/O.
 
-Load pattern: an availability zone is cut off for some seconds, and a job with a task in there waits
-for it. A job's tasks stay in the zone of its client as long as that costs no seat, so that fewer
-jobs have one there.
+Load pattern: an availability zone is cut off for some seconds, and every job with a task there has
+to wait. A job's tasks are placed in the zone of its client as long as no slot elsewhere stays
+unused for that, so that fewer jobs depend on any one zone.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskRun, counted_demand
 from dandelionreel.cell.model import Demand
 
-#: A runner that may take a task, with the ticket that the start carries.
+#: A runner that may run a task, with the ticket for the start (empty if none is needed).
 TicketedRunner = tuple[RunnerState, str]
 
 
@@ -29,10 +29,9 @@
     ticketed: list[TicketedRunner],
     zone: str = '',
 ) -> TicketedRunner | None:
-    """Return the runner that is left with the least room, of those that fit.
+    """Return the best runner for a task: best fit, with runners in ``zone`` preferred.
 
-    Those of ``zone`` come first. One that is quarantined goes where the least is lost
-    with it.
+    A quarantined task goes to the runner with the least CPU in use, as it may crash its runner.
     """
     best = None
     best_preference = None
@@ -56,7 +55,7 @@
 
 
 def _remaining_share(demand: Demand, runner: RunnerState) -> float:
-    """Return the share of a runner that stays free, processors and memory together."""
+    """Return the free share of a runner with the task placed, CPU plus memory."""
     capacity = runner.registration.capacity
     room = runner.room
     return (room.cpu - demand.cpu) / max(1, capacity.cpu) + (
@@ -67,9 +66,10 @@
 def group_by_location(
     step: StepRun, available: list[TicketedRunner], zone: str = ''
 ) -> Iterable[list[TicketedRunner]]:
-    """Return the sets of runners to try for a gang: single racks first where asked.
+    """Return the sets of runners to try for a gang, one after the other.
 
-    Then single zones, that ``zone`` first: a gang is as good as its member behind a cut.
+    Single racks come first if the step asks for one rack, then single zones with ``zone`` before
+    the others, as one member behind a partition blocks the whole gang; then all runners.
     """
     if step.step.same_rack:
         by_rack: dict[str, list[TicketedRunner]] = {}
@@ -85,14 +85,14 @@
 
 
 def assign_gang(step: StepRun, available: list[TicketedRunner]) -> list[TicketedRunner] | None:
-    """Return a runner for each member, or ``None`` when not all fit at once."""
+    """Return a runner for each member, or ``None`` if they do not all fit now."""
     demand = counted_demand(step)
     limit = step.step.max_per_runner
     quarantined = any(task.quarantined for task in step.tasks)
     assigned: list[TicketedRunner] = []
     needed = len(step.tasks)
-    # Fullest runners first: what stays free stays together.
-    fullest_first = sorted(available, key=lambda seat: _remaining_share(demand, seat[0]))
+    # Best fit: free capacity stays concentrated on few runners.
+    fullest_first = sorted(available, key=lambda entry: _remaining_share(demand, entry[0]))
     for runner, ticket in fullest_first:
         if not runner.takes(quarantined=quarantined):
             continue
--- a/dandelionreel/cell/decisions/_tickets.py
+++ b/dandelionreel/cell/decisions/_tickets.py
@@ -1,7 +1,7 @@
-"""Which runners may run which step, as the policy service has said. No I/O.
+"""Caches which runners the policy service allows for a step, and the tickets for them. No I/O.
 
-The answer for a step never changes, its tickets expire. So the first question
-names all runners that serve, and a later one only those known to be allowed.
+The answer for a step never changes, but its tickets expire. After the first requests, renewals
+therefore name only runners that are known to be allowed.
 """
 
 from collections.abc import Iterable
@@ -9,35 +9,36 @@
 
 from dandelionreel.cell.model import Permit, StepName
 
-#: Seconds taken off a ticket's life: the start must arrive before it ends.
+#: Seconds by which a ticket is treated as expired early: the start must arrive at the runner before
+#: the ticket expires.
 TICKET_MARGIN = 0.15
 
 
 @dataclass
 class StepTickets:
-    """What is known for one step."""
+    """The answers of the policy service for one step."""
 
     asked: set[str] = field(default_factory=set)
     allowed: set[str] = field(default_factory=set)
     ticket_by_runner: dict[str, str] = field(default_factory=dict)
     expires_at_by_runner: dict[str, float] = field(default_factory=dict)
-    #: Questions that have not been answered yet.
+    #: Number of requests without an answer so far.
     pending: int = 0
-    #: How many questions have been answered, or have failed.
+    #: Number of requests that were answered or failed.
     answers: int = 0
     not_before: float = 0.0
 
     @property
     def is_pending(self) -> bool:
-        """Return whether an answer is on its way."""
+        """Return whether a request is in progress."""
         return self.pending > 0
 
     def may_ask(self, now: float) -> bool:
-        """Return whether a question may be put now: none is under way, none failed just now."""
+        """Return whether a request may be sent: none is pending and none failed recently."""
         return not self.is_pending and now >= self.not_before
 
     def valid(self, now: float) -> dict[str, str]:
-        """Return tickets by runner that a start may carry now."""
+        """Return the tickets that are valid at ``now``, by runner."""
         return {
             runner: ticket
             for runner, ticket in self.ticket_by_runner.items()
@@ -46,14 +47,14 @@
 
 
 class TicketCache:
-    """Tickets by step."""
+    """The cached answers and tickets of all steps."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with an empty cache."""
         self._tickets_by_step: dict[StepName, StepTickets] = {}
 
     def of(self, step: StepName) -> StepTickets:
-        """Return what is known for a step."""
+        """Return the entry of a step; it is created if missing."""
         tickets = self._tickets_by_step.get(step)
         if tickets is None:
             tickets = StepTickets()
@@ -61,7 +62,7 @@
         return tickets
 
     def is_valid(self, step: StepName, runner: str, now: float) -> bool:
-        """Return whether a start of a step on a runner may carry its ticket now."""
+        """Return whether the ticket for a step on a runner is valid at ``now``."""
         return self.of(step).expires_at_by_runner.get(runner, 0.0) > now
 
     def note_answer(
@@ -71,7 +72,7 @@
         permits: Iterable[Permit],
         expires_at: float,
     ) -> None:
-        """Keep an answer; its tickets are good until then (monotonic seconds)."""
+        """Store an answer whose tickets expire at ``expires_at`` (monotonic seconds)."""
         tickets = self.of(step)
         tickets.pending = max(0, tickets.pending - 1)
         tickets.answers += 1
@@ -82,18 +83,18 @@
             tickets.expires_at_by_runner[permit.runner] = expires_at - TICKET_MARGIN
 
     def note_failure(self, step: StepName, not_before: float) -> None:
-        """Ask again for the step, but not before then."""
+        """Note that a request failed; the next one is sent at ``not_before`` at the earliest."""
         tickets = self.of(step)
         tickets.pending = max(0, tickets.pending - 1)
         tickets.answers += 1
         tickets.not_before = not_before
 
     def revoke(self, step: StepName, runner: str) -> None:
-        """Forget a ticket that the runner did not take."""
+        """Invalidate a ticket that the runner refused."""
         self.of(step).expires_at_by_runner[runner] = 0.0
 
     def drop_job(self, job: str) -> None:
-        """Forget all steps of a job."""
+        """Remove all steps of a job."""
         steps = [name for name in self._tickets_by_step if name.job == job]
         for step in steps:
             self._tickets_by_step.pop(step)
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -1,4 +1,4 @@
-"""Which waiting step comes first. No I/O."""
+"""Ranks the waiting steps of a cell. No I/O."""
 
 import abc
 from collections.abc import Callable
@@ -10,29 +10,30 @@
 from dandelionreel.cell.decisions._step_runs import StepRun
 from dandelionreel.cell.model import Queue
 
-#: A job that is later than this many objectives earns nothing any more.
+#: A job that ends later than this many times its objective is of no use to its client.
 MAX_USEFUL_LATENESS = 3.0
-#: How late such a job counts as: 0 is in time, 1 late but still of use.
+#: Lateness of such a job; 0 is in time, 1 late but still useful.
 TOO_LATE = 2
-#: Seconds after which a job no longer waits behind others: no load of theirs starves it.
+#: Seconds after which a job is no longer ranked behind others for being too late or beyond its
+#: account's rate, so that load of other accounts cannot starve it.
 MAX_DEFERRAL_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """A step whose turn has come, with its place among all that waits."""
+    """A step that is ready to start, with its rank."""
 
     job: JobRun
     step: StepRun
     queue: Queue | None
-    #: As ``USELESS`` says.
+    #: 0 in time, 1 late but still useful, ``TOO_LATE``.
     lateness: int
     rank: Rank
 
 
 @dataclass(frozen=True)
 class RankInputs:
-    """What a step's place in the order is worked out from; times in monotonic seconds."""
+    """Inputs of a step's rank; times are monotonic seconds."""
 
     job: JobRun
     step: StepRun
@@ -43,21 +44,21 @@
 
 
 class WaitingOrder(abc.ABC):
-    """Orders what waits; the lowest rank goes first."""
+    """An ordering of the waiting steps; the lowest rank is placed first."""
 
     @abc.abstractmethod
     def rank(self, inputs: RankInputs) -> Rank:
-        """Return the place of a step."""
+        """Return the rank of a step."""
 
 
 class WithinRateFirst(WaitingOrder):
-    """What accounts may expect goes first, then priority, then the earliest objective.
+    """Jobs within their account's rate first, then by priority, then earliest deadline first.
 
-    Jobs that are too late for any use go behind all others.
+    Jobs that are too late to be of use are ranked behind all others.
     """
 
     def rank(self, inputs: RankInputs) -> Rank:
-        """Return the place of a step."""
+        """Return the rank of a step."""
         job = inputs.job
         may_defer = inputs.now - job.accepted < MAX_DEFERRAL_SECONDS
         return Rank(
@@ -77,7 +78,7 @@
     now: float,
     wall: float,
 ) -> list[Candidate]:
-    """Return the steps whose turn has come, the most urgent first."""
+    """Return the steps that are ready to start, the most urgent first."""
     candidates = []
     cell.drop_over(wall)
     for job in cell.live_by_id.values():
@@ -101,7 +102,7 @@
 
 
 def _lateness(end: float, accepted: float, objective: float) -> int:
-    """Return 0 for in time, 1 for late but still of use, 2 for neither."""
+    """Return 0 for in time, 1 for late but still useful, ``TOO_LATE`` for neither."""
     if end <= accepted + objective:
         return 0
     if end <= accepted + MAX_USEFUL_LATENESS * objective:
