--- a/features/cell.feature
+++ b/features/cell.feature
@@ -1,4 +1,4 @@
-Feature: The owner's knowledge of jobs and runners
+Feature: Job and runner state of an owner, and its plans
 
   # Guards against new work that waits for a runner which is gone.
   Scenario: New work after a take-over does not wait for a runner that is gone
@@ -6,27 +6,27 @@
     When a job is handed in
     Then it starts at once
 
-  # Guards against starting a task elsewhere that a former owner's runner still runs.
-  Scenario Outline: A job whose tasks may run unseen is left alone
+  # Guards against a second start of a task that a runner of a former owner still runs.
+  Scenario Outline: A job is blocked while its tasks may run on an unseen runner
     Given a successor that cannot see the runner w3
-    When it takes a job that the store names with <runner>
+    When it reads a job from the store that may run on <runner>
     Then it <outcome>
 
     Examples:
-      | runner | outcome            |
-      | w3     | is left alone      |
-      | w2     | starts at once     |
+      | runner | outcome        |
+      | w3     | stays blocked  |
+      | w2     | starts at once |
 
   Scenario: The job goes on once the runner has listed what it holds
     Given a successor that cannot see the runner w3
-    When it takes a job that the store names with w3
+    When it reads a job from the store that may run on w3
     And w3 answers and does not hold the task
     Then it starts at once
 
-  # Guards against starting a cancelled job again whose submission lands once more.
-  Scenario Outline: A job that is over, whose submission lands once more
+  # Guards against starting a cancelled job again when its submission arrives a second time.
+  Scenario Outline: The submission of an ended job arrives a second time
     Given a cell with the runners w1
-    When it takes a job that the store names as <state>
+    When it reads a job from the store that is <state>
     Then nothing starts
 
     Examples:
@@ -35,7 +35,7 @@
       | completed |
       | failed    |
 
-  # Guards against giving away the room of a task that is still being stopped.
+  # Guards against reusing the capacity of a task that is still being stopped.
   Scenario: A task that is being stopped counts until its end is listed
     Given a cell with the runners w1
     And a running job that fills w1
@@ -45,19 +45,19 @@
     Then the other job starts
 
   # Guards against starting a task elsewhere while its first start may still arrive.
-  Scenario: A start without an answer counts until a stop has been taken
+  Scenario: An unanswered start counts until its stop has been acknowledged
     Given a cell with the runners w1, w2
-    And a job whose start was not answered and is taken back
-    When the runner is looked at before it has taken the stop
-    Then the task waits for nobody else to run it
-    When the runner takes the stop and is looked at again
+    And a job whose unanswered start is stopped
+    When the runner is polled before it has acknowledged the stop
+    Then the task does not start elsewhere
+    When the runner acknowledges the stop and is polled again
     Then the task starts with a higher run number
 
-  # Guards against taking a run for gone by a poll that was listed before its start took effect.
-  Scenario Outline: A look that does not list a run
+  # Guards against treating a run as lost because of a poll from before its start took effect.
+  Scenario Outline: A poll that does not list a run
     Given a cell with the runners w1
     And a running job that fills w1
-    When a look that was sent <when> the start was answered does not list it
+    When a poll that was sent <when> the start was answered does not list it
     Then the run <fate>
 
     Examples:
@@ -65,7 +65,7 @@
       | before | is still held |
       | after  | is lost       |
 
-  # Guards against counting a failure twice that two owners read.
+  # Guards against counting a failure twice when two owners read it.
   Scenario: A failed end that is listed to two owners counts once
     Given a cell with the runners w1
     And a running job that fills w1
@@ -84,8 +84,8 @@
     When the first runner lists the end of the first run as done
     Then the second run is stopped and the job is complete
 
-  # Guards against one task of a step more on a runner than may run together.
-  Scenario: A run that is being stopped counts for the limit of a runner
+  # Guards against exceeding the limit of tasks of a step on one runner.
+  Scenario: A run that is being stopped counts against the limit per runner
     Given a cell with the runners w1, w2
     And a job of 2 tasks, one on each runner at most, whose first task runs again on w2
     When w1 lists the end of the first run as done, and the other task is free to start
@@ -94,27 +94,27 @@
   # Guards against gang members that wait for each other while one start stays unanswered.
   Scenario: A gang of which one start stays unanswered
     Given a cell with the runners w1, w2
-    And a gang of 4 tasks of 12000 with one start unanswered
-    When the gang's share of the timeout has passed
+    And a gang of 4 tasks of 12000 millicores with one start unanswered
+    When the time in which the gang must have started has passed
     Then its other members are stopped
 
-  # Guards against gang members that are left alone when one start is taken back.
-  Scenario: A gang of which one start is taken back
+  # Guards against gang members that keep waiting for a member whose start was withdrawn.
+  Scenario: A gang of which one start is withdrawn
     Given a cell with the runners w1, w2
-    And a gang of 4 tasks of 12000 with one start unanswered
-    When that start is taken back as nobody knows whether it arrived
+    And a gang of 4 tasks of 12000 millicores with one start unanswered
+    When that start is withdrawn as it may or may not have arrived
     Then its other members are stopped
 
   Scenario: A gang that does not fit at once
     Given a cell with the runners w1, w2
-    When a gang of 5 tasks of 12000 is handed in
+    When a gang of 5 tasks of 12000 millicores is handed in
     Then nothing starts
 
-  # Guards against gangs that starve while small tasks take each seat.
-  Scenario Outline: Batch tasks while a gang waits for room
+  # Guards against gangs that starve while small tasks use every slot.
+  Scenario Outline: Batch tasks that backfill while a gang waits for capacity
     Given a cell with the runners w1, w2
     And urgent tasks that fill w1 for 2 s and half of w2 for 2 s
-    When a gang of 2 tasks of 20000 and a batch task of <seconds> s are handed in
+    When a gang of 2 tasks of 20000 millicores and a batch task of <seconds> s are handed in
     Then the batch task <outcome>
 
     Examples:
@@ -122,11 +122,11 @@
       | 1       | starts  |
       | 5       | waits   |
 
-  # Guards against gangs that come late behind tasks that could go on elsewhere.
-  Scenario Outline: Tasks that make room for a gang
+  # Guards against gangs that miss their objective behind tasks that could resume elsewhere.
+  Scenario Outline: Preemption of tasks for a gang
     Given a cell with the runners w1, w2
     And <tasks> that fill w1 and w2 for <seconds> s
-    When a gang of 2 tasks of 20000 comes after them
+    When a gang of 2 tasks of 20000 millicores is handed in after them
     Then <count> of them are stopped
 
     Examples:
@@ -136,11 +136,11 @@
       | batch tasks                   | 4       | 0     |
       | urgent tasks with checkpoints | 4       | 0     |
 
-  # A batch job of 4 s has 19 s. Stopped late, it would come after its objective.
-  Scenario Outline: Tasks of a job that would come late are not stopped
+  # A batch job of 4 s has an objective of 19 s, which it would miss if preempted late.
+  Scenario Outline: Tasks of a job that would miss its objective are not preempted
     Given a cell with the runners w1, w2
-    And a job handed in <age> s ago, of batch tasks with checkpoints, in all of w1 and w2 for 4 s
-    When a gang of 2 tasks of 20000 comes after them
+    And a job handed in <age> s ago, whose batch tasks with checkpoints fill w1 and w2 for 4 s
+    When a gang of 2 tasks of 20000 millicores is handed in after them
     Then <count> of them are stopped
 
     Examples:
@@ -148,10 +148,10 @@
       | 10  | 6     |
       | 13  | 0     |
 
-  Scenario: The gang starts once they have ended, and they go on later
+  Scenario: The gang starts once the preempted tasks have ended, and they resume later
     Given a cell with the runners w1, w2
     And batch tasks with checkpoints that fill w1 and w2 for 4 s
-    When a gang of 2 tasks of 20000 comes after them
+    When a gang of 2 tasks of 20000 millicores is handed in after them
     And the stopped tasks are listed with their checkpoints
     Then the gang starts
     And each stopped task waits with its checkpoint
@@ -159,16 +159,16 @@
   Scenario: Nothing is stopped before the gang has its tickets
     Given a cell of 2 runners whose queue asks for advice
     And plain tasks with checkpoints that fill both
-    When a gang of 2 tasks of 20000 comes after them
-    And it is allowed on both runners by tickets that have expired
+    When a gang of 2 tasks of 20000 millicores is handed in after them
+    And it is allowed on both runners, with tickets that have expired
     Then nothing is stopped, and new tickets are asked for
-    When the tickets are there
+    When the tickets arrive
     Then 6 of them are stopped
 
-  Scenario: The gang starts when its seats are free
+  Scenario: The gang starts when its slots are free
     Given a cell with the runners w1, w2
     And urgent tasks that fill w1 for 2 s and half of w2 for 2 s
-    When a gang of 2 tasks of 20000 and a batch task of 5 s are handed in
+    When a gang of 2 tasks of 20000 millicores and a batch task of 5 s are handed in
     And the urgent tasks are done
     Then the gang starts
 
@@ -185,67 +185,67 @@
     When a gang that was handed in an hour ago waits for tickets that expired
     Then new tickets are asked for
 
-  # Each question takes the policy service time for every runner that it names.
-  Scenario: A question names no more runners than a step needs
+  # The policy service takes time for every runner that a request names.
+  Scenario: A request names no more runners than a step needs
     Given a cell of 40 runners whose queue asks for advice
     When a job of 2 tasks is handed in
-    Then the question names 12 runners
+    Then the request names 12 runners
     And the job starts on the runners that are allowed
 
   # Guards against gangs that learn too slowly where they may run.
-  Scenario: A gang puts several questions at the same time
+  Scenario: A gang sends several requests in parallel
     Given a cell of 176 runners whose queue asks for advice
-    When a gang of 20 tasks of 9000 asks for tickets
-    Then 3 questions name 94 runners, none of them twice
-    And nothing more is asked until the last answer
+    When a gang of 20 tasks of 9000 millicores asks for tickets
+    Then 3 requests name 94 runners, none of them twice
+    And nothing more is requested until the last answer
 
-  # Guards against requests for tickets that expire before there is room.
-  Scenario: No question where there is no room
+  # Guards against requests for tickets that expire before there is free capacity.
+  Scenario: No request for runners without free capacity
     Given a cell of 40 runners whose queue asks for advice
     And tasks of another queue on all of them
     When a job of 2 tasks is handed in
     Then nothing is asked
 
-  Scenario: No more questions than the free room can use
+  Scenario: No more requests than the free capacity can use
     Given a cell of 40 runners whose queue asks for advice
     And tasks of another queue on 39 of them
-    When 50 jobs of a task of 8000 are handed in
-    Then 6 questions are asked
+    When 50 jobs of one task of 8000 millicores are handed in
+    Then 6 requests are made
 
-  Scenario Outline: Hosts that stay free for urgent questions
+  Scenario Outline: Hosts that stay free for urgent requests
     Given 8 hosts that are slow to answer
-    When 10 questions of priority 1 and then one of priority <priority> are put
-    Then <count> hosts are busy, and the last question is <fate>
+    When 10 requests of priority 1 and then one of priority <priority> are made
+    Then <count> hosts are busy, and the last request is <fate>
 
     Examples:
-      | priority | count | fate  |
-      | 0        | 7     | put   |
-      | 1        | 6     | kept  |
+      | priority | count | fate |
+      | 0        | 7     | sent |
+      | 1        | 6     | kept |
 
   Scenario: Tickets that have expired are asked for again
     Given a cell of 40 runners whose queue asks for advice
     When a job of 2 tasks is handed in
     And its tickets expire before it could start
-    Then the next question names only allowed runners
+    Then the next request names only allowed runners
 
-  Scenario: Nothing new on a runner that drains
+  Scenario: No starts on a draining runner
     Given a cell with the runners w1
     When w1 drains and a job is handed in
     Then nothing starts
 
-  # Guards against losing tasks with a runner that drains.
-  Scenario Outline: Tasks on a runner that drains
+  # Guards against losing the tasks on a draining runner.
+  Scenario Outline: Tasks on a draining runner
     Given a cell with the runners w1
     And a running task of <seconds> s on w1
     When w1 drains
     Then the task is <fate>
 
     Examples:
-      | seconds | fate      |
-      | 0.5     | left      |
-      | 3       | stopped   |
+      | seconds | fate    |
+      | 0.5     | left    |
+      | 3       | stopped |
 
-  Scenario: A task that outlives its estimate is stopped before its runner leaves
+  Scenario: A task that exceeds its estimate is stopped before its runner exits
     Given a cell with the runners w1
     And a running task of 0.5 s on w1
     When w1 drains
@@ -258,11 +258,11 @@
     When a job is planned and cancelled before its start is sent
     Then the start may not be sent
 
-  # Guards against taking a lease for run out that a slow clock still holds.
-  Scenario Outline: When a silent runner's leases have run out
-    Given a lease of 5 s granted to a runner that falls silent
+  # Guards against treating a lease as expired that a runner with a slow clock still holds.
+  Scenario Outline: When the leases of a silent runner have expired
+    Given a lease of 5 s granted to a runner that stops answering
     When <seconds> s have passed
-    Then the leases have run out: <answer>
+    Then the leases have expired: <answer>
 
     Examples:
       | seconds | answer |
@@ -270,11 +270,11 @@
       | 5.05    | no     |
       | 5.2     | yes    |
 
-  # Guards against leases of a crashed runner that are extended for ever.
-  Scenario: A crashed runner is looked at while its leases run out
-    Given a lease of 5 s granted to a runner that falls silent
-    When it is looked at again and again without an answer
-    Then the leases have run out: yes
+  # Guards against leases of a crashed runner that are extended forever.
+  Scenario: A crashed runner is polled while its leases expire
+    Given a lease of 5 s granted to a runner that stops answering
+    When it is polled again and again without an answer
+    Then the leases have expired: yes
 
   Scenario: Steps wait for the steps that they depend on
     Given a cell with the runners w1
@@ -286,7 +286,7 @@
   Scenario Outline: Where a task may run
     Given a cell with the runners w1, w2
     When a job with <rule> is handed in
-    Then it holds <counts> on w1 and w2
+    Then it has <counts> tasks on w1 and w2
 
     Examples:
       | rule                     | counts |
--- a/features/cell_parts.py
+++ b/features/cell_parts.py
@@ -1,4 +1,4 @@
-"""A cell with runners and jobs, for scenarios that need no process."""
+"""A cell with runners and jobs for scenarios that start no process."""
 
 from dandelionreel.cell.decisions import Cell, Planner
 from dandelionreel.cell.decisions._preventive_stops import stop_on_draining_runners
@@ -43,12 +43,12 @@
 def make_registration(
     runner, draining=False, labels=('a', 'r-1'), port=1, capacity=CAPACITY, zone='north'
 ):
-    """Return the entry of a runner of ``desk``."""
+    """Return the registration of a runner of the service ``desk``."""
     return Registration(runner, 'desk', '10.0.0.1', port, zone, capacity, labels, draining)
 
 
 class SmallCell:
-    """A cell, its planner and a clock that moves only when told to."""
+    """A cell with its planner and a simulated clock (``now``)."""
 
     def __init__(self, runners=('w1', 'w2'), epoch=1, queues=QUEUES, seen=True):
         self.now = START
@@ -65,61 +65,61 @@
                 self.poll(runner)
 
     def see_runners(self):
-        """Pass the list of runners on."""
+        """Pass the current registrations to the cell."""
         self.cell.see_runners(self.registration_by_id, self.now)
         for state in self.cell.runner_by_id.values():
             state.recorded = True
 
     def drain(self, runner):
-        """Let a runner say that it will leave, in 2 s at the earliest."""
+        """Mark a runner as draining; it exits in 2 s at the earliest."""
         self.registration_by_id[runner] = make_registration(runner, draining=True)
         self.see_runners()
         return stop_on_draining_runners(self.cell, self.now)
 
     def add_job(self, job, steps, queue='urgent', age=0.0, progress=None, cancelled=False, zone=''):
-        """Take a job as the store tells it."""
+        """Add a job as if read from the store; return it."""
         spec = JobSpec('payload', tuple(steps))
         submission = Submission(queue, 'desk', self.now - age, spec, zone)
         self.cell.see_job(BookedJob(job, submission, cancelled, progress), self.now, self.now)
         return self.cell.job_by_id[job]
 
     def cancel(self, job):
-        """Let the store tell that a job is cancelled."""
+        """Cancel a job as if the cancellation was read from the store."""
         submission = self.cell.job_by_id[job].submission
         self.cell.see_job(BookedJob(job, submission, True, None), self.now, self.now)
 
     def plan(self, start=True):
-        """Plan once, and let all starts be answered as started."""
-        made = self.planner.plan(self.now, self.now)
-        self.allocations.extend(made.starts)
-        for allocation in made.starts if start else ():
+        """Plan once and, with ``start``, confirm all starts."""
+        plan = self.planner.plan(self.now, self.now)
+        self.allocations.extend(plan.starts)
+        for allocation in plan.starts if start else ():
             self.cell.start_answered(allocation, StartReply.STARTED, self.now)
-        return made
+        return plan
 
     def poll(self, runner, running=(), ended=(), asked=None, complete=True):
-        """Let a runner list runs ``(task, run)`` and ends ``(number, task, run, outcome)``.
+        """Poll a runner that lists runs ``(task, run)`` and ends ``(number, task, run, outcome)``.
 
-        Without ``complete`` it has more ends than it lists.
+        Without ``complete``, the runner has more ends than it lists.
         """
-        listed = tuple(RunningTask(name, run, '', 0, 0.0) for name, run in running)
+        running_tasks = tuple(RunningTask(name, run, '', 0, 0.0) for name, run in running)
         ends = []
-        for number, name, run, how in ended:
-            ends.append(EndedRun(number, name, run, Outcome(how), ''))
-        view = RunnerView(self.now, listed, tuple(ends), complete)
+        for number, name, run, outcome in ended:
+            ends.append(EndedRun(number, name, run, Outcome(outcome), ''))
+        view = RunnerView(self.now, running_tasks, tuple(ends), complete)
         state = self.cell.runner_by_id[runner]
         return self.cell.viewed(state, view, self.now if asked is None else asked, self.now)
 
     def runs_on(self, runner):
-        """Return the runs that are counted on a runner."""
+        """Return the keys ``(task, run)`` of the allocations on a runner."""
         return tuple(self.cell.runner_by_id[runner].allocation_by_run)
 
     def used(self, runner):
-        """Return the processors counted on a runner."""
+        """Return the millicores allocated on a runner."""
         return self.cell.runner_by_id[runner].used.cpu
 
 
 def step(cpu=2000, count=1, seconds=0.5, **fields):
-    """Return a step of tasks of half a second."""
+    """Return a step; by default one task of 2000 millicores for half a second."""
     return Step(count, Demand(cpu, 100, 0), seconds, **fields)
 
 
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which runners an owner attends to."""
+"""Steps on the runners that an owner polls."""
 
 from dataclasses import replace
 
@@ -12,28 +12,30 @@
 from features.cell_parts import START, SmallCell, step
 from features.store_parts import make_owner_context
 
-SIZE = Demand(16_000, 32_768, 0)
+CAPACITY = Demand(16_000, 32_768, 0)
 ZONES = 4
 
 
-def register(number, labels=()):
+def make_numbered_registration(number, labels=()):
     rack = f'r-{number // 12}'
     zone = f'zone-{number // 12 % ZONES}'
     return Registration(
-        f'w{number}', 'desk', '10.0.0.1', number, zone, SIZE, (*labels, rack), False
+        f'w{number}', 'desk', '10.0.0.1', number, zone, CAPACITY, (*labels, rack), False
     )
 
 
 @given('{count:d} runners of 16 cores in 4 zones, racks of 12')
 def runners(context, count):
     context.small = SmallCell(runners=())
-    context.listed = {f'w{number}': register(number, 'a') for number in range(count)}
+    context.listed = {
+        f'w{number}': make_numbered_registration(number, 'a') for number in range(count)
+    }
     context.active = ActiveRunners(context.small.cell)
     choose(context)
 
 
 def choose(context, later=0.0):
-    """Choose, and have the cell know the chosen ones, each looked at once."""
+    """Choose the active runners, add them to the cell and poll each new one once."""
     context.small.now += later
     context.chosen = context.active.choose(context.listed, context.small.now)
     context.small.registration_by_id = context.chosen
@@ -43,59 +45,59 @@
             context.small.poll(runner)
 
 
-def fill(context, cores):
-    """Run so many cores in tasks of 16, on as many runners as that takes."""
-    left = cores // 16
-    while left:
-        context.small.add_job(f'{left:016x}', [step(16_000, left, 60.0)], 'batch')
-        left -= len(context.small.plan().starts)
+def start_tasks(context, cores):
+    """Start tasks of 16 cores until that many cores are in use."""
+    remaining = cores // 16
+    while remaining:
+        context.small.add_job(f'{remaining:016x}', [step(16_000, remaining, 60.0)], 'batch')
+        remaining -= len(context.small.plan().starts)
         choose(context, 1.0)
 
 
 @when('{cores:d} cores are in use')
-def in_use(context, cores):
-    fill(context, cores)
+def use_cores(context, cores):
+    start_tasks(context, cores)
     choose(context, 1.0)
 
 
-@then('{count:d} runners are attended to')
-def attended(context, count):
+@then('{count:d} runners are polled')
+def polled_count(context, count):
     assert len(context.chosen) == count, len(context.chosen)
 
 
 @then('each zone has {few:d} to {many:d} of them, in no more than {racks:d} racks')
 def spread(context, few, many, racks):
     for zone in range(ZONES):
-        mine = [one for one in context.chosen.values() if one.zone == f'zone-{zone}']
-        assert few <= len(mine) <= many, (zone, len(mine))
-        assert len({one.labels[-1] for one in mine}) <= racks
+        in_zone = [one for one in context.chosen.values() if one.zone == f'zone-{zone}']
+        assert few <= len(in_zone) <= many, (zone, len(in_zone))
+        assert len({one.labels[-1] for one in in_zone}) <= racks
 
 
-@given('100 more have the label gpu and none of them is attended to')
+@given('100 more have the label gpu and none of them is polled')
 def with_label(context):
     for number in range(100_000, 100_100):
-        context.listed[f'w{number}'] = register(number, ('gpu',))
+        context.listed[f'w{number}'] = make_numbered_registration(number, ('gpu',))
     choose(context)
 
 
-@when('a job comes that requires the label gpu')
+@when('a job that requires the label gpu is handed in')
 def requires_label(context):
     context.small.add_job('f' * 16, [step(required_label='gpu')])
     choose(context, 1.0)
 
 
-@then('{count:d} runners with that label are attended to')
-def attended_with_label(context, count):
+@then('{count:d} runners with that label are polled')
+def polled_with_label(context, count):
     found = [one for one in context.chosen.values() if 'gpu' in one.labels]
     assert len(found) == count, len(found)
 
 
 @given('6000 cores were in use, and now {what}')
-def were_in_use(context, what):
-    fill(context, 6000)
+def use_cores_then(context, what):
+    start_tasks(context, 6000)
     small = context.small
-    context.name = next(iter(context.chosen))
-    state = small.cell.runner_by_id[context.name]
+    context.runner_id = next(iter(context.chosen))
+    state = small.cell.runner_by_id[context.runner_id]
     for runner in tuple(small.cell.runner_by_id.values()):
         for held in tuple(runner.allocation_by_run.values()):
             if runner is state and what in {'a task runs on x', 'a start on x is in doubt'}:
@@ -107,61 +109,61 @@
     if 'acknowledged' in what:
         state.confirmed = state.noted - 1
     if 'former owner' in what:
-        small.cell.unseen.add(context.name)
+        small.cell.unseen.add(context.runner_id)
 
 
 @then('the runner x {fate}')
-def runner_fate(context, fate):
-    left = {state.id for state in context.active.release_idle(context.listed)}
-    assert left, 'none is left'
-    assert (context.name in left) is (fate == 'may be left'), fate
+def check_runner(context, fate):
+    released = {state.id for state in context.active.release_idle(context.listed)}
+    assert released, 'no runner was released'
+    assert (context.runner_id in released) is (fate == 'may be released'), fate
 
 
-class SlowRunner:
-    """A runner at which a look waits for a while; counts those under way."""
+class SlowPollRunner:
+    """A runner that answers polls slowly; counts the polls in progress."""
 
     def __init__(self):
-        self.under_way = 0
-        self.looks = 0
+        self.polls_in_progress = 0
+        self.polls_started = 0
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        self.under_way += 1
-        self.looks += 1
+        self.polls_in_progress += 1
+        self.polls_started += 1
         await curio.sleep(0.05)
-        self.under_way -= 1
+        self.polls_in_progress -= 1
         return RunnerView(START, (), ())
 
     async def close(self):
-        """Nothing is open."""
+        """Close nothing: no connection is open."""
 
 
-@given('an owner that looks at a runner')
-def owner_looks(context):
+@given('an owner that polls a runner')
+def owner_polls(context):
     context.owner = make_owner_context(SmallCell(runners=()).cell, SystemClock())
-    context.runner = SlowRunner()
+    context.runner = SlowPollRunner()
 
 
-@when('the runner is left and taken again while the look waits')
-def left_and_taken(context):
+@when('the runner is released and added again during the poll')
+def released_and_added(context):
     cell = context.owner.cell
 
-    async def play():
-        attendant = RunnerPoller(context.owner)
-        registrations = {'w0': replace(register(0, 'a'))}
+    async def run_polls():
+        poller = RunnerPoller(context.owner)
+        registrations = {'w0': replace(make_numbered_registration(0, 'a'))}
         for _ in range(3):
             (state,) = cell.see_runners(registrations, 0.0)
-            await curio.spawn(attendant.poll, state, context.runner, daemon=True)
+            await curio.spawn(poller.poll, state, context.runner, daemon=True)
             await curio.sleep(0.02)
             cell.leave_runner('w0')
         (context.state,) = cell.see_runners(registrations, 0.0)
-        await curio.spawn(attendant.poll, context.state, context.runner, daemon=True)
+        await curio.spawn(poller.poll, context.state, context.runner, daemon=True)
         await curio.sleep(0.12)
-        context.under_way = context.runner.under_way
+        context.polls_in_progress = context.runner.polls_in_progress
 
-    curio.run(play)
+    curio.run(run_polls)
 
 
-@then('one look is under way there, by what is known of it now')
-def one_look(context):
-    assert context.under_way == 1, context.under_way
+@then('one poll is in progress there, and it updates the current state of the runner')
+def one_poll(context):
+    assert context.polls_in_progress == 1, context.polls_in_progress
     assert context.state.knows_clock()
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -1,4 +1,4 @@
-"""Steps on questions to the policy service, and their tickets."""
+"""Steps on requests to the policy service, and their tickets."""
 
 import io
 
@@ -12,9 +12,9 @@
 from dandelionreel.kernel import Journal, SystemClock
 from features.cell_parts import SmallCell, make_queue, step
 
-FULL = 32_000
-#: Seconds that nothing here takes on any machine.
-LONG = 30
+RUNNER_CPU = 32_000
+#: Seconds; longer than any scenario takes on any machine.
+NEVER_ANSWERS_SECONDS = 30
 
 
 def journal():
@@ -34,7 +34,7 @@
 
 @given('tasks of another queue on {count:d} of them')
 def fill_runners(context, count):
-    context.small.add_job('filling', [step(FULL, count=count)], queue='plain')
+    context.small.add_job('filling', [step(RUNNER_CPU, count=count)], queue='plain')
     assert len(context.small.plan().starts) == count
 
 
@@ -43,36 +43,36 @@
     assert not context.plan.advice_requests, context.plan.advice_requests
 
 
-@when('50 jobs of a task of 8000 are handed in')
+@when('50 jobs of one task of 8000 millicores are handed in')
 def fifty_jobs(context):
     for number in range(50):
         context.small.add_job(f'j{number:02}', [step(8000)])
     context.plan = context.small.plan()
 
 
-@then('{count:d} questions are asked')
-def questions_asked(context, count):
+@then('{count:d} requests are made')
+def requests_made(context, count):
     assert len(context.plan.advice_requests) == count, context.plan.advice_requests
 
 
-@when('a gang of 20 tasks of 9000 asks for tickets')
+@when('a gang of 20 tasks of 9000 millicores asks for tickets')
 def gang_asks(context):
     context.small.add_job('j1', [step(9000, count=20, gang=True)])
     context.plan = context.small.plan()
 
 
-@then('{count:d} questions name {runners:d} runners, none of them twice')
-def questions_name(context, count, runners):
-    named = [runner for question in context.plan.advice_requests for runner in question.runners]
+@then('{count:d} requests name {runners:d} runners, none of them twice')
+def requests_name(context, count, runners):
+    named = [runner for request in context.plan.advice_requests for runner in request.runners]
     assert len(context.plan.advice_requests) == count, context.plan.advice_requests
     assert len(named) == len(set(named)) == runners, len(named)
 
 
-@then('nothing more is asked until the last answer')
-def nothing_more(context):
+@then('nothing more is requested until the last answer')
+def nothing_requested(context):
     small = context.small
-    for question in context.plan.advice_requests[:-1]:
-        small.cell.tickets.note_answer(question.step, question.runners, [], small.now + 2)
+    for request in context.plan.advice_requests[:-1]:
+        small.cell.tickets.note_answer(request.step, request.runners, [], small.now + 2)
     assert not small.plan().advice_requests
     last = context.plan.advice_requests[-1]
     small.cell.tickets.note_answer(last.step, last.runners, [], small.now + 2)
@@ -80,13 +80,13 @@
 
 
 @given('8 hosts that are slow to answer')
-def asking_hosts(context):
-    context.hosts = SilentHosts()
+def slow_hosts(context):
+    context.hosts = UnresponsiveHosts()
 
 
-@when('10 questions of priority 1 and then one of priority {priority:d} are put')
-def put_questions(context, priority):
-    async def put():
+@when('10 requests of priority 1 and then one of priority {priority:d} are made')
+def make_requests(context, priority):
+    async def send_all():
         hosts = {f'h{number}': Member('north', '10.0.0.1', 7) for number in range(8)}
         pool = AdvicePool(
             'h0',
@@ -102,32 +102,34 @@
         for number in range(10):
             await pool.ask(AdviceRequest(StepName(f'p{number}', 0, 0), ('r1',), 1, policy))
         await pool.ask(AdviceRequest(StepName('last', 0, 0), ('r1',), priority, policy))
-        # Every question that has a host has reached it once all tasks have run.
+        # Each request that has a free host has reached it once all tasks have run.
         await curio.sleep(0)
         await curio.sleep(0)
 
-    curio.run(put)
+    curio.run(send_all)
 
 
-async def no_answer(*told):
-    """Take an answer; there is none."""
+async def no_answer(*ignored):
+    """Ignore an answer; the hosts never give one."""
 
 
-@then('{count:d} hosts are busy, and the last question is {fate}')
+@then('{count:d} hosts are busy, and the last request is {fate}')
 def hosts_busy(context, count, fate):
     assert len(context.hosts.jobs) == count, context.hosts.jobs
-    assert ('last' in context.hosts.jobs) == (fate == 'put'), context.hosts.jobs
+    assert ('last' in context.hosts.jobs) == (fate == 'sent'), context.hosts.jobs
 
 
-class SilentHosts:
-    """This host's adviser and its peers' links; none of them ever answers."""
+class UnresponsiveHosts:
+    """Stands for the advisor of this host and the links to its peers; none ever answers."""
 
     def __init__(self):
         self.jobs = []
 
-    async def ask(self, place, wanted, patience):
-        self.jobs.append(place.job if isinstance(place, StepName) else wanted.job)
-        await curio.sleep(LONG)
+    async def ask(self, step_or_host, request_message, timeout):
+        self.jobs.append(
+            step_or_host.job if isinstance(step_or_host, StepName) else request_message.job
+        )
+        await curio.sleep(NEVER_ANSWERS_SECONDS)
 
 
 @when('a job of 2 tasks is handed in')
@@ -137,19 +139,19 @@
     assert not context.plan.starts
 
 
-@then('the question names 12 runners')
-def question_names(context):
-    assert [len(question.runners) for question in context.plan.advice_requests] == [12]
+@then('the request names 12 runners')
+def request_names(context):
+    assert [len(request.runners) for request in context.plan.advice_requests] == [12]
     assert not context.small.plan().advice_requests
 
 
 @then('the job starts on the runners that are allowed')
 def starts_allowed(context):
     small = context.small
-    question = context.plan.advice_requests[0]
-    allowed = question.runners[3]
+    request = context.plan.advice_requests[0]
+    allowed = request.runners[3]
     permits = [Permit(allowed, 'ticket')]
-    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
+    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
     starts = small.plan().starts
     assert {(start.runner, start.ticket) for start in starts} == {(allowed, 'ticket')}
 
@@ -158,9 +160,9 @@
 def late_gang(context):
     small = context.small
     small.add_job('g1', [step(count=2, gang=True)], age=3600)
-    question = small.plan().advice_requests[0]
-    permits = [Permit(runner, 'ticket') for runner in question.runners]
-    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now - 1)
+    request = small.plan().advice_requests[0]
+    permits = [Permit(runner, 'ticket') for runner in request.runners]
+    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now - 1)
     context.plan = small.plan()
 
 
@@ -172,14 +174,14 @@
 @when('its tickets expire before it could start')
 def tickets_expire(context):
     small = context.small
-    question = context.plan.advice_requests[0]
-    context.allowed = question.runners[3]
+    request = context.plan.advice_requests[0]
+    context.allowed = request.runners[3]
     permits = [Permit(context.allowed, 'ticket')]
-    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
+    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
     small.now += 3
     context.plan = small.plan()
 
 
-@then('the next question names only allowed runners')
+@then('the next request names only allowed runners')
 def asks_allowed(context):
-    assert [question.runners for question in context.plan.advice_requests] == [(context.allowed,)]
+    assert [request.runners for request in context.plan.advice_requests] == [(context.allowed,)]
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the owner's knowledge, without processes."""
+"""Steps on the job and runner state of an owner, without processes."""
 
 from behave import given, then, when
 
@@ -9,7 +9,7 @@
 from dandelionreel.cell.model._records import Progress
 from features.cell_parts import SmallCell, make_registration, step, task
 
-FULL = 32_000
+RUNNER_CPU = 32_000
 
 
 @given('a successor that cannot see the runner w3')
@@ -30,14 +30,14 @@
     context.plan = context.small.plan()
 
 
-@when('it takes a job that the store names with {runner}')
+@when('it reads a job from the store that may run on {runner}')
 def take_job(context, runner):
     progress = Progress(1, JobState.RUNNING, runners=(runner,))
     context.small.add_job('j1', [step()], progress=progress)
     context.plan = context.small.plan()
 
 
-@when('it takes a job that the store names as {state}')
+@when('it reads a job from the store that is {state}')
 def take_over_job(context, state):
     progress = Progress(1, JobState(state), ended_at=5.0)
     context.small.add_job('j1', [step()], progress=progress)
@@ -58,17 +58,17 @@
     assert len(context.plan.starts) == 1, context.plan
 
 
-@then('it is left alone')
+@then('it stays blocked')
 @then('nothing starts')
-def nothing(context):
+def nothing_starts(context):
     assert not context.plan.starts, context.plan
 
 
 @given('a running job that fills w1')
 def running_job(context):
-    context.small.add_job('j1', [step(FULL)])
+    context.small.add_job('j1', [step(RUNNER_CPU)])
     context.small.plan()
-    assert context.small.used('w1') == FULL
+    assert context.small.used('w1') == RUNNER_CPU
 
 
 @when('the job is cancelled and another one is handed in')
@@ -91,28 +91,28 @@
     assert [start.task.job for start in context.plan.starts] == ['j2']
 
 
-@given('a job whose start was not answered and is taken back')
-def unanswered(context):
+@given('a job whose unanswered start is stopped')
+def unanswered_start(context):
     context.small.add_job('j1', [step()])
     context.start = context.small.plan(start=False).starts[0]
     context.small.cell.stop(context.start)
 
 
-@when('the runner is looked at before it has taken the stop')
-def look_early(context):
+@when('the runner is polled before it has acknowledged the stop')
+def poll_before_stop(context):
     context.small.now += 1
     context.small.poll(context.start.runner)
     context.plan = context.small.plan()
 
 
-@then('the task waits for nobody else to run it')
-def still_counted(context):
+@then('the task does not start elsewhere')
+def not_elsewhere(context):
     assert not context.plan.starts
     assert context.small.runs_on(context.start.runner)
 
 
-@when('the runner takes the stop and is looked at again')
-def stop_taken(context):
+@when('the runner acknowledges the stop and is polled again')
+def stop_acknowledged(context):
     small = context.small
     small.cell.stop_answered(context.start, small.now)
     small.now += 1
@@ -125,8 +125,8 @@
     assert context.plan.starts[0].run > context.start.run
 
 
-@when('a look that was sent {order} the start was answered does not list it')
-def look_without(context, order):
+@when('a poll that was sent {order} the start was answered does not list it')
+def poll_without_run(context, order):
     small = context.small
     small.now += 1
     asked = small.now - 2 if order == 'before' else small.now
@@ -134,7 +134,7 @@
 
 
 @then('the run {fate}')
-def fate_of_run(context, fate):
+def check_run(context, fate):
     assert bool(context.small.runs_on('w1')) is (fate == 'is still held')
 
 
@@ -146,7 +146,7 @@
     small.poll('w1', ended=[end])
     progress = small.cell.job_by_id['j1'].progress(1, small.now)
     context.small = SmallCell(('w1',), epoch=2, seen=False)
-    context.small.add_job('j1', [step(FULL)], progress=progress)
+    context.small.add_job('j1', [step(RUNNER_CPU)], progress=progress)
     context.small.poll('w1', ended=[end])
 
 
@@ -202,7 +202,7 @@
     first = next(start for start in small.allocations if start.task.index == 0)
     other = next(start for start in small.allocations if start.task.index == 1)
     context.first_runner, context.second_runner = first.runner, other.runner
-    # The other task ends without success, and a lost run makes room for the first one.
+    # The other task's start is withdrawn, and the first task loses its run: it starts again on w2.
     small.cell.withdraw(other)
     small.cell.runner_lapsed(first.runner)
     small.cell.runner_by_id[first.runner].suspect = True
@@ -223,7 +223,7 @@
 
 
 @then('it does not start on w2 before the stopped run has ended')
-def not_beside(context):
+def waits_for_stop(context):
     small = context.small
     assert context.again.task == context.first.task, context.again
     assert not context.plan.starts, context.plan.starts
@@ -259,7 +259,7 @@
 
 
 @then('the task is {fate:w}')
-def fate_of_task(context, fate):
+def check_task(context, fate):
     stopped = context.small.cell.take_stops()
     assert stopped == ([] if fate == 'left' else [context.start])
 
@@ -276,7 +276,7 @@
     assert not context.small.cell.may_start(context.start)
 
 
-@given('a lease of 5 s granted to a runner that falls silent')
+@given('a lease of 5 s granted to a runner that stops answering')
 def grant_lease(context):
     context.state = RunnerState(make_registration('w1'))
     context.state.note_clock(500, 1000)
@@ -288,19 +288,19 @@
     context.lapsed = context.state.lapsed(1000 + seconds, 0.02)
 
 
-@when('it is looked at again and again without an answer')
-def look_in_vain(context):
+@when('it is polled again and again without an answer')
+def poll_unanswered(context):
     state = context.state
     context.lapsed = False
-    for tenths in range(60):
-        now = 1000 + tenths / 10
+    for tenth in range(60):
+        now = 1000 + tenth / 10
         state.renew_lease(now, 5)
         state.missed = True
         context.lapsed = context.lapsed or state.lapsed(now, 0.02)
 
 
-@then('the leases have run out: {answer}')
-def leases_lapsed(context, answer):
+@then('the leases have expired: {answer}')
+def leases_expired(context, answer):
     assert context.lapsed is (answer == 'yes')
 
 
@@ -342,7 +342,7 @@
     small.plan()
 
 
-@then('it holds {counts} on w1 and w2')
-def holds(context, counts):
+@then('it has {counts} tasks on w1 and w2')
+def task_counts(context, counts):
     found = (len(context.small.runs_on('w1')), len(context.small.runs_on('w2')))
     assert f'{found[0]}, {found[1]}' == counts, found
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -1,4 +1,4 @@
-"""Steps on gangs: all or none, and what makes room for them."""
+"""Steps on gangs: all-or-none starts, backfilling and preemption."""
 
 from behave import given, then, when
 
@@ -6,12 +6,12 @@
 from dandelionreel.cell.model import EndedRun, Outcome, Permit, RunnerView, RunningTask, StartReply
 from features.cell_parts import step
 
-FULL = 32_000
-#: Seconds that nothing here takes on any machine.
+RUNNER_CPU = 32_000
+#: Seconds; longer than any scenario takes on any machine.
 LONG = 30
 
 
-@given('a gang of {count:d} tasks of {cpu:d} with one start unanswered')
+@given('a gang of {count:d} tasks of {cpu:d} millicores with one start unanswered')
 def gang_unanswered(context, count, cpu):
     small = context.small
     small.add_job('j1', [step(cpu, count, gang=True)], queue='gangs')
@@ -23,14 +23,14 @@
         small.cell.start_answered(start, StartReply.STARTED, small.now)
 
 
-@when("the gang's share of the timeout has passed")
+@when('the time in which the gang must have started has passed')
 def gang_times_out(context):
     context.small.now += 2
     stop_incomplete_gangs(context.small.cell, context.small.now, context.small.now)
 
 
-@when('that start is taken back as nobody knows whether it arrived')
-def gang_taken_back(context):
+@when('that start is withdrawn as it may or may not have arrived')
+def gang_start_withdrawn(context):
     small = context.small
     small.cell.start_answered(context.unanswered, StartReply.NO_ROOM, small.now, in_doubt=True)
 
@@ -41,7 +41,7 @@
     assert len(stopped) == 4, stopped
 
 
-@when('a gang of {count:d} tasks of {cpu:d} is handed in')
+@when('a gang of {count:d} tasks of {cpu:d} millicores is handed in')
 def hand_in_gang(context, count, cpu):
     context.small.add_job('j1', [step(cpu, count, gang=True)], queue='gangs')
     context.plan = context.small.plan()
@@ -55,7 +55,7 @@
         assert small.plan().starts[0].runner == runner
 
 
-@when('a gang of 2 tasks of 20000 and a batch task of {seconds:g} s are handed in')
+@when('a gang of 2 tasks of 20000 millicores and a batch task of {seconds:g} s are handed in')
 def gang_and_batch(context, seconds):
     small = context.small
     small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue='gangs')
@@ -72,14 +72,14 @@
 @given('{kind} that fill w1 and w2 for {seconds:g} s')
 def filling_tasks(context, kind, seconds):
     queue = kind.split()[0]
-    keeps = kind.endswith('with checkpoints')
-    tasks = step(8000, 8, seconds=seconds, checkpointing=keeps)
+    checkpointing = kind.endswith('with checkpoints')
+    tasks = step(8000, 8, seconds=seconds, checkpointing=checkpointing)
     context.small.add_job('f1', [tasks], queue=queue, age=getattr(context, 'age', 0.0))
     context.filling = context.small.plan().starts
     assert len(context.filling) == 8
 
 
-@given('a job handed in {age:g} s ago, of {kind}, in all of w1 and w2 for {seconds:g} s')
+@given('a job handed in {age:g} s ago, whose {kind} fill w1 and w2 for {seconds:g} s')
 def aged_tasks(context, kind, age, seconds):
     context.age = age
     filling_tasks(context, kind, seconds)
@@ -90,9 +90,9 @@
     filling_tasks(context, 'plain tasks with checkpoints', 4.0)
 
 
-@when('a gang of 2 tasks of 20000 comes after them')
+@when('a gang of 2 tasks of 20000 millicores is handed in after them')
 def gang_handed_in(context):
-    # The cell whose queue asks for advice has no queue of gangs.
+    # The cell whose queue asks for advice has no queue named gangs.
     queue = 'urgent' if 'plain' in context.small.cell.configuration.queue_by_name else 'gangs'
     context.small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue=queue)
     context.plan = context.small.plan()
@@ -122,16 +122,16 @@
 def waits_with_checkpoint(context):
     job = context.small.cell.job_by_id['f1']
     for victim in context.stopped:
-        found = job.find(victim.task)
-        assert found[1].checkpoint.startswith('saved'), found
+        task_with_step = job.find(victim.task)
+        assert task_with_step[1].checkpoint.startswith('saved'), task_with_step
 
 
-@when('it is allowed on both runners by tickets that have expired')
-def expired_on_both(context):
+@when('it is allowed on both runners, with tickets that have expired')
+def allowed_with_expired_tickets(context):
     small = context.small
-    question = context.plan.advice_requests[0]
-    permits = [Permit(runner, 'ticket') for runner in question.runners]
-    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now - 1)
+    request = context.plan.advice_requests[0]
+    permits = [Permit(runner, 'ticket') for runner in request.runners]
+    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now - 1)
     context.plan = small.plan()
 
 
@@ -141,12 +141,12 @@
     assert len(context.plan.advice_requests) == 1
 
 
-@when('the tickets are there')
+@when('the tickets arrive')
 def tickets_there(context):
     small = context.small
-    question = context.plan.advice_requests[0]
-    permits = [Permit(runner, 'ticket') for runner in question.runners]
-    small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
+    request = context.plan.advice_requests[0]
+    permits = [Permit(runner, 'ticket') for runner in request.runners]
+    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
     context.plan = small.plan()
 
 
@@ -169,7 +169,7 @@
     small = context.small
     small.add_job('batch', [step(20_000, count=2, seconds=5)], queue='batch')
     assert len(small.plan().starts) == 2
-    small.add_job('gang', [step(FULL, count=2, seconds=4, gang=True)], queue='gangs')
+    small.add_job('gang', [step(RUNNER_CPU, count=2, seconds=4, gang=True)], queue='gangs')
     assert not small.plan().starts
 
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -1,10 +1,10 @@
-"""Steps on quotas and shares of client accounts."""
+"""Steps on quotas and job rates of client accounts."""
 
 import random
 from dataclasses import replace
 
 from behave import given, then, when
-from behave import step as step_
+from behave import step as any_step
 
 from dandelionreel.cell.decisions._job_rates import JobRates
 from dandelionreel.cell.decisions._runs import JobRun
@@ -32,11 +32,11 @@
         self.submitted = 0
 
     def configure(self, accounts):
-        """Put accounts into force."""
+        """Install a configuration with these accounts."""
         self.cell.configuration = make_configuration(ALL, accounts)
 
     def hand_in(self, account, steps, queue='urgent', progress=None):
-        """Take a job of an account as the store tells it; return the job."""
+        """Add a job of an account as if read from the store; return the job."""
         self.submitted += 1
         job = f'{self.submitted:016x}'
         submission = Submission(queue, 'desk', self.now, JobSpec('', tuple(steps)), '', account)
@@ -48,14 +48,14 @@
         return sum(task.phase is Phase.PLACED for step in job.steps(0) for task in step.tasks)
 
     def resize(self, runner, cores):
-        """Let a runner have so many cores."""
+        """Set the number of cores of a runner."""
         registration = self.registration_by_id[runner]
         capacity = Demand(1000 * cores, registration.capacity.memory_mb, 0)
         self.registration_by_id[runner] = replace(registration, capacity=capacity)
         self.see_runners()
 
     def in_use(self, account):
-        """Return the cores of all runs of an account, by what the runners hold."""
+        """Return the millicores of all runs of an account that the runners hold."""
         return sum(
             held.demand.cpu
             for runner in self.cell.runner_by_id.values()
@@ -64,13 +64,13 @@
         )
 
     def end(self, allocation, how='done'):
-        """Let a runner list the end of a run."""
+        """Have the runner list the end of a run."""
         runner = self.cell.runner_by_id[allocation.runner]
         number = runner.noted + 1
         self.poll(runner.id, ended=((number, allocation.task, allocation.run, how),))
 
     def end_old(self, seconds):
-        """End all runs that are that old."""
+        """End all runs that were placed at least ``seconds`` ago."""
         for runner in tuple(self.cell.runner_by_id.values()):
             for held in tuple(runner.allocation_by_run.values()):
                 if self.now - held.placed_at >= seconds - 1e-9:
@@ -99,9 +99,9 @@
 @given('a task of {account} of {cores:g} cores runs')
 def task_runs(context, account, cores):
     context.first = context.small.hand_in(account, [step(int(cores * 1000))])
-    made = context.small.plan()
-    assert len(made.starts) == 1, made
-    context.first_start = made.starts[0]
+    plan = context.small.plan()
+    assert len(plan.starts) == 1, plan
+    context.first_start = plan.starts[0]
 
 
 @given('a task of blue of {cores:g} cores is being stopped')
@@ -149,7 +149,7 @@
 
 
 @then('{count:d} of them start')
-def so_many_start(context, count):
+def tasks_started(context, count):
     assert context.small.placed(context.job) == count, context.small.placed(context.job)
 
 
@@ -168,7 +168,7 @@
     context.first = context.small.hand_in(account, steps, progress=progress)
 
 
-@step_('one that may run on w3 with {cores:g} cores is cancelled')
+@any_step('a job of blue that may run on w3 with {cores:g} cores is cancelled')
 def cancelled_unseen(context, cores):
     may_run_unseen(context, 'blue', 2, cores / 2)
     context.small.plan()
@@ -178,15 +178,17 @@
 
 @then('its end is stored with {cores:g} cores that may be left on w3')
 def stored_leftovers(context, cores):
-    (left,) = context.small.cell.leftovers_of(context.first, context.small.now)
-    assert (left.runner, left.demand.cpu) == ('w3', 1000 * cores), left
+    (leftover,) = context.small.cell.leftovers_of(context.first, context.small.now)
+    assert (leftover.runner, leftover.demand.cpu) == ('w3', 1000 * cores), leftover
 
 
-@given('a cancelled job of blue {had} {cores:g} cores left on w3{when}')
-def cancelled_left(context, had, cores, when):
+@given('a cancelled job of blue {verb} {cores:g} cores left on w3{when}')
+def cancelled_left(context, verb, cores, when):
     ended_at = START - (60 if 'ago' in when else 1)
-    left = Leftover('w3', Demand(int(cores * 1000), 10, 0))
-    progress = Progress(1, JobState.CANCELLED, ended_at=ended_at, account='blue', leftovers=(left,))
+    leftover = Leftover('w3', Demand(int(cores * 1000), 10, 0))
+    progress = Progress(
+        1, JobState.CANCELLED, ended_at=ended_at, account='blue', leftovers=(leftover,)
+    )
     context.small.cell.quotas.expect_leftovers('f' * 16, progress, START)
 
 
@@ -225,7 +227,7 @@
     context.small.plan()
 
 
-@when('a gang of 3 tasks of 2 cores waits while {kind} tasks of blue come without end')
+@when('a gang of 3 tasks of 2 cores waits while {kind} tasks of blue keep arriving')
 def gang_waits(context, kind):
     small = context.small
     queue = 'urgent' if kind == 'urgent' else 'batch'
@@ -240,7 +242,7 @@
         small.now += 0.1
         held = tuple(small.cell.runner_by_id['w1'].allocation_by_run.values())
         old = [one for one in held if small.now - one.placed_at >= 0.5]
-        # Each of blue that ends is followed by the next, one at a time.
+        # At most one run of blue ends per round, and the next task of blue follows it.
         for one in [one for one in old if one.account == 'blue'][:1]:
             small.end(one)
         for one in [one for one in old if one.account == 'red']:
@@ -260,13 +262,13 @@
     assert context.small.placed(context.gang) == 3
 
 
-@then('tasks of red start all the while')
+@then('tasks of red start in the meantime')
 def others_started(context):
     assert context.others > 0
 
 
 @when('a gang of 3 tasks of 2 cores waits for a quota that is lowered to {cores:g} cores')
-def gang_outgrown(context, cores):
+def gang_exceeds_quota(context, cores):
     small = context.small
     small.hand_in('blue', [step(4000)])
     small.plan()
@@ -284,7 +286,7 @@
 
 
 def hand_in_each_second(context):
-    """Hand a short urgent task of blue in each second for a minute."""
+    """Submit a short urgent task of blue every second for a minute."""
     small = context.small
     context.started = 0
     for _ in range(60):
@@ -297,19 +299,19 @@
         small.end_old(0.5)
 
 
-@then('urgent tasks of blue start in {seconds:d} of these seconds at least')
+@then('urgent tasks of blue start in at least {seconds:d} of these seconds')
 def started_most(context, seconds):
     assert context.started >= seconds, context.started
 
 
-@then('urgent tasks of blue start all the while, and the gang does not')
+@then('urgent tasks of blue start every second, and the gang does not')
 def others_go_on(context):
     hand_in_each_second(context)
     assert context.started == 60, context.started
     assert context.small.placed(context.gang) == 0
 
 
-@when('gangs of 3 tasks of 2 cores come without end, those that came last the most urgent')
+@when('gangs of 3 tasks of 2 cores keep arriving, the newest ones the most urgent')
 def gangs_without_end(context):
     small = context.small
     gang = step(2000, 3, gang=True)
@@ -319,8 +321,8 @@
     while small.now < START + 40:
         if small.now < START + 20:
             context.gangs.append(small.hand_in('blue', [gang], 'urgent'))
-        made = small.plan()
-        context.began.update(start.task.job for start in made.starts)
+        plan = small.plan()
+        context.began.update(start.task.job for start in plan.starts)
         context.idle += small.in_use('blue') == 0 and small.now < START + 20
         small.now += 0.5
         small.end_old(0.5)
@@ -328,8 +330,8 @@
 
 @then('one of them runs at all times, and all have started in the end')
 def gangs_take_turns(context):
-    missing = [gang.id for gang in context.gangs if gang.id not in context.began]
-    assert not missing, (len(missing), len(context.gangs))
+    pending = [gang.id for gang in context.gangs if gang.id not in context.began]
+    assert not pending, (len(pending), len(context.gangs))
     assert not context.idle, context.idle
 
 
@@ -340,24 +342,24 @@
 
 
 @when('blue hands in {many:d} urgent jobs and then red {few:d}, each of 1 core for 0.5 s')
-def hot_account(context, many, few):
+def submit_beyond_rate(context, many, few):
     small = context.small
     context.jobs = [small.hand_in('blue', [step(1000)]) for _ in range(many)]
     context.jobs_of_red = [small.hand_in('red', [step(1000)]) for _ in range(few)]
     context.order = []
     for _ in range(6):
-        made = small.plan()
-        context.order.extend(start.task.job for start in made.starts)
+        plan = small.plan()
+        context.order.extend(start.task.job for start in plan.starts)
         small.now += 0.5
         small.end_old(0.5)
     context.order.extend(start.task.job for start in small.plan().starts)
 
 
-@then('all jobs of red start with the first {count:d}')
+@then('all jobs of red are among the first {count:d} to start')
 def red_first(context, count):
-    # The first five of each account are within its rate; 8 cores run 8 at once.
-    places = [context.order.index(job.id) for job in context.jobs_of_red]
-    assert max(places) < count, places
+    # The first five jobs of each account are within its rate, and 8 cores run 8 jobs at once.
+    positions = [context.order.index(job.id) for job in context.jobs_of_red]
+    assert max(positions) < count, positions
 
 
 @then('all {count:d} jobs have started after 3 s')
@@ -366,11 +368,11 @@
 
 
 @when('blue hands in {many:d} urgent jobs while red keeps the cell full for {seconds:d} s')
-def kept_full(context, many, seconds):
+def keep_cell_full(context, many, seconds):
     small = context.small
     context.jobs = [small.hand_in('blue', [step(1000)]) for _ in range(many)]
     started = set()
-    # Red hands in more than the cell runs, all of it within its rate.
+    # Red submits more jobs than the cell can run, all of them within its rate.
     small.configure((blue(None, 5), red(None, 1000)))
     for _ in range(2 * seconds):
         for _ in range(8):
@@ -383,8 +385,8 @@
 
 @then('all jobs of blue have started')
 def blue_started(context):
-    missing = [job for job in context.jobs if job.id not in context.started]
-    assert not missing, len(missing)
+    pending = [job for job in context.jobs if job.id not in context.started]
+    assert not pending, len(pending)
 
 
 @given('an account with a rate of {rate:g} jobs a second')
@@ -417,46 +419,51 @@
     assert objective == URGENT.slack * waves + URGENT.latency, objective
 
 
-@then('drawn days of starts, ends, lost answers, stops and changes keep every quota')
-def drawn_days(context):
+@then('random sequences of starts, ends, lost answers, stops and changes keep every quota')
+def random_sequences(context):
     for seed in range(40):
-        play_day(random.Random(seed))
+        play_random_events(random.Random(seed))
 
 
-def play_day(draw):
-    """Let a cell meet what it may meet; check each start against its account's quota."""
+def play_random_events(rng):
+    """Play random events on a cell; check each start against its account's quota."""
     cores = {'blue': 8, 'red': 12}
     small = AccountCell((blue(8), red(12)), runners=RUNNERS)
     for _ in range(60):
-        small.now += draw.random() * 0.4
-        event = draw.random()
-        if event < 0.1:
-            cores = {'blue': draw.choice((2, 8, 16)), 'red': draw.choice((4, 12, 40))}
+        small.now += rng.random() * 0.4
+        draw = rng.random()
+        if draw < 0.1:
+            cores = {'blue': rng.choice((2, 8, 16)), 'red': rng.choice((4, 12, 40))}
             small.configure((blue(cores['blue']), red(cores['red'])))
-        elif event < 0.6:
-            gang = draw.random() < 0.3
-            steps = [step(draw.choice((500, 2000, 4000)), draw.randint(1, 5), gang=gang)]
-            account = draw.choice(('blue', 'red'))
-            queue = draw.choice(('urgent', 'gangs', 'batch'))
+        elif draw < 0.6:
+            gang = rng.random() < 0.3
+            steps = [step(rng.choice((500, 2000, 4000)), rng.randint(1, 5), gang=gang)]
+            account = rng.choice(('blue', 'red'))
+            queue = rng.choice(('urgent', 'gangs', 'batch'))
             small.hand_in(account, steps, queue)
-        elif event < 0.7:
+        elif draw < 0.7:
             jobs = [job for job in small.cell.job_by_id.values() if not job.over]
             if jobs:
-                small.cell.cancel(draw.choice(jobs).id)
-        elif event < 0.8:
+                small.cell.cancel(rng.choice(jobs).id)
+        elif draw < 0.8:
             small.cell.take_stops()
-        check_starts(small, draw, cores)
-        end_some(small, draw)
-
-
-def check_starts(small, draw, cores):
-    before = {account: small.in_use(account) for account in cores}
-    made = small.plan(start=False)
-    for account, most in cores.items():
-        more = sum(start.demand.cpu for start in made.starts if start.account == account)
-        assert not more or before[account] + more <= 1000 * most, (account, before, more, most)
-    for start in made.starts:
-        answer = draw.random()
+        check_starts(small, rng, cores)
+        end_some_runs(small, rng)
+
+
+def check_starts(small, rng, cores):
+    used_before = {account: small.in_use(account) for account in cores}
+    plan = small.plan(start=False)
+    for account, limit in cores.items():
+        started = sum(start.demand.cpu for start in plan.starts if start.account == account)
+        assert not started or used_before[account] + started <= 1000 * limit, (
+            account,
+            used_before,
+            started,
+            limit,
+        )
+    for start in plan.starts:
+        answer = rng.random()
         if answer < 0.8:
             small.cell.start_answered(start, StartReply.STARTED, small.now)
         elif answer < 0.9:
@@ -465,8 +472,8 @@
             small.cell.start_answered(start, StartReply.NO_ROOM, small.now)
 
 
-def end_some(small, draw):
+def end_some_runs(small, rng):
     for runner in tuple(small.cell.runner_by_id.values()):
         for held in tuple(runner.allocation_by_run.values()):
-            if small.now - held.placed_at > 0.5 and draw.random() < 0.5:
-                small.end(held, draw.choice(('done', 'done', 'failed', 'stopped')))
+            if small.now - held.placed_at > 0.5 and rng.random() < 0.5:
+                small.end(held, rng.choice(('done', 'done', 'failed', 'stopped')))
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -7,7 +7,7 @@
 
 
 def make_cell(zones, count):
-    """Return a cell with so many runners in each zone, all seen."""
+    """Return a cell with ``count`` runners in each zone, each polled once."""
     small = SmallCell(runners=())
     small.ends = 1
     for number in range(count):
@@ -48,23 +48,23 @@
 
 
 def send(small, allocation):
-    """Note that a start leaves, as orders do; return its zone."""
+    """Note that a start order is sent to its runner; return the zone."""
     zone = zone_of(small, allocation)
     small.cell.zone_reachability.note_order(zone, allocation.runner, small.now)
     return zone
 
 
-@when('south falls silent, and {jobs:d} jobs of {tasks:d} tasks come every 0.1 s for 1 s')
+@when('south stops answering, and {jobs:d} jobs of {tasks:d} tasks arrive every 0.1 s for 1 s')
 def jobs_come(context, jobs, tasks):
     small = context.small
-    began = small.now
-    context.lost = []
+    started_at = small.now
+    context.lost_at = []
     for number in range(20):
         for job in range(jobs if number % 2 == 0 else 0):
             small.add_job(f'{number:08x}{job:08x}', [step(10_000, tasks)])
         for allocation in small.plan(start=False).starts:
             if send(small, allocation) == 'south':
-                context.lost.append(small.now - began)
+                context.lost_at.append(small.now - started_at)
                 continue
             small.cell.zone_reachability.note_answer(zone_of(small, allocation))
             end(small, allocation)
@@ -72,17 +72,17 @@
 
 
 def end(small, allocation):
-    """Let a task be done as soon as it has started."""
+    """Confirm a start and have the runner list the task as done."""
     small.cell.start_answered(allocation, StartReply.STARTED, small.now)
     small.poll(allocation.runner, ended=[(small.ends, allocation.task, allocation.run, 'done')])
     small.ends += 1
 
 
 @then('at most {count:d} starts go to south, all of them within {seconds:g} s')
-def few_lost(context, count, seconds):
-    assert context.lost, 'none went there at all'
-    assert len(context.lost) <= count, len(context.lost)
-    assert max(context.lost) <= seconds, max(context.lost)
+def lost_starts(context, count, seconds):
+    assert context.lost_at, 'none went there at all'
+    assert len(context.lost_at) <= count, len(context.lost_at)
+    assert max(context.lost_at) <= seconds, max(context.lost_at)
 
 
 @when('a runner of south answers again')
@@ -90,7 +90,7 @@
     context.small.cell.zone_reachability.note_answer('south')
 
 
-@then('starts go to south once more')
+@then('starts go to south again')
 def south_used(context):
     context.small.add_job('f' * 16, [step(20_000, 24)])
     starts = context.small.plan(start=False).starts
@@ -98,7 +98,7 @@
 
 
 def leave_unanswered(context, runners, seconds):
-    """Let orders leave for runners, and so much time pass."""
+    """Send orders to runners, and let time pass without an answer."""
     small = context.small
     for runner in runners:
         zone = small.registration_by_id[runner].zone
@@ -107,7 +107,7 @@
 
 
 @when('one runner of south leaves its orders unanswered')
-def one_silent(context):
+def one_unanswered(context):
     leave_unanswered(context, ['south-1', 'south-1'], 0.5)
 
 
@@ -117,13 +117,13 @@
     context.small.cell.zone_reachability.note_answer('south')
 
 
-@when('two runners of south have had an order for {seconds:g} s')
+@when('two runners of south have not answered an order for {seconds:g} s')
 def two_early(context, seconds):
     leave_unanswered(context, ['south-1', 'south-2'], seconds)
 
 
 @when('runners of all zones leave their orders unanswered')
-def all_silent(context):
+def all_unanswered(context):
     leave_unanswered(context, [f'{zone}-{n}' for zone in context.zones for n in (0, 1)], 0.5)
 
 
@@ -132,8 +132,8 @@
     leave_unanswered(context, ['w-0', 'w-1'], 0.5)
 
 
-@then('no zone is in doubt')
-def no_doubt(context):
+@then('no zone counts as unreachable')
+def no_zone_unreachable(context):
     assert not context.small.cell.zone_reachability.unreachable_zones(
         context.zones, context.small.now
     )
@@ -147,23 +147,23 @@
         job = f'{number:016x}'
         steps = [step(1000, 2, gang=kind == 'as gangs')]
         small.add_job(job, steps, queue=queue, zone=context.zones[number % 3])
-    made = small.plan()
-    while made.advice_requests:
-        for question in made.advice_requests:
-            permits = [Permit(runner, 'ticket') for runner in question.runners]
-            small.cell.tickets.note_answer(question.step, question.runners, permits, small.now + 2)
-        made = small.plan()
+    plan = small.plan()
+    while plan.advice_requests:
+        for request in plan.advice_requests:
+            permits = [Permit(runner, 'ticket') for runner in request.runners]
+            small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+        plan = small.plan()
 
 
-@then('a cut of any zone holds up at most {count:d} of them')
-def few_held_up(context, count):
+@then('a partition of any zone delays at most {count:d} of them')
+def delayed_jobs(context, count):
     small = context.small
     jobs_by_zone = {zone: set() for zone in context.zones}
     for allocation in small.allocations:
         jobs_by_zone[zone_of(small, allocation)].add(allocation.task.job)
     assert len(small.allocations) == 180, len(small.allocations)
-    held_up = {zone: len(jobs) for zone, jobs in jobs_by_zone.items()}
-    assert max(held_up.values()) <= count, held_up
+    delayed_by_zone = {zone: len(jobs) for zone, jobs in jobs_by_zone.items()}
+    assert max(delayed_by_zone.values()) <= count, delayed_by_zone
 
 
 @when('{count:d} jobs of {cores:d} cores come from clients of north')
@@ -173,7 +173,7 @@
     context.small.plan()
 
 
-@then('all {count:d} seats are taken, those of north first')
+@then('all {count:d} slots are used, those of north first')
 def all_taken(context, count):
     taken = [zone_of(context.small, allocation) for allocation in context.small.allocations]
     assert len(taken) == count, len(taken)
