--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -58,23 +58,27 @@
 
     def _add_runners(self, listed: dict[str, Registration]) -> None:
         missing = self._target_count(listed) - sum(
-            _accepts_starts(listed[one]) for one in self._active
+            _accepts_starts(listed[runner]) for runner in self._active
         )
         if missing > 0:
-            others = [one for one in listed.values() if one.runner not in self._active]
+            others = [
+                registration
+                for registration in listed.values()
+                if registration.runner not in self._active
+            ]
             self._active.update(dict.fromkeys(itertools.islice(_interleave_zones(others), missing)))
         for step in self._steps_without_runner(listed):
             eligible = (
-                one
-                for one in listed.values()
-                if _meets_requirements(step, one) and _accepts_starts(one)
+                registration
+                for registration in listed.values()
+                if _meets_requirements(step, registration) and _accepts_starts(registration)
             )
             added = itertools.islice(eligible, RUNNERS_ADDED_PER_STEP)
-            self._active.update({one.runner: None for one in added})
+            self._active.update({registration.runner: None for registration in added})
 
     def _target_count(self, listed: dict[str, Registration]) -> int:
         """Return how many active runners keep utilization within ``MAX_CPU_UTILIZATION``."""
-        capacity = sum(listed[one].capacity.cpu for one in self._active)
+        capacity = sum(listed[runner].capacity.cpu for runner in self._active)
         used = sum(state.used.cpu for state in self._cell.runner_by_id.values())
         mean_capacity = capacity / max(1, len(self._active))
         return max(MIN_ACTIVE_RUNNERS, int(used / max(1.0, MAX_CPU_UTILIZATION * mean_capacity)))
@@ -85,17 +89,20 @@
         return sum(state.used.cpu for state in states) / max(1, capacity)
 
     def _steps_without_runner(self, listed: dict[str, Registration]) -> list[Step]:
-        """Return steps that no active runner can take, one for each pair of label and rack."""
+        """Return steps that no active runner can take, one for each label and rack."""
         step_by_need: dict[tuple[str, str], Step] = {}
         for job in self._cell.live_by_id.values():
             for step in job.spec.steps:
                 if step.required_label or step.data_rack:
                     step_by_need[step.required_label, step.data_rack] = step
-        active = [listed[one] for one in self._active]
+        active = [listed[runner] for runner in self._active]
         return [
             step
             for step in step_by_need.values()
-            if not any(_meets_requirements(step, one) and _accepts_starts(one) for one in active)
+            if not any(
+                _meets_requirements(step, registration) and _accepts_starts(registration)
+                for registration in active
+            )
         ]
 
     def _is_idle(self, state: RunnerState) -> bool:
@@ -117,10 +124,12 @@
 def _interleave_zones(registrations: Iterable[Registration]) -> Iterator[str]:
     """Return the usable runners rack by rack, alternating between the zones."""
     racks_by_zone: dict[str, dict[str, list[str]]] = {}
-    for one in registrations:
-        if _accepts_starts(one):
-            rack = one.labels[-1] if one.labels else ''
-            racks_by_zone.setdefault(one.zone, {}).setdefault(rack, []).append(one.runner)
+    for registration in registrations:
+        if _accepts_starts(registration):
+            rack = registration.labels[-1] if registration.labels else ''
+            racks_by_zone.setdefault(registration.zone, {}).setdefault(rack, []).append(
+                registration.runner
+            )
     racks_in_order = (
         [racks[rack] for rack in sorted(racks, key=_rack_hash)]
         for _, racks in sorted(racks_by_zone.items())
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -29,7 +29,7 @@
 class Rank(NamedTuple):
     """Sort key of a waiting step; lower ranks are placed first."""
 
-    expired: bool
+    too_late: bool
     beyond_rate: bool
     priority: int
     lateness: int
