--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 
 from dandelionreel.accounts import Account
+from dandelionreel.cell.decisions._allocation_table import AllocationTable
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._holdings import Holdings
 from dandelionreel.cell.decisions._job_rates import JobRates
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._losses import RunnerLosses
@@ -15,7 +15,7 @@
 from dandelionreel.cell.decisions._runner_views import PollEffect, RunnerViewHandler
 from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskRun, counted_demand
-from dandelionreel.cell.decisions._tickets import TicketBook
+from dandelionreel.cell.decisions._tickets import TicketCache
 from dandelionreel.cell.decisions._zone_reachability import ZoneReachability
 from dandelionreel.cell.model import (
     Configuration,
@@ -47,11 +47,11 @@
         """Create an empty state for the owner with this epoch."""
         self.epoch = epoch
         self.configuration: Configuration | None = None
-        self._holdings = Holdings()
-        self.job_by_id = self._holdings.job_by_id
-        self.unfinished_job_by_id = self._holdings.unfinished_job_by_id
-        self.runner_by_id = self._holdings.runner_by_id
-        self.tickets = TicketBook()
+        self._allocations = AllocationTable()
+        self.job_by_id = self._allocations.job_by_id
+        self.unfinished_job_by_id = self._allocations.unfinished_job_by_id
+        self.runner_by_id = self._allocations.runner_by_id
+        self.tickets = TicketCache()
         self.zone_reachability = ZoneReachability()
         #: Runners that may still run tasks of earlier owners and have not listed their runs yet.
         self.unseen_runners: set[str] = set()
@@ -65,11 +65,11 @@
         self.awaits_completions = False
         #: Number of runs during which a runner crashed, in this owner's term.
         self.crashed_runs = 0
-        self.quotas = QuotaLedger(self._holdings, self.unseen_runners)
+        self.quotas = QuotaLedger(self._allocations, self.unseen_runners)
         self._rates = JobRates()
-        self._losses = RunnerLosses(self.unfinished_job_by_id, self._holdings.dirty)
+        self._losses = RunnerLosses(self.unfinished_job_by_id, self._allocations.dirty)
         self._runner_views = RunnerViewHandler(
-            self._holdings, self._losses, self.unreadable_jobs, self.queue_of
+            self._allocations, self._losses, self.unreadable_jobs, self.queue_of
         )
 
     # Jobs
@@ -95,7 +95,7 @@
 
     def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return the allocations of a job on all runners."""
-        return self._holdings.allocations_of_job(job_id)
+        return self._allocations.allocations_of_job(job_id)
 
     def service_of(self, job: JobRun) -> str:
         """Return the service (pool of runners) that runs the job."""
@@ -136,7 +136,7 @@
             self.job_by_id[booked.id] = job
             self.unfinished_job_by_id[booked.id] = job
         elif job is not None and job.apply_final_state(booked.progress):
-            self._holdings.stop_job(job.id)
+            self._allocations.stop_job(job.id)
         if booked.cancelled:
             self.cancel(booked.id)
 
@@ -153,8 +153,8 @@
             job = self.job_by_id.get(job_id)
             if job is None or not job.note_complete():
                 continue
-            self._holdings.dirty.add(job_id)
-            self._holdings.stop_job(job.id)
+            self._allocations.dirty.add(job_id)
+            self._allocations.stop_job(job.id)
             taken.append(job_id)
         return taken
 
@@ -164,7 +164,7 @@
         job = self.job_by_id.pop(job_id, None)
         if job is not None:
             self.quotas.keep_leftovers(job, wall)
-            self._holdings.stop_job(job.id)
+            self._allocations.stop_job(job.id)
             self.tickets.drop_job(job_id)
 
     def drop_finished_jobs(self, wall: float) -> None:
@@ -177,22 +177,22 @@
     def take_dirty_jobs(self) -> list[JobRun]:
         """Return the jobs with unsaved progress and mark them as saved."""
         taken = []
-        for job_id in self._holdings.dirty:
+        for job_id in self._allocations.dirty:
             job = self.job_by_id.get(job_id)
             if job is not None and job.dirty:
                 job.dirty = False
                 taken.append(job)
-        self._holdings.dirty.clear()
+        self._allocations.dirty.clear()
         return taken
 
     def mark_dirty(self, job: JobRun) -> None:
         """Mark a job's progress as unsaved after a failed write to the store."""
         job.dirty = True
-        self._holdings.dirty.add(job.id)
+        self._allocations.dirty.add(job.id)
 
     def take_stops(self) -> list[Allocation]:
         """Return the pending stops and clear them."""
-        return self._holdings.take_stops()
+        return self._allocations.take_stops()
 
     # Runners
 
@@ -247,7 +247,7 @@
         if runner is None:
             return []
         crashes = self._losses.note_end(runner) if proven else []
-        self._holdings.lose_all(runner)
+        self._allocations.drop_all_lost(runner)
         self._handle_crashes(crashes)
         return crashes
 
@@ -256,7 +256,7 @@
         self.unseen_runners.discard(runner_id)
         runner = self.runner_by_id[runner_id]
         self._losses.note_lapse(runner)
-        self._holdings.lose_all(runner)
+        self._allocations.drop_all_lost(runner)
 
     def find_replaced_runners(self) -> dict[str, RunnerState]:
         """Return the unseen incarnations that have ended, each with its answering successor.
@@ -321,7 +321,7 @@
             quarantined=task.quarantined,
             account=job.account,
         )
-        self._holdings.hold(runner, allocation)
+        self._allocations.hold(runner, allocation)
         step.place(task, runner.id, run)
         return allocation
 
@@ -359,7 +359,7 @@
         the task could start elsewhere and run twice at the same time.
         """
         if reply in {StartReply.STARTED, StartReply.OUTDATED}:
-            self._holdings.settle_start(allocation, now)
+            self._allocations.confirm_start(allocation, now)
             return
         runner = self.runner_by_id.get(allocation.runner)
         step = self.step_of(allocation)
@@ -393,11 +393,11 @@
         """Free the allocation of a start that is known not to run."""
         runner = self.runner_by_id.get(allocation.runner)
         if runner is not None and (allocation.task, allocation.run) in runner.allocation_by_run:
-            self._holdings.lose(runner, allocation)
+            self._allocations.drop_lost(runner, allocation)
 
     def stop(self, allocation: Allocation) -> None:
         """Stop a run; it stays allocated until the runner is known not to have it."""
-        self._holdings.stop(allocation)
+        self._allocations.stop(allocation)
 
     def handle_stop_reply(self, allocation: Allocation, now: float) -> None:
         """Note that the runner acknowledged a stop; a later poll shows when the run is gone."""
@@ -417,11 +417,11 @@
 
     def step_of(self, allocation: Allocation) -> StepRun | None:
         """Return the step of an allocation, ``None`` if its job is unknown."""
-        return self._holdings.step_of(allocation)
+        return self._allocations.step_of(allocation)
 
     def stop_members(self, step: StepRun) -> None:
         """Stop all placed members of a gang."""
-        self._holdings.stop_members(step)
+        self._allocations.stop_members(step)
 
     def _account_of(self, job: JobRun) -> Account[Demand] | None:
         if self.configuration is None:
@@ -437,11 +437,11 @@
     def _cancel(self, job: JobRun) -> None:
         job.cancelled = True
         job.dirty = True
-        self._holdings.dirty.add(job.id)
-        self._holdings.stop_job(job.id)
+        self._allocations.dirty.add(job.id)
+        self._allocations.stop_job(job.id)
 
     def _handle_crashes(self, crashes: list[Crash]) -> None:
         self.crashed_runs += len(crashes)
         for crash in crashes:
             if crash.given_up:
-                self._holdings.stop_job(crash.task.job)
+                self._allocations.stop_job(crash.task.job)
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from dandelionreel.cell.decisions._allocation_table import AllocationTable, is_current
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._holdings import Holdings, is_current
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._losses import RunnerLosses
 from dandelionreel.cell.decisions._runs import JobRun
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        holdings: Holdings,
+        allocations: AllocationTable,
         losses: RunnerLosses,
         unreadable_jobs: set[str],
         queue_of: Callable[[JobRun], Queue | None],
     ) -> None:
-        """Update ``holdings``; the caller maintains ``unreadable_jobs``."""
-        self._holdings = holdings
+        """Update ``allocations``; the caller maintains ``unreadable_jobs``."""
+        self._allocations = allocations
         self._losses = losses
         self._unreadable_jobs = unreadable_jobs
         self._queue_of = queue_of
@@ -108,14 +108,14 @@
             # show the state before it took effect.
             if polled_at > allocation.order_answered_at:
                 effect.lost.append(allocation)
-                self._holdings.lose(runner, allocation)
+                self._allocations.drop_lost(runner, allocation)
 
     def _apply_end(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
-        holdings = self._holdings
+        allocations = self._allocations
         allocation = runner.allocation_by_run.get((ended.task, ended.run))
-        job = holdings.job_by_id.get(ended.task.job)
+        job = allocations.job_by_id.get(ended.task.job)
         if allocation is not None:
-            holdings.free(runner, allocation)
+            allocations.free(runner, allocation)
         found = None if job is None else job.find_task(ended.task)
         if job is None or found is None:
             return allocation
@@ -130,7 +130,7 @@
         if is_current(task, runner.id, ended.run):
             step.release(task)
             if step.step.gang:
-                holdings.stop_members(step)
+                allocations.stop_members(step)
         return allocation
 
     def _apply_failure(
@@ -143,21 +143,23 @@
         queue = self._queue_of(job)
         task.avoid.add(runner.id)
         job.note_failed(ended.task, ended.run, queue.max_attempts if queue else 1)
-        self._holdings.dirty.add(job.id)
+        self._allocations.dirty.add(job.id)
         if job.state is JobState.FAILED:
-            self._holdings.stop_job(job.id)
+            self._allocations.stop_job(job.id)
 
     def _apply_done(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
-        holdings = self._holdings
+        allocations = self._allocations
         members = step.tasks if step.step.gang else [step.tasks[ended.task.index]]
         for member in members:
-            current = holdings.find_allocation(member) if member.phase is TaskPhase.PLACED else None
+            current = (
+                allocations.find_allocation(member) if member.phase is TaskPhase.PLACED else None
+            )
             # Members of the successful gang run end by themselves; a later run of the same task
             # must be stopped.
             if current is not None and current.run != ended.run:
-                holdings.stop(current)
+                allocations.stop(current)
         job.note_done(ended.task)
-        holdings.dirty.add(job.id)
+        allocations.dirty.add(job.id)
 
     def _apply_running(
         self,
@@ -173,35 +175,35 @@
         allocation.percent = running.percent
         allocation.gauge = running.gauge
         allocation.checkpoint = running.checkpoint or allocation.checkpoint
-        self._holdings.settle_start(allocation, now)
-        self._holdings.repeat_stop(allocation, polled_at)
+        self._allocations.confirm_start(allocation, now)
+        self._allocations.repeat_stop(allocation, polled_at)
         return 0
 
     def _adopt(self, runner: RunnerState, running: RunningTask, now: float) -> None:
         """Allocate a run that an earlier owner started; stop it if it is not wanted."""
-        holdings = self._holdings
-        job = holdings.job_by_id.get(running.task.job)
+        allocations = self._allocations
+        job = allocations.job_by_id.get(running.task.job)
         found = None if job is None else job.find_task(running.task)
         account = '' if job is None else job.account
         allocation = _make_adopted_allocation(runner, running, now, found, account)
-        holdings.hold(runner, allocation)
+        allocations.hold(runner, allocation)
         if job is None or found is None:
-            holdings.stop(allocation)
+            allocations.stop(allocation)
             return
         step, task = found
         if job.is_over or task.phase is TaskPhase.DONE:
-            holdings.stop(allocation)
+            allocations.stop(allocation)
             return
         if task.phase is TaskPhase.PLACED:
             if task.run > running.run:
-                holdings.stop(allocation)
+                allocations.stop(allocation)
                 return
-            current = holdings.find_allocation(task)
+            current = allocations.find_allocation(task)
             step.release(task)
             if current is not None:
-                holdings.stop(current)
+                allocations.stop(current)
         step.place(task, runner.id, running.run)
-        holdings.mark_started(job.id)
+        allocations.mark_started(job.id)
 
 
 def _make_adopted_allocation(
