--- a/dandelionreel/cell/model/__init__.py
+++ b/dandelionreel/cell/model/__init__.py
@@ -1,7 +1,11 @@
-"""What a cell is made of: its facts, their records, and the services that it needs."""
+"""Model of a cell: jobs and runners, stored records, and interfaces of external services."""
 
 from dandelionreel.cell.model._checks import check_leftovers, check_progress, check_spec
-from dandelionreel.cell.model._incarnations import find_later, incarnation_id, runner_id
+from dandelionreel.cell.model._incarnations import (
+    find_later_incarnations,
+    incarnation_id,
+    runner_id,
+)
 from dandelionreel.cell.model._model import (
     AdvicePolicy,
     Configuration,
@@ -16,15 +20,14 @@
     TaskName,
 )
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     FINAL_STATES,
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    PROGRESS,
-    SUBMISSION,
-    UNSETTLED_SECONDS,
-    Attended,
+    PREDECESSOR_LEASE_SECONDS,
+    PROGRESS_PREFIX,
+    RUNNERS_IN_USE_KEY,
+    SUBMISSION_PREFIX,
     Cancellation,
     CrashedRun,
     DoneTasks,
@@ -33,6 +36,7 @@
     Member,
     Owner,
     Progress,
+    RunnersInUse,
     StoredStart,
     Submission,
     make_progress_records,
@@ -76,12 +80,12 @@
 )
 
 __all__ = (
-    'ATTENDED_KEY',
+    'RUNNERS_IN_USE_KEY',
     'AdviceError',
     'AdvicePolicy',
     'AdviceService',
-    'Attended',
-    'CANCELLATION',
+    'RunnersInUse',
+    'CANCELLATION_PREFIX',
     'Cancellation',
     'Check',
     'ClientCodec',
@@ -98,13 +102,13 @@
     'JobState',
     'KeyedRecord',
     'Leftover',
-    'MEMBER',
+    'MEMBER_PREFIX',
     'Member',
     'NoteUnreadable',
     'OWNER_KEY',
     'Outcome',
     'Owner',
-    'PROGRESS',
+    'PROGRESS_PREFIX',
     'Permit',
     'Progress',
     'Queue',
@@ -119,7 +123,7 @@
     'RunnerReplaced',
     'RunnerView',
     'RunningTask',
-    'SUBMISSION',
+    'SUBMISSION_PREFIX',
     'Service',
     'StartAnswer',
     'StartOrder',
@@ -132,7 +136,7 @@
     'SubmissionError',
     'TaskName',
     'Topic',
-    'UNSETTLED_SECONDS',
+    'PREDECESSOR_LEASE_SECONDS',
     'UnreadableError',
     'UnreadableLog',
     'WriterFence',
@@ -140,7 +144,7 @@
     'check_progress',
     'check_spec',
     'decode_json',
-    'find_later',
+    'find_later_incarnations',
     'incarnation_id',
     'make_progress_records',
     'make_record',
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -12,15 +12,14 @@
 import msgspec
 
 from dandelionreel.cell.model import (
-    ATTENDED_KEY,
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     FINAL_STATES,
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    PROGRESS,
-    SUBMISSION,
-    UNSETTLED_SECONDS,
-    Attended,
+    PREDECESSOR_LEASE_SECONDS,
+    PROGRESS_PREFIX,
+    RUNNERS_IN_USE_KEY,
+    SUBMISSION_PREFIX,
     Cancellation,
     JobState,
     KeyedRecord,
@@ -28,6 +27,7 @@
     Owner,
     Progress,
     Reason,
+    RunnersInUse,
     Submission,
     UnreadableError,
     check_leftovers,
@@ -40,12 +40,12 @@
 _CANCELLATION = msgspec.json.Decoder(Cancellation)
 _PROGRESS = msgspec.json.Decoder(Progress)
 _OWNER = msgspec.json.Decoder(Owner)
-_RUNNERS_IN_USE = msgspec.json.Decoder(Attended)
+_RUNNERS_IN_USE = msgspec.json.Decoder(RunnersInUse)
 _MEMBER = msgspec.json.Decoder(Member)
 
 #: Stands for an owner whose record cannot be read: it may be acting, and may have succeeded
 #: another one. Its heartbeats are waited for like those of any owner.
-UNKNOWN_OWNER = Owner(0, '', '', unsettled=UNSETTLED_SECONDS)
+UNKNOWN_OWNER = Owner(0, '', '', unsettled=PREDECESSOR_LEASE_SECONDS)
 #: Stands for runners whose names cannot be read. No runner has this name, so the tasks that
 #: may run on them are not started elsewhere until all leases must have expired.
 UNKNOWN_RUNNER = '?'
@@ -120,7 +120,7 @@
         self.progress_by_id: dict[str, Progress] = {}
         self.member_by_host: dict[str, Member] = {}
         self.owner: Owner | None = None
-        self.runners_in_use: Attended | None = None
+        self.runners_in_use: RunnersInUse | None = None
         self.changed: set[str] = set()
         #: Keys whose newest record cannot be read.
         self.unreadable_keys: set[str] = set()
@@ -140,8 +140,8 @@
             submission,
             job in self.cancellation_by_id,
             progress,
-            submission is None and SUBMISSION + job in self.unreadable_keys,
-            progress is None and PROGRESS + job in self.unreadable_keys,
+            submission is None and SUBMISSION_PREFIX + job in self.unreadable_keys,
+            progress is None and PROGRESS_PREFIX + job in self.unreadable_keys,
         )
         if submission is not None or stored.unreadable:
             return stored
@@ -167,7 +167,7 @@
         """
         if self.runners_in_use is not None:
             return set(self.runners_in_use.runners)
-        if ATTENDED_KEY not in self.unreadable_keys:
+        if RUNNERS_IN_USE_KEY not in self.unreadable_keys:
             return set()
         runners = {UNKNOWN_RUNNER}
         for progress in self.progress_by_id.values():
@@ -214,10 +214,10 @@
         errors = self.fold(records)
         if OWNER_KEY in self.unreadable_keys:
             self.owner = previous.owner or self._unknown_owner()
-        if ATTENDED_KEY in self.unreadable_keys:
+        if RUNNERS_IN_USE_KEY in self.unreadable_keys:
             self.runners_in_use = previous.runners_in_use
         for key in self.unreadable_keys:
-            name = key[len(SUBMISSION) :]
+            name = key[len(SUBMISSION_PREFIX) :]
             current, before = self._values_by_name(key), previous._values_by_name(key)
             last_known = before.get(name)
             if last_known is not None:
@@ -253,8 +253,8 @@
         self.unreadable_keys.add(key)
         if key == OWNER_KEY and self.owner is None:
             self.owner = UNKNOWN_OWNER
-        prefix, name = key[: len(SUBMISSION)], key[len(SUBMISSION) :]
-        if prefix in {SUBMISSION, PROGRESS}:
+        prefix, name = key[: len(SUBMISSION_PREFIX)], key[len(SUBMISSION_PREFIX) :]
+        if prefix in {SUBMISSION_PREFIX, PROGRESS_PREFIX}:
             self.changed.add(name)
 
     def _fold_one(self, record: KeyedRecord) -> None:
@@ -264,19 +264,19 @@
         if record.key == OWNER_KEY:
             self._fold_owner(content)
             return
-        if record.key == ATTENDED_KEY:
+        if record.key == RUNNERS_IN_USE_KEY:
             if content is not None:
                 self.runners_in_use = decode_json(_RUNNERS_IN_USE, content)
             return
-        prefix, name = record.key[: len(SUBMISSION)], record.key[len(SUBMISSION) :]
-        if prefix == SUBMISSION:
+        prefix, name = record.key[: len(SUBMISSION_PREFIX)], record.key[len(SUBMISSION_PREFIX) :]
+        if prefix == SUBMISSION_PREFIX:
             self._fold_submission(name, content)
-        elif prefix == CANCELLATION:
+        elif prefix == CANCELLATION_PREFIX:
             _set_or_remove(self.cancellation_by_id, name, content, _CANCELLATION)
             self.changed.add(name)
-        elif prefix == PROGRESS:
+        elif prefix == PROGRESS_PREFIX:
             self._fold_progress(name, content)
-        elif prefix == MEMBER:
+        elif prefix == MEMBER_PREFIX:
             _set_or_remove(self.member_by_host, name, content, _MEMBER)
 
     def _fold_owner(self, content: bytes | None) -> None:
@@ -304,7 +304,7 @@
             check_progress(progress, submission.spec)
         except UnreadableError:
             self.progress_by_id.pop(job)
-            self.unreadable_keys.add(PROGRESS + job)
+            self.unreadable_keys.add(PROGRESS_PREFIX + job)
 
     def _fold_progress(self, job: str, content: bytes | None) -> None:
         if content is None:
@@ -321,12 +321,12 @@
     def _values_by_name(self, key: str) -> dict:
         """Return the dictionary that has the values of a key's prefix."""
         by_prefix: dict[str, dict] = {
-            SUBMISSION: self.submission_by_id,
-            CANCELLATION: self.cancellation_by_id,
-            PROGRESS: self.progress_by_id,
-            MEMBER: self.member_by_host,
+            SUBMISSION_PREFIX: self.submission_by_id,
+            CANCELLATION_PREFIX: self.cancellation_by_id,
+            PROGRESS_PREFIX: self.progress_by_id,
+            MEMBER_PREFIX: self.member_by_host,
         }
-        return by_prefix.get(key[: len(SUBMISSION)], {})
+        return by_prefix.get(key[: len(SUBMISSION_PREFIX)], {})
 
 
 def _decode_submission(job: str, content: bytes) -> Submission:
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -56,7 +56,7 @@
             if record.key == self._codec.configuration_key and not record.dropped:
                 self._apply_record(record)
             elif not record.key and record.error is not None:
-                self._unreadable.refuse('', record.error, 'it is ignored')
+                self._unreadable.log_unreadable('', record.error, 'it is ignored')
 
     @property
     def version(self) -> int:
@@ -76,9 +76,9 @@
         try:
             decoded = self._decode(record)
         except UnreadableError as error:
-            self._unreadable.refuse(record.key, error, 'the configuration in force is kept')
+            self._unreadable.log_unreadable(record.key, error, 'the configuration in force is kept')
             return False
-        self._unreadable.accept(record.key)
+        self._unreadable.log_readable(record.key)
         if self.current is not None and decoded.version <= self.current.version:
             return False
         self.current = decoded
@@ -169,6 +169,6 @@
     ) -> None:
         for record, error in zip(records, errors, strict=True):
             if error is None:
-                self._unreadable.accept(record.key)
+                self._unreadable.log_readable(record.key)
                 continue
-            self._unreadable.refuse(record.key, error, 'its last known content is kept')
+            self._unreadable.log_unreadable(record.key, error, 'its last known content is kept')
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -125,14 +125,14 @@
             raise UnreadableError(Reason.CHANGED, message)
 
     def _mark_unusable(self, runner: str, error: UnreadableError) -> None:
-        self._unreadable.refuse(runner, error, 'no tasks are started there')
+        self._unreadable.log_unreadable(runner, error, 'no tasks are started there')
         previous = self._find_newest(runner)
         if previous is not None and previous.usable:
             self.registration_by_id[previous.runner] = replace(previous, usable=False)
 
     def _register(self, runner: str, registration: Registration, *, log: bool) -> None:
         incarnation = registration.runner
-        self._unreadable.accept(runner)
+        self._unreadable.log_readable(runner)
         previous = self._find_newest(runner)
         if previous is not None and previous.runner != incarnation:
             self._retire(runner)
@@ -158,7 +158,7 @@
         )
 
     def _remove(self, runner: str) -> None:
-        self._unreadable.drop(runner)
+        self._unreadable.forget(runner)
         incarnation = self._retire(runner)
         if incarnation:
             self._journal.tell(
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -21,7 +21,7 @@
     PeerLinks,
     name_incarnation,
 )
-from dandelionreel.cell.model import MEMBER, Member, Registration, Runner, make_record
+from dandelionreel.cell.model import MEMBER_PREFIX, Member, Registration, Runner, make_record
 from dandelionreel.cell.owner import Dispatcher, DispatcherParts
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.entry_clients import make_client_api
@@ -263,7 +263,7 @@
         dispatcher = self._dispatcher
         if dispatcher is None or not dispatcher.acting:
             return False
-        await dispatcher.take_complete(jobs)
+        await dispatcher.mark_complete(jobs)
         return True
 
     def _store_answered_at(self) -> float:
@@ -284,7 +284,7 @@
             settings.cores,
             self._reads.cell_follower.read_from,
         )
-        record = make_record(MEMBER + settings.host, member)
+        record = make_record(MEMBER_PREFIX + settings.host, member)
         while await self._writer.write([record], MEMBER_WRITE_TIMEOUT) is not WriteOutcome.STORED:
             self._journal.tell(Part.PEERS, 'has not published its member record yet; trying again.')
 
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -237,7 +237,7 @@
         for registration in known.values():
             check_registration(registration)
         small_cell = SmallCell(())
-        small_cell.cell.see_runners(known, START)
+        small_cell.cell.update_runners(known, START)
 
     def configuration(self):
         projections = HostProjections()
@@ -283,7 +283,7 @@
         for job in (JOB, '00000000000000aa'):
             stored_job = cell_state.find(job)
             if stored_job.submission is not None and not getattr(stored_job, 'unreadable', False):
-                cell.see_job(stored_job, START, START)
+                cell.update_job(stored_job, START, START)
         for run in cell.job_by_id.values():
             run.ready_steps(START)
             run.progress(9, START)
--- a/features/entry_reading.py
+++ b/features/entry_reading.py
@@ -34,7 +34,7 @@
     small = getattr(context, 'small', None)
     if small is not None:
         small.registration_by_id = context.projections.runners.registration_by_id
-        small.see_runners()
+        small.update_runners()
 
 
 def prepare_projections(context):
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -1,4 +1,4 @@
-"""Steps on runners whose room changes, without processes."""
+"""Steps for runners whose capacity changes; no processes are started."""
 
 from behave import given, then, when
 
@@ -18,11 +18,11 @@
     small.registration_by_id[runner] = make_registration(
         runner, port=number, capacity=Demand(cpu, MEMORY, 0)
     )
-    small.see_runners()
+    small.update_runners()
 
 
-def add(context, cpu, **fields):
-    """Take a job of one task; return its id."""
+def submit_single_task(context, cpu, **fields):
+    """Submit a job of one task; return its id."""
     context.count = getattr(context, 'count', 0) + 1
     context.small.add_job(f'j{context.count}', [step(cpu, seconds=5, **fields)])
     return f'j{context.count}'
@@ -30,24 +30,24 @@
 
 @given('a task of {cpu:d} is decided to start on {runner}')
 def decided(context, cpu, runner):
-    add(context, cpu)
+    submit_single_task(context, cpu)
     (start,) = context.small.plan(start=False).starts
     assert start.runner == runner, start
 
 
 @given('a task of {cpu:d} runs on {runner}')
 def runs(context, cpu, runner):
-    add(context, cpu)
+    submit_single_task(context, cpu)
     (start,) = context.small.plan().starts
     assert start.runner == runner, start
 
 
-@when('{runner} says that it has {cpu:d}')
-def says(context, runner, cpu):
+@when('{runner} reports a capacity of {cpu:d}')
+def report_capacity(context, runner, cpu):
     resize(context, runner, cpu)
 
 
-@then('what was decided {outcome}')
+@then('the decided start {outcome}')
 def start_outcome(context, outcome):
     (start,) = context.small.allocations
     assert context.small.cell.may_start(start) is (outcome == 'is sent')
@@ -61,28 +61,28 @@
         if small.cell.may_start(start):
             sent.append(start)
             continue
-        small.cell.withdraw(start)
+        small.cell.release_start(start)
     assert len(sent) == 1, sent
     small.registration_by_id['w2'] = make_registration('w2', port=9)
-    small.see_runners()
+    small.update_runners()
     small.poll('w2')
     (start,) = small.plan().starts
     assert start.runner == 'w2' and start.task not in {one.task for one in sent}, start
 
 
-@then('the task goes on, and a task of {cpu:d} {outcome}')
+@then('the task keeps running, and a task of {cpu:d} {outcome}')
 def goes_on(context, cpu, outcome):
     small = context.small
     assert not small.cell.take_stops()
     assert len(small.runs_on('w1')) == 1
-    add(context, cpu)
+    submit_single_task(context, cpu)
     assert bool(small.plan().starts) is (outcome == 'starts on w1')
 
 
 @given('a gang of {count:d} tasks of {cpu:d} for which w1 and w2 are reserved')
 def reserved(context, count, cpu):
     small = context.small
-    # Each runner is full; w1 and w2 come free first.
+    # All runners are full; w1 and w2 become free first.
     for number, seconds in enumerate((1, 2, 9), 1):
         small.add_job(f'full{number}', [step(32_000, seconds=seconds)])
         small.plan()
@@ -97,15 +97,15 @@
     for start in context.held.values():
         small.now += 0.1
         small.poll(start.runner, ended=[(1, start.task, start.run, 'done')])
-        made = small.plan()
-    assert {start.runner for start in made.starts} == {'w2', 'w3'}, made.starts
+        plan = small.plan()
+    assert {start.runner for start in plan.starts} == {'w2', 'w3'}, plan.starts
 
 
-@given('a successor that finds a task of {cpu:d} on w1, which says that it has {room:d}')
+@given('a successor that finds a task of {cpu:d} on w1, which reports a capacity of {room:d}')
 def successor_finds(context, cpu, room):
     context.small = SmallCell(('w1',), epoch=2, seen=False)
     resize(context, 'w1', room)
-    job = add(context, cpu)
+    job = submit_single_task(context, cpu)
     context.small.poll('w1', running=[(task(job), 1001)])
     assert context.small.used('w1') == cpu
 
@@ -123,10 +123,10 @@
     assert context.owner.may_start()
 
 
-@then('it may not, and says so')
+@then('it may not start tasks, and logs it')
 def may_not(context):
     assert not context.owner.may_start()
-    assert context.owner.may_act(), 'it must renew leases all the same'
+    assert context.owner.may_act(), 'the owner must still renew leases'
     lines = Lines()
     host = Host('me', MemoryTopic())
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
@@ -149,19 +149,19 @@
     make_advised(context, ('w1', 'w2'))
 
 
-@given('w1 has {room:d} and is found with a task of {cpu:d}')
+@given('w1 has a capacity of {room:d} and already runs a task of {cpu:d}')
 def runs_over(context, room, cpu):
     small = context.small
-    job = add(context, cpu)
+    job = submit_single_task(context, cpu)
     small.poll('w1', running=[(task(job), 1)])
     resize(context, 'w1', room)
-    assert small.cell.runner_by_id['w1'].room.cpu < 0
+    assert small.cell.runner_by_id['w1'].free_capacity.cpu < 0
 
 
 @when('a task of {cpu:d} needs advice')
 def advised_task(context, cpu):
-    add(context, cpu)
-    context.questions = context.small.plan().questions
+    submit_single_task(context, cpu)
+    context.questions = context.small.plan().advice_requests
 
 
 @then('advice is asked for it about w2')
@@ -170,7 +170,7 @@
     assert 'w2' in question.runners, question
 
 
-@given('a cell with 24 runners whose queue needs advice, of which the first has no room')
+@given('a cell with 24 runners whose queue needs advice, of which the first has no capacity')
 def advised_many(context):
     make_advised(context, tuple(f'w{number}' for number in range(24)))
     resize(context, 'w0', 0)
@@ -179,7 +179,7 @@
 @when('a gang of {count:d} tasks of {cpu:d} needs advice')
 def advised_gang(context, count, cpu):
     context.small.add_job('gang', [step(cpu, count, gang=True)])
-    context.questions = context.small.plan().questions
+    context.questions = context.small.plan().advice_requests
 
 
 @then('advice is asked for it about fewer than {count:d} runners')
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -83,7 +83,7 @@
 @when('all its leases have expired')
 def leases_ran_out(context):
     context.small.poll('i-2')
-    context.small.cell.runner_lapsed('i-1')
+    context.small.cell.handle_lapsed_runner('i-1')
 
 
 @then('its task is started elsewhere')
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -1,12 +1,12 @@
-"""Steps on snapshots that are read again."""
+"""Steps for snapshots that are loaded after records have expired."""
 
 import curio
 from behave import given, then, when
 
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    PROGRESS,
-    SUBMISSION,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     Progress,
     Submission,
     make_progress_records,
@@ -19,61 +19,61 @@
 from standins import MemoryTopic
 
 
-class ForgetfulTopic(MemoryTopic):
-    """Forgets its history once, and reads keys in two pages, between which a job ends."""
+class TruncatingTopic(MemoryTopic):
+    """Topic that drops old records and reads a snapshot in two parts, between which a job ends."""
 
-    forgets = False
+    truncated = False
     paged = False
 
-    async def read(self, offset, wait, most_bytes):
-        """Refuse what is forgotten; stay silent after the snapshot."""
+    async def read(self, offset, wait, max_bytes):
+        """Refuse expired records; answer nothing after the snapshot."""
         if self.paged:
             await curio.sleep(wait)
             raise StoreError('slow', Verdict.NOT_RUN)
-        if self.forgets:
-            raise RecordsExpired('forgotten')
-        return await super().read(offset, wait, most_bytes)
+        if self.truncated:
+            raise RecordsExpired('expired')
+        return await super().read(offset, wait, max_bytes)
 
     async def snapshot(self):
-        """Read ends before and submissions after the job's end."""
+        """Return progress from before the end of the job, and submissions from after it."""
         first = await super().snapshot()
-        if not self.forgets:
+        if not self.truncated:
             return first
         end = Progress(1, JobState.COMPLETED, ended_at=1.0)
         await self.append(make_progress_records('j1', end), 0.1)
         second = await super().snapshot()
         self.paged = True
-        ends = [record for record in first.records if record.key.startswith(PROGRESS)]
-        others = [record for record in second.records if not record.key.startswith(PROGRESS)]
+        ends = [record for record in first.records if record.key.startswith(PROGRESS_PREFIX)]
+        others = [record for record in second.records if not record.key.startswith(PROGRESS_PREFIX)]
         return RecordBatch((*ends, *others), first.next_offset, first.next_offset)
 
 
-@given('a host that knows all that stands in the store')
+@given('a host that has loaded all records of the store')
 def has_read(context):
-    context.topic = ForgetfulTopic()
+    context.topic = TruncatingTopic()
     context.host = Host('me', context.topic)
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
-    record = make_record(f'{SUBMISSION}j1', submission)
+    record = make_record(f'{SUBMISSION_PREFIX}j1', submission)
     curio.run(context.topic.append, [record], 0.1)
 
 
-@when('the store forgets its history and a job ends while the host reads a snapshot')
-def forgets(context):
+@when('the store drops old records and a job ends while the host reads a snapshot')
+def truncated(context):
     async def play():
         host = context.host
         await curio.spawn(host.follower.run, daemon=True)
         assert await host.follower.wait_fresh(host.clock.monotonic(), 5.0)
         assert host.folder.state.find('j1') is not None
         context.began = host.follower.fresh_at
-        context.topic.forgets = True
+        context.topic.truncated = True
         await until(lambda: context.topic.paged)
         await curio.sleep(0.01)
 
     curio.run(play)
 
 
-@then('what it has read does not count as complete before it has read what followed')
+@then('the host does not count as up to date before it has read the later records')
 def not_complete(context):
     known = context.host.folder.state.find('j1')
     fresh = context.host.follower.fresh_at >= context.began
-    assert known is not None or not fresh, 'counts as read, and the job is not known'
+    assert known is not None or not fresh, 'the host counts as up to date without knowing the job'
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -6,12 +6,12 @@
 from dandelionreel.cell.membership._election import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    SUBMISSION,
-    Attended,
+    SUBMISSION_PREFIX,
     Member,
     Owner,
+    RunnersInUse,
     make_record,
 )
 from dandelionreel.cell.owner._orders import Orders
@@ -52,12 +52,12 @@
 def waiting_successor(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.host.folder.state.runners_in_use = Attended(1, ('w9',))
+    context.host.folder.state.runners_in_use = RunnersInUse(1, ('w9',))
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
     context.dispatcher._begin()
-    context.dispatcher.cell.see_runners({'w1': make_registration('w1')}, heard_at)
+    context.dispatcher.cell.update_runners({'w1': make_registration('w1')}, heard_at)
 
 
 @when('the successor stores on which runners tasks may run')
@@ -123,13 +123,13 @@
     context.book = CellState()
     owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER}other', member), make_record(OWNER_KEY, owner)])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)])
 
 
 @when('word lands of a life on its host that first read it at offset {offset:d}')
 def word_of_life(context, offset):
     member = Member('north', '10.0.0.9', 7, 'other/1', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER}other', member)])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member)])
 
 
 @then('the owner is taken for {fate}')
@@ -145,7 +145,7 @@
     first, context.second = context.small.plan().starts
     context.first = first
     context.job.stored_runners.add(first.runner)
-    context.small.cell.withdraw(context.second)
+    context.small.cell.release_start(context.second)
     (context.second,) = context.small.plan(start=False).starts
     context.topic = MemoryTopic()
     context.owner = make_owner_context(
@@ -161,7 +161,7 @@
         await context.owner.flush()
 
     async def race():
-        submission = make_record(f'{SUBMISSION}j1', context.job.submission)
+        submission = make_record(f'{SUBMISSION_PREFIX}j1', context.job.submission)
         await context.topic.append([submission], 0.1)
         await curio.spawn(context.owner.writer.run, daemon=True)
         await Orders(context.owner).send_starts([context.second])
