--- a/bench/replay.py
+++ b/bench/replay.py
@@ -17,9 +17,9 @@
 from bench.replay_report import Tally, tell_result
 from dandelionreel.accounts import Account, AccountDirectory, weighted_share
 from dandelionreel.cell.decisions import AdviceRequest, Allocation, Cell, Planner
-from dandelionreel.cell.decisions._preemption import Preemption, RoomMade
+from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
 from dandelionreel.cell.decisions._reservations import Rank
-from dandelionreel.cell.decisions._waiting import OwedFirst, Urgency, WaitingOrder
+from dandelionreel.cell.decisions._waiting import RankInputs, WaitingOrder, WithinRateFirst
 from dandelionreel.cell.membership._advisors import PATIENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
@@ -41,7 +41,7 @@
 )
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.owner._predecessor_leases import lease_upper_bound
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 
 #: Seconds: an order's way, a stop, a restart from a checkpoint, and between plans.
 ORDER_SECONDS = 0.004
@@ -216,10 +216,10 @@
 class Arrival(WaitingOrder):
     """Whoever came first is served first."""
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step."""
         job = urgency.job
-        return Rank(False, False, 0, 0, job.accepted, job.id, urgency.step.name)
+        return Rank(False, False, 0, 0, job.accepted_at, job.id, urgency.step.name)
 
 
 class FirstCome(Planner):
@@ -233,7 +233,7 @@
 class NoPreemption(Preemption):
     """Nothing is stopped for anybody."""
 
-    def find_room(self, *asked: object) -> RoomMade | None:
+    def plan_preemption(self, *asked: object) -> PreemptionPlan | None:
         """Return that there is no room."""
         return None
 
@@ -247,12 +247,12 @@
         self._preemption = NoPreemption(cell)
 
 
-class NoShares(OwedFirst):
+class NoShares(WithinRateFirst):
     """Accounts do not matter: priority, then the earliest objective."""
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step."""
-        return super().rank(urgency)._replace(behind=False)
+        return super().rank(urgency)._replace(beyond_rate=False)
 
 
 class SharesWithinQueues(WaitingOrder):
@@ -264,12 +264,12 @@
         self._whole = Demand()
         self._now = -1.0
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step; its account's share stands for its lateness."""
-        rank = OwedFirst().rank(urgency)._replace(behind=False)
-        return rank._replace(late=int(SHARE_STEPS * self.share(urgency)))
+        rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
+        return rank._replace(lateness=int(SHARE_STEPS * self.share(urgency)))
 
-    def share(self, urgency: Urgency) -> float:
+    def share(self, urgency: RankInputs) -> float:
         """Return the weighted dominant share of a step's account."""
         if urgency.now != self._now:
             self._now = urgency.now
@@ -282,10 +282,12 @@
 class WeightedShares(SharesWithinQueues):
     """The account with the least use for its weight, over all queues."""
 
-    def rank(self, urgency: Urgency) -> Rank:
+    def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step; its account's share goes before its queue."""
-        rank = OwedFirst().rank(urgency)._replace(behind=False)
-        return rank._replace(priority=int(SHARE_STEPS * self.share(urgency)), late=rank.priority)
+        rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
+        return rank._replace(
+            priority=int(SHARE_STEPS * self.share(urgency)), lateness=rank.priority
+        )
 
 
 POLICIES: dict[str, Callable[[Cell], Planner]] = {
@@ -371,7 +373,7 @@
                 name, 'desk', '10.0.0.1', number, f'zone-{zone}', self.load.capacity, labels, False
             )
             self._work[name] = {}
-        self.cell.see_runners(registrations, 0)
+        self.cell.update_runners(registrations, 0)
         for name, state in self.cell.runner_by_id.items():
             state.recorded = True
             self._poll_once(name)
@@ -379,7 +381,7 @@
     def _poll_once(self, runner: str, *ended: EndedRun) -> None:
         running = tuple(RunningTask(*run, '', 0, 0) for run in self._work[runner])
         view = RunnerView(self._now, running, ended)
-        self.cell.viewed(self.cell.runner_by_id[runner], view, self._now, self._now)
+        self.cell.handle_view(self.cell.runner_by_id[runner], view, self._now, self._now)
 
     def _cut_off(self, cut: Cut) -> None:
         for state in self.cell.runner_by_id.values():
@@ -399,7 +401,7 @@
 
     def _expire_leases(self) -> None:
         for runner in self._unseen_by_runner:
-            self.cell.runner_lapsed(runner)
+            self.cell.handle_lapsed_runner(runner)
 
     def _reconnect(self) -> None:
         ends_by_runner = self._unseen_by_runner
@@ -419,9 +421,9 @@
         account = self._draw_account()
         spec = JobSpec('', steps)
         submission = Submission(kind.queue.name, 'desk', self._now, spec, '', account)
-        self.cell.see_job(BookedJob(job_id, submission, False, None), self._now, self._now)
+        self.cell.update_job(StoredJob(job_id, submission, False, None), self._now, self._now)
         weight = kind.worth * min(MOST_WEIGHT, 0.3 + 0.7 * work / usual)
-        if not self.cell.job_by_id[job_id].beyond_rate:
+        if not self.cell.job_by_id[job_id].exceeds_account_rate:
             self._weight_by_job[job_id] = weight
             self._owed_work.append((weight, work / MILLI))
             for tally in self._tallies(kind.queue.name, account):
@@ -488,7 +490,7 @@
             self._later(STOP_SECONDS, self._stop, allocation)
         for allocation in made.starts:
             self._later(ORDER_SECONDS, self._start, allocation)
-        for question in made.questions:
+        for question in made.advice_requests:
             heapq.heappush(self._waiting, (question.priority, next(self._order), question))
         self._ask()
         if self._now < until:
@@ -504,7 +506,9 @@
                 return
             question = heapq.heappop(self._waiting)[2]
             self._busy[urgent] += 1
-            takes = question.advice.decision + question.advice.per_runner * len(question.runners)
+            takes = question.advice.decision_seconds + question.advice.seconds_per_runner * len(
+                question.runners
+            )
             self._later(takes, self._answer, question, urgent)
 
     def _answer(self, question: AdviceRequest, urgent: bool) -> None:
@@ -515,8 +519,8 @@
             for runner in question.runners
             if random.Random(f'{question.step}{runner}{self._seed}').random() < share
         ]
-        until = self._now + question.advice.valid
-        self.cell.tickets.note(question.step, question.runners, permits, until)
+        until = self._now + question.advice.valid_seconds
+        self.cell.tickets.note_answer(question.step, question.runners, permits, until)
         self._ask()
 
     def _kind_of(self, job_id: str) -> Kind:
@@ -525,14 +529,14 @@
 
     def _start(self, allocation: Allocation) -> None:
         if not self.cell.may_start(allocation) or allocation.runner in self._unseen_by_runner:
-            self.cell.withdraw(allocation)
+            self.cell.release_start(allocation)
             return
         job = self.cell.job_by_id[allocation.task.job]
         kind = self._kind_of(job.id)
         if job.id not in self._begun:
             self._begun.add(job.id)
             waits = self.tally_by_queue[kind.queue.name].first_waits
-            waits.append(self._now - job.accepted)
+            waits.append(self._now - job.accepted_at)
         step = job.find_step(allocation.task)
         # Members of a gang end together; else each task has a duration of its own.
         name = step.name if step.step.gang else allocation.task
@@ -544,11 +548,11 @@
         fails = random.Random(f'{name}{allocation.run}{self._seed}').random() < kind.fails
         run = (allocation.task, allocation.run)
         self._work[allocation.runner][run] = (self._now, takes, saved)
-        self.cell.start_answered(allocation, StartReply.STARTED, self._now)
+        self.cell.handle_start_reply(allocation, StartReply.STARTED, self._now)
         self._later(takes, self._end, allocation, Outcome.FAILED if fails else Outcome.DONE)
 
     def _stop(self, allocation: Allocation) -> None:
-        self.cell.stop_answered(allocation, self._now)
+        self.cell.handle_stop_reply(allocation, self._now)
         self._end(allocation, Outcome.STOPPED)
 
     def _end(self, allocation: Allocation, outcome: Outcome) -> None:
@@ -584,7 +588,7 @@
             return
         job = self.cell.job_by_id[job_id]
         kind = self._kind_of(job_id)
-        took = (self._now - job.accepted) / self.cell.objective_of(job)
+        took = (self._now - job.accepted_at) / self.cell.objective_of(job)
         for tally in self._tallies(kind.queue.name, job.account):
             if job.state is JobState.COMPLETED and took <= 1:
                 tally.in_time += 1
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -1,9 +1,9 @@
-"""Decides which running tasks make room for a gang of a more urgent queue. No I/O.
+"""Decides which running tasks to preempt for a gang of a more urgent queue. No I/O.
 
-Load pattern: most processors are in use by small tasks, and a gang needs many large seats at once
-on the runners that it is allowed; to wait for them takes longer than its objective. Only tasks of
-less urgent queues that keep checkpoints are stopped, as they lose next to nothing, and only once
-the gang has tickets for all the runners that it will use.
+Load pattern: most CPU is in use by small tasks, and a gang needs many large slots at once on the
+runners where it is allowed; waiting for them to end takes longer than the gang's objective. Only
+checkpointing tasks of less urgent queues are stopped, as they lose almost no work, and only once
+the gang has tickets for all runners that it will use.
 """
 
 import heapq
@@ -11,130 +11,142 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState, expected_end
+from dandelionreel.cell.decisions._ledger import (
+    Allocation,
+    AllocationPhase,
+    RunnerState,
+    expected_end,
+)
 from dandelionreel.cell.decisions._reservations import count_slots
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import Queue
 
-#: Seconds that a gang waits for tasks to end by themselves before others are
-#: stopped for it: about what its tickets and the stops take anyhow.
-PATIENCE = 0.8
-#: Seconds by which a task's job must be ahead of its objective to be stopped: it waits for new
-#: tickets and room.
-AHEAD_SECONDS = 3.0
-#: Seconds until a stopped task's end is listed: 0.2 to 0.4 s by the workers'
-#: contract, and a poll under way.
-STOP_SECONDS = 0.45
+#: A gang whose slots come free by themselves within this time preempts nothing: getting tickets
+#: and stopping tasks takes about as long.
+MAX_WAIT_WITHOUT_PREEMPTION_SECONDS = 0.8
+#: Seconds by which a job must be ahead of its objective for its tasks to be preempted: they have to
+#: wait for new tickets and capacity.
+OBJECTIVE_MARGIN_SECONDS = 3.0
+#: Seconds until the end of a stopped task is listed: 0.2 to 0.4 s by the workers' contract, plus
+#: the poll in progress.
+STOP_LATENCY_SECONDS = 0.45
 
 
 @dataclass(frozen=True)
-class RoomMade:
-    """Where a gang fits once ``victims`` have been stopped."""
+class PreemptionPlan:
+    """Runners that can hold a gang once ``victims`` have been stopped."""
 
     runners: frozenset[str]
     victims: tuple[Allocation, ...]
 
 
 class Preemption:
-    """Decides over the running tasks of one cell."""
+    """Chooses victims among the running tasks of one cell."""
 
     def __init__(self, cell: Cell) -> None:
-        """Stop tasks of that cell."""
+        """Choose among the tasks of ``cell``."""
         self._cell = cell
-        #: What may be stopped on a runner for a priority, the largest first.
-        self._victims: dict[tuple[str, int], list[Allocation]] = {}
+        #: Preemptible runs by runner and by priority of the gang, the largest first.
+        self._victims_by_runner: dict[tuple[str, int], list[Allocation]] = {}
 
     def begin(self) -> None:
-        """Begin a plan: within one, only what it stops itself may not be stopped again."""
-        self._victims.clear()
+        """Begin a plan: clear the cached victims.
 
-    def find_room(
+        Within one plan they stay valid but for the runs that the plan itself stops.
+        """
+        self._victims_by_runner.clear()
+
+    def plan_preemption(
         self,
         step: StepRun,
         queue: Queue,
         runners: Iterable[RunnerState],
         now: float,
-    ) -> RoomMade | None:
-        """Return the seats for a whole gang that cost the least, ``None`` without enough."""
-        offers: list[tuple[float, str, int]] = []
-        seats_by_runner = {}
+    ) -> PreemptionPlan | None:
+        """Return the slots for a whole gang that preempt the least CPU, ``None`` if too few."""
+        slot_heap: list[tuple[float, str, int]] = []
+        slots_by_runner = {}
         for runner in runners:
-            found = self._seats(step, queue, runner, now)
-            if found:
-                seats_by_runner[runner.id] = found
-                offers.append((_cost(found[0]), runner.id, 0))
-        heapq.heapify(offers)
-        runners_used: set[str] = set()
+            runner_slots = self._victims_by_slot(step, queue, runner, now)
+            if runner_slots:
+                slots_by_runner[runner.id] = runner_slots
+                slot_heap.append((_total_cpu(runner_slots[0]), runner.id, 0))
+        heapq.heapify(slot_heap)
+        chosen_runners: set[str] = set()
         victims: list[Allocation] = []
         for _ in step.tasks:
-            if not offers:
+            if not slot_heap:
                 return None
-            _, runner_id, place = heapq.heappop(offers)
-            seats = seats_by_runner[runner_id]
-            runners_used.add(runner_id)
-            victims.extend(seats[place])
-            if place + 1 < len(seats):
-                heapq.heappush(offers, (_cost(seats[place + 1]), runner_id, place + 1))
-        return RoomMade(frozenset(runners_used), tuple(victims))
-
-    def _seats(
+            _, runner_id, slot_index = heapq.heappop(slot_heap)
+            slots = slots_by_runner[runner_id]
+            chosen_runners.add(runner_id)
+            victims.extend(slots[slot_index])
+            if slot_index + 1 < len(slots):
+                heapq.heappush(
+                    slot_heap, (_total_cpu(slots[slot_index + 1]), runner_id, slot_index + 1)
+                )
+        return PreemptionPlan(frozenset(chosen_runners), tuple(victims))
+
+    def _victims_by_slot(
         self,
         step: StepRun,
         queue: Queue,
         runner: RunnerState,
         now: float,
     ) -> list[list[Allocation]]:
-        """Return, for each seat that a runner can offer, what must stop for it."""
+        """Return the runs to stop for each slot that a runner can offer."""
         demand = counted_demand(step)
         limit = step.step.max_per_runner
-        room = runner.room
+        free = runner.free_capacity
         for allocation in runner.allocation_by_run.values():
-            if allocation.phase is Holding.STOPPING:
-                room += allocation.demand
-        seats: list[list[Allocation]] = [[] for _ in range(count_slots(demand, room, limit))]
-        taken: list[Allocation] = []
+            if allocation.phase is AllocationPhase.STOPPING:
+                free += allocation.demand
+        slots: list[list[Allocation]] = [[] for _ in range(count_slots(demand, free, limit))]
+        pending: list[Allocation] = []
         for victim in self._find_victims(queue, runner, now):
-            if victim.phase is Holding.STOPPING:
+            if victim.phase is AllocationPhase.STOPPING:
                 continue
-            room += victim.demand
-            taken.append(victim)
-            more = count_slots(demand, room, limit) - len(seats)
-            if more > 0:
-                seats.append(taken)
-                seats.extend([] for _ in range(more - 1))
-                taken = []
-        return seats
+            free += victim.demand
+            pending.append(victim)
+            gained = count_slots(demand, free, limit) - len(slots)
+            if gained > 0:
+                slots.append(pending)
+                slots.extend([] for _ in range(gained - 1))
+                pending = []
+        return slots
 
     def _find_victims(self, queue: Queue, runner: RunnerState, now: float) -> list[Allocation]:
         key = (runner.id, queue.priority)
-        victims = self._victims.get(key)
+        victims = self._victims_by_runner.get(key)
         if victims is None:
             held = runner.allocation_by_run.values()
-            victims = [allocation for allocation in held if self._may_stop(allocation, queue, now)]
-            victims.sort(key=_largest)
-            self._victims[key] = victims
+            victims = [
+                allocation for allocation in held if self._may_preempt(allocation, queue, now)
+            ]
+            victims.sort(key=_by_cpu_descending)
+            self._victims_by_runner[key] = victims
         return victims
 
-    def _may_stop(self, allocation: Allocation, queue: Queue, now: float) -> bool:
+    def _may_preempt(self, allocation: Allocation, queue: Queue, now: float) -> bool:
         job = self._cell.job_by_id.get(allocation.task.job)
-        if job is None or allocation.phase is not Holding.RUNNING:
+        if job is None or allocation.phase is not AllocationPhase.RUNNING:
             return False
-        theirs = self._cell.queue_of(job)
+        queue_of_job = self._cell.queue_of(job)
         step = job.find_step(allocation.task)
-        if theirs is None or step is None or theirs.priority <= queue.priority:
+        if queue_of_job is None or step is None or queue_of_job.priority <= queue.priority:
             return False
         spec = step.step
-        # A gang would lose its other members; lasting tasks serve their own users.
+        # Stopping one member stops its whole gang; long-running tasks serve users of their own.
         if spec.gang or spec.long_running or not spec.checkpointing:
             return False
         end = expected_end(allocation, now)
-        in_time = end + AHEAD_SECONDS < job.accepted + self._cell.objective_of(job)
-        return in_time and end > now + STOP_SECONDS
+        in_time = end + OBJECTIVE_MARGIN_SECONDS < job.accepted_at + self._cell.objective_of(job)
+        return in_time and end > now + STOP_LATENCY_SECONDS
 
 
-def _cost(victims: list[Allocation]) -> float:
+def _total_cpu(victims: list[Allocation]) -> float:
     return sum(victim.demand.cpu for victim in victims)
 
 
-def _largest(allocation: Allocation) -> int:
+def _by_cpu_descending(allocation: Allocation) -> int:
     return -allocation.demand.cpu
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -1,4 +1,4 @@
-"""Which waiting step comes first. No I/O."""
+"""Ranks the waiting steps of a cell. No I/O."""
 
 import abc
 from collections.abc import Callable
@@ -10,88 +10,89 @@
 from dandelionreel.cell.decisions._step_runs import StepRun
 from dandelionreel.cell.model import Queue
 
-#: A job that is later than this many objectives earns nothing any more.
-LATEST = 3.0
-#: How late such a job counts as: 0 is in time, 1 late but still of use.
-USELESS = 2
-#: Seconds after which a job no longer waits behind others: no load of theirs starves it.
-LONGEST_BEHIND = 60.0
+#: A job that ends later than this many times its objective is of no use to its client.
+MAX_USEFUL_LATENESS = 3.0
+#: Lateness of such a job; 0 is in time, 1 late but still useful.
+TOO_LATE = 2
+#: Seconds after which a job is no longer ranked behind others for being too late or beyond its
+#: account's rate, so that load of other accounts cannot starve it.
+MAX_DEFERRAL_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """A step whose turn has come, with its place among all that waits."""
+    """A step that is ready to start, with its rank."""
 
     job: JobRun
     step: StepRun
     queue: Queue | None
-    #: As ``USELESS`` says.
-    late: int
+    #: 0 in time, 1 late but still useful, ``TOO_LATE``.
+    lateness: int
     rank: Rank
 
 
 @dataclass(frozen=True)
-class Urgency:
-    """What a step's place in the order is worked out from; times in monotonic seconds."""
+class RankInputs:
+    """Inputs of a step's rank; times are monotonic seconds."""
 
     job: JobRun
     step: StepRun
     priority: int
-    late: int
+    lateness: int
     deadline: float
     now: float
 
 
 class WaitingOrder(abc.ABC):
-    """Orders what waits; the lowest rank goes first."""
+    """An ordering of the waiting steps; the lowest rank is placed first."""
 
     @abc.abstractmethod
-    def rank(self, urgency: Urgency) -> Rank:
-        """Return the place of a step."""
+    def rank(self, inputs: RankInputs) -> Rank:
+        """Return the rank of a step."""
 
 
-class OwedFirst(WaitingOrder):
-    """What accounts may expect goes first, then priority, then the earliest objective.
+class WithinRateFirst(WaitingOrder):
+    """Jobs within their account's rate first, then by priority, then earliest deadline first.
 
-    Jobs that are too late for any use go behind all others.
+    Jobs that are too late to be of use are ranked behind all others.
     """
 
-    def rank(self, urgency: Urgency) -> Rank:
-        """Return the place of a step."""
-        job = urgency.job
-        may_wait = urgency.now - job.accepted < LONGEST_BEHIND
+    def rank(self, inputs: RankInputs) -> Rank:
+        """Return the rank of a step."""
+        job = inputs.job
+        may_defer = inputs.now - job.accepted_at < MAX_DEFERRAL_SECONDS
         return Rank(
-            may_wait and urgency.late == USELESS,
-            may_wait and job.beyond_rate,
-            urgency.priority,
-            urgency.late if may_wait else 0,
-            urgency.deadline,
+            may_defer and inputs.lateness == TOO_LATE,
+            may_defer and job.exceeds_account_rate,
+            inputs.priority,
+            inputs.lateness if may_defer else 0,
+            inputs.deadline,
             job.id,
-            urgency.step.name,
+            inputs.step.name,
         )
 
 
 def list_candidates(
     cell: Cell,
-    make_rank: Callable[[Urgency], Rank],
+    make_rank: Callable[[RankInputs], Rank],
     now: float,
     wall: float,
 ) -> list[Candidate]:
-    """Return the steps whose turn has come, the most urgent first."""
+    """Return the steps that are ready to start, the most urgent first."""
     candidates = []
-    cell.drop_over(wall)
-    for job in cell.live_by_id.values():
-        if job.over or cell.is_blocked(job):
+    cell.drop_finished_jobs(wall)
+    for job in cell.unfinished_job_by_id.values():
+        if job.is_over or cell.is_blocked(job):
             continue
         queue = cell.queue_of(job)
         priority = queue.priority if queue else 0
-        allowed = cell.objective_of(job)
+        objective = cell.objective_of(job)
         for step in job.ready_steps(wall):
             if now < step.not_before:
                 continue
-            late = _lateness(now + step.step.estimate, job.accepted, allowed)
-            urgency = Urgency(job, step, priority, late, job.accepted + allowed, now)
-            candidates.append(Candidate(job, step, queue, late, make_rank(urgency)))
+            lateness = _lateness(now + step.step.estimate, job.accepted_at, objective)
+            inputs = RankInputs(job, step, priority, lateness, job.accepted_at + objective, now)
+            candidates.append(Candidate(job, step, queue, lateness, make_rank(inputs)))
     candidates.sort(key=_rank)
     return candidates
 
@@ -100,10 +101,10 @@
     return candidate.rank
 
 
-def _lateness(end: float, accepted: float, allowed: float) -> int:
-    """Return 0 for in time, 1 for late but still of use, 2 for neither."""
-    if end <= accepted + allowed:
+def _lateness(end: float, accepted: float, objective: float) -> int:
+    """Return 0 for in time, 1 for late but still useful, ``TOO_LATE`` for neither."""
+    if end <= accepted + objective:
         return 0
-    if end <= accepted + LATEST * allowed:
+    if end <= accepted + MAX_USEFUL_LATENESS * objective:
         return 1
-    return USELESS
+    return TOO_LATE
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -12,7 +12,7 @@
 from dandelionreel.cell.membership._claim_order import claim_delay
 from dandelionreel.cell.model import (
     OWNER_KEY,
-    UNSETTLED_SECONDS,
+    PREDECESSOR_LEASE_SECONDS,
     ConflictError,
     Member,
     Owner,
@@ -21,7 +21,7 @@
     WriterFence,
     make_record,
 )
-from dandelionreel.cell.store import Follower, JobFolder
+from dandelionreel.cell.store import CellProjection, Follower
 from dandelionreel.kernel import Clock, Journal, Part, Verdict, seconds_or_none
 from dandelionreel.peers import Done, Frame, Message, OwnerAsked, PeerError, Refused
 
@@ -125,7 +125,7 @@
         self,
         topic: Topic,
         follower: Follower,
-        folder: JobFolder,
+        folder: CellProjection,
         incarnation: str,
         ask_peer: AskPeer,
         clock: Clock,
@@ -171,7 +171,7 @@
 
     def still_owner(self, term: Term) -> bool:
         """Return whether the newest owner that is known is this term's."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and owner.term == term.term
 
     def suspect(self, term: str) -> None:
@@ -227,7 +227,7 @@
         await curio.sleep(POLL_SECONDS)
         if self._is_unheard(self._clock.monotonic()):
             # A heartbeat that is there already must not be missed for a pause.
-            await self._follower.hurry()
+            await self._follower.read_now()
 
     def _is_suspected(self, owner: Owner, now: float) -> bool:
         return self._suspected == owner.term and now < self._suspected_until
@@ -238,39 +238,39 @@
 
     def _is_unheard(self, now: float) -> bool:
         """Return whether the owner has just not answered a peer."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and self._unheard == owner.term and now < self._unheard_until
 
     def _is_gone(self, now: float) -> bool:
         """Return whether the owner neither answers peers nor writes heartbeats."""
-        quiet = max(QUIET_SECONDS, QUIET_FACTOR * self._folder.usual_gap)
+        quiet = max(QUIET_SECONDS, QUIET_FACTOR * self._folder.average_heartbeat_gap)
         return self._is_unheard(now) and now - self._folder.owner_heard_at >= quiet
 
     def _former_life(self, owner: Owner) -> bool:
         """Return whether this host's former process, or a later one's, held the cell."""
         if owner.host == self._host:
             return owner.term != self.incarnation
-        return self._folder.book.owner_has_ended()
+        return self._folder.state.owner_has_ended()
 
     def _vacancy(self) -> Vacancy:
         now = self._clock.monotonic()
         if not self._follower.started or self._follower.age(now) > FRESH_SECONDS:
             return Vacancy.HELD
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         if owner is None or owner.released:
             return Vacancy.VACANT
         if self._former_life(owner) or self._is_suspected(owner, now) or self._is_gone(now):
             return Vacancy.VACANT
         heard_at = self._folder.owner_heard_at
-        silent = max(SILENT_SECONDS, GAP_FACTOR * self._folder.usual_gap)
-        if heard_at < self._follower.reached_since:
-            heard_at, silent = self._follower.reached_since, RETURN_SECONDS
+        silent = max(SILENT_SECONDS, GAP_FACTOR * self._folder.average_heartbeat_gap)
+        if heard_at < self._follower.reachable_since:
+            heard_at, silent = self._follower.reachable_since, RETURN_SECONDS
         if now - heard_at < silent or now < self._alive_until:
             return Vacancy.HELD
         return Vacancy.SILENT
 
     def _delay(self) -> float:
-        book = self._folder.book
+        book = self._folder.state
         return claim_delay(book.member_by_host, self._host, book.owner.host if book.owner else '')
 
     async def _owner_lives(self) -> bool:
@@ -279,10 +279,10 @@
         A slow store delays heartbeats for longer than a dead owner is waited
         for, and every claim then delays them more.
         """
-        owner = self._folder.book.owner
-        member = self._folder.book.member_by_host.get(owner.host) if owner else None
+        owner = self._folder.state.owner
+        member = self._folder.state.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
-        silent = now - max(self._folder.owner_heard_at, self._follower.reached_since)
+        silent = now - max(self._folder.owner_heard_at, self._follower.reachable_since)
         if owner is None or member is None or silent > LONGEST_EXCUSE:
             return False
         try:
@@ -319,7 +319,7 @@
 
     async def _claim_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` where the topic does not end as expected."""
-        former = self._folder.book.owner
+        former = self._folder.state.owner
         heard_at = self._folder.owner_heard_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
@@ -329,7 +329,7 @@
             epoch=fence.epoch,
             former=former.term if former else '',
             silent_seconds=seconds_or_none(claimed_at - heard_at),
-            usual_gap=round(self._folder.usual_gap, 3),
+            usual_gap=round(self._folder.average_heartbeat_gap, 3),
             unheard=self._is_unheard(claimed_at),
             conditional=expected_end is not None,
         )
@@ -354,11 +354,11 @@
 
     def _has_ended(self, owner: Owner) -> bool:
         """Return whether an owner's process is known to have ended."""
-        return owner.host == self._host or self._folder.book.has_ended(owner)
+        return owner.host == self._host or self._folder.state.has_ended(owner)
 
     def _may_live(self) -> bool:
         """Return whether the owner that is known may still act."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and not owner.released and not self._has_ended(owner)
 
     async def _read_up(self) -> None:
@@ -385,7 +385,7 @@
             fence.epoch,
             self._host,
             self.incarnation,
-            unsettled=UNSETTLED_SECONDS,
+            unsettled=PREDECESSOR_LEASE_SECONDS,
             read_from=self._follower.read_from,
         )
         claim = make_record(OWNER_KEY, owner)
@@ -411,5 +411,5 @@
     async def _read_back(self, epoch: int) -> bool:
         """Wait until the claim has been folded, and everything before it."""
         await self._read_up()
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -8,7 +8,7 @@
 from dandelionreel.cell.membership import SUCCESSORS, Completions, PeerLinks, rank_hosts
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Part
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, PeerError
 
@@ -29,7 +29,7 @@
     def __init__(
         self,
         context: OwnerContext,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         completions: Completions,
         host: str,
@@ -63,7 +63,7 @@
         """Fetch the completions that earlier owners have sent to peers, then release held jobs."""
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
-        self._owner_context.cell.take_complete(known)
+        self._owner_context.cell.mark_complete(known)
         await self.query_peers(self._successors())
         self._owner_context.cell.awaits_completions = False
         await self._owner_context.plan_needed.notify()
@@ -127,7 +127,7 @@
         if not isinstance(reply, CompletionsTold):
             return False
         self._completions.note(reply.jobs)
-        completed = self._owner_context.cell.take_complete(reply.jobs)
+        completed = self._owner_context.cell.mark_complete(reply.jobs)
         if completed:
             self._owner_context.journal.tell(
                 Part.JOBS,
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -7,15 +7,15 @@
 from dandelionreel.cell.decisions import ANY_RUNNER, AdviceRequest, Cell, JobRun, Plan, Planner
 from dandelionreel.cell.membership import BEAT_SECONDS, AdvicePool, Term
 from dandelionreel.cell.model import (
-    ATTENDED_KEY,
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     OWNER_KEY,
-    SUBMISSION,
-    Attended,
+    RUNNERS_IN_USE_KEY,
+    SUBMISSION_PREFIX,
     Cancellation,
     JobState,
     KeyedRecord,
     Permit,
+    RunnersInUse,
     Submission,
     make_record,
 )
@@ -26,7 +26,7 @@
 from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.owner._periodic_checks import PeriodicChecks
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
-from dandelionreel.cell.store import BookedJob, Written
+from dandelionreel.cell.store import StoredJob, WriteOutcome
 from dandelionreel.kernel import Part, start_task
 
 #: Typical append latency in seconds above which the store counts as slow.
@@ -69,7 +69,7 @@
         self._planner = Planner(self.cell)
         self._pool = AdvicePool(
             parts.host,
-            lambda: parts.jobs.book.member_by_host,
+            lambda: parts.jobs.state.member_by_host,
             parts.links,
             parts.advisor,
             parts.clock,
@@ -79,14 +79,14 @@
         )
         self._completion_gossip = CompletionGossip(
             self._owner_context,
-            parts.jobs.book,
+            parts.jobs.state,
             parts.links,
             parts.completions,
             parts.host,
         )
         self._owner_context.confirm_zone = ZoneConfirmation(
             self._owner_context,
-            parts.jobs.book,
+            parts.jobs.state,
             self._completion_gossip,
             parts.host,
         ).is_confirmed
@@ -101,7 +101,7 @@
     @property
     def store_is_failing(self) -> bool:
         """Return whether appends to the store have been failing for a while."""
-        return self._owner_context.writer.in_trouble(self._clock.monotonic())
+        return self._owner_context.writer.store_is_failing(self._clock.monotonic())
 
     @property
     def stored_at(self) -> float:
@@ -140,7 +140,7 @@
         """End the term so that another host can own the cell."""
         await self._owner_context.ended.set()
 
-    async def accept(self, job_id: str, submission: Submission, timeout: float) -> Written:
+    async def accept(self, job_id: str, submission: Submission, timeout: float) -> WriteOutcome:
         """Store a job; planning and advice requests for it begin meanwhile.
 
         While the store is slow, the job is stored as possibly running on any runner. Its starts
@@ -148,30 +148,30 @@
         """
         known = self.cell.job_by_id.get(job_id)
         if known is not None and known.stored:
-            return Written.STORED
-        booked = BookedJob(job_id, submission, cancelled=False, progress=None)
-        self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
+            return WriteOutcome.STORED
+        booked = StoredJob(job_id, submission, cancelled=False, progress=None)
+        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
         job = self.cell.job_by_id[job_id]
         self._log_rate_exceeded(job)
         job.stored = False
-        record = make_record(SUBMISSION + job_id, submission)
-        store_is_slow = self._owner_context.writer.usual_seconds > SLOW_APPEND_SECONDS
+        record = make_record(SUBMISSION_PREFIX + job_id, submission)
+        store_is_slow = self._owner_context.writer.typical_latency > SLOW_APPEND_SECONDS
         if store_is_slow:
             job.runners.add(ANY_RUNNER)
         await self._owner_context.plan_needed.notify()
         write_task = await curio.spawn(self._finish_accept, job, record, store_is_slow, daemon=True)
         outcome = await curio.ignore_after(timeout, write_task.join)
-        return outcome or Written.UNKNOWN
+        return outcome or WriteOutcome.UNKNOWN
 
-    async def cancel(self, job_id: str, timeout: float) -> Written:
+    async def cancel(self, job_id: str, timeout: float) -> WriteOutcome:
         """Store a client's cancellation of a job, then stop its tasks."""
-        record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
+        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
         write_task = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
-        return await curio.ignore_after(timeout, write_task.join) or Written.UNKNOWN
+        return await curio.ignore_after(timeout, write_task.join) or WriteOutcome.UNKNOWN
 
-    async def take_complete(self, jobs: tuple[str, ...]) -> None:
+    async def mark_complete(self, jobs: tuple[str, ...]) -> None:
         """Mark jobs complete that partitioned hosts have shown to clients as complete."""
-        completed = self.cell.take_complete(jobs)
+        completed = self.cell.mark_complete(jobs)
         if not completed:
             return
         self._journal.tell(
@@ -186,7 +186,7 @@
     def state_of(self, job_id: str) -> JobState | None:
         """Return the state of a job that clients are shown, ``None`` if it is unknown."""
         job = self.cell.job_by_id.get(job_id)
-        return None if job is None or not job.stored else job.shown_state
+        return None if job is None or not job.stored else job.reported_state
 
     def account_of(self, job_id: str) -> str:
         """Return the client account of a job, empty if the job is unknown or has none."""
@@ -194,7 +194,7 @@
         return '' if job is None else job.account
 
     def _log_rate_exceeded(self, job: JobRun) -> None:
-        if job.beyond_rate:
+        if job.exceeds_account_rate:
             self._journal.tell_frequent(
                 Part.JOBS,
                 f"job {job.id} is beyond its account's share: it is queued behind other jobs.",
@@ -205,21 +205,21 @@
 
     async def _finish_accept(
         self, job: JobRun, record: KeyedRecord, store_is_slow: bool
-    ) -> Written:
+    ) -> WriteOutcome:
         jobs_to_store = [job] if store_is_slow else []
         outcome = await self._owner_context.store_progress(
             jobs_to_store, record, timeout=CLIENT_WRITE_TIMEOUT
         )
-        if outcome is Written.STORED:
+        if outcome is WriteOutcome.STORED:
             job.stored = True
-        elif outcome is Written.REFUSED and not job.stored:
+        elif outcome is WriteOutcome.REFUSED and not job.stored:
             self.cell.forget_job(job.id, self._clock.wall())
         await self._owner_context.plan_needed.notify()
         return outcome
 
-    async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> Written:
+    async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> WriteOutcome:
         outcome = await self._owner_context.writer.write([record], CLIENT_WRITE_TIMEOUT)
-        if outcome is Written.STORED:
+        if outcome is WriteOutcome.STORED:
             self.cell.cancel(job_id)
             await self._owner_context.plan_needed.notify()
         return outcome
@@ -243,7 +243,7 @@
         """Load jobs and quota leftovers from the store, and the runners still to be polled."""
         parts = self._parts
         self._periodic_checks.load_predecessor_state(self._clock.monotonic())
-        book = parts.jobs.book
+        book = parts.jobs.state
         book.take_changed()
         # In order of acceptance, since an account expects its earlier jobs to be served first.
         for job_id in sorted(book.submission_by_id, key=book.accepted_at):
@@ -258,7 +258,7 @@
         Every owner record carries it, including the release. Otherwise a successor would only wait
         for this owner's last lease while an earlier owner still renews others.
         """
-        if not self.cell.unseen:
+        if not self.cell.unseen_runners:
             return 0.0
         left = self._periodic_checks.predecessor_leases.end_at - self._clock.monotonic()
         return round(max(0.0, left), 2)
@@ -276,17 +276,21 @@
             records = [make_record(OWNER_KEY, owner)]
             # Includes runners that only a previous owner has seen: if this owner is killed, its
             # successor has to wait for them as well.
-            attended = frozenset(self.cell.runner_by_id) | self.cell.unseen
+            attended = frozenset(self.cell.runner_by_id) | self.cell.unseen_runners
             if attended != stored:
-                runners_record = Attended(self._owner_context.term.epoch, tuple(sorted(attended)))
-                records.append(make_record(ATTENDED_KEY, runners_record))
-            outcome = await self._owner_context.store_progress(self.cell.take_dirty(), *records)
-            if outcome is Written.FENCED:
+                runners_record = RunnersInUse(
+                    self._owner_context.term.epoch, tuple(sorted(attended))
+                )
+                records.append(make_record(RUNNERS_IN_USE_KEY, runners_record))
+            outcome = await self._owner_context.store_progress(
+                self.cell.take_dirty_jobs(), *records
+            )
+            if outcome is WriteOutcome.FENCED:
                 await self._owner_context.end_term(
                     'another host has written to the store with a higher epoch'
                 )
                 return
-            if outcome is Written.STORED:
+            if outcome is WriteOutcome.STORED:
                 stored = attended
                 await self._enable_recorded_runners(stored)
             await curio.sleep(BEAT_SECONDS)
@@ -301,7 +305,7 @@
     async def _follow_jobs(self) -> None:
         """Apply changes of jobs and of the owner as they are read from the store."""
         follower = self._parts.follower
-        book = self._parts.jobs.book
+        book = self._parts.jobs.state
         while True:
             seen = follower.changed.count
             if not self._parts.election.still_owner(self._owner_context.term):
@@ -315,19 +319,19 @@
             await follower.changed.wait(seen, 1.0)
 
     def _update_job(self, job_id: str) -> None:
-        booked = self._parts.jobs.book.find(job_id)
+        booked = self._parts.jobs.state.find(job_id)
         if booked is not None and booked.unreadable:
-            self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
+            self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
             return
         if booked is None or booked.submission is None:
             self._forget_job(job_id, booked)
             return
-        self.cell.see_job(booked, self._clock.monotonic(), self._clock.wall())
+        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
         self.cell.job_by_id[job_id].stored = True
 
-    def _forget_job(self, job_id: str, booked: BookedJob | None) -> None:
+    def _forget_job(self, job_id: str, booked: StoredJob | None) -> None:
         job = self.cell.job_by_id.get(job_id)
-        if job is not None and not job.over:
+        if job is not None and not job.is_over:
             self._journal.tell(
                 Part.JOBS,
                 f'job {job_id} is unfinished here but over in the store.',
@@ -364,7 +368,7 @@
         self._log_preempted(plan)
         self._log_quota_blocked(plan)
         await self._order_sender.send_starts(plan.starts)
-        for request in plan.questions:
+        for request in plan.advice_requests:
             await self._pool.ask(request)
         elapsed = self._clock.monotonic() - started_at
         await curio.sleep(max(MIN_PLAN_PAUSE_SECONDS, PLAN_PAUSE_FACTOR * elapsed))
@@ -384,11 +388,11 @@
             )
 
     def _log_quota_blocked(self, plan: Plan) -> None:
-        for job in plan.held:
+        for job in plan.quota_blocked:
             used, quota = self.cell.quotas.used(job.account), self.cell.quota_of(job)
             self._journal.tell_frequent(
                 Part.PLACEMENT,
-                f'job {job.id} waits for {job.held_by}.',
+                f'job {job.id} waits for {job.hold_reason}.',
                 job=job.id,
                 account=job.account,
                 cpu=used.cpu,
@@ -405,7 +409,7 @@
         permits: tuple[Permit, ...],
         until: float,
     ) -> None:
-        self.cell.tickets.note(request.step, request.runners, permits, until)
+        self.cell.tickets.note_answer(request.step, request.runners, permits, until)
         self._journal.tell_frequent(
             Part.PLACEMENT,
             f'{len(permits)} of {len(request.runners)} runners are allowed.',
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -47,7 +47,7 @@
         totals.longest_plan = max(totals.longest_plan, seconds)
         totals.starts += len(plan.starts)
         totals.preempted += len(plan.preempted)
-        totals.advice_requests += len(plan.questions)
+        totals.advice_requests += len(plan.advice_requests)
 
     def report(self, now: float, wall: float, epoch: int) -> None:
         """Log stalled jobs, and the load if tasks wait, unless the last report is too recent."""
@@ -71,8 +71,8 @@
             usable=len(usable),
             draining=sum(runner.draining for runner in runners),
             suspect=sum(runner.suspect for runner in runners),
-            unseen=len(self._cell.unseen),
-            cores_free=sum(max(0, runner.room.cpu) for runner in usable) // MILLI,
+            unseen=len(self._cell.unseen_runners),
+            cores_free=sum(max(0, runner.free_capacity.cpu) for runner in usable) // MILLI,
             cores=sum(runner.registration.capacity.cpu for runner in usable) // MILLI,
             advice_waiting=self._pool.waiting,
             plans=totals.plans,
@@ -100,8 +100,8 @@
     def _count_waiting(self, wall: float) -> Counter[str]:
         """Return the number of waiting tasks whose step is ready, by queue."""
         waiting: Counter[str] = Counter()
-        for job in self._cell.live_by_id.values():
-            if job.over:
+        for job in self._cell.unfinished_job_by_id.values():
+            if job.is_over:
                 continue
             count = sum(step.waiting for step in job.ready_steps(wall))
             if count:
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -15,7 +15,7 @@
     StepName,
 )
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import Written
+from dandelionreel.cell.store import WriteOutcome
 from dandelionreel.kernel import Part, Verdict, seconds_or_none
 
 #: Timeout in seconds for storing a job's new runners, after which its starts are withdrawn.
@@ -99,7 +99,7 @@
     def _apply_stop_reply(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
         cell.zone_reachability.note_answer(state.registration.zone)
-        cell.stop_answered(allocation, self._owner_context.clock.monotonic())
+        cell.handle_stop_reply(allocation, self._owner_context.clock.monotonic())
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'{allocation.runner} has taken a stop.',
@@ -121,13 +121,13 @@
         outcome = await curio.ignore_after(RECORD_TIMEOUT, write_task.join)
         for allocations in allocations_by_job.values():
             for allocation in allocations:
-                if outcome is Written.STORED:
+                if outcome is WriteOutcome.STORED:
                     await curio.spawn(self._run_start, allocation, daemon=True)
                 else:
                     await self._withdraw_unsent_start(allocation)
 
     async def _withdraw_unsent_start(self, allocation: Allocation) -> None:
-        self._owner_context.cell.withdraw(allocation)
+        self._owner_context.cell.release_start(allocation)
         await self._note_start_finished()
 
     async def _run_start(self, allocation: Allocation) -> None:
@@ -150,25 +150,25 @@
         runner = self._owner_context.runner_by_id.get(allocation.runner)
         job = self._owner_context.cell.job_by_id.get(allocation.task.job)
         if state is None or runner is None or job is None:
-            self._owner_context.cell.withdraw(allocation)
+            self._owner_context.cell.release_start(allocation)
             return
         if state.suspect:
             # The runner became silent while the job's runners were being stored. A start sent now
             # would delay its task and count as one during which the runner crashed.
-            self._owner_context.cell.withdraw(allocation)
+            self._owner_context.cell.release_start(allocation)
             return
         self._log_start(state, allocation, job)
         may_have_arrived = await self._try_start(state, runner, allocation, job.spec.payload)
         if may_have_arrived is None:
             return
         if may_have_arrived:
-            self._owner_context.cell.take_back(allocation)
+            self._owner_context.cell.revoke_start(allocation)
         else:
             if state.suspect:
-                state.quiet_until = (
+                state.no_starts_until = (
                     self._owner_context.clock.monotonic() + UNREACHABLE_PAUSE_SECONDS
                 )
-            self._owner_context.cell.withdraw(allocation)
+            self._owner_context.cell.release_start(allocation)
         await self._owner_context.plan_needed.notify()
 
     def _log_fields(self, allocation: Allocation) -> dict[str, Any]:
@@ -182,7 +182,7 @@
         show what the second one did not know.
         """
         now = self._owner_context.clock.monotonic()
-        found = job.find(allocation.task)
+        found = job.find_task(allocation.task)
         configuration = self._owner_context.cell.configuration
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
@@ -194,8 +194,8 @@
             version=configuration.version if configuration else None,
             store_age=round(now - self._owner_context.writer.stored_at, 3),
             runner_age=seconds_or_none(now - state.answered_at),
-            waited=round(now - job.accepted, 3),
-            room=state.room.cpu,
+            waited=round(now - job.accepted_at, 3),
+            room=state.free_capacity.cpu,
         )
 
     async def _try_start(
@@ -225,11 +225,11 @@
                 arrived = error.verdict is not Verdict.NOT_RUN
                 # Only the first attempt counts: a crash has already closed the connections that
                 # later attempts use.
-                allocation.broken = allocation.broken or (
-                    arrived and error.broken and not may_have_arrived
+                allocation.connection_broken = allocation.connection_broken or (
+                    arrived and error.connection_broken and not may_have_arrived
                 )
                 may_have_arrived = may_have_arrived or arrived
-                allocation.unanswered = may_have_arrived
+                allocation.start_unanswered = may_have_arrived
                 # Send no more starts there until the runner answers a poll: a start that may have
                 # arrived blocks its task until the lease has expired.
                 state.suspect = True
@@ -319,11 +319,11 @@
         if reply is StartReply.REPLACED:
             if not in_doubt:
                 # The task never ran there, so a crash of the runner does not count against it.
-                self._owner_context.cell.withdraw(allocation)
+                self._owner_context.cell.release_start(allocation)
             await self._end_replaced_runner(state)
         else:
             now = self._owner_context.clock.monotonic()
-            self._owner_context.cell.start_answered(allocation, reply, now, in_doubt=in_doubt)
+            self._owner_context.cell.handle_start_reply(allocation, reply, now, in_doubt=in_doubt)
         if reply is not StartReply.STARTED:
             self._owner_context.journal.tell(
                 Part.PLACEMENT,
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from dandelionreel.cell.decisions import CLOCK_DRIFT, Cell, Crash, JobRun, RunnerState
+from dandelionreel.cell.decisions import MAX_CLOCK_DRIFT, Cell, Crash, JobRun, RunnerState
 from dandelionreel.cell.membership import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.model import (
     JobState,
@@ -17,7 +17,7 @@
     Topic,
     make_progress_records,
 )
-from dandelionreel.cell.store import GroupWriter, Written
+from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.kernel import Clock, Journal, Part, Signal, seconds_or_none
 
 #: Seconds for which runners keep their tasks without a renewal: longer than a usual partition.
@@ -129,14 +129,14 @@
         proves that there was no successor when it was sent, so the leases must have expired by that
         time.
         """
-        return state.lapsed(self.writer.stored_at, CLOCK_DRIFT)
+        return state.leases_expired(self.writer.stored_at, MAX_CLOCK_DRIFT)
 
     async def store_progress(
         self,
         jobs: list[JobRun],
         *other_records: KeyedRecord,
         timeout: float = AUTHORITY_SECONDS,
-    ) -> Written:
+    ) -> WriteOutcome:
         """Store the progress of jobs; once stored it is shown to clients and relied upon.
 
         The coroutine does not yield between building and queueing the records: the store keeps the
@@ -149,15 +149,15 @@
         await self._note_unstored_completions(progress_by_job)
         outcome = await self.writer.write(records, timeout)
         for job, progress in progress_by_job.items():
-            if outcome is Written.STORED:
+            if outcome is WriteOutcome.STORED:
                 self.unstored_completions.discard(job.id)
                 job.stored_state = progress.state
                 job.stored_runners.update(progress.runners)
             else:
-                self.cell.note_unstored(job)
+                self.cell.mark_dirty(job)
         return outcome
 
-    async def flush(self) -> Written:
+    async def flush(self) -> WriteOutcome:
         """Store the progress of all changed jobs and wait for writes that are already queued.
 
         A job whose progress is already queued has nothing more to write. If a write is given up
@@ -165,8 +165,8 @@
         although it is not in the store.
         """
         given_up = self.writer.given_up
-        outcome = await self.store_progress(self.cell.take_dirty())
-        return outcome if self.writer.given_up == given_up else Written.UNKNOWN
+        outcome = await self.store_progress(self.cell.take_dirty_jobs())
+        return outcome if self.writer.given_up == given_up else WriteOutcome.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
@@ -177,7 +177,7 @@
             tasks=len(state.allocation_by_run),
         )
         self._log_lost_runs(state)
-        self.log_crashes(self.cell.runner_ended(state.id, proven=proven))
+        self.log_crashes(self.cell.handle_ended_runner(state.id, proven=proven))
 
     def expire_runner_leases(self, state: RunnerState) -> None:
         """Treat all runs on a silent runner as ended, since its leases have expired."""
@@ -189,7 +189,7 @@
             epoch=self.term.epoch,
         )
         self._log_lost_runs(state)
-        self.cell.runner_lapsed(state.id)
+        self.cell.handle_lapsed_runner(state.id)
 
     def log_crashes(self, crashes: list[Crash]) -> None:
         """Log the runs during which a runner crashed, and whether their job is given up."""
@@ -199,7 +199,7 @@
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
                 **self.run_fields(crash.runner, crash.task, crash.run),
-                close=crash.close,
+                close=crash.during_start,
                 crashes=crash.count,
             )
 
@@ -256,16 +256,16 @@
         wall = self.clock.wall()
         progress_by_job = {}
         for job in jobs:
-            leftovers = self.cell.leftovers_of(job, wall) if job.over else ()
+            leftovers = self.cell.leftovers_of(job, wall) if job.is_over else ()
             progress = job.progress(self.term.epoch, wall, leftovers)
             progress_by_job[job] = progress
-            if job.over:
+            if job.is_over:
                 self.journal.tell(
                     Part.JOBS,
                     f'job {job.id} is {progress.state.value}.',
                     job=job.id,
                     queue=job.submission.queue,
-                    seconds=round(self.clock.monotonic() - job.accepted, 3),
+                    seconds=round(self.clock.monotonic() - job.accepted_at, 3),
                     objective=round(self.cell.objective_of(job), 3),
                     account=job.account,
                 )
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -6,12 +6,18 @@
 
 from dandelionreel.cell.decisions import (
     ActiveRunners,
-    note_last_words,
-    stop_late_gangs,
-    stop_leaving,
+    apply_last_registrations,
+    stop_incomplete_gangs,
+    stop_on_draining_runners,
 )
 from dandelionreel.cell.membership import AUTHORITY_SECONDS
-from dandelionreel.cell.model import CANCELLATION, PROGRESS, SUBMISSION, KeyedRecord, make_tombstone
+from dandelionreel.cell.model import (
+    CANCELLATION_PREFIX,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
+    KeyedRecord,
+    make_tombstone,
+)
 from dandelionreel.cell.owner._load_report import LoadReport
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.owner._parts import DispatcherParts
@@ -41,7 +47,7 @@
         self._active = ActiveRunners(context.cell)
         self._succession = Succession(
             context,
-            parts.jobs.book,
+            parts.jobs.state,
             parts.links,
             parts.election,
             parts.host,
@@ -102,27 +108,27 @@
         A job stays blocked until each runner that is stored with it has listed its tasks, or all
         leases there must have expired.
         """
-        self._cell.unseen.update(self._parts.jobs.book.former_runners())
+        self._cell.unseen_runners.update(self._parts.jobs.state.earlier_runners())
         self._log_unseen('blocks the jobs that may run on runners that have not answered yet.', now)
 
     async def _drop_unseen_runners(self, now: float) -> None:
         """Treat tasks on unseen runners as ended once their leases must have expired."""
-        if not self._cell.unseen:
+        if not self._cell.unseen_runners:
             return
         await self._drop_replaced_runners()
-        if self.predecessor_leases.shorten_if_ended(self._parts.jobs.book, now):
+        if self.predecessor_leases.shorten_if_ended(self._parts.jobs.state, now):
             self._log_unseen('the previous owner has ended.', now)
         if now > self.predecessor_leases.end_at:
-            unseen = tuple(self._cell.unseen)
+            unseen = tuple(self._cell.unseen_runners)
             confirmed = [runner for runner in unseen if await self._zone_is_confirmed(runner)]
             if confirmed:
                 self._log_unseen('takes the leases on unseen runners for run out.', now)
-                self._owner_context.log_crashes(self._cell.give_up_unseen(confirmed))
+                self._owner_context.log_crashes(self._cell.drop_unseen_runners(confirmed))
 
     async def _drop_replaced_runners(self) -> None:
         """Treat tasks on runner incarnations as ended that a later incarnation has replaced."""
         replaced = []
-        for incarnation, later in self._cell.find_outlived().items():
+        for incarnation, later in self._cell.find_replaced_runners().items():
             if await self._owner_context.confirm_zone(later.registration.zone, self._term_began_at):
                 replaced.append(incarnation)
         if not replaced:
@@ -133,7 +139,7 @@
             epoch=self._owner_context.term.epoch,
             runners=replaced,
         )
-        self._owner_context.log_crashes(self._cell.give_up_unseen(replaced))
+        self._owner_context.log_crashes(self._cell.drop_unseen_runners(replaced))
 
     async def _zone_is_confirmed(self, runner: str) -> bool:
         """Return whether the zone of an unseen runner has reported the completions it has shown."""
@@ -147,7 +153,7 @@
             Part.OWNERSHIP,
             sentence,
             epoch=self._owner_context.term.epoch,
-            runners=sorted(self._cell.unseen),
+            runners=sorted(self._cell.unseen_runners),
             seconds=round(self.predecessor_leases.end_at - now, 3),
             former_silent=round(self.predecessor_leases.silent_seconds, 3),
             former_ended=self.predecessor_leases.ended,
@@ -156,14 +162,14 @@
 
     def _apply_preventive_stops(self, now: float) -> None:
         """Stop gangs that stay incomplete, and tasks on runners that are draining."""
-        for step in stop_late_gangs(self._cell, now, self._clock.wall()):
+        for step in stop_incomplete_gangs(self._cell, now, self._clock.wall()):
             self._journal.tell_frequent(
                 Part.PLACEMENT,
                 'stopped a gang that was not completely started in time.',
                 job=step.name.job,
                 step=step.name.step,
             )
-        for allocation in stop_leaving(self._cell, now):
+        for allocation in stop_on_draining_runners(self._cell, now):
             self._journal.tell_frequent(
                 Part.PLACEMENT,
                 f'moves a task off the draining runner {allocation.runner}.',
@@ -181,12 +187,12 @@
         """
         runner_list = self._parts.runners
         now = self._clock.monotonic()
-        for idle in self._active.take_idle(runner_list.registration_by_id):
-            self._cell.leave_runner(idle.id)
+        for idle in self._active.release_idle(runner_list.registration_by_id):
+            self._cell.forget_runner(idle.id)
         active = self._active.choose(runner_list.registration_by_id, now)
-        new_states = self._cell.see_runners(active, now)
-        note_last_words(self._cell.runner_by_id.values(), runner_list.find, now)
-        for runner_id in self._cell.unseen - self._cell.runner_by_id.keys():
+        new_states = self._cell.update_runners(active, now)
+        apply_last_registrations(self._cell.runner_by_id.values(), runner_list.find, now)
+        for runner_id in self._cell.unseen_runners - self._cell.runner_by_id.keys():
             # It is no longer listed but may still be alive and have tasks.
             registration = runner_list.find(runner_id)
             if registration is not None:
@@ -203,9 +209,10 @@
         self._last_drop_at = now
         oldest = self._clock.wall() - self._parts.status_kept * 2
         records: list[KeyedRecord] = []
-        for job_id in self._parts.jobs.book.jobs_ended_before(oldest):
+        for job_id in self._parts.jobs.state.jobs_ended_before(oldest):
             records.extend(
-                make_tombstone(key + job_id) for key in (SUBMISSION, CANCELLATION, PROGRESS)
+                make_tombstone(key + job_id)
+                for key in (SUBMISSION_PREFIX, CANCELLATION_PREFIX, PROGRESS_PREFIX)
             )
         if records:
             await curio.spawn(
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -4,9 +4,9 @@
 long as the lost owner renews the leases, and must not be started elsewhere meanwhile.
 """
 
-from dandelionreel.cell.decisions import CLOCK_DRIFT
+from dandelionreel.cell.decisions import MAX_CLOCK_DRIFT
 from dandelionreel.cell.membership import AUTHORITY_SECONDS, Term
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 
 #: Maximum age in seconds of the last reading of a runner's clock when a lease is granted from it.
 MAX_CLOCK_READING_AGE_SECONDS = 2.2
@@ -18,7 +18,7 @@
     A lease ends at a time of the runner's clock, which the owner extrapolates from its last
     reading. Both the time since the reading and the lease itself pass more slowly on that clock.
     """
-    return (seconds + MAX_CLOCK_READING_AGE_SECONDS * CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
+    return (seconds + MAX_CLOCK_READING_AGE_SECONDS * MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
 
 
 class PredecessorLeases:
@@ -39,7 +39,7 @@
         #: When every lease of an earlier owner has expired, in monotonic seconds.
         self.end_at = max(now + remaining_authority + self._lease, self._earlier_leases_end_at)
 
-    def shorten_if_ended(self, book: JobBook, now: float) -> bool:
+    def shorten_if_ended(self, book: CellState, now: float) -> bool:
         """Move the end forward if the previous owner has ended; return whether that is news.
 
         If its host is back with a new process, the old process renews no more leases, and only the
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from dandelionreel.cell.decisions import Holding, PollEffect, RunnerState
+from dandelionreel.cell.decisions import AllocationPhase, PollEffect, RunnerState
 from dandelionreel.cell.model import (
     Runner,
     RunnerError,
@@ -11,7 +11,7 @@
     RunnerView,
 )
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import Written
+from dandelionreel.cell.store import WriteOutcome
 from dandelionreel.kernel import Part
 
 #: Long-poll time in seconds: the runner answers earlier if a run ends. Each poll renews its
@@ -51,9 +51,9 @@
     async def _poll_once(self, state: RunnerState, runner: Runner) -> None:
         sent_at = self._owner_context.clock.monotonic()
         lease_until = state.renew_lease(sent_at, self._owner_context.lease)
-        unstored = state.acknowledged < state.acknowledgeable
+        unstored = state.acknowledged_end < state.acknowledgeable_end
         wait = _poll_wait(state) if lease_until is not None and not unstored else 0
-        acknowledged = state.acknowledged
+        acknowledged = state.acknowledged_end
         try:
             view = await runner.poll(
                 self._owner_context.term.epoch, acknowledged, lease_until, wait
@@ -71,17 +71,17 @@
             # Another request has found a later incarnation at this address meanwhile. Runs from
             # this answer would count as running forever, as this state is no longer polled.
             return
-        state.confirmed = acknowledged
+        state.confirmed_end = acknowledged
         self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
         was_usable = state.usable(sent_at)
         effect = self._apply_view(state, view, sent_at)
-        if effect.is_news or not was_usable:
+        if effect.has_changes or not was_usable:
             await self._owner_context.plan_needed.notify()
         if effect.ended or unstored:
             await self._store_ends(state, effect)
-            if unstored and state.acknowledged < state.acknowledgeable:
+            if unstored and state.acknowledged_end < state.acknowledgeable_end:
                 await curio.sleep(POLL_RETRY_SECONDS)
-        if not view.complete or state.acknowledgeable < state.noted:
+        if not view.complete or state.acknowledgeable_end < state.processed_end:
             # The runner answers at once while it has an unacknowledged end, so polls would follow
             # each other without a pause.
             await curio.sleep(POLL_RETRY_SECONDS)
@@ -92,8 +92,8 @@
 
     def _apply_view(self, state: RunnerState, view: RunnerView, sent_at: float) -> PollEffect:
         now = self._owner_context.clock.monotonic()
-        unseen = state.id in self._owner_context.cell.unseen
-        effect = self._owner_context.cell.viewed(state, view, sent_at, now)
+        unseen = state.id in self._owner_context.cell.unseen_runners
+        effect = self._owner_context.cell.handle_view(state, view, sent_at, now)
         self._log_effect(state, effect, now)
         self._owner_context.log_crashes(effect.crashes)
         self._log_readable(state, view)
@@ -109,7 +109,7 @@
         task = await curio.spawn(
             self._acknowledge,
             state,
-            state.acknowledgeable,
+            state.acknowledgeable_end,
             bool(effect.ended),
             daemon=True,
         )
@@ -124,8 +124,8 @@
         started_at = self._owner_context.clock.monotonic()
         jobs = sorted(self._unstored_by_runner.get(state.id, ()))
         outcome = await self._owner_context.flush()
-        if outcome is Written.STORED:
-            state.acknowledged = max(state.acknowledged, number)
+        if outcome is WriteOutcome.STORED:
+            state.acknowledged_end = max(state.acknowledged_end, number)
             self._unstored_by_runner.get(state.id, set()).difference_update(jobs)
         elif not has_new_ends:
             return
@@ -137,7 +137,7 @@
         state: RunnerState,
         number: int,
         jobs: list[str],
-        outcome: Written,
+        outcome: WriteOutcome,
         started_at: float,
     ) -> None:
         self._owner_context.journal.tell_frequent(
@@ -146,16 +146,18 @@
             runner=state.id,
             jobs=jobs[:MAX_LOGGED],
             number=number,
-            acknowledged=state.acknowledged,
+            acknowledged=state.acknowledged_end,
             epoch=self._owner_context.term.epoch,
             seconds=round(self._owner_context.clock.monotonic() - started_at, 3),
         )
 
     async def _handle_poll_failure(self, state: RunnerState, error: RunnerError) -> None:
         now = self._owner_context.clock.monotonic()
-        first = not state.missed
-        state.missed = True
-        if not state.suspect and (error.broken or now - state.answered_at > SUSPECT_SECONDS):
+        first = not state.missed_last_poll
+        state.missed_last_poll = True
+        if not state.suspect and (
+            error.connection_broken or now - state.answered_at > SUSPECT_SECONDS
+        ):
             state.suspect = True
             self._owner_context.journal.tell(
                 Part.WORKERS,
@@ -170,13 +172,13 @@
         if (
             not state.listed
             and not state.allocation_by_run
-            and state.id not in self._owner_context.cell.unseen
+            and state.id not in self._owner_context.cell.unseen_runners
         ):
             self._owner_context.end_runner(
                 state, 'it is no longer listed and does not answer', proven=False
             )
             return
-        if first and error.broken:
+        if first and error.connection_broken:
             # Retry at once: if only the connection was reset, the next poll is answered.
             return
         await curio.sleep(POLL_RETRY_SECONDS)
@@ -252,6 +254,7 @@
 def _poll_wait(state: RunnerState) -> float:
     """Return the long-poll time in seconds for a runner in this state."""
     stopping = any(
-        allocation.phase is Holding.STOPPING for allocation in state.allocation_by_run.values()
+        allocation.phase is AllocationPhase.STOPPING
+        for allocation in state.allocation_by_run.values()
     )
     return STOP_POLL_SECONDS if stopping else POLL_SECONDS
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -5,7 +5,7 @@
 from dandelionreel.cell.membership import Election, PeerLinks, larger_hosts, rank_hosts
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Part
 from dandelionreel.peers import Done, OwnerAsked, OwnerFailing, PeerError
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         context: OwnerContext,
-        book: JobBook,
+        book: CellState,
         links: PeerLinks,
         election: Election,
         host: str,
@@ -80,7 +80,7 @@
     async def _request_takeover_if_store_fails(self, now: float) -> None:
         """Ask peers to claim the cell if the store fails for this host, since it may serve them."""
         if (
-            not self._owner_context.writer.in_trouble(now)
+            not self._owner_context.writer.store_is_failing(now)
             or now < self._last_request_at + REQUEST_RETRY_SECONDS
         ):
             return
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -7,7 +7,7 @@
 
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Part
 
 #: Runner silence in seconds below which no query is needed: a host takes at least as long to detect
@@ -23,7 +23,7 @@
     """Queries the hosts of zones for shown completions during one term."""
 
     def __init__(
-        self, context: OwnerContext, book: JobBook, gossip: CompletionGossip, host: str
+        self, context: OwnerContext, book: CellState, gossip: CompletionGossip, host: str
     ) -> None:
         """Query on behalf of ``host``."""
         self._owner_context = context
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -1,10 +1,16 @@
-"""What an entry host reads from the store, and how often."""
+"""The topics that an entry host follows, and how often it reads them."""
 
 from collections.abc import Callable
 
 from dandelionreel.cell.membership import keeps_runners
 from dandelionreel.cell.model import UnreadableLog
-from dandelionreel.cell.store import ConfigurationFolder, Folder, Follower, JobFolder, RunnersFolder
+from dandelionreel.cell.store import (
+    CellProjection,
+    ConfigurationProjection,
+    Follower,
+    Projection,
+    RunnerProjection,
+)
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.platform import (
     CELL_TOPIC,
@@ -15,38 +21,38 @@
     StoreTopic,
 )
 
-#: Seconds that a read waits at the store for news. The owner's heartbeats end
-#: most reads of the cell's topic sooner.
-CELL_WAIT = 0.5
-OPERATOR_WAIT = 2.0
-RUNNERS_WAIT = 1.0
-#: Seconds in which records are gathered into one read at the owner: of the
-#: cell's records, most of them its own, and of the runners' heartbeats.
-OWNER_CELL_PAUSE = 0.15
-OWNER_RUNNERS_PAUSE = 0.2
-#: The same on the other hosts. There a client that asks for a job that is not over ends the pause.
-CELL_PAUSE = 0.25
-RUNNERS_PAUSE = 2.0
-OPERATOR_PAUSE = 0.1
+#: Seconds that a read waits at the store for new records. The owner's heartbeats end most
+#: reads of the cell's topic sooner.
+CELL_WAIT_SECONDS = 0.5
+OPERATOR_WAIT_SECONDS = 2.0
+RUNNERS_WAIT_SECONDS = 1.0
+#: Seconds between reads at the owner, in which records are collected: the cell's records, most
+#: of them its own, and the runners' heartbeats.
+OWNER_CELL_PAUSE_SECONDS = 0.15
+OWNER_RUNNERS_PAUSE_SECONDS = 0.2
+#: The same at other hosts, where a client request for an unfinished job ends the pause.
+CELL_PAUSE_SECONDS = 0.25
+RUNNERS_PAUSE_SECONDS = 2.0
+OPERATOR_PAUSE_SECONDS = 0.1
 
 NoteUnreadable = Callable[[str, str], None]
 
 
 class EntryReads:
-    """Topics, what is folded from them, and the followers that keep it up to date."""
+    """Topics, their projections, and the followers that keep these up to date."""
 
     def __init__(
         self,
         host: str,
         store: Address,
-        owns: Callable[[], bool],
+        owns_cell: Callable[[], bool],
         note_unreadable: NoteUnreadable,
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Read for ``host``; ``owns()`` tells whether it owns the cell."""
+        """Read for ``host``; ``owns_cell()`` returns whether it owns the cell."""
         self._host = host
-        self._owns = owns
+        self._owns_cell = owns_cell
         self._note_unreadable = note_unreadable
         self._clock = clock
         self._journal = journal
@@ -54,24 +60,26 @@
         self.topics = {
             name: StoreTopic(name, store) for name in (CELL_TOPIC, OPERATOR_TOPIC, RUNNERS_TOPIC)
         }
-        self.configuration = ConfigurationFolder(
+        self.configuration = ConfigurationProjection(
             codec,
             journal,
-            self._watch_unreadable('operator', Part.CONTRACTS),
+            self._make_unreadable_log('operator', Part.CONTRACTS),
         )
-        self.runners = RunnersFolder(
+        self.runners = RunnerProjection(
             codec,
             clock,
             journal,
-            self.configuration.names_service,
-            self._watch_unreadable('runners', Part.WORKERS),
+            self.configuration.has_service,
+            self._make_unreadable_log('runners', Part.WORKERS),
+        )
+        self.cell = CellProjection(clock, journal, self._make_unreadable_log('cell', Part.LOG))
+        self.cell_follower = self._follow('cell', CELL_TOPIC, self.cell, CELL_WAIT_SECONDS)
+        self.runners_follower = self._follow(
+            'runners', RUNNERS_TOPIC, self.runners, RUNNERS_WAIT_SECONDS
         )
-        self.jobs = JobFolder(clock, journal, self._watch_unreadable('cell', Part.LOG))
-        self.cell_follower = self._follow('cell', CELL_TOPIC, self.jobs, CELL_WAIT)
-        self.runners_follower = self._follow('runners', RUNNERS_TOPIC, self.runners, RUNNERS_WAIT)
         self.followers = (
             self.cell_follower,
-            self._follow('operator', OPERATOR_TOPIC, self.configuration, OPERATOR_WAIT),
+            self._follow('operator', OPERATOR_TOPIC, self.configuration, OPERATOR_WAIT_SECONDS),
             self.runners_follower,
         )
 
@@ -82,35 +90,38 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether all that is wanted has been read, and the store answers."""
-        return all(one.resting or (one.complete and one.reached) for one in self.followers)
+        """Return whether all needed topics have been read to the end, and the store answers."""
+        return all(
+            follower.suspended or (follower.complete and follower.reached)
+            for follower in self.followers
+        )
 
     @property
     def started(self) -> bool:
-        """Return whether a first snapshot of all that is wanted has been read."""
-        return all(one.started or one.resting for one in self.followers)
+        """Return whether the first snapshots of all needed topics have been read."""
+        return all(follower.started or follower.suspended for follower in self.followers)
 
-    def _follow(self, name: str, topic: str, folder: Folder, wait: float) -> Follower:
+    def _follow(self, name: str, topic: str, projection: Projection, max_wait: float) -> Follower:
         return Follower(
             name,
             self.topics[topic],
-            folder,
+            projection,
             self._clock,
             self._journal,
-            wait,
+            max_wait,
             lambda: self._pause(topic),
-            lambda: topic != RUNNERS_TOPIC or self._wants_runners(),
+            lambda: topic != RUNNERS_TOPIC or self._needs_runner_list(),
         )
 
-    def _wants_runners(self) -> bool:
-        return self._owns() or keeps_runners(self.jobs.book.member_by_host, self._host)
+    def _needs_runner_list(self) -> bool:
+        return self._owns_cell() or keeps_runners(self.cell.state.member_by_host, self._host)
 
-    def _watch_unreadable(self, topic: str, part: Part) -> UnreadableLog:
+    def _make_unreadable_log(self, topic: str, part: Part) -> UnreadableLog:
         return UnreadableLog(topic, part, self._clock, self._journal, self._note_unreadable)
 
     def _pause(self, topic: str) -> float:
         if topic == OPERATOR_TOPIC:
-            return OPERATOR_PAUSE
-        if self._owns():
-            return OWNER_CELL_PAUSE if topic == CELL_TOPIC else OWNER_RUNNERS_PAUSE
-        return CELL_PAUSE if topic == CELL_TOPIC else RUNNERS_PAUSE
+            return OPERATOR_PAUSE_SECONDS
+        if self._owns_cell():
+            return OWNER_CELL_PAUSE_SECONDS if topic == CELL_TOPIC else OWNER_RUNNERS_PAUSE_SECONDS
+        return CELL_PAUSE_SECONDS if topic == CELL_TOPIC else RUNNERS_PAUSE_SECONDS
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -5,19 +5,19 @@
 
 from dandelionreel.cell.model import JobSpec, JobState, StartReply, Submission, WriterFence
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     OWNER_KEY,
-    SUBMISSION,
-    Attended,
+    RUNNERS_IN_USE_KEY,
+    SUBMISSION_PREFIX,
     Cancellation,
     Owner,
     Progress,
+    RunnersInUse,
     make_progress_records,
     make_record,
 )
 from dandelionreel.cell.owner._orders import OrderSender
-from dandelionreel.cell.store._writer import Written
+from dandelionreel.cell.store._writer import WriteOutcome
 from dandelionreel.kernel import ManualClock
 from features.cancelling_parts import MemoryRunner, OneRunnerOwner
 from features.cell_parts import SmallCell, step, task
@@ -35,12 +35,12 @@
 SUBMITTED = Submission('urgent', 'desk', 5.0, JobSpec('payload', (step(),)))
 RECORDS_BY_NAME = {
     'its submission and its cancellation': [
-        make_record(f'{SUBMISSION}j1', SUBMITTED),
-        make_record(f'{CANCELLATION}j1', Cancellation(6.0)),
+        make_record(f'{SUBMISSION_PREFIX}j1', SUBMITTED),
+        make_record(f'{CANCELLATION_PREFIX}j1', Cancellation(6.0)),
     ],
     'its final state': make_progress_records('j1', Progress(1, JobState.CANCELLED, ended_at=7.0)),
     'nothing of it': [],
-    'its submission': [make_record(f'{SUBMISSION}j1', SUBMITTED)],
+    'its submission': [make_record(f'{SUBMISSION_PREFIX}j1', SUBMITTED)],
 }
 
 
@@ -56,7 +56,7 @@
     context.start = small.allocations[0]
     small.cancel('j1')
     record_stops(context)
-    small.cell.stop_answered(context.start, small.now)
+    small.cell.handle_stop_reply(context.start, small.now)
 
 
 @when('a job is planned and cancelled before its start is answered')
@@ -70,8 +70,8 @@
 @when('w1 acknowledges the stop, and then the start')
 def acknowledge_both(context):
     small = context.small
-    small.cell.stop_answered(context.start, small.now)
-    small.cell.start_answered(context.start, StartReply.STARTED, small.now)
+    small.cell.handle_stop_reply(context.start, small.now)
+    small.cell.handle_start_reply(context.start, StartReply.STARTED, small.now)
 
 
 @when('a poll that is sent {seconds:f} s later still lists the run')
@@ -86,11 +86,11 @@
     small.add_job('j1', [step()])
     context.start = small.plan(start=False).starts[0]
     if fate == 'refused':
-        small.cell.start_answered(context.start, StartReply.NO_ROOM, small.now)
+        small.cell.handle_start_reply(context.start, StartReply.NO_ROOM, small.now)
     else:
         small.cell.stop(context.start)
         small.cell.take_stops()
-        small.cell.stop_answered(context.start, small.now)
+        small.cell.handle_stop_reply(context.start, small.now)
         small.now += 1
         small.poll('w1')
     assert not small.runs_on('w1')
@@ -130,7 +130,7 @@
 def unknown_run(context):
     context.small.poll('w1', running=[EARLIER_RUN])
     (context.unknown,) = context.small.cell.take_stops()
-    context.small.cell.stop_answered(context.unknown, context.small.now)
+    context.small.cell.handle_stop_reply(context.unknown, context.small.now)
 
 
 @when('w1 no longer lists the unknown run')
@@ -230,7 +230,7 @@
 
 async def append_all(topic, records):
     """Store the records of a previous owner, and the claim of its successor."""
-    attended = make_record(ATTENDED_KEY, Attended(1, ('w1',)))
+    attended = make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w1',)))
     await topic.append([*records, attended], 0.1, WriterFence(1, 1))
     claim = make_record(OWNER_KEY, Owner(2, 'me', 'me/1'))
     await topic.append([claim], 0.1, WriterFence(2, 0))
@@ -292,7 +292,7 @@
         await owner.begin()
         await until(lambda: has_adopted_run(owner))
         owner.runner.reachable = False
-        assert await owner.dispatcher.cancel('j1', LONG_TIMEOUT) is Written.STORED
+        assert await owner.dispatcher.cancel('j1', LONG_TIMEOUT) is WriteOutcome.STORED
         await wait_until_gone(owner)
 
     curio.run(cancel)
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -6,7 +6,7 @@
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.membership._election import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.model import RecordBatch, WriterFence
-from dandelionreel.cell.model._records import MEMBER, OWNER_KEY, Member, Owner, make_record
+from dandelionreel.cell.model._records import MEMBER_PREFIX, OWNER_KEY, Member, Owner, make_record
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases
 from dandelionreel.kernel import ManualClock
@@ -45,7 +45,7 @@
         return other, me, make_dispatcher(me, term, context.topic, me.clock)
 
     other, me, dispatcher = curio.run(claim)
-    assert other.folder.book.owner.term == 'me/1'
+    assert other.folder.state.owner.term == 'me/1'
     # From here on no append of the new owner is answered.
     context.last_lease = (
         dispatcher._owner_context.writer.stored_at + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
@@ -76,15 +76,15 @@
     clock = ManualClock()
     context.host = host = Host('me', MemoryTopic(), clock)
     claim = make_record(OWNER_KEY, Owner(1, 'other', 'other/1'))
-    member = make_record(f'{MEMBER}other', Member('north', '127.0.0.1', 1))
-    host.folder.restart(RecordBatch((claim, member), 1, 1))
+    member = make_record(f'{MEMBER_PREFIX}other', Member('north', '127.0.0.1', 1))
+    host.folder.load_snapshot(RecordBatch((claim, member), 1, 1))
     host.follower._offset = 1
     for gap in gaps:
         clock.advance(gap)
         host.folder.fold(RecordBatch((claim,), 2, 2))
     clock.advance(seconds)
     host.follower.fresh_at = clock.monotonic()
-    host.follower.reached_since = clock.monotonic() - 5
+    host.follower.reachable_since = clock.monotonic() - 5
 
 
 @when('a request that is forwarded to the owner is not answered')
@@ -92,7 +92,7 @@
     host = context.host
     relay = Relay(
         'me',
-        host.folder.book,
+        host.folder.state,
         SilentPeerLinks(),
         host.clock,
         journal(),
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -8,16 +8,16 @@
 from dandelionreel.cell.model import JobSpec, Submission, WriterFence
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import (
-    MEMBER,
-    PROGRESS,
-    SUBMISSION,
+    MEMBER_PREFIX,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     Member,
     Progress,
     make_record,
 )
 from dandelionreel.cell.model._services import StoreError
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, Frame, PeerError, Refused
 from features.cell_parts import SmallCell, make_registration, step, task
@@ -25,7 +25,7 @@
 from standins import MemoryTopic
 
 JOB = '0123456789abcdef'
-PEER = make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 1))
+PEER = make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 1))
 
 
 class AwayTopic(MemoryTopic):
@@ -67,7 +67,7 @@
     if answers == 'has been asked by a later owner':
         remembered.answer(2)
     context.peer = PeerHost(remembered)
-    book = JobBook()
+    book = CellState()
     book.fold([PEER])
     context.completions = Completions(clock)
     context.notices = CompletionGossip(context.owner, book, context.peer, context.completions, 'me')
@@ -102,8 +102,8 @@
     context.topic = MemoryTopic()
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     records = [
-        make_record(SUBMISSION + JOB, submission),
-        make_record(PROGRESS + JOB, Progress(1, JobState.RUNNING, runners=('w1',))),
+        make_record(SUBMISSION_PREFIX + JOB, submission),
+        make_record(PROGRESS_PREFIX + JOB, Progress(1, JobState.RUNNING, runners=('w1',))),
         PEER,
     ]
     curio.run(context.topic.append, records, 0.1)
@@ -129,7 +129,7 @@
         dispatcher._completion_gossip.block_started_jobs()
         cell = dispatcher.cell
         # w1 answers no more; w2 does, and could run the task.
-        cell.see_runners({'w2': make_registration('w2')}, 0)
+        cell.update_runners({'w2': make_registration('w2')}, 0)
         context.blocked_at_first = cell.is_blocked(cell.job_by_id[JOB])
         await dispatcher._completion_gossip.query_successors()
         return cell
@@ -142,10 +142,10 @@
     job = context.cell.job_by_id[JOB]
     assert context.blocked_at_first, 'it could be started before peers had answered'
     assert not context.cell.is_blocked(job)
-    waits = bool(job.ready_steps(0)) and not job.over
+    waits = bool(job.ready_steps(0)) and not job.is_over
     assert waits is (outcome == 'started again'), job.state
     if not waits:
-        assert [dirty.id for dirty in context.cell.take_dirty()] == [JOB]
+        assert [dirty.id for dirty in context.cell.take_dirty_jobs()] == [JOB]
 
 
 @given('a host that the owner of epoch {epoch:d} has asked')
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -9,7 +9,7 @@
     make_record,
 )
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step
 from features.store_parts import Host, make_dispatcher, make_owner_context, until
@@ -75,7 +75,7 @@
 def not_acknowledged(context):
     assert context.owner.may_act()
     assert 'e/j1' not in context.stored, context.stored
-    assert context.state.acknowledged == 0, 'acknowledged, but not stored'
+    assert context.state.acknowledged_end == 0, 'acknowledged, but not stored'
 
 
 @given('an owner whose heartbeat with a new runner is about to be given up')
@@ -96,18 +96,18 @@
         await curio.spawn(writer.run, daemon=True)
         await curio.spawn(writer.write, [make_record('x', 1)], 9.0, daemon=True)
         await until(lambda: topic.append_count == 1)
-        dispatcher.cell.see_runners({'w1': make_registration('w1')}, context.clock.monotonic())
+        dispatcher.cell.update_runners({'w1': make_registration('w1')}, context.clock.monotonic())
         await curio.spawn(dispatcher._store_heartbeats, daemon=True)
         await until(lambda: topic.append_count == 6)
         return await topic.snapshot()
 
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold(curio.run(store_heartbeats).records)
 
 
 @then('tasks are placed on the new runner only if the store lists it')
 def listed_or_unused(context):
     assert context.dispatcher._owner_context.may_act()
-    listed = context.book.attended.runners if context.book.attended else ()
+    listed = context.book.runners_in_use.runners if context.book.runners_in_use else ()
     state = context.dispatcher.cell.runner_by_id['w1']
     assert 'w1' in listed or not state.recorded, f'the store lists {listed}'
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -38,7 +38,7 @@
 def make_owner(context, clock, seconds):
     context.small = SmallCell(runners=())
     context.small.registration_by_id = {'w1': make_registration('w1', capacity=LARGE_CAPACITY)}
-    context.small.see_runners()
+    context.small.update_runners()
     context.small.poll('w1')
     context.owner = make_owner_context(context.small.cell, clock)
     context.owner.writer.stored_at = clock.monotonic()
@@ -70,7 +70,7 @@
             if len(context.runner.started) > 60 and 'urgent' not in context.small.cell.job_by_id:
                 add_job(context, 'urgent', [step(1000)], 'urgent')
             plan = context.small.planner.plan(
-                context.small.now, context.small.now, most_starts=context.orders.free_starts
+                context.small.now, context.small.now, max_starts=context.orders.free_starts
             )
             context.plans += 1
             await context.orders.send_starts(plan.starts)
@@ -105,7 +105,7 @@
     job = add_job(context, 'advised', [step(1000)], 'advised')
     small.planner.plan(small.now, small.now)
     name = job.steps(0)[0].name
-    small.cell.tickets.note(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
+    small.cell.tickets.note_answer(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
     (context.start,) = small.planner.plan(small.now, small.now).starts
     assert ADVISED_QUEUE.advice == AdvicePolicy(0.01, 0.0001, 2.0) and context.start.ticket
 
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -7,12 +7,12 @@
 
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    Attended,
+    RUNNERS_IN_USE_KEY,
     Member,
     Owner,
+    RunnersInUse,
     make_record,
 )
 from dandelionreel.kernel import Verdict
@@ -28,7 +28,7 @@
     context.topic = MemoryTopic()
     records = [
         make_record(OWNER_KEY, Owner(1, 'other', 'other/1')),
-        make_record(ATTENDED_KEY, Attended(1, ('w9',))),
+        make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w9',))),
     ]
     curio.run(context.topic.append, records, 0.1, WriterFence(1, 3))
     context.host = Host('me', context.topic)
@@ -46,7 +46,7 @@
         return dispatcher, third, await third.own()
 
     context.dispatcher, third, term = curio.run(own_and_release)
-    assert context.dispatcher.cell.unseen == {'w9'}
+    assert context.dispatcher.cell.unseen_runners == {'w9'}
     assert term.released, term
     context.third = make_dispatcher(third, term, context.topic, third.clock)
     context.third._load_state()
@@ -54,7 +54,7 @@
 
 @then('the third owner waits no less than the successor would have')
 def waits_as_long(context):
-    assert context.third.cell.unseen == {'w9'}
+    assert context.third.cell.unseen_runners == {'w9'}
     successor_end = context.dispatcher._periodic_checks.predecessor_leases.end_at
     third_end = context.third._periodic_checks.predecessor_leases.end_at
     assert third_end >= successor_end - 0.05, f'{successor_end - third_end:.3f} s too early'
@@ -130,7 +130,7 @@
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
     context.links = SuccessorLinks(context.topic, answers)
-    member = make_record(f'{MEMBER}peer', Member('north', '127.0.0.1', 1))
+    member = make_record(f'{MEMBER_PREFIX}peer', Member('north', '127.0.0.1', 1))
     curio.run(context.topic.append, [member], 0.1)
 
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -6,17 +6,17 @@
 from dandelionreel.cell.membership._election import AUTHORITY_SECONDS, Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    SUBMISSION,
-    Attended,
+    SUBMISSION_PREFIX,
     Member,
     Owner,
+    RunnersInUse,
     make_record,
 )
 from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import SmallCell, make_queue, make_registration, step
 from features.store_parts import DRIFT, Host, make_dispatcher, make_owner_context, until
@@ -52,12 +52,12 @@
 def waiting_successor(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.host.folder.book.attended = Attended(1, ('w9',))
+    context.host.folder.state.runners_in_use = RunnersInUse(1, ('w9',))
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
     context.dispatcher._load_state()
-    context.dispatcher.cell.see_runners({'w1': make_registration('w1')}, heard_at)
+    context.dispatcher.cell.update_runners({'w1': make_registration('w1')}, heard_at)
 
 
 @when('the successor stores the runners on which tasks may run')
@@ -69,14 +69,14 @@
         await until(lambda: context.topic.records)
         return await context.topic.snapshot()
 
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold(curio.run(beat).records)
 
 
 @then('w9 is among them')
 def w9_listed(context):
-    assert context.book.attended is not None, 'no runners were stored'
-    assert 'w9' in context.book.attended.runners, context.book.attended
+    assert context.book.runners_in_use is not None, 'no runners were stored'
+    assert 'w9' in context.book.runners_in_use.runners, context.book.runners_in_use
 
 
 class ProbedTopic(MemoryTopic):
@@ -120,10 +120,10 @@
 
 @given('an owner incarnation that first read the store at offset {offset:d}')
 def owner_incarnation(context, offset):
-    context.book = JobBook()
+    context.book = CellState()
     owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER}other', member), make_record(OWNER_KEY, owner)])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)])
 
 
 @when(
@@ -131,7 +131,7 @@
 )
 def member_record(context, offset):
     member = Member('north', '10.0.0.9', 7, 'other/1', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER}other', member)])
+    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member)])
 
 
 @then('the owner is considered {fate}')
@@ -147,7 +147,7 @@
     first, context.second = context.small.plan().starts
     context.first = first
     context.job.stored_runners.add(first.runner)
-    context.small.cell.withdraw(context.second)
+    context.small.cell.release_start(context.second)
     (context.second,) = context.small.plan(start=False).starts
     context.topic = MemoryTopic()
     context.owner = make_owner_context(
@@ -163,7 +163,7 @@
         await context.owner.flush()
 
     async def race():
-        submission = make_record(f'{SUBMISSION}j1', context.job.submission)
+        submission = make_record(f'{SUBMISSION_PREFIX}j1', context.job.submission)
         await context.topic.append([submission], 0.1)
         await curio.spawn(context.owner.writer.run, daemon=True)
         await OrderSender(context.owner).send_starts([context.second])
@@ -174,7 +174,7 @@
         await until(lambda: run not in context.small.runs_on(context.second.runner))
         return await context.topic.snapshot()
 
-    context.book = JobBook()
+    context.book = CellState()
     context.book.fold(curio.run(race).records)
 
 
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -7,22 +7,22 @@
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
     OWNER_KEY,
-    PROGRESS,
-    SUBMISSION,
-    UNSETTLED_SECONDS,
-    Attended,
+    PREDECESSOR_LEASE_SECONDS,
+    PROGRESS_PREFIX,
+    RUNNERS_IN_USE_KEY,
+    SUBMISSION_PREFIX,
     Owner,
     Progress,
+    RunnersInUse,
     Submission,
     make_record,
 )
 from dandelionreel.cell.model._services import RecordBatch
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases, lease_upper_bound
-from dandelionreel.cell.store._directory import JobFolder
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
+from dandelionreel.cell.store._projections import CellProjection
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import step
 from features.store_parts import DRIFT, Host, journal, make_dispatcher
@@ -37,9 +37,9 @@
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     records = [
         make_record(OWNER_KEY, Owner(4, 'other', 'other/1')),
-        make_record(f'{SUBMISSION}j1', submission),
-        make_record(f'{PROGRESS}j1', Progress(4, JobState.RUNNING, runners=('w9',))),
-        make_record(ATTENDED_KEY, Attended(4, ('w9',))),
+        make_record(f'{SUBMISSION_PREFIX}j1', submission),
+        make_record(f'{PROGRESS_PREFIX}j1', Progress(4, JobState.RUNNING, runners=('w9',))),
+        make_record(RUNNERS_IN_USE_KEY, RunnersInUse(4, ('w9',))),
     ]
     curio.run(context.topic.append, records, 0.1, WriterFence(4, 3))
     context.host = Host('me', context.topic)
@@ -71,7 +71,7 @@
 
 @then('the wait that a claim announces covers it')
 def claim_covers(context):
-    assert context.longest <= UNSETTLED_SECONDS < context.longest + 0.2
+    assert context.longest <= PREDECESSOR_LEASE_SECONDS < context.longest + 0.2
 
 
 @given('a wait for an owner that was heard from just now')
@@ -84,7 +84,7 @@
 
 @when('its successor checks for proof that it has ended and finds none')
 def no_proof(context):
-    assert not context.wait.shorten_if_ended(JobBook(), 1001.0)
+    assert not context.wait.shorten_if_ended(CellState(), 1001.0)
 
 
 @then('the wait is as long as before')
@@ -95,15 +95,15 @@
 @given('a host that has long known the owner')
 def known_owner(context):
     context.clock = ManualClock()
-    context.folder = JobFolder(context.clock, journal())
-    context.folder.restart(RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1))
+    context.folder = CellProjection(context.clock, journal())
+    context.folder.load_snapshot(RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1))
 
 
 @when('it reads a snapshot with a later heartbeat of that owner')
 def later_snapshot(context):
     context.clock.advance(20)
     record = make_record(OWNER_KEY, Owner(1, 'o', 'o/1', 9))
-    context.folder.restart(RecordBatch((record,), 9, 9))
+    context.folder.load_snapshot(RecordBatch((record,), 9, 9))
 
 
 @then('the owner counts as heard from just now')
