--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -29,14 +29,14 @@
     def __init__(
         self,
         context: OwnerContext,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
         completions: Completions,
         host: str,
     ) -> None:
         """Act for ``host``; ``completions`` collects the jobs that may be shown as complete."""
         self._owner_context = context
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
         self._completions = completions
         self._host = host
@@ -79,7 +79,7 @@
 
     def _successors(self) -> list[tuple[str, Member]]:
         """Return the hosts that are next in line to own the cell."""
-        members = self._book.member_by_host
+        members = self._cell_state.member_by_host
         first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSORS]
         return [(host, members[host]) for host in first]
 
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -149,8 +149,8 @@
         known = self.cell.job_by_id.get(job_id)
         if known is not None and known.stored:
             return WriteOutcome.STORED
-        booked = StoredJob(job_id, submission, cancelled=False, progress=None)
-        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
+        stored_job = StoredJob(job_id, submission, cancelled=False, progress=None)
+        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
         job = self.cell.job_by_id[job_id]
         self._log_rate_exceeded(job)
         job.stored = False
@@ -232,24 +232,26 @@
         """
         await self._owner_context.flush()
         self._owner_context.end_reason = 'released'
-        owner = self._owner_context.term.record(
+        owner_record = self._owner_context.term.record(
             unsettled=self._unsettled_seconds(),
             released=True,
             version=self._parts.configuration.version,
         )
-        await self._owner_context.writer.write([make_record(OWNER_KEY, owner)], RELEASE_TIMEOUT)
+        await self._owner_context.writer.write(
+            [make_record(OWNER_KEY, owner_record)], RELEASE_TIMEOUT
+        )
 
     def _load_state(self) -> None:
         """Load jobs and quota leftovers from the store, and the runners still to be polled."""
         parts = self._parts
         self._periodic_checks.load_predecessor_state(self._clock.monotonic())
-        book = parts.jobs.state
-        book.take_changed()
+        cell_state = parts.jobs.state
+        cell_state.take_changed()
         # In order of acceptance, since an account expects its earlier jobs to be served first.
-        for job_id in sorted(book.submission_by_id, key=book.accepted_at):
+        for job_id in sorted(cell_state.submission_by_id, key=cell_state.accepted_at):
             self._update_job(job_id)
         wall = self._clock.wall()
-        for job_id, progress in book.progress_by_id.items():
+        for job_id, progress in cell_state.progress_by_id.items():
             self.cell.quotas.expect_leftovers(job_id, progress, wall)
 
     def _unsettled_seconds(self) -> float:
@@ -260,8 +262,8 @@
         """
         if not self.cell.unseen_runners:
             return 0.0
-        left = self._periodic_checks.predecessor_leases.end_at - self._clock.monotonic()
-        return round(max(0.0, left), 2)
+        remaining = self._periodic_checks.predecessor_leases.end_at - self._clock.monotonic()
+        return round(max(0.0, remaining), 2)
 
     async def _store_heartbeats(self) -> None:
         """Store heartbeats until the term ends; one stored after the release would undo it."""
@@ -270,16 +272,16 @@
         while not self._owner_context.end_reason:
             heartbeat += 1
             version = self._parts.configuration.version
-            owner = self._owner_context.term.record(
+            owner_record = self._owner_context.term.record(
                 heartbeat, self._unsettled_seconds(), version=version
             )
-            records = [make_record(OWNER_KEY, owner)]
+            records = [make_record(OWNER_KEY, owner_record)]
             # Includes runners that only a previous owner has seen: if this owner is killed, its
             # successor has to wait for them as well.
-            attended = frozenset(self.cell.runner_by_id) | self.cell.unseen_runners
-            if attended != stored:
+            runners_in_use = frozenset(self.cell.runner_by_id) | self.cell.unseen_runners
+            if runners_in_use != stored:
                 runners_record = RunnersInUse(
-                    self._owner_context.term.epoch, tuple(sorted(attended))
+                    self._owner_context.term.epoch, tuple(sorted(runners_in_use))
                 )
                 records.append(make_record(RUNNERS_IN_USE_KEY, runners_record))
             outcome = await self._owner_context.store_progress(
@@ -291,7 +293,7 @@
                 )
                 return
             if outcome is WriteOutcome.STORED:
-                stored = attended
+                stored = runners_in_use
                 await self._enable_recorded_runners(stored)
             await curio.sleep(BEAT_SECONDS)
 
@@ -305,13 +307,13 @@
     async def _follow_jobs(self) -> None:
         """Apply changes of jobs and of the owner as they are read from the store."""
         follower = self._parts.follower
-        book = self._parts.jobs.state
+        cell_state = self._parts.jobs.state
         while True:
             seen = follower.changed.count
             if not self._parts.election.still_owner(self._owner_context.term):
                 await self._owner_context.end_term('the store names another owner')
                 return
-            changed = book.take_changed()
+            changed = cell_state.take_changed()
             for job_id in changed:
                 self._update_job(job_id)
             if changed:
@@ -319,17 +321,17 @@
             await follower.changed.wait(seen, 1.0)
 
     def _update_job(self, job_id: str) -> None:
-        booked = self._parts.jobs.state.find(job_id)
-        if booked is not None and booked.unreadable:
-            self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
+        stored_job = self._parts.jobs.state.find(job_id)
+        if stored_job is not None and stored_job.unreadable:
+            self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
             return
-        if booked is None or booked.submission is None:
-            self._forget_job(job_id, booked)
+        if stored_job is None or stored_job.submission is None:
+            self._forget_job(job_id, stored_job)
             return
-        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
+        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
         self.cell.job_by_id[job_id].stored = True
 
-    def _forget_job(self, job_id: str, booked: StoredJob | None) -> None:
+    def _forget_job(self, job_id: str, stored_job: StoredJob | None) -> None:
         job = self.cell.job_by_id.get(job_id)
         if job is not None and not job.is_over:
             self._journal.tell(
@@ -337,7 +339,7 @@
                 f'job {job_id} is unfinished here but over in the store.',
                 job=job_id,
                 state=job.state.value,
-                stored=booked.state.value if booked else None,
+                stored=stored_job.state.value if stored_job else None,
             )
         self.cell.forget_job(job_id, self._clock.wall())
 
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -35,12 +35,14 @@
 class PeriodicChecks:
     """Checks runners, gangs, tasks of earlier owners and old jobs during one term."""
 
-    def __init__(self, parts: DispatcherParts, context: OwnerContext, load: LoadReport) -> None:
+    def __init__(
+        self, parts: DispatcherParts, context: OwnerContext, load_report: LoadReport
+    ) -> None:
         """Check the cell of ``context``."""
         self._parts = parts
         self._owner_context = context
         self._cell = context.cell
-        self._load_report = load
+        self._load_report = load_report
         self._clock = parts.clock
         self._journal = parts.journal
         self._runner_poller = RunnerPoller(context)
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -39,13 +39,17 @@
         #: When every lease of an earlier owner has expired, in monotonic seconds.
         self.end_at = max(now + remaining_authority + self._lease, self._earlier_leases_end_at)
 
-    def shorten_if_ended(self, book: CellState, now: float) -> bool:
+    def shorten_if_ended(self, cell_state: CellState, now: float) -> bool:
         """Move the end forward if the previous owner has ended; return whether that is news.
 
         If its host is back with a new process, the old process renews no more leases, and only the
         last lease that it granted is left to wait for.
         """
-        if self.ended or self._previous_owner is None or not book.has_ended(self._previous_owner):
+        if (
+            self.ended
+            or self._previous_owner is None
+            or not cell_state.has_ended(self._previous_owner)
+        ):
             return False
         self.ended = True
         self.end_at = min(self.end_at, max(now + self._lease, self._earlier_leases_end_at))
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -30,14 +30,14 @@
     def __init__(
         self,
         context: OwnerContext,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
         election: Election,
         host: str,
     ) -> None:
-        """Ask the members in ``book`` on behalf of ``host``."""
+        """Ask the members in ``cell_state`` on behalf of ``host``."""
         self._owner_context = context
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
         self._election = election
         self._host = host
@@ -56,7 +56,7 @@
         After a release no task starts until a successor has read it, claimed the cell and read its
         claim back. A peer that claims the cell from an active owner fences it only at that point.
         """
-        members = self._book.member_by_host
+        members = self._cell_state.member_by_host
         others = [host for host in rank_hosts(members) if host != self._host][:PEERS_PER_REQUEST]
         self._owner_context.journal.tell(
             Part.OWNERSHIP,
@@ -91,7 +91,7 @@
             epoch=self._owner_context.term.epoch,
             failing_seconds=round(now - self._owner_context.writer.failing_since, 3),
         )
-        members = self._book.member_by_host
+        members = self._cell_state.member_by_host
         others = [host for host in rank_hosts(members) if host != self._host]
         for _ in range(min(PEERS_PER_REQUEST, len(others))):
             host = others[self._request_count % len(others)]
@@ -106,7 +106,7 @@
         """
         if now < self._next_hand_over_at or not self._election.may_hand_over():
             return
-        members = self._book.member_by_host
+        members = self._cell_state.member_by_host
         for host in larger_hosts(members, self._host)[:PEERS_PER_REQUEST]:
             if not await self._is_ready(host, members[host]):
                 continue
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -23,11 +23,11 @@
     """Queries the hosts of zones for shown completions during one term."""
 
     def __init__(
-        self, context: OwnerContext, book: CellState, gossip: CompletionGossip, host: str
+        self, context: OwnerContext, cell_state: CellState, gossip: CompletionGossip, host: str
     ) -> None:
         """Query on behalf of ``host``."""
         self._owner_context = context
-        self._book = book
+        self._cell_state = cell_state
         self._completion_gossip = gossip
         self._host = host
         self._confirmed_at_by_zone: dict[str, float] = {}
@@ -43,7 +43,7 @@
         """
         now = self._owner_context.clock.monotonic()
         since = max(since, self._began_at)
-        members = self._book.member_by_host
+        members = self._cell_state.member_by_host
         hosts = [
             host for host, member in members.items() if member.zone == zone and host != self._host
         ]
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -56,7 +56,7 @@
     host = Host('me', topic)
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     progress = Progress(1, JobState.RUNNING, runners=('w9',))
-    host.folder.state.fold(
+    host.projection.state.fold(
         [
             make_record(f'{SUBMISSION_PREFIX}j1', submission),
             make_record(f'{PROGRESS_PREFIX}j1', progress),
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -230,8 +230,8 @@
 
 async def append_all(topic, records):
     """Store the records of a previous owner, and the claim of its successor."""
-    attended = make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w1',)))
-    await topic.append([*records, attended], 0.1, WriterFence(1, 1))
+    runners_in_use = make_record(RUNNERS_IN_USE_KEY, RunnersInUse(1, ('w1',)))
+    await topic.append([*records, runners_in_use], 0.1, WriterFence(1, 1))
     claim = make_record(OWNER_KEY, Owner(2, 'me', 'me/1'))
     await topic.append([claim], 0.1, WriterFence(2, 0))
 
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -45,13 +45,13 @@
         return other, me, make_dispatcher(me, term, context.topic, me.clock)
 
     other, me, dispatcher = curio.run(claim)
-    assert other.folder.state.owner.term == 'me/1'
+    assert other.projection.state.owner.term == 'me/1'
     # From here on no append of the new owner is answered.
     context.last_lease = (
         dispatcher._owner_context.writer.stored_at + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
     )
     now = me.clock.monotonic() + 1.5
-    heard_at = other.folder.owner_heard_at
+    heard_at = other.projection.owner_heard_at
     term = Term(2, 'other/1', WriterFence(2, 1), heard_at, False, False)
     context.wait_end = PredecessorLeases(term, LEASE_SECONDS, now).end_at
 
@@ -77,11 +77,11 @@
     context.host = host = Host('me', MemoryTopic(), clock)
     claim = make_record(OWNER_KEY, Owner(1, 'other', 'other/1'))
     member = make_record(f'{MEMBER_PREFIX}other', Member('north', '127.0.0.1', 1))
-    host.folder.load_snapshot(RecordBatch((claim, member), 1, 1))
+    host.projection.load_snapshot(RecordBatch((claim, member), 1, 1))
     host.follower._offset = 1
     for gap in gaps:
         clock.advance(gap)
-        host.folder.fold(RecordBatch((claim,), 2, 2))
+        host.projection.fold(RecordBatch((claim,), 2, 2))
     clock.advance(seconds)
     host.follower.fresh_at = clock.monotonic()
     host.follower.reachable_since = clock.monotonic() - 5
@@ -92,7 +92,7 @@
     host = context.host
     relay = Relay(
         'me',
-        host.folder.state,
+        host.projection.state,
         SilentPeerLinks(),
         host.clock,
         journal(),
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -40,7 +40,7 @@
             await curio.sleep(0.01)
         await curio.sleep(0.3)
         context.terms = [task.result if task.terminated else None for task in tasks]
-        context.books = [host.folder.state for host in hosts]
+        context.books = [host.projection.state for host in hosts]
 
     curio.run(claim)
 
@@ -156,7 +156,7 @@
 @then('the other host owns the cell, and {count:d} appends were made')
 def other_owns(context, count):
     assert context.term is None, context.term
-    assert context.host.folder.state.owner.term == 'b/1'
+    assert context.host.projection.state.owner.term == 'b/1'
     assert context.topic.appends - context.appends == count, context.topic.appends
 
 
@@ -206,14 +206,14 @@
 def small_owner(context, cores):
     context.clock = ManualClock(1000)
     context.host = Host('a', MemoryTopic(), context.clock)
-    context.member_by_host = context.host.folder.state.member_by_host
+    context.member_by_host = context.host.projection.state.member_by_host
     context.member_by_host['a'] = Member('north', '10.0.0.1', 7, cores=cores)
     term = Term(1, 'a/1', WriterFence(1, 1), None, False, False)
     context.owner = OwnerContext(
         term, Cell(1, 3.0), MemoryTopic(), make_registration, 10.0, context.clock, journal()
     )
     context.succession = Succession(
-        context.owner, context.host.folder.state, context.host, context.host.election, 'a'
+        context.owner, context.host.projection.state, context.host, context.host.election, 'a'
     )
 
 
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -151,7 +151,7 @@
 
 @when('the same job is submitted again')
 def handed_in_again(context):
-    stored_job = context.host.folder.state.find(JOB)
+    stored_job = context.host.projection.state.find(JOB)
     # A host that took the job for accepted would not store it again.
     assert stored_job.may_be_resubmitted
     append(context, make_record(f'j/{JOB}', SUBMISSION))
@@ -159,14 +159,14 @@
 
 @then('the job is shown as {state}')
 def shown_as(context, state):
-    stored_job = context.host.folder.state.find(JOB)
+    stored_job = context.host.projection.state.find(JOB)
     assert stored_job is not None, 'the job is not known'
     assert stored_job.state is JobState(state), stored_job
 
 
 def start_term(context):
     """Return the dispatcher of a term that the host begins with its present state."""
-    clock, former = context.host.clock, context.host.folder.state.owner
+    clock, former = context.host.clock, context.host.projection.state.owner
     clock.advance(SILENT_SECONDS)
     term = Term(9, 'me/1', WriterFence(9, 1), clock.now - 1, False, False, former=former)
     dispatcher = make_dispatcher(context.host, term, context.memory, clock)
@@ -176,7 +176,7 @@
 
 @then('the job is {handled}')
 def handled(context, handled):
-    stored_job = context.host.folder.state.find(JOB)
+    stored_job = context.host.projection.state.find(JOB)
     dispatcher = start_term(context)
     cell = dispatcher.cell
     job = cell.job_by_id.get(JOB)
@@ -191,7 +191,7 @@
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
     append(context, make_record('owner', OWNER))
-    context.is_confirmed = context.host.folder.owner_heard_at
+    context.is_confirmed = context.host.projection.owner_heard_at
 
 
 @when('the ownership record becomes {record}')
@@ -202,16 +202,16 @@
 
 @then('it does not count as a heartbeat')
 def no_heartbeat(context):
-    assert context.host.folder.owner_heard_at == context.is_confirmed
+    assert context.host.projection.owner_heard_at == context.is_confirmed
 
 
 @then('the known owner is unchanged')
 def same_owner(context):
-    assert context.host.folder.state.owner == OWNER
+    assert context.host.projection.state.owner == OWNER
     # Also after the host has had to start again from a snapshot.
     context.host.follower._offset = None
     append(context)
-    assert context.host.folder.state.owner == OWNER
+    assert context.host.projection.state.owner == OWNER
 
 
 @then('a host that starts now waits for a heartbeat before it claims')
@@ -226,7 +226,7 @@
     late.follower.fresh_at = late.clock.now
     assert late.election._vacancy() is Vacancy.SILENT
     # A host that claims then must expect running tasks of the unknown owner.
-    assert late.folder.state.owner.unsettled == PREDECESSOR_LEASE_SECONDS
+    assert late.projection.state.owner.unsettled == PREDECESSOR_LEASE_SECONDS
 
 
 @given('a job that an owner has started on the runner i-1')
@@ -266,4 +266,4 @@
 
 @then('the known address of the peer is unchanged')
 def peer_is(context):
-    assert context.host.folder.state.member_by_host == {'entry-1': MEMBER}
+    assert context.host.projection.state.member_by_host == {'entry-1': MEMBER}
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -101,13 +101,13 @@
         await until(lambda: topic.append_count == 6)
         return await topic.snapshot()
 
-    context.book = CellState()
-    context.book.fold(curio.run(store_heartbeats).records)
+    context.cell_state = CellState()
+    context.cell_state.fold(curio.run(store_heartbeats).records)
 
 
 @then('tasks are placed on the new runner only if the store lists it')
 def listed_or_unused(context):
     assert context.dispatcher._owner_context.may_act()
-    listed = context.book.runners_in_use.runners if context.book.runners_in_use else ()
+    listed = context.cell_state.runners_in_use.runners if context.cell_state.runners_in_use else ()
     state = context.dispatcher.cell.runner_by_id['w1']
     assert 'w1' in listed or not state.recorded, f'the store lists {listed}'
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -27,7 +27,7 @@
 def forgotten(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    book = context.host.folder.state
+    book = context.host.projection.state
     running = make_record(f'{PROGRESS_PREFIX}j1', Progress(1, JobState.RUNNING, runners=('w1',)))
     book.fold([make_record(f'{SUBMISSION_PREFIX}j1', JOB), running])
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
@@ -38,7 +38,7 @@
     job.note_done(job.steps(0)[0].tasks[0].name)
     assert job.state is JobState.COMPLETED
     # The page with progress was read before the end, the one with submissions after it.
-    context.host.folder.load_snapshot(RecordBatch((running,), 1, 1))
+    context.host.projection.load_snapshot(RecordBatch((running,), 1, 1))
     for job_id in book.take_changed():
         context.dispatcher._update_job(job_id)
 
@@ -51,7 +51,7 @@
         return await dispatcher.accept('j1', JOB, 1.0)
 
     assert curio.run(play) is WriteOutcome.STORED
-    book = context.host.folder.state
+    book = context.host.projection.state
     book.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     book.fold(context.topic.records)
     for job_id in book.take_changed():
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -63,7 +63,7 @@
         host = context.host
         await curio.spawn(host.follower.run, daemon=True)
         assert await host.follower.wait_fresh(host.clock.monotonic(), 5.0)
-        assert host.folder.state.find('j1') is not None
+        assert host.projection.state.find('j1') is not None
         context.began = host.follower.fresh_at
         context.topic.truncated = True
         await until(lambda: context.topic.paged)
@@ -74,6 +74,6 @@
 
 @then('the host does not count as up to date before it has read the later records')
 def not_complete(context):
-    known = context.host.folder.state.find('j1')
+    known = context.host.projection.state.find('j1')
     fresh = context.host.follower.fresh_at >= context.began
     assert known is not None or not fresh, 'the host counts as up to date without knowing the job'
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -314,7 +314,7 @@
 
 @then('the host knows the job')
 def knows_job(context):
-    assert context.host.folder.state.find('j2')
+    assert context.host.projection.state.find('j2')
 
 
 @given('a job of which the store has {records}')
@@ -374,7 +374,7 @@
 
 @then('it knows the content of the newest records')
 def knows_newest(context):
-    assert context.host.folder.state.owner.epoch == 3
+    assert context.host.projection.state.owner.epoch == 3
 
 
 @given('a runner whose leases expired 5 s after its last answer')
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -52,7 +52,7 @@
 def waiting_successor(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.host.folder.state.runners_in_use = RunnersInUse(1, ('w9',))
+    context.host.projection.state.runners_in_use = RunnersInUse(1, ('w9',))
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
@@ -69,14 +69,14 @@
         await until(lambda: context.topic.records)
         return await context.topic.snapshot()
 
-    context.book = CellState()
-    context.book.fold(curio.run(beat).records)
+    context.cell_state = CellState()
+    context.cell_state.fold(curio.run(beat).records)
 
 
 @then('w9 is among them')
 def w9_listed(context):
-    assert context.book.runners_in_use is not None, 'no runners were stored'
-    assert 'w9' in context.book.runners_in_use.runners, context.book.runners_in_use
+    assert context.cell_state.runners_in_use is not None, 'no runners were stored'
+    assert 'w9' in context.cell_state.runners_in_use.runners, context.cell_state.runners_in_use
 
 
 class ProbedTopic(MemoryTopic):
@@ -120,10 +120,12 @@
 
 @given('an owner incarnation that first read the store at offset {offset:d}')
 def owner_incarnation(context, offset):
-    context.book = CellState()
+    context.cell_state = CellState()
     owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)])
+    context.cell_state.fold(
+        [make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)]
+    )
 
 
 @when(
@@ -131,12 +133,12 @@
 )
 def member_record(context, offset):
     member = Member('north', '10.0.0.9', 7, 'other/1', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member)])
+    context.cell_state.fold([make_record(f'{MEMBER_PREFIX}other', member)])
 
 
 @then('the owner is considered {fate}')
 def considered(context, fate):
-    assert context.book.owner_has_ended() == (fate == 'ended')
+    assert context.cell_state.owner_has_ended() == (fate == 'ended')
 
 
 @given("an owner that is about to store the runner of a job's second task")
@@ -174,21 +176,21 @@
         await until(lambda: run not in context.small.runs_on(context.second.runner))
         return await context.topic.snapshot()
 
-    context.book = CellState()
-    context.book.fold(curio.run(race).records)
+    context.cell_state = CellState()
+    context.cell_state.fold(curio.run(race).records)
 
 
 @then('the store says that the job is {state} with {done:d} tasks done')
 def stored_progress(context, state, done):
-    booked = context.book.find('j1')
-    assert booked is not None, 'the job is no longer in the store'
-    assert booked.state.value == state, booked
-    masks = [int(entry.mask, 16) for entry in booked.progress.done]
-    assert sum(mask.bit_count() for mask in masks) == done, booked
+    stored_job = context.cell_state.find('j1')
+    assert stored_job is not None, 'the job is no longer in the store'
+    assert stored_job.state.value == state, stored_job
+    masks = [int(entry.mask, 16) for entry in stored_job.progress.done]
+    assert sum(mask.bit_count() for mask in masks) == done, stored_job
 
 
 @then('the store names the runner of the second task')
 def stored_runner(context):
-    progress = context.book.find('j1').progress
+    progress = context.cell_state.find('j1').progress
     over = progress.ended_at > 0
     assert over or context.second.runner in progress.runners, progress
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -95,17 +95,19 @@
 @given('a host that has long known the owner')
 def known_owner(context):
     context.clock = ManualClock()
-    context.folder = CellProjection(context.clock, journal())
-    context.folder.load_snapshot(RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1))
+    context.projection = CellProjection(context.clock, journal())
+    context.projection.load_snapshot(
+        RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1)
+    )
 
 
 @when('it reads a snapshot with a later heartbeat of that owner')
 def later_snapshot(context):
     context.clock.advance(20)
     record = make_record(OWNER_KEY, Owner(1, 'o', 'o/1', 9))
-    context.folder.load_snapshot(RecordBatch((record,), 9, 9))
+    context.projection.load_snapshot(RecordBatch((record,), 9, 9))
 
 
 @then('the owner counts as heard from just now')
 def heard_now(context):
-    assert context.folder.owner_heard_at == context.clock.monotonic()
+    assert context.projection.owner_heard_at == context.clock.monotonic()
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -39,14 +39,14 @@
 
     def __init__(self, name, topic, clock=None):
         self.clock = clock or SystemClock()
-        self.folder = CellProjection(self.clock, journal())
+        self.projection = CellProjection(self.clock, journal())
         self.follower = Follower(
-            'cell', topic, self.folder, self.clock, journal(), 0.02, lambda: 0.0
+            'cell', topic, self.projection, self.clock, journal(), 0.02, lambda: 0.0
         )
         #: The owner's reply when a peer queries whether it acts; ``None`` for no reply.
         self.owner_reply = None
         self.election = Election(
-            topic, self.follower, self.folder, f'{name}/1', self.ask, self.clock, journal()
+            topic, self.follower, self.projection, f'{name}/1', self.ask, self.clock, journal()
         )
 
     async def ask(self, member, message, timeout):
@@ -88,7 +88,7 @@
     parts = DispatcherParts(
         topic=topic,
         follower=host.follower,
-        jobs=host.folder,
+        jobs=host.projection,
         runners=runners or RunnerProjection(None, clock, journal()),
         configuration=ConfigurationProjection(None, journal()),
         election=host.election,
