--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -13,7 +13,7 @@
 )
 from dandelionreel.cell.clients._readiness import Rotation
 from dandelionreel.cell.clients._relay import Relay, Relayed
-from dandelionreel.cell.membership import ContactWatch
+from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.model import ClientCodec, KeyedRecord
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import Follower, GroupWriter, Written
@@ -60,7 +60,7 @@
         writer: GroupWriter,
         relay: Relay,
         owned: Callable[[], Dispatcher | None],
-        contact: ContactWatch,
+        contact: PartitionDetector,
         rotation: Rotation,
         clock: Clock,
     ) -> None:
--- a/dandelionreel/cell/clients/_front.py
+++ b/dandelionreel/cell/clients/_front.py
@@ -16,7 +16,7 @@
 from dandelionreel.cell.clients._client_writes import CUT_OFF_AGE, REFUSALS, ClientWrites
 from dandelionreel.cell.clients._partition_reads import PartitionReads
 from dandelionreel.cell.clients._relay import Relay
-from dandelionreel.cell.membership import Completions, ContactWatch
+from dandelionreel.cell.membership import Completions, PartitionDetector
 from dandelionreel.cell.model import (
     CANCELLATION,
     FINAL_STATES,
@@ -77,7 +77,7 @@
         owned: Callable[[], Dispatcher | None],
         completions: Completions,
         partition_reads: PartitionReads,
-        contact: ContactWatch,
+        contact: PartitionDetector,
         clock: Clock,
         journal: Journal,
         note_answer: Callable[[str, int, float], None],
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -11,7 +11,7 @@
 import curio
 
 from dandelionreel.cell.decisions import ANY_RUNNER, is_complete
-from dandelionreel.cell.membership import Completions, ContactWatch, PeerLinks, rank_hosts
+from dandelionreel.cell.membership import Completions, PartitionDetector, PeerLinks, rank_hosts
 from dandelionreel.cell.model import (
     EndedRun,
     Registration,
@@ -52,7 +52,7 @@
         zone: str,
         book: JobBook,
         runners: RunnersFolder,
-        contact: ContactWatch,
+        contact: PartitionDetector,
         completions: Completions,
         links: PeerLinks,
         make_runner: MakeRunner,
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -12,7 +12,6 @@
 from dandelionreel.cell.membership._completion_reports import CompletionReports
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._configuration_exchange import ConfigurationExchange
-from dandelionreel.cell.membership._contact_watch import ContactWatch
 from dandelionreel.cell.membership._election import (
     ASK_SECONDS,
     AUTHORITY_SECONDS,
@@ -22,6 +21,7 @@
     name_incarnation,
 )
 from dandelionreel.cell.membership._owner_watch import OwnerWatch
+from dandelionreel.cell.membership._partition_detector import PartitionDetector
 
 __all__ = (
     'ASK_SECONDS',
@@ -32,7 +32,7 @@
     'CompletionReports',
     'Completions',
     'ConfigurationExchange',
-    'ContactWatch',
+    'PartitionDetector',
     'Election',
     'LocalAdvisor',
     'OwnerWatch',
--- a/dandelionreel/cell/membership/_completion_answers.py
+++ b/dandelionreel/cell/membership/_completion_answers.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from dandelionreel.cell.membership._completions import Completions
-from dandelionreel.cell.membership._contact_watch import ContactWatch
+from dandelionreel.cell.membership._partition_detector import PartitionDetector
 from dandelionreel.peers import CompletionsTold, Done, Frame, Message, Refused
 
 #: Takes jobs as complete if this host owns the cell; returns whether it does.
@@ -17,7 +17,7 @@
     def __init__(
         self,
         completions: Completions,
-        contact: ContactWatch,
+        contact: PartitionDetector,
         take_at_owner: TakeAtOwner,
     ) -> None:
         """Keep in ``completions`` what is taken."""
@@ -48,5 +48,5 @@
     async def answer_wanted(self, frame: Frame) -> Message:
         """Tell an owner all that is known here; from then on it relies on the answer."""
         wanted: Any = frame.message
-        self._contact.note_owner()
+        self._contact.note_owner_query()
         return CompletionsTold(wanted.epoch, self._completions.answer(wanted.epoch))
--- a/dandelionreel/cell/membership/_contact_watch.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -7,7 +7,7 @@
 import curio
 
 from dandelionreel.cell.membership._advisors import PeerLinks
-from dandelionreel.cell.membership._contact import STORE_OVERDUE, Contact
+from dandelionreel.cell.membership._zone_contact import STORE_OVERDUE, ZoneContact
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.store import JobBook
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
@@ -21,7 +21,7 @@
 ASK_AGAIN = 0.4
 
 
-class ContactWatch:
+class PartitionDetector:
     """Knows whether this host is cut off, at the cost of a few questions when it may be."""
 
     def __init__(
@@ -42,7 +42,7 @@
         self._store_answered_at = store_answered_at
         self._clock = clock
         self._journal = journal
-        self._contact = Contact()
+        self._contact = ZoneContact()
         self._turn = itertools.count()
         self._lock = curio.Lock()
         self._asked_at = float('-inf')
@@ -64,7 +64,7 @@
         """
         return self.cut_off and self._asked_by_owner_at < self._store_answered_at()
 
-    def note_owner(self) -> None:
+    def note_owner_query(self) -> None:
         """Note that an owner has asked what this host knows."""
         self._asked_by_owner_at = self._clock.monotonic()
 
--- a/dandelionreel/cell/membership/_contact.py
+++ b/dandelionreel/cell/membership/_zone_contact.py
@@ -17,7 +17,7 @@
 NEVER = float('-inf')
 
 
-class Contact:
+class ZoneContact:
     """What was heard of other availability zones, and when."""
 
     def __init__(self) -> None:
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -11,7 +11,7 @@
     Relay,
     Rotation,
 )
-from dandelionreel.cell.membership import Completions, ConfigurationExchange, ContactWatch
+from dandelionreel.cell.membership import Completions, ConfigurationExchange, PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import GroupWriter
 from dandelionreel.entry_accounts import view_accounts
@@ -30,7 +30,7 @@
     owned: Callable[[], Dispatcher | None],
     completions: Completions,
     partition_reads: PartitionReads,
-    contact: ContactWatch,
+    contact: PartitionDetector,
     rotation: Rotation,
     clock: Clock,
     journal: Journal,
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -14,10 +14,10 @@
     CompletionReports,
     Completions,
     ConfigurationExchange,
-    ContactWatch,
     Election,
     LocalAdvisor,
     OwnerWatch,
+    PartitionDetector,
     PeerLinks,
     name_incarnation,
 )
@@ -114,7 +114,7 @@
             self._journal,
             self._election.note_unanswered,
         )
-        self._contact = ContactWatch(
+        self._contact = PartitionDetector(
             settings.host,
             settings.zone,
             self._jobs.book,
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from dandelionreel.cell.clients import Condition, Rotation, find_hindrance
-from dandelionreel.cell.membership import ContactWatch
+from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import ConfigurationFolder, Follower, GroupWriter
 from dandelionreel.http import Answer, Request
@@ -19,7 +19,7 @@
     def __init__(
         self,
         configuration: ConfigurationFolder,
-        contact: ContactWatch,
+        contact: PartitionDetector,
         writer: GroupWriter,
         follower: Follower,
         owned: Callable[[], Dispatcher | None],
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -8,8 +8,8 @@
 
 from dandelionreel.cell.clients._readiness import Rotation
 from dandelionreel.cell.clients._relay import Relay
-from dandelionreel.cell.membership._contact import MEMORY_SECONDS, Contact
-from dandelionreel.cell.membership._contact_watch import ContactWatch
+from dandelionreel.cell.membership._partition_detector import PartitionDetector
+from dandelionreel.cell.membership._zone_contact import MEMORY_SECONDS, ZoneContact
 from dandelionreel.cell.model import Configuration, Service
 from dandelionreel.cell.model._records import MEMBER, Member, make_record
 from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
@@ -27,7 +27,7 @@
 
 @given('a host in north that heard {others} 0.1 s ago and the store {age:g} s ago')
 def listening_host(context, others, age):
-    context.contact = Contact()
+    context.contact = ZoneContact()
     context.zones = ZONES
     context.store_answered_at = NOW - age
     for zone in ZONES if others == 'both zones' else ():
@@ -47,7 +47,7 @@
 
 @given('a host in north of a site {site}')
 def lone_host(context, site):
-    context.contact = Contact()
+    context.contact = ZoneContact()
     context.zones = ()
     context.store_answered_at = NOW - 9
 
@@ -101,7 +101,9 @@
     book = JobBook()
     for host, zone in (('me', 'north'), ('s-1', 'south'), ('s-2', 'south'), ('w-1', 'west')):
         book.fold([make_record(f'{MEMBER}{host}', Member(zone, '127.0.0.1', 1))])
-    return ContactWatch('me', 'north', book, links, lambda: store_answered_at, clock, journal())
+    return PartitionDetector(
+        'me', 'north', book, links, lambda: store_answered_at, clock, journal()
+    )
 
 
 @given('a host in north whose store and peers are silent')
