--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -148,11 +148,11 @@
             yield self._by_owner(dispatcher, at_owner)
         elif not call.relayed:
             yield self._by_peer(call, self._relay.forward_to_owner)
-            yield self._by_peer(call, self._relay.forward_to_deputy)
+            yield self._by_peer(call, self._relay.forward_to_zone_writer)
         cut_off = self._is_cut_off(self._clock.monotonic())
         # Where a deputy answers, it is the one to write: a slow store has to take
         # one append of a zone's hosts at a time, not one of each.
-        if not cut_off and (call.relayed or self._relay.find_deputy() is None):
+        if not cut_off and (call.relayed or self._relay.find_zone_writer() is None):
             yield self._by_this_host(record)
         if cut_off and not call.relayed:
             yield self._by_peer(call, self._relay.forward)
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -10,7 +10,7 @@
 
 from dandelionreel.accounts import AUTHORIZATION
 from dandelionreel.cell.clients._client_call import ClientCall
-from dandelionreel.cell.membership import ASK_SECONDS, PeerLinks, find_deputy
+from dandelionreel.cell.membership import OWNER_QUERY_TIMEOUT, PeerLinks, find_zone_writer
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.store import JobBook
 from dandelionreel.http import Answer, Request
@@ -55,7 +55,7 @@
         links: PeerLinks,
         clock: Clock,
         journal: Journal,
-        note_unanswered: Callable[[str], None] = _pass_over,
+        note_query_unanswered: Callable[[str], None] = _pass_over,
     ) -> None:
         """Pass requests on as the host ``me``; report owners that do not answer, by term."""
         self._me = me
@@ -63,7 +63,7 @@
         self._links = links
         self._clock = clock
         self._journal = journal
-        self._note_unanswered = note_unanswered
+        self._note_unanswered = note_query_unanswered
         self._quiet_until_by_host: dict[str, float] = {}
         self._quiet_seconds_by_host: dict[str, float] = {}
 
@@ -74,16 +74,16 @@
             return Relayed(None)
         return await self._forward([owner.host], call, patience)
 
-    async def forward_to_deputy(self, call: ClientCall, patience: float) -> Relayed:
+    async def forward_to_zone_writer(self, call: ClientCall, patience: float) -> Relayed:
         """Return the answer of the host that writes for this one, if there is one."""
-        deputy = self.find_deputy()
+        deputy = self.find_zone_writer()
         return Relayed(None) if deputy is None else await self._forward([deputy], call, patience)
 
-    def find_deputy(self) -> str | None:
+    def find_zone_writer(self) -> str | None:
         """Return the host that writes for this one; ``None`` where it does so itself."""
         now = self._clock.monotonic()
         avoided = {host for host, until in self._quiet_until_by_host.items() if until > now}
-        return find_deputy(self._book.member_by_host, self._me, avoided)
+        return find_zone_writer(self._book.member_by_host, self._me, avoided)
 
     async def forward(self, call: ClientCall, patience: float) -> Relayed:
         """Return the first answer of a peer that could act on the request."""
@@ -119,7 +119,7 @@
         except PeerError as error:
             # A host that asks for a state waits so short a time that a busy owner
             # misses it now and then; that is no reason to take jobs elsewhere.
-            if patience > ASK_SECONDS:
+            if patience > OWNER_QUERY_TIMEOUT:
                 self._avoid(host, f'{error}', self._lengthen_quiet(host))
             return Relayed(None, error.verdict is not Verdict.NOT_RUN)
         self._quiet_seconds_by_host.pop(host, None)
@@ -141,7 +141,7 @@
         owner = self._book.owner
         term = owner.term if owner is not None and owner.host == host else ''
         try:
-            frame = await self._links.ask(member, OwnerAsked(term), ASK_SECONDS)
+            frame = await self._links.ask(member, OwnerAsked(term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
             self._avoid(host, f'{error}', self._lengthen_quiet(host))
             if term:
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -3,8 +3,8 @@
 from dandelionreel.cell.membership._advisors import AdvicePool, LocalAdvisor, PeerLinks
 from dandelionreel.cell.membership._claim_order import (
     SUCCESSORS,
-    find_deputy,
-    keeps_runners,
+    find_zone_writer,
+    follows_runner_list,
     larger_hosts,
     rank_hosts,
 )
@@ -13,21 +13,21 @@
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._configuration_exchange import ConfigurationExchange
 from dandelionreel.cell.membership._election import (
-    ASK_SECONDS,
     AUTHORITY_SECONDS,
-    BEAT_SECONDS,
+    HEARTBEAT_SECONDS,
+    OWNER_QUERY_TIMEOUT,
     Election,
     Term,
-    name_incarnation,
+    make_incarnation_id,
 )
 from dandelionreel.cell.membership._owner_watch import OwnerWatch
 from dandelionreel.cell.membership._partition_detector import PartitionDetector
 
 __all__ = (
-    'ASK_SECONDS',
+    'OWNER_QUERY_TIMEOUT',
     'AUTHORITY_SECONDS',
     'AdvicePool',
-    'BEAT_SECONDS',
+    'HEARTBEAT_SECONDS',
     'CompletionAnswers',
     'CompletionReports',
     'Completions',
@@ -39,9 +39,9 @@
     'PeerLinks',
     'SUCCESSORS',
     'Term',
-    'find_deputy',
-    'keeps_runners',
+    'find_zone_writer',
+    'follows_runner_list',
     'larger_hosts',
-    'name_incarnation',
+    'make_incarnation_id',
     'rank_hosts',
 )
--- a/dandelionreel/cell/membership/_claim_order.py
+++ b/dandelionreel/cell/membership/_claim_order.py
@@ -42,7 +42,7 @@
     return me not in member_by_host or me in rank_hosts(member_by_host)[:SUCCESSORS]
 
 
-def keeps_runners(member_by_host: Mapping[str, Member], me: str) -> bool:
+def follows_runner_list(member_by_host: Mapping[str, Member], me: str) -> bool:
     """Return whether ``me`` keeps the list of runners: it may claim, or speak for its zone."""
     own = member_by_host.get(me)
     if own is None or is_successor(member_by_host, me):
@@ -65,7 +65,7 @@
     ]
 
 
-def find_deputy(
+def find_zone_writer(
     member_by_host: Mapping[str, Member],
     me: str,
     avoided: Collection[str],
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -26,13 +26,13 @@
 from dandelionreel.peers import Done, Frame, Message, OwnerAsked, PeerError, Refused
 
 #: Seconds between the owner's heartbeats in the store.
-BEAT_SECONDS = 0.3
+HEARTBEAT_SECONDS = 0.3
 #: Seconds without a heartbeat after which the owner is asked whether it lives.
 #: Two heartbeats and an append whose answer was lost.
 SILENT_SECONDS = 0.9
 #: Seconds for an owner's answer whether it acts, seconds for which a claim then waits, and for how
 #: long an owner is believed at all: by then it has asked for a successor itself.
-ASK_SECONDS = 0.25
+OWNER_QUERY_TIMEOUT = 0.25
 ALIVE_SECONDS = 0.5
 LONGEST_EXCUSE = 4.0
 #: The same after the store was out of reach: a living owner tries at least that
@@ -77,7 +77,7 @@
     VACANT = 'vacant'
 
 
-def name_incarnation(host: str) -> str:
+def make_incarnation_id(host: str) -> str:
     """Return a name for this process's life: a restarted host is another claimant."""
     return f'{host}/{random.SystemRandom().getrandbits(INCARNATION_BITS):012x}'
 
@@ -103,7 +103,7 @@
     #: the owner's authority from then on, so it does too.
     claimed_at: float | None = None
 
-    def record(
+    def owner_record(
         self,
         beat: int = 0,
         unsettled: float = 0,
@@ -179,7 +179,7 @@
         self._suspected = term
         self._suspected_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
-    def suspect_refusing(self, term: str) -> None:
+    def note_connection_refused(self, term: str) -> None:
         """Take note that nothing seems to listen at the owner with that term.
 
         A partition that refuses connections looks the same, so this counts only while no heartbeat
@@ -187,7 +187,7 @@
         """
         self._note_unheard(term)
 
-    def note_unanswered(self, term: str) -> None:
+    def note_query_unanswered(self, term: str) -> None:
         """Take note that a question to the owner with that term was not answered in time.
 
         A host that loses power or is cut off refuses nothing; this misses it sooner than its
@@ -195,7 +195,7 @@
         """
         self._note_unheard(term)
 
-    async def take_failing(self, frame: Frame) -> Message:
+    async def handle_owner_failing(self, frame: Frame) -> Message:
         """Answer an owner that the store does not serve."""
         failing: Any = frame.message
         self._journal.tell(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
@@ -210,7 +210,7 @@
         """Remember that this host leaves the cell to a larger one."""
         self._handed_over_at = self._clock.monotonic()
 
-    def answer_asked(self, frame: Frame, acting: bool, ready: bool) -> Message:
+    def answer_owner_query(self, frame: Frame, acting: bool, ready: bool) -> Message:
         """Answer a peer that asks whether this host acts under a term.
 
         One that names no term asks whether this host is ``ready``: the store serves it, and
@@ -286,7 +286,7 @@
         if owner is None or member is None or silent > LONGEST_EXCUSE:
             return False
         try:
-            frame = await self._ask_peer(member, OwnerAsked(owner.term), ASK_SECONDS)
+            frame = await self._ask_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
             self._journal.tell(Part.OWNERSHIP, f'{owner.host} does not answer: {error}.')
             return False
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -49,7 +49,7 @@
                     f'nothing listens at {owner.host} any more.',
                     epoch=owner.epoch,
                 )
-                self._election.suspect_refusing(owner.term)
+                self._election.note_connection_refused(owner.term)
             await curio.sleep(POLL_SECONDS)
 
     async def _is_dead(self, owner: Owner, member: Member) -> bool:
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -5,7 +5,7 @@
 import curio
 
 from dandelionreel.cell.decisions import ANY_RUNNER, AdviceRequest, Cell, JobRun, Plan, Planner
-from dandelionreel.cell.membership import BEAT_SECONDS, AdvicePool, Term
+from dandelionreel.cell.membership import HEARTBEAT_SECONDS, AdvicePool, Term
 from dandelionreel.cell.model import (
     ATTENDED_KEY,
     CANCELLATION,
@@ -225,7 +225,7 @@
         """
         await self._owner_context.flush()
         self._owner_context.lost = 'released'
-        owner = self._owner_context.term.record(
+        owner = self._owner_context.term.owner_record(
             unsettled=self._unsettled(),
             released=True,
             version=self._parts.configuration.version,
@@ -263,7 +263,7 @@
         while not self._owner_context.lost:
             beat += 1
             version = self._parts.configuration.version
-            owner = self._owner_context.term.record(beat, self._unsettled(), version=version)
+            owner = self._owner_context.term.owner_record(beat, self._unsettled(), version=version)
             records = [make_record(OWNER_KEY, owner)]
             # Runners that only a former owner has seen are kept for the next one: it
             # has to wait for them too, should this owner be killed meanwhile.
@@ -278,7 +278,7 @@
             if outcome is Written.STORED:
                 stored = attended
                 await self._use_runners(stored)
-            await curio.sleep(BEAT_SECONDS)
+            await curio.sleep(HEARTBEAT_SECONDS)
 
     async def _use_runners(self, stored: frozenset[str]) -> None:
         """Let tasks be placed on the runners that the store now names."""
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -19,7 +19,7 @@
     OwnerWatch,
     PartitionDetector,
     PeerLinks,
-    name_incarnation,
+    make_incarnation_id,
 )
 from dandelionreel.cell.model import MEMBER, Member, Registration, Runner, make_record
 from dandelionreel.cell.owner import Dispatcher, DispatcherParts
@@ -92,7 +92,7 @@
         # Claims and the owner's records must not wait behind submissions.
         self._owner_topic = StoreTopic(CELL_TOPIC, settings.store)
         self._writer = GroupWriter(self._reads.topics[CELL_TOPIC], self._clock, self._journal)
-        incarnation = name_incarnation(settings.host)
+        incarnation = make_incarnation_id(settings.host)
         self._links = PeerLinks(incarnation, self._clock)
         self._completions = Completions(self._clock)
         self._election = Election(
@@ -112,7 +112,7 @@
             self._links,
             self._clock,
             self._journal,
-            self._election.note_unanswered,
+            self._election.note_query_unanswered,
         )
         self._contact = PartitionDetector(
             settings.host,
@@ -255,7 +255,7 @@
         dispatcher = self._dispatcher
         acting = dispatcher is not None and dispatcher.acting and not dispatcher.store_is_failing
         ready = self._may_own() and self._reads.complete
-        return self._election.answer_asked(frame, acting, ready)
+        return self._election.answer_owner_query(frame, acting, ready)
 
     async def _take_completions(self, jobs: tuple[str, ...]) -> bool:
         dispatcher = self._dispatcher
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -39,7 +39,7 @@
     advisor: LocalAdvisor,
     completions: CompletionAnswers,
     exchange: ConfigurationExchange,
-    answer_asked: AnswerAsked,
+    answer_owner_query: AnswerAsked,
     clock: Clock,
     journal: Journal,
 ) -> None:
@@ -50,8 +50,8 @@
     peers = PeerServer(election.incarnation, clock, EchoBook(), journal, Traffic())
     answerers = (
         (Forward, front.handle_relayed),
-        (OwnerFailing, election.take_failing),
-        (OwnerAsked, answer_asked),
+        (OwnerFailing, election.handle_owner_failing),
+        (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer),
         (CompletionsTold, completions.merge_completions),
         (CompletionsSeen, completions.merge_zone_completions),
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dandelionreel.cell.membership import keeps_runners
+from dandelionreel.cell.membership import follows_runner_list
 from dandelionreel.cell.model import UnreadableLog
 from dandelionreel.cell.store import ConfigurationFolder, Folder, Follower, JobFolder, RunnersFolder
 from dandelionreel.kernel import Clock, Journal, Part
@@ -103,7 +103,7 @@
         )
 
     def _wants_runners(self) -> bool:
-        return self._owns() or keeps_runners(self.jobs.book.member_by_host, self._host)
+        return self._owns() or follows_runner_list(self.jobs.book.member_by_host, self._host)
 
     def _watch_unreadable(self, topic: str, part: Part) -> UnreadableLog:
         return UnreadableLog(topic, part, self._clock, self._journal, self._note_unreadable)
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.cell.clients._partition_reads import PartitionReads
 from dandelionreel.cell.decisions._completeness import is_complete
-from dandelionreel.cell.membership._claim_order import keeps_runners
+from dandelionreel.cell.membership._claim_order import follows_runner_list
 from dandelionreel.cell.membership._completion_answers import CompletionAnswers
 from dandelionreel.cell.membership._completion_reports import CompletionReports
 from dandelionreel.cell.membership._completions import Completions
@@ -279,7 +279,7 @@
 
 @then('number {place:d} of {zone} keeps the list of runners {keeps}')
 def keeps_list(context, place, zone, keeps):
-    found = keeps_runners(context.members, f'{zone[0]}-{place:02}')
+    found = follows_runner_list(context.members, f'{zone[0]}-{place:02}')
     assert found is (keeps == 'yes')
 
 
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -88,14 +88,14 @@
         DeafPeer(),
         host.clock,
         journal(),
-        host.election.note_unanswered,
+        host.election.note_query_unanswered,
     )
     curio.run(relay.forward_to_owner, make_call('POST', '/new/'), 1)
 
 
 @when("the owner's port refuses connections")
 def port_refuses(context):
-    context.host.election.suspect_refusing('other/1')
+    context.host.election.note_connection_refused('other/1')
 
 
 @then('the cell is {vacancy}')
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import Cell
-from dandelionreel.cell.membership._claim_order import claim_delay, find_deputy
+from dandelionreel.cell.membership._claim_order import claim_delay, find_zone_writer
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
@@ -252,7 +252,7 @@
 
 @then("{me} has its clients' jobs written by {deputy}, with {avoided} out of reach")
 def written_by(context, me, deputy, avoided):
-    found = find_deputy(context.member_by_host, me, {avoided})
+    found = find_zone_writer(context.member_by_host, me, {avoided})
     assert (found or 'itself') == deputy, found
 
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -121,7 +121,9 @@
 @given('an owner whose life first read the store at offset {offset:d}')
 def owner_life(context, offset):
     context.book = JobBook()
-    owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
+    owner = Term(
+        3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset
+    ).owner_record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
     context.book.fold([make_record(f'{MEMBER}other', member), make_record(OWNER_KEY, owner)])
 
