--- a/dandelionreel/cell/clients/__init__.py
+++ b/dandelionreel/cell/clients/__init__.py
@@ -1,19 +1,19 @@
 """Clients' calls: access, writes, states, and answers inside a partition."""
 
 from dandelionreel.cell.clients._access import AccessControl
+from dandelionreel.cell.clients._client_api import ClientApi
 from dandelionreel.cell.clients._client_writes import ClientWrites
-from dandelionreel.cell.clients._front import ClientFront
 from dandelionreel.cell.clients._partition_reads import PartitionReads
-from dandelionreel.cell.clients._readiness import Condition, Rotation, find_hindrance
+from dandelionreel.cell.clients._readiness import ReadinessInputs, Rotation, find_unready_reason
 from dandelionreel.cell.clients._relay import Relay
 
 __all__ = (
     'AccessControl',
-    'ClientFront',
+    'ClientApi',
     'ClientWrites',
-    'Condition',
+    'ReadinessInputs',
     'PartitionReads',
     'Relay',
     'Rotation',
-    'find_hindrance',
+    'find_unready_reason',
 )
--- a/dandelionreel/cell/clients/_front.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -61,7 +61,7 @@
 CHALLENGE = ('www-authenticate', 'Bearer')
 
 
-class ClientFront:
+class ClientApi:
     """Answers clients from what stands in the store."""
 
     def __init__(
@@ -74,7 +74,7 @@
         follower: Follower,
         writes: ClientWrites,
         relay: Relay,
-        owned: Callable[[], Dispatcher | None],
+        get_dispatcher: Callable[[], Dispatcher | None],
         completions: Completions,
         partition_reads: PartitionReads,
         contact: PartitionDetector,
@@ -95,7 +95,7 @@
         self._follower = follower
         self._writes = writes
         self._relay = relay
-        self._owned = owned
+        self._get_dispatcher = get_dispatcher
         self._completions = completions
         self._partition_reads = partition_reads
         self._contact = contact
@@ -186,7 +186,7 @@
         job_id: str,
     ) -> Answer:
         request = call.request
-        if self._owned() is not None and not self._follower.complete:
+        if self._get_dispatcher() is not None and not self._follower.complete:
             # A job that is over may not have been read yet, and would run again.
             now = self._clock.monotonic()
             if not await self._follower.wait_fresh(now, LOOKUP_PATIENCE):
@@ -213,7 +213,7 @@
         return await self._writes.store(
             call,
             make_record(SUBMISSION + job_id, submission),
-            lambda owner, patience: owner.accept(job_id, submission, patience),
+            lambda owner, timeout: owner.accept(job_id, submission, timeout),
             partial(self._log, request, job_id),
             queue=queue.name,
             account=call.caller.account,
@@ -246,31 +246,31 @@
             return self._codec.answer_state(JobState.COMPLETED)
         # A job under way may be over by now, and a client counts its wait until
         # it sees that; an unknown one may have been stored meanwhile.
-        dispatcher = self._owned()
+        dispatcher = self._get_dispatcher()
         state = dispatcher.state_of(job_id) if dispatcher else None
         if state is not None:
             return self._codec.answer_state(state)
-        patience = LOOKUP_PATIENCE if booked is None else REFRESH_PATIENCE
+        timeout = LOOKUP_PATIENCE if booked is None else REFRESH_PATIENCE
         if self._contact.cut_off:
             # What is known in this zone is all that can be told; who waits learns no more.
             if await self._partition_reads.is_complete(job_id):
                 return self._codec.answer_state(JobState.COMPLETED)
-            patience = 0.0
+            timeout = 0.0
         elif dispatcher is None and not call.relayed:
-            answer = await self._ask_state(call, patience)
+            answer = await self._ask_state(call, timeout)
             if answer is not None:
                 return answer
-        await self._follower.wait_fresh(call.began - STATE_AGE, patience)
+        await self._follower.wait_fresh(call.began - STATE_AGE, timeout)
         booked = self._find(call, job_id)
         if booked is not None:
             return self._codec.answer_state(booked.state)
         return self._unknown_job(call, job_id)
 
-    async def _ask_state(self, call: ClientCall, patience: float) -> Answer | None:
+    async def _ask_state(self, call: ClientCall, timeout: float) -> Answer | None:
         """Return the owner's answer, or that of any peer where the store is out of reach."""
-        passed = await self._relay.forward_to_owner(call, patience)
+        passed = await self._relay.forward_to_owner(call, timeout)
         if passed.answer is None and self._follower.age(call.began) > CUT_OFF_AGE:
-            passed = await self._relay.forward(call, patience)
+            passed = await self._relay.forward(call, timeout)
         return passed.answer
 
     async def _cancel(self, call: ClientCall, job_id: str) -> Answer:
@@ -287,7 +287,7 @@
         return await self._writes.store(
             call,
             record,
-            lambda owner, patience: owner.cancel(job_id, patience),
+            lambda owner, timeout: owner.cancel(job_id, timeout),
             partial(self._log, call.request, job_id),
         )
 
@@ -301,7 +301,7 @@
         One that was stored without an account is open to every caller, as it was then.
         """
         booked = self._jobs.book.find(job_id)
-        dispatcher = self._owned()
+        dispatcher = self._get_dispatcher()
         account = '' if booked is None else booked.account
         if booked is None and dispatcher is not None:
             account = dispatcher.account_of(job_id)
--- a/dandelionreel/cell/clients/_client_call.py
+++ b/dandelionreel/cell/clients/_client_call.py
@@ -37,11 +37,11 @@
     relayed: bool
 
     @property
-    def patience(self) -> float:
+    def timeout(self) -> float:
         """Return for how many seconds from ``began`` on the call is worth an effort."""
         text = self.request.header(DEADLINE_HEADER)
-        patience = float(text) / MILLISECONDS if text.isdigit() else DEFAULT_PATIENCE
-        return min(patience, DEFAULT_PATIENCE) * PATIENCE_SHARE
+        timeout = float(text) / MILLISECONDS if text.isdigit() else DEFAULT_PATIENCE
+        return min(timeout, DEFAULT_PATIENCE) * PATIENCE_SHARE
 
 
 def answer_not_run(
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -38,7 +38,7 @@
 
     by: str = ''
     #: Whether an append may have taken place.
-    maybe: bool = False
+    in_doubt: bool = False
     #: What each attempt came to, for the line of one that was not answered 2xx.
     tried: list[str] = field(default_factory=list)
 
@@ -59,7 +59,7 @@
         follower: Follower,
         writer: GroupWriter,
         relay: Relay,
-        owned: Callable[[], Dispatcher | None],
+        get_dispatcher: Callable[[], Dispatcher | None],
         contact: PartitionDetector,
         rotation: Rotation,
         clock: Clock,
@@ -69,7 +69,7 @@
         self._follower = follower
         self._writer = writer
         self._relay = relay
-        self._owned = owned
+        self._get_dispatcher = get_dispatcher
         self._contact = contact
         self._rotation = rotation
         self._clock = clock
@@ -88,14 +88,14 @@
         when no append can have taken place, neither here nor at a peer.
         """
         began = self._clock.monotonic()
-        until = began + call.patience
+        until = began + call.timeout
         progress = _Progress()
         for attempt in self._attempts(call, record, at_owner):
             left = until - self._clock.monotonic()
             if left <= 0 or await self._is_hopeless(progress):
                 break
             answer = await attempt(left, progress)
-            if answer is not None and (answer.status not in REFUSALS or not progress.maybe):
+            if answer is not None and (answer.status not in REFUSALS or not progress.in_doubt):
                 log(
                     f'{answer.status} by {progress.by}',
                     **fields,
@@ -103,7 +103,7 @@
                 )
                 return answer
         log(
-            'may be stored' if progress.maybe else 'not stored',
+            'may be stored' if progress.in_doubt else 'not stored',
             **fields,
             seconds=round(self._clock.monotonic() - began, 3),
             store_failing=round(max(0.0, until - self._writer.failing_since), 3),
@@ -121,7 +121,7 @@
         return bool(progress.tried) and await self._contact.check()
 
     def _answer_failed(self, progress: _Progress) -> Answer:
-        if progress.maybe:
+        if progress.in_doubt:
             detail = 'what was asked for may have been stored'
             return answer_problem(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
         detail = 'the store takes nothing just now; it was not accepted'
@@ -143,7 +143,7 @@
         at_owner: AtOwner,
     ) -> Iterator[Attempt]:
         """Return the ways to store something, the best one first."""
-        dispatcher = self._owned()
+        dispatcher = self._get_dispatcher()
         if dispatcher is not None:
             yield self._by_owner(dispatcher, at_owner)
         elif not call.relayed:
@@ -179,9 +179,9 @@
         async def by_peer(left: float, progress: _Progress) -> Answer | None:
             progress.by = 'a peer'
             passed = await forward(call, left)
-            progress.maybe = progress.maybe or passed.maybe
+            progress.in_doubt = progress.in_doubt or passed.in_doubt
             status: Any = passed.answer.status if passed.answer else 'none could act'
-            progress.tried.append(f'a peer: {"may have acted" if passed.maybe else status}')
+            progress.tried.append(f'a peer: {"may have acted" if passed.in_doubt else status}')
             return passed.answer
 
         return by_peer
@@ -190,7 +190,7 @@
         """Return the answer to something that was stored, and note what is in doubt."""
         if outcome is Written.STORED:
             return self._codec.answer_accepted()
-        progress.maybe = progress.maybe or outcome is not Written.REFUSED
+        progress.in_doubt = progress.in_doubt or outcome is not Written.REFUSED
         progress.tried.append(f'{progress.by}: {outcome.value}')
         return None
 
--- a/dandelionreel/cell/clients/_readiness.py
+++ b/dandelionreel/cell/clients/_readiness.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Condition:
+class ReadinessInputs:
     """What a host knows of itself; ``store_age`` is that of its newest read, in seconds."""
 
     stopping: bool
@@ -22,7 +22,7 @@
     store_age: float
 
 
-def find_hindrance(condition: Condition) -> str:
+def find_unready_reason(condition: ReadinessInputs) -> str:
     """Return why clients should go elsewhere, empty where they should not."""
     if condition.stopping:
         return 'it is stopping'
@@ -50,7 +50,7 @@
         self._period = USUAL_PERIOD
         self._misses = 0
 
-    def note_question(self, now: float, *, ready: bool) -> None:
+    def note_readiness_check(self, now: float, *, ready: bool) -> None:
         """Note that the balancer has asked, and what it was told."""
         since = now - self._asked_at
         if since < LONGEST_PERIOD:
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -38,7 +38,7 @@
     """A peer's answer; without one, whether a peer may have acted."""
 
     answer: Answer | None
-    maybe: bool = False
+    in_doubt: bool = False
 
 
 def _pass_over(term: str) -> None:
@@ -67,17 +67,17 @@
         self._quiet_until_by_host: dict[str, float] = {}
         self._quiet_seconds_by_host: dict[str, float] = {}
 
-    async def forward_to_owner(self, call: ClientCall, patience: float) -> Relayed:
+    async def forward_to_owner(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the answer of the cell's owner."""
         owner = self._book.owner
         if owner is None or owner.host == self._me or owner.released:
             return Relayed(None)
-        return await self._forward([owner.host], call, patience)
+        return await self._forward([owner.host], call, timeout)
 
-    async def forward_to_zone_writer(self, call: ClientCall, patience: float) -> Relayed:
+    async def forward_to_zone_writer(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the answer of the host that writes for this one, if there is one."""
         deputy = self.find_zone_writer()
-        return Relayed(None) if deputy is None else await self._forward([deputy], call, patience)
+        return Relayed(None) if deputy is None else await self._forward([deputy], call, timeout)
 
     def find_zone_writer(self) -> str | None:
         """Return the host that writes for this one; ``None`` where it does so itself."""
@@ -85,15 +85,15 @@
         avoided = {host for host, until in self._quiet_until_by_host.items() if until > now}
         return find_zone_writer(self._book.member_by_host, self._me, avoided)
 
-    async def forward(self, call: ClientCall, patience: float) -> Relayed:
+    async def forward(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the first answer of a peer that could act on the request."""
         hosts = [host for host in self._book.member_by_host if host != self._me]
         random.shuffle(hosts)
-        return await self._forward(hosts, call, patience)
+        return await self._forward(hosts, call, timeout)
 
-    async def _forward(self, hosts: list[str], call: ClientCall, patience: float) -> Relayed:
-        until = self._clock.monotonic() + patience
-        maybe = False
+    async def _forward(self, hosts: list[str], call: ClientCall, timeout: float) -> Relayed:
+        until = self._clock.monotonic() + timeout
+        in_doubt = False
         for host, member in self._usable(hosts):
             if call.request.method not in REPEATABLE and not await self._can_act(host, member):
                 continue
@@ -101,25 +101,25 @@
             if left <= 0:
                 break
             handed = await self._hand_over(host, member, call, left)
-            maybe = maybe or handed.maybe
+            in_doubt = in_doubt or handed.in_doubt
             if handed.answer is not None:
-                return Relayed(handed.answer, maybe)
-        return Relayed(None, maybe)
+                return Relayed(handed.answer, in_doubt)
+        return Relayed(None, in_doubt)
 
     async def _hand_over(
         self,
         host: str,
         member: Member,
         call: ClientCall,
-        patience: float,
+        timeout: float,
     ) -> Relayed:
-        forward = Forward(_strip_key(call.request), patience, 1, call.caller)
+        forward = Forward(_strip_key(call.request), timeout, 1, call.caller)
         try:
-            frame = await self._links.ask(member, forward, patience)
+            frame = await self._links.ask(member, forward, timeout)
         except PeerError as error:
             # A host that asks for a state waits so short a time that a busy owner
             # misses it now and then; that is no reason to take jobs elsewhere.
-            if patience > OWNER_QUERY_TIMEOUT:
+            if timeout > OWNER_QUERY_TIMEOUT:
                 self._avoid(host, f'{error}', self._lengthen_quiet(host))
             return Relayed(None, error.verdict is not Verdict.NOT_RUN)
         self._quiet_seconds_by_host.pop(host, None)
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.cell.clients import (
     AccessControl,
-    ClientFront,
+    ClientApi,
     ClientWrites,
     PartitionReads,
     Relay,
@@ -27,7 +27,7 @@
     writer: GroupWriter,
     relay: Relay,
     exchange: ConfigurationExchange,
-    owned: Callable[[], Dispatcher | None],
+    get_dispatcher: Callable[[], Dispatcher | None],
     completions: Completions,
     partition_reads: PartitionReads,
     contact: PartitionDetector,
@@ -35,13 +35,13 @@
     clock: Clock,
     journal: Journal,
     metrics: EntryMetrics,
-) -> ClientFront:
+) -> ClientApi:
     """Return the front; it counts its answers in ``metrics``."""
-    metrics.show_accounts(lambda: _view_accounts(reads, owned(), metrics))
+    metrics.show_accounts(lambda: _view_accounts(reads, get_dispatcher(), metrics))
     codec = JsonClientCodec()
     follower = reads.cell_follower
-    writes = ClientWrites(codec, follower, writer, relay, owned, contact, rotation, clock)
-    return ClientFront(
+    writes = ClientWrites(codec, follower, writer, relay, get_dispatcher, contact, rotation, clock)
+    return ClientApi(
         settings.zone,
         codec,
         reads.configuration,
@@ -50,7 +50,7 @@
         follower,
         writes,
         relay,
-        owned,
+        get_dispatcher,
         completions,
         partition_reads,
         contact,
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
 
-from dandelionreel.cell.clients import ClientFront
+from dandelionreel.cell.clients import ClientApi
 from dandelionreel.cell.membership import (
     CompletionAnswers,
     ConfigurationExchange,
@@ -34,7 +34,7 @@
 async def listen_peers(
     stack: AsyncExitStack,
     address: Address,
-    front: ClientFront,
+    front: ClientApi,
     election: Election,
     advisor: LocalAdvisor,
     completions: CompletionAnswers,
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dandelionreel.cell.clients import Condition, Rotation, find_hindrance
+from dandelionreel.cell.clients import ReadinessInputs, Rotation, find_unready_reason
 from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import ConfigurationFolder, Follower, GroupWriter
@@ -45,17 +45,17 @@
 
     def is_hindered(self) -> bool:
         """Return whether clients should go elsewhere just now."""
-        return bool(find_hindrance(self._condition()))
+        return bool(find_unready_reason(self._condition()))
 
     async def answer(self, request: Request) -> Answer:
         """Answer one question of the balancer."""
         condition = self._condition()
-        hindrance = find_hindrance(condition)
+        hindrance = find_unready_reason(condition)
         self._tell(hindrance, condition)
-        self.rotation.note_question(self._clock.monotonic(), ready=not hindrance)
+        self.rotation.note_readiness_check(self._clock.monotonic(), ready=not hindrance)
         return Answer(HTTP_UNAVAILABLE if hindrance else HTTP_OK)
 
-    def _tell(self, hindrance: str, condition: Condition) -> None:
+    def _tell(self, hindrance: str, condition: ReadinessInputs) -> None:
         if hindrance == self._told:
             return
         self._told = hindrance
@@ -65,11 +65,11 @@
             store_age=seconds_or_none(condition.store_age),
         )
 
-    def _condition(self) -> Condition:
+    def _condition(self) -> ReadinessInputs:
         now = self._clock.monotonic()
         dispatcher = self._owned()
         owner_fails = dispatcher is not None and dispatcher.store_is_failing
-        return Condition(
+        return ReadinessInputs(
             stopping=self._stopping,
             configured=self._configuration.current is not None,
             cut_off=self._contact.cut_off,
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -2,9 +2,9 @@
 
 from dandelionreel.accounts import Caller
 from dandelionreel.cell.clients._access import AccessControl
+from dandelionreel.cell.clients._client_api import ClientApi
 from dandelionreel.cell.clients._client_call import ClientCall
 from dandelionreel.cell.clients._client_writes import ClientWrites
-from dandelionreel.cell.clients._front import ClientFront
 from dandelionreel.cell.clients._readiness import Rotation
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.http import Request
@@ -40,13 +40,13 @@
         """Take note of a peer's version."""
 
 
-def make_front(
+def make_client_api(
     configuration,
     jobs,
     follower,
     writer,
     relay,
-    owned=lambda: None,
+    get_dispatcher=lambda: None,
     exchange=None,
     contact=None,
     rotation=None,
@@ -58,16 +58,16 @@
     codec = JsonClientCodec()
     contact = contact or Connected()
     rotation = rotation or Rotation()
-    return ClientFront(
+    return ClientApi(
         'north',
         codec,
         configuration,
         AccessControl(configuration, exchange or SureExchange(), longest_age),
         jobs,
         follower,
-        ClientWrites(codec, follower, writer, relay, owned, contact, rotation, clock),
+        ClientWrites(codec, follower, writer, relay, get_dispatcher, contact, rotation, clock),
         relay,
-        owned,
+        get_dispatcher,
         Completions(clock),
         None,
         contact,
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -36,7 +36,7 @@
 from dandelionreel.platform import JsonRecordCodec, _accounts
 from features.account_parts import make_account, make_configuration, make_plain_queue
 from features.cell_parts import step
-from features.client_parts import make_front
+from features.client_parts import make_client_api
 
 NOW = 1000.0
 KEYS = ('blue-key-1', 'blue-key-2', 'red-key-1', 'new-key', 'removed-key', 'added-key')
@@ -136,7 +136,7 @@
 def rebuild(context, longest_age=None):
     clock = ManualClock(NOW)
     relay = Relay('me', context.jobs.book, context.links, clock, context.journal)
-    context.front = make_front(
+    context.front = make_client_api(
         context.folder,
         context.jobs,
         FreshFollower(),
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -18,7 +18,7 @@
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import PeerError
 from features.cell_parts import QUEUES
-from features.client_parts import make_front
+from features.client_parts import make_client_api
 from features.store_parts import journal
 
 ZONES = ('south', 'west')
@@ -150,11 +150,11 @@
         watch._contact.note_miss(zone, NOW)
     rotation = Rotation()
     for ago in (2.3, 1.3, 0.3):
-        rotation.note_question(NOW - ago, ready=True)
+        rotation.note_readiness_check(NOW - ago, ready=True)
     configuration = ConfigurationFolder(None, journal())
     configuration.current = Configuration(1, QUEUES, (Service('desk', False, False),), 9999)
     jobs = JobFolder(clock, journal())
-    context.front = make_front(
+    context.front = make_client_api(
         configuration,
         jobs,
         ReadFollower(),
@@ -204,7 +204,7 @@
 def told_misses(context, misses):
     times = [NOW - 0.3 - number for number in range(8)]
     for number, at in enumerate(reversed(times)):
-        context.rotation.note_question(at, ready=number < len(times) - misses)
+        context.rotation.note_readiness_check(at, ready=number < len(times) - misses)
 
 
 @then('clients are sent there for {seconds:g} s more')
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -123,4 +123,4 @@
 def client_outcome(context, outcome):
     relayed = context.relayed
     assert (relayed.answer is not None) is (outcome == 'is told so')
-    assert relayed.maybe is (outcome == 'is left in doubt')
+    assert relayed.in_doubt is (outcome == 'is left in doubt')
