--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -242,7 +242,7 @@
         booked = self._jobs.book.find(job_id)
         if booked is not None and booked.state in FINAL_STATES:
             return self._codec.answer_state(booked.state)
-        if booked is not None and self._completions.holds(job_id):
+        if booked is not None and self._completions.contains(job_id):
             return self._codec.answer_state(JobState.COMPLETED)
         # A job under way may be over by now, and a client counts its wait until
         # it sees that; an unknown one may have been stored meanwhile.
@@ -280,7 +280,7 @@
             booked = self._find(call, job_id)
         if booked is None:
             return self._unknown_job(call, job_id)
-        over = booked.state in FINAL_STATES or self._completions.holds(job_id)
+        over = booked.state in FINAL_STATES or self._completions.contains(job_id)
         if booked.cancelled or over:
             return self._codec.answer_accepted()
         record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -74,15 +74,15 @@
 
     async def is_complete(self, job: str) -> bool:
         """Return whether this host may tell that a job is complete, by its zone's runners."""
-        questions = self._completions.questions
+        questions = self._completions.query_count
         if not self._contact.may_serve_reads or not await self._is_listed_done(job):
             return False
         if not await self._tell_zone(job):
             return False
         # The owner has asked meanwhile, and does not know of this job.
-        if questions != self._completions.questions or not self._contact.may_serve_reads:
+        if questions != self._completions.query_count or not self._contact.may_serve_reads:
             return False
-        self._completions.note_seen([job])
+        self._completions.note_zone_completions([job])
         self._journal.tell_frequent(
             Part.JOBS,
             'shown as complete behind a cut.',
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -131,7 +131,7 @@
         return len(self._waiting)
 
     @property
-    def free_for_patient(self) -> int:
+    def free_for_non_urgent(self) -> int:
         """Return how many more questions that are not urgent find a free host now."""
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
         return self._most_patient() - len(self._patient) - waiting
--- a/dandelionreel/cell/membership/_completion_answers.py
+++ b/dandelionreel/cell/membership/_completion_answers.py
@@ -41,11 +41,11 @@
         seen: Any = frame.message
         taken = await self._take_at_owner(seen.jobs)
         if self._contact.may_serve_reads:
-            self._completions.note_seen(seen.jobs)
+            self._completions.note_zone_completions(seen.jobs)
             return Done()
         return Done() if taken else Refused('is not cut off')
 
-    async def answer_wanted(self, frame: Frame) -> Message:
+    async def answer_query(self, frame: Frame) -> Message:
         """Tell an owner all that is known here; from then on it relies on the answer."""
         wanted: Any = frame.message
         self._contact.note_owner_query()
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -12,7 +12,7 @@
 
 #: Jobs that are remembered, and for how many seconds: several times the longest time for
 #: which an owner goes on without the store.
-MOST_KEPT = 20_000
+MAX_KEPT = 20_000
 KEPT_SECONDS = 60.0
 
 
@@ -28,10 +28,10 @@
         self._reported_at_by_job: dict[str, float] = {}
         self._fence = 0
         #: How many questions of owners have been answered, and when the latest one was.
-        self.questions = 0
-        self.asked_at = float('-inf')
+        self.query_count = 0
+        self.queried_at = float('-inf')
 
-    def holds(self, job: str) -> bool:
+    def contains(self, job: str) -> bool:
         """Return whether the job is known to be complete."""
         return job in self._noted_at_by_job
 
@@ -40,13 +40,13 @@
         now = self._clock.monotonic()
         for job in jobs:
             self._noted_at_by_job.setdefault(job, now)
-        excess = len(self._noted_at_by_job) - MOST_KEPT
+        excess = len(self._noted_at_by_job) - MAX_KEPT
         for place, (job, noted_at) in enumerate(tuple(self._noted_at_by_job.items())):
             if place >= excess and now - noted_at < KEPT_SECONDS:
                 break
             self._noted_at_by_job.pop(job)
 
-    def note_seen(self, jobs: Iterable[str]) -> None:
+    def note_zone_completions(self, jobs: Iterable[str]) -> None:
         """Remember jobs that the runners of this zone list as done inside a partition."""
         seen = tuple(jobs)
         self.note(seen)
@@ -89,6 +89,6 @@
     def answer(self, epoch: int) -> tuple[str, ...]:
         """Return all that is known, and believe no owner before that epoch from now on."""
         self._fence = max(self._fence, epoch)
-        self.questions += 1
-        self.asked_at = self._clock.monotonic()
+        self.query_count += 1
+        self.queried_at = self._clock.monotonic()
         return tuple(self._noted_at_by_job)
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -96,7 +96,7 @@
             self._show(host, message.jobs)
 
     def _show(self, host: str, jobs: Iterable[str]) -> None:
-        fresh = [job for job in jobs if not self._completions.holds(job)]
+        fresh = [job for job in jobs if not self._completions.contains(job)]
         self._completions.note(fresh)
         if fresh:
             self._owner_context.journal.tell_frequent(
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -343,7 +343,7 @@
         """
         began = self._clock.monotonic()
         made = self._planner.plan(
-            began, self._clock.wall(), self._pool.free_for_patient, self._orders.free
+            began, self._clock.wall(), self._pool.free_for_non_urgent, self._orders.free
         )
         self._load.note_plan(made, self._clock.monotonic() - began)
         await self._send_stops()
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -55,7 +55,7 @@
         (AdviceWanted, advisor.answer),
         (CompletionsTold, completions.merge_completions),
         (CompletionsSeen, completions.merge_zone_completions),
-        (CompletionsWanted, completions.answer_wanted),
+        (CompletionsWanted, completions.answer_query),
         (ConfigurationWanted, exchange.answer),
     )
     for kind, answerer in answerers:
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -175,7 +175,7 @@
 @then('behind the cut it is told {state}')
 def told_state(context, state):
     assert context.told is (state == 'completed'), context.told
-    assert context.completions.holds(JOB) is context.told
+    assert context.completions.contains(JOB) is context.told
 
 
 @then('no lease was renewed and no end acknowledged')
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -3,7 +3,7 @@
 import curio
 from behave import given, then, when
 
-from dandelionreel.cell.membership._completions import KEPT_SECONDS, MOST_KEPT, Completions
+from dandelionreel.cell.membership._completions import KEPT_SECONDS, MAX_KEPT, Completions
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import JobSpec, Submission, WriterFence
 from dandelionreel.cell.model._model import JobState
@@ -82,14 +82,14 @@
         await curio.spawn(context.owner.writer.run, daemon=True)
         await curio.spawn(context.notices.run, daemon=True)
         await curio.spawn(context.owner.flush, daemon=True)
-        await curio.ignore_after(1, until, lambda: context.completions.holds(JOB))
+        await curio.ignore_after(1, until, lambda: context.completions.contains(JOB))
 
     curio.run(play)
 
 
 @then('clients are told {state} within a second')
 def told(context, state):
-    assert context.completions.holds(JOB) is (state == 'completed')
+    assert context.completions.contains(JOB) is (state == 'completed')
 
 
 @then('the peer is told nothing')
@@ -161,12 +161,12 @@
 
 @then('its word is refused, and clients are not told')
 def word_refused(context):
-    assert not context.taken and not context.completions.holds(JOB)
+    assert not context.taken and not context.completions.contains(JOB)
 
 
 @then('clients are told that it is completed')
 def clients_told(context):
-    assert context.taken and context.completions.holds(JOB)
+    assert context.taken and context.completions.contains(JOB)
 
 
 @given('a host that is told of {count:d} complete jobs over an hour')
@@ -182,8 +182,8 @@
 
 @then('it remembers those of the last minute, and {most:d} at the most')
 def remembers(context, most):
-    kept = [job for job in context.jobs if context.completions.holds(job)]
+    kept = [job for job in context.jobs if context.completions.contains(job)]
     lasting = int(KEPT_SECONDS / 3600 * context.count)
     assert kept == context.jobs[-len(kept) :] and abs(len(kept) - lasting) <= 1, len(kept)
     context.completions.note(f'{number:016x}' for number in range(100_000, 100_000 + 2 * most))
-    assert len(context.completions.answer(1)) <= most == MOST_KEPT
+    assert len(context.completions.answer(1)) <= most == MAX_KEPT
