--- a/bench/replay.py
+++ b/bench/replay.py
@@ -20,7 +20,7 @@
 from dandelionreel.cell.decisions._preemption import Preemption, RoomMade
 from dandelionreel.cell.decisions._reservations import Rank
 from dandelionreel.cell.decisions._waiting import OwedFirst, Urgency, WaitingOrder
-from dandelionreel.cell.membership._advisors import PATIENT_SHARE
+from dandelionreel.cell.membership._advisors import NON_URGENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
     Configuration,
@@ -481,7 +481,7 @@
             return
         began = time.perf_counter()
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
-        free = int(PATIENT_SHARE * self.load.hosts) - self._busy[False] - waiting
+        free = int(NON_URGENT_SHARE * self.load.hosts) - self._busy[False] - waiting
         made = self.planner.plan(self._now, self._now, free)
         self.plan_seconds.append(time.perf_counter() - began)
         for allocation in self.cell.take_stops():
@@ -497,7 +497,7 @@
     def _ask(self) -> None:
         while self._waiting:
             urgent = self._waiting[0][0] == 0
-            most = int(PATIENT_SHARE * self.load.hosts)
+            most = int(NON_URGENT_SHARE * self.load.hosts)
             if sum(self._busy.values()) >= self.load.hosts or (
                 not urgent and self._busy[False] >= most
             ):
--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -60,14 +60,14 @@
             return Denied.UNKNOWN_KEY
         if self._longest_age is not None and self._exchange.age() > self._longest_age:
             return Denied.UNDECIDED
-        known = self._find(digest)
-        if known is not None:
-            return known
+        known_caller = self._find_caller(digest)
+        if known_caller is not None:
+            return known_caller
         if not await self._exchange.confirm():
-            return self._find(digest) or Denied.UNDECIDED
-        return self._find(digest) or Denied.UNKNOWN_KEY
+            return self._find_caller(digest) or Denied.UNDECIDED
+        return self._find_caller(digest) or Denied.UNKNOWN_KEY
 
-    def _find(self, digest: bytes) -> Caller | None:
+    def _find_caller(self, digest: bytes) -> Caller | None:
         current = self._configuration.current
         if current is None or current.accounts is None:
             return None
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -8,12 +8,16 @@
 from dandelionreel.cell.clients._access import AccessControl, Denied
 from dandelionreel.cell.clients._client_call import (
     CAUSE_HEADER,
-    STORE_CAUSE,
+    STORE_UNAVAILABLE_CAUSE,
     ClientCall,
     answer_not_run,
     refuse,
 )
-from dandelionreel.cell.clients._client_writes import CUT_OFF_AGE, REFUSALS, ClientWrites
+from dandelionreel.cell.clients._client_writes import (
+    RETRYABLE_STATUSES,
+    STALE_READ_SECONDS,
+    ClientWrites,
+)
 from dandelionreel.cell.clients._partition_reads import PartitionReads
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.membership import Completions, PartitionDetector
@@ -40,15 +44,15 @@
 #: Ids are chosen by clients.
 JOB_ID = re.compile('[0-9a-f]{16}')
 #: Seconds in which an unknown job is looked for in what the store holds now.
-LOOKUP_PATIENCE = 1.0
+LOOKUP_TIMEOUT_SECONDS = 1.0
 #: Seconds: a state may be that old, and a newer one is waited for that long.
-STATE_AGE = 0.03
-REFRESH_PATIENCE = 0.1
+MAX_STATE_AGE_SECONDS = 0.03
+REFRESH_TIMEOUT_SECONDS = 0.1
 #: Seconds: a count of waiting jobs may be that old; 2 s are promised.
-COUNT_AGE = 1.2
+MAX_COUNT_AGE_SECONDS = 1.2
 #: Seconds after which a job may be handed in again that is larger than its account's quota,
 #: which an operator has to raise first.
-QUOTA_RETRY_AFTER = 60.0
+QUOTA_RETRY_AFTER_SECONDS = 60.0
 
 HTTP_BAD_REQUEST = 400
 HTTP_UNAUTHORIZED = 401
@@ -77,7 +81,7 @@
         get_dispatcher: Callable[[], Dispatcher | None],
         completions: Completions,
         partition_reads: PartitionReads,
-        contact: PartitionDetector,
+        partition_detector: PartitionDetector,
         clock: Clock,
         journal: Journal,
         note_answer: Callable[[str, int, float], None],
@@ -98,7 +102,7 @@
         self._get_dispatcher = get_dispatcher
         self._completions = completions
         self._partition_reads = partition_reads
-        self._contact = contact
+        self._partition_detector = partition_detector
         self._clock = clock
         self._journal = journal
         self._note_answer = note_answer
@@ -122,7 +126,7 @@
             forward,
         )
         # The peer may ask another host: the store refuses this one as well.
-        return ForwardAnswer(answer, no_room=answer.header(CAUSE_HEADER) == STORE_CAUSE)
+        return ForwardAnswer(answer, no_room=answer.header(CAUSE_HEADER) == STORE_UNAVAILABLE_CAUSE)
 
     async def _answer(
         self,
@@ -143,10 +147,10 @@
         forwarded = None if forward is None else forward.caller
         caller = await self._access.identify(request, queue, forwarded)
         if isinstance(caller, Denied):
-            return self._deny(request, path, caller)
+            return self._answer_denied(request, path, caller)
         call = ClientCall(request, caller, zone, began, forward is not None)
         answer = await self._serve(call, configuration, queue, path[len(queue.path_prefix) :])
-        if answer.status in REFUSALS:
+        if answer.status in RETRYABLE_STATUSES:
             self._note_refusal(caller.account)
         return answer
 
@@ -159,18 +163,18 @@
     ) -> Answer:
         request = call.request
         if not job_id and request.method == 'GET':
-            return await self._count(queue, call.began)
+            return await self._answer_waiting_count(queue, call.began)
         if not JOB_ID.fullmatch(job_id):
             return answer_not_run(HTTP_BAD_REQUEST, 'bad-id', 'a job id has 16 hexadecimal digits')
         if request.method == 'POST':
-            return await self._submit(call, configuration, queue, job_id)
+            return await self._submit_job(call, configuration, queue, job_id)
         if request.method == 'GET':
-            return await self._state(call, job_id)
+            return await self._answer_state(call, job_id)
         if request.method == 'DELETE':
-            return await self._cancel(call, job_id)
+            return await self._cancel_job(call, job_id)
         return answer_not_run(HTTP_NOT_ALLOWED, 'bad-method', 'use POST, GET or DELETE')
 
-    def _deny(self, request: Request, path: str, denied: Denied) -> Answer:
+    def _answer_denied(self, request: Request, path: str, denied: Denied) -> Answer:
         """Refuse a call; one answer for all causes, so that nobody learns what a key lacks."""
         self._log(request, path, denied.value, version=self._configuration.version)
         if denied is Denied.UNDECIDED:
@@ -178,7 +182,7 @@
         answer = answer_not_run(HTTP_UNAUTHORIZED, 'unknown-key', 'a known API key is needed')
         return Answer(answer.status, (*answer.headers, CHALLENGE), answer.body)
 
-    async def _submit(
+    async def _submit_job(
         self,
         call: ClientCall,
         configuration: Configuration,
@@ -189,8 +193,8 @@
         if self._get_dispatcher() is not None and not self._follower.complete:
             # A job that is over may not have been read yet, and would run again.
             now = self._clock.monotonic()
-            if not await self._follower.wait_fresh(now, LOOKUP_PATIENCE):
-                return refuse(STORE_CAUSE, 'the store cannot be read just now')
+            if not await self._follower.wait_fresh(now, LOOKUP_TIMEOUT_SECONDS):
+                return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         if not self._may_see(call, job_id):
             self._log(request, job_id, 'its id is taken by another account')
             return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
@@ -206,7 +210,7 @@
             self._log(request, job_id, f'not a job: {error}')
             return answer_not_run(HTTP_BAD_REQUEST, 'bad-job', f'{error}')
         if not self._fits_quota(call, configuration, spec):
-            return self._refuse_oversized(call, job_id)
+            return self._answer_over_quota(call, job_id)
         submission = Submission(
             queue.name, queue.service, self._clock.wall(), spec, call.zone, call.caller.account
         )
@@ -226,7 +230,7 @@
             return True
         return all(step.smallest_start.fits(account.quota) for step in spec.steps)
 
-    def _refuse_oversized(self, call: ClientCall, job_id: str) -> Answer:
+    def _answer_over_quota(self, call: ClientCall, job_id: str) -> Answer:
         self._log(
             call.request,
             job_id,
@@ -234,11 +238,13 @@
             account=call.caller.account,
         )
         detail = 'a step needs more at once than the account may have running'
-        return answer_not_run(HTTP_TOO_MANY, 'over-account-quota', detail, QUOTA_RETRY_AFTER)
+        return answer_not_run(
+            HTTP_TOO_MANY, 'over-account-quota', detail, QUOTA_RETRY_AFTER_SECONDS
+        )
 
-    async def _state(self, call: ClientCall, job_id: str) -> Answer:
+    async def _answer_state(self, call: ClientCall, job_id: str) -> Answer:
         if not self._may_see(call, job_id):
-            return self._unknown_job(call, job_id)
+            return self._answer_unknown_job(call, job_id)
         booked = self._jobs.book.find(job_id)
         if booked is not None and booked.state in FINAL_STATES:
             return self._codec.answer_state(booked.state)
@@ -250,38 +256,38 @@
         state = dispatcher.state_of(job_id) if dispatcher else None
         if state is not None:
             return self._codec.answer_state(state)
-        timeout = LOOKUP_PATIENCE if booked is None else REFRESH_PATIENCE
-        if self._contact.cut_off:
+        timeout = LOOKUP_TIMEOUT_SECONDS if booked is None else REFRESH_TIMEOUT_SECONDS
+        if self._partition_detector.cut_off:
             # What is known in this zone is all that can be told; who waits learns no more.
             if await self._partition_reads.is_complete(job_id):
                 return self._codec.answer_state(JobState.COMPLETED)
             timeout = 0.0
         elif dispatcher is None and not call.relayed:
-            answer = await self._ask_state(call, timeout)
+            answer = await self._get_state_from_peers(call, timeout)
             if answer is not None:
                 return answer
-        await self._follower.wait_fresh(call.began - STATE_AGE, timeout)
+        await self._follower.wait_fresh(call.began - MAX_STATE_AGE_SECONDS, timeout)
         booked = self._find(call, job_id)
         if booked is not None:
             return self._codec.answer_state(booked.state)
-        return self._unknown_job(call, job_id)
+        return self._answer_unknown_job(call, job_id)
 
-    async def _ask_state(self, call: ClientCall, timeout: float) -> Answer | None:
+    async def _get_state_from_peers(self, call: ClientCall, timeout: float) -> Answer | None:
         """Return the owner's answer, or that of any peer where the store is out of reach."""
-        passed = await self._relay.forward_to_owner(call, timeout)
-        if passed.answer is None and self._follower.age(call.began) > CUT_OFF_AGE:
-            passed = await self._relay.forward(call, timeout)
-        return passed.answer
+        forwarded = await self._relay.forward_to_owner(call, timeout)
+        if forwarded.answer is None and self._follower.age(call.began) > STALE_READ_SECONDS:
+            forwarded = await self._relay.forward(call, timeout)
+        return forwarded.answer
 
-    async def _cancel(self, call: ClientCall, job_id: str) -> Answer:
+    async def _cancel_job(self, call: ClientCall, job_id: str) -> Answer:
         booked = self._find(call, job_id)
         if booked is None:
-            await self._follower.wait_fresh(call.began, LOOKUP_PATIENCE)
+            await self._follower.wait_fresh(call.began, LOOKUP_TIMEOUT_SECONDS)
             booked = self._find(call, job_id)
         if booked is None:
-            return self._unknown_job(call, job_id)
-        over = booked.state in FINAL_STATES or self._completions.contains(job_id)
-        if booked.cancelled or over:
+            return self._answer_unknown_job(call, job_id)
+        finished = booked.state in FINAL_STATES or self._completions.contains(job_id)
+        if booked.cancelled or finished:
             return self._codec.answer_accepted()
         record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
         return await self._writes.store(
@@ -307,13 +313,15 @@
             account = dispatcher.account_of(job_id)
         return account in {'', call.caller.account}
 
-    def _unknown_job(self, call: ClientCall, job_id: str) -> Answer:
+    def _answer_unknown_job(self, call: ClientCall, job_id: str) -> Answer:
         """Say that a job does not exist, but only if all that is stored has been read.
 
         The job of another account does not exist for a caller.
         """
-        if self._follower.fresh_at < call.began - STATE_AGE and self._may_see(call, job_id):
-            return refuse(STORE_CAUSE, 'the store cannot be read just now')
+        if self._follower.fresh_at < call.began - MAX_STATE_AGE_SECONDS and self._may_see(
+            call, job_id
+        ):
+            return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         self._journal.tell_frequent(
             Part.JOBS,
             f'job {job_id} is asked for, not known.',
@@ -323,10 +331,12 @@
         )
         return self._codec.answer_unknown_job()
 
-    async def _count(self, queue: Queue, began: float) -> Answer:
+    async def _answer_waiting_count(self, queue: Queue, began: float) -> Answer:
         """Return how many jobs wait, unless too little has been read to know."""
-        if not await self._follower.wait_fresh(began - COUNT_AGE, LOOKUP_PATIENCE):
-            return refuse(STORE_CAUSE, 'the store cannot be read just now')
+        if not await self._follower.wait_fresh(
+            began - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
+        ):
+            return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         return self._codec.answer_pending(self._jobs.book.count_waiting(queue.name))
 
     def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -6,8 +6,8 @@
 
 from dandelionreel.cell.clients._client_call import (
     HTTP_UNAVAILABLE,
-    RETRY_AFTER,
-    STORE_CAUSE,
+    RETRY_AFTER_SECONDS,
+    STORE_UNAVAILABLE_CAUSE,
     ClientCall,
     refuse,
 )
@@ -22,29 +22,29 @@
 
 #: Seconds that an own append may take before a peer is asked to do it: more
 #: than a slow store needs, and a third of what a client waits.
-OWN_PATIENCE = 0.9
+APPEND_TIMEOUT_SECONDS = 0.9
 #: Seconds after a failed append before a client's request is tried here again.
-PROBE_SECONDS = 0.4
+APPEND_RETRY_SECONDS = 0.4
 #: What is known is older than this: a peer may know more. Reads end at least
 #: twice a second, with the owner's heartbeats.
-CUT_OFF_AGE = 1.2
+STALE_READ_SECONDS = 1.2
 HTTP_TIMEOUT = 504
-REFUSALS = frozenset((429, HTTP_UNAVAILABLE))
+RETRYABLE_STATUSES = frozenset((429, HTTP_UNAVAILABLE))
 
 
 @dataclass
 class _Progress:
     """What trying to store something has come to so far."""
 
-    by: str = ''
+    attempted_by: str = ''
     #: Whether an append may have taken place.
     in_doubt: bool = False
     #: What each attempt came to, for the line of one that was not answered 2xx.
-    tried: list[str] = field(default_factory=list)
+    outcomes: list[str] = field(default_factory=list)
 
 
 Attempt = Callable[[float, _Progress], Awaitable[Answer | None]]
-AtOwner = Callable[[Dispatcher, float], Awaitable[Written]]
+StoreAtOwner = Callable[[Dispatcher, float], Awaitable[Written]]
 Forwarder = Callable[[ClientCall, float], Awaitable[Relayed]]
 #: Logs what became of a call, with further fields.
 LogOutcome = Callable[..., None]
@@ -60,7 +60,7 @@
         writer: GroupWriter,
         relay: Relay,
         get_dispatcher: Callable[[], Dispatcher | None],
-        contact: PartitionDetector,
+        partition_detector: PartitionDetector,
         rotation: Rotation,
         clock: Clock,
     ) -> None:
@@ -70,7 +70,7 @@
         self._writer = writer
         self._relay = relay
         self._get_dispatcher = get_dispatcher
-        self._contact = contact
+        self._partition_detector = partition_detector
         self._rotation = rotation
         self._clock = clock
 
@@ -78,7 +78,7 @@
         self,
         call: ClientCall,
         record: KeyedRecord,
-        at_owner: AtOwner,
+        store_at_owner: StoreAtOwner,
         log: LogOutcome,
         **fields: str,
     ) -> Answer:
@@ -88,16 +88,18 @@
         when no append can have taken place, neither here nor at a peer.
         """
         began = self._clock.monotonic()
-        until = began + call.timeout
+        deadline = began + call.timeout
         progress = _Progress()
-        for attempt in self._attempts(call, record, at_owner):
-            left = until - self._clock.monotonic()
-            if left <= 0 or await self._is_hopeless(progress):
+        for attempt in self._attempts(call, record, store_at_owner):
+            remaining = deadline - self._clock.monotonic()
+            if remaining <= 0 or await self._is_host_cut_off(progress):
                 break
-            answer = await attempt(left, progress)
-            if answer is not None and (answer.status not in REFUSALS or not progress.in_doubt):
+            answer = await attempt(remaining, progress)
+            if answer is not None and (
+                answer.status not in RETRYABLE_STATUSES or not progress.in_doubt
+            ):
                 log(
-                    f'{answer.status} by {progress.by}',
+                    f'{answer.status} by {progress.attempted_by}',
                     **fields,
                     seconds=round(self._clock.monotonic() - began, 3),
                 )
@@ -106,101 +108,105 @@
             'may be stored' if progress.in_doubt else 'not stored',
             **fields,
             seconds=round(self._clock.monotonic() - began, 3),
-            store_failing=round(max(0.0, until - self._writer.failing_since), 3),
-            tried=progress.tried,
+            store_failing=round(max(0.0, deadline - self._writer.failing_since), 3),
+            tried=progress.outcomes,
         )
         return self._answer_failed(progress)
 
-    async def _is_hopeless(self, progress: _Progress) -> bool:
+    async def _is_host_cut_off(self, progress: _Progress) -> bool:
         """Return whether this host is cut off, so that nothing more is worth a try.
 
         Its client's few retries are better spent on hosts of another zone.
         """
-        if self._contact.cut_off:
+        if self._partition_detector.cut_off:
             return True
-        return bool(progress.tried) and await self._contact.check()
+        return bool(progress.outcomes) and await self._partition_detector.check()
 
     def _answer_failed(self, progress: _Progress) -> Answer:
         if progress.in_doubt:
             detail = 'what was asked for may have been stored'
             return answer_problem(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
         detail = 'the store takes nothing just now; it was not accepted'
-        return refuse(STORE_CAUSE, detail, self._retry_after())
+        return refuse(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
 
     def _retry_after(self) -> float:
         """Return the seconds after which another host is likely to take a request.
 
         Behind a cut that is when the balancer sends clients to other zones.
         """
-        if not self._contact.cut_off:
-            return RETRY_AFTER
-        return max(RETRY_AFTER, self._rotation.seconds_left(self._clock.monotonic()))
+        if not self._partition_detector.cut_off:
+            return RETRY_AFTER_SECONDS
+        return max(RETRY_AFTER_SECONDS, self._rotation.seconds_left(self._clock.monotonic()))
 
     def _attempts(
         self,
         call: ClientCall,
         record: KeyedRecord,
-        at_owner: AtOwner,
+        store_at_owner: StoreAtOwner,
     ) -> Iterator[Attempt]:
         """Return the ways to store something, the best one first."""
         dispatcher = self._get_dispatcher()
         if dispatcher is not None:
-            yield self._by_owner(dispatcher, at_owner)
+            yield self._by_owner(dispatcher, store_at_owner)
         elif not call.relayed:
             yield self._by_peer(call, self._relay.forward_to_owner)
             yield self._by_peer(call, self._relay.forward_to_zone_writer)
-        cut_off = self._is_cut_off(self._clock.monotonic())
+        store_unreachable = self._is_store_unreachable(self._clock.monotonic())
         # Where a deputy answers, it is the one to write: a slow store has to take
         # one append of a zone's hosts at a time, not one of each.
-        if not cut_off and (call.relayed or self._relay.find_zone_writer() is None):
+        if not store_unreachable and (call.relayed or self._relay.find_zone_writer() is None):
             yield self._by_this_host(record)
-        if cut_off and not call.relayed:
+        if store_unreachable and not call.relayed:
             yield self._by_peer(call, self._relay.forward)
 
-    def _by_owner(self, dispatcher: Dispatcher, at_owner: AtOwner) -> Attempt:
-        async def by_owner(left: float, progress: _Progress) -> Answer | None:
-            progress.by = 'the owner'
+    def _by_owner(self, dispatcher: Dispatcher, store_at_owner: StoreAtOwner) -> Attempt:
+        async def by_owner(remaining: float, progress: _Progress) -> Answer | None:
+            progress.attempted_by = 'the owner'
             if dispatcher.store_is_failing:
-                progress.tried.append('the owner: its store is failing')
+                progress.outcomes.append('the owner: its store is failing')
                 return None
-            return self._judge(await at_owner(dispatcher, min(left, OWN_PATIENCE)), progress)
+            return self._note_outcome(
+                await store_at_owner(dispatcher, min(remaining, APPEND_TIMEOUT_SECONDS)), progress
+            )
 
         return by_owner
 
     def _by_this_host(self, record: KeyedRecord) -> Attempt:
-        async def by_this_host(left: float, progress: _Progress) -> Answer | None:
-            progress.by = 'this host'
-            outcome = await self._writer.write([record], min(left, OWN_PATIENCE))
-            return self._judge(outcome, progress)
+        async def by_this_host(remaining: float, progress: _Progress) -> Answer | None:
+            progress.attempted_by = 'this host'
+            outcome = await self._writer.write([record], min(remaining, APPEND_TIMEOUT_SECONDS))
+            return self._note_outcome(outcome, progress)
 
         return by_this_host
 
     def _by_peer(self, call: ClientCall, forward: Forwarder) -> Attempt:
-        async def by_peer(left: float, progress: _Progress) -> Answer | None:
-            progress.by = 'a peer'
-            passed = await forward(call, left)
-            progress.in_doubt = progress.in_doubt or passed.in_doubt
-            status: Any = passed.answer.status if passed.answer else 'none could act'
-            progress.tried.append(f'a peer: {"may have acted" if passed.in_doubt else status}')
-            return passed.answer
+        async def by_peer(remaining: float, progress: _Progress) -> Answer | None:
+            progress.attempted_by = 'a peer'
+            forwarded = await forward(call, remaining)
+            progress.in_doubt = progress.in_doubt or forwarded.in_doubt
+            status: Any = forwarded.answer.status if forwarded.answer else 'none could act'
+            progress.outcomes.append(
+                f'a peer: {"may have acted" if forwarded.in_doubt else status}'
+            )
+            return forwarded.answer
 
         return by_peer
 
-    def _judge(self, outcome: Written, progress: _Progress) -> Answer | None:
+    def _note_outcome(self, outcome: Written, progress: _Progress) -> Answer | None:
         """Return the answer to something that was stored, and note what is in doubt."""
         if outcome is Written.STORED:
             return self._codec.answer_accepted()
         progress.in_doubt = progress.in_doubt or outcome is not Written.REFUSED
-        progress.tried.append(f'{progress.by}: {outcome.value}')
+        progress.outcomes.append(f'{progress.attempted_by}: {outcome.value}')
         return None
 
-    def _is_cut_off(self, now: float) -> bool:
+    def _is_store_unreachable(self, now: float) -> bool:
         """Return whether the store is known not to serve this host.
 
         Trying again for each client would hold all of them up; one try in
         ``PROBE_SECONDS``, and the reads, find out when the store is back.
         """
-        if self._follower.age(now) > CUT_OFF_AGE:
+        if self._follower.age(now) > STALE_READ_SECONDS:
             return True
         writer = self._writer
-        return writer.in_trouble(now) and now - writer.failed_at < PROBE_SECONDS
+        return writer.in_trouble(now) and now - writer.failed_at < APPEND_RETRY_SECONDS
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -25,10 +25,10 @@
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
 #: Seconds for which what a runner has listed is good enough for the next question.
-VIEW_SECONDS = 0.2
+VIEW_CACHE_SECONDS = 0.2
 #: Seconds for the answer of a host of the same zone, and how many of them are told.
-ANSWER_SECONDS = 0.2
-PEERS_TOLD = 3
+ANSWER_TIMEOUT = 0.2
+MAX_PEERS_TOLD = 3
 
 MakeRunner = Callable[[Registration], Runner]
 
@@ -39,7 +39,7 @@
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
         self.lock = curio.Lock()
-        self.at = float('-inf')
+        self.polled_at = float('-inf')
         self.ended: tuple[EndedRun, ...] = ()
 
 
@@ -52,7 +52,7 @@
         zone: str,
         book: JobBook,
         runners: RunnersFolder,
-        contact: PartitionDetector,
+        partition_detector: PartitionDetector,
         completions: Completions,
         links: PeerLinks,
         make_runner: MakeRunner,
@@ -64,7 +64,7 @@
         self._zone = zone
         self._book = book
         self._runners = runners
-        self._contact = contact
+        self._partition_detector = partition_detector
         self._completions = completions
         self._links = links
         self._make_runner = make_runner
@@ -74,13 +74,16 @@
 
     async def is_complete(self, job: str) -> bool:
         """Return whether this host may tell that a job is complete, by its zone's runners."""
-        questions = self._completions.query_count
-        if not self._contact.may_serve_reads or not await self._is_listed_done(job):
+        queries_before = self._completions.query_count
+        if not self._partition_detector.may_serve_reads or not await self._is_done_at_runners(job):
             return False
-        if not await self._tell_zone(job):
+        if not await self._replicate_to_zone(job):
             return False
         # The owner has asked meanwhile, and does not know of this job.
-        if questions != self._completions.query_count or not self._contact.may_serve_reads:
+        if (
+            queries_before != self._completions.query_count
+            or not self._partition_detector.may_serve_reads
+        ):
             return False
         self._completions.note_zone_completions([job])
         self._journal.tell_frequent(
@@ -94,11 +97,11 @@
 
     async def close(self) -> None:
         """Give up the ways to runners."""
-        for look in self._view_by_runner.values():
-            await look.runner.close()
+        for cached in self._view_by_runner.values():
+            await cached.runner.close()
         self._view_by_runner.clear()
 
-    async def _is_listed_done(self, job: str) -> bool:
+    async def _is_done_at_runners(self, job: str) -> bool:
         booked = self._book.find(job)
         if booked is None or booked.submission is None or booked.progress is None:
             return False
@@ -106,9 +109,9 @@
             return False
         ended: list[EndedRun] = []
         for registration in self._runners_of(booked.progress.runners):
-            ended.extend(await self._ends_at(registration))
-        mine = [end for end in ended if end.task.job == job]
-        return is_complete(job, booked.submission.spec, booked.progress, mine)
+            ended.extend(await self._ended_runs_at(registration))
+        job_ends = [end for end in ended if end.task.job == job]
+        return is_complete(job, booked.submission.spec, booked.progress, job_ends)
 
     def _runners_of(self, names: tuple[str, ...]) -> list[Registration]:
         """Return the runners of this zone that a job may have run on."""
@@ -118,16 +121,16 @@
             if registration.zone == self._zone and (runner in names or ANY_RUNNER in names)
         ]
 
-    async def _ends_at(self, registration: Registration) -> tuple[EndedRun, ...]:
-        look = self._view_by_runner.get(registration.runner)
-        if look is None:
-            look = _CachedView(self._make_runner(registration))
-            self._view_by_runner[registration.runner] = look
-        async with look.lock:
-            if self._clock.monotonic() - look.at >= VIEW_SECONDS:
-                look.ended = await self._poll_once(look.runner)
-                look.at = self._clock.monotonic()
-        return look.ended
+    async def _ended_runs_at(self, registration: Registration) -> tuple[EndedRun, ...]:
+        cached = self._view_by_runner.get(registration.runner)
+        if cached is None:
+            cached = _CachedView(self._make_runner(registration))
+            self._view_by_runner[registration.runner] = cached
+        async with cached.lock:
+            if self._clock.monotonic() - cached.polled_at >= VIEW_CACHE_SECONDS:
+                cached.ended = await self._poll_once(cached.runner)
+                cached.polled_at = self._clock.monotonic()
+        return cached.ended
 
     async def _poll_once(self, runner: Runner) -> tuple[EndedRun, ...]:
         """Return the ends that a runner lists; nothing is renewed nor acknowledged there."""
@@ -138,12 +141,12 @@
             return ()
         return view.ended
 
-    async def _tell_zone(self, job: str) -> bool:
+    async def _replicate_to_zone(self, job: str) -> bool:
         """Tell hosts of this zone; return whether one of them has taken the word."""
-        for host in self._zone_hosts()[:PEERS_TOLD]:
+        for host in self._zone_hosts()[:MAX_PEERS_TOLD]:
             member = self._book.member_by_host[host]
             try:
-                frame = await self._links.ask(member, CompletionsSeen((job,)), ANSWER_SECONDS)
+                frame = await self._links.ask(member, CompletionsSeen((job,)), ANSWER_TIMEOUT)
             except PeerError:
                 continue
             if isinstance(frame.message, Done):
--- a/dandelionreel/cell/clients/_readiness.py
+++ b/dandelionreel/cell/clients/_readiness.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass
 
 #: Seconds without the store after which a host asks for no new connections.
-UNREADY_SECONDS = 1.5
+MAX_STORE_AGE_SECONDS = 1.5
 #: Answers that a host is not ready after which the balancer leaves it out, the usual
 #: seconds between two of its questions, and the most that count as such.
-MISSES = 2
-USUAL_PERIOD = 1.0
-LONGEST_PERIOD = 5.0
+FAILED_CHECKS_BEFORE_REMOVAL = 2
+DEFAULT_PERIOD_SECONDS = 1.0
+MAX_PERIOD_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
@@ -22,17 +22,17 @@
     store_age: float
 
 
-def find_unready_reason(condition: ReadinessInputs) -> str:
+def find_unready_reason(inputs: ReadinessInputs) -> str:
     """Return why clients should go elsewhere, empty where they should not."""
-    if condition.stopping:
+    if inputs.stopping:
         return 'it is stopping'
-    if not condition.configured:
+    if not inputs.configured:
         return 'it knows no configuration'
-    if condition.cut_off:
+    if inputs.cut_off:
         return 'it is cut off from the store and all other zones'
-    if condition.store_takes_nothing:
+    if inputs.store_takes_nothing:
         return 'the store takes nothing from it'
-    if condition.store_age >= UNREADY_SECONDS:
+    if inputs.store_age >= MAX_STORE_AGE_SECONDS:
         return 'it has not read the store for too long'
     return ''
 
@@ -46,21 +46,23 @@
 
     def __init__(self) -> None:
         """Start in rotation, not yet asked."""
-        self._asked_at = float('-inf')
-        self._period = USUAL_PERIOD
-        self._misses = 0
+        self._checked_at = float('-inf')
+        self._period = DEFAULT_PERIOD_SECONDS
+        self._failed_checks = 0
 
     def note_readiness_check(self, now: float, *, ready: bool) -> None:
         """Note that the balancer has asked, and what it was told."""
-        since = now - self._asked_at
-        if since < LONGEST_PERIOD:
-            self._period = since
-        self._asked_at = now
-        self._misses = 0 if ready else self._misses + 1
+        elapsed = now - self._checked_at
+        if elapsed < MAX_PERIOD_SECONDS:
+            self._period = elapsed
+        self._checked_at = now
+        self._failed_checks = 0 if ready else self._failed_checks + 1
 
     def seconds_left(self, now: float) -> float:
         """Return how long clients will still be sent here if it is not ready from now on."""
-        if self._misses >= MISSES:
+        if self._failed_checks >= FAILED_CHECKS_BEFORE_REMOVAL:
             return 0.0
-        last = self._asked_at + (MISSES - self._misses) * self._period
-        return max(0.0, last - now)
+        removed_at = (
+            self._checked_at + (FAILED_CHECKS_BEFORE_REMOVAL - self._failed_checks) * self._period
+        )
+        return max(0.0, removed_at - now)
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -19,18 +19,18 @@
 
 #: Seconds for one peer's answer: its append takes some milliseconds, and while
 #: the store is slow as long as two of them, one under way and its own.
-PEER_PATIENCE = 1.0
+PEER_TIMEOUT = 1.0
 #: Peers that are tried for one request, in random order.
-PEERS_TRIED = 3
+MAX_PEERS_TRIED = 3
 #: Methods of requests that may be handed to any number of peers.
-REPEATABLE = frozenset(('GET',))
+IDEMPOTENT_METHODS = frozenset(('GET',))
 HTTP_TIMEOUT = 504
 #: Answers that hold whoever gives them: done, bad input, an unknown key, no such job.
 FINAL_STATUSES = frozenset((200, 400, 401, 409, 410, 413))
 #: Seconds for which a peer that did not answer, or that the store does not serve either, is not
 #: asked; twice as long after each miss that follows, up to the longest.
-PEER_QUIET = 1.5
-LONGEST_QUIET = 4.0
+PEER_BACKOFF_SECONDS = 1.5
+MAX_PEER_BACKOFF_SECONDS = 4.0
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
     in_doubt: bool = False
 
 
-def _pass_over(term: str) -> None:
+def _ignore_unanswered(term: str) -> None:
     """Nobody wants to know that the owner of a term did not answer."""
 
 
@@ -55,7 +55,7 @@
         links: PeerLinks,
         clock: Clock,
         journal: Journal,
-        note_query_unanswered: Callable[[str], None] = _pass_over,
+        note_query_unanswered: Callable[[str], None] = _ignore_unanswered,
     ) -> None:
         """Pass requests on as the host ``me``; report owners that do not answer, by term."""
         self._me = me
@@ -64,8 +64,8 @@
         self._clock = clock
         self._journal = journal
         self._note_unanswered = note_query_unanswered
-        self._quiet_until_by_host: dict[str, float] = {}
-        self._quiet_seconds_by_host: dict[str, float] = {}
+        self._backoff_until_by_host: dict[str, float] = {}
+        self._backoff_seconds_by_host: dict[str, float] = {}
 
     async def forward_to_owner(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the answer of the cell's owner."""
@@ -76,14 +76,18 @@
 
     async def forward_to_zone_writer(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the answer of the host that writes for this one, if there is one."""
-        deputy = self.find_zone_writer()
-        return Relayed(None) if deputy is None else await self._forward([deputy], call, timeout)
+        zone_writer = self.find_zone_writer()
+        return (
+            Relayed(None)
+            if zone_writer is None
+            else await self._forward([zone_writer], call, timeout)
+        )
 
     def find_zone_writer(self) -> str | None:
         """Return the host that writes for this one; ``None`` where it does so itself."""
         now = self._clock.monotonic()
-        avoided = {host for host, until in self._quiet_until_by_host.items() if until > now}
-        return find_zone_writer(self._book.member_by_host, self._me, avoided)
+        excluded = {host for host, until in self._backoff_until_by_host.items() if until > now}
+        return find_zone_writer(self._book.member_by_host, self._me, excluded)
 
     async def forward(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the first answer of a peer that could act on the request."""
@@ -92,21 +96,23 @@
         return await self._forward(hosts, call, timeout)
 
     async def _forward(self, hosts: list[str], call: ClientCall, timeout: float) -> Relayed:
-        until = self._clock.monotonic() + timeout
+        deadline = self._clock.monotonic() + timeout
         in_doubt = False
-        for host, member in self._usable(hosts):
-            if call.request.method not in REPEATABLE and not await self._can_act(host, member):
+        for host, member in self._eligible_peers(hosts):
+            if call.request.method not in IDEMPOTENT_METHODS and not await self._can_act(
+                host, member
+            ):
                 continue
-            left = min(PEER_PATIENCE, until - self._clock.monotonic())
-            if left <= 0:
+            remaining = min(PEER_TIMEOUT, deadline - self._clock.monotonic())
+            if remaining <= 0:
                 break
-            handed = await self._hand_over(host, member, call, left)
-            in_doubt = in_doubt or handed.in_doubt
-            if handed.answer is not None:
-                return Relayed(handed.answer, in_doubt)
+            relayed = await self._forward_to_peer(host, member, call, remaining)
+            in_doubt = in_doubt or relayed.in_doubt
+            if relayed.answer is not None:
+                return Relayed(relayed.answer, in_doubt)
         return Relayed(None, in_doubt)
 
-    async def _hand_over(
+    async def _forward_to_peer(
         self,
         host: str,
         member: Member,
@@ -120,18 +126,18 @@
             # A host that asks for a state waits so short a time that a busy owner
             # misses it now and then; that is no reason to take jobs elsewhere.
             if timeout > OWNER_QUERY_TIMEOUT:
-                self._avoid(host, f'{error}', self._lengthen_quiet(host))
+                self._avoid(host, f'{error}', self._increase_backoff(host))
             return Relayed(None, error.verdict is not Verdict.NOT_RUN)
-        self._quiet_seconds_by_host.pop(host, None)
-        given = frame.message
-        if not isinstance(given, ForwardAnswer) or given.no_room:
-            self._avoid(host, 'the store does not serve it either', PEER_QUIET)
+        self._backoff_seconds_by_host.pop(host, None)
+        reply = frame.message
+        if not isinstance(reply, ForwardAnswer) or reply.no_room:
+            self._avoid(host, 'the store does not serve it either', PEER_BACKOFF_SECONDS)
             return Relayed(None)
-        if given.answer.status in FINAL_STATUSES:
-            return Relayed(given.answer)
+        if reply.answer.status in FINAL_STATUSES:
+            return Relayed(reply.answer)
         # Its configuration may be older than ours, or it does not know
         # what became of its append: neither is an answer for the client.
-        return Relayed(None, given.answer.status == HTTP_TIMEOUT)
+        return Relayed(None, reply.answer.status == HTTP_TIMEOUT)
 
     async def _can_act(self, host: str, member: Member) -> bool:
         """Ask a peer whether it can act before it is handed what must not be done in doubt.
@@ -143,33 +149,33 @@
         try:
             frame = await self._links.ask(member, OwnerAsked(term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
-            self._avoid(host, f'{error}', self._lengthen_quiet(host))
+            self._avoid(host, f'{error}', self._increase_backoff(host))
             if term:
                 self._note_unanswered(term)
             return False
         if isinstance(frame.message, Done):
             return True
-        self._avoid(host, 'it cannot act', PEER_QUIET)
+        self._avoid(host, 'it cannot act', PEER_BACKOFF_SECONDS)
         return False
 
-    def _usable(self, hosts: list[str]) -> Iterator[tuple[str, Member]]:
+    def _eligible_peers(self, hosts: list[str]) -> Iterator[tuple[str, Member]]:
         now = self._clock.monotonic()
-        usable = [
+        eligible = [
             host
             for host in hosts
-            if self._quiet_until_by_host.get(host, 0) <= now and host in self._book.member_by_host
+            if self._backoff_until_by_host.get(host, 0) <= now and host in self._book.member_by_host
         ]
-        for host in usable[:PEERS_TRIED]:
+        for host in eligible[:MAX_PEERS_TRIED]:
             yield host, self._book.member_by_host[host]
 
-    def _lengthen_quiet(self, host: str) -> float:
+    def _increase_backoff(self, host: str) -> float:
         """Return for how long a host is left out after one more miss, in seconds."""
-        former = self._quiet_seconds_by_host.get(host, PEER_QUIET / 2)
-        self._quiet_seconds_by_host[host] = min(LONGEST_QUIET, 2 * former)
-        return self._quiet_seconds_by_host[host]
+        previous = self._backoff_seconds_by_host.get(host, PEER_BACKOFF_SECONDS / 2)
+        self._backoff_seconds_by_host[host] = min(MAX_PEER_BACKOFF_SECONDS, 2 * previous)
+        return self._backoff_seconds_by_host[host]
 
     def _avoid(self, host: str, cause: str, seconds: float) -> None:
-        self._quiet_until_by_host[host] = self._clock.monotonic() + seconds
+        self._backoff_until_by_host[host] = self._clock.monotonic() + seconds
         self._journal.tell_frequent(Part.PEERS, f'{host} takes no request: {cause}.', peer=host)
 
 
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -28,16 +28,16 @@
 
 #: A question may take this many times as long as announced, and so many
 #: seconds more, before it is given up.
-PATIENCE_FACTOR = 2.0
-PATIENCE_SECONDS = 0.4
+TIMEOUT_FACTOR = 2.0
+TIMEOUT_MARGIN_SECONDS = 0.4
 #: Seconds for which a peer that did not answer is not asked.
-PEER_QUIET = 2.0
+PEER_BACKOFF_SECONDS = 2.0
 #: Share of hosts that may be busy with requests that are not urgent: those take a second each, and
 #: urgent ones would wait for them.
-PATIENT_SHARE = 0.75
+NON_URGENT_SHARE = 0.75
 
-Answered = Callable[[AdviceRequest, tuple[Permit, ...], float], Awaitable[None]]
-Failed = Callable[[AdviceRequest], Awaitable[None]]
+OnAnswered = Callable[[AdviceRequest, tuple[Permit, ...], float], Awaitable[None]]
+OnFailed = Callable[[AdviceRequest], Awaitable[None]]
 
 
 class PeerLinks:
@@ -87,12 +87,12 @@
         self,
         step: StepName,
         runners: tuple[str, ...],
-        patience: float,
+        timeout: float,
     ) -> tuple[Permit, ...]:
         """Return the permits; raises ``AdviceError``."""
         if self._service is None:
             raise AdviceError('the settings name no policy service')
-        return await self._service.ask(step, runners, patience)
+        return await self._service.ask(step, runners, timeout)
 
 
 class AdvicePool:
@@ -106,8 +106,8 @@
         local: LocalAdvisor,
         clock: Clock,
         journal: Journal,
-        answered: Answered,
-        failed: Failed,
+        answered: OnAnswered,
+        failed: OnFailed,
     ) -> None:
         """Report each answer to ``answered``, each failure to ``failed``."""
         self._me = me
@@ -116,14 +116,14 @@
         self._local = local
         self._clock = clock
         self._journal = journal
-        self._answered = answered
-        self._failed = failed
+        self._on_answered = answered
+        self._on_failed = failed
         self._waiting: list[tuple[int, int, AdviceRequest]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._busy: set[str] = set()
         #: Hosts that are busy with questions that are not urgent.
-        self._patient: set[str] = set()
-        self._quiet_until_by_host: dict[str, float] = {}
+        self._non_urgent_hosts: set[str] = set()
+        self._backoff_until_by_host: dict[str, float] = {}
 
     @property
     def waiting(self) -> int:
@@ -134,76 +134,76 @@
     def free_for_non_urgent(self) -> int:
         """Return how many more questions that are not urgent find a free host now."""
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
-        return self._most_patient() - len(self._patient) - waiting
+        return self._max_non_urgent() - len(self._non_urgent_hosts) - waiting
 
-    async def ask(self, question: AdviceRequest) -> None:
+    async def ask(self, request: AdviceRequest) -> None:
         """Ask as soon as a host is free."""
-        heapq.heappush(self._waiting, (question.priority, next(self._order), question))
-        await self._send()
+        heapq.heappush(self._waiting, (request.priority, next(self._sequence), request))
+        await self._send_waiting()
 
-    async def _send(self) -> None:
+    async def _send_waiting(self) -> None:
         while self._waiting:
             urgent = self._waiting[0][0] == 0
-            allowed = urgent or len(self._patient) < self._most_patient()
+            allowed = urgent or len(self._non_urgent_hosts) < self._max_non_urgent()
             host = self._free_host() if allowed else None
             if host is None:
                 return
-            question = heapq.heappop(self._waiting)[2]
+            request = heapq.heappop(self._waiting)[2]
             self._busy.add(host)
             if not urgent:
-                self._patient.add(host)
-            await curio.spawn(self._put, host, question, daemon=True)
+                self._non_urgent_hosts.add(host)
+            await curio.spawn(self._request_from, host, request, daemon=True)
 
-    def _most_patient(self) -> int:
-        return max(1, int(PATIENT_SHARE * len(self._members())))
+    def _max_non_urgent(self) -> int:
+        return max(1, int(NON_URGENT_SHARE * len(self._members())))
 
     def _free_host(self) -> str | None:
         if self._me not in self._busy:
             return self._me
         now = self._clock.monotonic()
         for host in self._members():
-            if host in self._busy or self._quiet_until_by_host.get(host, 0) > now:
+            if host in self._busy or self._backoff_until_by_host.get(host, 0) > now:
                 continue
             return host
         return None
 
-    async def _put(self, host: str, question: AdviceRequest) -> None:
-        advice = question.advice
-        expected = advice.decision + advice.per_runner * len(question.runners)
-        patience = expected * PATIENCE_FACTOR + PATIENCE_SECONDS
+    async def _request_from(self, host: str, request: AdviceRequest) -> None:
+        advice = request.advice
+        expected_seconds = advice.decision + advice.per_runner * len(request.runners)
+        timeout = expected_seconds * TIMEOUT_FACTOR + TIMEOUT_MARGIN_SECONDS
         try:
-            permits = await self._ask_host(host, question, patience)
+            permits = await self._request_permits(host, request, timeout)
         except (AdviceError, PeerError) as error:
             self._journal.tell_frequent(
                 Part.PLACEMENT,
                 f'no advice by {host}: {error}.',
-                job=question.step.job,
+                job=request.step.job,
             )
-            self._quiet_until_by_host[host] = self._clock.monotonic() + PEER_QUIET
-            await self._failed(question)
+            self._backoff_until_by_host[host] = self._clock.monotonic() + PEER_BACKOFF_SECONDS
+            await self._on_failed(request)
         else:
-            until = self._clock.monotonic() + question.advice.valid
-            await self._answered(question, permits, until)
+            until = self._clock.monotonic() + request.advice.valid
+            await self._on_answered(request, permits, until)
         finally:
             self._busy.discard(host)
-            self._patient.discard(host)
-        await self._send()
+            self._non_urgent_hosts.discard(host)
+        await self._send_waiting()
 
-    async def _ask_host(
+    async def _request_permits(
         self,
         host: str,
-        question: AdviceRequest,
-        patience: float,
+        request: AdviceRequest,
+        timeout: float,
     ) -> tuple[Permit, ...]:
-        step = question.step
+        step = request.step
         if host == self._me:
-            return await self._local.ask(step, question.runners, patience)
-        wanted = AdviceWanted(step.job, step.occurrence, step.step, question.runners, patience)
+            return await self._local.ask(step, request.runners, timeout)
+        query = AdviceWanted(step.job, step.occurrence, step.step, request.runners, timeout)
         member = self._members().get(host)
         if member is None:
             raise AdviceError('the host is not known any more')
-        frame = await self._links.ask(member, wanted, patience + PATIENCE_SECONDS)
-        given = frame.message
-        if not isinstance(given, AdviceGiven) or not given.answered:
+        frame = await self._links.ask(member, query, timeout + TIMEOUT_MARGIN_SECONDS)
+        reply = frame.message
+        if not isinstance(reply, AdviceGiven) or not reply.answered:
             raise AdviceError('the peer has no answer')
-        return tuple(Permit(runner, ticket) for runner, ticket in given.permits)
+        return tuple(Permit(runner, ticket) for runner, ticket in reply.permits)
--- a/dandelionreel/cell/membership/_claim_order.py
+++ b/dandelionreel/cell/membership/_claim_order.py
@@ -10,13 +10,13 @@
 from dandelionreel.cell.model import Member
 
 #: Seconds between the claims of two hosts that follow each other: more than a claim takes.
-STEP_SECONDS = 0.06
+CLAIM_STAGGER_SECONDS = 0.06
 #: Seconds after which the last host claims, when all before it are dead.
-LONGEST_DELAY = 0.9
+MAX_CLAIM_DELAY_SECONDS = 0.9
 #: Cores that the owner of a large cell needs, and seconds for which hosts with fewer leave the
 #: claim to those that have them.
-OWNER_CORES = 1.0
-SMALL_HOST_DELAY = 0.5
+MIN_OWNER_CORES = 1.0
+SMALL_HOST_DELAY_SECONDS = 0.5
 #: Hosts that keep the list of runners at hand, being the first to claim. Read by every host, the
 #: runners' heartbeats would take much of what the store can send.
 SUCCESSORS = 9
@@ -33,8 +33,8 @@
     """Return for how many seconds ``me`` leaves the claim to the hosts before it."""
     others = [host for host in rank_hosts(member_by_host) if host != former]
     rank = others.index(me) if me in others else len(others)
-    delay = min(LONGEST_DELAY, rank * STEP_SECONDS)
-    return delay + SMALL_HOST_DELAY if larger_hosts(member_by_host, me) else delay
+    delay = min(MAX_CLAIM_DELAY_SECONDS, rank * CLAIM_STAGGER_SECONDS)
+    return delay + SMALL_HOST_DELAY_SECONDS if larger_hosts(member_by_host, me) else delay
 
 
 def is_successor(member_by_host: Mapping[str, Member], me: str) -> bool:
@@ -47,28 +47,30 @@
     own = member_by_host.get(me)
     if own is None or is_successor(member_by_host, me):
         return True
-    same_zone = [host for host in rank_hosts(member_by_host) if _is_of(member_by_host, host, own)]
+    same_zone = [
+        host for host in rank_hosts(member_by_host) if _is_same_zone(member_by_host, host, own)
+    ]
     return me in same_zone[:REPLICAS_PER_ZONE]
 
 
-def _is_of(member_by_host: Mapping[str, Member], host: str, own: Member) -> bool:
+def _is_same_zone(member_by_host: Mapping[str, Member], host: str, own: Member) -> bool:
     return member_by_host[host].zone == own.zone
 
 
 def larger_hosts(member_by_host: Mapping[str, Member], me: str) -> list[str]:
     """Return the hosts that should own a large cell in place of ``me``."""
     own = member_by_host.get(me)
-    if own is None or own.cores >= OWNER_CORES:
+    if own is None or own.cores >= MIN_OWNER_CORES:
         return []
     return [
-        host for host in rank_hosts(member_by_host) if member_by_host[host].cores >= OWNER_CORES
+        host for host in rank_hosts(member_by_host) if member_by_host[host].cores >= MIN_OWNER_CORES
     ]
 
 
 def find_zone_writer(
     member_by_host: Mapping[str, Member],
     me: str,
-    avoided: Collection[str],
+    excluded: Collection[str],
 ) -> str | None:
     """Return the host that writes for ``me``; ``None`` where it is ``me`` itself."""
     own = member_by_host.get(me)
@@ -77,6 +79,6 @@
     for host in rank_hosts(member_by_host):
         if host == me:
             return None
-        if member_by_host[host].zone == own.zone and host not in avoided:
+        if member_by_host[host].zone == own.zone and host not in excluded:
             return host
     return None
--- a/dandelionreel/cell/membership/_completion_answers.py
+++ b/dandelionreel/cell/membership/_completion_answers.py
@@ -8,7 +8,7 @@
 from dandelionreel.peers import CompletionsTold, Done, Frame, Message, Refused
 
 #: Takes jobs as complete if this host owns the cell; returns whether it does.
-TakeAtOwner = Callable[[tuple[str, ...]], Awaitable[bool]]
+CompleteAtOwner = Callable[[tuple[str, ...]], Awaitable[bool]]
 
 
 class CompletionAnswers:
@@ -17,13 +17,13 @@
     def __init__(
         self,
         completions: Completions,
-        contact: PartitionDetector,
-        take_at_owner: TakeAtOwner,
+        partition_detector: PartitionDetector,
+        complete_at_owner: CompleteAtOwner,
     ) -> None:
         """Keep in ``completions`` what is taken."""
         self._completions = completions
-        self._contact = contact
-        self._take_at_owner = take_at_owner
+        self._partition_detector = partition_detector
+        self._complete_at_owner = complete_at_owner
 
     async def merge_completions(self, frame: Frame) -> Message:
         """Take the word of an owner, unless a later one has asked."""
@@ -39,14 +39,14 @@
         behind the same cut is also a host that a later owner asks.
         """
         seen: Any = frame.message
-        taken = await self._take_at_owner(seen.jobs)
-        if self._contact.may_serve_reads:
+        completed = await self._complete_at_owner(seen.jobs)
+        if self._partition_detector.may_serve_reads:
             self._completions.note_zone_completions(seen.jobs)
             return Done()
-        return Done() if taken else Refused('is not cut off')
+        return Done() if completed else Refused('is not cut off')
 
     async def answer_query(self, frame: Frame) -> Message:
         """Tell an owner all that is known here; from then on it relies on the answer."""
-        wanted: Any = frame.message
-        self._contact.note_owner_query()
-        return CompletionsTold(wanted.epoch, self._completions.answer(wanted.epoch))
+        query: Any = frame.message
+        self._partition_detector.note_owner_query()
+        return CompletionsTold(query.epoch, self._completions.answer(query.epoch))
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -15,9 +15,9 @@
 
 #: Seconds between looks for jobs that are due, and until the same job is reported again.
 POLL_SECONDS = 0.1
-REPEAT_SECONDS = 0.5
+REPORT_INTERVAL_SECONDS = 0.5
 #: Seconds for the owner's answer.
-ANSWER_SECONDS = 0.25
+ANSWER_TIMEOUT = 0.25
 #: Jobs in one message, and jobs that one line names.
 MAX_JOBS = 500
 MAX_LOGGED = 80
@@ -54,13 +54,13 @@
         self._completions.drop_reports(
             job for job in self._completions.unreported if self._is_stored(job)
         )
-        jobs = self._completions.due_reports(REPEAT_SECONDS)[:MAX_JOBS]
+        jobs = self._completions.due_reports(REPORT_INTERVAL_SECONDS)[:MAX_JOBS]
         owner = self._find_owner()
         if not jobs or owner is None:
             return
         self._completions.note_reports(jobs)
         try:
-            frame = await self._links.ask(owner, CompletionsSeen(jobs), ANSWER_SECONDS)
+            frame = await self._links.ask(owner, CompletionsSeen(jobs), ANSWER_TIMEOUT)
         except PeerError:
             # The partition may last; the watch over it has lines of its own.
             return
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -26,7 +26,7 @@
         #: Jobs that were seen as complete inside a partition and have to be reported to the
         #: owner, with when each was reported last.
         self._reported_at_by_job: dict[str, float] = {}
-        self._fence = 0
+        self._min_epoch = 0
         #: How many questions of owners have been answered, and when the latest one was.
         self.query_count = 0
         self.queried_at = float('-inf')
@@ -41,8 +41,8 @@
         for job in jobs:
             self._noted_at_by_job.setdefault(job, now)
         excess = len(self._noted_at_by_job) - MAX_KEPT
-        for place, (job, noted_at) in enumerate(tuple(self._noted_at_by_job.items())):
-            if place >= excess and now - noted_at < KEPT_SECONDS:
+        for position, (job, noted_at) in enumerate(tuple(self._noted_at_by_job.items())):
+            if position >= excess and now - noted_at < KEPT_SECONDS:
                 break
             self._noted_at_by_job.pop(job)
 
@@ -81,14 +81,14 @@
         A later owner that has asked here would not hear of it, and might start what is
         shown as complete.
         """
-        if epoch < self._fence:
+        if epoch < self._min_epoch:
             return False
         self.note(jobs)
         return True
 
     def answer(self, epoch: int) -> tuple[str, ...]:
         """Return all that is known, and believe no owner before that epoch from now on."""
-        self._fence = max(self._fence, epoch)
+        self._min_epoch = max(self._min_epoch, epoch)
         self.query_count += 1
         self.queried_at = self._clock.monotonic()
         return tuple(self._noted_at_by_job)
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -18,16 +18,16 @@
 from dandelionreel.peers import ConfigurationGiven, ConfigurationWanted, Frame, Message, PeerError
 
 #: Seconds without an answer of the store after which it may have told others more.
-OVERDUE_SECONDS = 0.8
+STORE_OVERDUE_SECONDS = 0.8
 #: Seconds between looks whether it has, and between two rounds of questions.
 POLL_SECONDS = 0.1
-ASK_AGAIN = 0.4
+QUERY_INTERVAL_SECONDS = 0.4
 #: Peers asked at once, and seconds for their answer.
-PEERS_ASKED = 3
-ANSWER_SECONDS = 0.25
+PEERS_PER_ROUND = 3
+ANSWER_TIMEOUT = 0.25
 #: Seconds for which a confirmation holds: however many unknown keys come, peers are asked
 #: no more often.
-CONFIRMED_SECONDS = 0.25
+CONFIRMATION_SECONDS = 0.25
 NEVER = float('-inf')
 
 
@@ -58,7 +58,7 @@
         self._journal = journal
         self._seeds = seeds
         self._lock = curio.Lock()
-        self._asked_at = NEVER
+        self._queried_at = NEVER
         self._confirmed_at = NEVER
         #: The newest version that a peer is known to have.
         self._peer_version = 0
@@ -75,9 +75,9 @@
         """Ask whenever this host may be behind, for ever."""
         while True:
             now = self._clock.monotonic()
-            if self._is_behind(now) and now - self._asked_at >= ASK_AGAIN:
+            if self._is_behind(now) and now - self._queried_at >= QUERY_INTERVAL_SECONDS:
                 async with self._lock:
-                    await self._ask_round()
+                    await self._query_peers()
             await curio.sleep(POLL_SECONDS)
 
     async def confirm(self) -> bool:
@@ -86,36 +86,38 @@
         Whoever waits for the same answer shares it.
         """
         async with self._lock:
-            if self._clock.monotonic() - self._asked_at >= CONFIRMED_SECONDS:
-                await self._ask_round()
-        return self.age() < OVERDUE_SECONDS
+            if self._clock.monotonic() - self._queried_at >= CONFIRMATION_SECONDS:
+                await self._query_peers()
+        return self.age() < STORE_OVERDUE_SECONDS
 
     async def answer(self, frame: Frame) -> Message:
         """Answer a peer that asks for a newer configuration."""
-        wanted: Any = frame.message
-        self.note_version(wanted.version)
+        query: Any = frame.message
+        self.note_version(query.version)
         version = self._folder.version
-        document = self._folder.content if version > wanted.version else b''
-        return ConfigurationGiven(version, document, self._is_served(self._clock.monotonic()))
+        document = self._folder.content if version > query.version else b''
+        return ConfigurationGiven(
+            version, document, self._is_store_answering(self._clock.monotonic())
+        )
 
-    def _is_served(self, now: float) -> bool:
-        return now - self._store_answered_at() < OVERDUE_SECONDS
+    def _is_store_answering(self, now: float) -> bool:
+        return now - self._store_answered_at() < STORE_OVERDUE_SECONDS
 
     def _is_behind(self, now: float) -> bool:
         owner = self._book.owner
         if owner is not None:
             self.note_version(owner.version)
-        return not self._is_served(now) or self._folder.version < self._peer_version
+        return not self._is_store_answering(now) or self._folder.version < self._peer_version
 
-    async def _ask_round(self) -> None:
-        self._asked_at = self._clock.monotonic()
+    async def _query_peers(self) -> None:
+        self._queried_at = self._clock.monotonic()
         peers = self._peers()
-        chosen = random.sample(peers, min(PEERS_ASKED, len(peers)))
-        asks = [
-            await curio.spawn(partial(self._ask, host, member), daemon=True)
+        chosen = random.sample(peers, min(PEERS_PER_ROUND, len(peers)))
+        queries = [
+            await curio.spawn(partial(self._query_peer, host, member), daemon=True)
             for host, member in chosen
         ]
-        for task in asks:
+        for task in queries:
             await task.wait()
 
     def _peers(self) -> list[tuple[str, Member]]:
@@ -123,11 +125,11 @@
         others = [(host, member) for host, member in members if host != self._me]
         return others or [(seed.address, seed) for seed in self._seeds]
 
-    async def _ask(self, host: str, member: Member) -> None:
-        asked_at = self._clock.monotonic()
-        wanted = ConfigurationWanted(self._folder.version)
+    async def _query_peer(self, host: str, member: Member) -> None:
+        queried_at = self._clock.monotonic()
+        query = ConfigurationWanted(self._folder.version)
         try:
-            frame = await self._links.ask(member, wanted, ANSWER_SECONDS)
+            frame = await self._links.ask(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
             self._journal.tell_frequent(
                 Part.PEERS,
@@ -136,20 +138,20 @@
                 version=self._folder.version,
             )
             return
-        given = frame.message
-        if not isinstance(given, ConfigurationGiven):
+        reply = frame.message
+        if not isinstance(reply, ConfigurationGiven):
             return
-        self.note_version(given.version)
-        if given.document:
-            self._take(host, given)
-        if given.current and self._folder.version >= given.version:
-            self._confirmed_at = max(self._confirmed_at, asked_at)
-
-    def _take(self, host: str, given: ConfigurationGiven) -> None:
-        if self._folder.adopt(given.document, host):
+        self.note_version(reply.version)
+        if reply.document:
+            self._adopt(host, reply)
+        if reply.current and self._folder.version >= reply.version:
+            self._confirmed_at = max(self._confirmed_at, queried_at)
+
+    def _adopt(self, host: str, reply: ConfigurationGiven) -> None:
+        if self._folder.adopt(reply.document, host):
             self._journal.tell(
                 Part.CONTRACTS,
                 f'has a newer configuration from {host}.',
-                version=given.version,
+                version=reply.version,
                 store_age=seconds_or_none(self._clock.monotonic() - self._store_answered_at()),
             )
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -33,18 +33,18 @@
 #: Seconds for an owner's answer whether it acts, seconds for which a claim then waits, and for how
 #: long an owner is believed at all: by then it has asked for a successor itself.
 OWNER_QUERY_TIMEOUT = 0.25
-ALIVE_SECONDS = 0.5
-LONGEST_EXCUSE = 4.0
+ALIVE_ANSWER_VALID_SECONDS = 0.5
+MAX_EXCUSED_SILENCE_SECONDS = 4.0
 #: The same after the store was out of reach: a living owner tries at least that
 #: often, and most likely writes as soon as this host reads.
-RETURN_SECONDS = 0.9
+SILENT_AFTER_OUTAGE_SECONDS = 0.9
 #: Seconds, in the mean twice as long as the store needs, after a claim that failed.
-CLAIM_PAUSE = 0.6
+MAX_CLAIM_BACKOFF_SECONDS = 0.6
 #: Seconds between two times that a host hands the cell over to a larger one: the
 #: larger one may answer its peers and not reach the store.
-HAND_OVER_SECONDS = 20.0
+HAND_OVER_INTERVAL_SECONDS = 20.0
 #: Seconds within which the claimant must have read up to now.
-FRESH_SECONDS = 1.0
+MAX_READ_AGE_SECONDS = 1.0
 #: Seconds for which an owner goes on without an answered heartbeat. Long enough
 #: for the usual outages of the store, in which nobody else can claim.
 AUTHORITY_SECONDS = 9.0
@@ -56,11 +56,11 @@
 SUSPECTED_SECONDS = 0.8
 #: Seconds without a heartbeat after which an owner that does not answer its peers, or whose
 #: port refuses connections, is taken for dead; and how many times the usual gap it must be.
-QUIET_SECONDS = 0.5
-QUIET_FACTOR = 1.25
+UNREACHABLE_SILENT_SECONDS = 0.5
+UNREACHABLE_GAP_FACTOR = 1.25
 #: Heartbeats may come that many times as late as they usually do: a slow store
 #: must not look like a dead owner.
-GAP_FACTOR = 2.5
+SILENT_GAP_FACTOR = 2.5
 #: Sequence numbers begin anywhere, so that two claims of one epoch are never
 #: taken for the same append.
 INCARNATION_BITS = 48
@@ -140,34 +140,34 @@
         self._folder = folder
         self._clock = clock
         self._journal = journal
-        self._unheard = ''
-        self._unheard_until = 0.0
-        self._suspected = ''
+        self._unreachable_term = ''
+        self._unreachable_until = 0.0
+        self._suspected_term = ''
         self._suspected_until = 0.0
-        self._alive_until = 0.0
+        self._known_alive_until = 0.0
         self._handed_over_at = float('-inf')
-        self._tried_epoch = 0
+        self._highest_tried_epoch = 0
         self._random = random.Random(f'{incarnation}{clock.monotonic()}{os.getpid()}')
 
     async def wait_for_term(self, eligible: Callable[[], bool]) -> Term:
         """Return once this host owns the cell."""
         vacant_since = None
         while True:
-            await self._pause()
+            await self._wait_for_poll()
             vacancy = self._vacancy() if eligible() else Vacancy.HELD
             if vacancy is Vacancy.HELD:
                 vacant_since = None
                 continue
             now = self._clock.monotonic()
             vacant_since = vacant_since or now
-            if now - vacant_since < self._delay():
+            if now - vacant_since < self._claim_delay():
                 continue
-            if vacancy is Vacancy.SILENT and await self._owner_lives():
+            if vacancy is Vacancy.SILENT and await self._owner_is_alive():
                 continue
             term = await self._claim()
             if term is not None:
                 return term
-            await curio.sleep(self._random.random() * CLAIM_PAUSE)
+            await curio.sleep(self._random.random() * MAX_CLAIM_BACKOFF_SECONDS)
 
     def still_owner(self, term: Term) -> bool:
         """Return whether the newest owner that is known is this term's."""
@@ -176,7 +176,7 @@
 
     def suspect(self, term: str) -> None:
         """Take the owner with that term for dead before its heartbeats are missed."""
-        self._suspected = term
+        self._suspected_term = term
         self._suspected_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
     def note_connection_refused(self, term: str) -> None:
@@ -185,7 +185,7 @@
         A partition that refuses connections looks the same, so this counts only while no heartbeat
         is read either.
         """
-        self._note_unheard(term)
+        self._note_unreachable(term)
 
     def note_query_unanswered(self, term: str) -> None:
         """Take note that a question to the owner with that term was not answered in time.
@@ -193,7 +193,7 @@
         A host that loses power or is cut off refuses nothing; this misses it sooner than its
         heartbeats alone.
         """
-        self._note_unheard(term)
+        self._note_unreachable(term)
 
     async def handle_owner_failing(self, frame: Frame) -> Message:
         """Answer an owner that the store does not serve."""
@@ -204,7 +204,7 @@
 
     def may_hand_over(self) -> bool:
         """Return whether this host has not left the cell to a larger one lately."""
-        return self._clock.monotonic() - self._handed_over_at > HAND_OVER_SECONDS
+        return self._clock.monotonic() - self._handed_over_at > HAND_OVER_INTERVAL_SECONDS
 
     def note_hand_over(self) -> None:
         """Remember that this host leaves the cell to a larger one."""
@@ -216,37 +216,45 @@
         One that names no term asks whether this host is ``ready``: the store serves it, and
         it can take a client's request, or the cell.
         """
-        asked: Any = frame.message
-        if not asked.term:
+        query: Any = frame.message
+        if not query.term:
             return Done() if ready else Refused('cannot own the cell now')
-        if acting and asked.term == self.incarnation:
+        if acting and query.term == self.incarnation:
             return Done()
         return Refused('does not own the cell')
 
-    async def _pause(self) -> None:
+    async def _wait_for_poll(self) -> None:
         await curio.sleep(POLL_SECONDS)
-        if self._is_unheard(self._clock.monotonic()):
+        if self._is_unreachable(self._clock.monotonic()):
             # A heartbeat that is there already must not be missed for a pause.
             await self._follower.hurry()
 
     def _is_suspected(self, owner: Owner, now: float) -> bool:
-        return self._suspected == owner.term and now < self._suspected_until
+        return self._suspected_term == owner.term and now < self._suspected_until
 
-    def _note_unheard(self, term: str) -> None:
-        self._unheard = term
-        self._unheard_until = self._clock.monotonic() + SUSPECTED_SECONDS
+    def _note_unreachable(self, term: str) -> None:
+        self._unreachable_term = term
+        self._unreachable_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
-    def _is_unheard(self, now: float) -> bool:
+    def _is_unreachable(self, now: float) -> bool:
         """Return whether the owner has just not answered a peer."""
         owner = self._folder.book.owner
-        return owner is not None and self._unheard == owner.term and now < self._unheard_until
+        return (
+            owner is not None
+            and self._unreachable_term == owner.term
+            and now < self._unreachable_until
+        )
 
-    def _is_gone(self, now: float) -> bool:
+    def _is_unreachable_and_silent(self, now: float) -> bool:
         """Return whether the owner neither answers peers nor writes heartbeats."""
-        quiet = max(QUIET_SECONDS, QUIET_FACTOR * self._folder.usual_gap)
-        return self._is_unheard(now) and now - self._folder.owner_heard_at >= quiet
+        unreachable_silence = max(
+            UNREACHABLE_SILENT_SECONDS, UNREACHABLE_GAP_FACTOR * self._folder.usual_gap
+        )
+        return (
+            self._is_unreachable(now) and now - self._folder.owner_heard_at >= unreachable_silence
+        )
 
-    def _former_life(self, owner: Owner) -> bool:
+    def _owner_was_restarted(self, owner: Owner) -> bool:
         """Return whether this host's former process, or a later one's, held the cell."""
         if owner.host == self._host:
             return owner.term != self.incarnation
@@ -254,26 +262,30 @@
 
     def _vacancy(self) -> Vacancy:
         now = self._clock.monotonic()
-        if not self._follower.started or self._follower.age(now) > FRESH_SECONDS:
+        if not self._follower.started or self._follower.age(now) > MAX_READ_AGE_SECONDS:
             return Vacancy.HELD
         owner = self._folder.book.owner
         if owner is None or owner.released:
             return Vacancy.VACANT
-        if self._former_life(owner) or self._is_suspected(owner, now) or self._is_gone(now):
+        if (
+            self._owner_was_restarted(owner)
+            or self._is_suspected(owner, now)
+            or self._is_unreachable_and_silent(now)
+        ):
             return Vacancy.VACANT
         heard_at = self._folder.owner_heard_at
-        silent = max(SILENT_SECONDS, GAP_FACTOR * self._folder.usual_gap)
+        silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._folder.usual_gap)
         if heard_at < self._follower.reached_since:
-            heard_at, silent = self._follower.reached_since, RETURN_SECONDS
-        if now - heard_at < silent or now < self._alive_until:
+            heard_at, silent = self._follower.reached_since, SILENT_AFTER_OUTAGE_SECONDS
+        if now - heard_at < silent or now < self._known_alive_until:
             return Vacancy.HELD
         return Vacancy.SILENT
 
-    def _delay(self) -> float:
+    def _claim_delay(self) -> float:
         book = self._folder.book
         return claim_delay(book.member_by_host, self._host, book.owner.host if book.owner else '')
 
-    async def _owner_lives(self) -> bool:
+    async def _owner_is_alive(self) -> bool:
         """Ask an owner whose heartbeats are missed whether it still acts.
 
         A slow store delays heartbeats for longer than a dead owner is waited
@@ -283,23 +295,23 @@
         member = self._folder.book.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
         silent = now - max(self._folder.owner_heard_at, self._follower.reached_since)
-        if owner is None or member is None or silent > LONGEST_EXCUSE:
+        if owner is None or member is None or silent > MAX_EXCUSED_SILENCE_SECONDS:
             return False
         try:
             frame = await self._ask_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
             self._journal.tell(Part.OWNERSHIP, f'{owner.host} does not answer: {error}.')
             return False
-        lives = isinstance(frame.message, Done)
+        alive = isinstance(frame.message, Done)
         self._journal.tell(
             Part.OWNERSHIP,
-            f'{owner.host} is silent in the store; it says that it {"acts" if lives else "ended"}.',
+            f'{owner.host} is silent in the store; it says that it {"acts" if alive else "ended"}.',
             epoch=owner.epoch,
             silent_seconds=round(silent, 3),
         )
-        if lives:
-            self._alive_until = self._clock.monotonic() + ALIVE_SECONDS
-        return lives
+        if alive:
+            self._known_alive_until = self._clock.monotonic() + ALIVE_ANSWER_VALID_SECONDS
+        return alive
 
     async def _claim(self) -> Term | None:
         """Claim the cell; return the term that was won.
@@ -310,9 +322,9 @@
         the condition would hardly ever hold.
         """
         try:
-            return await self._claim_once(self._follower.offset if self._may_live() else None)
+            return await self._claim_once(self._follower.offset if self._may_be_alive() else None)
         except ConflictError:
-            await self._read_up()
+            await self._catch_up()
         if self._vacancy() is Vacancy.HELD:
             return None
         return await self._claim_once(None)
@@ -330,15 +342,15 @@
             former=former.term if former else '',
             silent_seconds=seconds_or_none(claimed_at - heard_at),
             usual_gap=round(self._folder.usual_gap, 3),
-            unheard=self._is_unheard(claimed_at),
+            unheard=self._is_unreachable(claimed_at),
             conditional=expected_end is not None,
         )
-        may_stand = await self._append_claim(fence, expected_end)
-        if not may_stand or not await self._read_back(fence.epoch):
+        may_be_stored = await self._append_claim(fence, expected_end)
+        if not may_be_stored or not await self._confirm_claim(fence.epoch):
             # Before it is known who has won, another claim would replace the winner.
-            await self._read_up()
+            await self._catch_up()
             return None
-        self._tell_claim(fence.epoch, former, heard_at)
+        self._log_ownership(fence.epoch, former, heard_at)
         return Term(
             fence.epoch,
             self.incarnation,
@@ -356,14 +368,14 @@
         """Return whether an owner's process is known to have ended."""
         return owner.host == self._host or self._folder.book.has_ended(owner)
 
-    def _may_live(self) -> bool:
+    def _may_be_alive(self) -> bool:
         """Return whether the owner that is known may still act."""
         owner = self._folder.book.owner
         return owner is not None and not owner.released and not self._has_ended(owner)
 
-    async def _read_up(self) -> None:
+    async def _catch_up(self) -> None:
         """Read what has come until now, in vain where the store does not answer."""
-        await self._follower.wait_fresh(self._clock.monotonic(), FRESH_SECONDS)
+        await self._follower.wait_fresh(self._clock.monotonic(), MAX_READ_AGE_SECONDS)
 
     def _next_fence(self, former: Owner | None) -> WriterFence:
         """Return a fence of an epoch above the owner's and all that were tried here.
@@ -371,9 +383,9 @@
         Whether a refused append raises the epoch that the store has seen is not
         known; a higher epoch is taken in either case.
         """
-        known = former.epoch if former else 0
-        self._tried_epoch = max(known, self._tried_epoch) + 1
-        return WriterFence(self._tried_epoch, self._random.randrange(SEQUENCE_RANGE))
+        known_epoch = former.epoch if former else 0
+        self._highest_tried_epoch = max(known_epoch, self._highest_tried_epoch) + 1
+        return WriterFence(self._highest_tried_epoch, self._random.randrange(SEQUENCE_RANGE))
 
     async def _append_claim(self, fence: WriterFence, expected_end: int | None) -> bool:
         """Append a claim; return whether it may stand.
@@ -399,7 +411,7 @@
             return error.verdict is not Verdict.NOT_RUN
         return True
 
-    def _tell_claim(self, epoch: int, former: Owner | None, heard_at: float) -> None:
+    def _log_ownership(self, epoch: int, former: Owner | None, heard_at: float) -> None:
         self._journal.tell(
             Part.OWNERSHIP,
             'owns the cell.',
@@ -408,8 +420,8 @@
             silent_seconds=seconds_or_none(self._clock.monotonic() - heard_at),
         )
 
-    async def _read_back(self, epoch: int) -> bool:
+    async def _confirm_claim(self, epoch: int) -> bool:
         """Wait until the claim has been folded, and everything before it."""
-        await self._read_up()
+        await self._catch_up()
         owner = self._folder.book.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -16,12 +16,12 @@
 
 #: Seconds between looks at who the owner is.
 POLL_SECONDS = 0.2
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT = 0.5
 #: Seconds after which a silent connection is still held.
-HOLD_SECONDS = 1.0
+READ_TIMEOUT = 1.0
 #: Refusals in a row that count as a death, and the pause between them.
-REFUSALS = 2
-REFUSED_PAUSE = 0.04
+REFUSALS_BEFORE_DEAD = 2
+REFUSAL_RETRY_SECONDS = 0.04
 READ_SIZE = 1024
 
 
@@ -55,30 +55,30 @@
     async def _is_dead(self, owner: Owner, member: Member) -> bool:
         """Hold a connection while it lasts; return whether the next one is refused."""
         refusals = 0
-        while refusals < REFUSALS:
+        while refusals < REFUSALS_BEFORE_DEAD:
             if not self._still_owner(owner):
                 return False
             try:
-                async with curio.timeout_after(CONNECT_SECONDS):
-                    sock = await connect(member.address, member.port, CONNECT_SECONDS)
+                async with curio.timeout_after(CONNECT_TIMEOUT):
+                    sock = await connect(member.address, member.port, CONNECT_TIMEOUT)
             except ConnectionRefusedError:
                 refusals += 1
-                await curio.sleep(REFUSED_PAUSE)
+                await curio.sleep(REFUSAL_RETRY_SECONDS)
                 continue
             except (OSError, curio.TaskTimeout):
                 return False
             refusals = 0
-            await self._hold(sock, owner)
+            await self._wait_until_closed(sock, owner)
         return True
 
     def _still_owner(self, owner: Owner) -> bool:
         newest = self._book.owner
         return newest is not None and newest.term == owner.term and not newest.released
 
-    async def _hold(self, sock: Any, owner: Owner) -> None:
+    async def _wait_until_closed(self, sock: Any, owner: Owner) -> None:
         try:
             while self._still_owner(owner):
-                if await curio.ignore_after(HOLD_SECONDS, sock.recv, READ_SIZE) is not None:
+                if await curio.ignore_after(READ_TIMEOUT, sock.recv, READ_SIZE) is not None:
                     return
         except OSError:
             return
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -7,18 +7,18 @@
 import curio
 
 from dandelionreel.cell.membership._advisors import PeerLinks
-from dandelionreel.cell.membership._zone_contact import STORE_OVERDUE, ZoneContact
+from dandelionreel.cell.membership._zone_contact import STORE_OVERDUE_SECONDS, ZoneContact
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.store import JobBook
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import OwnerAsked, PeerError
 
 #: Seconds for a peer's answer: they take 2 ms, up to a tenth of a second in a burst.
-ANSWER_SECONDS = 0.2
+ANSWER_TIMEOUT = 0.2
 #: Seconds between looks at how long the store has been silent, and between questions while
 #: a host is cut off.
 POLL_SECONDS = 0.1
-ASK_AGAIN = 0.4
+QUERY_INTERVAL_SECONDS = 0.4
 
 
 class PartitionDetector:
@@ -42,18 +42,18 @@
         self._store_answered_at = store_answered_at
         self._clock = clock
         self._journal = journal
-        self._contact = ZoneContact()
-        self._turn = itertools.count()
+        self._zone_contact = ZoneContact()
+        self._rounds = itertools.count()
         self._lock = curio.Lock()
-        self._asked_at = float('-inf')
-        self._told = False
-        self._asked_by_owner_at = float('-inf')
+        self._queried_at = float('-inf')
+        self._logged_cut_off = False
+        self._owner_queried_at = float('-inf')
 
     @property
     def cut_off(self) -> bool:
         """Return whether this host is known to be cut off, as of the latest questions."""
         now = self._clock.monotonic()
-        return self._contact.is_cut_off(self._zones(), self._store_answered_at(), now)
+        return self._zone_contact.is_cut_off(self._other_zones(), self._store_answered_at(), now)
 
     @property
     def may_serve_reads(self) -> bool:
@@ -62,63 +62,63 @@
         Not once an owner has asked it what it has told: that owner relies on the answer
         until the store serves this host again.
         """
-        return self.cut_off and self._asked_by_owner_at < self._store_answered_at()
+        return self.cut_off and self._owner_queried_at < self._store_answered_at()
 
     def note_owner_query(self) -> None:
         """Note that an owner has asked what this host knows."""
-        self._asked_by_owner_at = self._clock.monotonic()
+        self._owner_queried_at = self._clock.monotonic()
 
     async def run(self) -> None:
         """Ask around whenever the store is overdue, for ever."""
         while True:
-            if self._clock.monotonic() - self._store_answered_at() >= STORE_OVERDUE:
+            if self._clock.monotonic() - self._store_answered_at() >= STORE_OVERDUE_SECONDS:
                 await self.check()
-            self._tell()
+            self._log_change()
             await curio.sleep(POLL_SECONDS)
 
     async def check(self) -> bool:
         """Ask around, if nobody has just done so; return whether this host is cut off."""
         async with self._lock:
             now = self._clock.monotonic()
-            if now - self._asked_at >= ASK_AGAIN:
-                self._asked_at = now
-                await self._ask_around(now)
+            if now - self._queried_at >= QUERY_INTERVAL_SECONDS:
+                self._queried_at = now
+                await self._query_other_zones(now)
         return self.cut_off
 
-    async def _ask_around(self, now: float) -> None:
+    async def _query_other_zones(self, now: float) -> None:
         """Ask one host of each other zone, another one each time."""
-        turn = next(self._turn)
-        asks = []
-        for zone in self._zones():
+        round_number = next(self._rounds)
+        queries = []
+        for zone in self._other_zones():
             hosts = sorted(
                 host for host, member in self._book.member_by_host.items() if member.zone == zone
             )
-            member = self._book.member_by_host[hosts[turn % len(hosts)]]
-            asks.append(await curio.spawn(partial(self._ask, member, now), daemon=True))
-        for task in asks:
+            member = self._book.member_by_host[hosts[round_number % len(hosts)]]
+            queries.append(await curio.spawn(partial(self._query_host, member, now), daemon=True))
+        for task in queries:
             await task.wait()
 
-    async def _ask(self, member: Member, asked_at: float) -> None:
+    async def _query_host(self, member: Member, queried_at: float) -> None:
         try:
             # Whether it could own the cell does not matter: any answer is a sign of life.
-            await self._links.ask(member, OwnerAsked(''), ANSWER_SECONDS)
+            await self._links.ask(member, OwnerAsked(''), ANSWER_TIMEOUT)
         except PeerError:
-            self._contact.note_miss(member.zone, asked_at)
+            self._zone_contact.note_miss(member.zone, queried_at)
             return
-        self._contact.note_answer(member.zone, self._clock.monotonic())
+        self._zone_contact.note_answer(member.zone, self._clock.monotonic())
 
-    def _zones(self) -> set[str]:
+    def _other_zones(self) -> set[str]:
         zones = {member.zone for member in self._book.member_by_host.values()}
         return zones - {self._zone, ''}
 
-    def _tell(self) -> None:
-        if self.cut_off is self._told:
+    def _log_change(self) -> None:
+        if self.cut_off is self._logged_cut_off:
             return
-        self._told = self.cut_off
-        sentence = 'is cut off' if self._told else 'is not cut off any more'
+        self._logged_cut_off = self.cut_off
+        sentence = 'is cut off' if self._logged_cut_off else 'is not cut off any more'
         self._journal.tell(
             Part.PEERS,
             f'{sentence}: from the store and all other zones.',
-            zones=sorted(self._zones()),
+            zones=sorted(self._other_zones()),
             store_silent=seconds_or_none(self._clock.monotonic() - self._store_answered_at()),
         )
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -18,7 +18,7 @@
     return ClientCall(Request(method, target), caller or Caller(), 'north', 0.0, relayed)
 
 
-class Connected:
+class ConnectedDetector:
     """A host that is not cut off."""
 
     cut_off = False
@@ -48,7 +48,7 @@
     relay,
     get_dispatcher=lambda: None,
     exchange=None,
-    contact=None,
+    partition_detector=None,
     rotation=None,
     clock=None,
     longest_age=None,
@@ -56,7 +56,7 @@
     """Return a front of the zone north."""
     clock = clock or SystemClock()
     codec = JsonClientCodec()
-    contact = contact or Connected()
+    partition_detector = partition_detector or ConnectedDetector()
     rotation = rotation or Rotation()
     return ClientApi(
         'north',
@@ -65,12 +65,14 @@
         AccessControl(configuration, exchange or SureExchange(), longest_age),
         jobs,
         follower,
-        ClientWrites(codec, follower, writer, relay, get_dispatcher, contact, rotation, clock),
+        ClientWrites(
+            codec, follower, writer, relay, get_dispatcher, partition_detector, rotation, clock
+        ),
         relay,
         get_dispatcher,
         Completions(clock),
         None,
-        contact,
+        partition_detector,
         clock,
         journal(),
         lambda method, status, seconds: None,
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.clients._readiness import Rotation
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.membership._partition_detector import PartitionDetector
-from dandelionreel.cell.membership._zone_contact import MEMORY_SECONDS, ZoneContact
+from dandelionreel.cell.membership._zone_contact import MISS_VALID_SECONDS, ZoneContact
 from dandelionreel.cell.model import Configuration, Service
 from dandelionreel.cell.model._records import MEMBER, Member, make_record
 from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
@@ -80,7 +80,7 @@
 
 @when('{seconds:g} s have passed without a question')
 def no_question(context, seconds):
-    assert seconds > MEMORY_SECONDS
+    assert seconds > MISS_VALID_SECONDS
     context.now += seconds
 
 
@@ -147,7 +147,7 @@
     links = context.links = SilentLinks()
     watch = make_watch(clock, links, NOW - 9)
     for zone in ZONES:
-        watch._contact.note_miss(zone, NOW)
+        watch._zone_contact.note_miss(zone, NOW)
     rotation = Rotation()
     for ago in (2.3, 1.3, 0.3):
         rotation.note_readiness_check(NOW - ago, ready=True)
@@ -160,7 +160,7 @@
         ReadFollower(),
         NoWriter(),
         Relay('me', jobs.book, links, clock, journal()),
-        contact=watch,
+        partition_detector=watch,
         rotation=rotation,
         clock=clock,
     )
