--- a/dandelionreel/cell/__init__.py
+++ b/dandelionreel/cell/__init__.py
@@ -1,5 +1,5 @@
-"""One cell: a set of runners and all jobs for them, with one owner that dispatches.
+"""One cell: a set of runners and all jobs for them, dispatched by one owner.
 
-The rooms below know only those before them: ``model``, ``store``, ``decisions``, ``membership``,
-``owner``, ``clients``.
+The packages below are layers; each imports only those before it: ``model``, ``store``,
+``decisions``, ``membership``, ``owner``, ``clients``.
 """
--- a/dandelionreel/cell/clients/__init__.py
+++ b/dandelionreel/cell/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients' calls: access, writes, states, and answers inside a partition."""
+"""The client API: access control, writes, job states and reads inside a partition."""
 
 from dandelionreel.cell.clients._access import AccessControl
 from dandelionreel.cell.clients._client_api import ClientApi
--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -1,7 +1,7 @@
-"""Authenticates client calls by API key before they cost anything else.
+"""Authenticates client calls by API key before any other work is done for them.
 
-Load pattern: any number of calls with unknown keys. Each costs a digest and a lookup; together they
-cost one question to peers at a time.
+Load pattern: any number of calls with unknown keys. Each costs a digest and a lookup, and all of
+them share one round of queries to peers.
 """
 
 import enum
@@ -14,10 +14,10 @@
 
 
 class Denied(enum.Enum):
-    """Why a call is not served."""
+    """Why a call is not authenticated."""
 
     UNKNOWN_KEY = 'unknown key'
-    #: A newer configuration than this host's may say otherwise.
+    #: A configuration newer than this host's may have the key.
     UNDECIDED = 'the key cannot be checked now'
 
 
@@ -30,9 +30,9 @@
         exchange: ConfigurationExchange,
         longest_age: float | None,
     ) -> None:
-        """Let keys in by a configuration that is ``longest_age`` seconds old at the most.
+        """Accept keys by a configuration that is at most ``longest_age`` seconds old.
 
-        ``None`` lets them in by whatever is known: a zone that is cut off goes on serving.
+        With ``None`` any age is accepted, so that a zone that is cut off keeps serving.
         """
         self._configuration = configuration
         self._exchange = exchange
@@ -44,7 +44,7 @@
         queue: Queue,
         forwarded: Caller | None = None,
     ) -> Caller | Denied:
-        """Return whose call a request is; ``forwarded`` is what the peer has found that took it.
+        """Return the caller of a request; ``forwarded`` is the caller that a forwarding peer found.
 
         Of the two hosts, the one with the newer configuration decides.
         """
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -1,4 +1,4 @@
-"""What clients ask: to take a job, to tell its state, to cancel it, to count."""
+"""The HTTP API for clients: submit a job, get its state, cancel it, count waiting jobs."""
 
 import re
 from collections.abc import Callable
@@ -41,17 +41,17 @@
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ForwardAnswer, Frame, Message
 
-#: Ids are chosen by clients.
+#: Form of the job ids, which clients choose.
 JOB_ID = re.compile('[0-9a-f]{16}')
-#: Seconds in which an unknown job is looked for in what the store holds now.
+#: Seconds to wait for a current read of the store when a job is unknown here.
 LOOKUP_TIMEOUT_SECONDS = 1.0
-#: Seconds: a state may be that old, and a newer one is waited for that long.
+#: Highest age in seconds of a reported state, and the seconds to wait for a newer one.
 MAX_STATE_AGE_SECONDS = 0.03
 REFRESH_TIMEOUT_SECONDS = 0.1
-#: Seconds: a count of waiting jobs may be that old; 2 s are promised.
+#: Highest age in seconds of a count of waiting jobs; 2 s are promised.
 MAX_COUNT_AGE_SECONDS = 1.2
-#: Seconds after which a job may be handed in again that is larger than its account's quota,
-#: which an operator has to raise first.
+#: Seconds after which a client may resubmit a job that exceeds its account's quota, which an
+#: operator has to raise first.
 QUOTA_RETRY_AFTER_SECONDS = 60.0
 
 HTTP_BAD_REQUEST = 400
@@ -61,12 +61,12 @@
 HTTP_CONFLICT = 409
 HTTP_TOO_LARGE = 413
 HTTP_TOO_MANY = 429
-#: What a call without a known key has to bring (RFC 6750).
+#: Header of the answer to a call without a known API key (RFC 6750).
 CHALLENGE = ('www-authenticate', 'Bearer')
 
 
 class ClientApi:
-    """Answers clients from what stands in the store."""
+    """Answers clients' requests from the records in the store."""
 
     def __init__(
         self,
@@ -87,9 +87,10 @@
         note_answer: Callable[[str, int, float], None],
         note_refusal: Callable[[str], None],
     ) -> None:
-        """Answer in ``zone``.
+        """Answer clients of ``zone``.
 
-        Report each answer's method, status and seconds, and the account of each refusal.
+        ``note_answer`` gets the method, status and seconds of each answer, ``note_refusal`` the
+        account of each refused call.
         """
         self._zone = zone
         self._codec = codec
@@ -109,14 +110,14 @@
         self._note_refusal = note_refusal
 
     async def handle(self, request: Request) -> Answer:
-        """Answer one request."""
+        """Answer one request of a client."""
         began = self._clock.monotonic()
         answer = await self._answer(request, began, self._zone)
         self._note_answer(request.method, answer.status, self._clock.monotonic() - began)
         return answer
 
     async def handle_relayed(self, frame: Frame) -> Message:
-        """Answer a request that a peer passes on."""
+        """Answer a request that a peer has forwarded."""
         forward: Any = frame.message
         member = self._jobs.book.member_by_host.get(frame.sender.partition('/')[0])
         answer = await self._answer(
@@ -125,7 +126,7 @@
             member.zone if member else '',
             forward,
         )
-        # The peer may ask another host: the store refuses this one as well.
+        # no_room tells the peer to try another host: the store does not serve this one either.
         return ForwardAnswer(answer, no_room=answer.header(CAUSE_HEADER) == STORE_UNAVAILABLE_CAUSE)
 
     async def _answer(
@@ -175,7 +176,7 @@
         return answer_not_run(HTTP_NOT_ALLOWED, 'bad-method', 'use POST, GET or DELETE')
 
     def _answer_denied(self, request: Request, path: str, denied: Denied) -> Answer:
-        """Refuse a call; one answer for all causes, so that nobody learns what a key lacks."""
+        """Refuse a call; the answer is the same for all unknown keys and reveals nothing."""
         self._log(request, path, denied.value, version=self._configuration.version)
         if denied is Denied.UNDECIDED:
             return refuse('key-unchecked', 'whether the key is known cannot be told just now')
@@ -191,7 +192,7 @@
     ) -> Answer:
         request = call.request
         if self._get_dispatcher() is not None and not self._follower.complete:
-            # A job that is over may not have been read yet, and would run again.
+            # The end of a finished job may not have been read yet; the job would run again.
             now = self._clock.monotonic()
             if not await self._follower.wait_fresh(now, LOOKUP_TIMEOUT_SECONDS):
                 return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
@@ -224,7 +225,7 @@
         )
 
     def _fits_quota(self, call: ClientCall, configuration: Configuration, spec: JobSpec) -> bool:
-        """Return whether the quota of the caller's account has room for each step by itself."""
+        """Return whether each step by itself fits into the quota of the caller's account."""
         account = configuration.find_account(call.caller.account)
         if account is None or account.quota is None:
             return True
@@ -250,15 +251,15 @@
             return self._codec.answer_state(booked.state)
         if booked is not None and self._completions.contains(job_id):
             return self._codec.answer_state(JobState.COMPLETED)
-        # A job under way may be over by now, and a client counts its wait until
-        # it sees that; an unknown one may have been stored meanwhile.
+        # The job may have ended meanwhile, and clients measure their wait until they see that; an
+        # unknown job may have been stored meanwhile.
         dispatcher = self._get_dispatcher()
         state = dispatcher.state_of(job_id) if dispatcher else None
         if state is not None:
             return self._codec.answer_state(state)
         timeout = LOOKUP_TIMEOUT_SECONDS if booked is None else REFRESH_TIMEOUT_SECONDS
         if self._partition_detector.cut_off:
-            # What is known in this zone is all that can be told; who waits learns no more.
+            # Only what this zone knows can be told, and waiting would not add to it.
             if await self._partition_reads.is_complete(job_id):
                 return self._codec.answer_state(JobState.COMPLETED)
             timeout = 0.0
@@ -273,7 +274,7 @@
         return self._answer_unknown_job(call, job_id)
 
     async def _get_state_from_peers(self, call: ClientCall, timeout: float) -> Answer | None:
-        """Return the owner's answer, or that of any peer where the store is out of reach."""
+        """Return the owner's answer, or that of any peer if this host cannot read the store."""
         forwarded = await self._relay.forward_to_owner(call, timeout)
         if forwarded.answer is None and self._follower.age(call.began) > STALE_READ_SECONDS:
             forwarded = await self._relay.forward(call, timeout)
@@ -298,13 +299,13 @@
         )
 
     def _find(self, call: ClientCall, job_id: str) -> BookedJob | None:
-        """Return a job that stands in the store, if its caller may know of it."""
+        """Return a stored job if the caller may see it."""
         return self._jobs.book.find(job_id) if self._may_see(call, job_id) else None
 
     def _may_see(self, call: ClientCall, job_id: str) -> bool:
-        """Return whether a job, as far as it is known here, is no other account's.
+        """Return whether a job does not belong to another account, as far as this host knows.
 
-        One that was stored without an account is open to every caller, as it was then.
+        A job that was stored without an account is visible to every caller.
         """
         booked = self._jobs.book.find(job_id)
         dispatcher = self._get_dispatcher()
@@ -314,7 +315,7 @@
         return account in {'', call.caller.account}
 
     def _answer_unknown_job(self, call: ClientCall, job_id: str) -> Answer:
-        """Say that a job does not exist, but only if all that is stored has been read.
+        """Answer that a job does not exist, but only after a current read of the store.
 
         The job of another account does not exist for a caller.
         """
@@ -324,7 +325,7 @@
             return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         self._journal.tell_frequent(
             Part.JOBS,
-            f'job {job_id} is asked for, not known.',
+            f'a client asked for unknown job {job_id}.',
             job=job_id,
             account=call.caller.account,
             **self._log_fields(),
@@ -332,7 +333,7 @@
         return self._codec.answer_unknown_job()
 
     async def _answer_waiting_count(self, queue: Queue, began: float) -> Answer:
-        """Return how many jobs wait, unless too little has been read to know."""
+        """Answer with the number of waiting jobs, unless the latest read is too old."""
         if not await self._follower.wait_fresh(
             began - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
         ):
@@ -349,7 +350,7 @@
         )
 
     def _log_fields(self) -> dict[str, Any]:
-        """Return how old what is known here is, in seconds, and who is taken for the owner."""
+        """Return the age of the latest read in seconds, and the owner as this host knows it."""
         owner = self._jobs.book.owner
         return {
             'book_age': seconds_or_none(self._follower.age(self._clock.monotonic())),
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -1,4 +1,4 @@
-"""Stores what clients ask for: by the owner, by a peer, or by this host."""
+"""Stores clients' submissions and cancellations through the owner, a peer or this host."""
 
 from collections.abc import Awaitable, Callable, Iterator
 from dataclasses import dataclass, field
@@ -20,13 +20,13 @@
 from dandelionreel.http import Answer, answer_problem
 from dandelionreel.kernel import Clock, Problem, Verdict
 
-#: Seconds that an own append may take before a peer is asked to do it: more
-#: than a slow store needs, and a third of what a client waits.
+#: Seconds for an append by this host before a peer is asked to do it: more than a slow store needs,
+#: and a third of the time that a client waits.
 APPEND_TIMEOUT_SECONDS = 0.9
-#: Seconds after a failed append before a client's request is tried here again.
+#: Seconds after a failed append before this host tries one for a client again.
 APPEND_RETRY_SECONDS = 0.4
-#: What is known is older than this: a peer may know more. Reads end at least
-#: twice a second, with the owner's heartbeats.
+#: Age in seconds of the latest read above which a peer may know more. Reads complete at least twice
+#: a second, since the owner writes heartbeats.
 STALE_READ_SECONDS = 1.2
 HTTP_TIMEOUT = 504
 RETRYABLE_STATUSES = frozenset((429, HTTP_UNAVAILABLE))
@@ -34,24 +34,24 @@
 
 @dataclass
 class _Progress:
-    """What trying to store something has come to so far."""
+    """The attempts so far to store a record."""
 
     attempted_by: str = ''
-    #: Whether an append may have taken place.
+    #: Whether a record may have been appended although no attempt succeeded.
     in_doubt: bool = False
-    #: What each attempt came to, for the line of one that was not answered 2xx.
+    #: The outcome of each attempt, for the log line of a call that was not answered 2xx.
     outcomes: list[str] = field(default_factory=list)
 
 
 Attempt = Callable[[float, _Progress], Awaitable[Answer | None]]
 StoreAtOwner = Callable[[Dispatcher, float], Awaitable[Written]]
 Forwarder = Callable[[ClientCall, float], Awaitable[Relayed]]
-#: Logs what became of a call, with further fields.
+#: Logs the outcome of a call, with further fields.
 LogOutcome = Callable[..., None]
 
 
 class ClientWrites:
-    """Stores records on behalf of clients, and says truly what became of them."""
+    """Stores records for clients; each answer says if one was stored, not stored or in doubt."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         rotation: Rotation,
         clock: Clock,
     ) -> None:
-        """Write with ``writer`` where neither the owner nor a peer does."""
+        """Append with ``writer`` where neither the owner nor a peer does."""
         self._codec = codec
         self._follower = follower
         self._writer = writer
@@ -82,10 +82,10 @@
         log: LogOutcome,
         **fields: str,
     ) -> Answer:
-        """Have the owner store what a client asked for, else do it here or by a peer.
+        """Store a client's record through the owner, otherwise through this host or a peer.
 
-        Whoever was told "not accepted" may rely on it. So that is said only
-        when no append can have taken place, neither here nor at a peer.
+        A client may rely on the answer that its request was not accepted. So it is given only when
+        no append can have taken place, neither at this host nor at a peer.
         """
         began = self._clock.monotonic()
         deadline = began + call.timeout
@@ -114,9 +114,9 @@
         return self._answer_failed(progress)
 
     async def _is_host_cut_off(self, progress: _Progress) -> bool:
-        """Return whether this host is cut off, so that nothing more is worth a try.
+        """Return whether this host is cut off, so that further attempts are pointless.
 
-        Its client's few retries are better spent on hosts of another zone.
+        The client's few retries are better spent on hosts of another zone.
         """
         if self._partition_detector.cut_off:
             return True
@@ -130,9 +130,9 @@
         return refuse(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
 
     def _retry_after(self) -> float:
-        """Return the seconds after which another host is likely to take a request.
+        """Return the seconds after which another host is likely to accept a request.
 
-        Behind a cut that is when the balancer sends clients to other zones.
+        Inside a partition that is when the load balancer has moved clients to other zones.
         """
         if not self._partition_detector.cut_off:
             return RETRY_AFTER_SECONDS
@@ -144,7 +144,7 @@
         record: KeyedRecord,
         store_at_owner: StoreAtOwner,
     ) -> Iterator[Attempt]:
-        """Return the ways to store something, the best one first."""
+        """Yield the ways to store a record, the best one first."""
         dispatcher = self._get_dispatcher()
         if dispatcher is not None:
             yield self._by_owner(dispatcher, store_at_owner)
@@ -152,8 +152,8 @@
             yield self._by_peer(call, self._relay.forward_to_owner)
             yield self._by_peer(call, self._relay.forward_to_zone_writer)
         store_unreachable = self._is_store_unreachable(self._clock.monotonic())
-        # Where a deputy answers, it is the one to write: a slow store has to take
-        # one append of a zone's hosts at a time, not one of each.
+        # If the zone's writer is reachable, only it appends: a slow store then gets one append at a
+        # time from the hosts of a zone, not one from each.
         if not store_unreachable and (call.relayed or self._relay.find_zone_writer() is None):
             yield self._by_this_host(record)
         if store_unreachable and not call.relayed:
@@ -193,7 +193,7 @@
         return by_peer
 
     def _note_outcome(self, outcome: Written, progress: _Progress) -> Answer | None:
-        """Return the answer to something that was stored, and note what is in doubt."""
+        """Return the answer if the record was stored, else record the outcome."""
         if outcome is Written.STORED:
             return self._codec.answer_accepted()
         progress.in_doubt = progress.in_doubt or outcome is not Written.REFUSED
@@ -203,8 +203,8 @@
     def _is_store_unreachable(self, now: float) -> bool:
         """Return whether the store is known not to serve this host.
 
-        Trying again for each client would hold all of them up; one try in
-        ``PROBE_SECONDS``, and the reads, find out when the store is back.
+        An attempt for each client would delay all of them. One attempt every
+        ``APPEND_RETRY_SECONDS``, and the reads, detect when the store is back.
         """
         if self._follower.age(now) > STALE_READ_SECONDS:
             return True
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -1,9 +1,10 @@
-"""Answers for jobs inside a partitioned availability zone, by what its runners list.
+"""Reads of job states inside a partitioned availability zone, by what its runners list.
 
-Load pattern: a zone is cut off with its hosts, its runners and its clients, whose jobs end at
-runners next door. Hosts of the zone poll these runners without renewing leases or acknowledging
-ends, and tell clients which jobs are complete. The owner outside lets no lease there expire before
-these hosts have told it which. Model: ``spec/behind_a_cut.py``.
+Load pattern: a zone is cut off with its hosts, runners and clients, and the clients' jobs end on
+runners of the same zone. Hosts of the zone poll these runners without renewing leases or
+acknowledging ended runs, and tell clients which jobs are complete. The owner outside lets no lease
+in that zone expire before these hosts have told it which jobs are complete. Model:
+``spec/behind_a_cut.py``.
 """
 
 from collections.abc import Callable
@@ -24,9 +25,9 @@
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
-#: Seconds for which what a runner has listed is good enough for the next question.
+#: Seconds for which a runner's view is reused for further requests.
 VIEW_CACHE_SECONDS = 0.2
-#: Seconds for the answer of a host of the same zone, and how many of them are told.
+#: Seconds for the reply of a host of the same zone, and how many of them are tried.
 ANSWER_TIMEOUT = 0.2
 MAX_PEERS_TOLD = 3
 
@@ -34,7 +35,7 @@
 
 
 class _CachedView:
-    """The latest look at one runner."""
+    """The latest view of one runner."""
 
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
@@ -44,7 +45,7 @@
 
 
 class PartitionReads:
-    """Answers for jobs of a zone that is cut off."""
+    """Tells which jobs are complete while this host's zone is cut off."""
 
     def __init__(
         self,
@@ -59,7 +60,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Look for ``me`` at the runners of ``zone``."""
+        """Poll the runners of ``zone`` for the host ``me``."""
         self._me = me
         self._zone = zone
         self._book = book
@@ -73,13 +74,13 @@
         self._view_by_runner: dict[str, _CachedView] = {}
 
     async def is_complete(self, job: str) -> bool:
-        """Return whether this host may tell that a job is complete, by its zone's runners."""
+        """Return whether the zone's runners list a job as done and clients may be told so."""
         queries_before = self._completions.query_count
         if not self._partition_detector.may_serve_reads or not await self._is_done_at_runners(job):
             return False
         if not await self._replicate_to_zone(job):
             return False
-        # The owner has asked meanwhile, and does not know of this job.
+        # If the owner has queried this host meanwhile, its reply did not contain this job.
         if (
             queries_before != self._completions.query_count
             or not self._partition_detector.may_serve_reads
@@ -88,7 +89,7 @@
         self._completions.note_zone_completions([job])
         self._journal.tell_frequent(
             Part.JOBS,
-            'shown as complete behind a cut.',
+            'shown as complete inside a partition.',
             jobs=[job],
             count=1,
             epoch=self._epoch(),
@@ -96,7 +97,7 @@
         return True
 
     async def close(self) -> None:
-        """Give up the ways to runners."""
+        """Close the connections to runners."""
         for cached in self._view_by_runner.values():
             await cached.runner.close()
         self._view_by_runner.clear()
@@ -114,7 +115,7 @@
         return is_complete(job, booked.submission.spec, booked.progress, job_ends)
 
     def _runners_of(self, names: tuple[str, ...]) -> list[Registration]:
-        """Return the runners of this zone that a job may have run on."""
+        """Return the runners of this zone on which a job may have run, from ``names``."""
         return [
             registration
             for runner, registration in self._runners.registration_by_id.items()
@@ -133,16 +134,19 @@
         return cached.ended
 
     async def _poll_once(self, runner: Runner) -> tuple[EndedRun, ...]:
-        """Return the ends that a runner lists; nothing is renewed nor acknowledged there."""
+        """Return the ended runs of a runner without renewing leases or acknowledging ends."""
         try:
             view = await runner.poll(self._epoch(), 0, None, 0)
         except (RunnerError, RunnerFenced, RunnerReplaced):
-            # It is away, its next life knows nothing, or a later owner reaches it.
+            # The runner does not answer, was restarted, or has seen a later owner.
             return ()
         return view.ended
 
     async def _replicate_to_zone(self, job: str) -> bool:
-        """Tell hosts of this zone; return whether one of them has taken the word."""
+        """Tell other hosts of this zone that a job is complete, until one accepts it.
+
+        Return whether one has.
+        """
         for host in self._zone_hosts()[:MAX_PEERS_TOLD]:
             member = self._book.member_by_host[host]
             try:
--- a/dandelionreel/cell/clients/_readiness.py
+++ b/dandelionreel/cell/clients/_readiness.py
@@ -1,11 +1,11 @@
-"""Whether clients should be sent to a host, and why not. No I/O."""
+"""Whether a host is ready for clients, and if not, why. No I/O."""
 
 from dataclasses import dataclass
 
-#: Seconds without the store after which a host asks for no new connections.
+#: Age in seconds of the latest read of the store above which a host is not ready.
 MAX_STORE_AGE_SECONDS = 1.5
-#: Answers that a host is not ready after which the balancer leaves it out, the usual
-#: seconds between two of its questions, and the most that count as such.
+#: Consecutive "not ready" answers after which the load balancer removes a host, the usual seconds
+#: between two of its checks, and the longest interval that counts as one.
 FAILED_CHECKS_BEFORE_REMOVAL = 2
 DEFAULT_PERIOD_SECONDS = 1.0
 MAX_PERIOD_SECONDS = 5.0
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class ReadinessInputs:
-    """What a host knows of itself; ``store_age`` is that of its newest read, in seconds."""
+    """The state of a host that decides its readiness; ``store_age`` is that of its latest read."""
 
     stopping: bool
     configured: bool
@@ -23,7 +23,7 @@
 
 
 def find_unready_reason(inputs: ReadinessInputs) -> str:
-    """Return why clients should go elsewhere, empty where they should not."""
+    """Return why the host is not ready for clients; empty if it is ready."""
     if inputs.stopping:
         return 'it is stopping'
     if not inputs.configured:
@@ -38,20 +38,20 @@
 
 
 class Rotation:
-    """When the balancer sends no new connections to this host any more. No I/O.
+    """Estimates when the load balancer stops sending new connections to this host. No I/O.
 
-    It asks about once a second, and leaves a host out after two answers that it is not
-    ready.
+    The load balancer checks about once a second, and removes a host after two answers that it is
+    not ready.
     """
 
     def __init__(self) -> None:
-        """Start in rotation, not yet asked."""
+        """Start in rotation, without a check so far."""
         self._checked_at = float('-inf')
         self._period = DEFAULT_PERIOD_SECONDS
         self._failed_checks = 0
 
     def note_readiness_check(self, now: float, *, ready: bool) -> None:
-        """Note that the balancer has asked, and what it was told."""
+        """Record a readiness check of the load balancer and its answer."""
         elapsed = now - self._checked_at
         if elapsed < MAX_PERIOD_SECONDS:
             self._period = elapsed
@@ -59,7 +59,7 @@
         self._failed_checks = 0 if ready else self._failed_checks + 1
 
     def seconds_left(self, now: float) -> float:
-        """Return how long clients will still be sent here if it is not ready from now on."""
+        """Return for how long clients are still sent here if the host is not ready from now on."""
         if self._failed_checks >= FAILED_CHECKS_BEFORE_REMOVAL:
             return 0.0
         removed_at = (
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -1,7 +1,7 @@
-"""Passes clients' requests on to a peer.
+"""Forwards clients' requests to peers.
 
-The owner starts a job that it stores itself without reading it first. Where the store turns single
-hosts away, peers that it serves store for them.
+The owner can start a job that it stores itself without reading it back first. When the store
+refuses single hosts, peers that it serves append for them.
 """
 
 import random
@@ -17,36 +17,36 @@
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, OwnerAsked, PeerError
 
-#: Seconds for one peer's answer: its append takes some milliseconds, and while
-#: the store is slow as long as two of them, one under way and its own.
+#: Seconds for one peer's reply: its append takes some milliseconds, and while the store is slow as
+#: long as two appends, one in progress and its own.
 PEER_TIMEOUT = 1.0
-#: Peers that are tried for one request, in random order.
+#: Peers that are tried for one request.
 MAX_PEERS_TRIED = 3
-#: Methods of requests that may be handed to any number of peers.
+#: Methods of requests that may be sent to any number of peers.
 IDEMPOTENT_METHODS = frozenset(('GET',))
 HTTP_TIMEOUT = 504
-#: Answers that hold whoever gives them: done, bad input, an unknown key, no such job.
+#: Statuses that are valid from any host: done, bad input, an unknown key, no such job.
 FINAL_STATUSES = frozenset((200, 400, 401, 409, 410, 413))
-#: Seconds for which a peer that did not answer, or that the store does not serve either, is not
-#: asked; twice as long after each miss that follows, up to the longest.
+#: Seconds for which a peer is skipped that did not reply or that the store does not serve either;
+#: doubled with each further missing reply up to the maximum.
 PEER_BACKOFF_SECONDS = 1.5
 MAX_PEER_BACKOFF_SECONDS = 4.0
 
 
 @dataclass(frozen=True)
 class Relayed:
-    """A peer's answer; without one, whether a peer may have acted."""
+    """A peer's answer, and whether a peer without an answer may have acted."""
 
     answer: Answer | None
     in_doubt: bool = False
 
 
 def _ignore_unanswered(term: str) -> None:
-    """Nobody wants to know that the owner of a term did not answer."""
+    """Ignore that the owner of a term did not answer."""
 
 
 class Relay:
-    """Finds a peer that the store serves."""
+    """Forwards requests to the owner, the zone's writer or any peer that the store serves."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         journal: Journal,
         note_query_unanswered: Callable[[str], None] = _ignore_unanswered,
     ) -> None:
-        """Pass requests on as the host ``me``; report owners that do not answer, by term."""
+        """Forward requests as the host ``me``; report owners that do not answer, by term."""
         self._me = me
         self._book = book
         self._links = links
@@ -75,7 +75,7 @@
         return await self._forward([owner.host], call, timeout)
 
     async def forward_to_zone_writer(self, call: ClientCall, timeout: float) -> Relayed:
-        """Return the answer of the host that writes for this one, if there is one."""
+        """Return the answer of the host that writes for this one, if another host does."""
         zone_writer = self.find_zone_writer()
         return (
             Relayed(None)
@@ -84,13 +84,13 @@
         )
 
     def find_zone_writer(self) -> str | None:
-        """Return the host that writes for this one; ``None`` where it does so itself."""
+        """Return the host that writes for this one, or ``None`` if it writes itself."""
         now = self._clock.monotonic()
         excluded = {host for host, until in self._backoff_until_by_host.items() if until > now}
         return find_zone_writer(self._book.member_by_host, self._me, excluded)
 
     async def forward(self, call: ClientCall, timeout: float) -> Relayed:
-        """Return the first answer of a peer that could act on the request."""
+        """Return the first final answer of any peer, tried in random order."""
         hosts = [host for host in self._book.member_by_host if host != self._me]
         random.shuffle(hosts)
         return await self._forward(hosts, call, timeout)
@@ -123,8 +123,8 @@
         try:
             frame = await self._links.ask(member, forward, timeout)
         except PeerError as error:
-            # A host that asks for a state waits so short a time that a busy owner
-            # misses it now and then; that is no reason to take jobs elsewhere.
+            # A read of a job's state has so short a timeout that a busy owner misses it now and
+            # then, which is no reason to send submissions elsewhere.
             if timeout > OWNER_QUERY_TIMEOUT:
                 self._avoid(host, f'{error}', self._increase_backoff(host))
             return Relayed(None, error.verdict is not Verdict.NOT_RUN)
@@ -135,14 +135,15 @@
             return Relayed(None)
         if reply.answer.status in FINAL_STATUSES:
             return Relayed(reply.answer)
-        # Its configuration may be older than ours, or it does not know
-        # what became of its append: neither is an answer for the client.
+        # The peer's configuration may be older, or the outcome of its append may be unknown:
+        # neither is an answer for the client.
         return Relayed(None, reply.answer.status == HTTP_TIMEOUT)
 
     async def _can_act(self, host: str, member: Member) -> bool:
-        """Ask a peer whether it can act before it is handed what must not be done in doubt.
+        """Query whether a peer can act before sending it a request that is not idempotent.
 
-        A job that is handed to a silent peer is in doubt, and its client cannot ask elsewhere.
+        A job that is sent to an unresponsive peer is in doubt, and its client cannot submit it
+        elsewhere.
         """
         owner = self._book.owner
         term = owner.term if owner is not None and owner.host == host else ''
@@ -169,17 +170,19 @@
             yield host, self._book.member_by_host[host]
 
     def _increase_backoff(self, host: str) -> float:
-        """Return for how long a host is left out after one more miss, in seconds."""
+        """Return for how many seconds a host is skipped after one more missing reply."""
         previous = self._backoff_seconds_by_host.get(host, PEER_BACKOFF_SECONDS / 2)
         self._backoff_seconds_by_host[host] = min(MAX_PEER_BACKOFF_SECONDS, 2 * previous)
         return self._backoff_seconds_by_host[host]
 
     def _avoid(self, host: str, cause: str, seconds: float) -> None:
         self._backoff_until_by_host[host] = self._clock.monotonic() + seconds
-        self._journal.tell_frequent(Part.PEERS, f'{host} takes no request: {cause}.', peer=host)
+        self._journal.tell_frequent(
+            Part.PEERS, f'no requests are forwarded to {host} for now: {cause}.', peer=host
+        )
 
 
 def _strip_key(request: Request) -> Request:
-    """Return a request without its API key: the peer is told whose it is."""
+    """Return a request without its API key; the peer gets the caller instead."""
     kept = tuple(header for header in request.headers if header[0] != AUTHORIZATION)
     return replace(request, headers=kept)
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -1,4 +1,4 @@
-"""The hosts of a cell: who owns it, who can reach whom, what peers tell each other."""
+"""Cell membership: owner election, partition detection and exchanges between peers."""
 
 from dandelionreel.cell.membership._advisors import AdvicePool, LocalAdvisor, PeerLinks
 from dandelionreel.cell.membership._claim_order import (
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -1,8 +1,8 @@
-"""Questions to the policy service, spread over the hosts.
+"""Requests to the policy service, spread over the hosts of the cell.
 
-The service takes the calls of one host one after the other, and the questions
-of a busy cell take more than one host's whole time: each host asks one at a
-time, and the most urgent question goes to the next one that is free.
+The service handles the calls of one host one after the other, and a busy cell has more requests
+than one host can send. So each host sends one request at a time, and the most urgent waiting
+request goes to the next free host.
 """
 
 import heapq
@@ -26,14 +26,13 @@
     Traffic,
 )
 
-#: A question may take this many times as long as announced, and so many
-#: seconds more, before it is given up.
+#: A request times out after its announced duration times the factor, plus the margin.
 TIMEOUT_FACTOR = 2.0
 TIMEOUT_MARGIN_SECONDS = 0.4
-#: Seconds for which a peer that did not answer is not asked.
+#: Seconds for which a host that did not answer gets no further requests.
 PEER_BACKOFF_SECONDS = 2.0
-#: Share of hosts that may be busy with requests that are not urgent: those take a second each, and
-#: urgent ones would wait for them.
+#: Share of hosts that may be busy with non-urgent requests: those take a second each, and urgent
+#: requests would wait for them.
 NON_URGENT_SHARE = 0.75
 
 OnAnswered = Callable[[AdviceRequest, tuple[Permit, ...], float], Awaitable[None]]
@@ -41,10 +40,10 @@
 
 
 class PeerLinks:
-    """One link to each member."""
+    """The connections of this host to the other members, one for each address."""
 
     def __init__(self, me: str, clock: Clock) -> None:
-        """Speak as ``me``."""
+        """Send messages as the host ``me``."""
         self._me = me
         self._clock = clock
         self._echoes = EchoBook()
@@ -52,7 +51,7 @@
         self._link_by_address: dict[tuple[str, int], PeerLink] = {}
 
     async def ask(self, member: Member, message: Message, timeout: float) -> Frame:
-        """Ask a member; raises ``PeerError``."""
+        """Send a message to a member and return its reply; raises ``PeerError``."""
         address = (member.address, member.port)
         link = self._link_by_address.get(address)
         if link is None:
@@ -61,20 +60,20 @@
         return await link.ask(message, timeout)
 
     async def close(self) -> None:
-        """Close all links."""
+        """Close all connections."""
         for link in tuple(self._link_by_address.values()):
             await link.close()
 
 
 class LocalAdvisor:
-    """Puts the questions of this host and of its peers to the policy service."""
+    """Sends the advice requests of this host and of its peers to the policy service."""
 
     def __init__(self, service: AdviceService | None) -> None:
-        """Ask ``service``; without one every question fails."""
+        """Send requests to ``service``; without one every request fails."""
         self._service = service
 
     async def answer(self, frame: Frame) -> Message:
-        """Answer a peer."""
+        """Handle an advice request of a peer."""
         message: Any = frame.message
         step = StepName(message.job, message.occurrence, message.step)
         try:
@@ -89,14 +88,14 @@
         runners: tuple[str, ...],
         timeout: float,
     ) -> tuple[Permit, ...]:
-        """Return the permits; raises ``AdviceError``."""
+        """Return the permits for a step on some of ``runners``; raises ``AdviceError``."""
         if self._service is None:
-            raise AdviceError('the settings name no policy service')
+            raise AdviceError('no policy service is configured')
         return await self._service.ask(step, runners, timeout)
 
 
 class AdvicePool:
-    """Hands questions to whichever host is free."""
+    """Queues advice requests by priority and sends each one through the next free host."""
 
     def __init__(
         self,
@@ -109,7 +108,7 @@
         answered: OnAnswered,
         failed: OnFailed,
     ) -> None:
-        """Report each answer to ``answered``, each failure to ``failed``."""
+        """Call ``answered`` with each answer and ``failed`` with each request that failed."""
         self._me = me
         self._members = members
         self._links = links
@@ -121,23 +120,23 @@
         self._waiting: list[tuple[int, int, AdviceRequest]] = []
         self._sequence = itertools.count()
         self._busy: set[str] = set()
-        #: Hosts that are busy with questions that are not urgent.
+        #: Hosts that are busy with a non-urgent request.
         self._non_urgent_hosts: set[str] = set()
         self._backoff_until_by_host: dict[str, float] = {}
 
     @property
     def waiting(self) -> int:
-        """Return how many questions wait for a free host."""
+        """Return how many requests wait for a free host."""
         return len(self._waiting)
 
     @property
     def free_for_non_urgent(self) -> int:
-        """Return how many more questions that are not urgent find a free host now."""
+        """Return how many more non-urgent requests could be sent now."""
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
         return self._max_non_urgent() - len(self._non_urgent_hosts) - waiting
 
     async def ask(self, request: AdviceRequest) -> None:
-        """Ask as soon as a host is free."""
+        """Queue a request; it is sent as soon as a host is free."""
         heapq.heappush(self._waiting, (request.priority, next(self._sequence), request))
         await self._send_waiting()
 
@@ -201,9 +200,9 @@
         query = AdviceWanted(step.job, step.occurrence, step.step, request.runners, timeout)
         member = self._members().get(host)
         if member is None:
-            raise AdviceError('the host is not known any more')
+            raise AdviceError('the host is no longer a member')
         frame = await self._links.ask(member, query, timeout + TIMEOUT_MARGIN_SECONDS)
         reply = frame.message
         if not isinstance(reply, AdviceGiven) or not reply.answered:
-            raise AdviceError('the peer has no answer')
+            raise AdviceError('the peer got no advice')
         return tuple(Permit(runner, ticket) for runner, ticket in reply.permits)
--- a/dandelionreel/cell/membership/_claim_order.py
+++ b/dandelionreel/cell/membership/_claim_order.py
@@ -1,36 +1,37 @@
-"""The order in which hosts claim a cell, and who writes for a zone. No I/O.
+"""The order in which hosts claim a cell, and which host writes for a zone. No I/O.
 
 Load pattern: the store slows down, or a large cell loses its owner, and every host would append at
-once, which makes a slow partition refuse all of them. Hosts act one after the other in an order
-that all of them know, and one host of a zone writes for the others.
+once, which makes a slow partition of the topic refuse all of them. So hosts claim one after the
+other in an order that each computes from the member list, and one host of a zone writes for the
+others.
 """
 
 from collections.abc import Collection, Mapping
 
 from dandelionreel.cell.model import Member
 
-#: Seconds between the claims of two hosts that follow each other: more than a claim takes.
+#: Seconds between the claims of two consecutive hosts, longer than one claim takes.
 CLAIM_STAGGER_SECONDS = 0.06
-#: Seconds after which the last host claims, when all before it are dead.
+#: Longest delay of a claim by rank, in seconds: it applies when all hosts ranked higher are dead.
 MAX_CLAIM_DELAY_SECONDS = 0.9
-#: Cores that the owner of a large cell needs, and seconds for which hosts with fewer leave the
-#: claim to those that have them.
+#: Cores that the owner of a large cell needs, and the extra delay of smaller hosts, which lets the
+#: larger ones claim first.
 MIN_OWNER_CORES = 1.0
 SMALL_HOST_DELAY_SECONDS = 0.5
-#: Hosts that keep the list of runners at hand, being the first to claim. Read by every host, the
-#: runners' heartbeats would take much of what the store can send.
+#: The first hosts in the claim order, which follow the runner list to be ready to take over. If
+#: every host read the runners' heartbeats, they would use much of the store's read capacity.
 SUCCESSORS = 9
-#: Hosts of each zone that keep it, to tell what its runners have done behind a cut.
+#: Hosts of each zone that follow the runner list, to answer for its runners during a partition.
 REPLICAS_PER_ZONE = 2
 
 
 def rank_hosts(member_by_host: Mapping[str, Member]) -> list[str]:
-    """Return all hosts, those with most processor first: an owner needs a whole core."""
+    """Return all hosts, those with most cores first: an owner needs a whole core."""
     return sorted(member_by_host, key=lambda host: (-member_by_host[host].cores, host))
 
 
 def claim_delay(member_by_host: Mapping[str, Member], me: str, former: str) -> float:
-    """Return for how many seconds ``me`` leaves the claim to the hosts before it."""
+    """Return how many seconds ``me`` waits before it claims the cell from the owner ``former``."""
     others = [host for host in rank_hosts(member_by_host) if host != former]
     rank = others.index(me) if me in others else len(others)
     delay = min(MAX_CLAIM_DELAY_SECONDS, rank * CLAIM_STAGGER_SECONDS)
@@ -38,12 +39,12 @@
 
 
 def is_successor(member_by_host: Mapping[str, Member], me: str) -> bool:
-    """Return whether ``me`` is one of the hosts that claim first, or cannot tell yet."""
+    """Return whether ``me`` is one of the first hosts to claim, or is not a member yet."""
     return me not in member_by_host or me in rank_hosts(member_by_host)[:SUCCESSORS]
 
 
 def follows_runner_list(member_by_host: Mapping[str, Member], me: str) -> bool:
-    """Return whether ``me`` keeps the list of runners: it may claim, or speak for its zone."""
+    """Return whether ``me`` follows the runner list, as a successor or for its zone."""
     own = member_by_host.get(me)
     if own is None or is_successor(member_by_host, me):
         return True
@@ -58,7 +59,7 @@
 
 
 def larger_hosts(member_by_host: Mapping[str, Member], me: str) -> list[str]:
-    """Return the hosts that should own a large cell in place of ``me``."""
+    """Return the hosts with enough cores to own a large cell if ``me`` has too few, else none."""
     own = member_by_host.get(me)
     if own is None or own.cores >= MIN_OWNER_CORES:
         return []
@@ -72,7 +73,10 @@
     me: str,
     excluded: Collection[str],
 ) -> str | None:
-    """Return the host that writes for ``me``; ``None`` where it is ``me`` itself."""
+    """Return the host that writes to the store for ``me``, or ``None`` if ``me`` writes itself.
+
+    Hosts in ``excluded`` do not answer or cannot write.
+    """
     own = member_by_host.get(me)
     if own is None:
         return None
--- a/dandelionreel/cell/membership/_completion_answers.py
+++ b/dandelionreel/cell/membership/_completion_answers.py
@@ -1,4 +1,4 @@
-"""Answers to peers that tell which jobs are complete, or ask for it."""
+"""Handles peer messages that report completed jobs or query them."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -7,12 +7,12 @@
 from dandelionreel.cell.membership._partition_detector import PartitionDetector
 from dandelionreel.peers import CompletionsTold, Done, Frame, Message, Refused
 
-#: Takes jobs as complete if this host owns the cell; returns whether it does.
+#: Marks jobs as complete if this host owns the cell; returns whether it does.
 CompleteAtOwner = Callable[[tuple[str, ...]], Awaitable[bool]]
 
 
 class CompletionAnswers:
-    """Takes what peers tell, as far as it may be relied upon."""
+    """Accepts reports of completed jobs from peers that are entitled to make them."""
 
     def __init__(
         self,
@@ -20,23 +20,24 @@
         partition_detector: PartitionDetector,
         complete_at_owner: CompleteAtOwner,
     ) -> None:
-        """Keep in ``completions`` what is taken."""
+        """Add accepted jobs to ``completions``."""
         self._completions = completions
         self._partition_detector = partition_detector
         self._complete_at_owner = complete_at_owner
 
     async def merge_completions(self, frame: Frame) -> Message:
-        """Take the word of an owner, unless a later one has asked."""
+        """Add jobs that an owner reports as complete, unless a later owner has sent a query."""
         told: Any = frame.message
         if self._completions.merge(told.epoch, told.jobs):
             return Done()
         return Refused('a later owner has asked')
 
     async def merge_zone_completions(self, frame: Frame) -> Message:
-        """Take what a host has seen behind a cut, as the owner or behind the same cut.
+        """Add jobs that a host of a partitioned zone found complete.
 
-        An owner may have asked any other host already, and would not hear of it. An owner
-        behind the same cut is also a host that a later owner asks.
+        Only the owner and hosts inside the same partition accept them: an owner may already have
+        queried any other host and would not learn of them. An owner inside the same partition
+        keeps them as well, since a later owner will query it.
         """
         seen: Any = frame.message
         completed = await self._complete_at_owner(seen.jobs)
@@ -46,7 +47,7 @@
         return Done() if completed else Refused('is not cut off')
 
     async def answer_query(self, frame: Frame) -> Message:
-        """Tell an owner all that is known here; from then on it relies on the answer."""
+        """Return all completed jobs to an owner, which relies on that answer from then on."""
         query: Any = frame.message
         self._partition_detector.note_owner_query()
         return CompletionsTold(query.epoch, self._completions.answer(query.epoch))
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -1,7 +1,8 @@
-"""Reports jobs that were answered as complete inside a partition to the owner outside.
+"""Reports jobs that clients inside a partition saw as complete to the owner outside.
 
-Load pattern: a partition has healed, and the runners that listed the ends leave before the owner
-has polled them. Only hosts of the zone know that the jobs are complete, and they may be killed.
+Load pattern: a partition has healed, and the runners that listed the ended runs leave before the
+owner has polled them. Only hosts of the zone know that the jobs are complete, and they may be
+killed.
 """
 
 import curio
@@ -13,18 +14,18 @@
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
-#: Seconds between looks for jobs that are due, and until the same job is reported again.
+#: Seconds between checks for jobs to report, and until the same job is reported again.
 POLL_SECONDS = 0.1
 REPORT_INTERVAL_SECONDS = 0.5
 #: Seconds for the owner's answer.
 ANSWER_TIMEOUT = 0.25
-#: Jobs in one message, and jobs that one line names.
+#: Limits of the jobs in one message and in one log line.
 MAX_JOBS = 500
 MAX_LOGGED = 80
 
 
 class CompletionReports:
-    """Reports each job to whoever owns the cell until the store shows its end."""
+    """Reports each job to the current owner until its end is in the store."""
 
     def __init__(
         self,
@@ -35,7 +36,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Report as the host ``me`` what ``completions`` has from inside a partition."""
+        """Send reports as the host ``me`` for the unreported jobs in ``completions``."""
         self._me = me
         self._book = book
         self._links = links
@@ -44,13 +45,13 @@
         self._journal = journal
 
     async def run(self) -> None:
-        """Report what is due, for ever."""
+        """Send reports when they are due, forever."""
         while True:
             await self.report()
             await curio.sleep(POLL_SECONDS)
 
     async def report(self) -> None:
-        """Report what is due now, if there is an owner elsewhere."""
+        """Send the reports that are due now, if another host owns the cell."""
         self._completions.drop_reports(
             job for job in self._completions.unreported if self._is_stored(job)
         )
@@ -62,12 +63,12 @@
         try:
             frame = await self._links.ask(owner, CompletionsSeen(jobs), ANSWER_TIMEOUT)
         except PeerError:
-            # The partition may last; the watch over it has lines of its own.
+            # The partition may persist, which the partition detector logs.
             return
         if isinstance(frame.message, Done):
             self._journal.tell_frequent(
                 Part.JOBS,
-                'has reported jobs to the owner that were shown as complete behind a cut.',
+                'reported to the owner jobs that were shown as complete inside a partition.',
                 jobs=list(jobs[:MAX_LOGGED]),
                 count=len(jobs),
             )
@@ -79,6 +80,6 @@
         return self._book.member_by_host.get(owner.host)
 
     def _is_stored(self, job: str) -> bool:
-        """Return whether the store shows that a job is over, or has dropped it."""
+        """Return whether the store has the end of a job, or has dropped the job."""
         booked = self._book.find(job)
         return booked is None or booked.state in FINAL_STATES
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -1,33 +1,33 @@
 """Jobs that a host knows to be complete before the store does. No I/O.
 
-Load pattern: the store is away or slow while tasks end. The owner tells its peers of completed
-jobs, and each of them may then answer clients. No take-over reverts that: the next owner reads the
-ends from the runners, which keep them until they are acknowledged, and asks the peers in case a
-runner has crashed. Model: ``spec/completions.py``.
+Load pattern: the store is unavailable or slow while tasks end. The owner tells its peers which
+jobs are complete, and each of them may then answer clients. A takeover does not revert that: the
+next owner reads the ended runs from the runners, which keep them until acknowledged, and queries
+the peers in case a runner has crashed. Model: ``spec/completions.py``.
 """
 
 from collections.abc import Iterable
 
 from dandelionreel.kernel import Clock
 
-#: Jobs that are remembered, and for how many seconds: several times the longest time for
-#: which an owner goes on without the store.
+#: Number of jobs that are kept, and for how many seconds: several times the longest time for
+#: which an owner keeps acting without the store.
 MAX_KEPT = 20_000
 KEPT_SECONDS = 60.0
 
 
 class Completions:
-    """What this host was told, or has found out as the owner."""
+    """The completed jobs that this host was told of, or found as the owner."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with nothing known."""
+        """Start with no jobs."""
         self._clock = clock
         self._noted_at_by_job: dict[str, float] = {}
-        #: Jobs that were seen as complete inside a partition and have to be reported to the
-        #: owner, with when each was reported last.
+        #: Jobs that were found complete inside a partition and have to be reported to the owner,
+        #: with the time of the latest report.
         self._reported_at_by_job: dict[str, float] = {}
         self._min_epoch = 0
-        #: How many questions of owners have been answered, and when the latest one was.
+        #: Number of owners' queries that were answered, and the time of the latest one.
         self.query_count = 0
         self.queried_at = float('-inf')
 
@@ -36,7 +36,7 @@
         return job in self._noted_at_by_job
 
     def note(self, jobs: Iterable[str]) -> None:
-        """Remember jobs, and forget what must long stand in the store."""
+        """Add completed jobs, and drop old ones, which must be in the store by now."""
         now = self._clock.monotonic()
         for job in jobs:
             self._noted_at_by_job.setdefault(job, now)
@@ -47,7 +47,7 @@
             self._noted_at_by_job.pop(job)
 
     def note_zone_completions(self, jobs: Iterable[str]) -> None:
-        """Remember jobs that the runners of this zone list as done inside a partition."""
+        """Add jobs that the runners of this zone list as done while it is partitioned."""
         seen = tuple(jobs)
         self.note(seen)
         for job in seen:
@@ -71,15 +71,15 @@
             self._reported_at_by_job[job] = self._clock.monotonic()
 
     def drop_reports(self, jobs: Iterable[str]) -> None:
-        """Stop reporting jobs whose end stands in the store."""
+        """Stop reporting jobs whose end is in the store."""
         for job in tuple(jobs):
             self._reported_at_by_job.pop(job, None)
 
     def merge(self, epoch: int, jobs: Iterable[str]) -> bool:
-        """Take the word of the owner with that epoch; return whether it still counts.
+        """Add jobs that the owner of ``epoch`` reports; return whether they were accepted.
 
-        A later owner that has asked here would not hear of it, and might start what is
-        shown as complete.
+        They are refused once a later owner has queried this host: it would not learn of them and
+        might start a task again whose job clients see as complete.
         """
         if epoch < self._min_epoch:
             return False
@@ -87,7 +87,7 @@
         return True
 
     def answer(self, epoch: int) -> tuple[str, ...]:
-        """Return all that is known, and believe no owner before that epoch from now on."""
+        """Return all completed jobs to the owner of ``epoch``; refuse earlier owners afterwards."""
         self._min_epoch = max(self._min_epoch, epoch)
         self.query_count += 1
         self.queried_at = self._clock.monotonic()
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -1,7 +1,7 @@
-"""Asks peers for a newer configuration where the store does not tell this host.
+"""Fetches a newer configuration from peers while the store does not serve this host.
 
-Load pattern: the store turns some hosts away for seconds while it serves the others, and
-an API key is taken away meanwhile. A host that only reads the store goes on taking it.
+Load pattern: the store refuses some hosts for seconds while it serves the others, and an API key is
+revoked meanwhile. A host that only reads the store would go on accepting the key.
 """
 
 import random
@@ -17,22 +17,22 @@
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ConfigurationGiven, ConfigurationWanted, Frame, Message, PeerError
 
-#: Seconds without an answer of the store after which it may have told others more.
+#: Seconds without a reply from the store after which peers may have a newer configuration.
 STORE_OVERDUE_SECONDS = 0.8
-#: Seconds between looks whether it has, and between two rounds of questions.
+#: Seconds between checks of the store's age, and between two rounds of queries to peers.
 POLL_SECONDS = 0.1
 QUERY_INTERVAL_SECONDS = 0.4
-#: Peers asked at once, and seconds for their answer.
+#: Peers queried in one round, and seconds for their replies.
 PEERS_PER_ROUND = 3
 ANSWER_TIMEOUT = 0.25
-#: Seconds for which a confirmation holds: however many unknown keys come, peers are asked
-#: no more often.
+#: Seconds for which a confirmation is reused, which limits the queries to peers while any number
+#: of calls with unknown keys arrive.
 CONFIRMATION_SECONDS = 0.25
 NEVER = float('-inf')
 
 
 class ConfigurationExchange:
-    """Keeps the configuration of this host as new as that of any peer in reach."""
+    """Keeps the configuration of this host as new as that of any reachable peer."""
 
     def __init__(
         self,
@@ -45,9 +45,9 @@
         journal: Journal,
         seeds: Sequence[Member] = (),
     ) -> None:
-        """Ask as the host ``me``; ``store_answered_at()`` is in monotonic seconds.
+        """Query peers as the host ``me``; ``store_answered_at()`` is in monotonic seconds.
 
-        ``seeds`` are asked while no peer is known.
+        ``seeds`` are queried while no peer is known.
         """
         self._me = me
         self._book = book
@@ -64,15 +64,15 @@
         self._peer_version = 0
 
     def age(self) -> float:
-        """Return for how many seconds a newer version may have been in force unknown here."""
+        """Return for how many seconds a newer version may have been in force without this host."""
         return self._clock.monotonic() - max(self._store_answered_at(), self._confirmed_at)
 
     def note_version(self, version: int) -> None:
-        """Take note that a peer has a version."""
+        """Record that a peer has a version."""
         self._peer_version = max(self._peer_version, version)
 
     async def run(self) -> None:
-        """Ask whenever this host may be behind, for ever."""
+        """Query peers whenever this host may have an outdated configuration, forever."""
         while True:
             now = self._clock.monotonic()
             if self._is_behind(now) and now - self._queried_at >= QUERY_INTERVAL_SECONDS:
@@ -81,9 +81,9 @@
             await curio.sleep(POLL_SECONDS)
 
     async def confirm(self) -> bool:
-        """Ask whether there is a newer configuration; return whether this one is the newest.
+        """Query peers for a newer configuration; return whether this host's is the newest.
 
-        Whoever waits for the same answer shares it.
+        Concurrent callers share one round of queries.
         """
         async with self._lock:
             if self._clock.monotonic() - self._queried_at >= CONFIRMATION_SECONDS:
@@ -91,7 +91,7 @@
         return self.age() < STORE_OVERDUE_SECONDS
 
     async def answer(self, frame: Frame) -> Message:
-        """Answer a peer that asks for a newer configuration."""
+        """Reply to a peer's query with the configuration, if it is newer than the peer's."""
         query: Any = frame.message
         self.note_version(query.version)
         version = self._folder.version
@@ -133,7 +133,7 @@
         except PeerError as error:
             self._journal.tell_frequent(
                 Part.PEERS,
-                f'{host} does not tell its configuration: {error}.',
+                f'{host} did not reply with its configuration: {error}.',
                 peer=host,
                 version=self._folder.version,
             )
@@ -151,7 +151,7 @@
         if self._folder.adopt(reply.document, host):
             self._journal.tell(
                 Part.CONTRACTS,
-                f'has a newer configuration from {host}.',
+                f'adopted a newer configuration from {host}.',
                 version=reply.version,
                 store_age=seconds_or_none(self._clock.monotonic() - self._store_answered_at()),
             )
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -1,4 +1,4 @@
-"""Who owns the cell: claimed in the store, kept by heartbeats there."""
+"""Owner election: a host claims the cell in the store and keeps it by heartbeats there."""
 
 import enum
 import os
@@ -27,43 +27,45 @@
 
 #: Seconds between the owner's heartbeats in the store.
 HEARTBEAT_SECONDS = 0.3
-#: Seconds without a heartbeat after which the owner is asked whether it lives.
-#: Two heartbeats and an append whose answer was lost.
+#: Seconds without a heartbeat after which the owner is queried: two heartbeats and an append whose
+#: reply was lost.
 SILENT_SECONDS = 0.9
-#: Seconds for an owner's answer whether it acts, seconds for which a claim then waits, and for how
-#: long an owner is believed at all: by then it has asked for a successor itself.
+#: Seconds for an owner's reply to whether it is acting, seconds for which such a reply holds off a
+#: claim, and seconds of silence in the store after which the reply no longer counts: by then the
+#: owner has asked for a successor itself.
 OWNER_QUERY_TIMEOUT = 0.25
 ALIVE_ANSWER_VALID_SECONDS = 0.5
 MAX_EXCUSED_SILENCE_SECONDS = 4.0
-#: The same after the store was out of reach: a living owner tries at least that
-#: often, and most likely writes as soon as this host reads.
+#: Seconds without a heartbeat once the store is reachable again: a live owner retries at least that
+#: often, and most likely writes as soon as this host can read.
 SILENT_AFTER_OUTAGE_SECONDS = 0.9
-#: Seconds, in the mean twice as long as the store needs, after a claim that failed.
+#: Upper limit in seconds of the random delay after a failed claim; the mean is twice the time that
+#: the store needs.
 MAX_CLAIM_BACKOFF_SECONDS = 0.6
-#: Seconds between two times that a host hands the cell over to a larger one: the
-#: larger one may answer its peers and not reach the store.
+#: Seconds between two handovers from this host to a larger one, which may reply to its peers and
+#: yet not reach the store.
 HAND_OVER_INTERVAL_SECONDS = 20.0
-#: Seconds within which the claimant must have read up to now.
+#: Highest age in seconds of the latest read up to the end of the topic for a host to claim.
 MAX_READ_AGE_SECONDS = 1.0
-#: Seconds for which an owner goes on without an answered heartbeat. Long enough
-#: for the usual outages of the store, in which nobody else can claim.
+#: Seconds for which an owner keeps acting without a stored heartbeat: long enough for the usual
+#: outages of the store, during which no other host can claim.
 AUTHORITY_SECONDS = 9.0
 POLL_SECONDS = 0.05
-#: Seconds for the answer to a claim, also from a slow store.
+#: Seconds for the reply to a claim, which a slow store also meets.
 CLAIM_TIMEOUT = 0.8
-#: Seconds for which word of an owner's trouble counts. Where the store serves
-#: nobody, it must not end in a claim when the store comes back.
+#: Seconds for which a report counts that the owner is failing or unreachable. While the store
+#: serves nobody, such a report must not lead to a claim once the store is back.
 SUSPECTED_SECONDS = 0.8
-#: Seconds without a heartbeat after which an owner that does not answer its peers, or whose
-#: port refuses connections, is taken for dead; and how many times the usual gap it must be.
+#: Seconds without a heartbeat after which an owner counts as dead that does not reply to its peers
+#: or refuses connections, and the least multiple of the usual gap between heartbeats.
 UNREACHABLE_SILENT_SECONDS = 0.5
 UNREACHABLE_GAP_FACTOR = 1.25
-#: Heartbeats may come that many times as late as they usually do: a slow store
-#: must not look like a dead owner.
+#: Multiple of the usual gap between heartbeats that is allowed, so that a slow store does not look
+#: like a dead owner.
 SILENT_GAP_FACTOR = 2.5
-#: Sequence numbers begin anywhere, so that two claims of one epoch are never
-#: taken for the same append.
 INCARNATION_BITS = 48
+#: Sequence numbers start at a random value, so that the store never takes two claims of one epoch
+#: for the same append.
 SEQUENCE_RANGE = 1_000_000_000
 
 AskPeer = Callable[[Member, Message, float], Awaitable[Frame]]
@@ -78,29 +80,30 @@
 
 
 def make_incarnation_id(host: str) -> str:
-    """Return a name for this process's life: a restarted host is another claimant."""
+    """Return an id for this process, so that a restarted host is a different claimant."""
     return f'{host}/{random.SystemRandom().getrandbits(INCARNATION_BITS):012x}'
 
 
 @dataclass(frozen=True)
 class Term:
-    """A claim that was won: the epoch, and the place of the next append."""
+    """A won claim: its epoch, the writer fence of the next append, and the owner before it."""
 
     epoch: int
     term: str
     fence: WriterFence
-    #: When the former owner was last heard of; ``None`` without one.
+    #: When the former owner's latest heartbeat was read; ``None`` without a former owner.
     silent_since: float | None
     released: bool
     #: Whether the former owner's process is known to have ended.
     former_ended: bool
-    #: Seconds for which, at its last heartbeat, owners before it might still act.
+    #: Seconds after the former owner's last heartbeat for which owners before it may still renew
+    #: leases.
     unsettled: float = 0
     former: Owner | None = None
-    #: The offset at which this life of the host first read the topic.
+    #: The offset at which this incarnation of the host first read the topic.
     read_from: int = 0
-    #: When the claim that won was sent, in monotonic seconds; ``None`` for just now. Peers count
-    #: the owner's authority from then on, so it does too.
+    #: When the won claim was sent, in monotonic seconds; ``None`` for now. Peers count the owner's
+    #: authority from then on, so the owner does too.
     claimed_at: float | None = None
 
     def owner_record(
@@ -111,7 +114,7 @@
         released: bool = False,
         version: int = 0,
     ) -> Owner:
-        """Return what the store is told about this term."""
+        """Return the record of this term for the store."""
         host = self.term.partition('/')[0]
         return Owner(
             self.epoch, host, self.term, beat, released, unsettled, self.read_from, version
@@ -131,7 +134,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Claim for that life of a host; ask silent owners by ``ask_peer``."""
+        """Claim as ``incarnation``; query owners without heartbeats by ``ask_peer``."""
         self.incarnation = incarnation
         self._host = incarnation.partition('/')[0]
         self._ask_peer = ask_peer
@@ -150,7 +153,7 @@
         self._random = random.Random(f'{incarnation}{clock.monotonic()}{os.getpid()}')
 
     async def wait_for_term(self, eligible: Callable[[], bool]) -> Term:
-        """Return once this host owns the cell."""
+        """Return the term once this host owns the cell; it claims only while ``eligible()``."""
         vacant_since = None
         while True:
             await self._wait_for_poll()
@@ -170,17 +173,17 @@
             await curio.sleep(self._random.random() * MAX_CLAIM_BACKOFF_SECONDS)
 
     def still_owner(self, term: Term) -> bool:
-        """Return whether the newest owner that is known is this term's."""
+        """Return whether the newest known owner is that of this term."""
         owner = self._folder.book.owner
         return owner is not None and owner.term == term.term
 
     def suspect(self, term: str) -> None:
-        """Take the owner with that term for dead before its heartbeats are missed."""
+        """Treat the owner with that term as dead before its heartbeats are missing."""
         self._suspected_term = term
         self._suspected_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
     def note_connection_refused(self, term: str) -> None:
-        """Take note that nothing seems to listen at the owner with that term.
+        """Record that connections to the owner with that term are refused.
 
         A partition that refuses connections looks the same, so this counts only while no heartbeat
         is read either.
@@ -188,33 +191,33 @@
         self._note_unreachable(term)
 
     def note_query_unanswered(self, term: str) -> None:
-        """Take note that a question to the owner with that term was not answered in time.
+        """Record that a query to the owner with that term was not answered in time.
 
-        A host that loses power or is cut off refuses nothing; this misses it sooner than its
-        heartbeats alone.
+        A host that loses power or is cut off refuses no connections; this detects its loss sooner
+        than missing heartbeats alone.
         """
         self._note_unreachable(term)
 
     async def handle_owner_failing(self, frame: Frame) -> Message:
-        """Answer an owner that the store does not serve."""
+        """Handle an owner's request for a successor because the store does not serve it."""
         failing: Any = frame.message
         self._journal.tell(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
         self.suspect(failing.term)
         return Done()
 
     def may_hand_over(self) -> bool:
-        """Return whether this host has not left the cell to a larger one lately."""
+        """Return whether this host has not recently handed the cell over to a larger one."""
         return self._clock.monotonic() - self._handed_over_at > HAND_OVER_INTERVAL_SECONDS
 
     def note_hand_over(self) -> None:
-        """Remember that this host leaves the cell to a larger one."""
+        """Record that this host hands the cell over to a larger one."""
         self._handed_over_at = self._clock.monotonic()
 
     def answer_owner_query(self, frame: Frame, acting: bool, ready: bool) -> Message:
-        """Answer a peer that asks whether this host acts under a term.
+        """Reply to a peer's query whether this host acts under a term.
 
-        One that names no term asks whether this host is ``ready``: the store serves it, and
-        it can take a client's request, or the cell.
+        A query without a term asks whether this host is ``ready``: the store serves it, so it can
+        take a client's request or own the cell.
         """
         query: Any = frame.message
         if not query.term:
@@ -226,7 +229,7 @@
     async def _wait_for_poll(self) -> None:
         await curio.sleep(POLL_SECONDS)
         if self._is_unreachable(self._clock.monotonic()):
-            # A heartbeat that is there already must not be missed for a pause.
+            # Read now: a heartbeat that is already stored must not be missed.
             await self._follower.hurry()
 
     def _is_suspected(self, owner: Owner, now: float) -> bool:
@@ -237,7 +240,7 @@
         self._unreachable_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
     def _is_unreachable(self, now: float) -> bool:
-        """Return whether the owner has just not answered a peer."""
+        """Return whether the owner was recently reported as unreachable."""
         owner = self._folder.book.owner
         return (
             owner is not None
@@ -246,7 +249,7 @@
         )
 
     def _is_unreachable_and_silent(self, now: float) -> bool:
-        """Return whether the owner neither answers peers nor writes heartbeats."""
+        """Return whether the owner neither replies to peers nor writes heartbeats."""
         unreachable_silence = max(
             UNREACHABLE_SILENT_SECONDS, UNREACHABLE_GAP_FACTOR * self._folder.usual_gap
         )
@@ -255,7 +258,7 @@
         )
 
     def _owner_was_restarted(self, owner: Owner) -> bool:
-        """Return whether this host's former process, or a later one's, held the cell."""
+        """Return whether the owner's process was replaced by a later one on the same host."""
         if owner.host == self._host:
             return owner.term != self.incarnation
         return self._folder.book.owner_has_ended()
@@ -286,10 +289,10 @@
         return claim_delay(book.member_by_host, self._host, book.owner.host if book.owner else '')
 
     async def _owner_is_alive(self) -> bool:
-        """Ask an owner whose heartbeats are missed whether it still acts.
+        """Query an owner whose heartbeats are missing whether it still acts.
 
-        A slow store delays heartbeats for longer than a dead owner is waited
-        for, and every claim then delays them more.
+        A slow store may delay heartbeats for longer than the timeout for a dead owner, and each
+        claim would delay them further.
         """
         owner = self._folder.book.owner
         member = self._folder.book.member_by_host.get(owner.host) if owner else None
@@ -300,7 +303,9 @@
         try:
             frame = await self._ask_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
-            self._journal.tell(Part.OWNERSHIP, f'{owner.host} does not answer: {error}.')
+            self._journal.tell(
+                Part.OWNERSHIP, f'{owner.host} did not reply to an ownership query: {error}.'
+            )
             return False
         alive = isinstance(frame.message, Done)
         self._journal.tell(
@@ -314,12 +319,12 @@
         return alive
 
     async def _claim(self) -> Term | None:
-        """Claim the cell; return the term that was won.
+        """Claim the cell; return the term if the claim was won.
 
-        A claim needs no condition to be safe: its epoch fences whoever wrote before, only one claim
-        of an epoch is taken, and all that stands before it is read back. Only the first claim on an
-        owner that may live is conditional on nothing unread, such as its heartbeat; on a busy topic
-        the condition would hardly ever hold.
+        A claim is safe without a condition: its epoch fences all earlier writers, only one claim of
+        an epoch is accepted, and all records before it are read before the owner acts. Only the
+        first claim while the owner may be alive is conditional on there being no unread record,
+        such as its heartbeat; on a busy topic the condition would hardly ever hold.
         """
         try:
             return await self._claim_once(self._follower.offset if self._may_be_alive() else None)
@@ -330,7 +335,7 @@
         return await self._claim_once(None)
 
     async def _claim_once(self, expected_end: int | None) -> Term | None:
-        """Claim once; raises ``ConflictError`` where the topic does not end as expected."""
+        """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
         former = self._folder.book.owner
         heard_at = self._folder.owner_heard_at
         fence = self._next_fence(former)
@@ -347,7 +352,7 @@
         )
         may_be_stored = await self._append_claim(fence, expected_end)
         if not may_be_stored or not await self._confirm_claim(fence.epoch):
-            # Before it is known who has won, another claim would replace the winner.
+            # Find out who has won first: another claim now would replace the winner.
             await self._catch_up()
             return None
         self._log_ownership(fence.epoch, former, heard_at)
@@ -369,30 +374,30 @@
         return owner.host == self._host or self._folder.book.has_ended(owner)
 
     def _may_be_alive(self) -> bool:
-        """Return whether the owner that is known may still act."""
+        """Return whether the known owner may still act."""
         owner = self._folder.book.owner
         return owner is not None and not owner.released and not self._has_ended(owner)
 
     async def _catch_up(self) -> None:
-        """Read what has come until now, in vain where the store does not answer."""
+        """Wait until all records up to now were read, or until that times out."""
         await self._follower.wait_fresh(self._clock.monotonic(), MAX_READ_AGE_SECONDS)
 
     def _next_fence(self, former: Owner | None) -> WriterFence:
-        """Return a fence of an epoch above the owner's and all that were tried here.
+        """Return a fence with an epoch above the owner's and all that this host has tried.
 
-        Whether a refused append raises the epoch that the store has seen is not
-        known; a higher epoch is taken in either case.
+        A refused append may or may not raise the epoch that the store has seen; a higher epoch is
+        accepted in either case.
         """
         known_epoch = former.epoch if former else 0
         self._highest_tried_epoch = max(known_epoch, self._highest_tried_epoch) + 1
         return WriterFence(self._highest_tried_epoch, self._random.randrange(SEQUENCE_RANGE))
 
     async def _append_claim(self, fence: WriterFence, expected_end: int | None) -> bool:
-        """Append a claim; return whether it may stand.
+        """Append a claim; return whether it may be stored.
 
-        Raises ``ConflictError`` when the topic does not end at ``expected_end``.
+        Raises ``ConflictError`` if the topic does not end at ``expected_end``.
         """
-        # Until the first heartbeat tells better, the former owner may act on.
+        # The former owner may still renew leases; the first heartbeat stores the exact time.
         owner = Owner(
             fence.epoch,
             self._host,
@@ -407,7 +412,7 @@
             raise
         except StoreError as error:
             self._journal.tell(Part.OWNERSHIP, f'a claim failed: {error}.', epoch=fence.epoch)
-            # The claim may have landed although its answer was lost.
+            # The claim may be stored although its reply was lost.
             return error.verdict is not Verdict.NOT_RUN
         return True
 
@@ -421,7 +426,7 @@
         )
 
     async def _confirm_claim(self, epoch: int) -> bool:
-        """Wait until the claim has been folded, and everything before it."""
+        """Read all records up to the claim; return whether it was won."""
         await self._catch_up()
         owner = self._folder.book.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -1,7 +1,7 @@
-"""Notices at once that the owner's process has died, by a connection to it.
+"""Detects at once that the owner's process has died, by keeping a connection to it.
 
 The kernel closes the connections of a process that is killed. A host that loses power closes none;
-heartbeats in the store tell of that.
+that shows only in the missing heartbeats in the store.
 """
 
 from typing import Any
@@ -14,29 +14,30 @@
 from dandelionreel.http import connect
 from dandelionreel.kernel import Journal, Part
 
-#: Seconds between looks at who the owner is.
+#: Seconds between checks of which host is the owner.
 POLL_SECONDS = 0.2
 CONNECT_TIMEOUT = 0.5
-#: Seconds after which a silent connection is still held.
+#: Seconds for one read of the idle connection, after which the owner is checked again.
 READ_TIMEOUT = 1.0
-#: Refusals in a row that count as a death, and the pause between them.
+#: Consecutive refused connections after which the process counts as dead, and the seconds between
+#: them.
 REFUSALS_BEFORE_DEAD = 2
 REFUSAL_RETRY_SECONDS = 0.04
 READ_SIZE = 1024
 
 
 class OwnerWatch:
-    """Holds a connection to the owner's daemon."""
+    """Keeps a connection to the owner's process and reports when it is refused."""
 
     def __init__(self, me: str, book: JobBook, election: Election, journal: Journal) -> None:
-        """Tell ``election`` about the owner's death."""
+        """Report refused connections to ``election``."""
         self._me = me
         self._book = book
         self._election = election
         self._journal = journal
 
     async def run(self) -> None:
-        """Watch whoever is the owner, for ever."""
+        """Watch the current owner, forever."""
         while True:
             owner = self._book.owner
             member = None if owner is None else self._book.member_by_host.get(owner.host)
@@ -46,14 +47,14 @@
             if await self._is_dead(owner, member):
                 self._journal.tell(
                     Part.OWNERSHIP,
-                    f'nothing listens at {owner.host} any more.',
+                    f'{owner.host} refuses connections.',
                     epoch=owner.epoch,
                 )
                 self._election.note_connection_refused(owner.term)
             await curio.sleep(POLL_SECONDS)
 
     async def _is_dead(self, owner: Owner, member: Member) -> bool:
-        """Hold a connection while it lasts; return whether the next one is refused."""
+        """Keep a connection open; once it closes, return whether new ones are refused."""
         refusals = 0
         while refusals < REFUSALS_BEFORE_DEAD:
             if not self._still_owner(owner):
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -1,4 +1,4 @@
-"""Asks hosts of other availability zones for a sign of life when the store is silent."""
+"""Queries hosts of other availability zones when the store does not reply."""
 
 import itertools
 from collections.abc import Callable
@@ -13,16 +13,19 @@
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import OwnerAsked, PeerError
 
-#: Seconds for a peer's answer: they take 2 ms, up to a tenth of a second in a burst.
+#: Seconds for a peer's reply, which takes 2 ms, and up to a tenth of a second in a burst.
 ANSWER_TIMEOUT = 0.2
-#: Seconds between looks at how long the store has been silent, and between questions while
-#: a host is cut off.
+#: Seconds between checks of the store's silence, and between rounds of queries while this host is
+#: cut off.
 POLL_SECONDS = 0.1
 QUERY_INTERVAL_SECONDS = 0.4
 
 
 class PartitionDetector:
-    """Knows whether this host is cut off, at the cost of a few questions when it may be."""
+    """Tells whether this host is cut off from the store and all other zones.
+
+    Peers are queried only while the store is silent.
+    """
 
     def __init__(
         self,
@@ -34,7 +37,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Look out for ``me`` in ``zone``; ``store_answered_at`` is in monotonic seconds."""
+        """Run for the host ``me`` in ``zone``; ``store_answered_at()`` is in monotonic seconds."""
         self._me = me
         self._zone = zone
         self._book = book
@@ -51,25 +54,25 @@
 
     @property
     def cut_off(self) -> bool:
-        """Return whether this host is known to be cut off, as of the latest questions."""
+        """Return whether this host is cut off, as of the latest queries."""
         now = self._clock.monotonic()
         return self._zone_contact.is_cut_off(self._other_zones(), self._store_answered_at(), now)
 
     @property
     def may_serve_reads(self) -> bool:
-        """Return whether this host may tell clients what its zone's runners list.
+        """Return whether this host may answer clients by what its zone's runners list.
 
-        Not once an owner has asked it what it has told: that owner relies on the answer
-        until the store serves this host again.
+        It may not once an owner has queried the completed jobs that it knows: that owner relies
+        on the reply until the store serves this host again.
         """
         return self.cut_off and self._owner_queried_at < self._store_answered_at()
 
     def note_owner_query(self) -> None:
-        """Note that an owner has asked what this host knows."""
+        """Record that an owner has queried the completed jobs of this host."""
         self._owner_queried_at = self._clock.monotonic()
 
     async def run(self) -> None:
-        """Ask around whenever the store is overdue, for ever."""
+        """Query other zones whenever the store is overdue, forever."""
         while True:
             if self._clock.monotonic() - self._store_answered_at() >= STORE_OVERDUE_SECONDS:
                 await self.check()
@@ -77,7 +80,7 @@
             await curio.sleep(POLL_SECONDS)
 
     async def check(self) -> bool:
-        """Ask around, if nobody has just done so; return whether this host is cut off."""
+        """Query other zones unless that was just done; return whether this host is cut off."""
         async with self._lock:
             now = self._clock.monotonic()
             if now - self._queried_at >= QUERY_INTERVAL_SECONDS:
@@ -86,7 +89,7 @@
         return self.cut_off
 
     async def _query_other_zones(self, now: float) -> None:
-        """Ask one host of each other zone, another one each time."""
+        """Query one host of each other zone, a different one in each round."""
         round_number = next(self._rounds)
         queries = []
         for zone in self._other_zones():
@@ -100,7 +103,7 @@
 
     async def _query_host(self, member: Member, queried_at: float) -> None:
         try:
-            # Whether it could own the cell does not matter: any answer is a sign of life.
+            # Any reply shows that the zone is reachable; what it says does not matter.
             await self._links.ask(member, OwnerAsked(''), ANSWER_TIMEOUT)
         except PeerError:
             self._zone_contact.note_miss(member.zone, queried_at)
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -1,4 +1,4 @@
-"""What serves a client's call, for scenarios that need no process."""
+"""Objects that serve a client's call, for scenarios without processes."""
 
 from dandelionreel.accounts import Caller
 from dandelionreel.cell.clients._access import AccessControl
@@ -14,12 +14,12 @@
 
 
 def make_call(method, target, caller=None, relayed=False):
-    """Return a call that has just come in."""
+    """Return a call that has just arrived."""
     return ClientCall(Request(method, target), caller or Caller(), 'north', 0.0, relayed)
 
 
 class ConnectedDetector:
-    """A host that is not cut off."""
+    """A partition detector of a host that is not cut off."""
 
     cut_off = False
 
@@ -28,7 +28,7 @@
 
 
 class SureExchange:
-    """Peers that know no newer configuration."""
+    """A configuration exchange with peers that have no newer configuration."""
 
     async def confirm(self):
         return True
@@ -37,7 +37,7 @@
         return 0.0
 
     def note_version(self, version):
-        """Take note of a peer's version."""
+        """Ignore a peer's version."""
 
 
 def make_client_api(
@@ -53,7 +53,7 @@
     clock=None,
     longest_age=None,
 ):
-    """Return a front of the zone north."""
+    """Return the client API of a host in the zone north."""
     clock = clock or SystemClock()
     codec = JsonClientCodec()
     partition_detector = partition_detector or ConnectedDetector()
--- a/features/questions.feature
+++ b/features/questions.feature
@@ -1,33 +1,33 @@
-Feature: Questions to the policy service while much waits
+Feature: Requests to the policy service while many jobs wait
 
   # Guards against tickets for runners that gangs have reserved.
-  Scenario: Nothing is asked about runners that a gang has reserved
+  Scenario: No request names runners that a gang has reserved
     Given a cell of 8 runners, all of them reserved for a gang
-    When batch jobs are handed in that would end after the gang's turn
+    When batch jobs are submitted that would end after the gang's start
     Then nothing is asked
 
-  # Guards against all steps asking about the same few runners.
-  Scenario: Steps that wait together ask about different runners
-    Given a cell of 40 runners whose batch queue asks for advice
-    When 3 batch jobs are handed in
-    Then their questions name 20 runners or more
+  # Guards against steps that all request advice on the same few runners.
+  Scenario: Steps that wait together request advice on different runners
+    Given a cell of 40 runners whose batch queue needs advice
+    When 3 batch jobs are submitted
+    Then their requests name 20 runners or more
 
-  # Guards against a job that asks again in every plan because the store is slow to take it.
-  Scenario: A job that the store has not taken yet asks once
-    Given a cell of 40 runners whose batch queue asks for advice
-    When a batch job is handed in that the store is slow to take
+  # Guards against a job that requests advice in every plan because it is not stored yet.
+  Scenario: A job that is not stored yet requests advice once
+    Given a cell of 40 runners whose batch queue needs advice
+    When a batch job is submitted that is not stored yet
     And it has tickets for runners with room
-    Then nothing is asked until they have expired
+    Then no advice is requested until they have expired
 
-  # Guards against requests that queue for hosts and keep others waiting.
-  Scenario: No more questions are asked than hosts are free to put
-    Given a cell of 40 runners whose batch queue asks for advice
-    When 10 batch jobs are handed in while 3 hosts are free
-    Then the 3 jobs whose objectives end first ask
-    And an urgent job asks all the same
+  # Guards against requests that wait for a host and delay more urgent ones.
+  Scenario: No more requests are made than hosts are free to send
+    Given a cell of 40 runners whose batch queue needs advice
+    When 10 batch jobs are submitted while 3 hosts are free
+    Then the 3 jobs whose objectives end first request advice
+    And an urgent job requests advice regardless
 
   # Guards against plans whose cost grows with runners times steps.
-  Scenario Outline: What a plan costs grows with the runners and with what waits, not with both
+  Scenario Outline: The cost of a plan grows with the runners plus the waiting steps, not their product
     Given a cell of 60 and one of 240 runners, each with 80 <kind> that wait for runners
     When both plan again
     Then the larger one makes at most 40 more calls for each more runner
@@ -37,13 +37,13 @@
       | gangs       |
       | batch tasks |
 
-  # Guards against starts and requests that are counted and never sent.
-  Scenario Outline: The right to start ends while a plan is made
-    Given an owner that plans <what> as its right to start ends
-    When it has the right to start again
-    Then the task is not left behind
+  # Guards against starts and requests that are counted as sent but never sent.
+  Scenario Outline: The owner's authority ends while it plans
+    Given an owner that plans <what> as its authority ends
+    When it has authority again
+    Then the task is planned again
 
     Examples:
-      | what       |
-      | a start    |
-      | a question |
+      | what      |
+      | a start   |
+      | a request |
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -1,4 +1,4 @@
-"""Steps on jobs of a zone that is cut off."""
+"""Steps on jobs of an availability zone that is cut off."""
 
 import curio
 from behave import given, then, when
@@ -34,14 +34,14 @@
 from features.store_parts import journal, make_owner_context
 
 JOB = '0123456789abcdef'
-MASKS = {'both tasks': '3', 'the first': '1', 'no tasks': ''}
+DONE_MASK_BY_NAME = {'both tasks': '3', 'the first': '1', 'no tasks': ''}
 
 
 def end(index, step_number=0, outcome=Outcome.DONE):
     return EndedRun(1, task(JOB, index, step_number), 1, outcome, '')
 
 
-LISTED = {
+LISTED_BY_NAME = {
     'nothing': (),
     "the gang's first as done": (end(0, 1),),
     "the gang's first as failed": (end(0, 1, Outcome.FAILED),),
@@ -49,81 +49,81 @@
 }
 
 
-@given('a job of two tasks, and then a gang of three, of which {stored} stand in the store')
-def two_steps(context, stored):
+@given('a job of two tasks followed by a gang of three, with {stored} stored as done')
+def task_and_gang(context, stored):
     context.spec = JobSpec('x', (step(count=2), step(count=3, gang=True, depends_on=(0,))))
-    done = (DoneTasks(0, 0, MASKS[stored]),) if MASKS[stored] else ()
+    done = (DoneTasks(0, 0, DONE_MASK_BY_NAME[stored]),) if DONE_MASK_BY_NAME[stored] else ()
     context.progress = Progress(1, JobState.RUNNING, done)
 
 
 @when('a runner of the zone lists {listed}')
 def runner_lists(context, listed):
-    context.ended = LISTED[listed]
+    context.ended = LISTED_BY_NAME[listed]
 
 
 @given('a job {kind}, whose first tasks are listed as done')
 def special_job(context, kind):
-    steps = (step(long_running=kind == 'of tasks that last'),)
+    steps = (step(long_running=kind == 'of long-running tasks'),)
     context.spec = JobSpec('x', steps, repeat_count=3 if kind == 'with a schedule' else 0)
     context.progress = Progress(1, JobState.RUNNING)
     context.ended = (end(0),)
 
 
-@then('by these facts the job is {verdict}')
+@then('the job of the zone counts as {verdict}')
 def job_verdict(context, verdict):
     found = is_complete(JOB, context.spec, context.progress, context.ended)
     assert found is (verdict == 'complete')
 
 
-class Touch:
-    """Stands for the watch over a cut."""
+class FixedDetector:
+    """A partition detector with a fixed answer."""
 
     def __init__(self, may_serve_reads):
         self.may_serve_reads = may_serve_reads
 
 
-class LookedAt:
-    """A runner that answers looks in one way, and keeps how it was asked."""
+class RecordingRunner:
+    """A runner that answers all polls in one way, and records their parameters."""
 
-    def __init__(self, how):
-        self._how = how
-        self.looks = []
+    def __init__(self, behaviour):
+        self._behaviour = behaviour
+        self.polls = []
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        """Answer as told."""
-        self.looks.append((acknowledged, lease_until))
-        if self._how == 'says nothing of':
+        """Record the poll, and answer or fail as configured."""
+        self.polls.append((acknowledged, lease_until))
+        if self._behaviour == 'does not answer about':
             raise RunnerError('no answer in time', Verdict.UNKNOWN)
-        if self._how == 'knows a later owner of':
+        if self._behaviour == 'refuses a stale epoch for':
             raise RunnerFenced('w1')
-        return RunnerView(0.0, (), (end(0),) if self._how == 'lists as done' else ())
+        return RunnerView(0.0, (), (end(0),) if self._behaviour == 'lists as done' else ())
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing: there is no connection."""
 
 
-class ZonePeer:
-    """Links to the other host of the zone; ``meanwhile`` is called when it is told."""
+class ZonePeerLinks:
+    """Links to the other host of the zone; ``meanwhile`` is called on each message to it."""
 
     def __init__(self, cut_off, meanwhile=bool):
-        self._cut_off = cut_off
+        self._accepts = cut_off
         self._meanwhile = meanwhile
 
     async def ask(self, member, message, timeout):
-        """Take what was seen behind a cut, or not."""
+        """Accept the report if the other host is cut off as well."""
         assert message == CompletionsSeen((JOB,)), message
         self._meanwhile()
-        return Frame(1, 'peer', 0, 0, Done() if self._cut_off else Refused('is not cut off'))
+        return Frame(1, 'peer', 0, 0, Done() if self._accepts else Refused('is not cut off'))
 
 
 @given('a host that is {where}, beside {peer}')
 def zone_host(context, where, peer):
     context.completions = Completions(ManualClock(1000))
-    context.touch = Touch(where.startswith(('cut off with', 'asked')))
+    context.detector = FixedDetector(where.startswith(('cut off with', 'queried')))
     meanwhile = bool
-    if where.startswith('asked'):
+    if where.startswith('queried'):
         meanwhile = lambda: context.completions.answer(2)  # noqa: E731
-    context.links = ZonePeer(peer == 'a host that is cut off as well', meanwhile)
+    context.links = ZonePeerLinks(peer == 'a host that is cut off as well', meanwhile)
     context.book = JobBook()
     context.book.fold([make_record(f'{MEMBER}me', Member('south', '127.0.0.1', 1))])
     if peer != 'no other host':
@@ -143,13 +143,13 @@
         'w1': make_registration('w1', zone='south'),
         'w2': make_registration('w2', zone='west'),
     }
-    context.runner = LookedAt(runner)
+    context.runner = RecordingRunner(runner)
     context.partition_reads = PartitionReads(
         'me',
         'south',
         context.book,
         runners,
-        context.touch,
+        context.detector,
         context.completions,
         context.links,
         lambda registration: context.runner,
@@ -172,7 +172,7 @@
     assert curio.run(ask) == [True] * count
 
 
-@then('behind the cut it is told {state}')
+@then('inside the partition it is told {state}')
 def told_state(context, state):
     assert context.told is (state == 'completed'), context.told
     assert context.completions.contains(JOB) is context.told
@@ -180,23 +180,23 @@
 
 @then('no lease was renewed and no end acknowledged')
 def only_read(context):
-    assert all(look == (0, None) for look in context.runner.looks), context.runner.looks
+    assert all(poll_args == (0, None) for poll_args in context.runner.polls), context.runner.polls
 
 
-@then('the runner was looked at once')
-def looked_once(context):
-    assert len(context.runner.looks) == 1, context.runner.looks
+@then('the runner was polled once')
+def polled_once(context):
+    assert len(context.runner.polls) == 1, context.runner.polls
 
 
-class ZoneOutside:
-    """Links to the hosts of a zone; the first one tells what it knows, if it answers."""
+class OneHostLinks:
+    """Links to the hosts of a zone, of which only the first may reply, with the jobs it knows."""
 
     def __init__(self, known):
         self._known = known
         self.asked = 0
 
     async def ask(self, member, message, timeout):
-        """Answer for the first host only."""
+        """Reply for the first host, if it knows something."""
         self.asked += 1
         if self._known is None or member.port != 0:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
@@ -219,19 +219,19 @@
 
 
 @when('south, with {count:d} hosts, {hosts}')
-def hear_south(context, count, hosts):
+def south_replies(context, count, hosts):
     known = None
     if hosts.startswith('answers'):
         known = (JOB,) if 'complete' in hosts else ()
-    context.zone = ZoneOutside(known)
+    context.zone = OneHostLinks(known)
     book = JobBook()
     for number in range(count):
         member = Member('south', '127.0.0.1', 1)
         book.member_by_host[f's-{number}'] = member
     for number, host in enumerate(book.member_by_host):
-        book.member_by_host[host] = PortedMember(number)
-    notices = CompletionGossip(context.owner, book, context.zone, Completions(context.clock), 'me')
-    context.owner.confirms = ZoneConfirmation(context.owner, book, notices, 'me').is_confirmed
+        book.member_by_host[host] = SouthMember(number)
+    gossip = CompletionGossip(context.owner, book, context.zone, Completions(context.clock), 'me')
+    context.owner.confirms = ZoneConfirmation(context.owner, book, gossip, 'me').is_confirmed
     context.clock.advance(context.silent)
     times = 20 if hosts.endswith('times within 0.2 s') else 1
 
@@ -243,8 +243,8 @@
     curio.run(hear)
 
 
-class PortedMember:
-    """A host of south, told from the others by its port."""
+class SouthMember:
+    """A member in south that is identified by its port."""
 
     zone = 'south'
     cores = 1.0
@@ -254,18 +254,18 @@
         self.port = port
 
 
-@then('the run behind the cut {fate}')
-def fate_of_runs(context, fate):
-    waits = fate == 'is waited for'
-    assert bool(context.state.allocation_by_run) is waits, context.state.allocation_by_run
+@then('the run inside the partition {fate}')
+def check_runs(context, fate):
+    is_kept = fate == 'is waited for'
+    assert bool(context.state.allocation_by_run) is is_kept, context.state.allocation_by_run
     job = context.small.cell.job_by_id[JOB]
     complete = fate.endswith('its job as complete')
     assert (job.state is JobState.COMPLETED) is complete, job.state
-    if not waits:
+    if not is_kept:
         assert bool(job.ready_steps(0)) is True and job.over is complete
 
 
-@then('{count:d} questions were put to it')
+@then('{count:d} queries were sent to the zone')
 def zone_questions(context, count):
     assert context.zone.asked == count, context.zone.asked
 
@@ -277,21 +277,21 @@
         context.members[f's-{number:02}'] = Member('south', '127.0.0.1', 1, cores=0.5)
 
 
-@then('number {place:d} of {zone} keeps the list of runners {keeps}')
-def keeps_list(context, place, zone, keeps):
-    found = follows_runner_list(context.members, f'{zone[0]}-{place:02}')
-    assert found is (keeps == 'yes')
+@then('host {number:d} of {zone} follows the runner list: {follows}')
+def follows_list(context, number, zone, follows):
+    found = follows_runner_list(context.members, f'{zone[0]}-{number:02}')
+    assert found is (follows == 'yes')
 
 
-class ReportedTo:
-    """Links to the owner; counts what is reported to it."""
+class OwnerLinks:
+    """Links to the owner, which counts the reports."""
 
     def __init__(self, answers):
         self._answers = answers
         self.reports = 0
 
     async def ask(self, member, message, timeout):
-        """Take a report, or not."""
+        """Accept the report or time out."""
         assert message == CompletionsSeen((JOB,)), message
         assert member.port == 9, member
         self.reports += 1
@@ -300,17 +300,17 @@
         return Frame(1, 'owner', 0, 0, Done())
 
 
-@when("the cut heals, where the owner {answers}, and the store {shows} the job's end")
+@when("the partition heals, the owner {answers}, and the store {shows} the job's end")
 def cut_heals(context, answers, shows):
     owner = {'is not known': None, 'is the host itself': 'me'}.get(answers, 'owner')
     facts = [make_record(f'{MEMBER}owner', Member('north', '127.0.0.1', 9))]
     if owner is not None:
         facts.append(make_record(OWNER_KEY, Owner(2, owner, f'{owner}/1')))
-    if shows == 'shows at once':
+    if shows == 'already shows':
         facts.append(make_record(PROGRESS + JOB, Progress(2, JobState.COMPLETED)))
     context.book.fold(facts)
     clock = context.completions._clock
-    context.links = ReportedTo(answers == 'takes what it is told')
+    context.links = OwnerLinks(answers == 'accepts the report')
     reports = CompletionReports(
         'me', context.book, context.links, context.completions, clock, journal()
     )
@@ -329,32 +329,32 @@
 
 
 @given('a host that owns the cell')
-@given('a host that owns the cell behind the same cut')
-@given('a host that is behind the same cut')
+@given('a host that owns the cell inside the same partition')
+@given('a host that is inside the same partition')
 @given('a host that is neither')
 def reported_host(context):
     context.completions = Completions(ManualClock(1000))
     context.owns = 'owns' in context.scenario.steps[0].name
-    context.cut = 'behind' in context.scenario.steps[0].name
+    context.cut_off = 'inside' in context.scenario.steps[0].name
     context.small = SmallCell()
     context.job = context.small.add_job(JOB, [step()])
 
 
-@when('a peer reports the job as seen behind a cut')
+@when('a peer reports the job as complete inside a partition')
 def peer_reports(context):
     async def take_at_owner(jobs):
         if context.owns:
             context.small.cell.take_complete(jobs)
         return context.owns
 
-    answers = CompletionAnswers(context.completions, Touch(context.cut), take_at_owner)
+    answers = CompletionAnswers(context.completions, FixedDetector(context.cut_off), take_at_owner)
     frame = Frame(1, 'peer', 0, 0, CompletionsSeen((JOB,)))
     context.answer = curio.run(answers.merge_zone_completions, frame)
 
 
-@then('the host {answer}, {knows} and {tells} it to a later owner')
+@then('the host {answer} the report, {knows} and {tells} it to a later owner')
 def host_answers(context, answer, knows, tells):
-    assert isinstance(context.answer, Done) is (answer == 'takes it'), context.answer
+    assert isinstance(context.answer, Done) is (answer == 'accepts'), context.answer
     complete = context.job.state is JobState.COMPLETED
-    assert complete is (knows == 'has the job as complete'), context.job.state
+    assert complete is (knows == 'marks the job as complete'), context.job.state
     assert (JOB in context.completions.answer(3)) is (tells == 'tells')
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -1,4 +1,4 @@
-"""Steps on jobs that are complete before the store knows it."""
+"""Steps on jobs that complete before their end is stored."""
 
 import curio
 from behave import given, then, when
@@ -28,23 +28,23 @@
 PEER = make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 1))
 
 
-class AwayTopic(MemoryTopic):
-    """A store that takes nothing."""
+class FailingTopic(MemoryTopic):
+    """A topic that refuses all appends."""
 
     async def append(self, records, timeout, fence=None, expected_end=None):
-        """Refuse."""
+        """Refuse the append."""
         raise StoreError('the store answered 503', Verdict.NOT_RUN)
 
 
-class PeerHost:
-    """Links to one peer that keeps what it is told; without ``completions`` it is silent."""
+class PeerLinks:
+    """Links to one peer with ``completions``; without them it does not reply."""
 
     def __init__(self, completions):
         self.completions = completions
         self.asked = 0
 
     async def ask(self, member, message, timeout):
-        """Answer as an entry host does."""
+        """Reply as a host does."""
         self.asked += 1
         if self.completions is None:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
@@ -61,16 +61,16 @@
     context.small = SmallCell()
     context.small.add_job(JOB, [step()])
     context.small.plan()
-    topic = AwayTopic() if works == 'is away' else MemoryTopic()
+    topic = FailingTopic() if works == 'is unavailable' else MemoryTopic()
     context.owner = make_owner_context(context.small.cell, clock, topic)
-    remembered = None if answers == 'does not answer' else Completions(clock)
-    if answers == 'has been asked by a later owner':
-        remembered.answer(2)
-    context.peer = PeerHost(remembered)
+    peer_completions = None if answers == 'does not answer' else Completions(clock)
+    if answers == 'was queried by a later owner':
+        peer_completions.answer(2)
+    context.peer = PeerLinks(peer_completions)
     book = JobBook()
     book.fold([PEER])
     context.completions = Completions(clock)
-    context.notices = CompletionGossip(context.owner, book, context.peer, context.completions, 'me')
+    context.gossip = CompletionGossip(context.owner, book, context.peer, context.completions, 'me')
 
 
 @when('a runner lists the end of its job')
@@ -80,7 +80,7 @@
 
     async def play():
         await curio.spawn(context.owner.writer.run, daemon=True)
-        await curio.spawn(context.notices.run, daemon=True)
+        await curio.spawn(context.gossip.run, daemon=True)
         await curio.spawn(context.owner.flush, daemon=True)
         await curio.ignore_after(1, until, lambda: context.completions.contains(JOB))
 
@@ -97,7 +97,7 @@
     assert context.peer.asked == 0, context.peer.asked
 
 
-@given('a store that says that a job runs on w1')
+@given('a store in which a job runs on w1')
 def stored_job(context):
     context.topic = MemoryTopic()
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
@@ -109,11 +109,11 @@
     curio.run(context.topic.append, records, 0.1)
 
 
-@given('a peer that was told that the job is complete and {answers}')
+@given('a peer that was told that the job is complete and that {answers}')
 def told_peer(context, answers):
     completions = Completions(SystemClock())
     completions.note([JOB])
-    context.peer = PeerHost(completions if answers == 'says so' else None)
+    context.peer = PeerLinks(completions if answers == 'replies' else None)
 
 
 @when('a host that was not told owns the cell and w1 has crashed')
@@ -128,7 +128,7 @@
         dispatcher._begin()
         dispatcher._completion_gossip.begin()
         cell = dispatcher.cell
-        # w1 answers no more; w2 does, and could run the task.
+        # w1 is gone; w2 is available and could run the task.
         cell.see_runners({'w2': make_registration('w2')}, 0)
         context.blocked_at_first = cell.is_blocked(cell.job_by_id[JOB])
         await dispatcher._completion_gossip.ask()
@@ -140,7 +140,7 @@
 @then("the job's task is {outcome}")
 def started_again(context, outcome):
     job = context.cell.job_by_id[JOB]
-    assert context.blocked_at_first, 'it could be started before peers had answered'
+    assert context.blocked_at_first, 'it could be started before the peers had replied'
     assert not context.cell.is_blocked(job)
     waits = bool(job.ready_steps(0)) and not job.over
     assert waits is (outcome == 'started again'), job.state
@@ -148,7 +148,7 @@
         assert [dirty.id for dirty in context.cell.take_dirty()] == [JOB]
 
 
-@given('a host that the owner of epoch {epoch:d} has asked')
+@given('a host that the owner of epoch {epoch:d} has queried')
 def asked_host(context, epoch):
     context.completions = Completions(ManualClock(0))
     assert context.completions.answer(epoch) == ()
@@ -159,8 +159,8 @@
     context.taken = context.completions.merge(epoch, [JOB])
 
 
-@then('its word is refused, and clients are not told')
-def word_refused(context):
+@then('its report is refused, and clients are not told')
+def report_refused(context):
     assert not context.taken and not context.completions.contains(JOB)
 
 
@@ -180,7 +180,7 @@
     context.count = count
 
 
-@then('it remembers those of the last minute, and {most:d} at the most')
+@then('it keeps those of the last minute, and at most {most:d}')
 def remembers(context, most):
     kept = [job for job in context.jobs if context.completions.contains(job)]
     lasting = int(KEPT_SECONDS / 3600 * context.count)
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -25,7 +25,7 @@
 NOW = 1000.0
 
 
-@given('a host in north that heard {others} 0.1 s ago and the store {age:g} s ago')
+@given('a host in north that got replies of {others} 0.1 s ago and of the store {age:g} s ago')
 def listening_host(context, others, age):
     context.contact = ZoneContact()
     context.zones = ZONES
@@ -34,9 +34,9 @@
         context.contact.note_answer(zone, NOW - 0.1)
 
 
-@when('it asks hosts of south and west, of which {answer}')
+@when('it queries hosts of south and west, of which {answer}')
 def ask_both(context, answer):
-    answering = {'none does': (), 'both do': ZONES, 'only west does': ('west',)}[answer]
+    answering = {'none replies': (), 'both reply': ZONES, 'only west replies': ('west',)}[answer]
     for zone in ZONES:
         if zone in answering:
             context.contact.note_answer(zone, NOW + 0.01)
@@ -45,14 +45,14 @@
     context.now = NOW + 0.2
 
 
-@given('a host in north of a site {site}')
-def lone_host(context, site):
+@given('a host in north of a cell {cell}')
+def lone_host(context, cell):
     context.contact = ZoneContact()
     context.zones = ()
     context.store_answered_at = NOW - 9
 
 
-@when('the store has been silent for 9 s and nobody answers')
+@when('the store has been silent for 9 s and no host replies')
 def all_silent(context):
     for zone in ('north', ''):
         context.contact.note_miss(zone, NOW)
@@ -68,30 +68,30 @@
 @given('a host in north that is cut off')
 def cut_off_host(context):
     listening_host(context, 'nobody', 9.0)
-    ask_both(context, 'none does')
+    ask_both(context, 'none replies')
     check_verdict(context, 'cut off')
 
 
-@when('a host of west answers')
+@when('a host of west replies')
 def west_answers(context):
     context.contact.note_answer('west', context.now + 1)
     context.now += 1
 
 
-@when('{seconds:g} s have passed without a question')
+@when('{seconds:g} s have passed without a query')
 def no_question(context, seconds):
     assert seconds > MISS_VALID_SECONDS
     context.now += seconds
 
 
 class SilentLinks:
-    """Nobody answers; ``asked`` counts the questions."""
+    """Links to peers that do not reply; ``asked`` counts the queries."""
 
     def __init__(self):
         self.asked = 0
 
     async def ask(self, member, message, timeout):
-        """Wait in vain."""
+        """Time out."""
         self.asked += 1
         await curio.sleep(timeout)
         raise PeerError('no answer in time', Verdict.UNKNOWN)
@@ -106,42 +106,42 @@
     )
 
 
-@given('a host in north whose store and peers are silent')
+@given('a host in north whose store and peers do not reply')
 def silent_all_round(context):
     context.links = SilentLinks()
     clock = SystemClock()
     context.watch = make_watch(clock, context.links, clock.monotonic() - 9)
 
 
-@when('{count:d} requests look whether it is cut off')
-def look_at_once(context, count):
-    async def look():
+@when('{count:d} requests check whether it is cut off')
+def check_concurrently(context, count):
+    async def check_many():
         tasks = [await curio.spawn(context.watch.check) for _ in range(count)]
         return [await task.join() for task in tasks]
 
-    async def look_in_time():
-        return await curio.ignore_after(1, look)
+    async def check_in_time():
+        return await curio.ignore_after(1, check_many)
 
-    context.learned = curio.run(look_in_time)
+    context.checked = curio.run(check_in_time)
 
 
-@then('each of them learns so within 1 s')
-def all_learned(context):
-    assert context.learned == [True] * 20, context.learned
+@then('each of them finds it cut off within 1 s')
+def all_checked(context):
+    assert context.checked == [True] * 20, context.learned
 
 
-@then('{count:d} questions were put')
-def questions_put(context, count):
+@then('{count:d} queries were sent')
+def queries_sent(context, count):
     assert context.links.asked == count, context.links.asked
 
 
-class NoWriter:
-    """A writer that must not be asked."""
+class UnusedWriter:
+    """A writer that must not be used."""
 
     failing_since = float('inf')
 
 
-@given('an entry host that is cut off, which the balancer asked 0.3 s ago')
+@given('a host that is cut off, which the load balancer checked 0.3 s ago')
 def cut_off_entry(context):
     clock = ManualClock(NOW)
     links = context.links = SilentLinks()
@@ -157,8 +157,8 @@
     context.front = make_client_api(
         configuration,
         jobs,
-        ReadFollower(),
-        NoWriter(),
+        StaleFollower(),
+        UnusedWriter(),
         Relay('me', jobs.book, links, clock, journal()),
         partition_detector=watch,
         rotation=rotation,
@@ -166,49 +166,49 @@
     )
 
 
-class ReadFollower:
-    """A follower that has read all there was until the cut."""
+class StaleFollower:
+    """A follower that has read everything stored before the partition."""
 
     complete = True
 
     def age(self, now):
-        """Return the age of what it has read."""
+        """Return the age of its latest read."""
         return 9.0
 
 
-@when('a client hands a job in there')
+@when('a client submits a job there')
 def client_hands_in(context):
     body = msgspec.json.encode({'spec': 'x', 'steps': [{'count': 1, 'cpu': 1000}]})
     request = Request('POST', '/urgent/0123456789abcdef', (('host', 'h'),), body)
     context.answer = curio.run(context.front.handle, request)
 
 
-@then('the job is refused at once, to come back in {seconds:d} s')
+@then('the job is refused at once, to be retried in {seconds:d} s')
 def refused_at_once(context, seconds):
     assert context.answer.status == 503, context.answer
     assert context.answer.header('retry-after') == f'{seconds}', context.answer
 
 
-@then('the job may run elsewhere, as nothing was tried')
-def truly_not_run(context):
-    assert context.links.asked == 0, 'a peer was asked'
+@then('the answer says that the job was not run, and no peer was queried')
+def nothing_tried(context):
+    assert context.links.asked == 0, 'a peer was queried'
     assert msgspec.json.decode(context.answer.body)['verdict'] == 'not_run', context.answer
 
 
-@given('a balancer that asks a host every second, the last time 0.3 s ago')
+@given('a load balancer that checks a host every second, the last time 0.3 s ago')
 def asking_balancer(context):
     context.rotation = Rotation()
 
 
-@when('it has been told {misses:d} times that the host is not ready')
-def told_misses(context, misses):
+@when('it has been told {failed:d} times that the host is not ready')
+def failed_checks(context, failed):
     times = [NOW - 0.3 - number for number in range(8)]
     for number, at in enumerate(reversed(times)):
-        context.rotation.note_readiness_check(at, ready=number < len(times) - misses)
+        context.rotation.note_readiness_check(at, ready=number < len(times) - failed)
 
 
 @then('clients are sent there for {seconds:g} s more')
-def sent_for(context, seconds):
+def remaining_seconds(context, seconds):
     assert abs(context.rotation.seconds_left(NOW) - seconds) < 0.001
 
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -1,4 +1,4 @@
-"""Steps on who owns the cell."""
+"""Steps on the election of the owner of a cell."""
 
 import curio
 from behave import given, then, when
@@ -102,13 +102,13 @@
     curio.run(claim)
 
 
-class LateReads(MemoryTopic):
-    """A topic whose reads are answered late while told so."""
+class DelayedReadTopic(MemoryTopic):
+    """A topic whose reads are blocked while ``late`` is set."""
 
     late = False
 
     async def read(self, offset, wait, most_bytes):
-        """Read once nothing is late any more."""
+        """Read once ``late`` is cleared."""
         while self.late:
             await curio.sleep(0.01)
         return await super().read(offset, wait, most_bytes)
@@ -116,7 +116,7 @@
 
 @given('a host that follows an owner that has left the cell')
 def following_left(context):
-    context.topic = LateReads()
+    context.topic = DelayedReadTopic()
     left = make_record(OWNER_KEY, Owner(1, 'other', 'other/1', released=True))
     curio.run(context.topic.append, [left], 0.1, WriterFence(1, 4))
     context.host = Host('a', context.topic)
@@ -140,7 +140,7 @@
         await until(lambda: context.host.follower.complete)
         if context.late:
             context.topic.late = True
-            # A read that is under way ends first.
+            # Let a read that is in progress end first.
             await curio.sleep(0.1)
             winner = make_record(OWNER_KEY, Owner(2, 'b', 'b/1'))
             await context.topic.append([winner], 0.1, WriterFence(2, 7))
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -1,4 +1,4 @@
-"""Steps on questions to the policy service while much waits."""
+"""Steps on requests to the policy service while many jobs wait."""
 
 import sys
 
@@ -17,7 +17,7 @@
 ADVICE = (0.1, 0.002, 2.0)
 
 
-@given('a cell of {count:d} runners whose batch queue asks for advice')
+@given('a cell of {count:d} runners whose batch queue needs advice')
 def batch_cell(context, count):
     queues = (
         make_queue('urgent', advice=ADVICE),
@@ -37,27 +37,27 @@
     assert not context.small.plan().starts
 
 
-@when("batch jobs are handed in that would end after the gang's turn")
+@when("batch jobs are submitted that would end after the gang's start")
 def long_batch(context):
     for number in range(3):
         context.small.add_job(f'j{number}', [step(count=2, seconds=30)], queue='batch')
     context.made = context.small.plan()
 
 
-@when('{count:d} batch jobs are handed in')
+@when('{count:d} batch jobs are submitted')
 def batch_jobs(context, count):
     for number in range(count):
         context.small.add_job(f'j{number}', [step(count=2)], queue='batch')
     context.made = context.small.plan()
 
 
-@then('their questions name {count:d} runners or more')
+@then('their requests name {count:d} runners or more')
 def named_runners(context, count):
-    named = {runner for question in context.made.questions for runner in question.runners}
+    named = {runner for request in context.made.questions for runner in request.runners}
     assert len(named) >= count, sorted(named)
 
 
-@when('a batch job is handed in that the store is slow to take')
+@when('a batch job is submitted that is not stored yet')
 def slow_job(context):
     context.small.add_job('j1', [step(count=2)], queue='batch').stored = False
     context.made = context.small.plan()
@@ -67,19 +67,19 @@
 @when('it has tickets for runners with room')
 def has_tickets(context):
     small = context.small
-    (question,) = context.made.questions
-    permits = [Permit(runner, 'ticket') for runner in question.runners[:4]]
-    small.cell.tickets.note(question.step, question.runners, permits, small.now + 2)
+    (request,) = context.made.questions
+    permits = [Permit(runner, 'ticket') for runner in request.runners[:4]]
+    small.cell.tickets.note(request.step, request.runners, permits, small.now + 2)
 
 
-@then('nothing is asked until they have expired')
+@then('no advice is requested until they have expired')
 def asked_once(context):
     assert not context.small.plan().questions
     context.small.now += 2
     assert context.small.plan().questions
 
 
-@when('{count:d} batch jobs are handed in while {free:d} hosts are free')
+@when('{count:d} batch jobs are submitted while {free:d} hosts are free')
 def jobs_and_hosts(context, count, free):
     small = context.small
     for number in range(count):
@@ -87,22 +87,22 @@
     context.made = small.planner.plan(small.now, small.now, free)
 
 
-@then('the {count:d} jobs whose objectives end first ask')
+@then('the {count:d} jobs whose objectives end first request advice')
 def first_ask(context, count):
-    asking = [question.step.job for question in context.made.questions]
+    asking = [request.step.job for request in context.made.questions]
     assert asking == [f'j{number}' for number in range(9, 9 - count, -1)], asking
 
 
-@then('an urgent job asks all the same')
+@then('an urgent job requests advice regardless')
 def urgent_asks(context):
     small = context.small
     small.add_job('now', [step()])
     made = small.planner.plan(small.now, small.now, 0)
-    assert [question.step.job for question in made.questions] == ['now']
+    assert [request.step.job for request in made.questions] == ['now']
 
 
 class SlowPlanner:
-    """Plans, and lets 2 s pass meanwhile."""
+    """A planner that takes 2 s for each plan."""
 
     def __init__(self, planner, clock):
         self.planner = planner
@@ -114,16 +114,16 @@
         return made
 
 
-class NoRunner:
-    """A runner that no start must reach."""
+class UnreachableRunner:
+    """A runner that must get no start."""
 
     async def start(self, order, check):
         assert not check()
         raise RunnerError('not sent', Verdict.NOT_RUN)
 
 
-@given('an owner that plans {what} as its right to start ends')
-def ending_right(context, what):
+@given('an owner that plans {what} as its authority ends')
+def ending_authority(context, what):
     clock = ManualClock()
     host = Host('me', MemoryTopic(), clock)
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
@@ -134,14 +134,14 @@
     job = small.add_job('j1', [step()], queue='plain' if what == 'a start' else 'urgent')
     job.stored_runners.add('w1')
     dispatcher.cell = dispatcher._owner_context.cell = small.cell
-    dispatcher._owner_context.runner_by_id['w1'] = NoRunner()
+    dispatcher._owner_context.runner_by_id['w1'] = UnreachableRunner()
     dispatcher._pool._local = LocalAdvisor(None)
     dispatcher._planner = SlowPlanner(small.planner, clock)
     context.small = small
 
 
-@when('it has the right to start again')
-def right_again(context):
+@when('it has authority again')
+def authority_again(context):
     dispatcher = context.dispatcher
 
     async def plan_once():
@@ -154,18 +154,18 @@
     assert not dispatcher._owner_context.may_start()
 
 
-@then('the task is not left behind')
-def not_left(context):
+@then('the task is planned again')
+def planned_again(context):
     small = context.small
-    assert not small.runs_on('w1'), 'its start counts, and was never sent'
+    assert not small.runs_on('w1'), 'its start counts although it was never sent'
     small.now = context.dispatcher._clock.monotonic() + 1
     small.poll('w1')
     made = small.planner.plan(small.now, small.now)
-    assert made.starts or made.questions, 'it waits for an answer that nobody asked for'
+    assert made.starts or made.questions, 'it waits for a reply to a request that was never sent'
 
 
 def busy_cell(runners, kind):
-    """Return a full cell in which steps wait that have asked about a few runners."""
+    """Return a full cell with waiting steps that have advice on a few runners."""
     queues = (
         make_queue('gangs', 1, 4, 2.2, 1.0, advice=ADVICE),
         make_queue('batch', 2, 3, 4.0, 3.0, advice=ADVICE),
@@ -186,7 +186,7 @@
 
 
 def count_calls(small):
-    """Return how many functions a plan calls."""
+    """Return the number of function calls in one plan."""
     calls = 0
 
     def count(frame, event, arg):
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps on requests that are passed on to a peer."""
+"""Steps on requests that are forwarded to a peer."""
 
 import curio
 from behave import given, then, when
@@ -20,11 +20,11 @@
 
 
 class OnePeer:
-    """Links to a peer that gives one answer, once it has said that it can act."""
+    """Links to a peer that can act and answers each request with one status."""
 
     def __init__(self, status):
         self._status = status
-        #: Whether the next question gets no answer.
+        #: Whether the next message gets no reply.
         self.deaf = False
 
     async def ask(self, member, message, timeout):
@@ -49,25 +49,25 @@
     context.relay = Relay('me', book, OnePeer(status), SystemClock(), journal())
 
 
-class CutPeer:
-    """Links to a peer behind a cut, or one that cannot act; what is sent is in doubt."""
+class UnreliablePeer:
+    """Links to a peer that gives one reply to a query, or none, and none to forwarded requests."""
 
-    def __init__(self, word):
-        self._word = word
-        self.handed = 0
+    def __init__(self, reply):
+        self._reply = reply
+        self.forwards = 0
 
     async def ask(self, member, message, timeout):
-        self.handed += isinstance(message, Forward)
-        if self._word is None or self.handed:
+        self.forwards += isinstance(message, Forward)
+        if self._reply is None or self.forwards:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
-        return Frame(1, 'peer/1', 0, 0, self._word)
+        return Frame(1, 'peer/1', 0, 0, self._reply)
 
 
 @given('an owner that {answers} when it is asked whether it acts')
-def cut_peer(context, answers):
+def unreliable_owner(context, answers):
     answering_peer(context, 200)
-    words = {'says nothing': None, 'says that it does not': Refused('no')}
-    context.links = CutPeer(words[answers])
+    reply_by_name = {'says nothing': None, 'says that it does not': Refused('no')}
+    context.links = UnreliablePeer(reply_by_name[answers])
     clock = ManualClock(1000)
     context.relay = Relay('me', context.relay._book, context.links, clock, journal())
 
@@ -85,7 +85,7 @@
 
 @then('no job was handed to it')
 def nothing_handed(context):
-    assert context.links.handed == 0
+    assert context.links.forwards == 0
 
 
 @given('a peer that has not answered {misses:d} requests in a row')
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a job that is handed in again while a snapshot is read again."""
+"""Steps on a job that is submitted again while a snapshot is reloaded."""
 
 import curio
 from behave import given, then, when
@@ -23,7 +23,7 @@
 JOB = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
 
 
-@given('an owner that has forgotten a job which ended while it read a snapshot')
+@given('an owner that lost track of a job that ended while it read a snapshot')
 def forgotten(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
@@ -43,7 +43,7 @@
         context.dispatcher._see_job(job_id)
 
 
-@when('the job is handed in again, and then the owner reads its end')
+@when('the job is submitted again, and then the owner reads its end')
 def handed_in_again(context):
     async def play():
         dispatcher = context.dispatcher
@@ -58,7 +58,9 @@
         context.dispatcher._see_job(job_id)
 
 
-@then('nothing of the job is started again')
+@then('no task of the job is started again')
 def nothing_again(context):
     job = context.dispatcher.cell.job_by_id.get('j1')
-    assert job is None or job.over, f'{job.id} is {job.state.value} here and over in the store'
+    assert job is None or job.over, (
+        f'{job.id} is {job.state.value} at the owner and finished in the store'
+    )
