--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -22,9 +22,9 @@
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.membership import Completions, PartitionDetector
 from dandelionreel.cell.model import (
-    CANCELLATION,
+    CANCELLATION_PREFIX,
     FINAL_STATES,
-    SUBMISSION,
+    SUBMISSION_PREFIX,
     Cancellation,
     ClientCodec,
     Configuration,
@@ -36,7 +36,7 @@
     make_record,
 )
 from dandelionreel.cell.owner import Dispatcher
-from dandelionreel.cell.store import BookedJob, ConfigurationFolder, Follower, JobFolder
+from dandelionreel.cell.store import CellProjection, ConfigurationProjection, Follower, StoredJob
 from dandelionreel.http import Answer, Request
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ForwardAnswer, Frame, Message
@@ -72,9 +72,9 @@
         self,
         zone: str,
         codec: ClientCodec,
-        configuration: ConfigurationFolder,
+        configuration: ConfigurationProjection,
         access: AccessControl,
-        jobs: JobFolder,
+        jobs: CellProjection,
         follower: Follower,
         writes: ClientWrites,
         relay: Relay,
@@ -119,7 +119,7 @@
     async def handle_relayed(self, frame: Frame) -> Message:
         """Answer a request that a peer has forwarded."""
         forward: Any = frame.message
-        member = self._jobs.book.member_by_host.get(frame.sender.partition('/')[0])
+        member = self._jobs.state.member_by_host.get(frame.sender.partition('/')[0])
         answer = await self._answer(
             forward.request,
             self._clock.monotonic(),
@@ -199,8 +199,8 @@
         if not self._may_see(call, job_id):
             self._log(request, job_id, 'its id is taken by another account')
             return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
-        booked = self._jobs.book.find(job_id)
-        if booked is not None and not booked.may_be_stored_again:
+        booked = self._jobs.state.find(job_id)
+        if booked is not None and not booked.may_be_resubmitted:
             self._log(request, job_id, 'accepted before')
             return self._codec.answer_accepted()
         if len(request.body) > configuration.body_bytes:
@@ -217,7 +217,7 @@
         )
         return await self._writes.store(
             call,
-            make_record(SUBMISSION + job_id, submission),
+            make_record(SUBMISSION_PREFIX + job_id, submission),
             lambda owner, timeout: owner.accept(job_id, submission, timeout),
             partial(self._log, request, job_id),
             queue=queue.name,
@@ -246,7 +246,7 @@
     async def _answer_state(self, call: ClientCall, job_id: str) -> Answer:
         if not self._may_see(call, job_id):
             return self._answer_unknown_job(call, job_id)
-        booked = self._jobs.book.find(job_id)
+        booked = self._jobs.state.find(job_id)
         if booked is not None and booked.state in FINAL_STATES:
             return self._codec.answer_state(booked.state)
         if booked is not None and self._completions.contains(job_id):
@@ -290,7 +290,7 @@
         finished = booked.state in FINAL_STATES or self._completions.contains(job_id)
         if booked.cancelled or finished:
             return self._codec.answer_accepted()
-        record = make_record(CANCELLATION + job_id, Cancellation(self._clock.wall()))
+        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
         return await self._writes.store(
             call,
             record,
@@ -298,16 +298,16 @@
             partial(self._log, call.request, job_id),
         )
 
-    def _find(self, call: ClientCall, job_id: str) -> BookedJob | None:
+    def _find(self, call: ClientCall, job_id: str) -> StoredJob | None:
         """Return a stored job if the caller may see it."""
-        return self._jobs.book.find(job_id) if self._may_see(call, job_id) else None
+        return self._jobs.state.find(job_id) if self._may_see(call, job_id) else None
 
     def _may_see(self, call: ClientCall, job_id: str) -> bool:
         """Return whether a job does not belong to another account, as far as this host knows.
 
         A job that was stored without an account is visible to every caller.
         """
-        booked = self._jobs.book.find(job_id)
+        booked = self._jobs.state.find(job_id)
         dispatcher = self._get_dispatcher()
         account = '' if booked is None else booked.account
         if booked is None and dispatcher is not None:
@@ -338,7 +338,7 @@
             began - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
         ):
             return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
-        return self._codec.answer_pending(self._jobs.book.count_waiting(queue.name))
+        return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
 
     def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
         self._journal.tell_frequent(
@@ -351,7 +351,7 @@
 
     def _log_fields(self) -> dict[str, Any]:
         """Return the age of the latest read in seconds, and the owner as this host knows it."""
-        owner = self._jobs.book.owner
+        owner = self._jobs.state.owner
         return {
             'book_age': seconds_or_none(self._follower.age(self._clock.monotonic())),
             'owner': owner.host if owner else '',
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -16,7 +16,7 @@
 from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.model import ClientCodec, KeyedRecord
 from dandelionreel.cell.owner import Dispatcher
-from dandelionreel.cell.store import Follower, GroupWriter, Written
+from dandelionreel.cell.store import Follower, GroupWriter, WriteOutcome
 from dandelionreel.http import Answer, answer_problem
 from dandelionreel.kernel import Clock, Problem, Verdict
 
@@ -44,7 +44,7 @@
 
 
 Attempt = Callable[[float, _Progress], Awaitable[Answer | None]]
-StoreAtOwner = Callable[[Dispatcher, float], Awaitable[Written]]
+StoreAtOwner = Callable[[Dispatcher, float], Awaitable[WriteOutcome]]
 Forwarder = Callable[[ClientCall, float], Awaitable[Relayed]]
 #: Logs the outcome of a call, with further fields.
 LogOutcome = Callable[..., None]
@@ -192,11 +192,11 @@
 
         return by_peer
 
-    def _note_outcome(self, outcome: Written, progress: _Progress) -> Answer | None:
+    def _note_outcome(self, outcome: WriteOutcome, progress: _Progress) -> Answer | None:
         """Return the answer if the record was stored, else record the outcome."""
-        if outcome is Written.STORED:
+        if outcome is WriteOutcome.STORED:
             return self._codec.answer_accepted()
-        progress.in_doubt = progress.in_doubt or outcome is not Written.REFUSED
+        progress.in_doubt = progress.in_doubt or outcome is not WriteOutcome.REFUSED
         progress.outcomes.append(f'{progress.attempted_by}: {outcome.value}')
         return None
 
@@ -209,4 +209,4 @@
         if self._follower.age(now) > STALE_READ_SECONDS:
             return True
         writer = self._writer
-        return writer.in_trouble(now) and now - writer.failed_at < APPEND_RETRY_SECONDS
+        return writer.store_is_failing(now) and now - writer.failed_at < APPEND_RETRY_SECONDS
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -21,7 +21,7 @@
     RunnerFenced,
     RunnerReplaced,
 )
-from dandelionreel.cell.store import JobBook, RunnersFolder
+from dandelionreel.cell.store import CellState, RunnerProjection
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
@@ -51,8 +51,8 @@
         self,
         me: str,
         zone: str,
-        book: JobBook,
-        runners: RunnersFolder,
+        book: CellState,
+        runners: RunnerProjection,
         partition_detector: PartitionDetector,
         completions: Completions,
         links: PeerLinks,
--- /dev/null
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -0,0 +1,127 @@
+"""Jobs, runners and the allocations that link them. No I/O.
+
+Every change to an allocation goes through this module.
+"""
+
+from dandelionreel.cell.decisions._job_runs import AllocationIndex
+from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
+from dandelionreel.cell.decisions._runs import JobRun
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun
+from dandelionreel.cell.decisions._stops import StopQueue
+from dandelionreel.cell.model import TaskName
+
+
+class AllocationTable:
+    """All allocations of a cell, by job and by runner."""
+
+    def __init__(self) -> None:
+        """Start without jobs and runners."""
+        self.job_by_id: dict[str, JobRun] = {}
+        #: Jobs that may still have tasks to start.
+        self.unfinished_job_by_id: dict[str, JobRun] = {}
+        self.runner_by_id: dict[str, RunnerState] = {}
+        #: Ids of jobs whose progress may have to be written to the store.
+        self.dirty: set[str] = set()
+        self._runs = AllocationIndex()
+        #: Total demand of the runs of each client account.
+        self.usage = self._runs.usage
+        self._stops = StopQueue()
+
+    def hold(self, runner: RunnerState, allocation: Allocation) -> None:
+        """Add an allocation to its runner and its job."""
+        self._runs.hold(runner, allocation)
+
+    def free(self, runner: RunnerState, allocation: Allocation) -> JobRun | None:
+        """Remove the allocation of a finished run; return its job, ``None`` if unknown."""
+        self._runs.free(runner, allocation)
+        job = self.job_by_id.get(allocation.task.job)
+        if job is not None:
+            job.note_run_ended(allocation.task, allocation.run)
+            self.dirty.add(job.id)
+        return job
+
+    def drop_lost(self, runner: RunnerState, allocation: Allocation) -> None:
+        """Remove a run that is known to be gone but whose end was never listed."""
+        job = self.free(runner, allocation)
+        found = None if job is None else job.find_task(allocation.task)
+        if found is None:
+            return
+        step, task = found
+        if allocation.checkpoint and task.phase is not TaskPhase.DONE:
+            task.checkpoint = allocation.checkpoint
+        if not is_current(task, allocation.runner, allocation.run):
+            return
+        step.release(task)
+        if step.step.gang:
+            self.stop_members(step)
+
+    def drop_all_lost(self, runner: RunnerState) -> None:
+        """Remove all runs of a runner that was lost before it listed their ends."""
+        for allocation in tuple(runner.allocation_by_run.values()):
+            self.drop_lost(runner, allocation)
+
+    def find(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
+        """Return a task with its step, ``None`` if the task is unknown."""
+        job = self.job_by_id.get(name.job)
+        return None if job is None else job.find_task(name)
+
+    def find_allocation(self, task: TaskRun) -> Allocation | None:
+        """Return the allocation of a placed task, ``None`` if there is none."""
+        runner = self.runner_by_id.get(task.runner)
+        if runner is None:
+            return None
+        return runner.allocation_by_run.get((task.name, task.run))
+
+    def step_of(self, allocation: Allocation) -> StepRun | None:
+        """Return the step of an allocation, ``None`` if its job is unknown."""
+        job = self.job_by_id.get(allocation.task.job)
+        return None if job is None else job.find_step(allocation.task)
+
+    def confirm_start(self, allocation: Allocation, now: float) -> None:
+        """Note that the runner has confirmed a start."""
+        if allocation.phase is not AllocationPhase.STARTING:
+            return
+        allocation.phase = AllocationPhase.RUNNING
+        allocation.started_at = now
+        allocation.order_answered_at = now
+        self.mark_started(allocation.task.job)
+
+    def mark_started(self, job_id: str) -> None:
+        """Note that the first task of a job has started."""
+        job = self.job_by_id.get(job_id)
+        if job is not None and not job.has_started:
+            job.mark_started()
+            self.dirty.add(job.id)
+
+    def stop(self, allocation: Allocation) -> None:
+        """Request a stop of a run; its allocation stays until the run is known to be gone."""
+        self._stops.order(allocation)
+
+    def repeat_stop(self, allocation: Allocation, asked: float) -> None:
+        """Repeat the stop of a run if a poll sent at ``asked`` should no longer list it."""
+        self._stops.repeat(allocation, asked)
+
+    def stop_members(self, step: StepRun) -> None:
+        """Stop all placed members of a gang."""
+        for task in step.tasks:
+            allocation = self.find_allocation(task) if task.phase is TaskPhase.PLACED else None
+            if allocation is not None:
+                self.stop(allocation)
+
+    def stop_job(self, job_id: str) -> None:
+        """Stop all runs of a job."""
+        for allocation in self._runs.of_job(job_id):
+            self.stop(allocation)
+
+    def allocations_of_job(self, job_id: str) -> list[Allocation]:
+        """Return all allocations of a job, over all runners."""
+        return self._runs.of_job(job_id)
+
+    def take_stops(self) -> list[Allocation]:
+        """Return the stops to send; each is returned only once."""
+        return self._stops.take()
+
+
+def is_current(task: TaskRun, runner: str, run: int) -> bool:
+    """Return whether a run is the current run of its task."""
+    return task.phase is TaskPhase.PLACED and task.runner == runner and task.run == run
--- /dev/null
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -0,0 +1,107 @@
+"""Chooses the runners on which tasks are placed. No I/O.
+
+Load pattern: an availability zone is cut off for some seconds, and every job with a task there has
+to wait. A job's tasks are placed in the zone of its client as long as no slot elsewhere stays
+unused for that, so that fewer jobs depend on any one zone.
+"""
+
+from collections.abc import Iterable
+
+from dandelionreel.cell.decisions._ledger import RunnerState
+from dandelionreel.cell.decisions._reservations import count_slots
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskRun, counted_demand
+from dandelionreel.cell.model import Demand
+
+#: A runner that may run a task, with the ticket for the start (empty if none is needed).
+TicketedRunner = tuple[RunnerState, str]
+
+
+def has_required_label(step: StepRun, runner: RunnerState) -> bool:
+    """Return whether a runner has the label that a step requires."""
+    required = step.step.required_label
+    return not required or required in runner.registration.labels
+
+
+def choose_runner(
+    step: StepRun,
+    task: TaskRun,
+    demand: Demand,
+    ticketed: list[TicketedRunner],
+    zone: str = '',
+) -> TicketedRunner | None:
+    """Return the best runner for a task: best fit, with runners in ``zone`` preferred.
+
+    A quarantined task goes to the runner with the least CPU in use, as it may crash its runner.
+    """
+    best = None
+    best_preference = None
+    limit = step.step.max_per_runner
+    rack = step.step.data_rack
+    for runner, ticket in ticketed:
+        if not demand.fits(runner.free_capacity) or not runner.accepts(
+            quarantined=task.quarantined
+        ):
+            continue
+        if limit and runner.count_step(step.name) >= limit:
+            continue
+        preference = (
+            runner.id in task.avoid,
+            runner.used.cpu if task.quarantined else 0,
+            bool(rack) and rack not in runner.registration.labels,
+            runner.registration.zone != zone,
+            _remaining_share(demand, runner),
+        )
+        if best_preference is None or preference < best_preference:
+            best, best_preference = (runner, ticket), preference
+    return best
+
+
+def _remaining_share(demand: Demand, runner: RunnerState) -> float:
+    """Return the free share of a runner with the task placed, CPU plus memory."""
+    capacity = runner.registration.capacity
+    room = runner.free_capacity
+    return (room.cpu - demand.cpu) / max(1, capacity.cpu) + (
+        room.memory_mb - demand.memory_mb
+    ) / max(1, capacity.memory_mb)
+
+
+def group_by_location(
+    step: StepRun, available: list[TicketedRunner], zone: str = ''
+) -> Iterable[list[TicketedRunner]]:
+    """Return the sets of runners to try for a gang, one after the other.
+
+    Single racks come first if the step asks for one rack, then single zones with ``zone`` before
+    the others, as one member behind a partition blocks the whole gang; then all runners.
+    """
+    if step.step.same_rack:
+        by_rack: dict[str, list[TicketedRunner]] = {}
+        for runner, ticket in available:
+            rack = runner.registration.labels[-1] if runner.registration.labels else ''
+            by_rack.setdefault(rack, []).append((runner, ticket))
+        yield from sorted(by_rack.values(), key=len)
+    by_zone: dict[str, list[TicketedRunner]] = {}
+    for entry in available:
+        by_zone.setdefault(entry[0].registration.zone, []).append(entry)
+    yield from (by_zone[name] for name in sorted(by_zone, key=zone.__ne__))
+    yield available
+
+
+def assign_gang(step: StepRun, available: list[TicketedRunner]) -> list[TicketedRunner] | None:
+    """Return a runner for each member, or ``None`` if they do not all fit now."""
+    demand = counted_demand(step)
+    limit = step.step.max_per_runner
+    quarantined = any(task.quarantined for task in step.tasks)
+    assigned: list[TicketedRunner] = []
+    needed = len(step.tasks)
+    # Best fit: free capacity stays concentrated on few runners.
+    fullest_first = sorted(available, key=lambda entry: _remaining_share(demand, entry[0]))
+    for runner, ticket in fullest_first:
+        if not runner.accepts(quarantined=quarantined):
+            continue
+        slots = count_slots(demand, runner.free_capacity, limit)
+        if limit:
+            slots = min(slots, limit - runner.count_step(step.name))
+        assigned.extend([(runner, ticket)] * min(slots, needed - len(assigned)))
+        if len(assigned) == needed:
+            return assigned
+    return None
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that make no progress although a step's turn has come, and what they wait for. No I/O."""
+"""Finds jobs without progress although a step is due, with what they wait for. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,23 +6,23 @@
 from dandelionreel.cell.decisions._cell import Cell
 from dandelionreel.cell.decisions._ledger import Allocation
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase
 
-#: Seconds without a change, beyond what runs are expected to take, until a job is stalled.
+#: Seconds without a change, beyond the expected duration of runs, after which a job is stalled.
 STALL_SECONDS = 3.0
-#: Share of its expected time by which a run may be late.
-OVERRUN_SHARE = 1.0
-#: Seconds between two looks at all jobs, and until the same stall is reported again.
-LOOK_SECONDS = 1.5
-REPEAT_SECONDS = 5.0
-#: Jobs in one report, and runs named for one job.
+#: Fraction of its expected duration by which a run may be late.
+LATE_FRACTION = 1.0
+#: Seconds between two checks of all jobs, and between two reports of the same job.
+CHECK_INTERVAL_SECONDS = 1.5
+REPORT_INTERVAL_SECONDS = 5.0
+#: Jobs in one report, and runs listed for one job.
 MAX_JOBS = 5
 MAX_RUNS = 10
 
 
 @dataclass(frozen=True)
 class StalledJob:
-    """A job without progress for ``seconds``; ``steps`` and ``runs`` are for people."""
+    """A job without progress for ``seconds``; ``steps`` and ``runs`` are readable descriptions."""
 
     job: str
     queue: str
@@ -34,7 +34,7 @@
 
 @dataclass
 class _Progress:
-    """How often a job's tasks had changed when last seen, and since when (monotonic seconds)."""
+    """Number of changes of a job's tasks, and since when it is unchanged (monotonic seconds)."""
 
     changes: int
     since: float
@@ -45,42 +45,48 @@
     """Finds the jobs of a cell that are stalled."""
 
     def __init__(self, cell: Cell) -> None:
-        """Watch the jobs of that cell."""
+        """Watch the jobs of ``cell``."""
         self._cell = cell
         self._progress_by_job: dict[str, _Progress] = {}
-        self._looked_at = float('-inf')
+        self._checked_at = float('-inf')
 
     def find(self, now: float, wall: float) -> list[StalledJob]:
-        """Return stalled jobs that are due for a report, those without a change longest first."""
-        if now - self._looked_at < LOOK_SECONDS:
+        """Return the stalled jobs that are due for a report, longest stall first."""
+        if now - self._checked_at < CHECK_INTERVAL_SECONDS:
             return []
-        self._looked_at = now
-        due = sorted(self._list_due(now), key=_since)
+        self._checked_at = now
+        candidates = sorted(self._find_candidates(now), key=_since)
         stalled: list[StalledJob] = []
-        for known, job in due:
+        for progress, job in candidates:
             steps = job.unfinished_steps(wall)
-            held = self._cell.held_of(job.id)
+            held = self._cell.allocations_of_job(job.id)
             if len(stalled) == MAX_JOBS:
                 break
-            if steps and _is_overdue(known, held, now):
-                known.reported_at = now
-                stalled.append(self._describe(job, steps, held, now - known.since, now))
+            if steps and _is_overdue(progress, held, now):
+                progress.reported_at = now
+                stalled.append(self._describe(job, steps, held, now - progress.since, now))
         return stalled
 
-    def _list_due(self, now: float) -> list[tuple[_Progress, JobRun]]:
-        """Return the jobs without a change for long that have not been reported lately."""
-        former = self._progress_by_job
+    def _find_candidates(self, now: float) -> list[tuple[_Progress, JobRun]]:
+        """Return the jobs without a recent change that have not been reported recently."""
+        previous = self._progress_by_job
         self._progress_by_job = {}
-        due = []
-        for job in self._cell.live_by_id.values():
+        candidates = []
+        for job in self._cell.unfinished_job_by_id.values():
             changes = job.count_changes()
-            known = former.get(job.id)
-            if known is None or known.changes != changes:
-                known = _Progress(changes, now)
-            self._progress_by_job[job.id] = known
-            if now - max(known.since + STALL_SECONDS, known.reported_at + REPEAT_SECONDS) >= 0:
-                due.append((known, job))
-        return due
+            progress = previous.get(job.id)
+            if progress is None or progress.changes != changes:
+                progress = _Progress(changes, now)
+            self._progress_by_job[job.id] = progress
+            if (
+                now
+                - max(
+                    progress.since + STALL_SECONDS, progress.reported_at + REPORT_INTERVAL_SECONDS
+                )
+                >= 0
+            ):
+                candidates.append((progress, job))
+        return candidates
 
     def _describe(
         self,
@@ -101,7 +107,7 @@
 
     def _describe_step(self, step: StepRun, now: float) -> str:
         tickets = self._cell.tickets.of(step.name)
-        placed = sum(task.phase is Phase.PLACED for task in step.tasks)
+        placed = sum(task.phase is TaskPhase.PLACED for task in step.tasks)
         return (
             f'{step.name.occurrence}.{step.name.step}: {step.waiting} waiting, {placed} placed, '
             f'{step.done} done; {len(tickets.allowed)} of {len(tickets.asked)} runners allowed, '
@@ -113,9 +119,9 @@
     return entry[0].since
 
 
-def _is_overdue(known: _Progress, held: Iterable[Allocation], now: float) -> bool:
+def _is_overdue(progress: _Progress, held: Iterable[Allocation], now: float) -> bool:
     expected = max((allocation.expected for allocation in held), default=0.0)
-    return now - known.since >= STALL_SECONDS + expected * (1 + OVERRUN_SHARE)
+    return now - progress.since >= STALL_SECONDS + expected * (1 + LATE_FRACTION)
 
 
 def _describe_run(allocation: Allocation, now: float) -> str:
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -168,7 +168,9 @@
 
     async def _request_from(self, host: str, request: AdviceRequest) -> None:
         advice = request.advice
-        expected_seconds = advice.decision + advice.per_runner * len(request.runners)
+        expected_seconds = advice.decision_seconds + advice.seconds_per_runner * len(
+            request.runners
+        )
         timeout = expected_seconds * TIMEOUT_FACTOR + TIMEOUT_MARGIN_SECONDS
         try:
             permits = await self._request_permits(host, request, timeout)
@@ -181,7 +183,7 @@
             self._backoff_until_by_host[host] = self._clock.monotonic() + PEER_BACKOFF_SECONDS
             await self._on_failed(request)
         else:
-            until = self._clock.monotonic() + request.advice.valid
+            until = self._clock.monotonic() + request.advice.valid_seconds
             await self._on_answered(request, permits, until)
         finally:
             self._busy.discard(host)
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -12,7 +12,7 @@
 from dandelionreel.cell.membership._claim_order import claim_delay
 from dandelionreel.cell.model import (
     OWNER_KEY,
-    UNSETTLED_SECONDS,
+    PREDECESSOR_LEASE_SECONDS,
     ConflictError,
     Member,
     Owner,
@@ -21,7 +21,7 @@
     WriterFence,
     make_record,
 )
-from dandelionreel.cell.store import Follower, JobFolder
+from dandelionreel.cell.store import CellProjection, Follower
 from dandelionreel.kernel import Clock, Journal, Part, Verdict, seconds_or_none
 from dandelionreel.peers import Done, Frame, Message, OwnerAsked, PeerError, Refused
 
@@ -128,7 +128,7 @@
         self,
         topic: Topic,
         follower: Follower,
-        folder: JobFolder,
+        folder: CellProjection,
         incarnation: str,
         ask_peer: AskPeer,
         clock: Clock,
@@ -174,7 +174,7 @@
 
     def still_owner(self, term: Term) -> bool:
         """Return whether the newest known owner is that of this term."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and owner.term == term.term
 
     def suspect(self, term: str) -> None:
@@ -230,7 +230,7 @@
         await curio.sleep(POLL_SECONDS)
         if self._is_unreachable(self._clock.monotonic()):
             # Read now: a heartbeat that is already stored must not be missed.
-            await self._follower.hurry()
+            await self._follower.read_now()
 
     def _is_suspected(self, owner: Owner, now: float) -> bool:
         return self._suspected_term == owner.term and now < self._suspected_until
@@ -241,7 +241,7 @@
 
     def _is_unreachable(self, now: float) -> bool:
         """Return whether the owner was recently reported as unreachable."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return (
             owner is not None
             and self._unreachable_term == owner.term
@@ -251,7 +251,7 @@
     def _is_unreachable_and_silent(self, now: float) -> bool:
         """Return whether the owner neither replies to peers nor writes heartbeats."""
         unreachable_silence = max(
-            UNREACHABLE_SILENT_SECONDS, UNREACHABLE_GAP_FACTOR * self._folder.usual_gap
+            UNREACHABLE_SILENT_SECONDS, UNREACHABLE_GAP_FACTOR * self._folder.average_heartbeat_gap
         )
         return (
             self._is_unreachable(now) and now - self._folder.owner_heard_at >= unreachable_silence
@@ -261,13 +261,13 @@
         """Return whether the owner's process was replaced by a later one on the same host."""
         if owner.host == self._host:
             return owner.term != self.incarnation
-        return self._folder.book.owner_has_ended()
+        return self._folder.state.owner_has_ended()
 
     def _vacancy(self) -> Vacancy:
         now = self._clock.monotonic()
         if not self._follower.started or self._follower.age(now) > MAX_READ_AGE_SECONDS:
             return Vacancy.HELD
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         if owner is None or owner.released:
             return Vacancy.VACANT
         if (
@@ -277,15 +277,15 @@
         ):
             return Vacancy.VACANT
         heard_at = self._folder.owner_heard_at
-        silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._folder.usual_gap)
-        if heard_at < self._follower.reached_since:
-            heard_at, silent = self._follower.reached_since, SILENT_AFTER_OUTAGE_SECONDS
+        silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._folder.average_heartbeat_gap)
+        if heard_at < self._follower.reachable_since:
+            heard_at, silent = self._follower.reachable_since, SILENT_AFTER_OUTAGE_SECONDS
         if now - heard_at < silent or now < self._known_alive_until:
             return Vacancy.HELD
         return Vacancy.SILENT
 
     def _claim_delay(self) -> float:
-        book = self._folder.book
+        book = self._folder.state
         return claim_delay(book.member_by_host, self._host, book.owner.host if book.owner else '')
 
     async def _owner_is_alive(self) -> bool:
@@ -294,10 +294,10 @@
         A slow store may delay heartbeats for longer than the timeout for a dead owner, and each
         claim would delay them further.
         """
-        owner = self._folder.book.owner
-        member = self._folder.book.member_by_host.get(owner.host) if owner else None
+        owner = self._folder.state.owner
+        member = self._folder.state.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
-        silent = now - max(self._folder.owner_heard_at, self._follower.reached_since)
+        silent = now - max(self._folder.owner_heard_at, self._follower.reachable_since)
         if owner is None or member is None or silent > MAX_EXCUSED_SILENCE_SECONDS:
             return False
         try:
@@ -336,7 +336,7 @@
 
     async def _claim_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
-        former = self._folder.book.owner
+        former = self._folder.state.owner
         heard_at = self._folder.owner_heard_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
@@ -346,7 +346,7 @@
             epoch=fence.epoch,
             former=former.term if former else '',
             silent_seconds=seconds_or_none(claimed_at - heard_at),
-            usual_gap=round(self._folder.usual_gap, 3),
+            usual_gap=round(self._folder.average_heartbeat_gap, 3),
             unheard=self._is_unreachable(claimed_at),
             conditional=expected_end is not None,
         )
@@ -371,11 +371,11 @@
 
     def _has_ended(self, owner: Owner) -> bool:
         """Return whether an owner's process is known to have ended."""
-        return owner.host == self._host or self._folder.book.has_ended(owner)
+        return owner.host == self._host or self._folder.state.has_ended(owner)
 
     def _may_be_alive(self) -> bool:
         """Return whether the known owner may still act."""
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and not owner.released and not self._has_ended(owner)
 
     async def _catch_up(self) -> None:
@@ -402,7 +402,7 @@
             fence.epoch,
             self._host,
             self.incarnation,
-            unsettled=UNSETTLED_SECONDS,
+            unsettled=PREDECESSOR_LEASE_SECONDS,
             read_from=self._follower.read_from,
         )
         claim = make_record(OWNER_KEY, owner)
@@ -428,5 +428,5 @@
     async def _confirm_claim(self, epoch: int) -> bool:
         """Read all records up to the claim; return whether it was won."""
         await self._catch_up()
-        owner = self._folder.book.owner
+        owner = self._folder.state.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -1,4 +1,4 @@
-"""Starts and stops, repeated until it is known what became of them."""
+"""Sends starts and stops to runners and retries them until their outcome is known."""
 
 from typing import Any
 
@@ -15,184 +15,187 @@
     StepName,
 )
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.store import Written
+from dandelionreel.cell.store import WriteOutcome
 from dandelionreel.kernel import Part, Verdict, seconds_or_none
 
-#: Seconds in which the runners of a job must be stored before its starts are withdrawn.
-RECORD_PATIENCE = 0.9
-#: Tries of one start before it is taken back.
-START_TRIES = 4
-RETRY_SECONDS = 0.03
-#: Seconds between tries of one stop.
-RESTOP_SECONDS = 0.2
-#: Seconds for which a runner that could not be reached gets no start.
-UNREACHED_QUIET = 0.3
-#: Starts that may be under way at the same time.
-MOST_UNDER_WAY = 64
-#: Seconds for the answer to a start above which it is logged.
-SLOW_ANSWER = 0.1
-
-
-class Orders:
-    """Sends what the planner has decided."""
+#: Timeout in seconds for storing a job's new runners, after which its starts are withdrawn.
+RECORD_TIMEOUT = 0.9
+#: Attempts of one start before it is revoked.
+START_ATTEMPTS = 4
+#: Seconds between attempts of one start.
+START_RETRY_SECONDS = 0.03
+#: Seconds between attempts of one stop.
+STOP_RETRY_SECONDS = 0.2
+#: Seconds for which an unreachable runner is sent no starts.
+UNREACHABLE_PAUSE_SECONDS = 0.3
+#: Maximum number of concurrent starts.
+MAX_PENDING_STARTS = 64
+#: Seconds that a start may take to be answered before it is logged as slow.
+SLOW_START_SECONDS = 0.1
+
+
+class OrderSender:
+    """Sends the starts and stops that the planner has decided."""
 
     def __init__(self, context: OwnerContext) -> None:
-        """Send on behalf of ``context``."""
+        """Send orders under the term of ``context``."""
         self._owner_context = context
-        #: Starts that were decided and are not answered yet.
-        self._under_way = 0
+        #: Number of starts that are decided but not yet answered.
+        self._pending_starts = 0
         self._was_full = False
 
     @property
-    def free(self) -> int:
-        """Return how many more starts may be under way.
+    def free_starts(self) -> int:
+        """Return how many more starts may be pending.
 
-        An owner that is short of processor time would else send the urgent ones behind many
-        others, by tickets that expire meanwhile.
+        Without the limit, an owner that is short of processor time would send urgent starts after
+        many others, and their tickets would expire meanwhile.
         """
-        return max(0, MOST_UNDER_WAY - self._under_way)
+        return max(0, MAX_PENDING_STARTS - self._pending_starts)
 
     async def send_starts(self, allocations: list[Allocation]) -> None:
-        """Send starts; first store the runners that are new to their jobs.
+        """Send starts; runners that are new to their jobs are stored first.
 
-        Starts of tasks under which runners have crashed are stored one by one.
+        A start of a task during which runners have crashed is always stored first.
         """
-        self._under_way += len(allocations)
+        self._pending_starts += len(allocations)
         unstored: dict[str, list[Allocation]] = {}
         for allocation in allocations:
             job = self._owner_context.cell.job_by_id.get(allocation.task.job)
             if job is None:
-                # It was over, and forgotten, before its start could be sent.
-                await self._withdraw_unsent(allocation)
+                # The job ended and was removed before its start could be sent.
+                await self._withdraw_unsent_start(allocation)
                 continue
             if job.note_start(allocation.task, allocation.run, allocation.runner):
                 unstored.setdefault(job.id, []).append(allocation)
                 continue
-            await curio.spawn(self._settle_start, allocation, daemon=True)
+            await curio.spawn(self._run_start, allocation, daemon=True)
         if unstored:
             await curio.spawn(self._store_and_send, unstored, daemon=True)
 
     async def send_stop(self, allocation: Allocation) -> None:
-        """Repeat a stop until the runner has taken it."""
+        """Send a stop and retry it until the runner acknowledges it."""
         runner = self._owner_context.runner_by_id.get(allocation.runner)
         while runner is not None and self._owner_context.may_act():
             state = self._owner_context.cell.runner_by_id.get(allocation.runner)
             if state is None or (allocation.task, allocation.run) not in state.allocation_by_run:
                 return
-            self._note_order(state)
+            self._note_order_sent(state)
             try:
                 await runner.stop(allocation.task, allocation.run, self._owner_context.term.epoch)
             except RunnerError as error:
-                self._tell_missed_stop(allocation, error)
-                await curio.sleep(RESTOP_SECONDS)
+                self._log_unanswered_stop(allocation, error)
+                await curio.sleep(STOP_RETRY_SECONDS)
                 continue
             except RunnerFenced:
-                await self._owner_context.lose(f'{allocation.runner} has seen a higher epoch')
+                await self._owner_context.end_term(f'{allocation.runner} has seen a higher epoch')
                 return
             except RunnerReplaced:
-                await self._end_replaced(state)
+                await self._end_replaced_runner(state)
                 return
-            self._take_stop(state, allocation)
+            self._apply_stop_reply(state, allocation)
             return
 
-    def _take_stop(self, state: RunnerState, allocation: Allocation) -> None:
+    def _apply_stop_reply(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
         cell.zone_reachability.note_answer(state.registration.zone)
-        cell.stop_answered(allocation, self._owner_context.clock.monotonic())
+        cell.handle_stop_reply(allocation, self._owner_context.clock.monotonic())
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'{allocation.runner} has taken a stop.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
         )
 
-    def _tell_missed_stop(self, allocation: Allocation, error: RunnerError) -> None:
+    def _log_unanswered_stop(self, allocation: Allocation, error: RunnerError) -> None:
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'a stop was not answered: {error}.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
             verdict=error.verdict.value,
         )
 
     async def _store_and_send(self, allocations_by_job: dict[str, list[Allocation]]) -> None:
         found = (self._owner_context.cell.job_by_id.get(job_id) for job_id in allocations_by_job)
         jobs = [job for job in found if job is not None]
-        writing = await curio.spawn(self._owner_context.store_progress, jobs, daemon=True)
-        outcome = await curio.ignore_after(RECORD_PATIENCE, writing.join)
+        write_task = await curio.spawn(self._owner_context.store_progress, jobs, daemon=True)
+        outcome = await curio.ignore_after(RECORD_TIMEOUT, write_task.join)
         for allocations in allocations_by_job.values():
             for allocation in allocations:
-                if outcome is Written.STORED:
-                    await curio.spawn(self._settle_start, allocation, daemon=True)
+                if outcome is WriteOutcome.STORED:
+                    await curio.spawn(self._run_start, allocation, daemon=True)
                 else:
-                    await self._withdraw_unsent(allocation)
+                    await self._withdraw_unsent_start(allocation)
 
-    async def _withdraw_unsent(self, allocation: Allocation) -> None:
-        self._owner_context.cell.withdraw(allocation)
-        await self._note_settled()
+    async def _withdraw_unsent_start(self, allocation: Allocation) -> None:
+        self._owner_context.cell.release_start(allocation)
+        await self._note_start_finished()
 
-    async def _settle_start(self, allocation: Allocation) -> None:
-        """Send a start, and let others go once it is known what became of it."""
+    async def _run_start(self, allocation: Allocation) -> None:
+        """Send a start and count it as finished once its outcome is known."""
         try:
             await self._send_start(allocation)
         finally:
-            await self._note_settled()
+            await self._note_start_finished()
 
-    async def _note_settled(self) -> None:
-        self._was_full = self._was_full or not self.free
-        self._under_way -= 1
-        # Plans for one start each would take the time that the starts need.
-        if self._was_full and self._under_way <= MOST_UNDER_WAY // 2:
+    async def _note_start_finished(self) -> None:
+        self._was_full = self._was_full or not self.free_starts
+        self._pending_starts -= 1
+        # Planning again after each answer would use up the processor time that starts need.
+        if self._was_full and self._pending_starts <= MAX_PENDING_STARTS // 2:
             self._was_full = False
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
 
     async def _send_start(self, allocation: Allocation) -> None:
         state = self._owner_context.cell.runner_by_id.get(allocation.runner)
         runner = self._owner_context.runner_by_id.get(allocation.runner)
         job = self._owner_context.cell.job_by_id.get(allocation.task.job)
         if state is None or runner is None or job is None:
-            self._owner_context.cell.withdraw(allocation)
+            self._owner_context.cell.release_start(allocation)
             return
         if state.suspect:
-            # It went silent while the start was on its way to the store. Sent in vain, the
-            # start would hold its task up, and count as one that the runner crashed under.
-            self._owner_context.cell.withdraw(allocation)
+            # The runner became silent while the job's runners were being stored. A start sent now
+            # would delay its task and count as one during which the runner crashed.
+            self._owner_context.cell.release_start(allocation)
             return
-        self._tell_start(state, allocation, job)
-        maybe_sent = await self._try_start(state, runner, allocation, job.spec.payload)
-        if maybe_sent is None:
+        self._log_start(state, allocation, job)
+        may_have_arrived = await self._try_start(state, runner, allocation, job.spec.payload)
+        if may_have_arrived is None:
             return
-        if maybe_sent:
-            self._owner_context.cell.take_back(allocation)
+        if may_have_arrived:
+            self._owner_context.cell.revoke_start(allocation)
         else:
             if state.suspect:
-                state.quiet_until = self._owner_context.clock.monotonic() + UNREACHED_QUIET
-            self._owner_context.cell.withdraw(allocation)
-        await self._owner_context.wake.notify()
+                state.no_starts_until = (
+                    self._owner_context.clock.monotonic() + UNREACHABLE_PAUSE_SECONDS
+                )
+            self._owner_context.cell.release_start(allocation)
+        await self._owner_context.plan_needed.notify()
 
-    def _fields(self, allocation: Allocation) -> dict[str, Any]:
+    def _log_fields(self, allocation: Allocation) -> dict[str, Any]:
         return self._owner_context.run_fields(allocation.runner, allocation.task, allocation.run)
 
-    def _tell_start(self, state: RunnerState, allocation: Allocation, job: JobRun) -> None:
-        """Tell a start with the age of what it rests on.
+    def _log_start(self, state: RunnerState, allocation: Allocation, job: JobRun) -> None:
+        """Log a start with the age of the data that the decision is based on.
 
-        ``store_age`` and ``runner_age`` are seconds since the store and the runner last
-        answered; ``version`` is that of the configuration. A task that was started by two
-        owners is traced by what the second one had and had not heard.
+        ``store_age`` and ``runner_age`` are seconds since the store and the runner last answered;
+        ``version`` is that of the configuration. If two owners start the same task, these fields
+        show what the second one did not know.
         """
         now = self._owner_context.clock.monotonic()
-        found = job.find(allocation.task)
+        found = job.find_task(allocation.task)
         configuration = self._owner_context.cell.configuration
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'starts a task on {state.id}.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
             zone=state.registration.zone,
             failures=found[1].failures if found else 0,
             crashes=job.crashes.count(allocation.task),
             version=configuration.version if configuration else None,
             store_age=round(now - self._owner_context.writer.stored_at, 3),
             runner_age=seconds_or_none(now - state.answered_at),
-            waited=round(now - job.accepted, 3),
-            room=state.room.cpu,
+            waited=round(now - job.accepted_at, 3),
+            room=state.free_capacity.cpu,
         )
 
     async def _try_start(
@@ -202,44 +205,51 @@
         allocation: Allocation,
         payload: str,
     ) -> bool | None:
-        """Repeat a start until it is answered; else return whether it may arrive."""
-        maybe_sent = False
+        """Retry a start until it is answered; else return whether it may have arrived."""
+        may_have_arrived = False
 
-        def check() -> bool:
+        def may_send() -> bool:
             return self._owner_context.may_start() and self._may_start(allocation)
 
-        began = self._owner_context.clock.monotonic()
-        for _ in range(START_TRIES):
-            if not check():
-                # Withdrawn, not unanswered: that says nothing of the runner.
-                return maybe_sent
-            self._note_order(state)
+        started_at = self._owner_context.clock.monotonic()
+        for _ in range(START_ATTEMPTS):
+            if not may_send():
+                # Withdrawn by the owner, which is no sign that the runner is unreachable.
+                return may_have_arrived
+            self._note_order_sent(state)
             try:
-                answer = await runner.start(self._order(state, allocation, payload), check)
+                answer = await runner.start(
+                    self._make_start_order(state, allocation, payload), may_send
+                )
             except RunnerError as error:
                 arrived = error.verdict is not Verdict.NOT_RUN
-                # Later tries meet connections that the crash has closed before.
-                allocation.broken = allocation.broken or (
-                    arrived and error.broken and not maybe_sent
+                # Only the first attempt counts: a crash has already closed the connections that
+                # later attempts use.
+                allocation.connection_broken = allocation.connection_broken or (
+                    arrived and error.connection_broken and not may_have_arrived
                 )
-                maybe_sent = maybe_sent or arrived
-                allocation.unanswered = maybe_sent
-                # Nothing more goes there until it has answered a poll: a start that may have
-                # arrived holds its task up until the lease has run out.
+                may_have_arrived = may_have_arrived or arrived
+                allocation.start_unanswered = may_have_arrived
+                # Send no more starts there until the runner answers a poll: a start that may have
+                # arrived blocks its task until the lease has expired.
                 state.suspect = True
-                self._tell_unanswered(allocation, error)
-                if not maybe_sent or not check():
-                    return maybe_sent
-                await curio.sleep(RETRY_SECONDS)
+                self._log_unanswered_start(allocation, error)
+                if not may_have_arrived or not may_send():
+                    return may_have_arrived
+                await curio.sleep(START_RETRY_SECONDS)
                 continue
             self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
-            self._tell_slow(allocation, answer.reply, self._owner_context.clock.monotonic() - began)
-            await self._take_answer(state, allocation, answer.reply, in_doubt=maybe_sent)
+            self._log_slow_start(
+                allocation, answer.reply, self._owner_context.clock.monotonic() - started_at
+            )
+            await self._apply_start_reply(
+                state, allocation, answer.reply, in_doubt=may_have_arrived
+            )
             return None
-        return maybe_sent
+        return may_have_arrived
 
     def _may_start(self, allocation: Allocation) -> bool:
-        """Return whether a start is still wanted, and its ticket still good."""
+        """Return whether a start is still wanted and its ticket, if any, is still valid."""
         cell = self._owner_context.cell
         if not cell.may_start(allocation):
             return False
@@ -247,37 +257,41 @@
         now = self._owner_context.clock.monotonic()
         return not allocation.ticket or cell.tickets.is_valid(step, allocation.runner, now)
 
-    async def _end_replaced(self, state: RunnerState) -> None:
-        if await self._owner_context.confirms(state.registration.zone, state.answered_at):
-            self._owner_context.end_runner(state, 'another runner answers there', proven=True)
+    async def _end_replaced_runner(self, state: RunnerState) -> None:
+        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
+            self._owner_context.end_runner(
+                state, 'another runner answers at its address', proven=True
+            )
             return
-        # The next poll finds the same, and asks again.
+        # The next poll detects the replacement again and retries the confirmation.
         state.suspect = True
 
-    def _note_order(self, state: RunnerState) -> None:
+    def _note_order_sent(self, state: RunnerState) -> None:
         now = self._owner_context.clock.monotonic()
         self._owner_context.cell.zone_reachability.note_order(
             state.registration.zone, state.id, now
         )
 
-    def _tell_unanswered(self, allocation: Allocation, error: RunnerError) -> None:
+    def _log_unanswered_start(self, allocation: Allocation, error: RunnerError) -> None:
         self._owner_context.journal.tell_frequent(
             Part.PLACEMENT,
             f'a start was not answered: {error}.',
-            **self._fields(allocation),
+            **self._log_fields(allocation),
             verdict=error.verdict.value,
         )
 
-    def _tell_slow(self, allocation: Allocation, reply: StartReply, seconds: float) -> None:
-        if reply is StartReply.STARTED and seconds > SLOW_ANSWER:
+    def _log_slow_start(self, allocation: Allocation, reply: StartReply, seconds: float) -> None:
+        if reply is StartReply.STARTED and seconds > SLOW_START_SECONDS:
             self._owner_context.journal.tell_frequent(
                 Part.PLACEMENT,
                 f'{allocation.runner} has taken a start late.',
-                **self._fields(allocation),
+                **self._log_fields(allocation),
                 seconds=round(seconds, 3),
             )
 
-    def _order(self, state: RunnerState, allocation: Allocation, payload: str) -> StartOrder:
+    def _make_start_order(
+        self, state: RunnerState, allocation: Allocation, payload: str
+    ) -> StartOrder:
         lease_until = state.extend_lease(
             self._owner_context.clock.monotonic(), self._owner_context.lease
         )
@@ -291,7 +305,7 @@
             allocation.ticket,
         )
 
-    async def _take_answer(
+    async def _apply_start_reply(
         self,
         state: RunnerState,
         allocation: Allocation,
@@ -300,20 +314,20 @@
         in_doubt: bool,
     ) -> None:
         if reply is StartReply.FENCED:
-            await self._owner_context.lose(f'{state.id} has seen a higher epoch')
+            await self._owner_context.end_term(f'{state.id} has seen a higher epoch')
             return
         if reply is StartReply.REPLACED:
             if not in_doubt:
-                # It never ran there, so no crash of the runner counts for it.
-                self._owner_context.cell.withdraw(allocation)
-            await self._end_replaced(state)
+                # The task never ran there, so a crash of the runner does not count against it.
+                self._owner_context.cell.release_start(allocation)
+            await self._end_replaced_runner(state)
         else:
             now = self._owner_context.clock.monotonic()
-            self._owner_context.cell.start_answered(allocation, reply, now, in_doubt=in_doubt)
+            self._owner_context.cell.handle_start_reply(allocation, reply, now, in_doubt=in_doubt)
         if reply is not StartReply.STARTED:
             self._owner_context.journal.tell(
                 Part.PLACEMENT,
                 f'a start was refused: {reply.value}.',
-                **self._fields(allocation),
+                **self._log_fields(allocation),
             )
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -1,4 +1,4 @@
-"""What an entry host answers its peers."""
+"""The server of an entry host for the messages of its peers."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
@@ -28,7 +28,7 @@
 )
 from dandelionreel.platform import Address
 
-AnswerAsked = Callable[[Frame], Awaitable[Message]]
+OwnerQueryHandler = Callable[[Frame], Awaitable[Message]]
 
 
 async def listen_peers(
@@ -39,16 +39,16 @@
     advisor: LocalAdvisor,
     completions: CompletionAnswers,
     exchange: ConfigurationExchange,
-    answer_owner_query: AnswerAsked,
+    answer_owner_query: OwnerQueryHandler,
     clock: Clock,
     journal: Journal,
 ) -> None:
     """Answer peers at an address until the stack closes.
 
-    ``answer_asked`` tells whether this host acts as the owner, or could.
+    ``answer_owner_query`` replies whether this host acts as the owner, or could.
     """
     peers = PeerServer(election.incarnation, clock, EchoBook(), journal, Traffic())
-    answerers = (
+    handlers = (
         (Forward, front.handle_relayed),
         (OwnerFailing, election.handle_owner_failing),
         (OwnerAsked, answer_owner_query),
@@ -58,6 +58,6 @@
         (CompletionsWanted, completions.answer_query),
         (ConfigurationWanted, exchange.answer),
     )
-    for kind, answerer in answerers:
-        peers.answer(kind, answerer)
+    for kind, handler in handlers:
+        peers.answer(kind, handler)
     await peers.start(stack, address.host, address.port)
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -12,10 +12,10 @@
 from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, RunnerView, Submission
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
-    PROGRESS,
-    SUBMISSION,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
     DoneTasks,
     Member,
     Owner,
@@ -26,8 +26,8 @@
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
-from dandelionreel.cell.store._job_book import JobBook
-from dandelionreel.cell.store._runner_list import RunnersFolder
+from dandelionreel.cell.store._cell_state import CellState
+from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.kernel import ManualClock, Verdict
 from dandelionreel.peers import CompletionsSeen, CompletionsTold, Done, Frame, PeerError, Refused
 from features.cell_parts import SmallCell, make_registration, step, task
@@ -124,10 +124,10 @@
     if where.startswith('queried'):
         meanwhile = lambda: context.completions.answer(2)  # noqa: E731
     context.links = ZonePeerLinks(peer == 'a host that is cut off as well', meanwhile)
-    context.book = JobBook()
-    context.book.fold([make_record(f'{MEMBER}me', Member('south', '127.0.0.1', 1))])
+    context.book = CellState()
+    context.book.fold([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
     if peer != 'no other host':
-        context.book.fold([make_record(f'{MEMBER}peer', Member('south', '127.0.0.1', 2))])
+        context.book.fold([make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 2))])
 
 
 @given("a runner of its zone that {runner} the job's only task")
@@ -135,10 +135,13 @@
     submission = Submission('urgent', 'desk', 0.0, JobSpec('x', (step(),)))
     progress = Progress(1, JobState.RUNNING, runners=('w1',))
     context.book.fold(
-        [make_record(SUBMISSION + JOB, submission), make_record(PROGRESS + JOB, progress)]
+        [
+            make_record(SUBMISSION_PREFIX + JOB, submission),
+            make_record(PROGRESS_PREFIX + JOB, progress),
+        ]
     )
     clock = ManualClock(1000)
-    runners = RunnersFolder(None, clock, journal())
+    runners = RunnerProjection(None, clock, journal())
     runners.registration_by_id = {
         'w1': make_registration('w1', zone='south'),
         'w2': make_registration('w2', zone='west'),
@@ -209,7 +212,7 @@
     context.small = SmallCell(runners=())
     context.small.now = 1000
     context.small.registration_by_id['w1'] = make_registration('w1', zone='south')
-    context.small.see_runners()
+    context.small.update_runners()
     context.small.poll('w1')
     context.small.add_job(JOB, [step()])
     context.small.plan()
@@ -224,20 +227,20 @@
     if hosts.startswith('answers'):
         known = (JOB,) if 'complete' in hosts else ()
     context.zone = OneHostLinks(known)
-    book = JobBook()
+    book = CellState()
     for number in range(count):
         member = Member('south', '127.0.0.1', 1)
         book.member_by_host[f's-{number}'] = member
     for number, host in enumerate(book.member_by_host):
         book.member_by_host[host] = SouthMember(number)
     gossip = CompletionGossip(context.owner, book, context.zone, Completions(context.clock), 'me')
-    context.owner.confirms = ZoneConfirmation(context.owner, book, gossip, 'me').is_confirmed
+    context.owner.confirm_zone = ZoneConfirmation(context.owner, book, gossip, 'me').is_confirmed
     context.clock.advance(context.silent)
     times = 20 if hosts.endswith('times within 0.2 s') else 1
 
     async def hear():
         for _ in range(times):
-            await RunnerPoller(context.owner)._lapse(context.state)
+            await RunnerPoller(context.owner)._expire_leases(context.state)
             context.clock.advance(0.2 / times)
 
     curio.run(hear)
@@ -262,7 +265,7 @@
     complete = fate.endswith('its job as complete')
     assert (job.state is JobState.COMPLETED) is complete, job.state
     if not is_kept:
-        assert bool(job.ready_steps(0)) is True and job.over is complete
+        assert bool(job.ready_steps(0)) is True and job.is_over is complete
 
 
 @then('{count:d} queries were sent to the zone')
@@ -303,11 +306,11 @@
 @when("the partition heals, the owner {answers}, and the store {shows} the job's end")
 def cut_heals(context, answers, shows):
     owner = {'is not known': None, 'is the host itself': 'me'}.get(answers, 'owner')
-    facts = [make_record(f'{MEMBER}owner', Member('north', '127.0.0.1', 9))]
+    facts = [make_record(f'{MEMBER_PREFIX}owner', Member('north', '127.0.0.1', 9))]
     if owner is not None:
         facts.append(make_record(OWNER_KEY, Owner(2, owner, f'{owner}/1')))
     if shows == 'already shows':
-        facts.append(make_record(PROGRESS + JOB, Progress(2, JobState.COMPLETED)))
+        facts.append(make_record(PROGRESS_PREFIX + JOB, Progress(2, JobState.COMPLETED)))
     context.book.fold(facts)
     clock = context.completions._clock
     context.links = OwnerLinks(answers == 'accepts the report')
@@ -344,7 +347,7 @@
 def peer_reports(context):
     async def take_at_owner(jobs):
         if context.owns:
-            context.small.cell.take_complete(jobs)
+            context.small.cell.mark_complete(jobs)
         return context.owns
 
     answers = CompletionAnswers(context.completions, FixedDetector(context.cut_off), take_at_owner)
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -11,9 +11,9 @@
 from dandelionreel.cell.membership._partition_detector import PartitionDetector
 from dandelionreel.cell.membership._zone_contact import MISS_VALID_SECONDS, ZoneContact
 from dandelionreel.cell.model import Configuration, Service
-from dandelionreel.cell.model._records import MEMBER, Member, make_record
-from dandelionreel.cell.store._directory import ConfigurationFolder, JobFolder
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.model._records import MEMBER_PREFIX, Member, make_record
+from dandelionreel.cell.store._cell_state import CellState
+from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.http import Answer, Channel, Request, Server
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import PeerError
@@ -98,9 +98,9 @@
 
 
 def make_watch(clock, links, store_answered_at):
-    book = JobBook()
+    book = CellState()
     for host, zone in (('me', 'north'), ('s-1', 'south'), ('s-2', 'south'), ('w-1', 'west')):
-        book.fold([make_record(f'{MEMBER}{host}', Member(zone, '127.0.0.1', 1))])
+        book.fold([make_record(f'{MEMBER_PREFIX}{host}', Member(zone, '127.0.0.1', 1))])
     return PartitionDetector(
         'me', 'north', book, links, lambda: store_answered_at, clock, journal()
     )
@@ -151,15 +151,15 @@
     rotation = Rotation()
     for ago in (2.3, 1.3, 0.3):
         rotation.note_readiness_check(NOW - ago, ready=True)
-    configuration = ConfigurationFolder(None, journal())
+    configuration = ConfigurationProjection(None, journal())
     configuration.current = Configuration(1, QUEUES, (Service('desk', False, False),), 9999)
-    jobs = JobFolder(clock, journal())
+    jobs = CellProjection(clock, journal())
     context.front = make_client_api(
         configuration,
         jobs,
         StaleFollower(),
         UnusedWriter(),
-        Relay('me', jobs.book, links, clock, journal()),
+        Relay('me', jobs.state, links, clock, journal()),
         partition_detector=watch,
         rotation=rotation,
         clock=clock,
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -1,25 +1,25 @@
-"""Steps on starts of which it is not known whether they will be carried out."""
+"""Steps for starts with an unknown outcome."""
 
 import curio
 from behave import given, then, when
 
 from dandelionreel.cell.model import StartReply
 from dandelionreel.cell.model._services import RunnerError, StartAnswer
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.kernel import ManualClock, Verdict
 from features.cell_parts import SmallCell, step
 from features.store_parts import make_owner_context, until
 
 
-class DoubtfulRunner:
-    """Gives no answer to the first start, and then the one it was told."""
+class UnansweringRunner:
+    """Does not answer the first start, and answers later ones with ``reply``."""
 
     def __init__(self, reply):
         self.reply = reply
         self.starts = 0
 
     async def start(self, order, check):
-        """Lose the first answer."""
+        """Raise for the first start, answer the later ones."""
         assert check()
         self.starts += 1
         if self.starts == 1:
@@ -37,20 +37,20 @@
     context.owner = make_owner_context(context.small.cell, ManualClock(context.small.now))
 
 
-@when('its second try is refused as {reply}')
+@when('its second attempt is refused as {reply}')
 def refused(context, reply):
-    runner = DoubtfulRunner(StartReply[reply.upper()])
+    runner = UnansweringRunner(StartReply[reply.upper()])
     context.owner.runner_by_id[context.start.runner] = runner
 
     async def send():
-        await Orders(context.owner).send_starts([context.start])
+        await OrderSender(context.owner).send_starts([context.start])
         await until(lambda: runner.starts > 1)
         await curio.sleep(0.05)
 
     curio.run(send)
 
 
-@then('the task is not started elsewhere before a stop has forbidden the first try')
+@then('the task is not started elsewhere until a stop has ruled out the first attempt')
 def not_elsewhere(context):
-    again = context.small.plan(start=False).starts
-    assert not again, f'{again[0].task} starts on {again[0].runner} too'
+    starts = context.small.plan(start=False).starts
+    assert not starts, f'{starts[0].task} starts on {starts[0].runner} too'
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -23,10 +23,10 @@
     incarnation_id,
     runner_id,
 )
-from dandelionreel.cell.model._incarnations import find_later
+from dandelionreel.cell.model._incarnations import find_later_incarnations
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
-from dandelionreel.cell.store._runner_list import RunnersFolder
+from dandelionreel.cell.store._runner_projection import RunnerProjection
 from dandelionreel.http import Answer, Server, answer_json
 from dandelionreel.kernel import ManualClock, Verdict
 from dandelionreel.ownership import Grant, Level
@@ -234,7 +234,7 @@
 
 @given('a host that knows i-1 by {entry}')
 def host_has_read(context, entry):
-    context.folder = RunnersFolder(JsonRecordCodec(), ManualClock(), journal())
+    context.folder = RunnerProjection(JsonRecordCodec(), ManualClock(), journal())
     read(context, entry)
 
 
@@ -257,7 +257,7 @@
 
 @then('{incarnation} is known as gone, where it was')
 def known_gone(context, incarnation):
-    assert incarnation in context.folder.gone_by_id
+    assert incarnation in context.folder.removed_by_id
     assert context.folder.find(incarnation).address == '10.0.0.1'
 
 
@@ -269,7 +269,7 @@
     crashed, starts = (CrashedRun(0, 0, 0, 1),), (StoredStart(0, 0, 0, 2, 'i-1@7'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('i-1@7',), crashed, starts)
     context.small = SmallCell((), epoch=2)
-    context.small.cell.unseen.add('i-1@7')
+    context.small.cell.unseen_runners.add('i-1@7')
     context.job = context.small.add_job('j1', [step()], progress=progress)
 
 
@@ -277,7 +277,7 @@
 def entry_read(context, incarnation):
     small = context.small
     small.registration_by_id[incarnation] = make_registration(incarnation)
-    small.see_runners()
+    small.update_runners()
 
 
 @when('{incarnation} has answered')
@@ -289,8 +289,8 @@
 @then('the task {state}, with {count:d} crashes')
 def task_state(context, state, count):
     cell = context.small.cell
-    cell.give_up_unseen(cell.find_outlived())
-    assert cell.is_blocked(context.job) is (state == 'is left alone'), cell.unseen
+    cell.drop_unseen_runners(cell.find_replaced_runners())
+    assert cell.is_blocked(context.job) is (state == 'is left alone'), cell.unseen_runners
     # One of them had been counted before.
     assert context.job.crashes.count(task('j1')) == 1 + count, context.job.crashes.crashed
     assert len(context.small.plan().starts) == (state == 'may start')
@@ -415,7 +415,7 @@
     @settings(max_examples=400, database=None, derandomize=True)
     @drawn(strategies.lists(context.names, max_size=3), strategies.lists(context.names, max_size=3))
     def check(names, others):
-        for name, later in find_later(names, others).items():
+        for name, later in find_later_incarnations(names, others).items():
             assert runner_id(name) == runner_id(later)
             assert int(later.rpartition('@')[2]) > int(name.rpartition('@')[2])
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -5,18 +5,18 @@
 
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
     Member,
     Owner,
     make_record,
 )
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.http import Answer
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, Frame, OwnerAsked, PeerError, Refused
 from features.client_parts import make_call
-from features.store_parts import DeafPeer, journal
+from features.store_parts import SilentPeerLinks, journal
 
 
 class OnePeer:
@@ -39,11 +39,11 @@
 
 @given('a peer that answers {status:d}')
 def answering_peer(context, status):
-    book = JobBook()
+    book = CellState()
     book.fold(
         [
             make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1')),
-            make_record(f'{MEMBER}peer', Member('north', '127.0.0.1', 1)),
+            make_record(f'{MEMBER_PREFIX}peer', Member('north', '127.0.0.1', 1)),
         ]
     )
     context.relay = Relay('me', book, OnePeer(status), SystemClock(), journal())
@@ -92,7 +92,7 @@
 def deaf_peer(context, misses):
     answering_peer(context, 200)
     context.clock = ManualClock(1000)
-    context.links = DeafPeer()
+    context.links = SilentPeerLinks()
     context.relay = Relay('me', context.relay._book, context.links, context.clock, journal())
     for _ in range(misses):
         context.clock.advance(100)
