--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -199,8 +199,8 @@
         if not self._may_see(call, job_id):
             self._log(request, job_id, 'its id is taken by another account')
             return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
-        booked = self._jobs.state.find(job_id)
-        if booked is not None and not booked.may_be_resubmitted:
+        stored_job = self._jobs.state.find(job_id)
+        if stored_job is not None and not stored_job.may_be_resubmitted:
             self._log(request, job_id, 'accepted before')
             return self._codec.answer_accepted()
         if len(request.body) > configuration.body_bytes:
@@ -246,10 +246,10 @@
     async def _answer_state(self, call: ClientCall, job_id: str) -> Answer:
         if not self._may_see(call, job_id):
             return self._answer_unknown_job(call, job_id)
-        booked = self._jobs.state.find(job_id)
-        if booked is not None and booked.state in FINAL_STATES:
-            return self._codec.answer_state(booked.state)
-        if booked is not None and self._completions.contains(job_id):
+        stored_job = self._jobs.state.find(job_id)
+        if stored_job is not None and stored_job.state in FINAL_STATES:
+            return self._codec.answer_state(stored_job.state)
+        if stored_job is not None and self._completions.contains(job_id):
             return self._codec.answer_state(JobState.COMPLETED)
         # The job may have ended meanwhile, and clients measure their wait until they see that; an
         # unknown job may have been stored meanwhile.
@@ -257,7 +257,7 @@
         state = dispatcher.state_of(job_id) if dispatcher else None
         if state is not None:
             return self._codec.answer_state(state)
-        timeout = LOOKUP_TIMEOUT_SECONDS if booked is None else REFRESH_TIMEOUT_SECONDS
+        timeout = LOOKUP_TIMEOUT_SECONDS if stored_job is None else REFRESH_TIMEOUT_SECONDS
         if self._partition_detector.cut_off:
             # Only what this zone knows can be told, and waiting would not add to it.
             if await self._partition_reads.is_complete(job_id):
@@ -268,9 +268,9 @@
             if answer is not None:
                 return answer
         await self._follower.wait_fresh(call.began - MAX_STATE_AGE_SECONDS, timeout)
-        booked = self._find(call, job_id)
-        if booked is not None:
-            return self._codec.answer_state(booked.state)
+        stored_job = self._find(call, job_id)
+        if stored_job is not None:
+            return self._codec.answer_state(stored_job.state)
         return self._answer_unknown_job(call, job_id)
 
     async def _get_state_from_peers(self, call: ClientCall, timeout: float) -> Answer | None:
@@ -281,14 +281,14 @@
         return forwarded.answer
 
     async def _cancel_job(self, call: ClientCall, job_id: str) -> Answer:
-        booked = self._find(call, job_id)
-        if booked is None:
+        stored_job = self._find(call, job_id)
+        if stored_job is None:
             await self._follower.wait_fresh(call.began, LOOKUP_TIMEOUT_SECONDS)
-            booked = self._find(call, job_id)
-        if booked is None:
+            stored_job = self._find(call, job_id)
+        if stored_job is None:
             return self._answer_unknown_job(call, job_id)
-        finished = booked.state in FINAL_STATES or self._completions.contains(job_id)
-        if booked.cancelled or finished:
+        finished = stored_job.state in FINAL_STATES or self._completions.contains(job_id)
+        if stored_job.cancelled or finished:
             return self._codec.answer_accepted()
         record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
         return await self._writes.store(
@@ -307,10 +307,10 @@
 
         A job that was stored without an account is visible to every caller.
         """
-        booked = self._jobs.state.find(job_id)
+        stored_job = self._jobs.state.find(job_id)
         dispatcher = self._get_dispatcher()
-        account = '' if booked is None else booked.account
-        if booked is None and dispatcher is not None:
+        account = '' if stored_job is None else stored_job.account
+        if stored_job is None and dispatcher is not None:
             account = dispatcher.account_of(job_id)
         return account in {'', call.caller.account}
 
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -51,7 +51,7 @@
         self,
         me: str,
         zone: str,
-        book: CellState,
+        cell_state: CellState,
         runners: RunnerProjection,
         partition_detector: PartitionDetector,
         completions: Completions,
@@ -63,7 +63,7 @@
         """Poll the runners of ``zone`` for the host ``me``."""
         self._me = me
         self._zone = zone
-        self._book = book
+        self._cell_state = cell_state
         self._runners = runners
         self._partition_detector = partition_detector
         self._completions = completions
@@ -103,16 +103,16 @@
         self._view_by_runner.clear()
 
     async def _is_done_at_runners(self, job: str) -> bool:
-        booked = self._book.find(job)
-        if booked is None or booked.submission is None or booked.progress is None:
+        stored_job = self._cell_state.find(job)
+        if stored_job is None or stored_job.submission is None or stored_job.progress is None:
             return False
-        if booked.unreadable or booked.cancelled:
+        if stored_job.unreadable or stored_job.cancelled:
             return False
         ended: list[EndedRun] = []
-        for registration in self._runners_of(booked.progress.runners):
+        for registration in self._runners_of(stored_job.progress.runners):
             ended.extend(await self._ended_runs_at(registration))
         job_ends = [end for end in ended if end.task.job == job]
-        return is_complete(job, booked.submission.spec, booked.progress, job_ends)
+        return is_complete(job, stored_job.submission.spec, stored_job.progress, job_ends)
 
     def _runners_of(self, names: tuple[str, ...]) -> list[Registration]:
         """Return the runners of this zone on which a job may have run, from ``names``."""
@@ -148,7 +148,7 @@
         Return whether one has.
         """
         for host in self._zone_hosts()[:MAX_PEERS_TOLD]:
-            member = self._book.member_by_host[host]
+            member = self._cell_state.member_by_host[host]
             try:
                 frame = await self._links.ask(member, CompletionsSeen((job,)), ANSWER_TIMEOUT)
             except PeerError:
@@ -158,7 +158,7 @@
         return False
 
     def _zone_hosts(self) -> list[str]:
-        members = self._book.member_by_host
+        members = self._cell_state.member_by_host
         return [
             host
             for host in rank_hosts(members)
@@ -166,5 +166,5 @@
         ]
 
     def _epoch(self) -> int:
-        owner = self._book.owner
+        owner = self._cell_state.owner
         return 0 if owner is None else owner.epoch
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -51,7 +51,7 @@
     def __init__(
         self,
         me: str,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
         clock: Clock,
         journal: Journal,
@@ -59,7 +59,7 @@
     ) -> None:
         """Forward requests as the host ``me``; report owners that do not answer, by term."""
         self._me = me
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
         self._clock = clock
         self._journal = journal
@@ -69,7 +69,7 @@
 
     async def forward_to_owner(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the answer of the cell's owner."""
-        owner = self._book.owner
+        owner = self._cell_state.owner
         if owner is None or owner.host == self._me or owner.released:
             return Relayed(None)
         return await self._forward([owner.host], call, timeout)
@@ -87,11 +87,11 @@
         """Return the host that writes for this one, or ``None`` if it writes itself."""
         now = self._clock.monotonic()
         excluded = {host for host, until in self._backoff_until_by_host.items() if until > now}
-        return find_zone_writer(self._book.member_by_host, self._me, excluded)
+        return find_zone_writer(self._cell_state.member_by_host, self._me, excluded)
 
     async def forward(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the first final answer of any peer, tried in random order."""
-        hosts = [host for host in self._book.member_by_host if host != self._me]
+        hosts = [host for host in self._cell_state.member_by_host if host != self._me]
         random.shuffle(hosts)
         return await self._forward(hosts, call, timeout)
 
@@ -145,7 +145,7 @@
         A job that is sent to an unresponsive peer is in doubt, and its client cannot submit it
         elsewhere.
         """
-        owner = self._book.owner
+        owner = self._cell_state.owner
         term = owner.term if owner is not None and owner.host == host else ''
         try:
             frame = await self._links.ask(member, OwnerAsked(term), OWNER_QUERY_TIMEOUT)
@@ -164,10 +164,11 @@
         eligible = [
             host
             for host in hosts
-            if self._backoff_until_by_host.get(host, 0) <= now and host in self._book.member_by_host
+            if self._backoff_until_by_host.get(host, 0) <= now
+            and host in self._cell_state.member_by_host
         ]
         for host in eligible[:MAX_PEERS_TRIED]:
-            yield host, self._book.member_by_host[host]
+            yield host, self._cell_state.member_by_host[host]
 
     def _increase_backoff(self, host: str) -> float:
         """Return for how many seconds a host is skipped after one more missing reply."""
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         me: str,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
         completions: Completions,
         clock: Clock,
@@ -38,7 +38,7 @@
     ) -> None:
         """Send reports as the host ``me`` for the unreported jobs in ``completions``."""
         self._me = me
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
         self._completions = completions
         self._clock = clock
@@ -74,12 +74,12 @@
             )
 
     def _find_owner(self) -> Member | None:
-        owner = self._book.owner
+        owner = self._cell_state.owner
         if owner is None or owner.host == self._me:
             return None
-        return self._book.member_by_host.get(owner.host)
+        return self._cell_state.member_by_host.get(owner.host)
 
     def _is_stored(self, job: str) -> bool:
         """Return whether the store has the end of a job, or has dropped the job."""
-        booked = self._book.find(job)
-        return booked is None or booked.state in FINAL_STATES
+        stored_job = self._cell_state.find(job)
+        return stored_job is None or stored_job.state in FINAL_STATES
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -37,9 +37,9 @@
     def __init__(
         self,
         me: str,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
-        folder: ConfigurationProjection,
+        projection: ConfigurationProjection,
         store_answered_at: Callable[[], float],
         clock: Clock,
         journal: Journal,
@@ -50,9 +50,9 @@
         ``seeds`` are queried while no peer is known.
         """
         self._me = me
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
-        self._folder = folder
+        self._projection = projection
         self._store_answered_at = store_answered_at
         self._clock = clock
         self._journal = journal
@@ -94,8 +94,8 @@
         """Reply to a peer's query with the configuration, if it is newer than the peer's."""
         query: Any = frame.message
         self.note_version(query.version)
-        version = self._folder.version
-        document = self._folder.content if version > query.version else b''
+        version = self._projection.version
+        document = self._projection.content if version > query.version else b''
         return ConfigurationGiven(
             version, document, self._is_store_answering(self._clock.monotonic())
         )
@@ -104,10 +104,10 @@
         return now - self._store_answered_at() < STORE_OVERDUE_SECONDS
 
     def _is_behind(self, now: float) -> bool:
-        owner = self._book.owner
+        owner = self._cell_state.owner
         if owner is not None:
             self.note_version(owner.version)
-        return not self._is_store_answering(now) or self._folder.version < self._peer_version
+        return not self._is_store_answering(now) or self._projection.version < self._peer_version
 
     async def _query_peers(self) -> None:
         self._queried_at = self._clock.monotonic()
@@ -121,13 +121,13 @@
             await task.wait()
 
     def _peers(self) -> list[tuple[str, Member]]:
-        members = self._book.member_by_host.items()
+        members = self._cell_state.member_by_host.items()
         others = [(host, member) for host, member in members if host != self._me]
         return others or [(seed.address, seed) for seed in self._seeds]
 
     async def _query_peer(self, host: str, member: Member) -> None:
         queried_at = self._clock.monotonic()
-        query = ConfigurationWanted(self._folder.version)
+        query = ConfigurationWanted(self._projection.version)
         try:
             frame = await self._links.ask(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
@@ -135,7 +135,7 @@
                 Part.PEERS,
                 f'{host} did not reply with its configuration: {error}.',
                 peer=host,
-                version=self._folder.version,
+                version=self._projection.version,
             )
             return
         reply = frame.message
@@ -144,11 +144,11 @@
         self.note_version(reply.version)
         if reply.document:
             self._adopt(host, reply)
-        if reply.current and self._folder.version >= reply.version:
+        if reply.current and self._projection.version >= reply.version:
             self._confirmed_at = max(self._confirmed_at, queried_at)
 
     def _adopt(self, host: str, reply: ConfigurationGiven) -> None:
-        if self._folder.adopt(reply.document, host):
+        if self._projection.adopt(reply.document, host):
             self._journal.tell(
                 Part.CONTRACTS,
                 f'adopted a newer configuration from {host}.',
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -128,7 +128,7 @@
         self,
         topic: Topic,
         follower: Follower,
-        folder: CellProjection,
+        projection: CellProjection,
         incarnation: str,
         ask_peer: AskPeer,
         clock: Clock,
@@ -140,7 +140,7 @@
         self._ask_peer = ask_peer
         self._topic = topic
         self._follower = follower
-        self._folder = folder
+        self._projection = projection
         self._clock = clock
         self._journal = journal
         self._unreachable_term = ''
@@ -174,7 +174,7 @@
 
     def still_owner(self, term: Term) -> bool:
         """Return whether the newest known owner is that of this term."""
-        owner = self._folder.state.owner
+        owner = self._projection.state.owner
         return owner is not None and owner.term == term.term
 
     def suspect(self, term: str) -> None:
@@ -241,7 +241,7 @@
 
     def _is_unreachable(self, now: float) -> bool:
         """Return whether the owner was recently reported as unreachable."""
-        owner = self._folder.state.owner
+        owner = self._projection.state.owner
         return (
             owner is not None
             and self._unreachable_term == owner.term
@@ -251,23 +251,25 @@
     def _is_unreachable_and_silent(self, now: float) -> bool:
         """Return whether the owner neither replies to peers nor writes heartbeats."""
         unreachable_silence = max(
-            UNREACHABLE_SILENT_SECONDS, UNREACHABLE_GAP_FACTOR * self._folder.average_heartbeat_gap
+            UNREACHABLE_SILENT_SECONDS,
+            UNREACHABLE_GAP_FACTOR * self._projection.average_heartbeat_gap,
         )
         return (
-            self._is_unreachable(now) and now - self._folder.owner_heard_at >= unreachable_silence
+            self._is_unreachable(now)
+            and now - self._projection.owner_heard_at >= unreachable_silence
         )
 
     def _owner_was_restarted(self, owner: Owner) -> bool:
         """Return whether the owner's process was replaced by a later one on the same host."""
         if owner.host == self._host:
             return owner.term != self.incarnation
-        return self._folder.state.owner_has_ended()
+        return self._projection.state.owner_has_ended()
 
     def _vacancy(self) -> Vacancy:
         now = self._clock.monotonic()
         if not self._follower.started or self._follower.age(now) > MAX_READ_AGE_SECONDS:
             return Vacancy.HELD
-        owner = self._folder.state.owner
+        owner = self._projection.state.owner
         if owner is None or owner.released:
             return Vacancy.VACANT
         if (
@@ -276,8 +278,8 @@
             or self._is_unreachable_and_silent(now)
         ):
             return Vacancy.VACANT
-        heard_at = self._folder.owner_heard_at
-        silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._folder.average_heartbeat_gap)
+        heard_at = self._projection.owner_heard_at
+        silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._projection.average_heartbeat_gap)
         if heard_at < self._follower.reachable_since:
             heard_at, silent = self._follower.reachable_since, SILENT_AFTER_OUTAGE_SECONDS
         if now - heard_at < silent or now < self._known_alive_until:
@@ -285,8 +287,10 @@
         return Vacancy.SILENT
 
     def _claim_delay(self) -> float:
-        book = self._folder.state
-        return claim_delay(book.member_by_host, self._host, book.owner.host if book.owner else '')
+        cell_state = self._projection.state
+        return claim_delay(
+            cell_state.member_by_host, self._host, cell_state.owner.host if cell_state.owner else ''
+        )
 
     async def _owner_is_alive(self) -> bool:
         """Query an owner whose heartbeats are missing whether it still acts.
@@ -294,10 +298,10 @@
         A slow store may delay heartbeats for longer than the timeout for a dead owner, and each
         claim would delay them further.
         """
-        owner = self._folder.state.owner
-        member = self._folder.state.member_by_host.get(owner.host) if owner else None
+        owner = self._projection.state.owner
+        member = self._projection.state.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
-        silent = now - max(self._folder.owner_heard_at, self._follower.reachable_since)
+        silent = now - max(self._projection.owner_heard_at, self._follower.reachable_since)
         if owner is None or member is None or silent > MAX_EXCUSED_SILENCE_SECONDS:
             return False
         try:
@@ -336,8 +340,8 @@
 
     async def _claim_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
-        former = self._folder.state.owner
-        heard_at = self._folder.owner_heard_at
+        former = self._projection.state.owner
+        heard_at = self._projection.owner_heard_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
         self._journal.tell(
@@ -346,7 +350,7 @@
             epoch=fence.epoch,
             former=former.term if former else '',
             silent_seconds=seconds_or_none(claimed_at - heard_at),
-            usual_gap=round(self._folder.average_heartbeat_gap, 3),
+            usual_gap=round(self._projection.average_heartbeat_gap, 3),
             unheard=self._is_unreachable(claimed_at),
             conditional=expected_end is not None,
         )
@@ -371,11 +375,11 @@
 
     def _has_ended(self, owner: Owner) -> bool:
         """Return whether an owner's process is known to have ended."""
-        return owner.host == self._host or self._folder.state.has_ended(owner)
+        return owner.host == self._host or self._projection.state.has_ended(owner)
 
     def _may_be_alive(self) -> bool:
         """Return whether the known owner may still act."""
-        owner = self._folder.state.owner
+        owner = self._projection.state.owner
         return owner is not None and not owner.released and not self._has_ended(owner)
 
     async def _catch_up(self) -> None:
@@ -428,5 +432,5 @@
     async def _confirm_claim(self, epoch: int) -> bool:
         """Read all records up to the claim; return whether it was won."""
         await self._catch_up()
-        owner = self._folder.state.owner
+        owner = self._projection.state.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -29,18 +29,20 @@
 class OwnerWatch:
     """Keeps a connection to the owner's process and reports when it is refused."""
 
-    def __init__(self, me: str, book: CellState, election: Election, journal: Journal) -> None:
+    def __init__(
+        self, me: str, cell_state: CellState, election: Election, journal: Journal
+    ) -> None:
         """Report refused connections to ``election``."""
         self._me = me
-        self._book = book
+        self._cell_state = cell_state
         self._election = election
         self._journal = journal
 
     async def run(self) -> None:
         """Watch the current owner, forever."""
         while True:
-            owner = self._book.owner
-            member = None if owner is None else self._book.member_by_host.get(owner.host)
+            owner = self._cell_state.owner
+            member = None if owner is None else self._cell_state.member_by_host.get(owner.host)
             if owner is None or member is None or owner.host == self._me or owner.released:
                 await curio.sleep(POLL_SECONDS)
                 continue
@@ -73,7 +75,7 @@
         return True
 
     def _still_owner(self, owner: Owner) -> bool:
-        newest = self._book.owner
+        newest = self._cell_state.owner
         return newest is not None and newest.term == owner.term and not newest.released
 
     async def _wait_until_closed(self, sock: Any, owner: Owner) -> None:
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -31,7 +31,7 @@
         self,
         me: str,
         zone: str,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
         store_answered_at: Callable[[], float],
         clock: Clock,
@@ -40,7 +40,7 @@
         """Run for the host ``me`` in ``zone``; ``store_answered_at()`` is in monotonic seconds."""
         self._me = me
         self._zone = zone
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
         self._store_answered_at = store_answered_at
         self._clock = clock
@@ -94,9 +94,11 @@
         queries = []
         for zone in self._other_zones():
             hosts = sorted(
-                host for host, member in self._book.member_by_host.items() if member.zone == zone
+                host
+                for host, member in self._cell_state.member_by_host.items()
+                if member.zone == zone
             )
-            member = self._book.member_by_host[hosts[round_number % len(hosts)]]
+            member = self._cell_state.member_by_host[hosts[round_number % len(hosts)]]
             queries.append(await curio.spawn(partial(self._query_host, member, now), daemon=True))
         for task in queries:
             await task.wait()
@@ -111,7 +113,7 @@
         self._zone_contact.note_answer(member.zone, self._clock.monotonic())
 
     def _other_zones(self) -> set[str]:
-        zones = {member.zone for member in self._book.member_by_host.values()}
+        zones = {member.zone for member in self._cell_state.member_by_host.values()}
         return zones - {self._zone, ''}
 
     def _log_change(self) -> None:
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -124,17 +124,19 @@
     if where.startswith('queried'):
         meanwhile = lambda: context.completions.answer(2)  # noqa: E731
     context.links = ZonePeerLinks(peer == 'a host that is cut off as well', meanwhile)
-    context.book = CellState()
-    context.book.fold([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
+    context.cell_state = CellState()
+    context.cell_state.fold([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
     if peer != 'no other host':
-        context.book.fold([make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 2))])
+        context.cell_state.fold(
+            [make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 2))]
+        )
 
 
 @given("a runner of its zone that {runner} the job's only task")
 def zone_runner(context, runner):
     submission = Submission('urgent', 'desk', 0.0, JobSpec('x', (step(),)))
     progress = Progress(1, JobState.RUNNING, runners=('w1',))
-    context.book.fold(
+    context.cell_state.fold(
         [
             make_record(SUBMISSION_PREFIX + JOB, submission),
             make_record(PROGRESS_PREFIX + JOB, progress),
@@ -150,7 +152,7 @@
     context.partition_reads = PartitionReads(
         'me',
         'south',
-        context.book,
+        context.cell_state,
         runners,
         context.detector,
         context.completions,
@@ -227,14 +229,18 @@
     if hosts.startswith('answers'):
         known = (JOB,) if 'complete' in hosts else ()
     context.zone = OneHostLinks(known)
-    book = CellState()
+    cell_state = CellState()
     for number in range(count):
         member = Member('south', '127.0.0.1', 1)
-        book.member_by_host[f's-{number}'] = member
-    for number, host in enumerate(book.member_by_host):
-        book.member_by_host[host] = SouthMember(number)
-    gossip = CompletionGossip(context.owner, book, context.zone, Completions(context.clock), 'me')
-    context.owner.confirm_zone = ZoneConfirmation(context.owner, book, gossip, 'me').is_confirmed
+        cell_state.member_by_host[f's-{number}'] = member
+    for number, host in enumerate(cell_state.member_by_host):
+        cell_state.member_by_host[host] = SouthMember(number)
+    gossip = CompletionGossip(
+        context.owner, cell_state, context.zone, Completions(context.clock), 'me'
+    )
+    context.owner.confirm_zone = ZoneConfirmation(
+        context.owner, cell_state, gossip, 'me'
+    ).is_confirmed
     context.clock.advance(context.silent)
     times = 20 if hosts.endswith('times within 0.2 s') else 1
 
@@ -311,11 +317,11 @@
         facts.append(make_record(OWNER_KEY, Owner(2, owner, f'{owner}/1')))
     if shows == 'already shows':
         facts.append(make_record(PROGRESS_PREFIX + JOB, Progress(2, JobState.COMPLETED)))
-    context.book.fold(facts)
+    context.cell_state.fold(facts)
     clock = context.completions._clock
     context.links = OwnerLinks(answers == 'accepts the report')
     reports = CompletionReports(
-        'me', context.book, context.links, context.completions, clock, journal()
+        'me', context.cell_state, context.links, context.completions, clock, journal()
     )
 
     async def report():
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -67,10 +67,12 @@
     if answers == 'was queried by a later owner':
         peer_completions.answer(2)
     context.peer = PeerLinks(peer_completions)
-    book = CellState()
-    book.fold([PEER])
+    cell_state = CellState()
+    cell_state.fold([PEER])
     context.completions = Completions(clock)
-    context.gossip = CompletionGossip(context.owner, book, context.peer, context.completions, 'me')
+    context.gossip = CompletionGossip(
+        context.owner, cell_state, context.peer, context.completions, 'me'
+    )
 
 
 @when('a runner lists the end of its job')
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -98,11 +98,11 @@
 
 
 def make_watch(clock, links, store_answered_at):
-    book = CellState()
+    cell_state = CellState()
     for host, zone in (('me', 'north'), ('s-1', 'south'), ('s-2', 'south'), ('w-1', 'west')):
-        book.fold([make_record(f'{MEMBER_PREFIX}{host}', Member(zone, '127.0.0.1', 1))])
+        cell_state.fold([make_record(f'{MEMBER_PREFIX}{host}', Member(zone, '127.0.0.1', 1))])
     return PartitionDetector(
-        'me', 'north', book, links, lambda: store_answered_at, clock, journal()
+        'me', 'north', cell_state, links, lambda: store_answered_at, clock, journal()
     )
 
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -49,7 +49,7 @@
 def one_owner(context):
     won = [term for term in context.terms if term is not None]
     assert len(won) == 1, context.terms
-    assert {book.owner.term for book in context.books} == {won[0].term}
+    assert {cell_state.owner.term for cell_state in context.books} == {won[0].term}
 
 
 def _topic_with_owner():
@@ -266,14 +266,14 @@
 
 @given('the claims of the epochs 1 and 2, and a late heartbeat of epoch 1')
 def claims(context):
-    context.book = CellState()
+    context.cell_state = CellState()
     for epoch, beat in ((1, 0), (2, 0), (1, 5)):
-        context.book.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
+        context.cell_state.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
 
 
 @then('the owner is that of epoch 2')
 def owner_of_epoch(context):
-    assert context.book.owner.epoch == 2
+    assert context.cell_state.owner.epoch == 2
 
 
 @given('a former owner that was killed when earlier owners might act for {unsettled:g} s')
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -39,14 +39,14 @@
 
 @given('a peer that answers {status:d}')
 def answering_peer(context, status):
-    book = CellState()
-    book.fold(
+    cell_state = CellState()
+    cell_state.fold(
         [
             make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1')),
             make_record(f'{MEMBER_PREFIX}peer', Member('north', '127.0.0.1', 1)),
         ]
     )
-    context.relay = Relay('me', book, OnePeer(status), SystemClock(), journal())
+    context.relay = Relay('me', cell_state, OnePeer(status), SystemClock(), journal())
 
 
 class UnreliablePeer:
@@ -69,7 +69,7 @@
     reply_by_name = {'says nothing': None, 'says that it does not': Refused('no')}
     context.links = UnreliablePeer(reply_by_name[answers])
     clock = ManualClock(1000)
-    context.relay = Relay('me', context.relay._book, context.links, clock, journal())
+    context.relay = Relay('me', context.relay._cell_state, context.links, clock, journal())
 
 
 @when('a host asks it for a state and gets no answer in {seconds:g} s')
@@ -93,7 +93,7 @@
     answering_peer(context, 200)
     context.clock = ManualClock(1000)
     context.links = SilentPeerLinks()
-    context.relay = Relay('me', context.relay._book, context.links, context.clock, journal())
+    context.relay = Relay('me', context.relay._cell_state, context.links, context.clock, journal())
     for _ in range(misses):
         context.clock.advance(100)
         pass_on(context)
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -27,9 +27,9 @@
 def forgotten(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    book = context.host.folder.state
+    cell_state = context.host.folder.state
     running = make_record(f'{PROGRESS_PREFIX}j1', Progress(1, JobState.RUNNING, runners=('w1',)))
-    book.fold([make_record(f'{SUBMISSION_PREFIX}j1', JOB), running])
+    cell_state.fold([make_record(f'{SUBMISSION_PREFIX}j1', JOB), running])
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
     context.dispatcher._load_state()
@@ -39,7 +39,7 @@
     assert job.state is JobState.COMPLETED
     # The page with progress was read before the end, the one with submissions after it.
     context.host.folder.load_snapshot(RecordBatch((running,), 1, 1))
-    for job_id in book.take_changed():
+    for job_id in cell_state.take_changed():
         context.dispatcher._update_job(job_id)
 
 
@@ -51,10 +51,10 @@
         return await dispatcher.accept('j1', JOB, 1.0)
 
     assert curio.run(play) is WriteOutcome.STORED
-    book = context.host.folder.state
-    book.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
-    book.fold(context.topic.records)
-    for job_id in book.take_changed():
+    cell_state = context.host.folder.state
+    cell_state.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
+    cell_state.fold(context.topic.records)
+    for job_id in cell_state.take_changed():
         context.dispatcher._update_job(job_id)
 
 
