--- a/bench/guards.py
+++ b/bench/guards.py
@@ -95,7 +95,7 @@
     ),
     Guard(
         'all members stage before a version is in force',
-        'contracts/_book.py',
+        'contracts/_contract_projection.py',
         'missing=members,',
         'missing=frozenset(),',
         'contracts.feature:PAUSED',
@@ -109,7 +109,7 @@
     ),
     Guard(
         'two daemons that lost each other say they live',
-        'ownership/_neighbourhood.py',
+        'ownership/_peer_monitor.py',
         'return now - alive_at >= ALIVE_PERIODS * period',
         'return True',
         'cuts.feature:EACH OTHER',
--- a/dandelionreel/admin/_front.py
+++ b/dandelionreel/admin/_front.py
@@ -21,8 +21,8 @@
 from dandelionreel.backing import StreamReader
 from dandelionreel.callers import CallersFront
 from dandelionreel.contracts import (
-    ContractBook,
     ContractError,
+    ContractProjection,
     ContractPublisher,
     load_contract,
 )
@@ -32,9 +32,9 @@
 from dandelionreel.life import Life
 from dandelionreel.ownership import (
     Authority,
-    Claimer,
     Membership,
-    ShardFold,
+    ShardClaimer,
+    ShardProjection,
     runner_shard,
 )
 from dandelionreel.peers import PeerDirectory
@@ -64,11 +64,11 @@
         registry: CollectorRegistry,
         reader: StreamReader,
         members: Membership,
-        shards: ShardFold,
+        shards: ShardProjection,
         authority: Authority,
-        claimer: Claimer,
+        claimer: ShardClaimer,
         directory: PeerDirectory,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         publisher: ContractPublisher,
         jobs: JobBook,
         dispatcher: Dispatcher,
--- a/dandelionreel/contracts/__init__.py
+++ b/dandelionreel/contracts/__init__.py
@@ -1,6 +1,10 @@
 """Contracts: the document, its publication, and the parts of quotas."""
 
-from dandelionreel.contracts._book import ContractBook, Outcome, Pending
+from dandelionreel.contracts._contract_projection import (
+    ContractProjection,
+    PendingProposal,
+    ProposalOutcome,
+)
 from dandelionreel.contracts._document import (
     TASK_CLASSES,
     Amounts,
@@ -8,18 +12,18 @@
     Contract,
     ContractError,
     RequestTerms,
+    intersect_contracts,
     load_contract,
-    stricter,
 )
 from dandelionreel.contracts._publisher import ContractPublisher, encode_contract
 from dandelionreel.contracts._records import (
     Aborted,
     ContractRecord,
     Proposed,
+    Restated,
     ShareMoved,
     ShareWanted,
     Staged,
-    Stated,
     ZoneShare,
 )
 from dandelionreel.contracts._terms import require_contract
@@ -30,21 +34,21 @@
     'Amounts',
     'ClassTerms',
     'Contract',
-    'ContractBook',
     'ContractError',
+    'ContractProjection',
     'ContractPublisher',
     'ContractRecord',
-    'Outcome',
-    'Pending',
+    'PendingProposal',
+    'ProposalOutcome',
     'Proposed',
     'RequestTerms',
+    'Restated',
     'ShareMoved',
     'ShareWanted',
     'Staged',
-    'Stated',
     'ZoneShare',
     'encode_contract',
+    'intersect_contracts',
     'load_contract',
     'require_contract',
-    'stricter',
 )
--- a/dandelionreel/contracts/_book.py
+++ b/dandelionreel/contracts/_contract_projection.py
@@ -12,14 +12,14 @@
 import xxhash
 
 from dandelionreel.backing import Position
-from dandelionreel.contracts._document import Contract, stricter
+from dandelionreel.contracts._document import Contract, intersect_contracts
 from dandelionreel.contracts._records import (
     Aborted,
     Proposed,
+    Restated,
     ShareMoved,
     ShareWanted,
     Staged,
-    Stated,
     ZoneShare,
 )
 from dandelionreel.kernel import Clock
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Pending:
+class PendingProposal:
     """A proposal and the members that have yet to stage it."""
 
     contract: Contract
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class ProposalOutcome:
     """How a proposal ended: committed, aborted, or lost to another."""
 
     customer: str
@@ -55,34 +55,34 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class ContractInForce:
     """A contract in force and when its record was written (wall seconds)."""
 
     contract: Contract
     written_at: float
 
 
-Watcher = Callable[[Outcome], None]
+OutcomeWatcher = Callable[[ProposalOutcome], None]
 
 
-class ContractBook:
+class ContractProjection:
     """What each customer may do, as this daemon knows it."""
 
     def __init__(self, membership: Membership, clock: Clock) -> None:
         """Judge by the membership of the same stream, folded before this."""
         self._membership = membership
         self._clock = clock
-        self._in_force_by_customer: dict[str, InForce] = {}
+        self._in_force_by_customer: dict[str, ContractInForce] = {}
         # Kept apart from what the log says: the fold must find the same
         # outcomes at every reader, whatever its peers have told it before.
-        self._adopted_by_customer: dict[str, InForce] = {}
-        self._pending_by_customer: dict[str, Pending] = {}
+        self._adopted_by_customer: dict[str, ContractInForce] = {}
+        self._pending_by_customer: dict[str, PendingProposal] = {}
         self._share_by_zone: dict[tuple[str, str], float] = {}
-        self._history: list[Outcome] = []
-        self._watchers: list[Watcher] = []
+        self._history: list[ProposalOutcome] = []
+        self._watchers: list[OutcomeWatcher] = []
         self.wanted_shares: dict[tuple[str, str], float] = {}
 
-    def watch(self, watcher: Watcher) -> None:
+    def watch(self, watcher: OutcomeWatcher) -> None:
         """Tell ``watcher`` of every outcome."""
         self._watchers.append(watcher)
 
@@ -104,11 +104,11 @@
         held = self._newest(customer)
         return held.written_at if held else 0
 
-    def pending(self, customer: str) -> Pending | None:
+    def pending(self, customer: str) -> PendingProposal | None:
         """Return the proposal under way."""
         return self._pending_by_customer.get(customer)
 
-    def all_pending(self) -> tuple[Pending, ...]:
+    def all_pending(self) -> tuple[PendingProposal, ...]:
         """Return all proposals under way."""
         return tuple(self._pending_by_customer.values())
 
@@ -120,17 +120,17 @@
             return current
         if pending.contract.version <= current.version:
             return current
-        return stricter(current, pending.contract)
+        return intersect_contracts(current, pending.contract)
 
     def customers(self) -> tuple[str, ...]:
         """Return the customers with a contract in force."""
         return tuple(sorted({*self._in_force_by_customer, *self._adopted_by_customer}))
 
-    def history(self, customer: str) -> tuple[Outcome, ...]:
+    def history(self, customer: str) -> tuple[ProposalOutcome, ...]:
         """Return the latest outcomes, oldest first."""
         return tuple(known for known in self._history if known.customer == customer)
 
-    def outcome(self, nonce: str) -> Outcome | None:
+    def outcome(self, nonce: str) -> ProposalOutcome | None:
         """Return how a proposal ended, ``None`` while it has not."""
         for known in reversed(self._history):
             if known.nonce == nonce:
@@ -163,7 +163,7 @@
         current = self.in_force(contract.customer)
         if current is not None and current.version >= contract.version:
             return False
-        held = InForce(contract, self._clock.wall())
+        held = ContractInForce(contract, self._clock.wall())
         return self._keep_adopted(contract.customer, held)
 
     def fold(self, record: msgspec.Struct, position: Position) -> None:
@@ -174,7 +174,7 @@
             self._stage(record, position)
         elif isinstance(record, Aborted):
             self._abort(record, position)
-        elif isinstance(record, Stated):
+        elif isinstance(record, Restated):
             self._state(record, position)
         elif isinstance(record, (Joined, Left, Ended)):
             self._review(position)
@@ -195,7 +195,7 @@
             self._note(record, 'lost', f'version {version} is in force', position)
             return
         members = frozenset(member.key for member in self._membership.live())
-        self._pending_by_customer[customer] = Pending(
+        self._pending_by_customer[customer] = PendingProposal(
             record.contract,
             record.nonce,
             record.author,
@@ -237,7 +237,7 @@
             self._divide(customer, pending.zones)
             self._finish(pending, 'committed', 'in force', position)
 
-    def _state(self, record: Stated, position: Position) -> None:
+    def _state(self, record: Restated, position: Position) -> None:
         customer = record.contract.customer
         folded = self._in_force_by_customer.get(customer)
         if folded is not None and folded.contract.version > record.contract.version:
@@ -247,7 +247,7 @@
             for part in record.shares:
                 self._share_by_zone[customer, part.zone] = part.share
 
-    def _newest(self, customer: str) -> InForce | None:
+    def _newest(self, customer: str) -> ContractInForce | None:
         folded = self._in_force_by_customer.get(customer)
         adopted = self._adopted_by_customer.get(customer)
         if folded is None or adopted is None:
@@ -256,7 +256,7 @@
             return adopted
         return folded
 
-    def _keep_adopted(self, customer: str, held: InForce) -> bool:
+    def _keep_adopted(self, customer: str, held: ContractInForce) -> bool:
         known = self._adopted_by_customer.get(customer)
         if known is not None and known.contract.version >= held.contract.version:
             return False
@@ -264,7 +264,7 @@
         return True
 
     def _put_in_force(self, contract: Contract, wall: float) -> None:
-        self._in_force_by_customer[contract.customer] = InForce(contract, wall)
+        self._in_force_by_customer[contract.customer] = ContractInForce(contract, wall)
 
     def _divide(self, customer: str, zones: tuple[str, ...]) -> None:
         if self.shares(customer):
@@ -281,7 +281,7 @@
         self.wanted_shares.pop(taker, None)
 
     def _note(self, record: Proposed, state: str, detail: str, position: Position) -> None:
-        outcome = Outcome(
+        outcome = ProposalOutcome(
             record.contract.customer,
             record.contract.version,
             record.nonce,
@@ -292,8 +292,10 @@
         )
         self._keep(outcome)
 
-    def _finish(self, pending: Pending, state: str, detail: str, position: Position) -> None:
-        outcome = Outcome(
+    def _finish(
+        self, pending: PendingProposal, state: str, detail: str, position: Position
+    ) -> None:
+        outcome = ProposalOutcome(
             pending.contract.customer,
             pending.contract.version,
             pending.nonce,
@@ -304,7 +306,7 @@
         )
         self._keep(outcome)
 
-    def _keep(self, outcome: Outcome) -> None:
+    def _keep(self, outcome: ProposalOutcome) -> None:
         self._history.append(outcome)
         del self._history[: -HISTORY_KEPT * max(1, len(self._in_force_by_customer))]
         for watcher in self._watchers:
--- a/dandelionreel/contracts/_document.py
+++ b/dandelionreel/contracts/_document.py
@@ -8,12 +8,12 @@
 from dandelionreel.backing import Resources
 
 Name = Annotated[str, Meta(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
-Positive = Annotated[float, Meta(gt=0, le=1e9)]
-NotNegative = Annotated[float, Meta(ge=0, le=1e9)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=1e9)]
+NonNegativeNumber = Annotated[float, Meta(ge=0, le=1e9)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 Version = Annotated[int, Meta(ge=1, le=2**53)]
 Priority = Annotated[int, Meta(ge=0, le=1000)]
-Whole = Annotated[int, Meta(ge=0, le=1_000_000)]
+Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 
 #: The kinds of work, each with a placement policy of its own.
 TASK_CLASSES = ('urgent', 'service', 'batch')
@@ -22,9 +22,9 @@
 class Amounts(Struct, frozen=True, forbid_unknown_fields=True):
     """Processors (cores), memory (megabytes) and accelerators (devices)."""
 
-    processors: NotNegative = 0
-    memory_mb: NotNegative = 0
-    accelerators: NotNegative = 0
+    processors: NonNegativeNumber = 0
+    memory_mb: NonNegativeNumber = 0
+    accelerators: NonNegativeNumber = 0
 
     def resources(self) -> Resources:
         """Return the same amounts as the ledger counts them."""
@@ -36,16 +36,16 @@
 
     name: Name
     priority: Priority
-    longest_wait: Positive
+    longest_wait: PositiveNumber
     preemptible: bool = False
 
 
 class RequestTerms(Struct, frozen=True, forbid_unknown_fields=True):
     """Requests to services: a second, at a time, and the retries on top."""
 
-    rate: Positive = 100
-    burst: Positive = 100
-    concurrency: Whole = 64
+    rate: PositiveNumber = 100
+    burst: PositiveNumber = 100
+    concurrency: Count = 64
     retry_budget: Fraction = 0.1
 
 
@@ -57,10 +57,10 @@
     classes: tuple[ClassTerms, ...]
     quota: Amounts
     guaranteed: Amounts = Amounts()
-    weight: Positive = 1
+    weight: PositiveNumber = 1
     requests: RequestTerms = RequestTerms()
     services: tuple[Name, ...] = ()
-    jobs_waiting: Whole = 10_000
+    jobs_waiting: Count = 10_000
 
     def terms(self, name: str) -> ClassTerms | None:
         """Return what is agreed for a class, ``None`` when it is not allowed."""
@@ -107,7 +107,7 @@
         )
 
 
-def stricter(old: Contract, new: Contract) -> Contract:
+def intersect_contracts(old: Contract, new: Contract) -> Contract:
     """Return a contract that breaks neither; in force between staging and outcome."""
     return msgspec.structs.replace(
         old,
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -6,9 +6,13 @@
 import msgspec
 
 from dandelionreel.backing import LogError, StreamReader, StreamWriter
-from dandelionreel.contracts._book import ContractBook, Outcome, Pending
+from dandelionreel.contracts._contract_projection import (
+    ContractProjection,
+    PendingProposal,
+    ProposalOutcome,
+)
 from dandelionreel.contracts._document import Contract, ContractError, load_contract
-from dandelionreel.contracts._records import Aborted, Proposed, Staged, Stated
+from dandelionreel.contracts._records import Aborted, Proposed, Restated, Staged
 from dandelionreel.kernel import (
     Clock,
     Journal,
@@ -51,7 +55,7 @@
         me: str,
         settings: Settings,
         clock: Clock,
-        book: ContractBook,
+        book: ContractProjection,
         membership: Membership,
         reader: StreamReader,
         writer: StreamWriter,
@@ -68,7 +72,7 @@
         self._journal = journal
         book.watch(self._tell)
 
-    async def publish(self, contract: Contract, replaces: int, author: str) -> Outcome:
+    async def publish(self, contract: Contract, replaces: int, author: str) -> ProposalOutcome:
         """Propose a version and return how it ended; raises ``RequestError``."""
         nonce = os.urandom(NONCE_BYTES).hex()
         proposal = Proposed(contract, replaces, nonce, author, zones_of(self._settings))
@@ -145,7 +149,7 @@
                 version=contract.version,
             )
 
-    async def _await_outcome(self, nonce: str) -> Outcome | None:
+    async def _await_outcome(self, nonce: str) -> ProposalOutcome | None:
         until = self._clock.monotonic() + self._settings.timings.publish_patience
         while self._clock.monotonic() < until:
             seen = self._reader.changed.count
@@ -163,7 +167,7 @@
                 await self._abort(pending)
         await self._restate()
 
-    async def _stage(self, pending: Pending) -> None:
+    async def _stage(self, pending: PendingProposal) -> None:
         # From the moment the proposal was folded, the stricter of both is
         # enforced here (ContractBook.effective); the record says so.
         customer = pending.contract.customer
@@ -175,11 +179,11 @@
             version=pending.contract.version,
         )
 
-    def _is_overdue(self, pending: Pending) -> bool:
+    def _is_overdue(self, pending: PendingProposal) -> bool:
         age = self._clock.monotonic() - pending.learned_at
         return age > self._settings.timings.contract_deadline + self._rank() * RANK_SECONDS
 
-    async def _abort(self, pending: Pending) -> None:
+    async def _abort(self, pending: PendingProposal) -> None:
         missing = [key for key in sorted(pending.missing) if not self._membership.has_ended(key)]
         reason = f'not staged in time by {", ".join(missing)}'
         customer = pending.contract.customer
@@ -194,7 +198,7 @@
             contract = self._book.in_force(customer)
             if contract is None or not self._reader.caught_up:
                 continue
-            stated = Stated(contract, self._book.shares(customer))
+            stated = Restated(contract, self._book.shares(customer))
             await self._writer.write(stated, WRITE_PATIENCE)
 
     def _rank(self) -> int:
@@ -205,7 +209,7 @@
         # Encoding is cheap and rare; nothing is kept between questions.
         return encode_contract(self._book.in_force(customer))
 
-    def _tell(self, outcome: Outcome) -> None:
+    def _tell(self, outcome: ProposalOutcome) -> None:
         self._journal.tell(
             Part.CONTRACTS,
             f'version {outcome.version} of {outcome.customer} is {outcome.state}; '
--- a/dandelionreel/contracts/_records.py
+++ b/dandelionreel/contracts/_records.py
@@ -42,7 +42,7 @@
     share: float
 
 
-class Stated(Struct, frozen=True, tag='stated'):
+class Restated(Struct, frozen=True, tag='stated'):
     """A contract in force, written again before its records expire."""
 
     contract: Contract
@@ -66,4 +66,4 @@
     share: float
 
 
-ContractRecord = Proposed | Staged | Aborted | Stated | ShareWanted | ShareMoved
+ContractRecord = Proposed | Staged | Aborted | Restated | ShareWanted | ShareMoved
--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -1,13 +1,13 @@
 """The first question to every contract: may this customer do this at all."""
 
-from dandelionreel.contracts._book import ContractBook
+from dandelionreel.contracts._contract_projection import ContractProjection
 from dandelionreel.contracts._document import Contract
 from dandelionreel.kernel import not_run
 
 HTTP_FORBIDDEN = 403
 
 
-def require_contract(book: ContractBook, customer: str, task_class: str) -> Contract:
+def require_contract(book: ContractProjection, customer: str, task_class: str) -> Contract:
     """Return the contract to enforce; raises ``RequestError`` with verdict not run."""
     contract = book.effective(customer)
     if contract is None:
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -10,7 +10,7 @@
 from dandelionreel.admin import AdminFront
 from dandelionreel.backing import HostWatch, LogError, StreamReader, StreamWriter
 from dandelionreel.callers import CallersFront, Relay
-from dandelionreel.contracts import ContractBook, ContractPublisher, ContractRecord
+from dandelionreel.contracts import ContractProjection, ContractPublisher, ContractRecord
 from dandelionreel.http import Server, ServerLimits
 from dandelionreel.jobs import (
     Dispatcher,
@@ -41,13 +41,13 @@
     DISPATCH_SHARD,
     Alive,
     Authority,
-    Claimer,
     Joined,
     Membership,
     MembershipRecord,
-    Neighbourhood,
-    PromiseBook,
-    ShardFold,
+    PeerMonitor,
+    PromiseTracker,
+    ShardClaimer,
+    ShardProjection,
     ShardRecord,
     ShardUser,
 )
@@ -188,8 +188,8 @@
         )
         self._cell_members = Membership(clock)
         self._zone_members = Membership(clock)
-        self._shards = ShardFold(self._zone_members, clock)
-        self._promises = PromiseBook(self.me, zone, clock, self._zone_members)
+        self._shards = ShardProjection(self._zone_members, clock)
+        self._promises = PromiseTracker(self.me, zone, clock, self._zone_members)
         self._authority = Authority(
             self.me,
             clock,
@@ -199,7 +199,7 @@
             self._shards,
             self._promises,
         )
-        self._neighbourhood = Neighbourhood(
+        self._peer_monitor = PeerMonitor(
             self.me,
             settings,
             clock,
@@ -210,7 +210,7 @@
             self._hosts,
             self._journal,
         )
-        self._claimer = Claimer(
+        self._claimer = ShardClaimer(
             self.me,
             zone,
             clock,
@@ -220,7 +220,7 @@
             self._shards,
             self._promises,
             self._authority,
-            self._neighbourhood,
+            self._peer_monitor,
             self._zone_reader,
             self._zone_writer,
             self._journal,
@@ -230,7 +230,7 @@
         self._zone_reader.add(self._shards.fold, self._shards.reset)
 
     def _build_contracts(self) -> None:
-        self._contracts = ContractBook(self._cell_members, self._clock)
+        self._contracts = ContractProjection(self._cell_members, self._clock)
         self._cell_reader.add(self._contracts.fold, self._contracts.reset)
         self._publisher = ContractPublisher(
             self.me,
@@ -293,7 +293,7 @@
             self._authority,
             self._shards,
             self._zone_reader,
-            self._neighbourhood,
+            self._peer_monitor,
             self._directory,
             self._echoes,
             self._journal,
@@ -407,9 +407,9 @@
         self._answer_peers(callers)
 
     def _answer_peers(self, callers: CallersFront) -> None:
-        self._neighbourhood.speak(self._gossip, self._hear, self._publisher.hear)
+        self._peer_monitor.speak(self._gossip, self._hear, self._publisher.hear)
         server = self._peer_server
-        server.answer(Heartbeat, self._neighbourhood.answer)
+        server.answer(Heartbeat, self._peer_monitor.answer)
         server.answer(Forward, callers.answer_forward)
         server.answer(PlaceOrder, self._fleet.answer_place)
         server.answer(TaskAction, self._fleet.answer_action)
@@ -442,10 +442,10 @@
         await start_task(stack, self._cell_writer.run)
         await start_task(stack, self._zone_writer.run)
         await start_task(stack, self._join)
-        await start_task(stack, self._neighbourhood.run, stack)
+        await start_task(stack, self._peer_monitor.run, stack)
         await start_task(
             stack,
-            self._neighbourhood.run_proofs,
+            self._peer_monitor.run_proofs,
             self._zone_writer,
             self._cell_writer,
         )
@@ -523,7 +523,7 @@
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
             await curio.sleep(period / ALIVE_CHECKS)
-            if not self._neighbourhood.has_silent_neighbour():
+            if not self._peer_monitor.has_silent_neighbour():
                 continue
             with suppress(LogError):
                 await self._zone_writer.write(Alive(self.me), period)
--- a/dandelionreel/jobs/_book.py
+++ b/dandelionreel/jobs/_book.py
@@ -24,7 +24,7 @@
     JobsCancelled,
 )
 from dandelionreel.jobs._spec import JobSpec
-from dandelionreel.ownership import DISPATCH_SHARD, ShardFold
+from dandelionreel.ownership import DISPATCH_SHARD, ShardProjection
 
 
 class JobState(enum.Enum):
@@ -131,7 +131,7 @@
 class JobBook:
     """Jobs by id and by idempotency key."""
 
-    def __init__(self, shards: ShardFold, ended_kept: int, keys_kept: int) -> None:
+    def __init__(self, shards: ShardProjection, ended_kept: int, keys_kept: int) -> None:
         """Judge intents by the dispatch epoch.
 
         Keeps ``ended_kept`` ended jobs whole (1.2 KB each), and of older ones
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -4,7 +4,7 @@
 """
 
 from dandelionreel.backing import HostWatch, StreamReader, StreamWriter
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._book import JobBook, JobState
 from dandelionreel.jobs._desk import Desk
 from dandelionreel.jobs._feeder import QueueFeeder
@@ -15,7 +15,7 @@
 from dandelionreel.jobs._shares import ShareKeeper
 from dandelionreel.jobs._starter import AttemptStarter
 from dandelionreel.kernel import Clock, Journal, Part, Settings
-from dandelionreel.ownership import DISPATCH_SHARD, Authority, ShardFold
+from dandelionreel.ownership import DISPATCH_SHARD, Authority, ShardProjection
 from dandelionreel.peers import WorkerReport
 from dandelionreel.placement import Planner
 
@@ -34,9 +34,9 @@
         settings: Settings,
         clock: Clock,
         authority: Authority,
-        shards: ShardFold,
+        shards: ShardProjection,
         jobs: JobBook,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         hosts: HostWatch,
         reader: StreamReader,
         writer: StreamWriter,
--- a/dandelionreel/jobs/_feeder.py
+++ b/dandelionreel/jobs/_feeder.py
@@ -1,7 +1,7 @@
 """From the log to the queue: which jobs wait, and which attempts to follow."""
 
 from dandelionreel.backing import HostWatch
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._book import Job, JobBook, JobState, Outcome
 from dandelionreel.jobs._desk import Desk
 from dandelionreel.jobs._shares import ShareKeeper
@@ -21,7 +21,7 @@
         settings: Settings,
         clock: Clock,
         jobs: JobBook,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         shares: ShareKeeper,
         hosts: HostWatch,
     ) -> None:
--- a/dandelionreel/jobs/_intake.py
+++ b/dandelionreel/jobs/_intake.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from dandelionreel.backing import HostEntry, HostWatch, LogError, StreamReader, StreamWriter
-from dandelionreel.contracts import ContractBook, require_contract
+from dandelionreel.contracts import ContractProjection, require_contract
 from dandelionreel.http import Answer, Request, answer_json
 from dandelionreel.jobs._book import OPEN_QUESTIONS, Job, JobBook
 from dandelionreel.jobs._records import JobAccepted, JobResolved, JobsCancelled
@@ -65,7 +65,7 @@
         settings: Settings,
         clock: Clock,
         jobs: JobBook,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         hosts: HostWatch,
         reader: StreamReader,
         writer: StreamWriter,
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -23,7 +23,7 @@
     start_task,
     unknown,
 )
-from dandelionreel.ownership import Membership, ShardFold
+from dandelionreel.ownership import Membership, ShardProjection
 
 WRITE_PATIENCE = 10.0
 ROUND_SECONDS = 0.2
@@ -53,7 +53,7 @@
     def __init__(self, log: LogService, stream: str, clock: Clock, records: Any, me: str) -> None:
         self.reader = StreamReader(log, stream, clock, records)
         members = Membership(clock)
-        shards = ShardFold(members, clock)
+        shards = ShardProjection(members, clock)
         self.jobs = JobBook(shards, 0, 0)
         for part in (members, shards, self.jobs):
             self.reader.add(part.fold, part.reset)
--- a/dandelionreel/jobs/_observer.py
+++ b/dandelionreel/jobs/_observer.py
@@ -1,6 +1,6 @@
 """What the owners of workers report, compared with what the dispatcher expects."""
 
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._book import Job, JobBook, JobState, Outcome
 from dandelionreel.jobs._desk import Desk
 from dandelionreel.jobs._feeder import QueueFeeder
@@ -26,7 +26,7 @@
         desk: Desk,
         clock: Clock,
         jobs: JobBook,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         feeder: QueueFeeder,
         orders: Orders,
         journal: Journal,
--- a/dandelionreel/jobs/_orders.py
+++ b/dandelionreel/jobs/_orders.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.backing import LogError, StreamWriter
 from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal, Verdict
-from dandelionreel.ownership import ShardFold, worker_shard
+from dandelionreel.ownership import ShardProjection, worker_shard
 from dandelionreel.peers import (
     Done,
     PeerDirectory,
@@ -30,7 +30,7 @@
         me: str,
         settings: Settings,
         clock: Clock,
-        shards: ShardFold,
+        shards: ShardProjection,
         fleet: WorkerFleet,
         directory: PeerDirectory,
         writer: StreamWriter,
--- a/dandelionreel/jobs/_shares.py
+++ b/dandelionreel/jobs/_shares.py
@@ -5,7 +5,7 @@
 """
 
 from dandelionreel.backing import LogError, StreamWriter
-from dandelionreel.contracts import ContractBook, ShareMoved, ShareWanted
+from dandelionreel.contracts import ContractProjection, ShareMoved, ShareWanted
 from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal
 from dandelionreel.placement import Planner
 
@@ -24,7 +24,7 @@
         self,
         settings: Settings,
         clock: Clock,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
--- a/dandelionreel/jobs/_starter.py
+++ b/dandelionreel/jobs/_starter.py
@@ -3,7 +3,7 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamReader, StreamWriter
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._book import Job, JobBook, Outcome
 from dandelionreel.jobs._desk import Desk
 from dandelionreel.jobs._metrics import JobMetrics
@@ -33,7 +33,7 @@
         desk: Desk,
         clock: Clock,
         jobs: JobBook,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         reader: StreamReader,
         writer: StreamWriter,
         orders: Orders,
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -5,9 +5,9 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamReader, StreamWriter
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.kernel import Clock, Journal, Part, Settings
-from dandelionreel.ownership import Claimer, Left
+from dandelionreel.ownership import Left, ShardClaimer
 
 POLL_SECONDS = 0.1
 LEFT_PATIENCE = 2.0
@@ -22,7 +22,7 @@
         clock: Clock,
         cell_reader: StreamReader,
         zone_reader: StreamReader,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         journal: Journal,
     ) -> None:
         """Watch the readers and the contracts."""
@@ -63,7 +63,7 @@
 
     async def drain(
         self,
-        claimer: Claimer,
+        claimer: ShardClaimer,
         in_flight: 'InFlight',
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
@@ -91,7 +91,7 @@
 
     async def _leave(
         self,
-        claimer: Claimer,
+        claimer: ShardClaimer,
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
         me: str,
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -10,7 +10,7 @@
 from dandelionreel.backing import StreamReader, StreamWriter
 from dandelionreel.http import control_bytes_by_kind
 from dandelionreel.jobs import JobBook, JobState
-from dandelionreel.ownership import Claimer
+from dandelionreel.ownership import ShardClaimer
 from dandelionreel.peers import Traffic
 from dandelionreel.placement import Planner
 
@@ -67,7 +67,7 @@
         queue_by_service: dict[str, int],
         jobs: JobBook,
         planner: Planner,
-        claimer: Claimer,
+        claimer: ShardClaimer,
     ) -> None:
         """Set all gauges."""
         self._log_outage.set(reader.outage_seconds)
--- a/dandelionreel/ownership/__init__.py
+++ b/dandelionreel/ownership/__init__.py
@@ -1,16 +1,16 @@
 """One writer for each worker, runner and dispatch queue of a zone."""
 
-from dandelionreel.ownership._authority import NO_GRANT, Authority, Grant, Level
+from dandelionreel.ownership._authority import NO_GRANT, Authority, Grant, GrantLevel
 from dandelionreel.ownership._claimer import (
-    Claimer,
-    Neighbours,
+    PeerStatus,
+    ShardClaimer,
     ShardUser,
     choose_owner,
     host_of,
 )
 from dandelionreel.ownership._membership import Member, Membership, member_keys
-from dandelionreel.ownership._neighbourhood import Neighbourhood
-from dandelionreel.ownership._promises import PromiseBook
+from dandelionreel.ownership._peer_monitor import PeerMonitor
+from dandelionreel.ownership._promises import PromiseTracker
 from dandelionreel.ownership._records import (
     DISPATCH_SHARD,
     RUNNER_PREFIX,
@@ -19,16 +19,16 @@
     Claimed,
     Ended,
     Joined,
-    Kept,
     Left,
     MembershipRecord,
     Released,
+    Renewed,
     ShardEpoch,
     ShardRecord,
     runner_shard,
     worker_shard,
 )
-from dandelionreel.ownership._shards import ShardClaim, ShardFold
+from dandelionreel.ownership._shards import ShardClaim, ShardProjection
 
 __all__ = (
     'DISPATCH_SHARD',
@@ -38,23 +38,23 @@
     'Alive',
     'Authority',
     'Claimed',
-    'Claimer',
     'Ended',
     'Grant',
+    'GrantLevel',
     'Joined',
-    'Kept',
     'Left',
-    'Level',
     'Member',
     'Membership',
     'MembershipRecord',
-    'Neighbourhood',
-    'Neighbours',
-    'PromiseBook',
+    'PeerMonitor',
+    'PeerStatus',
+    'PromiseTracker',
     'Released',
+    'Renewed',
     'ShardClaim',
+    'ShardClaimer',
     'ShardEpoch',
-    'ShardFold',
+    'ShardProjection',
     'ShardRecord',
     'ShardUser',
     'choose_owner',
--- a/dandelionreel/ownership/_authority.py
+++ b/dandelionreel/ownership/_authority.py
@@ -10,11 +10,11 @@
 from dandelionreel.backing import StreamReader
 from dandelionreel.kernel import Clock, Timings
 from dandelionreel.ownership._membership import Membership
-from dandelionreel.ownership._promises import PromiseBook
-from dandelionreel.ownership._shards import ShardClaim, ShardFold
+from dandelionreel.ownership._promises import PromiseTracker
+from dandelionreel.ownership._shards import ShardClaim, ShardProjection
 
 
-class Level(enum.Enum):
+class GrantLevel(enum.Enum):
     """How much of a shard may be filled.
 
     ``OWN_HALF``: the owner has no fresh evidence; a claimant may exist.
@@ -31,12 +31,12 @@
 class Grant:
     """A level, the epoch it is for, and since when nobody else may act."""
 
-    level: Level
+    level: GrantLevel
     epoch: int = 0
     since: float = 0
 
 
-NO_GRANT = Grant(Level.NONE)
+NO_GRANT = Grant(GrantLevel.NONE)
 
 
 class Authority:
@@ -49,8 +49,8 @@
         timings: Timings,
         reader: StreamReader,
         membership: Membership,
-        shards: ShardFold,
-        promises: PromiseBook,
+        shards: ShardProjection,
+        promises: PromiseTracker,
     ) -> None:
         """Judge for the member ``me``."""
         self._me = me
@@ -103,13 +103,13 @@
         if self._clock.monotonic() < since:
             return NO_GRANT
         if not self._shards.is_settled(claim):
-            return Grant(Level.OTHER_HALF, claim.epoch, since)
+            return Grant(GrantLevel.OTHER_HALF, claim.epoch, since)
         since = max(since, self._settled_at(claim))
         if self._clock.monotonic() < since:
-            return Grant(Level.OTHER_HALF, claim.epoch, self._active_at(claim))
+            return Grant(GrantLevel.OTHER_HALF, claim.epoch, self._active_at(claim))
         if self.is_fresh():
-            return Grant(Level.WHOLE, claim.epoch, since)
-        return Grant(Level.OWN_HALF, claim.epoch, since)
+            return Grant(GrantLevel.WHOLE, claim.epoch, since)
+        return Grant(GrantLevel.OWN_HALF, claim.epoch, since)
 
     def may_dispatch(self, shard: str) -> bool:
         """Return whether this daemon alone decides for a shard without halves.
@@ -118,7 +118,7 @@
         stops, and the claimant acts once its wait is over.
         """
         grant = self.grant(shard)
-        if grant.level is Level.NONE:
+        if grant.level is GrantLevel.NONE:
             return False
         return self.is_fresh()
 
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -9,9 +9,9 @@
 from dandelionreel.kernel import Clock, Journal, Limits, Part, Timings, Verdict
 from dandelionreel.ownership._authority import Authority
 from dandelionreel.ownership._membership import Membership, member_keys
-from dandelionreel.ownership._promises import PromiseBook
-from dandelionreel.ownership._records import Alive, Claimed, Kept, Released, ShardEpoch
-from dandelionreel.ownership._shards import ShardClaim, ShardFold
+from dandelionreel.ownership._promises import PromiseTracker
+from dandelionreel.ownership._records import Alive, Claimed, Released, Renewed, ShardEpoch
+from dandelionreel.ownership._shards import ShardClaim, ShardProjection
 
 ROUND_SECONDS = 0.5
 WRITE_PATIENCE = 5.0
@@ -24,7 +24,7 @@
 RESTATE_MARGIN = 2.0
 
 
-class Neighbours(abc.ABC):
+class PeerStatus(abc.ABC):
     """What the claimer asks about the other members of the zone."""
 
     @abc.abstractmethod
@@ -69,7 +69,7 @@
     return host
 
 
-class Claimer:
+class ShardClaimer:
     """Brings ownership to where it should be, a few moves at a time."""
 
     def __init__(
@@ -80,10 +80,10 @@
         timings: Timings,
         limits: Limits,
         membership: Membership,
-        shards: ShardFold,
-        promises: PromiseBook,
+        shards: ShardProjection,
+        promises: PromiseTracker,
         authority: Authority,
-        neighbours: Neighbours,
+        peer_status: PeerStatus,
         reader: StreamReader,
         writer: StreamWriter,
         journal: Journal,
@@ -98,7 +98,7 @@
         self._shards = shards
         self._promises = promises
         self._authority = authority
-        self._neighbours = neighbours
+        self._peer_status = peer_status
         self._reader = reader
         self._writer = writer
         self._journal = journal
@@ -139,7 +139,7 @@
         for member in self._membership.live(self._zone):
             if member.key == self._me:
                 continue
-            if not self._neighbours.has_acknowledged_me(member.key):
+            if not self._peer_status.has_acknowledged_me(member.key):
                 return False
         return True
 
@@ -188,7 +188,7 @@
     def _may_take(self, claim: ShardClaim) -> bool:
         if claim.released or self._membership.has_ended(claim.owner):
             return True
-        if not self._neighbours.is_silent(claim.owner):
+        if not self._peer_status.is_silent(claim.owner):
             return False
         until, _ = self._hold_by_shard.get(claim.shard, (0.0, 0.0))
         return self._clock.monotonic() >= until
@@ -348,7 +348,7 @@
     def _may_own(self, key: str) -> bool:
         if key == self._me:
             return False
-        return not (self._neighbours.is_silent(key) or self._neighbours.is_draining(key))
+        return not (self._peer_status.is_silent(key) or self._peer_status.is_draining(key))
 
     async def _let_go(self, shard: str) -> bool:
         for user in self._users:
@@ -371,7 +371,7 @@
                 due.append(ShardEpoch(claim.shard, claim.epoch))
         if not due:
             return
-        await self._writer.write(Kept(self._me, tuple(due)), WRITE_PATIENCE)
+        await self._writer.write(Renewed(self._me, tuple(due)), WRITE_PATIENCE)
         for kept in due:
             self._kept_at_by_shard[kept.shard] = (kept.epoch, now)
 
--- a/dandelionreel/ownership/_neighbourhood.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -8,9 +8,9 @@
 
 from dandelionreel.backing import HostWatch, LogError, StreamWriter
 from dandelionreel.kernel import Clock, Journal, Part, Settings, start_task
-from dandelionreel.ownership._claimer import Neighbours
+from dandelionreel.ownership._claimer import PeerStatus
 from dandelionreel.ownership._membership import Member, Membership
-from dandelionreel.ownership._promises import PromiseBook
+from dandelionreel.ownership._promises import PromiseTracker
 from dandelionreel.ownership._records import Ended
 from dandelionreel.peers import (
     Frame,
@@ -41,10 +41,10 @@
 
 #: Takes whether the peer is in this daemon's own zone.
 GossipSource = Callable[[bool], Gossip]
-GossipUser = Callable[[PeerState], Awaitable[None]]
+GossipHandler = Callable[[PeerState], Awaitable[None]]
 
 
-class Neighbourhood(Neighbours):
+class PeerMonitor(PeerStatus):
     """What this daemon hears from the others, and what it tells them."""
 
     def __init__(
@@ -55,7 +55,7 @@
         directory: PeerDirectory,
         zone_members: Membership,
         cell_members: Membership,
-        promises: PromiseBook,
+        promises: PromiseTracker,
         hosts: HostWatch,
         journal: Journal,
     ) -> None:
@@ -71,14 +71,14 @@
         self._hosts = hosts
         self._journal = journal
         self._gossip_source: GossipSource = _say_nothing
-        self._gossip_users: list[GossipUser] = []
+        self._gossip_users: list[GossipHandler] = []
         self._acknowledged_by: set[str] = set()
         self._task_by_host: dict[str, Any] = {}
         self._refused_at_by_member: dict[str, float] = {}
         self._looked_at = clock.monotonic()
         self._awake_since = clock.monotonic()
 
-    def speak(self, source: GossipSource, *users: GossipUser) -> None:
+    def speak(self, source: GossipSource, *users: GossipHandler) -> None:
         """Tell peers what ``source`` returns; hand what they tell to ``users``."""
         self._gossip_source = source
         self._gossip_users.extend(users)
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -15,7 +15,7 @@
     view: tuple[int, ...]
 
 
-class PromiseBook:
+class PromiseTracker:
     """What this daemon has promised, and what it has been promised.
 
     Evidence needs *every* other member: one that is unknown to the owner
--- a/dandelionreel/ownership/_records.py
+++ b/dandelionreel/ownership/_records.py
@@ -67,7 +67,7 @@
     shards: tuple[ShardEpoch, ...]
 
 
-class Kept(Struct, frozen=True, tag='kept'):
+class Renewed(Struct, frozen=True, tag='kept'):
     """States ownership again, before the claim's record expires."""
 
     member: str
@@ -75,4 +75,4 @@
 
 
 MembershipRecord = Joined | Left | Ended | Alive
-ShardRecord = Claimed | Released | Kept
+ShardRecord = Claimed | Released | Renewed
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -7,7 +7,7 @@
 from dandelionreel.backing import Position
 from dandelionreel.kernel import Clock
 from dandelionreel.ownership._membership import Membership
-from dandelionreel.ownership._records import Claimed, Kept, Released, ShardEpoch
+from dandelionreel.ownership._records import Claimed, Released, Renewed, ShardEpoch
 
 #: What a claim names when its maker knows no claim on the shard.
 UNKNOWN_EPOCH = 0
@@ -36,7 +36,7 @@
     blind: bool = False
 
 
-class ShardFold:
+class ShardProjection:
     """Claims by shard. The first claim in log order that names the epoch wins."""
 
     def __init__(self, membership: Membership, clock: Clock) -> None:
@@ -81,7 +81,7 @@
         elif isinstance(record, Released):
             for given in record.shards:
                 self._release(record.member, given)
-        elif isinstance(record, Kept):
+        elif isinstance(record, Renewed):
             for kept in record.shards:
                 self._keep(record.member, kept)
 
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -1,6 +1,6 @@
 """Whether a request may come in: its customer's contract and this daemon's part of it."""
 
-from dandelionreel.contracts import Contract, ContractBook, require_contract
+from dandelionreel.contracts import Contract, ContractProjection, require_contract
 from dandelionreel.kernel import Clock, Settings, not_run
 from dandelionreel.ownership import Membership, member_keys
 from dandelionreel.routing._budget import CustomerUse, part_of_count, part_of_rate
@@ -19,7 +19,7 @@
         settings: Settings,
         clock: Clock,
         me: str,
-        book: ContractBook,
+        book: ContractProjection,
         membership: Membership,
     ) -> None:
         """Admit as the member ``me``; its part depends on the zone's members."""
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -9,8 +9,8 @@
 from dandelionreel.ownership import (
     RUNNER_PREFIX,
     Authority,
-    Level,
-    ShardFold,
+    GrantLevel,
+    ShardProjection,
     ShardUser,
     runner_shard,
 )
@@ -30,7 +30,7 @@
         clock: Clock,
         hosts: HostWatch,
         authority: Authority,
-        shards: ShardFold,
+        shards: ShardProjection,
         choice: RunnerChoice,
         journal: Journal,
     ) -> None:
@@ -225,7 +225,7 @@
         name = runner.entry.name
         claim = self._shards.get(runner_shard(name))
         grant = self._authority.grant(runner_shard(name))
-        if claim is None or grant.level is Level.NONE:
+        if claim is None or grant.level is GrantLevel.NONE:
             self._watched.discard(name)
             return
         mark = f'{name}|{grant.epoch}'
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -5,7 +5,7 @@
 import curio
 import msgspec
 
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.http import (
     PROBLEM_URN,
     VERDICT_HEADER,
@@ -89,7 +89,7 @@
         settings: Settings,
         clock: Clock,
         me: str,
-        book: ContractBook,
+        book: ContractProjection,
         membership: Membership,
         pool: RunnerPool,
         directory: PeerDirectory,
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -16,7 +16,7 @@
     Request,
 )
 from dandelionreel.kernel import Clock
-from dandelionreel.ownership import Grant, Level
+from dandelionreel.ownership import Grant, GrantLevel
 
 SLOTS_PATH = '/.runner/slots'
 HTTP_OK = 200
@@ -111,14 +111,14 @@
 
     def allowed(self, grant: Grant) -> int:
         """Return how many slots this daemon may hold at all under that grant."""
-        if grant.level is Level.NONE or grant.epoch != self._epoch:
+        if grant.level is GrantLevel.NONE or grant.epoch != self._epoch:
             # What a former owner may still have there has to be judged first.
             return 0
         slots = self.entry.slots
         half = slots // 2
-        if grant.level is Level.WHOLE:
+        if grant.level is GrantLevel.WHOLE:
             return slots - self.foreign
-        if grant.level is Level.OWN_HALF:
+        if grant.level is GrantLevel.OWN_HALF:
             return half
         return min(half, slots - max(self.foreign, half))
 
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -16,7 +16,7 @@
     WorkerService,
 )
 from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal, Verdict
-from dandelionreel.ownership import NO_GRANT, Authority, Grant, Level, worker_shard
+from dandelionreel.ownership import NO_GRANT, Authority, Grant, GrantLevel, worker_shard
 from dandelionreel.peers import PlaceAnswer, PlaceOrder, TaskReport, WorkerReport
 from dandelionreel.workers._ledger import HoldState, Ledger
 
@@ -88,7 +88,7 @@
         revision = -1
         while True:
             seen = self.changed.count
-            if self.grant().level is Level.NONE:
+            if self.grant().level is GrantLevel.NONE:
                 revision = -1
                 self._listing = None
                 await self.changed.wait(seen, IDLE_SECONDS)
@@ -99,7 +99,7 @@
         """Renew the leases of all that runs while this daemon owns the worker."""
         while True:
             await curio.sleep(self._settings.timings.lease / RENEWALS)
-            if self.grant().level is Level.NONE:
+            if self.grant().level is GrantLevel.NONE:
                 continue
             await self.renew([hold.task_id for hold in self.ledger.holds()])
 
@@ -253,7 +253,7 @@
     def _watch_seconds(self) -> float:
         # Once the former owner is settled the worker must be listed again
         # before its other half may be filled; a long wait would delay that.
-        if self.grant().level is Level.OTHER_HALF:
+        if self.grant().level is GrantLevel.OTHER_HALF:
             return UNSETTLED_WATCH_SECONDS
         return self._settings.timings.lease * WATCH_PART
 
@@ -297,7 +297,7 @@
     def _still_allowed(self, grant: Grant) -> bool:
         """Return whether the counted start may leave: asked right before it does."""
         current = self.grant()
-        if current.level is Level.NONE or current.epoch != grant.epoch:
+        if current.level is GrantLevel.NONE or current.epoch != grant.epoch:
             return False
         return self.ledger.total().fits(self.ledger.room(current))
 
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -21,9 +21,9 @@
     WORKER_PREFIX,
     Authority,
     Grant,
-    Level,
-    Neighbourhood,
-    ShardFold,
+    GrantLevel,
+    PeerMonitor,
+    ShardProjection,
     ShardUser,
     worker_shard,
 )
@@ -64,9 +64,9 @@
         clock: Clock,
         hosts: HostWatch,
         authority: Authority,
-        shards: ShardFold,
+        shards: ShardProjection,
         reader: StreamReader,
-        neighbourhood: Neighbourhood,
+        peer_monitor: PeerMonitor,
         directory: PeerDirectory,
         echoes: EchoBook,
         journal: Journal,
@@ -79,7 +79,7 @@
         self._authority = authority
         self._shards = shards
         self._reader = reader
-        self._neighbourhood = neighbourhood
+        self._peer_monitor = peer_monitor
         self._directory = directory
         self._echoes = echoes
         self._journal = journal
@@ -126,7 +126,7 @@
         if action.dispatch_epoch < self._shards.epoch(DISPATCH_SHARD):
             return False
         agent = self.agent_by_worker.get(action.worker)
-        if agent is None or agent.grant().level is Level.NONE:
+        if agent is None or agent.grant().level is GrantLevel.NONE:
             return False
         return await agent.act(action.task_id, action.action)
 
@@ -217,7 +217,7 @@
         """Return what a report made now would be for; no dispatcher, no report."""
         claim = self._shards.get(DISPATCH_SHARD)
         grant = agent.grant()
-        if claim is None or grant.level is Level.NONE:
+        if claim is None or grant.level is GrantLevel.NONE:
             return _DueReport()
         return _DueReport(claim.owner, claim.epoch, grant, agent.changed.count)
 
@@ -243,7 +243,7 @@
         when we became the owner: the former one may have renewed until then,
         and a worker that we have not asked yet is not a silent one.
         """
-        heard_since = self._neighbourhood.all_heard_since()
+        heard_since = self._peer_monitor.all_heard_since()
         since = max(agent.reached_at, heard_since, agent.grant().since)
         return max(0.0, self._clock.monotonic() - since)
 
@@ -254,7 +254,7 @@
             if claim is None or claim.owner == self._me:
                 continue
             log_is_out = self._reader.outage_since is not None
-            if log_is_out and self._neighbourhood.is_silent(claim.owner):
+            if log_is_out and self._peer_monitor.is_silent(claim.owner):
                 await agent.renew_for_silent_owner()
 
 
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 from dandelionreel.backing import NOTHING, Resources, TaskList, TaskStatus
-from dandelionreel.ownership import Grant, Level
+from dandelionreel.ownership import Grant, GrantLevel
 
 HALF = 0.5
 
@@ -62,12 +62,12 @@
 
     def room(self, grant: Grant) -> Resources:
         """Return how much may be filled in all, of what is counted already too."""
-        if grant.level is Level.NONE or self.listed_at < grant.since:
+        if grant.level is GrantLevel.NONE or self.listed_at < grant.since:
             return NOTHING
-        if grant.level is Level.WHOLE:
+        if grant.level is GrantLevel.WHOLE:
             return self.capacity
         half = self.capacity.times(HALF)
-        if grant.level is Level.OWN_HALF:
+        if grant.level is GrantLevel.OWN_HALF:
             return half
         # The former owner may still fill up to its half, or hold what it had
         # beyond that; this claimant gets what is surely left, half at most.
@@ -76,7 +76,7 @@
 
     def refusal(self, demand: Resources, grant: Grant) -> str:
         """Return why a task may not be started now, or an empty text."""
-        if grant.level is Level.NONE:
+        if grant.level is GrantLevel.NONE:
             return 'not the owner'
         if self.listed_at < grant.since:
             return 'the worker has not been listed since the claim'
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -29,7 +29,7 @@
 from dandelionreel.cell.store._runner_list import RunnersFolder
 from dandelionreel.http import Answer, Server, answer_json
 from dandelionreel.kernel import ManualClock, Verdict
-from dandelionreel.ownership import Grant, Level
+from dandelionreel.ownership import Grant, GrantLevel
 from dandelionreel.platform import Address, HttpAdvice, HttpRunner, JsonRecordCodec
 from dandelionreel.workers import WorkerAgent
 from features.cell_parts import SmallCell, make_registration, step, task
@@ -326,7 +326,7 @@
 def worker_listed(context):
     context.clock = ManualClock()
     context.worker = RestartingWorker(context.clock)
-    authority = SimpleNamespace(grant=lambda shard: Grant(Level.WHOLE, 1))
+    authority = SimpleNamespace(grant=lambda shard: Grant(GrantLevel.WHOLE, 1))
     settings = SimpleNamespace(timings=SimpleNamespace(lease=6.0))
     context.agent = WorkerAgent(
         'me/1', context.worker.entry, context.worker, authority, settings, context.clock, journal()
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -8,7 +8,7 @@
 from dandelionreel.jobs._lapses import judge_lapse
 from dandelionreel.jobs._records import AttemptEnded
 from dandelionreel.kernel import ManualClock
-from dandelionreel.ownership import DISPATCH_SHARD, Claimed, Membership, ShardEpoch, ShardFold
+from dandelionreel.ownership import DISPATCH_SHARD, Claimed, Membership, ShardEpoch, ShardProjection
 
 EPOCH = 1
 MEMBER_PREFIX = 'me/1'
@@ -47,7 +47,7 @@
 def make_job(context, earlier):
     context.offset = 1
     clock = ManualClock()
-    shards = ShardFold(Membership(clock), clock)
+    shards = ShardProjection(Membership(clock), clock)
     claim = Claimed(MEMBER_PREFIX, (ShardEpoch(DISPATCH_SHARD, 0),))
     shards.fold(claim, Position(0, MEMBER_PREFIX, 0))
     context.book = JobBook(shards, 10, 10)
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -20,13 +20,13 @@
     DISPATCH_SHARD,
     Claimed,
     Grant,
+    GrantLevel,
     Joined,
-    Level,
     Membership,
-    PromiseBook,
+    PromiseTracker,
     Released,
     ShardEpoch,
-    ShardFold,
+    ShardProjection,
 )
 from dandelionreel.peers import hash_member
 from dandelionreel.routing import part_of_count
@@ -56,19 +56,19 @@
 
 @when('{asked:d} processors are asked for at level {level}')
 def ask_ledger(context, asked, level):
-    grant = Grant(Level(level), EPOCH, 5)
+    grant = Grant(GrantLevel(level), EPOCH, 5)
     context.refusal = context.ledger.refusal(Resources(asked, 0, 0), grant)
 
 
 @when('{asked:d} processors are asked for under a grant later than the listing')
 def ask_late(context, asked):
-    grant = Grant(Level.WHOLE, EPOCH, 11)
+    grant = Grant(GrantLevel.WHOLE, EPOCH, 11)
     context.refusal = context.ledger.refusal(Resources(asked, 0, 0), grant)
 
 
 @when('a start of {processors:d} processors is in doubt and a listing lacks it')
 def doubt(context, processors):
-    grant = Grant(Level.WHOLE, EPOCH, 5)
+    grant = Grant(GrantLevel.WHOLE, EPOCH, 5)
     context.ledger.hold('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.change('j.2.0', HoldState.DOUBTFUL, 12)
     context.ledger.note_listing(TaskList(2, ()), 13)
@@ -128,7 +128,7 @@
 def make_book(context):
     context.clock = ManualClock()
     context.members = Membership(context.clock)
-    context.book = PromiseBook('a/1', 'z', context.clock, context.members)
+    context.book = PromiseTracker('a/1', 'z', context.clock, context.members)
     _join(context, 'a/1')
     _join(context, 'b/1')
 
@@ -179,7 +179,7 @@
 @given('a job and a dispatcher of epoch 1')
 def make_job(context):
     clock = ManualClock()
-    context.shards = ShardFold(Membership(clock), clock)
+    context.shards = ShardProjection(Membership(clock), clock)
     context.book = JobBook(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
     accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
