--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -106,7 +106,7 @@
                 self._journal.tell(Part.CONTRACTS, f'could not write: {error}.')
             await self._reader.changed.wait(seen, ROUND_SECONDS)
 
-    async def hear(self, state: PeerState) -> None:
+    async def handle_gossip(self, state: PeerState) -> None:
         """Ask a peer for its contracts when its versions differ from ours.
 
         A daemon that has lost only the log still gets new versions this way.
@@ -119,7 +119,7 @@
         state.contracts_asked_at = now
         await curio.spawn(self._ask, state, daemon=True)
 
-    async def answer_wanted(self, frame: Frame) -> Message:
+    async def answer_query(self, frame: Frame) -> Message:
         """Tell a peer which contracts are in force here."""
         documents = [self._encoded(customer) for customer in self._book.customers()]
         return ContractState(self._reader.offset, tuple(documents))
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -101,7 +101,7 @@
         """Return the one shard."""
         return (DISPATCH_SHARD,)
 
-    async def let_go(self, shard: str) -> bool:
+    async def prepare_release(self, shard: str) -> bool:
         """Return True: a dispatcher's orders carry its epoch and an age."""
         return True
 
@@ -407,14 +407,14 @@
         self._answer_peers(callers)
 
     def _answer_peers(self, callers: CallersFront) -> None:
-        self._peer_monitor.speak(self._gossip, self._hear, self._publisher.hear)
+        self._peer_monitor.connect_gossip(self._gossip, self._hear, self._publisher.handle_gossip)
         server = self._peer_server
-        server.answer(Heartbeat, self._peer_monitor.answer)
+        server.answer(Heartbeat, self._peer_monitor.answer_heartbeat)
         server.answer(Forward, callers.answer_forward)
         server.answer(PlaceOrder, self._fleet.answer_place)
         server.answer(TaskAction, self._fleet.answer_action)
         server.answer(WorkerReport, self._answer_report)
-        server.answer(ContractsWanted, self._publisher.answer_wanted)
+        server.answer(ContractsWanted, self._publisher.answer_query)
 
     # Running.
 
@@ -445,7 +445,7 @@
         await start_task(stack, self._peer_monitor.run, stack)
         await start_task(
             stack,
-            self._peer_monitor.run_proofs,
+            self._peer_monitor.run_end_detection,
             self._zone_writer,
             self._cell_writer,
         )
--- a/dandelionreel/jobs/_desk.py
+++ b/dandelionreel/jobs/_desk.py
@@ -78,4 +78,4 @@
         """Return how long an order to a worker's owner may stay under way."""
         timings = self._settings.timings
         allowed = timings.start_deadline + timings.heartbeat * 2
-        return (allowed + self._authority.flight) * (1 + timings.clock_drift)
+        return (allowed + self._authority.max_start_seconds) * (1 + timings.clock_drift)
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -83,7 +83,7 @@
         claimer.draining = True
         until = self._clock.monotonic() + timings.drain_limit
         while self._clock.monotonic() < until and not self.hurried:
-            if not in_flight.count() and not claimer.owned():
+            if not in_flight.count() and not claimer.owned_claims():
                 break
             await curio.sleep(POLL_SECONDS)
         await self._leave(claimer, zone_writer, cell_writer, me)
@@ -98,7 +98,7 @@
     ) -> None:
         # Only a daemon that holds nothing may say that it has left: the next
         # owner of its shards would not wait for what it sent last.
-        if claimer.owned():
+        if claimer.owned_claims():
             self._journal.tell(Part.LIFE, 'stops with shards that were not handed over.')
             return
         for writer in (zone_writer, cell_writer):
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -75,7 +75,7 @@
         self._log_append.set(writer.append_seconds)
         self._appends.set(writer.appends)
         self._records.set(writer.records)
-        self._owned.set(len(claimer.owned()))
+        self._owned.set(len(claimer.owned_claims()))
         self._takeovers.set(claimer.takeovers)
         for service, length in queue_by_service.items():
             self._queue.labels(service).set(length)
--- a/dandelionreel/ownership/_authority.py
+++ b/dandelionreel/ownership/_authority.py
@@ -64,7 +64,7 @@
         self.suspended: set[str] = set()
 
     @property
-    def flight(self) -> float:
+    def max_start_seconds(self) -> float:
         """Return how long a start may be under way, in seconds."""
         return self._timings.start_deadline + self._timings.socket_timeout
 
@@ -72,12 +72,12 @@
     def takeover_wait(self) -> float:
         """Return how long a claimant waits for the former owner's authority to end."""
         drifted = self._timings.authority * (1 + self._timings.clock_drift)
-        return drifted + self.flight
+        return drifted + self.max_start_seconds
 
     @property
     def takeover_wait_after_proof(self) -> float:
         """Return how long a dead owner's last start may still be under way."""
-        return self.flight * (1 + self._timings.clock_drift)
+        return self.max_start_seconds * (1 + self._timings.clock_drift)
 
     def is_fresh(self) -> bool:
         """Return whether the evidence that nobody has claimed is fresh."""
@@ -123,16 +123,16 @@
         return self.is_fresh()
 
     def _active_at(self, claim: ShardClaim) -> float:
-        if claim.former:
+        if claim.former_owner:
             return claim.learned_at + self.takeover_wait
-        if claim.clean:
+        if claim.clean_handover:
             return claim.learned_at
         # The former owner is proven ended, or its claim has expired: what it
         # sent last may still arrive.
         return claim.learned_at + self.takeover_wait_after_proof
 
     def _settled_at(self, claim: ShardClaim) -> float:
-        ended_at = self._membership.ended_at_by_key.get(claim.former)
+        ended_at = self._membership.ended_at_by_key.get(claim.former_owner)
         if ended_at is None:
             return claim.learned_at
         return ended_at + self.takeover_wait_after_proof
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -48,7 +48,7 @@
         """Return the shards that should have an owner in this zone."""
 
     @abc.abstractmethod
-    async def let_go(self, shard: str) -> bool:
+    async def prepare_release(self, shard: str) -> bool:
         """Return whether nothing is under way on a suspended shard."""
 
 
@@ -116,7 +116,7 @@
         """Claim the shards of that part too."""
         self._users.append(user)
 
-    def owned(self) -> tuple[ShardClaim, ...]:
+    def owned_claims(self) -> tuple[ShardClaim, ...]:
         """Return the claims that this daemon holds, released ones excepted."""
         return tuple(
             claim
@@ -124,7 +124,7 @@
             if claim.owner == self._me and not claim.released
         )
 
-    def is_member(self) -> bool:
+    def may_claim(self) -> bool:
         """Return whether this daemon may claim.
 
         Every live member must know us: only then do their owners ask for our
@@ -161,7 +161,7 @@
         self._resume_promises()
         await self._yield_lost()
         await self._release_surplus()
-        if self.is_member() and not self.draining:
+        if self.may_claim() and not self.draining:
             await self._claim_wanted()
         await self._keep_old()
 
@@ -258,8 +258,8 @@
         if claim is None:
             return
         reason = 'it had no owner'
-        if claim.former:
-            reason = f'{claim.former} was silent'
+        if claim.former_owner:
+            reason = f'{claim.former_owner} was silent'
             self.takeovers += 1
             self._hold(shard)
         self._journal.tell(
@@ -267,7 +267,7 @@
             f'claimed {shard}; {reason}.',
             shard=shard,
             epoch=claim.epoch,
-            former=claim.former,
+            former=claim.former_owner,
         )
 
     def _hold(self, shard: str) -> None:
@@ -279,9 +279,9 @@
         """Answer a claim on a shard of ours: stop, wait, and say so in the log."""
         yielded = []
         for claim in self._shards.claims():
-            if claim.former != self._me:
+            if claim.former_owner != self._me:
                 continue
-            if await self._let_go(claim.shard):
+            if await self._prepare_release(claim.shard):
                 yielded.append(ShardEpoch(claim.shard, claim.epoch - 1))
         if yielded:
             await self._writer.write(Released(self._me, tuple(yielded)), WRITE_PATIENCE)
@@ -294,7 +294,7 @@
         released = []
         for claim in due:
             self._authority.suspended.add(claim.shard)
-            if await self._let_go(claim.shard):
+            if await self._prepare_release(claim.shard):
                 released.append(ShardEpoch(claim.shard, claim.epoch))
         if not released:
             return
@@ -313,7 +313,7 @@
         hosts = self._candidate_hosts()
         surplus = [
             claim
-            for claim in self.owned()
+            for claim in self.owned_claims()
             if self._shards.is_settled(claim)
             and (self.draining or self._belongs_elsewhere(claim, hosts))
         ]
@@ -350,9 +350,9 @@
             return False
         return not (self._peer_status.is_silent(key) or self._peer_status.is_draining(key))
 
-    async def _let_go(self, shard: str) -> bool:
+    async def _prepare_release(self, shard: str) -> bool:
         for user in self._users:
-            if not await user.let_go(shard):
+            if not await user.prepare_release(shard):
                 return False
         return True
 
@@ -360,7 +360,7 @@
         """Write claims again before a third of the log's retention is left."""
         now = self._clock.monotonic()
         due = []
-        for claim in self.owned():
+        for claim in self.owned_claims():
             if not self._shards.is_settled(claim):
                 continue
             epoch, written = self._kept_at_by_shard.get(claim.shard, (0, 0.0))
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -78,7 +78,7 @@
         self._looked_at = clock.monotonic()
         self._awake_since = clock.monotonic()
 
-    def speak(self, source: GossipSource, *users: GossipHandler) -> None:
+    def connect_gossip(self, source: GossipSource, *users: GossipHandler) -> None:
         """Tell peers what ``source`` returns; hand what they tell to ``users``."""
         self._gossip_source = source
         self._gossip_users.extend(users)
@@ -139,7 +139,7 @@
             for member in self._zone_members.live(self._zone)
         )
 
-    async def answer(self, frame: Frame) -> Message:
+    async def answer_heartbeat(self, frame: Frame) -> Message:
         """Answer a heartbeat with the promise, unless a claim is under way."""
         message = frame.message
         if not isinstance(message, Heartbeat):
@@ -162,7 +162,7 @@
                     self._task_by_host[host] = await start_task(stack, self._beat, host)
             await curio.sleep(ROUND_SECONDS)
 
-    async def run_proofs(
+    async def run_end_detection(
         self,
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -29,11 +29,11 @@
     shard: str
     owner: str
     epoch: int
-    former: str = ''
+    former_owner: str = ''
     released: bool = False
-    clean: bool = True
+    clean_handover: bool = True
     learned_at: float = 0
-    blind: bool = False
+    predecessor_unknown: bool = False
 
 
 class ShardProjection:
@@ -64,7 +64,7 @@
 
     def is_settled(self, claim: ShardClaim) -> bool:
         """Return whether nobody but the owner may still act on the shard."""
-        return not claim.former or self._membership.has_ended(claim.former)
+        return not claim.former_owner or self._membership.has_ended(claim.former_owner)
 
     def may_be_claimed(self, shard: str, member: str) -> bool:
         """Return whether a claim by ``member`` would be valid now."""
@@ -93,10 +93,10 @@
             wanted.shard,
             member,
             position.offset + 1,
-            former=self._former(claim),
-            clean=self._is_clean(claim),
+            former_owner=self._former(claim),
+            clean_handover=self._is_clean(claim),
             learned_at=self._clock.monotonic(),
-            blind=claim is None and wanted.epoch == UNKNOWN_EPOCH,
+            predecessor_unknown=claim is None and wanted.epoch == UNKNOWN_EPOCH,
         )
 
     def _is_valid(self, member: str, wanted: ShardEpoch, claim: ShardClaim | None) -> bool:
@@ -136,14 +136,14 @@
             return
         if claim.owner == member and claim.epoch == given.epoch:
             self._claim_by_shard[given.shard] = replace(claim, released=True)
-        elif claim.former == member and claim.epoch > given.epoch:
-            self._claim_by_shard[given.shard] = replace(claim, former='')
+        elif claim.former_owner == member and claim.epoch > given.epoch:
+            self._claim_by_shard[given.shard] = replace(claim, former_owner='')
 
     def _keep(self, member: str, kept: ShardEpoch) -> None:
         claim = self._claim_by_shard.get(kept.shard)
         if claim is not None and (claim.epoch, claim.owner) == (kept.epoch, member):
             return
-        if claim is not None and claim.epoch > kept.epoch and not claim.blind:
+        if claim is not None and claim.epoch > kept.epoch and not claim.predecessor_unknown:
             return
         # The claim itself has expired before we read it; its owner has read
         # it as the valid one, and writes this only for settled shards.
@@ -151,6 +151,6 @@
             kept.shard,
             member,
             kept.epoch,
-            clean=False,
+            clean_handover=False,
             learned_at=self._clock.monotonic(),
         )
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -57,7 +57,7 @@
         for entry in self._hosts.of_kind('endpoint', zone):
             yield runner_shard(entry.name)
 
-    async def let_go(self, shard: str) -> bool:
+    async def prepare_release(self, shard: str) -> bool:
         """Return whether no request is under way on a runner's shard."""
         if not shard.startswith(RUNNER_PREFIX):
             return True
@@ -232,7 +232,7 @@
         if mark in self._watched:
             return
         self._watched.add(mark)
-        runner.take_over(grant, clean=claim.clean and not claim.former)
+        runner.take_over(grant, clean=claim.clean_handover and not claim.former_owner)
         if runner.foreign:
             await curio.spawn(self._watch_foreign, runner, daemon=True)
         await self.changed.notify()
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -96,7 +96,7 @@
         for entry in self._entries():
             yield worker_shard(entry.name)
 
-    async def let_go(self, shard: str) -> bool:
+    async def prepare_release(self, shard: str) -> bool:
         """Return whether no start is under way or in doubt on a worker's shard."""
         if not shard.startswith(WORKER_PREFIX):
             return True
