--- a/dandelionreel/contracts/_contract_projection.py
+++ b/dandelionreel/contracts/_contract_projection.py
@@ -25,7 +25,7 @@
 from dandelionreel.kernel import Clock
 from dandelionreel.ownership import Ended, Joined, Left, Membership
 
-HISTORY_KEPT = 50
+HISTORY_PER_CUSTOMER = 50
 
 
 @dataclass(frozen=True)
@@ -96,12 +96,12 @@
 
     def in_force(self, customer: str) -> Contract | None:
         """Return the contract in force."""
-        held = self._newest(customer)
+        held = self._find_newest(customer)
         return held.contract if held else None
 
     def written_at(self, customer: str) -> float:
         """Return when the record that holds the contract was written (wall seconds)."""
-        held = self._newest(customer)
+        held = self._find_newest(customer)
         return held.written_at if held else 0
 
     def pending(self, customer: str) -> PendingProposal | None:
@@ -169,30 +169,30 @@
     def fold(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, Proposed):
-            self._propose(record, position)
+            self._apply_proposed(record, position)
         elif isinstance(record, Staged):
-            self._stage(record, position)
+            self._apply_staged(record, position)
         elif isinstance(record, Aborted):
-            self._abort(record, position)
+            self._apply_aborted(record, position)
         elif isinstance(record, Restated):
-            self._state(record, position)
+            self._apply_restated(record, position)
         elif isinstance(record, (Joined, Left, Ended)):
-            self._review(position)
+            self._commit_fully_staged(position)
         elif isinstance(record, ShareWanted):
             self.wanted_shares[record.customer, record.zone] = record.share
         elif isinstance(record, ShareMoved):
-            self._move_share(record)
+            self._apply_share_moved(record)
 
-    def _propose(self, record: Proposed, position: Position) -> None:
+    def _apply_proposed(self, record: Proposed, position: Position) -> None:
         customer = record.contract.customer
         folded = self._in_force_by_customer.get(customer)
         pending = self._pending_by_customer.get(customer)
         version = folded.contract.version if folded else 0
         if pending is not None:
-            self._note(record, 'lost', f'{pending.author} is publishing', position)
+            self._reject(record, 'lost', f'{pending.author} is publishing', position)
             return
         if record.replaces != version or record.contract.version <= version:
-            self._note(record, 'lost', f'version {version} is in force', position)
+            self._reject(record, 'lost', f'version {version} is in force', position)
             return
         members = frozenset(member.key for member in self._membership.live())
         self._pending_by_customer[customer] = PendingProposal(
@@ -204,9 +204,9 @@
             staged=frozenset(),
             learned_at=self._clock.monotonic(),
         )
-        self._review(position)
+        self._commit_fully_staged(position)
 
-    def _stage(self, record: Staged, position: Position) -> None:
+    def _apply_staged(self, record: Staged, position: Position) -> None:
         pending = self._pending_by_customer.get(record.customer)
         if pending is None or pending.nonce != record.nonce:
             return
@@ -215,16 +215,16 @@
             missing=pending.missing - {record.member},
             staged=pending.staged | {record.member},
         )
-        self._review(position)
+        self._commit_fully_staged(position)
 
-    def _abort(self, record: Aborted, position: Position) -> None:
+    def _apply_aborted(self, record: Aborted, position: Position) -> None:
         pending = self._pending_by_customer.get(record.customer)
         if pending is None or pending.nonce != record.nonce:
             return
         self._pending_by_customer.pop(record.customer)
-        self._finish(pending, 'aborted', record.reason, position)
+        self._finish_proposal(pending, 'aborted', record.reason, position)
 
-    def _review(self, position: Position) -> None:
+    def _commit_fully_staged(self, position: Position) -> None:
         """Put in force what nobody is missing any more."""
         for customer, pending in tuple(self._pending_by_customer.items()):
             missing = frozenset(
@@ -234,10 +234,10 @@
                 continue
             self._pending_by_customer.pop(customer)
             self._put_in_force(pending.contract, position.wall)
-            self._divide(customer, pending.zones)
-            self._finish(pending, 'committed', 'in force', position)
+            self._divide_quota(customer, pending.zones)
+            self._finish_proposal(pending, 'committed', 'in force', position)
 
-    def _state(self, record: Restated, position: Position) -> None:
+    def _apply_restated(self, record: Restated, position: Position) -> None:
         customer = record.contract.customer
         folded = self._in_force_by_customer.get(customer)
         if folded is not None and folded.contract.version > record.contract.version:
@@ -247,7 +247,7 @@
             for part in record.shares:
                 self._share_by_zone[customer, part.zone] = part.share
 
-    def _newest(self, customer: str) -> ContractInForce | None:
+    def _find_newest(self, customer: str) -> ContractInForce | None:
         folded = self._in_force_by_customer.get(customer)
         adopted = self._adopted_by_customer.get(customer)
         if folded is None or adopted is None:
@@ -266,13 +266,13 @@
     def _put_in_force(self, contract: Contract, wall: float) -> None:
         self._in_force_by_customer[contract.customer] = ContractInForce(contract, wall)
 
-    def _divide(self, customer: str, zones: tuple[str, ...]) -> None:
+    def _divide_quota(self, customer: str, zones: tuple[str, ...]) -> None:
         if self.shares(customer):
             return
         for zone in zones:
             self._share_by_zone[customer, zone] = 1 / len(zones)
 
-    def _move_share(self, record: ShareMoved) -> None:
+    def _apply_share_moved(self, record: ShareMoved) -> None:
         held = self.share(record.customer, record.giver)
         moved = min(held, record.share)
         self._share_by_zone[record.customer, record.giver] = held - moved
@@ -280,7 +280,7 @@
         self._share_by_zone[taker] = self._share_by_zone.get(taker, 0) + moved
         self.wanted_shares.pop(taker, None)
 
-    def _note(self, record: Proposed, state: str, detail: str, position: Position) -> None:
+    def _reject(self, record: Proposed, state: str, detail: str, position: Position) -> None:
         outcome = ProposalOutcome(
             record.contract.customer,
             record.contract.version,
@@ -290,9 +290,9 @@
             detail,
             position.wall,
         )
-        self._keep(outcome)
+        self._record_outcome(outcome)
 
-    def _finish(
+    def _finish_proposal(
         self, pending: PendingProposal, state: str, detail: str, position: Position
     ) -> None:
         outcome = ProposalOutcome(
@@ -304,10 +304,10 @@
             detail,
             position.wall,
         )
-        self._keep(outcome)
+        self._record_outcome(outcome)
 
-    def _keep(self, outcome: ProposalOutcome) -> None:
+    def _record_outcome(self, outcome: ProposalOutcome) -> None:
         self._history.append(outcome)
-        del self._history[: -HISTORY_KEPT * max(1, len(self._in_force_by_customer))]
+        del self._history[: -HISTORY_PER_CUSTOMER * max(1, len(self._in_force_by_customer))]
         for watcher in self._watchers:
             watcher(outcome)
--- a/dandelionreel/contracts/_document.py
+++ b/dandelionreel/contracts/_document.py
@@ -111,9 +111,9 @@
     """Return a contract that breaks neither; in force between staging and outcome."""
     return msgspec.structs.replace(
         old,
-        classes=_stricter_classes(old, new),
-        quota=_smaller(old.quota, new.quota),
-        guaranteed=_smaller(old.guaranteed, new.guaranteed),
+        classes=_intersect_classes(old, new),
+        quota=_minimum(old.quota, new.quota),
+        guaranteed=_minimum(old.guaranteed, new.guaranteed),
         requests=RequestTerms(
             rate=min(old.requests.rate, new.requests.rate),
             burst=min(old.requests.burst, new.requests.burst),
@@ -125,15 +125,15 @@
     )
 
 
-def _smaller(one: Amounts, other: Amounts) -> Amounts:
+def _minimum(first: Amounts, second: Amounts) -> Amounts:
     return Amounts(
-        min(one.processors, other.processors),
-        min(one.memory_mb, other.memory_mb),
-        min(one.accelerators, other.accelerators),
+        min(first.processors, second.processors),
+        min(first.memory_mb, second.memory_mb),
+        min(first.accelerators, second.accelerators),
     )
 
 
-def _stricter_classes(old: Contract, new: Contract) -> tuple[ClassTerms, ...]:
+def _intersect_classes(old: Contract, new: Contract) -> tuple[ClassTerms, ...]:
     both = []
     for terms in old.classes:
         other = new.terms(terms.name)
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -34,14 +34,14 @@
     PeerState,
 )
 
-ROUND_SECONDS = 0.5
-WRITE_PATIENCE = 5.0
+CHECK_INTERVAL_SECONDS = 0.5
+WRITE_TIMEOUT_SECONDS = 5.0
 #: Later members wait longer before they abort or restate, so that one does.
-RANK_SECONDS = 1.0
+RANK_DELAY_SECONDS = 1.0
 NONCE_BYTES = 8
-ASK_SECONDS = 2.0
+QUERY_TIMEOUT_SECONDS = 2.0
 #: A peer is asked for its contracts at most this often.
-ASK_AGAIN_SECONDS = 1.0
+QUERY_INTERVAL_SECONDS = 1.0
 HTTP_CONFLICT = 409
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
@@ -55,7 +55,7 @@
         me: str,
         settings: Settings,
         clock: Clock,
-        book: ContractProjection,
+        contracts: ContractProjection,
         membership: Membership,
         reader: StreamReader,
         writer: StreamWriter,
@@ -65,12 +65,12 @@
         self._me = me
         self._settings = settings
         self._clock = clock
-        self._book = book
+        self._contracts = contracts
         self._membership = membership
         self._reader = reader
         self._writer = writer
         self._journal = journal
-        book.watch(self._tell)
+        contracts.watch(self._log_outcome)
 
     async def publish(self, contract: Contract, replaces: int, author: str) -> ProposalOutcome:
         """Propose a version and return how it ended; raises ``RequestError``."""
@@ -79,7 +79,7 @@
         try:
             await self._writer.write(proposal, self._settings.timings.publish_patience)
         except LogError as error:
-            raise _log_trouble(error) from error
+            raise _make_request_error(error) from error
         outcome = await self._await_outcome(nonce)
         if outcome is None:
             raise unknown(
@@ -101,32 +101,32 @@
         while True:
             seen = self._reader.changed.count
             try:
-                await self._round()
+                await self._run_once()
             except LogError as error:
                 self._journal.tell(Part.CONTRACTS, f'could not write: {error}.')
-            await self._reader.changed.wait(seen, ROUND_SECONDS)
+            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
 
     async def handle_gossip(self, state: PeerState) -> None:
         """Ask a peer for its contracts when its versions differ from ours.
 
         A daemon that has lost only the log still gets new versions this way.
         """
-        if state.gossip.contracts == self._book.digest():
+        if state.gossip.contracts == self._contracts.digest():
             return
         now = self._clock.monotonic()
-        if now - state.contracts_asked_at < ASK_AGAIN_SECONDS:
+        if now - state.contracts_asked_at < QUERY_INTERVAL_SECONDS:
             return
         state.contracts_asked_at = now
-        await curio.spawn(self._ask, state, daemon=True)
+        await curio.spawn(self._query_contracts, state, daemon=True)
 
     async def answer_query(self, frame: Frame) -> Message:
         """Tell a peer which contracts are in force here."""
-        documents = [self._encoded(customer) for customer in self._book.customers()]
+        documents = [self._encode_in_force(customer) for customer in self._contracts.customers()]
         return ContractState(self._reader.offset, tuple(documents))
 
-    async def _ask(self, state: PeerState) -> None:
+    async def _query_contracts(self, state: PeerState) -> None:
         try:
-            frame = await state.link.ask(ContractsWanted(), ASK_SECONDS)
+            frame = await state.link.ask(ContractsWanted(), QUERY_TIMEOUT_SECONDS)
         except PeerError:
             return
         if not isinstance(frame.message, ContractState):
@@ -140,7 +140,7 @@
         except ContractError as error:
             self._journal.tell(Part.CONTRACTS, f'refused a contract of {peer}; {error}.')
             return
-        if self._book.adopt(contract):
+        if self._contracts.adopt(contract):
             self._journal.tell(
                 Part.CONTRACTS,
                 f'version {contract.version} of {contract.customer} is in force; '
@@ -153,25 +153,25 @@
         until = self._clock.monotonic() + self._settings.timings.publish_patience
         while self._clock.monotonic() < until:
             seen = self._reader.changed.count
-            outcome = self._book.outcome(nonce)
+            outcome = self._contracts.outcome(nonce)
             if outcome is not None:
                 return outcome
-            await self._reader.changed.wait(seen, ROUND_SECONDS)
-        return self._book.outcome(nonce)
+            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
+        return self._contracts.outcome(nonce)
 
-    async def _round(self) -> None:
-        for pending in self._book.all_pending():
+    async def _run_once(self) -> None:
+        for pending in self._contracts.all_pending():
             if self._me in pending.missing:
                 await self._stage(pending)
             elif self._is_overdue(pending):
                 await self._abort(pending)
-        await self._restate()
+        await self._restate_expiring()
 
     async def _stage(self, pending: PendingProposal) -> None:
         # From the moment the proposal was folded, the stricter of both is
         # enforced here (ContractBook.effective); the record says so.
         customer = pending.contract.customer
-        await self._writer.write(Staged(customer, pending.nonce, self._me), WRITE_PATIENCE)
+        await self._writer.write(Staged(customer, pending.nonce, self._me), WRITE_TIMEOUT_SECONDS)
         self._journal.tell(
             Part.CONTRACTS,
             f'staged version {pending.contract.version} of {customer}.',
@@ -181,35 +181,35 @@
 
     def _is_overdue(self, pending: PendingProposal) -> bool:
         age = self._clock.monotonic() - pending.learned_at
-        return age > self._settings.timings.contract_deadline + self._rank() * RANK_SECONDS
+        return age > self._settings.timings.contract_deadline + self._rank() * RANK_DELAY_SECONDS
 
     async def _abort(self, pending: PendingProposal) -> None:
         missing = [key for key in sorted(pending.missing) if not self._membership.has_ended(key)]
         reason = f'not staged in time by {", ".join(missing)}'
         customer = pending.contract.customer
-        await self._writer.write(Aborted(customer, pending.nonce, reason), WRITE_PATIENCE)
+        await self._writer.write(Aborted(customer, pending.nonce, reason), WRITE_TIMEOUT_SECONDS)
 
-    async def _restate(self) -> None:
+    async def _restate_expiring(self) -> None:
         now = self._clock.wall()
-        due_after = self._settings.timings.retention / 3 + self._rank() * RANK_SECONDS
-        for customer in self._book.customers():
-            if now - self._book.written_at(customer) < due_after:
+        due_after = self._settings.timings.retention / 3 + self._rank() * RANK_DELAY_SECONDS
+        for customer in self._contracts.customers():
+            if now - self._contracts.written_at(customer) < due_after:
                 continue
-            contract = self._book.in_force(customer)
+            contract = self._contracts.in_force(customer)
             if contract is None or not self._reader.caught_up:
                 continue
-            stated = Restated(contract, self._book.shares(customer))
-            await self._writer.write(stated, WRITE_PATIENCE)
+            stated = Restated(contract, self._contracts.shares(customer))
+            await self._writer.write(stated, WRITE_TIMEOUT_SECONDS)
 
     def _rank(self) -> int:
         keys = member_keys(self._membership.live())
         return keys.index(self._me) if self._me in keys else len(keys)
 
-    def _encoded(self, customer: str) -> bytes:
+    def _encode_in_force(self, customer: str) -> bytes:
         # Encoding is cheap and rare; nothing is kept between questions.
-        return encode_contract(self._book.in_force(customer))
+        return encode_contract(self._contracts.in_force(customer))
 
-    def _tell(self, outcome: ProposalOutcome) -> None:
+    def _log_outcome(self, outcome: ProposalOutcome) -> None:
         self._journal.tell(
             Part.CONTRACTS,
             f'version {outcome.version} of {outcome.customer} is {outcome.state}; '
@@ -224,7 +224,7 @@
     return msgspec.json.encode(contract)
 
 
-def _log_trouble(error: LogError) -> RequestError:
+def _make_request_error(error: LogError) -> RequestError:
     if error.verdict is Verdict.NOT_RUN:
         return not_run(
             HTTP_UNAVAILABLE,
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -13,15 +13,15 @@
 from dandelionreel.ownership._records import Alive, Claimed, Released, Renewed, ShardEpoch
 from dandelionreel.ownership._shards import ShardClaim, ShardProjection
 
-ROUND_SECONDS = 0.5
-WRITE_PATIENCE = 5.0
+CHECK_INTERVAL_SECONDS = 0.5
+WRITE_TIMEOUT_SECONDS = 5.0
 #: After a takeover the same shard is not taken over again by this daemon for
 #: this long, doubling, so that two daemons that cannot hear each other do not
 #: take a shard from each other in turns.
-HOLD_OFF = 10.0
-HOLD_OFF_LIMIT = 160.0
+TAKEOVER_BACKOFF_SECONDS = 10.0
+MAX_TAKEOVER_BACKOFF_SECONDS = 160.0
 #: How late a fact may be written again, in seconds.
-RESTATE_MARGIN = 2.0
+RESTATE_MARGIN_SECONDS = 2.0
 
 
 class PeerStatus(abc.ABC):
@@ -103,10 +103,10 @@
         self._writer = writer
         self._journal = journal
         self._users: list[ShardUser] = []
-        self._hold_by_shard: dict[str, tuple[float, float]] = {}
+        self._takeover_backoff_by_shard: dict[str, tuple[float, float]] = {}
         self._withheld_by_shard: dict[str, tuple[str, int]] = {}
-        self._doubtful: set[str] = set()
-        self._kept_at_by_shard: dict[str, tuple[int, float]] = {}
+        self._unconfirmed_claims: set[str] = set()
+        self._renewed_at_by_shard: dict[str, tuple[int, float]] = {}
         self._target_hosts: tuple[str, ...] = ()
         self._target_by_shard: dict[str, str] = {}
         self.draining = False
@@ -148,49 +148,49 @@
         while True:
             seen = self._reader.changed.count
             try:
-                await self.round()
+                await self.run_once()
             except LogError as error:
                 self._journal.tell(Part.OWNERSHIP, f'could not write: {error}.')
-            await self._reader.changed.wait(seen, ROUND_SECONDS)
+            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
 
-    async def round(self) -> None:
+    async def run_once(self) -> None:
         """Do what is due now."""
         if not self._reader.caught_up or not self._membership.is_live(self._me):
             return
-        await self._void_doubtful()
+        await self._invalidate_unconfirmed_claims()
         self._resume_promises()
-        await self._yield_lost()
+        await self._yield_taken_shards()
         await self._release_surplus()
         if self.may_claim() and not self.draining:
-            await self._claim_wanted()
-        await self._keep_old()
+            await self._claim_assigned_shards()
+        await self._renew_claims()
 
     @property
     def _restated_within(self) -> float:
         """Return the seconds within which every live fact is written again."""
-        return self._timings.retention / 3 + RESTATE_MARGIN
+        return self._timings.retention / 3 + RESTATE_MARGIN_SECONDS
 
-    async def _claim_wanted(self) -> None:
+    async def _claim_assigned_shards(self) -> None:
         hosts = self._candidate_hosts()
         wanted = []
-        for shard in self._wanted():
+        for shard in self._wanted_shards():
             if self._target(shard, hosts) != host_of(self._me):
                 continue
             if not self._shards.may_be_claimed(shard, self._me):
                 continue
             claim = self._shards.get(shard)
-            if claim is not None and not self._may_take(claim):
+            if claim is not None and not self._may_take_over(claim):
                 continue
             wanted.append(shard)
         if wanted:
             await self._claim(wanted[: self._limits.group_records])
 
-    def _may_take(self, claim: ShardClaim) -> bool:
+    def _may_take_over(self, claim: ShardClaim) -> bool:
         if claim.released or self._membership.has_ended(claim.owner):
             return True
         if not self._peer_status.is_silent(claim.owner):
             return False
-        until, _ = self._hold_by_shard.get(claim.shard, (0.0, 0.0))
+        until, _ = self._takeover_backoff_by_shard.get(claim.shard, (0.0, 0.0))
         return self._clock.monotonic() >= until
 
     async def _claim(self, wanted: list[str]) -> None:
@@ -198,13 +198,13 @@
             self._withhold(shard)
         claims = tuple(ShardEpoch(shard, self._shards.epoch(shard)) for shard in wanted)
         try:
-            await self._writer.write(Claimed(self._me, claims), WRITE_PATIENCE)
+            await self._writer.write(Claimed(self._me, claims), WRITE_TIMEOUT_SECONDS)
         except LogError as error:
             self._note_failed_claim(wanted, error)
             raise
         won = [shard for shard in wanted if self._owns(shard)]
         for shard in won:
-            self._tell_won(shard)
+            self._log_claimed(shard)
 
     def _withhold(self, shard: str) -> None:
         claim = self._shards.get(shard)
@@ -217,26 +217,26 @@
 
     def _note_failed_claim(self, wanted: list[str], error: LogError) -> None:
         if error.verdict is Verdict.UNKNOWN:
-            self._doubtful.update(wanted)
+            self._unconfirmed_claims.update(wanted)
             return
         for shard in wanted:
-            self._drop_withheld(shard)
+            self._resume_promise(shard)
 
-    async def _void_doubtful(self) -> None:
+    async def _invalidate_unconfirmed_claims(self) -> None:
         """Make sure that a claim whose answer was lost can no longer land.
 
         It may reach the log at any later time; promising meanwhile would let
         its owner act beside us. Once a later record of this daemon has been
         read back, every reader drops the claim, for its number is the lower.
         """
-        if not self._doubtful:
+        if not self._unconfirmed_claims:
             return
-        await self._writer.write(Alive(self._me), WRITE_PATIENCE)
-        for shard in tuple(self._doubtful):
-            self._doubtful.discard(shard)
+        await self._writer.write(Alive(self._me), WRITE_TIMEOUT_SECONDS)
+        for shard in tuple(self._unconfirmed_claims):
+            self._unconfirmed_claims.discard(shard)
             _, epoch = self._withheld_by_shard.get(shard, ('', 0))
             if self._shards.epoch(shard) == epoch:
-                self._drop_withheld(shard)
+                self._resume_promise(shard)
 
     def _resume_promises(self) -> None:
         """Promise again to owners whose shards this daemon lost or settled."""
@@ -246,14 +246,14 @@
                 continue
             if claim.owner == self._me and not self._shards.is_settled(claim):
                 continue
-            self._drop_withheld(shard)
+            self._resume_promise(shard)
 
-    def _drop_withheld(self, shard: str) -> None:
+    def _resume_promise(self, shard: str) -> None:
         owner, _ = self._withheld_by_shard.pop(shard, ('', 0))
         if owner:
             self._promises.resume(owner)
 
-    def _tell_won(self, shard: str) -> None:
+    def _log_claimed(self, shard: str) -> None:
         claim = self._shards.get(shard)
         if claim is None:
             return
@@ -261,7 +261,7 @@
         if claim.former_owner:
             reason = f'{claim.former_owner} was silent'
             self.takeovers += 1
-            self._hold(shard)
+            self._back_off_takeover(shard)
         self._journal.tell(
             Part.OWNERSHIP,
             f'claimed {shard}; {reason}.',
@@ -270,12 +270,12 @@
             former=claim.former_owner,
         )
 
-    def _hold(self, shard: str) -> None:
-        _, last = self._hold_by_shard.get(shard, (0.0, 0.0))
-        length = min(max(HOLD_OFF, last * 2), HOLD_OFF_LIMIT)
-        self._hold_by_shard[shard] = (self._clock.monotonic() + length, length)
+    def _back_off_takeover(self, shard: str) -> None:
+        _, last = self._takeover_backoff_by_shard.get(shard, (0.0, 0.0))
+        length = min(max(TAKEOVER_BACKOFF_SECONDS, last * 2), MAX_TAKEOVER_BACKOFF_SECONDS)
+        self._takeover_backoff_by_shard[shard] = (self._clock.monotonic() + length, length)
 
-    async def _yield_lost(self) -> None:
+    async def _yield_taken_shards(self) -> None:
         """Answer a claim on a shard of ours: stop, wait, and say so in the log."""
         yielded = []
         for claim in self._shards.claims():
@@ -284,11 +284,11 @@
             if await self._prepare_release(claim.shard):
                 yielded.append(ShardEpoch(claim.shard, claim.epoch - 1))
         if yielded:
-            await self._writer.write(Released(self._me, tuple(yielded)), WRITE_PATIENCE)
+            await self._writer.write(Released(self._me, tuple(yielded)), WRITE_TIMEOUT_SECONDS)
             self._journal.tell(Part.OWNERSHIP, f'yielded {len(yielded)} shards to claimants.')
 
     async def _release_surplus(self) -> None:
-        due = self._surplus()
+        due = self._find_surplus()
         # One that turned out to stay here after all may be used again.
         self._authority.suspended.intersection_update(claim.shard for claim in due)
         released = []
@@ -299,17 +299,17 @@
         if not released:
             return
         try:
-            await self._writer.write(Released(self._me, tuple(released)), WRITE_PATIENCE)
+            await self._writer.write(Released(self._me, tuple(released)), WRITE_TIMEOUT_SECONDS)
         finally:
-            for given in released:
-                self._authority.suspended.discard(given.shard)
+            for shard_epoch in released:
+                self._authority.suspended.discard(shard_epoch.shard)
         self._journal.tell(
             Part.OWNERSHIP,
             f'released {len(released)} shards; others should own them.',
-            shards=[given.shard for given in released],
+            shards=[shard_epoch.shard for shard_epoch in released],
         )
 
-    def _surplus(self) -> tuple[ShardClaim, ...]:
+    def _find_surplus(self) -> tuple[ShardClaim, ...]:
         hosts = self._candidate_hosts()
         surplus = [
             claim
@@ -319,7 +319,7 @@
         ]
         if self.draining:
             return tuple(surplus)
-        count = max(1, int(self._limits.moves_per_second * ROUND_SECONDS))
+        count = max(1, int(self._limits.moves_per_second * CHECK_INTERVAL_SECONDS))
         return tuple(surplus[:count])
 
     def _belongs_elsewhere(self, claim: ShardClaim, hosts: tuple[str, ...]) -> bool:
@@ -356,26 +356,26 @@
                 return False
         return True
 
-    async def _keep_old(self) -> None:
+    async def _renew_claims(self) -> None:
         """Write claims again before a third of the log's retention is left."""
         now = self._clock.monotonic()
         due = []
         for claim in self.owned_claims():
             if not self._shards.is_settled(claim):
                 continue
-            epoch, written = self._kept_at_by_shard.get(claim.shard, (0, 0.0))
+            epoch, written = self._renewed_at_by_shard.get(claim.shard, (0, 0.0))
             if epoch != claim.epoch:
                 written = claim.learned_at
-                self._kept_at_by_shard[claim.shard] = (claim.epoch, written)
+                self._renewed_at_by_shard[claim.shard] = (claim.epoch, written)
             if now - written > self._timings.retention / 3:
                 due.append(ShardEpoch(claim.shard, claim.epoch))
         if not due:
             return
-        await self._writer.write(Renewed(self._me, tuple(due)), WRITE_PATIENCE)
-        for kept in due:
-            self._kept_at_by_shard[kept.shard] = (kept.epoch, now)
+        await self._writer.write(Renewed(self._me, tuple(due)), WRITE_TIMEOUT_SECONDS)
+        for renewed in due:
+            self._renewed_at_by_shard[renewed.shard] = (renewed.epoch, now)
 
-    def _wanted(self) -> tuple[str, ...]:
+    def _wanted_shards(self) -> tuple[str, ...]:
         found: list[str] = []
         for user in self._users:
             found.extend(user.wanted_shards())
--- a/dandelionreel/ownership/_membership.py
+++ b/dandelionreel/ownership/_membership.py
@@ -10,7 +10,7 @@
 from dandelionreel.ownership._records import Alive, Ended, Joined, Left
 
 #: Ended members are remembered so that a late record cannot revive them.
-ENDED_KEPT = 5000
+MAX_ENDED_KEPT = 5000
 
 
 @dataclass(frozen=True)
@@ -60,11 +60,11 @@
     def fold(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, Joined):
-            self._join(record, position)
+            self._apply_joined(record, position)
         elif isinstance(record, Left):
-            self._end(record.member, LEFT)
+            self._mark_ended(record.member, LEFT)
         elif isinstance(record, Ended):
-            self._end(record.member, record.proof)
+            self._mark_ended(record.member, record.proof)
         elif isinstance(record, Alive):
             age = max(0.0, self._clock.wall() - position.wall)
             self.alive_at_by_key[record.member] = self._clock.monotonic() - age
@@ -96,14 +96,14 @@
         ]
         return tuple(sorted(found, key=_by_key))
 
-    def _join(self, record: Joined, position: Position) -> None:
+    def _apply_joined(self, record: Joined, position: Position) -> None:
         if record.member in self._member_by_key:
             return
         # Only one process can be bound to a host's address, so a later
         # incarnation proves that the earlier ones have ended.
         for key, member in tuple(self._member_by_key.items()):
             if member.host == record.host and not member.has_ended:
-                self._end(key, RESTARTED)
+                self._mark_ended(key, RESTARTED)
         self._member_by_key[record.member] = Member(
             record.member,
             record.host,
@@ -113,7 +113,7 @@
             position.offset,
         )
 
-    def _end(self, key: str, proof: str) -> None:
+    def _mark_ended(self, key: str, proof: str) -> None:
         member = self._member_by_key.get(key)
         if member is not None and member.has_ended:
             return
@@ -125,7 +125,7 @@
         self._forget_oldest()
 
     def _forget_oldest(self) -> None:
-        while len(self.ended_at_by_key) > ENDED_KEPT:
+        while len(self.ended_at_by_key) > MAX_ENDED_KEPT:
             oldest = next(iter(self.ended_at_by_key))
             self.ended_at_by_key.pop(oldest)
             self._member_by_key.pop(oldest, None)
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -27,15 +27,15 @@
 )
 
 #: A refusal counts as a proof once it has been met this often in a row.
-PROOF_REFUSALS = 2
+REFUSALS_FOR_PROOF = 2
 #: How many silent periods a host must be missing from the list to be gone.
-GONE_PERIODS = 4
+GONE_SILENT_PERIODS = 4
 #: Other zones leave the proof to the dead daemon's own zone for this long.
-FAR_PROOF_SECONDS = 4.0
-WRITE_PATIENCE = 5.0
-ROUND_SECONDS = 0.5
+OTHER_ZONE_PROOF_DELAY_SECONDS = 4.0
+WRITE_TIMEOUT_SECONDS = 5.0
+CHECK_INTERVAL_SECONDS = 0.5
 #: A round that comes this many times later than it should shows a pause.
-PAUSE_ROUNDS = 2
+PAUSE_INTERVALS = 2
 #: A record that a daemon is alive counts for this many silent periods.
 ALIVE_PERIODS = 2
 
@@ -70,22 +70,22 @@
         self._promises = promises
         self._hosts = hosts
         self._journal = journal
-        self._gossip_source: GossipSource = _say_nothing
-        self._gossip_users: list[GossipHandler] = []
+        self._gossip_source: GossipSource = _empty_gossip
+        self._gossip_handlers: list[GossipHandler] = []
         self._acknowledged_by: set[str] = set()
         self._task_by_host: dict[str, Any] = {}
         self._refused_at_by_member: dict[str, float] = {}
-        self._looked_at = clock.monotonic()
+        self._last_check_at = clock.monotonic()
         self._awake_since = clock.monotonic()
 
-    def connect_gossip(self, source: GossipSource, *users: GossipHandler) -> None:
+    def connect_gossip(self, source: GossipSource, *handlers: GossipHandler) -> None:
         """Tell peers what ``source`` returns; hand what they tell to ``users``."""
         self._gossip_source = source
-        self._gossip_users.extend(users)
+        self._gossip_handlers.extend(handlers)
 
     def is_silent(self, member: str) -> bool:
         """Return whether nothing at all tells that the member lives."""
-        self._note_awake()
+        self._detect_pause()
         now = self._clock.monotonic()
         period = self._settings.timings.silent_after
         state = self._directory.of_member(member)
@@ -144,23 +144,23 @@
         message = frame.message
         if not isinstance(message, Heartbeat):
             return Refused('not a heartbeat')
-        near = message.availability_zone == self._zone
-        if near:
-            self._promises.acquaint(frame.sender)
-        await self._hear(frame.sender, message.gossip, near=near)
-        promise = near and self._promises.give(frame.sender)
-        return HeartbeatAnswer(promise, self._gossip_source(near))
+        same_zone = message.availability_zone == self._zone
+        if same_zone:
+            self._promises.require_promise(frame.sender)
+        await self._handle_gossip(frame.sender, message.gossip, same_zone=same_zone)
+        promise = same_zone and self._promises.give(frame.sender)
+        return HeartbeatAnswer(promise, self._gossip_source(same_zone))
 
     async def run(self, stack: AsyncExitStack) -> None:
         """Keep one heartbeat task for each known daemon, for ever."""
         while True:
-            self._note_awake()
-            self._learn_peers()
+            self._detect_pause()
+            self._add_known_peers()
             for state in self._directory.states():
                 host = state.address.host
                 if host not in self._task_by_host:
-                    self._task_by_host[host] = await start_task(stack, self._beat, host)
-            await curio.sleep(ROUND_SECONDS)
+                    self._task_by_host[host] = await start_task(stack, self._send_heartbeats, host)
+            await curio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def run_end_detection(
         self,
@@ -169,61 +169,61 @@
     ) -> None:
         """Write the proven ends of other daemons to the log, for ever."""
         while True:
-            await curio.sleep(ROUND_SECONDS)
+            await curio.sleep(CHECK_INTERVAL_SECONDS)
             try:
                 await self._write_proofs(zone_writer, cell_writer)
             except LogError as error:
                 self._journal.tell(Part.OWNERSHIP, f'could not write a proof: {error}.')
 
-    def _note_awake(self) -> None:
+    def _detect_pause(self) -> None:
         now = self._clock.monotonic()
-        if now - self._looked_at > ROUND_SECONDS * PAUSE_ROUNDS:
+        if now - self._last_check_at > CHECK_INTERVAL_SECONDS * PAUSE_INTERVALS:
             self._awake_since = now
-        self._looked_at = now
+        self._last_check_at = now
 
-    def _learn_peers(self) -> None:
+    def _add_known_peers(self) -> None:
         for member in self._cell_members.live() + self._zone_members.live():
-            self._learn(member.host, member.availability_zone, member.address, member.peers_port)
+            self._add_peer(member.host, member.availability_zone, member.address, member.peers_port)
         # Without the log, the host list alone leads a fresh daemon to peers.
         for entry in self._hosts.all_of_kind('entry'):
-            self._learn(entry.name, entry.availability_zone, entry.address, entry.port)
+            self._add_peer(entry.name, entry.availability_zone, entry.address, entry.port)
 
-    def _learn(self, host: str, zone: str, address: str, port: int) -> None:
+    def _add_peer(self, host: str, zone: str, address: str, port: int) -> None:
         if host == self._settings.host or not address:
             return
         self._directory.learn(PeerAddress(host, zone, address, port))
 
-    async def _beat(self, host: str) -> None:
+    async def _send_heartbeats(self, host: str) -> None:
         timings = self._settings.timings
         while True:
             state = self._directory.get(host)
             if state is None:
                 return
-            near = state.address.availability_zone == self._zone
-            await self._beat_once(state, near=near)
-            pause = timings.heartbeat if near else timings.far_heartbeat
-            if state.refusals and state.refusals < PROOF_REFUSALS:
+            same_zone = state.address.availability_zone == self._zone
+            await self._send_heartbeat(state, same_zone=same_zone)
+            pause = timings.heartbeat if same_zone else timings.far_heartbeat
+            if state.refusals and state.refusals < REFUSALS_FOR_PROOF:
                 # One more refusal proves the end; its shards should not wait.
                 pause = timings.heartbeat / 4
             await curio.sleep(pause)
 
-    async def _beat_once(self, state: PeerState, *, near: bool) -> None:
-        before = self._members_on(state.address.host)
+    async def _send_heartbeat(self, state: PeerState, *, same_zone: bool) -> None:
+        live_before = self._live_members_on(state.address.host)
         asked_at = self._clock.monotonic()
-        question = Heartbeat(self._zone, self._gossip_source(near))
+        request = Heartbeat(self._zone, self._gossip_source(same_zone))
         try:
-            frame = await state.link.ask(question, self._settings.timings.authority / 2)
+            frame = await state.link.ask(request, self._settings.timings.authority / 2)
         except PeerError as error:
             if error.refused:
-                self._note_refused(state, before)
+                self._note_refused(state, live_before)
             else:
                 state.refusals = 0
             return
         if not isinstance(frame.message, HeartbeatAnswer):
             return
         answer = frame.message
-        await self._hear(frame.sender, answer.gossip, near=near)
-        if near:
+        await self._handle_gossip(frame.sender, answer.gossip, same_zone=same_zone)
+        if same_zone:
             self._promises.receive(
                 frame.sender,
                 asked_at,
@@ -231,16 +231,16 @@
                 answer.gossip.view,
             )
 
-    async def _hear(self, member: str, gossip: Gossip, *, near: bool) -> None:
+    async def _handle_gossip(self, member: str, gossip: Gossip, *, same_zone: bool) -> None:
         state = self._directory.note(member, gossip)
-        if near and hash_member(self._me) in gossip.view:
+        if same_zone and hash_member(self._me) in gossip.view:
             self._acknowledged_by.add(member)
         if state is None:
             return
-        for user in self._gossip_users:
-            await user(state)
+        for handler in self._gossip_handlers:
+            await handler(state)
 
-    def _members_on(self, host: str) -> tuple[Member, ...]:
+    def _live_members_on(self, host: str) -> tuple[Member, ...]:
         """Return the incarnations that a refusal from now on would prove ended."""
         found = {
             member.key: member
@@ -253,44 +253,44 @@
         # Nothing listens: the incarnations known before we asked have ended.
         # An unanswered connection proves nothing, the daemon may be paused.
         state.refusals += 1
-        if state.refusals < PROOF_REFUSALS:
+        if state.refusals < REFUSALS_FOR_PROOF:
             return
         for member in members:
-            self._promises.note_refused(member.key)
+            self._promises.note_connection_refused(member.key)
             self._refused_at_by_member.setdefault(member.key, self._clock.monotonic())
         if state.member:
-            self._promises.note_refused(state.member)
+            self._promises.note_connection_refused(state.member)
 
     async def _write_proofs(self, zone_writer: StreamWriter, cell_writer: StreamWriter) -> None:
         for member in self._cell_members.live():
-            proof = self._proof(member)
+            proof = self._find_proof(member)
             if not proof:
                 continue
-            await cell_writer.write(Ended(member.key, proof), WRITE_PATIENCE)
+            await cell_writer.write(Ended(member.key, proof), WRITE_TIMEOUT_SECONDS)
             self._journal.tell(Part.OWNERSHIP, f'{member.key} has ended; {proof}.')
         for member in self._zone_members.live():
-            proof = self._proof(member) or self._proof_of_cell(member)
+            proof = self._find_proof(member) or self._proof_in_cell_stream(member)
             if proof:
-                await zone_writer.write(Ended(member.key, proof), WRITE_PATIENCE)
+                await zone_writer.write(Ended(member.key, proof), WRITE_TIMEOUT_SECONDS)
 
-    def _proof_of_cell(self, member: Member) -> str:
+    def _proof_in_cell_stream(self, member: Member) -> str:
         if self._cell_members.has_ended(member.key):
             return 'ended in the cell stream'
         return ''
 
-    def _proof(self, member: Member) -> str:
+    def _find_proof(self, member: Member) -> str:
         if member.key == self._me:
             return ''
         now = self._clock.monotonic()
         refused_at = self._refused_at_by_member.get(member.key)
         if refused_at is not None:
-            near = member.availability_zone == self._zone
-            if near or now - refused_at > FAR_PROOF_SECONDS:
+            same_zone = member.availability_zone == self._zone
+            if same_zone or now - refused_at > OTHER_ZONE_PROOF_DELAY_SECONDS:
                 return 'connection refused'
-        return self._proof_by_list(member)
+        return self._proof_by_host_list(member)
 
-    def _proof_by_list(self, member: Member) -> str:
-        period = self._settings.timings.silent_after * GONE_PERIODS
+    def _proof_by_host_list(self, member: Member) -> str:
+        period = self._settings.timings.silent_after * GONE_SILENT_PERIODS
         if self._hosts.gone_for(member.host) < period:
             return ''
         state = self._directory.of_member(member.key)
@@ -310,5 +310,5 @@
         return False
 
 
-def _say_nothing(near: bool) -> Gossip:
+def _empty_gossip(same_zone: bool) -> Gossip:
     return Gossip()
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -6,11 +6,11 @@
 from dandelionreel.ownership._membership import Membership, member_keys
 from dandelionreel.peers import hash_member
 
-NEVER = float('-inf')
+NO_EVIDENCE = float('-inf')
 
 
 @dataclass(frozen=True)
-class _Received:
+class _ReceivedPromise:
     asked_at: float
     view: tuple[int, ...]
 
@@ -29,29 +29,29 @@
         self._zone = zone
         self._clock = clock
         self._membership = membership
-        self._received_by_member: dict[str, _Received] = {}
-        self._refused: set[str] = set()
+        self._received_by_member: dict[str, _ReceivedPromise] = {}
+        self._refused_members: set[str] = set()
         self._key_by_hash: dict[int, str] = {}
-        self._acquainted: set[str] = set()
-        self._withheld: dict[str, int] = {}
+        self._heard_members: set[str] = set()
+        self._withheld_count_by_member: dict[str, int] = {}
         #: When this daemon last gave each member its promise.
         self.promised_at_by_member: dict[str, float] = {}
 
     def give(self, member: str) -> bool:
         """Promise ``member`` not to act on its shards; False during a claim."""
-        if member in self._withheld or self._membership.has_ended(member):
+        if member in self._withheld_count_by_member or self._membership.has_ended(member):
             return False
         self.promised_at_by_member[member] = self._clock.monotonic()
         return True
 
-    def acquaint(self, member: str) -> None:
+    def require_promise(self, member: str) -> None:
         """Require that member's promise from now on.
 
         Called before this daemon names the member in a view: a newcomer that
         all have named may claim, so nobody may act without its promise.
         """
         if member != self._me:
-            self._acquainted.add(member)
+            self._heard_members.add(member)
 
     def view(self) -> tuple[int, ...]:
         """Return the hashes of the members known at first hand, itself included.
@@ -63,32 +63,32 @@
 
     def withhold(self, member: str) -> None:
         """Stop promising, before a claim on that member's shards is written."""
-        self._withheld[member] = self._withheld.get(member, 0) + 1
+        self._withheld_count_by_member[member] = self._withheld_count_by_member.get(member, 0) + 1
 
     def resume(self, member: str) -> None:
         """Promise again, once the claim is lost or settled."""
-        left = self._withheld.get(member, 0) - 1
-        if left > 0:
-            self._withheld[member] = left
+        remaining = self._withheld_count_by_member.get(member, 0) - 1
+        if remaining > 0:
+            self._withheld_count_by_member[member] = remaining
             return
-        self._withheld.pop(member, None)
+        self._withheld_count_by_member.pop(member, None)
 
     def receive(self, member: str, asked_at: float, promise: bool, view: tuple[int, ...]) -> None:
         """Keep a member's answer; a withheld promise ends the former one."""
         if not promise:
             self._received_by_member.pop(member, None)
             return
-        self._received_by_member[member] = _Received(asked_at, view)
+        self._received_by_member[member] = _ReceivedPromise(asked_at, view)
 
-    def note_refused(self, member: str) -> None:
+    def note_connection_refused(self, member: str) -> None:
         """Keep that the member's host refused: this incarnation has ended."""
-        self._refused.add(member)
+        self._refused_members.add(member)
 
     def required(self) -> frozenset[str]:
         """Return the members whose promise is needed."""
         named = set(self._first_hand())
         for received in self._received_by_member.values():
-            named.update(map(self._resolve, received.view))
+            named.update(map(self._resolve_hash, received.view))
         return frozenset(key for key in named if self._may_live(key))
 
     def evidence_at(self) -> float:
@@ -98,36 +98,36 @@
         for key in self.required():
             received = self._received_by_member.get(key)
             if received is None:
-                return NEVER
+                return NO_EVIDENCE
             oldest = min(oldest, received.asked_at)
         return oldest
 
     def _first_hand(self) -> tuple[str, ...]:
         """Return members that the log or their own heartbeats have named."""
-        named = {*member_keys(self._membership.live(self._zone)), *self._acquainted}
+        named = {*member_keys(self._membership.live(self._zone)), *self._heard_members}
         return tuple(key for key in named if self._may_live(key))
 
     def _may_live(self, key: str) -> bool:
-        if key == self._me or key in self._refused:
+        if key == self._me or key in self._refused_members:
             return False
         return not (self._membership.has_ended(key) or self._is_older_incarnation(key))
 
-    def _resolve(self, short: int) -> str:
+    def _resolve_hash(self, member_hash: int) -> str:
         """Return the member of that hash; one that nobody knows cannot promise.
 
         Its made-up key has no promise, so the evidence is none until the
         member becomes known: an owner rather fills half than too much.
         """
-        known = self._key_by_hash.get(short)
+        known = self._key_by_hash.get(member_hash)
         if known is not None:
             return known
-        for key in (self._me, *self._acquainted, *self._membership.keys()):
+        for key in (self._me, *self._heard_members, *self._membership.keys()):
             self._key_by_hash[hash_member(key)] = key
-        return self._key_by_hash.get(short, f'#{short}')
+        return self._key_by_hash.get(member_hash, f'#{member_hash}')
 
     def _is_older_incarnation(self, key: str) -> bool:
         host, _, incarnation = key.partition('/')
-        for other in (*self._received_by_member, *self._acquainted):
+        for other in (*self._received_by_member, *self._heard_members):
             other_host, _, other_incarnation = other.partition('/')
             if other_host == host and other_incarnation > incarnation:
                 return True
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -76,30 +76,30 @@
     def fold(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, Claimed):
-            for wanted in record.claims:
-                self._claim(record.member, wanted, position)
+            for claimed in record.claims:
+                self._apply_claim(record.member, claimed, position)
         elif isinstance(record, Released):
-            for given in record.shards:
-                self._release(record.member, given)
+            for shard_epoch in record.shards:
+                self._apply_release(record.member, shard_epoch)
         elif isinstance(record, Renewed):
-            for kept in record.shards:
-                self._keep(record.member, kept)
+            for shard_epoch in record.shards:
+                self._apply_renewal(record.member, shard_epoch)
 
-    def _claim(self, member: str, wanted: ShardEpoch, position: Position) -> None:
-        claim = self._claim_by_shard.get(wanted.shard)
-        if not self._is_valid(member, wanted, claim):
+    def _apply_claim(self, member: str, claimed: ShardEpoch, position: Position) -> None:
+        claim = self._claim_by_shard.get(claimed.shard)
+        if not self._is_valid(member, claimed, claim):
             return
-        self._claim_by_shard[wanted.shard] = ShardClaim(
-            wanted.shard,
+        self._claim_by_shard[claimed.shard] = ShardClaim(
+            claimed.shard,
             member,
             position.offset + 1,
-            former_owner=self._former(claim),
-            clean_handover=self._is_clean(claim),
+            former_owner=self._unproven_former_owner(claim),
+            clean_handover=self._is_clean_handover(claim),
             learned_at=self._clock.monotonic(),
-            predecessor_unknown=claim is None and wanted.epoch == UNKNOWN_EPOCH,
+            predecessor_unknown=claim is None and claimed.epoch == UNKNOWN_EPOCH,
         )
 
-    def _is_valid(self, member: str, wanted: ShardEpoch, claim: ShardClaim | None) -> bool:
+    def _is_valid(self, member: str, claimed: ShardEpoch, claim: ShardClaim | None) -> bool:
         """Judge a claim as every reader must, wherever it began to read.
 
         A reader whose log was truncated may not know a claim that others
@@ -112,45 +112,45 @@
             return True
         if not self.is_settled(claim):
             return False
-        if wanted.epoch == claim.epoch:
+        if claimed.epoch == claim.epoch:
             return claim.owner != member or claim.released
-        if wanted.epoch != UNKNOWN_EPOCH:
+        if claimed.epoch != UNKNOWN_EPOCH:
             return False
-        gone = claim.released or self._membership.has_ended(claim.owner)
-        return gone or claim.owner == member
+        owner_gone = claim.released or self._membership.has_ended(claim.owner)
+        return owner_gone or claim.owner == member
 
-    def _former(self, claim: ShardClaim | None) -> str:
+    def _unproven_former_owner(self, claim: ShardClaim | None) -> str:
         if claim is None or claim.released or self._membership.has_ended(claim.owner):
             return ''
         return claim.owner
 
-    def _is_clean(self, claim: ShardClaim | None) -> bool:
+    def _is_clean_handover(self, claim: ShardClaim | None) -> bool:
         if claim is None or claim.released:
             return True
         owner = self._membership.get(claim.owner)
         return owner is not None and owner.left_cleanly
 
-    def _release(self, member: str, given: ShardEpoch) -> None:
-        claim = self._claim_by_shard.get(given.shard)
+    def _apply_release(self, member: str, shard_epoch: ShardEpoch) -> None:
+        claim = self._claim_by_shard.get(shard_epoch.shard)
         if claim is None:
             return
-        if claim.owner == member and claim.epoch == given.epoch:
-            self._claim_by_shard[given.shard] = replace(claim, released=True)
-        elif claim.former_owner == member and claim.epoch > given.epoch:
-            self._claim_by_shard[given.shard] = replace(claim, former_owner='')
-
-    def _keep(self, member: str, kept: ShardEpoch) -> None:
-        claim = self._claim_by_shard.get(kept.shard)
-        if claim is not None and (claim.epoch, claim.owner) == (kept.epoch, member):
+        if claim.owner == member and claim.epoch == shard_epoch.epoch:
+            self._claim_by_shard[shard_epoch.shard] = replace(claim, released=True)
+        elif claim.former_owner == member and claim.epoch > shard_epoch.epoch:
+            self._claim_by_shard[shard_epoch.shard] = replace(claim, former_owner='')
+
+    def _apply_renewal(self, member: str, shard_epoch: ShardEpoch) -> None:
+        claim = self._claim_by_shard.get(shard_epoch.shard)
+        if claim is not None and (claim.epoch, claim.owner) == (shard_epoch.epoch, member):
             return
-        if claim is not None and claim.epoch > kept.epoch and not claim.predecessor_unknown:
+        if claim is not None and claim.epoch > shard_epoch.epoch and not claim.predecessor_unknown:
             return
         # The claim itself has expired before we read it; its owner has read
         # it as the valid one, and writes this only for settled shards.
-        self._claim_by_shard[kept.shard] = ShardClaim(
-            kept.shard,
+        self._claim_by_shard[shard_epoch.shard] = ShardClaim(
+            shard_epoch.shard,
             member,
-            kept.epoch,
+            shard_epoch.epoch,
             clean_handover=False,
             learned_at=self._clock.monotonic(),
         )
