--- a/dandelionreel/contracts/__init__.py
+++ b/dandelionreel/contracts/__init__.py
@@ -1,4 +1,4 @@
-"""Contracts: the document, its publication, and the parts of quotas."""
+"""Customer contracts: the document, its publication, and each zone's share of a quota."""
 
 from dandelionreel.contracts._contract_projection import (
     ContractProjection,
--- a/dandelionreel/contracts/_contract_projection.py
+++ b/dandelionreel/contracts/_contract_projection.py
@@ -1,8 +1,8 @@
-"""Contracts in force and pending, folded from the cell's stream in log order.
+"""Contracts in force and pending, built from the cell's stream in log order.
 
-There is no commit record: a proposal is in force from the record on by which
-the last member that was live at its proposal has staged it, left or ended.
-Every reader finds the same place in the log.
+There is no commit record. A proposal takes effect at the record by which the
+last of the members that were live when it was proposed has staged it, left or
+ended. Every reader finds the same record.
 """
 
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class PendingProposal:
-    """A proposal and the members that have yet to stage it."""
+    """A proposal without an outcome, and the members that have yet to stage it."""
 
     contract: Contract
     nonce: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class ProposalOutcome:
-    """How a proposal ended: committed, aborted, or lost to another."""
+    """How a proposal ended: committed, aborted, or lost to another version."""
 
     customer: str
     version: int
@@ -66,15 +66,15 @@
 
 
 class ContractProjection:
-    """What each customer may do, as this daemon knows it."""
+    """The contracts of all customers, as far as this daemon has read the log."""
 
     def __init__(self, membership: Membership, clock: Clock) -> None:
-        """Judge by the membership of the same stream, folded before this."""
+        """Use ``membership``, which applies each record of the stream before this does."""
         self._membership = membership
         self._clock = clock
         self._in_force_by_customer: dict[str, ContractInForce] = {}
-        # Kept apart from what the log says: the fold must find the same
-        # outcomes at every reader, whatever its peers have told it before.
+        # Contracts received from peers are kept apart from those in the log:
+        # every reader must derive the same outcomes from the log.
         self._adopted_by_customer: dict[str, ContractInForce] = {}
         self._pending_by_customer: dict[str, PendingProposal] = {}
         self._share_by_zone: dict[tuple[str, str], float] = {}
@@ -83,37 +83,43 @@
         self.wanted_shares: dict[tuple[str, str], float] = {}
 
     def watch(self, watcher: OutcomeWatcher) -> None:
-        """Tell ``watcher`` of every outcome."""
+        """Call ``watcher`` with every outcome."""
         self._watchers.append(watcher)
 
     def reset(self) -> None:
-        """Forget proposals; what is in force stays, for versions never go back."""
-        for customer, held in self._in_force_by_customer.items():
-            self._keep_adopted(customer, held)
+        """Drop proposals and shares before the log is read again from its start.
+
+        Contracts in force are kept, because versions never go back.
+        """
+        for customer, contract_in_force in self._in_force_by_customer.items():
+            self._keep_adopted(customer, contract_in_force)
         self._in_force_by_customer.clear()
         self._pending_by_customer.clear()
         self._share_by_zone.clear()
 
     def in_force(self, customer: str) -> Contract | None:
         """Return the contract in force."""
-        held = self._find_newest(customer)
-        return held.contract if held else None
+        newest = self._find_newest(customer)
+        return newest.contract if newest else None
 
     def written_at(self, customer: str) -> float:
         """Return when the record that holds the contract was written (wall seconds)."""
-        held = self._find_newest(customer)
-        return held.written_at if held else 0
+        newest = self._find_newest(customer)
+        return newest.written_at if newest else 0
 
     def pending(self, customer: str) -> PendingProposal | None:
-        """Return the proposal under way."""
+        """Return the pending proposal, if any."""
         return self._pending_by_customer.get(customer)
 
     def all_pending(self) -> tuple[PendingProposal, ...]:
-        """Return all proposals under way."""
+        """Return all pending proposals."""
         return tuple(self._pending_by_customer.values())
 
     def effective(self, customer: str) -> Contract | None:
-        """Return what to enforce: in force, or the stricter while one is pending."""
+        """Return the contract to enforce.
+
+        While a newer version is pending, this is the intersection of both.
+        """
         current = self.in_force(customer)
         pending = self._pending_by_customer.get(customer)
         if current is None or pending is None:
@@ -128,29 +134,29 @@
 
     def history(self, customer: str) -> tuple[ProposalOutcome, ...]:
         """Return the latest outcomes, oldest first."""
-        return tuple(known for known in self._history if known.customer == customer)
+        return tuple(outcome for outcome in self._history if outcome.customer == customer)
 
     def outcome(self, nonce: str) -> ProposalOutcome | None:
-        """Return how a proposal ended, ``None`` while it has not."""
-        for known in reversed(self._history):
-            if known.nonce == nonce:
-                return known
+        """Return the outcome of a proposal, ``None`` while it is pending."""
+        for outcome in reversed(self._history):
+            if outcome.nonce == nonce:
+                return outcome
         return None
 
     def share(self, customer: str, zone: str) -> float:
-        """Return the part of the quota that a zone holds, 0 to 1."""
+        """Return the fraction of the quota that a zone holds, 0 to 1."""
         return self._share_by_zone.get((customer, zone), 0)
 
     def shares(self, customer: str) -> tuple[ZoneShare, ...]:
-        """Return the parts of all zones."""
+        """Return the shares of all zones."""
         return tuple(
             ZoneShare(zone, share)
-            for (known, zone), share in sorted(self._share_by_zone.items())
-            if known == customer
+            for (share_customer, zone), share in sorted(self._share_by_zone.items())
+            if share_customer == customer
         )
 
     def digest(self) -> int:
-        """Return a number that is equal where the same versions are in force."""
+        """Return a hash of the versions in force, to compare with that of a peer."""
         text = ','.join(
             f'{contract.customer}:{contract.version}'
             for contract in map(self.in_force, self.customers())
@@ -159,12 +165,12 @@
         return xxhash.xxh64_intdigest(text.encode())
 
     def adopt(self, contract: Contract) -> bool:
-        """Take a contract that a peer knows to be in force; False if not newer."""
+        """Accept a contract in force from a peer; return False if it isn't newer."""
         current = self.in_force(contract.customer)
         if current is not None and current.version >= contract.version:
             return False
-        held = ContractInForce(contract, self._clock.wall())
-        return self._keep_adopted(contract.customer, held)
+        candidate = ContractInForce(contract, self._clock.wall())
+        return self._keep_adopted(contract.customer, candidate)
 
     def fold(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
@@ -185,9 +191,9 @@
 
     def _apply_proposed(self, record: Proposed, position: Position) -> None:
         customer = record.contract.customer
-        folded = self._in_force_by_customer.get(customer)
+        logged = self._in_force_by_customer.get(customer)
         pending = self._pending_by_customer.get(customer)
-        version = folded.contract.version if folded else 0
+        version = logged.contract.version if logged else 0
         if pending is not None:
             self._reject(record, 'lost', f'{pending.author} is publishing', position)
             return
@@ -225,7 +231,7 @@
         self._finish_proposal(pending, 'aborted', record.reason, position)
 
     def _commit_fully_staged(self, position: Position) -> None:
-        """Put in force what nobody is missing any more."""
+        """Commit the proposals that no live member has yet to stage."""
         for customer, pending in tuple(self._pending_by_customer.items()):
             missing = frozenset(
                 key for key in pending.missing if not self._membership.has_ended(key)
@@ -239,28 +245,28 @@
 
     def _apply_restated(self, record: Restated, position: Position) -> None:
         customer = record.contract.customer
-        folded = self._in_force_by_customer.get(customer)
-        if folded is not None and folded.contract.version > record.contract.version:
+        logged = self._in_force_by_customer.get(customer)
+        if logged is not None and logged.contract.version > record.contract.version:
             return
         self._put_in_force(record.contract, position.wall)
         if not self.shares(customer):
-            for part in record.shares:
-                self._share_by_zone[customer, part.zone] = part.share
+            for zone_share in record.shares:
+                self._share_by_zone[customer, zone_share.zone] = zone_share.share
 
     def _find_newest(self, customer: str) -> ContractInForce | None:
-        folded = self._in_force_by_customer.get(customer)
+        logged = self._in_force_by_customer.get(customer)
         adopted = self._adopted_by_customer.get(customer)
-        if folded is None or adopted is None:
-            return folded or adopted
-        if adopted.contract.version > folded.contract.version:
+        if logged is None or adopted is None:
+            return logged or adopted
+        if adopted.contract.version > logged.contract.version:
             return adopted
-        return folded
+        return logged
 
-    def _keep_adopted(self, customer: str, held: ContractInForce) -> bool:
-        known = self._adopted_by_customer.get(customer)
-        if known is not None and known.contract.version >= held.contract.version:
+    def _keep_adopted(self, customer: str, candidate: ContractInForce) -> bool:
+        adopted = self._adopted_by_customer.get(customer)
+        if adopted is not None and adopted.contract.version >= candidate.contract.version:
             return False
-        self._adopted_by_customer[customer] = held
+        self._adopted_by_customer[customer] = candidate
         return True
 
     def _put_in_force(self, contract: Contract, wall: float) -> None:
@@ -273,9 +279,9 @@
             self._share_by_zone[customer, zone] = 1 / len(zones)
 
     def _apply_share_moved(self, record: ShareMoved) -> None:
-        held = self.share(record.customer, record.giver)
-        moved = min(held, record.share)
-        self._share_by_zone[record.customer, record.giver] = held - moved
+        giver_share = self.share(record.customer, record.giver)
+        moved = min(giver_share, record.share)
+        self._share_by_zone[record.customer, record.giver] = giver_share - moved
         taker = (record.customer, record.taker)
         self._share_by_zone[taker] = self._share_by_zone.get(taker, 0) + moved
         self.wanted_shares.pop(taker, None)
--- a/dandelionreel/contracts/_document.py
+++ b/dandelionreel/contracts/_document.py
@@ -1,4 +1,4 @@
-"""A customer's contract: one JSON document from which every limit follows."""
+"""A customer's contract: one JSON document that sets all limits of the customer."""
 
 from typing import Annotated
 
@@ -15,24 +15,24 @@
 Priority = Annotated[int, Meta(ge=0, le=1000)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 
-#: The kinds of work, each with a placement policy of its own.
+#: Classes of work, each with its own placement policy.
 TASK_CLASSES = ('urgent', 'service', 'batch')
 
 
 class Amounts(Struct, frozen=True, forbid_unknown_fields=True):
-    """Processors (cores), memory (megabytes) and accelerators (devices)."""
+    """Amounts of processors (cores), memory (megabytes) and accelerators (devices)."""
 
     processors: NonNegativeNumber = 0
     memory_mb: NonNegativeNumber = 0
     accelerators: NonNegativeNumber = 0
 
     def resources(self) -> Resources:
-        """Return the same amounts as the ledger counts them."""
+        """Return the amounts as ``Resources``, the type used for accounting."""
         return Resources(self.processors, self.memory_mb, self.accelerators)
 
 
 class ClassTerms(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is agreed for one class of work; ``longest_wait`` is in seconds."""
+    """Terms for one class of work; ``longest_wait`` is in seconds."""
 
     name: Name
     priority: Priority
@@ -41,7 +41,10 @@
 
 
 class RequestTerms(Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests to services: a second, at a time, and the retries on top."""
+    """Limits on requests to services.
+
+    ``rate`` is per second; ``retry_budget`` is the share of retries on top.
+    """
 
     rate: PositiveNumber = 100
     burst: PositiveNumber = 100
@@ -63,7 +66,7 @@
     jobs_waiting: Count = 10_000
 
     def terms(self, name: str) -> ClassTerms | None:
-        """Return what is agreed for a class, ``None`` when it is not allowed."""
+        """Return the terms for a class, ``None`` if the contract doesn't include it."""
         for terms in self.classes:
             if terms.name == name:
                 return terms
@@ -71,11 +74,11 @@
 
 
 class ContractError(ValueError):
-    """A contract is not usable; the message names field, value and what is allowed."""
+    """An invalid contract; the message names the field, its value and what is allowed."""
 
 
 def load_contract(text: bytes) -> Contract:
-    """Decode and check a contract; raises ``ContractError``."""
+    """Decode and validate a contract; raises ``ContractError``."""
     try:
         contract = msgspec.json.decode(text, type=Contract)
     except msgspec.MsgspecError as error:
@@ -108,7 +111,10 @@
 
 
 def intersect_contracts(old: Contract, new: Contract) -> Contract:
-    """Return a contract that breaks neither; in force between staging and outcome."""
+    """Return a contract within the limits of both versions.
+
+    It is enforced from staging until the outcome of the proposal is known.
+    """
     return msgspec.structs.replace(
         old,
         classes=_intersect_classes(old, new),
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -1,4 +1,7 @@
-"""Publishing contracts, staging those of others, and keeping them from expiring."""
+"""Publishes contracts, stages those of other members and restates them.
+
+A contract in force is written again before its records expire from the log.
+"""
 
 import os
 
@@ -36,11 +39,12 @@
 
 CHECK_INTERVAL_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 5.0
-#: Later members wait longer before they abort or restate, so that one does.
+#: Delay per rank in the sorted list of members before a member aborts a proposal
+#: or restates a contract, so that usually only the first one does.
 RANK_DELAY_SECONDS = 1.0
 NONCE_BYTES = 8
 QUERY_TIMEOUT_SECONDS = 2.0
-#: A peer is asked for its contracts at most this often.
+#: Least time between two queries to the same peer.
 QUERY_INTERVAL_SECONDS = 1.0
 HTTP_CONFLICT = 409
 HTTP_UNAVAILABLE = 503
@@ -48,7 +52,7 @@
 
 
 class ContractPublisher:
-    """This daemon's part in bringing contract versions into force."""
+    """Publishes, stages, aborts and restates contract versions for one member."""
 
     def __init__(
         self,
@@ -73,7 +77,7 @@
         contracts.watch(self._log_outcome)
 
     async def publish(self, contract: Contract, replaces: int, author: str) -> ProposalOutcome:
-        """Propose a version and return how it ended; raises ``RequestError``."""
+        """Propose a version and wait for its outcome; raises ``RequestError``."""
         nonce = os.urandom(NONCE_BYTES).hex()
         proposal = Proposed(contract, replaces, nonce, author, zones_of(self._settings))
         try:
@@ -86,7 +90,7 @@
                 HTTP_TIMEOUT,
                 'contract-outcome-unknown',
                 'the proposal is in the log but its outcome was not read in time; '
-                'ask for the history',
+                'check the contract history',
             )
         if outcome.state != 'committed':
             raise not_run(
@@ -97,19 +101,20 @@
         return outcome
 
     async def run(self) -> None:
-        """Stage, abort and restate, for ever."""
+        """Stage, abort and restate contracts whenever the log changes."""
         while True:
             seen = self._reader.changed.count
             try:
                 await self._run_once()
             except LogError as error:
-                self._journal.tell(Part.CONTRACTS, f'could not write: {error}.')
+                self._journal.tell(Part.CONTRACTS, f'could not write to the log: {error}.')
             await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
 
     async def handle_gossip(self, state: PeerState) -> None:
-        """Ask a peer for its contracts when its versions differ from ours.
+        """Query a peer for its contracts if its digest differs from ours.
 
-        A daemon that has lost only the log still gets new versions this way.
+        A daemon that can't reach the log but still has peers gets new
+        versions this way.
         """
         if state.gossip.contracts == self._contracts.digest():
             return
@@ -120,7 +125,7 @@
         await curio.spawn(self._query_contracts, state, daemon=True)
 
     async def answer_query(self, frame: Frame) -> Message:
-        """Tell a peer which contracts are in force here."""
+        """Answer a peer's query with the contracts in force."""
         documents = [self._encode_in_force(customer) for customer in self._contracts.customers()]
         return ContractState(self._reader.offset, tuple(documents))
 
@@ -138,13 +143,13 @@
         try:
             contract = load_contract(document)
         except ContractError as error:
-            self._journal.tell(Part.CONTRACTS, f'refused a contract of {peer}; {error}.')
+            self._journal.tell(Part.CONTRACTS, f'rejected a contract from {peer}: {error}.')
             return
         if self._contracts.adopt(contract):
             self._journal.tell(
                 Part.CONTRACTS,
                 f'version {contract.version} of {contract.customer} is in force; '
-                f'{peer} passed it on.',
+                f'received from {peer}.',
                 customer=contract.customer,
                 version=contract.version,
             )
@@ -168,8 +173,8 @@
         await self._restate_expiring()
 
     async def _stage(self, pending: PendingProposal) -> None:
-        # From the moment the proposal was folded, the stricter of both is
-        # enforced here (ContractBook.effective); the record says so.
+        # This member has enforced the intersection of both versions since it
+        # read the proposal (ContractProjection.effective); the record says so.
         customer = pending.contract.customer
         await self._writer.write(Staged(customer, pending.nonce, self._me), WRITE_TIMEOUT_SECONDS)
         self._journal.tell(
@@ -206,7 +211,7 @@
         return keys.index(self._me) if self._me in keys else len(keys)
 
     def _encode_in_force(self, customer: str) -> bytes:
-        # Encoding is cheap and rare; nothing is kept between questions.
+        # Not cached: encoding is cheap, and queries are rare.
         return encode_contract(self._contracts.in_force(customer))
 
     def _log_outcome(self, outcome: ProposalOutcome) -> None:
@@ -229,11 +234,11 @@
         return not_run(
             HTTP_UNAVAILABLE,
             'log-unavailable',
-            'the log is out of reach; nothing was published',
+            'the log is unavailable; nothing was published',
             retry_after=10,
         )
     return unknown(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
-        'the log did not confirm; ask for the history before publishing again',
+        'the log did not confirm the proposal; check the contract history before publishing again',
     )
--- a/dandelionreel/contracts/_records.py
+++ b/dandelionreel/contracts/_records.py
@@ -1,4 +1,4 @@
-"""Records of contract publication, as they stand in the cell's stream."""
+"""Log records of contract publication and of quota shares, in the cell's stream."""
 
 from msgspec import Struct
 
@@ -6,10 +6,10 @@
 
 
 class Proposed(Struct, frozen=True, tag='proposed'):
-    """A new version; valid when ``replaces`` is in force and nothing is pending.
+    """Proposes a version; valid if ``replaces`` is in force and nothing is pending.
 
-    ``zones`` are all zones of the cell: a first version divides its quota
-    among them.
+    ``zones`` are all zones of the cell: the first version of a contract
+    divides its quota equally among them.
     """
 
     contract: Contract
@@ -20,7 +20,7 @@
 
 
 class Staged(Struct, frozen=True, tag='staged'):
-    """A member has checked the proposal and enforces the stricter terms."""
+    """A member has read the proposal and enforces the intersection of both versions."""
 
     customer: str
     nonce: str
@@ -28,7 +28,7 @@
 
 
 class Aborted(Struct, frozen=True, tag='aborted'):
-    """The proposal is withdrawn, unless all had staged it before."""
+    """Withdraws the proposal; ignored if all members had staged it before."""
 
     customer: str
     nonce: str
@@ -36,21 +36,21 @@
 
 
 class ZoneShare(Struct, frozen=True):
-    """The part of a customer's quota that a zone may use."""
+    """The fraction of a customer's quota that a zone may use, 0 to 1."""
 
     zone: str
     share: float
 
 
 class Restated(Struct, frozen=True, tag='stated'):
-    """A contract in force, written again before its records expire."""
+    """A contract in force, written again before its earlier records expire."""
 
     contract: Contract
     shares: tuple[ZoneShare, ...]
 
 
 class ShareWanted(Struct, frozen=True, tag='share_wanted'):
-    """A zone has work for more than its part of a quota."""
+    """A zone's waiting work needs ``share`` more of the quota than the zone holds."""
 
     customer: str
     zone: str
@@ -58,7 +58,7 @@
 
 
 class ShareMoved(Struct, frozen=True, tag='share_moved'):
-    """A zone gives a part up; the taker has it once it reads this."""
+    """Moves a share between zones; the taker may use it once it has read this."""
 
     customer: str
     giver: str
--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -1,4 +1,4 @@
-"""The first question to every contract: may this customer do this at all."""
+"""Checks whether a customer has a contract that includes a class of work."""
 
 from dandelionreel.contracts._contract_projection import ContractProjection
 from dandelionreel.contracts._document import Contract
@@ -8,7 +8,7 @@
 
 
 def require_contract(book: ContractProjection, customer: str, task_class: str) -> Contract:
-    """Return the contract to enforce; raises ``RequestError`` with verdict not run."""
+    """Return the contract to enforce; raises ``RequestError`` with the verdict not run."""
     contract = book.effective(customer)
     if contract is None:
         raise not_run(
@@ -20,6 +20,6 @@
         raise not_run(
             HTTP_FORBIDDEN,
             'class-not-in-contract',
-            f'the contract of {customer} does not name class {task_class!r}',
+            f'the contract of {customer} does not include class {task_class!r}',
         )
     return contract
--- a/dandelionreel/ownership/__init__.py
+++ b/dandelionreel/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""One writer for each worker, runner and dispatch queue of a zone."""
+"""Ownership of shards: one owner for each worker, runner and dispatch queue of a zone."""
 
 from dandelionreel.ownership._authority import NO_GRANT, Authority, Grant, GrantLevel
 from dandelionreel.ownership._claimer import (
--- a/dandelionreel/ownership/_authority.py
+++ b/dandelionreel/ownership/_authority.py
@@ -1,7 +1,7 @@
-"""Whether this daemon may act on a shard right now, and how far.
+"""Decides whether, and how far, this daemon may act on a shard at this moment.
 
 Checked on the monotonic clock right before each send. See docs/DESIGN.md,
-"Ownership", and spec/ownership.py, which checks these rules.
+"Ownership", and spec/ownership.py, which model-checks these rules.
 """
 
 import enum
@@ -15,10 +15,12 @@
 
 
 class GrantLevel(enum.Enum):
-    """How much of a shard may be filled.
+    """How much of a shard's capacity may be used.
 
-    ``OWN_HALF``: the owner has no fresh evidence; a claimant may exist.
-    ``OTHER_HALF``: this daemon has claimed it from an owner that may live.
+    ``OWN_HALF``: this daemon owns the shard but has no fresh evidence that
+    nobody has claimed it, so a claimant may be using the other half.
+    ``OTHER_HALF``: this daemon has claimed the shard from an owner that may
+    still be live and may be using its own half.
     """
 
     NONE = 'none'
@@ -29,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """A level, the epoch it is for, and since when nobody else may act."""
+    """A level, the epoch it is for, and since when nobody else may act on that part."""
 
     level: GrantLevel
     epoch: int = 0
@@ -40,7 +42,11 @@
 
 
 class Authority:
-    """Judges this daemon's right to act, from the log and from promises."""
+    """Grants this daemon the right to act on shards, by the log and by peers' promises.
+
+    Evidence is a read of the log to its tail, or promises of all other
+    members of the zone, that shows that nobody had claimed this daemon's shards.
+    """
 
     def __init__(
         self,
@@ -52,7 +58,7 @@
         shards: ShardProjection,
         promises: PromiseTracker,
     ) -> None:
-        """Judge for the member ``me``."""
+        """Decide for the member ``me``."""
         self._me = me
         self._clock = clock
         self._timings = timings
@@ -60,33 +66,37 @@
         self._membership = membership
         self._shards = shards
         self._promises = promises
-        #: Shards that are being given up: nothing new is started on them.
+        #: Shards about to be released: nothing new is started on them.
         self.suspended: set[str] = set()
 
     @property
     def max_start_seconds(self) -> float:
-        """Return how long a start may be under way, in seconds."""
+        """Return how long a start request may be in flight."""
         return self._timings.start_deadline + self._timings.socket_timeout
 
     @property
     def takeover_wait(self) -> float:
-        """Return how long a claimant waits for the former owner's authority to end."""
+        """Return how long a claimant waits after a claim from an owner that may be live.
+
+        By then the owner's authority has ended, also with clock drift, and
+        its last start has arrived.
+        """
         drifted = self._timings.authority * (1 + self._timings.clock_drift)
         return drifted + self.max_start_seconds
 
     @property
     def takeover_wait_after_proof(self) -> float:
-        """Return how long a dead owner's last start may still be under way."""
+        """Return how long an ended owner's last start may still be in flight."""
         return self.max_start_seconds * (1 + self._timings.clock_drift)
 
     def is_fresh(self) -> bool:
-        """Return whether the evidence that nobody has claimed is fresh."""
+        """Return whether the evidence is younger than the authority timeout."""
         if self._membership.has_ended(self._me):
             return False
         return self.evidence_age() < self._timings.authority
 
     def evidence_age(self) -> float:
-        """Return the age of the best evidence, from when it was asked for."""
+        """Return the age of the newest evidence, counted from when it was requested."""
         return self._clock.monotonic() - max(
             self._reader.evidence_at,
             self._promises.evidence_at(),
@@ -112,10 +122,10 @@
         return Grant(GrantLevel.OWN_HALF, claim.epoch, since)
 
     def may_dispatch(self, shard: str) -> bool:
-        """Return whether this daemon alone decides for a shard without halves.
+        """Return whether this daemon may act on a shard that can't be divided in halves.
 
-        Half a queue makes no sense: without fresh evidence the dispatcher
-        stops, and the claimant acts once its wait is over.
+        A queue can't be shared by two dispatchers: without fresh evidence
+        the owner stops, and a claimant acts once its wait is over.
         """
         grant = self.grant(shard)
         if grant.level is GrantLevel.NONE:
@@ -127,8 +137,8 @@
             return claim.learned_at + self.takeover_wait
         if claim.clean_handover:
             return claim.learned_at
-        # The former owner is proven ended, or its claim has expired: what it
-        # sent last may still arrive.
+        # The former owner is proven to have ended, or its claim has expired
+        # from the log; its last start may still arrive.
         return claim.learned_at + self.takeover_wait_after_proof
 
     def _settled_at(self, claim: ShardClaim) -> float:
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -1,4 +1,4 @@
-"""Claims, releases and takes over shards so that each has one live owner."""
+"""Claims, releases and takes over shards, so that each shard has one live owner."""
 
 import abc
 from collections.abc import Iterable
@@ -15,33 +15,40 @@
 
 CHECK_INTERVAL_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 5.0
-#: After a takeover the same shard is not taken over again by this daemon for
-#: this long, doubling, so that two daemons that cannot hear each other do not
-#: take a shard from each other in turns.
+#: After a takeover, this daemon doesn't take over the same shard again for this
+#: long, doubled each time. Otherwise two daemons that can't hear each other
+#: would keep taking the shard from each other.
 TAKEOVER_BACKOFF_SECONDS = 10.0
 MAX_TAKEOVER_BACKOFF_SECONDS = 160.0
-#: How late a fact may be written again, in seconds.
+#: Margin for members that restate their facts later than due.
 RESTATE_MARGIN_SECONDS = 2.0
 
 
 class PeerStatus(abc.ABC):
-    """What the claimer asks about the other members of the zone."""
+    """Status of the other members of the zone, as the claimer needs it."""
 
     @abc.abstractmethod
     def is_silent(self, member: str) -> bool:
-        """Return whether neither this daemon nor a neighbour nor the log heard it."""
+        """Return whether there is no recent sign of life of the member.
+
+        Signs are messages to this daemon, those that other members of the
+        zone report, and the member's records in the log.
+        """
 
     @abc.abstractmethod
     def is_draining(self, member: str) -> bool:
-        """Return whether it said that it is about to leave."""
+        """Return whether the member has told that it is about to leave."""
 
     @abc.abstractmethod
     def has_acknowledged_me(self, member: str) -> bool:
-        """Return whether its view names this daemon, so that its promises cover us."""
+        """Return whether the member's view contains this daemon.
+
+        The member then needs this daemon's promise for its evidence.
+        """
 
 
 class ShardUser(abc.ABC):
-    """A part of the daemon that acts on shards."""
+    """A component of the daemon that acts on shards and needs them owned."""
 
     @abc.abstractmethod
     def wanted_shards(self) -> Iterable[str]:
@@ -49,7 +56,7 @@
 
     @abc.abstractmethod
     async def prepare_release(self, shard: str) -> bool:
-        """Return whether nothing is under way on a suspended shard."""
+        """Return whether a suspended shard has no work in flight and may be released."""
 
 
 def choose_owner(shard: str, hosts: Iterable[str]) -> str:
@@ -64,13 +71,13 @@
 
 
 def host_of(member: str) -> str:
-    """Return the host part of a member's key."""
+    """Return the host part of a member's key (``host/incarnation``)."""
     host, _, _ = member.partition('/')
     return host
 
 
 class ShardClaimer:
-    """Brings ownership to where it should be, a few moves at a time."""
+    """Moves shards of the zone to the hosts that should own them, a few at a time."""
 
     def __init__(
         self,
@@ -103,9 +110,12 @@
         self._writer = writer
         self._journal = journal
         self._users: list[ShardUser] = []
+        #: When the back-off ends, and its length in seconds.
         self._takeover_backoff_by_shard: dict[str, tuple[float, float]] = {}
+        #: The owner to whom the promise is withheld, and the epoch of its claim.
         self._withheld_by_shard: dict[str, tuple[str, int]] = {}
         self._unconfirmed_claims: set[str] = set()
+        #: The epoch of the claim, and when it was last written.
         self._renewed_at_by_shard: dict[str, tuple[int, float]] = {}
         self._target_hosts: tuple[str, ...] = ()
         self._target_by_shard: dict[str, str] = {}
@@ -113,11 +123,11 @@
         self.takeovers = 0
 
     def add_user(self, user: ShardUser) -> None:
-        """Claim the shards of that part too."""
+        """Also claim the shards that ``user`` wants."""
         self._users.append(user)
 
     def owned_claims(self) -> tuple[ShardClaim, ...]:
-        """Return the claims that this daemon holds, released ones excepted."""
+        """Return this daemon's claims that it hasn't released."""
         return tuple(
             claim
             for claim in self._shards.claims()
@@ -125,15 +135,15 @@
         )
 
     def may_claim(self) -> bool:
-        """Return whether this daemon may claim.
+        """Return whether this daemon may claim shards.
 
-        Every live member must know us: only then do their owners ask for our
-        promise before they act on evidence without the log.
+        Every live member of the zone must have acknowledged this daemon: only
+        then do owners require its promise before they act without the log.
         """
         if not self._membership.is_live(self._me):
             return False
-        # A log that was truncated just now may hold no claim of shards that
-        # have owners; these write their claims again within this time.
+        # A log that was truncated recently may lack the claims of shards that
+        # have owners; the owners restate their claims within this time.
         if not self._reader.covers(self._restated_within):
             return False
         for member in self._membership.live(self._zone):
@@ -144,17 +154,17 @@
         return True
 
     async def run(self) -> None:
-        """Look for shards to claim or to release, for ever."""
+        """Claim and release shards whenever the log changes."""
         while True:
             seen = self._reader.changed.count
             try:
                 await self.run_once()
             except LogError as error:
-                self._journal.tell(Part.OWNERSHIP, f'could not write: {error}.')
+                self._journal.tell(Part.OWNERSHIP, f'could not write to the log: {error}.')
             await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
 
     async def run_once(self) -> None:
-        """Do what is due now."""
+        """Do one pass of all claims, releases and renewals that are due."""
         if not self._reader.caught_up or not self._membership.is_live(self._me):
             return
         await self._invalidate_unconfirmed_claims()
@@ -167,7 +177,7 @@
 
     @property
     def _restated_within(self) -> float:
-        """Return the seconds within which every live fact is written again."""
+        """Return the time within which every live fact is restated in the log."""
         return self._timings.retention / 3 + RESTATE_MARGIN_SECONDS
 
     async def _claim_assigned_shards(self) -> None:
@@ -223,11 +233,12 @@
             self._resume_promise(shard)
 
     async def _invalidate_unconfirmed_claims(self) -> None:
-        """Make sure that a claim whose answer was lost can no longer land.
+        """Make sure that claims with an unknown outcome can't take effect later.
 
-        It may reach the log at any later time; promising meanwhile would let
-        its owner act beside us. Once a later record of this daemon has been
-        read back, every reader drops the claim, for its number is the lower.
+        Such a claim may still reach the log at any time. If this daemon
+        promised to the current owner meanwhile, both might act on the shard.
+        Once a later record of this daemon has been read back, every reader
+        drops the claim because its record number is lower.
         """
         if not self._unconfirmed_claims:
             return
@@ -239,7 +250,11 @@
                 self._resume_promise(shard)
 
     def _resume_promises(self) -> None:
-        """Promise again to owners whose shards this daemon lost or settled."""
+        """Resume promises to owners whose shards this daemon has tried to claim.
+
+        A promise resumes once another claim has won, or the former owner has
+        ended or yielded.
+        """
         for shard, (_, epoch) in tuple(self._withheld_by_shard.items()):
             claim = self._shards.get(shard)
             if claim is None or claim.epoch == epoch:
@@ -276,7 +291,10 @@
         self._takeover_backoff_by_shard[shard] = (self._clock.monotonic() + length, length)
 
     async def _yield_taken_shards(self) -> None:
-        """Answer a claim on a shard of ours: stop, wait, and say so in the log."""
+        """Yield shards that other members have claimed from this daemon.
+
+        The record is written once the shard has no work in flight.
+        """
         yielded = []
         for claim in self._shards.claims():
             if claim.former_owner != self._me:
@@ -289,7 +307,7 @@
 
     async def _release_surplus(self) -> None:
         due = self._find_surplus()
-        # One that turned out to stay here after all may be used again.
+        # Shards that should stay with this daemon after all are used again.
         self._authority.suspended.intersection_update(claim.shard for claim in due)
         released = []
         for claim in due:
@@ -305,7 +323,7 @@
                 self._authority.suspended.discard(shard_epoch.shard)
         self._journal.tell(
             Part.OWNERSHIP,
-            f'released {len(released)} shards; others should own them.',
+            f'released {len(released)} shards that other hosts should own.',
             shards=[shard_epoch.shard for shard_epoch in released],
         )
 
@@ -327,7 +345,7 @@
         return bool(best) and best != host_of(self._me)
 
     def _target(self, shard: str, hosts: tuple[str, ...]) -> str:
-        """Return who should own a shard; hashed anew only when the hosts change."""
+        """Return the host that should own a shard; cached until the hosts change."""
         if hosts != self._target_hosts:
             self._target_hosts = hosts
             self._target_by_shard.clear()
@@ -357,7 +375,10 @@
         return True
 
     async def _renew_claims(self) -> None:
-        """Write claims again before a third of the log's retention is left."""
+        """Renew each claim after a third of the log's retention.
+
+        The log would otherwise lose the claim when its record expires.
+        """
         now = self._clock.monotonic()
         due = []
         for claim in self.owned_claims():
--- a/dandelionreel/ownership/_membership.py
+++ b/dandelionreel/ownership/_membership.py
@@ -1,4 +1,4 @@
-"""Who is a member, folded from a stream in log order."""
+"""The members of a cell or zone, built from a stream in log order."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -9,13 +9,13 @@
 from dandelionreel.kernel import Clock
 from dandelionreel.ownership._records import Alive, Ended, Joined, Left
 
-#: Ended members are remembered so that a late record cannot revive them.
+#: Ended members are kept so that a late record can't make them live again.
 MAX_ENDED_KEPT = 5000
 
 
 @dataclass(frozen=True)
 class Member:
-    """One incarnation of a daemon; ``ended_by`` is empty while it may live."""
+    """One incarnation of a daemon; ``ended_by`` is empty while it may be live."""
 
     key: str
     host: str
@@ -27,12 +27,12 @@
 
     @property
     def has_ended(self) -> bool:
-        """Return whether it is proven to have ended, or has left."""
+        """Return whether the member is proven to have ended or has left."""
         return bool(self.ended_by)
 
     @property
     def left_cleanly(self) -> bool:
-        """Return whether nothing of it can be under way."""
+        """Return whether the member left in order, with nothing of it in flight."""
         return self.ended_by == LEFT
 
 
@@ -41,19 +41,19 @@
 
 
 class Membership:
-    """Members of one stream by key (``host/incarnation``)."""
+    """The members that one stream names, by key (``host/incarnation``)."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
+        """Start without members."""
         self._clock = clock
         self._member_by_key: dict[str, Member] = {}
-        #: When this daemon learned of the end, on its own clock.
+        #: When this daemon read that the member had ended (monotonic).
         self.ended_at_by_key: dict[str, float] = {}
-        #: When a member last wrote that it is alive, on this daemon's clock.
+        #: When a member last wrote that it is alive (monotonic, of this daemon).
         self.alive_at_by_key: dict[str, float] = {}
 
     def reset(self) -> None:
-        """Forget the members; ends already learned stay known."""
+        """Drop the live members before the log is read again; keep the ended ones."""
         ended = {key: member for key, member in self._member_by_key.items() if member.has_ended}
         self._member_by_key = ended
 
@@ -70,11 +70,11 @@
             self.alive_at_by_key[record.member] = self._clock.monotonic() - age
 
     def get(self, key: str) -> Member | None:
-        """Return the member, ended or not."""
+        """Return the member, live or ended."""
         return self._member_by_key.get(key)
 
     def keys(self) -> tuple[str, ...]:
-        """Return the keys of all members that are remembered, ended ones too."""
+        """Return the keys of all known members, including ended ones."""
         return tuple(self._member_by_key)
 
     def has_ended(self, key: str) -> bool:
@@ -88,7 +88,7 @@
         return member is not None and not member.has_ended
 
     def live(self, availability_zone: str = '') -> tuple[Member, ...]:
-        """Return members not known to have ended, of one zone or of all, by key."""
+        """Return members not known to have ended, of one zone or all, sorted by key."""
         found = [
             member
             for member in self._member_by_key.values()
@@ -99,7 +99,7 @@
     def _apply_joined(self, record: Joined, position: Position) -> None:
         if record.member in self._member_by_key:
             return
-        # Only one process can be bound to a host's address, so a later
+        # Only one process can be bound to a host's address, so a new
         # incarnation proves that the earlier ones have ended.
         for key, member in tuple(self._member_by_key.items()):
             if member.host == record.host and not member.has_ended:
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -1,4 +1,4 @@
-"""Heartbeats with every other daemon: promises, proofs of end, gossip."""
+"""Exchanges heartbeats with every other daemon: promises, gossip, proofs of end."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
@@ -26,26 +26,26 @@
     hash_member,
 )
 
-#: A refusal counts as a proof once it has been met this often in a row.
+#: Consecutive refused connections that prove that a daemon has ended.
 REFUSALS_FOR_PROOF = 2
-#: How many silent periods a host must be missing from the list to be gone.
+#: Silence periods for which a host must be missing from the host list to be gone.
 GONE_SILENT_PERIODS = 4
-#: Other zones leave the proof to the dead daemon's own zone for this long.
+#: Other zones let the ended daemon's own zone write the proof for this long.
 OTHER_ZONE_PROOF_DELAY_SECONDS = 4.0
 WRITE_TIMEOUT_SECONDS = 5.0
 CHECK_INTERVAL_SECONDS = 0.5
-#: A round that comes this many times later than it should shows a pause.
+#: A check this many intervals after the last one shows that this daemon was paused.
 PAUSE_INTERVALS = 2
-#: A record that a daemon is alive counts for this many silent periods.
+#: A record that a daemon is alive is valid for this many silence periods.
 ALIVE_PERIODS = 2
 
-#: Takes whether the peer is in this daemon's own zone.
+#: Called with whether the peer is in this daemon's own zone.
 GossipSource = Callable[[bool], Gossip]
 GossipHandler = Callable[[PeerState], Awaitable[None]]
 
 
 class PeerMonitor(PeerStatus):
-    """What this daemon hears from the others, and what it tells them."""
+    """Tracks which daemons are live, and passes gossip to and from them."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         hosts: HostWatch,
         journal: Journal,
     ) -> None:
-        """Speak for the member ``me``."""
+        """Exchange heartbeats as the member ``me``."""
         self._me = me
         self._settings = settings
         self._zone = settings.availability_zone
@@ -79,20 +79,21 @@
         self._awake_since = clock.monotonic()
 
     def connect_gossip(self, source: GossipSource, *handlers: GossipHandler) -> None:
-        """Tell peers what ``source`` returns; hand what they tell to ``users``."""
+        """Send peers what ``source`` returns; pass their gossip to ``handlers``."""
         self._gossip_source = source
         self._gossip_handlers.extend(handlers)
 
     def is_silent(self, member: str) -> bool:
-        """Return whether nothing at all tells that the member lives."""
+        """Return whether there is no recent sign of life of the member."""
         self._detect_pause()
         now = self._clock.monotonic()
         period = self._settings.timings.silent_after
         state = self._directory.of_member(member)
         if state is None:
             return True
-        # A daemon that was paused itself has heard nobody; on waking it must
-        # listen for a whole period before it calls anybody silent.
+        # A daemon that was paused has missed the messages of all others. After
+        # it resumes, it must listen for a whole period before it takes a member
+        # for silent.
         listened_from = max(state.heard_at, self._awake_since)
         if now - listened_from < period:
             return False
@@ -102,19 +103,19 @@
         return now - alive_at >= ALIVE_PERIODS * period
 
     def is_draining(self, member: str) -> bool:
-        """Return whether it said that it is about to leave."""
+        """Return whether the member has told that it is about to leave."""
         state = self._directory.of_member(member)
         return state is not None and state.gossip.draining
 
     def has_acknowledged_me(self, member: str) -> bool:
-        """Return whether its view names this daemon."""
+        """Return whether the member's view contains this daemon."""
         return member in self._acknowledged_by
 
     def all_heard_since(self) -> float:
-        """Return since when every live member of the zone has answered us.
+        """Return since when all live members of the zone have been heard without a gap.
 
-        The monotonic time of the latest moment at which one of them had been
-        silent; a member that is silent now makes it the present.
+        This is the latest monotonic time at which one of them was silent; the
+        present if a member is silent now.
         """
         now = self._clock.monotonic()
         latest = float('-inf')
@@ -128,10 +129,10 @@
         return latest
 
     def has_silent_neighbour(self) -> bool:
-        """Return whether some live member of the zone was not heard for half a period.
+        """Return whether a live member of the zone was silent for half a period.
 
-        If it does not hear us either, it needs our record that we are alive
-        before a whole period is over.
+        If the member doesn't hear this daemon either, it must read in the log
+        that this daemon is alive before a whole period is over.
         """
         heard = self._directory.heard_within(self._settings.timings.silent_after / 2)
         return any(
@@ -140,10 +141,10 @@
         )
 
     async def answer_heartbeat(self, frame: Frame) -> Message:
-        """Answer a heartbeat with the promise, unless a claim is under way."""
+        """Answer a heartbeat; give the promise unless a claim is in progress."""
         message = frame.message
         if not isinstance(message, Heartbeat):
-            return Refused('not a heartbeat')
+            return Refused('message is not a heartbeat')
         same_zone = message.availability_zone == self._zone
         if same_zone:
             self._promises.require_promise(frame.sender)
@@ -152,7 +153,7 @@
         return HeartbeatAnswer(promise, self._gossip_source(same_zone))
 
     async def run(self, stack: AsyncExitStack) -> None:
-        """Keep one heartbeat task for each known daemon, for ever."""
+        """Keep one heartbeat task running for each known daemon."""
         while True:
             self._detect_pause()
             self._add_known_peers()
@@ -167,13 +168,13 @@
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
     ) -> None:
-        """Write the proven ends of other daemons to the log, for ever."""
+        """Write to the log which other daemons are proven to have ended."""
         while True:
             await curio.sleep(CHECK_INTERVAL_SECONDS)
             try:
                 await self._write_proofs(zone_writer, cell_writer)
             except LogError as error:
-                self._journal.tell(Part.OWNERSHIP, f'could not write a proof: {error}.')
+                self._journal.tell(Part.OWNERSHIP, f'could not write a proof of end: {error}.')
 
     def _detect_pause(self) -> None:
         now = self._clock.monotonic()
@@ -184,7 +185,7 @@
     def _add_known_peers(self) -> None:
         for member in self._cell_members.live() + self._zone_members.live():
             self._add_peer(member.host, member.availability_zone, member.address, member.peers_port)
-        # Without the log, the host list alone leads a fresh daemon to peers.
+        # Without the log, a new daemon finds its peers only by the host list.
         for entry in self._hosts.all_of_kind('entry'):
             self._add_peer(entry.name, entry.availability_zone, entry.address, entry.port)
 
@@ -203,7 +204,8 @@
             await self._send_heartbeat(state, same_zone=same_zone)
             pause = timings.heartbeat if same_zone else timings.far_heartbeat
             if state.refusals and state.refusals < REFUSALS_FOR_PROOF:
-                # One more refusal proves the end; its shards should not wait.
+                # One more refusal proves the end; retry soon so that the shards
+                # of the ended daemon get a new owner.
                 pause = timings.heartbeat / 4
             await curio.sleep(pause)
 
@@ -241,7 +243,7 @@
             await handler(state)
 
     def _live_members_on(self, host: str) -> tuple[Member, ...]:
-        """Return the incarnations that a refusal from now on would prove ended."""
+        """Return the incarnations that a refusal from now on would prove to have ended."""
         found = {
             member.key: member
             for member in self._zone_members.live() + self._cell_members.live()
@@ -250,8 +252,9 @@
         return tuple(found.values())
 
     def _note_refused(self, state: PeerState, members: tuple[Member, ...]) -> None:
-        # Nothing listens: the incarnations known before we asked have ended.
-        # An unanswered connection proves nothing, the daemon may be paused.
+        # A refusal means that no process listens: the incarnations known before
+        # the request have ended. A timeout proves nothing, because the daemon
+        # may be paused.
         state.refusals += 1
         if state.refusals < REFUSALS_FOR_PROOF:
             return
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -1,4 +1,9 @@
-"""Promises between the members of a zone: given, withheld and received."""
+"""Promises between the members of a zone: given, withheld and received.
+
+A member that promises has no claim on the receiver's shards, and won't act on
+them before the authority that its promise gives has run out. An owner with
+recent promises of all other members may act without reading the log.
+"""
 
 from dataclasses import dataclass
 
@@ -16,29 +21,31 @@
 
 
 class PromiseTracker:
-    """What this daemon has promised, and what it has been promised.
+    """Tracks the promises that this daemon has given and received.
 
-    Evidence needs *every* other member: one that is unknown to the owner
-    might claim, so the promisers' views name further members that must
-    promise too.
+    Evidence requires the promise of *every* other member, because a member
+    unknown to the owner might claim. Each promise therefore carries a view, the
+    members that its sender knows; they must promise too.
     """
 
     def __init__(self, me: str, zone: str, clock: Clock, membership: Membership) -> None:
-        """Keep the promises of the member ``me`` of ``zone``."""
+        """Track promises of the member ``me`` of ``zone``."""
         self._me = me
         self._zone = zone
         self._clock = clock
         self._membership = membership
         self._received_by_member: dict[str, _ReceivedPromise] = {}
+        #: Members proven to have ended by a refused connection.
         self._refused_members: set[str] = set()
         self._key_by_hash: dict[int, str] = {}
+        #: Members known by their own heartbeats.
         self._heard_members: set[str] = set()
         self._withheld_count_by_member: dict[str, int] = {}
         #: When this daemon last gave each member its promise.
         self.promised_at_by_member: dict[str, float] = {}
 
     def give(self, member: str) -> bool:
-        """Promise ``member`` not to act on its shards; False during a claim."""
+        """Promise ``member`` not to act on its shards; return False during a claim on them."""
         if member in self._withheld_count_by_member or self._membership.has_ended(member):
             return False
         self.promised_at_by_member[member] = self._clock.monotonic()
@@ -47,26 +54,28 @@
     def require_promise(self, member: str) -> None:
         """Require that member's promise from now on.
 
-        Called before this daemon names the member in a view: a newcomer that
-        all have named may claim, so nobody may act without its promise.
+        Called before this daemon's view contains the member. Once the views of
+        all members contain a new member it may claim, so nobody may act
+        without its promise.
         """
         if member != self._me:
             self._heard_members.add(member)
 
     def view(self) -> tuple[int, ...]:
-        """Return the hashes of the members known at first hand, itself included.
+        """Return the hashes of the members known at first hand, including this one.
 
-        What others' views named is not passed on: a stale name would go round
-        for ever, and one that nobody can resolve would block all evidence.
+        Members known only by others' views are left out: a stale entry would
+        circulate forever, and one that nobody can resolve would block all
+        evidence.
         """
         return tuple(sorted(map(hash_member, {*self._first_hand(), self._me})))
 
     def withhold(self, member: str) -> None:
-        """Stop promising, before a claim on that member's shards is written."""
+        """Stop promising to a member before a claim on its shards is written."""
         self._withheld_count_by_member[member] = self._withheld_count_by_member.get(member, 0) + 1
 
     def resume(self, member: str) -> None:
-        """Promise again, once the claim is lost or settled."""
+        """End one ``withhold``, once the claim is lost or settled."""
         remaining = self._withheld_count_by_member.get(member, 0) - 1
         if remaining > 0:
             self._withheld_count_by_member[member] = remaining
@@ -74,25 +83,25 @@
         self._withheld_count_by_member.pop(member, None)
 
     def receive(self, member: str, asked_at: float, promise: bool, view: tuple[int, ...]) -> None:
-        """Keep a member's answer; a withheld promise ends the former one."""
+        """Store a member's answer; a withheld promise cancels the earlier one."""
         if not promise:
             self._received_by_member.pop(member, None)
             return
         self._received_by_member[member] = _ReceivedPromise(asked_at, view)
 
     def note_connection_refused(self, member: str) -> None:
-        """Keep that the member's host refused: this incarnation has ended."""
+        """Note that a refused connection has proven that this incarnation has ended."""
         self._refused_members.add(member)
 
     def required(self) -> frozenset[str]:
-        """Return the members whose promise is needed."""
+        """Return the members whose promise is required for evidence."""
         named = set(self._first_hand())
         for received in self._received_by_member.values():
             named.update(map(self._resolve_hash, received.view))
         return frozenset(key for key in named if self._may_live(key))
 
     def evidence_at(self) -> float:
-        """Return when the oldest needed promise was asked for."""
+        """Return when the oldest required promise was requested."""
         now = self._clock.monotonic()
         oldest = now
         for key in self.required():
@@ -103,7 +112,7 @@
         return oldest
 
     def _first_hand(self) -> tuple[str, ...]:
-        """Return members that the log or their own heartbeats have named."""
+        """Return the members known from the log or by their own heartbeats."""
         named = {*member_keys(self._membership.live(self._zone)), *self._heard_members}
         return tuple(key for key in named if self._may_live(key))
 
@@ -113,10 +122,10 @@
         return not (self._membership.has_ended(key) or self._is_older_incarnation(key))
 
     def _resolve_hash(self, member_hash: int) -> str:
-        """Return the member of that hash; one that nobody knows cannot promise.
+        """Return the key of the member with that hash, or a placeholder key.
 
-        Its made-up key has no promise, so the evidence is none until the
-        member becomes known: an owner rather fills half than too much.
+        A placeholder has no promise, so there is no evidence until the member
+        becomes known: an owner would rather use half of a shard than too much.
         """
         known = self._key_by_hash.get(member_hash)
         if known is not None:
--- a/dandelionreel/ownership/_records.py
+++ b/dandelionreel/ownership/_records.py
@@ -1,4 +1,4 @@
-"""Records of membership and of ownership, as they stand in the log."""
+"""Log records of membership and of shard ownership."""
 
 from msgspec import Struct
 
@@ -8,17 +8,17 @@
 
 
 def worker_shard(worker: str) -> str:
-    """Return the shard of a worker."""
+    """Return the name of a worker's shard."""
     return f'{WORKER_PREFIX}{worker}'
 
 
 def runner_shard(runner: str) -> str:
-    """Return the shard of a runner."""
+    """Return the name of a runner's shard."""
     return f'{RUNNER_PREFIX}{runner}'
 
 
 class Joined(Struct, frozen=True, tag='joined'):
-    """A daemon listens; written again before it expires."""
+    """A daemon is listening at this address; restated before the record expires."""
 
     member: str
     host: str
@@ -28,47 +28,50 @@
 
 
 class Left(Struct, frozen=True, tag='left'):
-    """A daemon has stopped in order: it holds nothing and sends nothing more."""
+    """A daemon has shut down in order: it owns nothing and sends nothing more."""
 
     member: str
 
 
 class Ended(Struct, frozen=True, tag='ended'):
-    """A daemon is proven to have ended; ``proof`` says how."""
+    """A daemon is proven to have ended; ``proof`` tells by what."""
 
     member: str
     proof: str
 
 
 class Alive(Struct, frozen=True, tag='alive'):
-    """A daemon that some peer may not hear can still write."""
+    """Tells peers that may not hear a daemon that it is alive."""
 
     member: str
 
 
 class ShardEpoch(Struct, frozen=True):
-    """A shard at an epoch."""
+    """A shard and an epoch of it."""
 
     shard: str
     epoch: int
 
 
 class Claimed(Struct, frozen=True, tag='claimed'):
-    """Takes shards; each ``epoch`` is the one that the claim replaces."""
+    """Claims shards; each ``epoch`` is the one that the claim replaces."""
 
     member: str
     claims: tuple[ShardEpoch, ...]
 
 
 class Released(Struct, frozen=True, tag='released'):
-    """Gives shards up, with nothing under way; also a former owner's yielding."""
+    """Releases shards that have no work in flight.
+
+    Written by an owner, or by a former owner that yields to a claimant.
+    """
 
     member: str
     shards: tuple[ShardEpoch, ...]
 
 
 class Renewed(Struct, frozen=True, tag='kept'):
-    """States ownership again, before the claim's record expires."""
+    """Restates ownership before the claim's record expires."""
 
     member: str
     shards: tuple[ShardEpoch, ...]
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -1,4 +1,4 @@
-"""Who owns each shard, folded from the zone's stream in log order."""
+"""The owner of each shard, built from the zone's stream in log order."""
 
 from dataclasses import dataclass, replace
 
@@ -9,7 +9,7 @@
 from dandelionreel.ownership._membership import Membership
 from dandelionreel.ownership._records import Claimed, Released, Renewed, ShardEpoch
 
-#: What a claim names when its maker knows no claim on the shard.
+#: The epoch that a claim replaces if its author knows no claim on the shard.
 UNKNOWN_EPOCH = 0
 
 
@@ -17,13 +17,14 @@
 class ShardClaim:
     """The valid claim on a shard.
 
-    ``epoch`` is the offset of its record plus one: the same number at every
-    reader, wherever it began to read. ``former`` is the owner before, until it
-    is proven ended or has yielded; ``released`` says that the owner has given
-    the shard up. ``clean`` says that nothing of a former owner was under way
-    when the claim was made. ``learned_at`` is when this daemon folded the
-    claim, on its own clock. ``blind``: made without knowledge of a former
-    claim, and read so too.
+    ``epoch`` is the offset of its record plus one, so it is the same at every
+    reader, wherever reading began. ``former_owner`` is the previous owner, if it
+    had neither released the shard nor ended when the claim was made; cleared
+    once it yields. ``released``: the owner has released the shard.
+    ``clean_handover``: the former owner had no work in flight when the claim
+    was made. ``learned_at`` is when this daemon read the claim (monotonic).
+    ``predecessor_unknown``: neither the claim's author nor this reader knew an
+    earlier claim.
     """
 
     shard: str
@@ -37,33 +38,33 @@
 
 
 class ShardProjection:
-    """Claims by shard. The first claim in log order that names the epoch wins."""
+    """Claims by shard; of claims that replace the same epoch, the first in the log wins."""
 
     def __init__(self, membership: Membership, clock: Clock) -> None:
-        """Judge claims by the membership of the same stream."""
+        """Check claims against ``membership``, which is built from the same stream."""
         self._membership = membership
         self._clock = clock
         self._claim_by_shard: dict[str, ShardClaim] = {}
 
     def reset(self) -> None:
-        """Forget all claims."""
+        """Drop all claims before the log is read again."""
         self._claim_by_shard.clear()
 
     def get(self, shard: str) -> ShardClaim | None:
-        """Return the claim in force on a shard."""
+        """Return the valid claim on a shard."""
         return self._claim_by_shard.get(shard)
 
     def claims(self) -> tuple[ShardClaim, ...]:
-        """Return all claims."""
+        """Return the valid claims on all shards."""
         return tuple(self._claim_by_shard.values())
 
     def epoch(self, shard: str) -> int:
-        """Return the epoch in force, 0 before the first claim."""
+        """Return the current epoch of a shard, 0 before the first claim."""
         claim = self._claim_by_shard.get(shard)
         return claim.epoch if claim else 0
 
     def is_settled(self, claim: ShardClaim) -> bool:
-        """Return whether nobody but the owner may still act on the shard."""
+        """Return whether nobody but the owner may act on the shard any more."""
         return not claim.former_owner or self._membership.has_ended(claim.former_owner)
 
     def may_be_claimed(self, shard: str, member: str) -> bool:
@@ -79,11 +80,11 @@
             for claimed in record.claims:
                 self._apply_claim(record.member, claimed, position)
         elif isinstance(record, Released):
-            for shard_epoch in record.shards:
-                self._apply_release(record.member, shard_epoch)
+            for released in record.shards:
+                self._apply_release(record.member, released)
         elif isinstance(record, Renewed):
-            for shard_epoch in record.shards:
-                self._apply_renewal(record.member, shard_epoch)
+            for renewed in record.shards:
+                self._apply_renewal(record.member, renewed)
 
     def _apply_claim(self, member: str, claimed: ShardEpoch, position: Position) -> None:
         claim = self._claim_by_shard.get(claimed.shard)
@@ -100,11 +101,12 @@
         )
 
     def _is_valid(self, member: str, claimed: ShardEpoch, claim: ShardClaim | None) -> bool:
-        """Judge a claim as every reader must, wherever it began to read.
+        """Return whether a claim is valid, with the same result at every reader.
 
-        A reader whose log was truncated may not know a claim that others
-        know. It claims with epoch 0, which is valid where nobody else can be
-        acting: others then agree with it instead of keeping another epoch.
+        A member whose log was truncated may not know an earlier claim that
+        others know, and claims with epoch 0. Such a claim is valid if nobody
+        else can be acting on the shard, so that all readers agree on its
+        epoch instead of keeping another one.
         """
         if self._membership.has_ended(member):
             return False
@@ -130,27 +132,27 @@
         owner = self._membership.get(claim.owner)
         return owner is not None and owner.left_cleanly
 
-    def _apply_release(self, member: str, shard_epoch: ShardEpoch) -> None:
-        claim = self._claim_by_shard.get(shard_epoch.shard)
+    def _apply_release(self, member: str, released: ShardEpoch) -> None:
+        claim = self._claim_by_shard.get(released.shard)
         if claim is None:
             return
-        if claim.owner == member and claim.epoch == shard_epoch.epoch:
-            self._claim_by_shard[shard_epoch.shard] = replace(claim, released=True)
-        elif claim.former_owner == member and claim.epoch > shard_epoch.epoch:
-            self._claim_by_shard[shard_epoch.shard] = replace(claim, former_owner='')
-
-    def _apply_renewal(self, member: str, shard_epoch: ShardEpoch) -> None:
-        claim = self._claim_by_shard.get(shard_epoch.shard)
-        if claim is not None and (claim.epoch, claim.owner) == (shard_epoch.epoch, member):
+        if claim.owner == member and claim.epoch == released.epoch:
+            self._claim_by_shard[released.shard] = replace(claim, released=True)
+        elif claim.former_owner == member and claim.epoch > released.epoch:
+            self._claim_by_shard[released.shard] = replace(claim, former_owner='')
+
+    def _apply_renewal(self, member: str, renewed: ShardEpoch) -> None:
+        claim = self._claim_by_shard.get(renewed.shard)
+        if claim is not None and (claim.epoch, claim.owner) == (renewed.epoch, member):
             return
-        if claim is not None and claim.epoch > shard_epoch.epoch and not claim.predecessor_unknown:
+        if claim is not None and claim.epoch > renewed.epoch and not claim.predecessor_unknown:
             return
-        # The claim itself has expired before we read it; its owner has read
-        # it as the valid one, and writes this only for settled shards.
-        self._claim_by_shard[shard_epoch.shard] = ShardClaim(
-            shard_epoch.shard,
+        # The claim's record expired before this daemon read it. Its owner has
+        # read it as the valid claim, and renews only settled claims.
+        self._claim_by_shard[renewed.shard] = ShardClaim(
+            renewed.shard,
             member,
-            shard_epoch.epoch,
+            renewed.epoch,
             clean_handover=False,
             learned_at=self._clock.monotonic(),
         )
--- a/features/contracts.feature
+++ b/features/contracts.feature
@@ -1,26 +1,26 @@
 Feature: A contract version takes effect everywhere or not at all
 
-  # Guards against two operators who both believe that their version was published.
-  Scenario: Two operators race
+  # Guards against two operators who are both told that their version was published.
+  Scenario: Two operators publish the same version at once
     Given a cell of 2 zones with 2 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
     When two operators publish version 2 at once through different daemons
     Then one is told that it is committed and the other that it lost
     And version 2 is in force on every daemon
 
-  # Guards against a paused member that goes on with the old version.
+  # Guards against a paused member that still enforces the old version after it resumes.
   Scenario: A member is paused during a publication
     Given a cell of 2 zones with 1 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
     When ub-west-d0 is paused
     And version 2 is published
-    Then the operator is told that it was aborted for want of ub-west-d0
+    Then the operator is told that it was aborted because ub-west-d0 had not staged it
     When ub-west-d0 goes on
     Then version 1 is in force on every daemon
     When version 2 is published
     Then the operator is told that it is in force
 
-  # Guards against a dead member that holds a publication up.
+  # Guards against a publication that waits for a member that has ended.
   Scenario: A member dies before a publication
     Given a cell of 2 zones with 2 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -29,8 +29,8 @@
     Then the operator is told that it is in force
     And version 2 is in force on every daemon
 
-  # Guards against a fresh daemon that serves without a contract.
-  Scenario: A fresh daemon starts in an outage of the log
+  # Guards against a new daemon that accepts requests without a contract.
+  Scenario: A new daemon starts during an outage of the log
     Given a cell of 1 zones with 3 daemons, 1 workers and 2 endpoints
     And version 1 of the contract is in force
     When the log is out
@@ -40,7 +40,7 @@
     When the log is back
     Then version 1 is in force on every daemon
 
-  # The log's answers get lost while a version is published.
+  # Guards against a publication that fails because the log's answers are lost.
   Scenario: Answers are lost during a publication
     Given a cell of 2 zones with 1 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -49,7 +49,7 @@
     Then the operator is told that it is in force
     And version 2 is in force on every daemon
 
-  Scenario Outline: A bad contract is refused with field, value and what is allowed
+  Scenario Outline: An invalid contract is refused with field, value and what is allowed
     Given a shared cell
     When an operator publishes a contract with <change>
     Then it is refused as not_run and the answer names <words>
--- a/features/cuts.feature
+++ b/features/cuts.feature
@@ -63,7 +63,7 @@
     Then requests to ub-west-d0 are answered within 3 seconds
     And requests to ub-east-d0 are answered within 3 seconds
     When version 2 is published
-    Then the operator is told that it was aborted for want of ub-west-d0
+    Then the operator is told that it was aborted because ub-west-d0 had not staged it
     When all cuts are healed
     And 3 seconds pass
     And version 2 is published
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -1,4 +1,4 @@
-"""Steps of contract publication and of cuts."""
+"""Steps of contract publication and of network cuts."""
 
 import json
 from concurrent.futures import ThreadPoolExecutor
@@ -40,7 +40,7 @@
     assert context.reply.json()['state'] == 'committed'
 
 
-@then('the operator is told that it was aborted for want of {name}')
+@then('the operator is told that it was aborted because {name} had not staged it')
 def check_aborted(context, name):
     assert context.reply.status == 409, context.reply
     assert name in context.reply.json()['detail'], context.reply
