--- a/bench/guards.py
+++ b/bench/guards.py
@@ -67,14 +67,14 @@
     ),
     Guard(
         'only the very intent that landed counts',
-        'jobs/_book.py',
+        'jobs/_job_projection.py',
         'return told == (last.number, last.epoch, last.member, last.workers)',
         'return told[:2] == (last.number, last.epoch)',
         'parts.feature:GIVEN UP',
     ),
     Guard(
         'an intent counts under the epoch at its place',
-        'jobs/_book.py',
+        'jobs/_job_projection.py',
         'if record.epoch != self._shards.epoch(DISPATCH_SHARD):',
         'if False:',
         'parts.feature:FORMER',
@@ -88,7 +88,7 @@
     ),
     Guard(
         'a lost settlement is never started again',
-        'jobs/_book.py',
+        'jobs/_job_projection.py',
         'return replace(job, state=JobState.UNCERTAIN)',
         'return replace(job, state=JobState.WAITING)',
         'recovery.feature:SETTLEMENT',
--- a/dandelionreel/admin/_front.py
+++ b/dandelionreel/admin/_front.py
@@ -27,7 +27,7 @@
     load_contract,
 )
 from dandelionreel.http import Answer, Request, answer_json
-from dandelionreel.jobs import Dispatcher, JobBook, JobState
+from dandelionreel.jobs import Dispatcher, JobProjection, JobState
 from dandelionreel.kernel import Clock, RequestError, Settings, clip, not_run
 from dandelionreel.life import Life
 from dandelionreel.ownership import (
@@ -70,7 +70,7 @@
         directory: PeerDirectory,
         contracts: ContractBook,
         publisher: ContractPublisher,
-        jobs: JobBook,
+        jobs: JobProjection,
         dispatcher: Dispatcher,
         fleet: WorkerFleet,
         pool: RunnerPool,
--- a/dandelionreel/callers/_front.py
+++ b/dandelionreel/callers/_front.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.callers._relay import Relay
 from dandelionreel.http import Answer, Request, answer_json, answer_problem
-from dandelionreel.jobs import CancelDone, Intake, JobMover, MoveBody, zone_of_job
+from dandelionreel.jobs import CancelResult, JobApi, JobMover, MoveBody, zone_of_job
 from dandelionreel.kernel import RequestError, clip, not_run
 from dandelionreel.life import Life
 from dandelionreel.peers import Forward, ForwardAnswer, Frame, Message, Refused
@@ -29,7 +29,7 @@
         self,
         zone: str,
         router: Router,
-        intake: Intake,
+        intake: JobApi,
         mover: JobMover,
         relay: Relay,
         life: Life,
@@ -110,7 +110,7 @@
             done = await self._cancel_in(zone, tuple(jobs))
             cancelled += done.cancelled
             missing.extend(done.unknown)
-        return answer_json(CancelDone(cancelled, tuple(missing)))
+        return answer_json(CancelResult(cancelled, tuple(missing)))
 
     async def _move(self, request: Request) -> Answer:
         try:
@@ -124,7 +124,7 @@
             return await self._relay.send(body.to_zone, request)
         return answer_json(await self._mover.move_from(body.from_zone))
 
-    async def _cancel_in(self, zone: str, jobs: tuple[str, ...]) -> CancelDone:
+    async def _cancel_in(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
         if zone == self._zone:
             return await self._intake.cancel(jobs)
         return await self._relay.cancel(zone, jobs)
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from dandelionreel.http import Answer, Request
-from dandelionreel.jobs import CancelBody, CancelDone
+from dandelionreel.jobs import CancelBody, CancelResult
 from dandelionreel.kernel import Clock, Verdict, clip, not_run, unknown
 from dandelionreel.peers import Forward, ForwardAnswer, PeerDirectory, PeerError, PeerState
 
@@ -52,14 +52,14 @@
         if zone not in self._zones:
             raise not_run(HTTP_NOT_FOUND, 'unknown-zone', f'no zone {clip(zone)!r} is known')
 
-    async def cancel(self, zone: str, jobs: tuple[str, ...]) -> CancelDone:
+    async def cancel(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
         """Cancel jobs of another zone; raises ``RequestError``."""
         if zone not in self._zones:
-            return CancelDone(0, jobs)
+            return CancelResult(0, jobs)
         body = msgspec.json.encode(CancelBody(jobs))
         answer = await self.send(zone, Request('POST', '/v1/jobs/cancel', body=body))
         try:
-            return msgspec.json.decode(answer.body, type=CancelDone)
+            return msgspec.json.decode(answer.body, type=CancelResult)
         except msgspec.MsgspecError as error:
             raise unknown(
                 answer.status,
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -14,14 +14,14 @@
 from dandelionreel.http import Server, ServerLimits
 from dandelionreel.jobs import (
     Dispatcher,
-    Intake,
-    JobBook,
-    JobKeeper,
+    JobApi,
     JobMetrics,
     JobMover,
+    JobProjection,
     JobRecord,
-    Orders,
-    ShareKeeper,
+    JobRefresher,
+    OrderSender,
+    QuotaShareBalancer,
 )
 from dandelionreel.kernel import (
     Environment,
@@ -279,7 +279,7 @@
 
     def _build_jobs(self) -> None:
         settings, clock = self._settings, self._clock
-        self._jobs = JobBook(
+        self._jobs = JobProjection(
             self._shards,
             settings.limits.known_jobs,
             settings.limits.known_keys,
@@ -298,14 +298,14 @@
             self._echoes,
             self._journal,
         )
-        self._shares = ShareKeeper(
+        self._shares = QuotaShareBalancer(
             settings,
             clock,
             self._contracts,
             self._cell_writer,
             self._journal,
         )
-        self._orders = Orders(
+        self._orders = OrderSender(
             self.me,
             settings,
             clock,
@@ -331,7 +331,7 @@
             JobMetrics(self._metrics.registry),
             self._journal,
         )
-        self._keeper = JobKeeper(
+        self._keeper = JobRefresher(
             settings,
             clock,
             self._jobs,
@@ -345,7 +345,7 @@
 
     def _build_fronts(self) -> None:
         settings = self._settings
-        intake = Intake(
+        intake = JobApi(
             settings,
             self._clock,
             self._jobs,
--- a/dandelionreel/jobs/__init__.py
+++ b/dandelionreel/jobs/__init__.py
@@ -1,29 +1,29 @@
 """Jobs: accepted in the log, placed by the zone's dispatcher, ended once."""
 
-from dandelionreel.jobs._book import Attempt, Job, JobBook, JobState, Outcome
 from dandelionreel.jobs._dispatcher import Dispatcher
-from dandelionreel.jobs._intake import Intake, zone_of_job
-from dandelionreel.jobs._keeper import JobKeeper
+from dandelionreel.jobs._job_api import JobApi, zone_of_job
+from dandelionreel.jobs._job_projection import Attempt, Job, JobProjection, JobState, Outcome
+from dandelionreel.jobs._job_refresher import JobRefresher
 from dandelionreel.jobs._metrics import JobMetrics
-from dandelionreel.jobs._mover import JobMover, MoveBody, MoveDone
-from dandelionreel.jobs._orders import Orders
+from dandelionreel.jobs._mover import JobMover, MoveBody, MoveResult
+from dandelionreel.jobs._order_sender import OrderSender
+from dandelionreel.jobs._quota_shares import QuotaShareBalancer
 from dandelionreel.jobs._records import (
     AttemptEnded,
     AttemptIntent,
     JobAccepted,
     JobArrived,
-    JobKept,
     JobMoved,
     JobRecord,
     JobResolved,
     JobsCancelled,
+    JobSnapshot,
 )
-from dandelionreel.jobs._shares import ShareKeeper
 from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_spec
-from dandelionreel.jobs._tracks import AttemptTrack, Tracks
+from dandelionreel.jobs._tracked_attempts import AttemptTracker, TrackedAttempt
 from dandelionreel.jobs._views import (
     CancelBody,
-    CancelDone,
+    CancelResult,
     JobPage,
     JobView,
     ResolveBody,
@@ -34,17 +34,17 @@
     'Attempt',
     'AttemptEnded',
     'AttemptIntent',
-    'AttemptTrack',
+    'TrackedAttempt',
     'CancelBody',
-    'CancelDone',
+    'CancelResult',
     'Dispatcher',
-    'Intake',
+    'JobApi',
     'Job',
     'JobAccepted',
     'JobArrived',
-    'JobBook',
-    'JobKeeper',
-    'JobKept',
+    'JobProjection',
+    'JobRefresher',
+    'JobSnapshot',
     'JobMetrics',
     'JobMoved',
     'JobMover',
@@ -57,12 +57,12 @@
     'JobView',
     'JobsCancelled',
     'MoveBody',
-    'MoveDone',
-    'Orders',
+    'MoveResult',
+    'OrderSender',
     'Outcome',
     'ResolveBody',
-    'ShareKeeper',
-    'Tracks',
+    'QuotaShareBalancer',
+    'AttemptTracker',
     'load_spec',
     'view_job',
     'zone_of_job',
--- a/dandelionreel/jobs/_settler.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -5,13 +5,13 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamWriter
-from dandelionreel.jobs._book import JobBook, JobState, Outcome
-from dandelionreel.jobs._desk import Desk
-from dandelionreel.jobs._lapses import judge_lapse
+from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._job_projection import JobProjection, JobState, Outcome
+from dandelionreel.jobs._lapse_limit import judge_lapse
 from dandelionreel.jobs._metrics import JobMetrics
-from dandelionreel.jobs._orders import Orders
+from dandelionreel.jobs._order_sender import OrderSender
 from dandelionreel.jobs._records import AttemptEnded
-from dandelionreel.jobs._tracks import AttemptTrack
+from dandelionreel.jobs._tracked_attempts import TrackedAttempt
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.routing import RetryBudget
 
@@ -43,9 +43,9 @@
         self,
         desk: Desk,
         clock: Clock,
-        jobs: JobBook,
+        jobs: JobProjection,
         writer: StreamWriter,
-        orders: Orders,
+        orders: OrderSender,
         budgets: RetryBudgets,
         metrics: JobMetrics,
         journal: Journal,
@@ -85,7 +85,7 @@
             for task in track.open_tasks():
                 self._orders.stop_later(self._desk.epoch, task.worker, task.task_id)
 
-    async def _settle(self, track: AttemptTrack, epoch: int) -> None:
+    async def _settle(self, track: TrackedAttempt, epoch: int) -> None:
         outcome = self._judge(track)
         record = AttemptEnded(track.job, track.number, epoch, outcome.value)
         self._journal.tell_frequent(
@@ -107,14 +107,14 @@
         self._metrics.ended(track.customer, outcome.value)
         await self._desk.wake.notify()
 
-    def _judge(self, track: AttemptTrack) -> Outcome:
+    def _judge(self, track: TrackedAttempt) -> Outcome:
         job = self._jobs.get(track.job)
         if job is None:
             return track.outcome()
         earlier = [attempt for attempt in job.attempts if attempt.number < track.number]
         return judge_lapse(track.outcome(), earlier, self._clock.wall())
 
-    def _plan_retry(self, track: AttemptTrack, outcome: Outcome) -> None:
+    def _plan_retry(self, track: TrackedAttempt, outcome: Outcome) -> None:
         """Set when the next attempt may come: backoff with full jitter, in budget."""
         if outcome in {Outcome.NOT_STARTED, Outcome.SUCCEEDED, Outcome.STOPPED}:
             return
--- a/dandelionreel/jobs/_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -4,13 +4,13 @@
 
 from dandelionreel.backing import LogError, StreamReader, StreamWriter
 from dandelionreel.contracts import ContractBook
-from dandelionreel.jobs._book import Job, JobBook, Outcome
-from dandelionreel.jobs._desk import Desk
+from dandelionreel.jobs._attempt_finalizer import RetryBudgets
+from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._job_projection import Job, JobProjection, Outcome
 from dandelionreel.jobs._metrics import JobMetrics
-from dandelionreel.jobs._orders import Orders
+from dandelionreel.jobs._order_sender import OrderSender
 from dandelionreel.jobs._records import AttemptIntent
-from dandelionreel.jobs._settler import RetryBudgets
-from dandelionreel.jobs._tracks import AttemptTrack, TaskTrack
+from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import PlaceOrder
 from dandelionreel.placement import Placement, Running, Work, task_ids
@@ -32,11 +32,11 @@
         me: str,
         desk: Desk,
         clock: Clock,
-        jobs: JobBook,
+        jobs: JobProjection,
         contracts: ContractBook,
         reader: StreamReader,
         writer: StreamWriter,
-        orders: Orders,
+        orders: OrderSender,
         budgets: RetryBudgets,
         metrics: JobMetrics,
         journal: Journal,
@@ -63,7 +63,7 @@
             return
         self._tell_placement(placement)
         self._note_waiting(job)
-        track = AttemptTrack(
+        track = TrackedAttempt(
             work.id,
             work.attempt,
             work.customer,
@@ -74,13 +74,13 @@
         ids = task_ids(work.id, work.attempt, work.tasks)
         never = float('inf')
         tasks = [
-            TaskTrack(task_id, worker, never)
+            TrackedTask(task_id, worker, never)
             for task_id, worker in zip(ids, placement.workers, strict=True)
         ]
         self._desk.tracks.add(track, tasks)
         await curio.spawn(self._carry_out, placement, track, self._desk.epoch, daemon=True)
 
-    async def _carry_out(self, placement: Placement, track: AttemptTrack, epoch: int) -> None:
+    async def _carry_out(self, placement: Placement, track: TrackedAttempt, epoch: int) -> None:
         for victim in placement.victims:
             await curio.spawn(self._preempt, victim, epoch, daemon=True)
         if not await self._write_intent(placement, epoch):
@@ -124,7 +124,7 @@
         except LogError as error:
             self._journal.tell(Part.JOBS, f'a record was not written; {error}.')
 
-    async def _start_task(self, work: Work, task: TaskTrack, epoch: int) -> None:
+    async def _start_task(self, work: Work, task: TrackedTask, epoch: int) -> None:
         order = PlaceOrder(
             epoch,
             task.worker,
@@ -151,7 +151,7 @@
         # It may be on its way still; a report counts once it cannot be.
         task.absent_after = now + self._desk.order_seconds
 
-    def _note_refused(self, work: Work, task: TaskTrack, cause: str) -> None:
+    def _note_refused(self, work: Work, task: TrackedTask, cause: str) -> None:
         task.outcome = Outcome.NOT_STARTED
         self._desk.release(task)
         _, former = self._desk.avoid.get(work.id, (0.0, frozenset()))
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -5,15 +5,15 @@
 
 from dandelionreel.backing import HostWatch, StreamReader, StreamWriter
 from dandelionreel.contracts import ContractBook
-from dandelionreel.jobs._book import JobBook, JobState
-from dandelionreel.jobs._desk import Desk
-from dandelionreel.jobs._feeder import QueueFeeder
+from dandelionreel.jobs._attempt_finalizer import AttemptSettler, RetryBudgets
+from dandelionreel.jobs._attempt_starter import AttemptStarter
+from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._job_projection import JobProjection, JobState
 from dandelionreel.jobs._metrics import JobMetrics
-from dandelionreel.jobs._observer import ReportReader
-from dandelionreel.jobs._orders import Orders
-from dandelionreel.jobs._settler import AttemptSettler, RetryBudgets
-from dandelionreel.jobs._shares import ShareKeeper
-from dandelionreel.jobs._starter import AttemptStarter
+from dandelionreel.jobs._order_sender import OrderSender
+from dandelionreel.jobs._queue_updater import QueueFeeder
+from dandelionreel.jobs._quota_shares import QuotaShareBalancer
+from dandelionreel.jobs._report_handler import ReportReader
 from dandelionreel.kernel import Clock, Journal, Part, Settings
 from dandelionreel.ownership import DISPATCH_SHARD, Authority, ShardFold
 from dandelionreel.peers import WorkerReport
@@ -35,13 +35,13 @@
         clock: Clock,
         authority: Authority,
         shards: ShardFold,
-        jobs: JobBook,
+        jobs: JobProjection,
         contracts: ContractBook,
         hosts: HostWatch,
         reader: StreamReader,
         writer: StreamWriter,
-        orders: Orders,
-        shares: ShareKeeper,
+        orders: OrderSender,
+        shares: QuotaShareBalancer,
         metrics: JobMetrics,
         journal: Journal,
     ) -> None:
--- a/dandelionreel/jobs/_desk.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -1,7 +1,7 @@
 """What the parts of the zone's dispatcher share while it is in office."""
 
-from dandelionreel.jobs._book import JobChanges
-from dandelionreel.jobs._tracks import TaskTrack, Tracks
+from dandelionreel.jobs._job_projection import JobChanges
+from dandelionreel.jobs._tracked_attempts import AttemptTracker, TrackedTask
 from dandelionreel.kernel import Settings, Signal
 from dandelionreel.ownership import DISPATCH_SHARD, Authority
 from dandelionreel.placement import Cell, FairQueue, Planner, RunTimes, Terms, WorkerView
@@ -37,7 +37,7 @@
     def clear(self) -> None:
         """Forget the picture; learned run times stay."""
         self.epoch = 0
-        self.tracks = Tracks()
+        self.tracks = AttemptTracker()
         #: The ownership epoch under which each worker was last reported.
         self.reported: dict[str, int] = {}
         self.not_before: dict[str, float] = {}
@@ -57,7 +57,7 @@
         """Return a worker of the cell."""
         return self.planner.cell.worker_by_name.get(name)
 
-    def release(self, task: TaskTrack) -> None:
+    def release(self, task: TrackedTask) -> None:
         """Stop counting a task in the cell."""
         worker = self.worker(task.worker)
         if worker is not None:
--- a/dandelionreel/jobs/_intake.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -8,12 +8,12 @@
 from dandelionreel.backing import HostEntry, HostWatch, LogError, StreamReader, StreamWriter
 from dandelionreel.contracts import ContractBook, require_contract
 from dandelionreel.http import Answer, Request, answer_json
-from dandelionreel.jobs._book import OPEN_QUESTIONS, Job, JobBook
+from dandelionreel.jobs._job_projection import OPEN_QUESTIONS, Job, JobProjection
 from dandelionreel.jobs._records import JobAccepted, JobResolved, JobsCancelled
 from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_spec
 from dandelionreel.jobs._views import (
     CancelBody,
-    CancelDone,
+    CancelResult,
     JobPage,
     ResolveBody,
     view_job,
@@ -57,14 +57,14 @@
     return zone
 
 
-class Intake:
+class JobApi:
     """This zone's jobs towards callers; the zone's stream is the only store."""
 
     def __init__(
         self,
         settings: Settings,
         clock: Clock,
-        jobs: JobBook,
+        jobs: JobProjection,
         contracts: ContractBook,
         hosts: HostWatch,
         reader: StreamReader,
@@ -155,14 +155,14 @@
             )
         return body
 
-    async def cancel(self, jobs: tuple[str, ...]) -> CancelDone:
+    async def cancel(self, jobs: tuple[str, ...]) -> CancelResult:
         """Cancel jobs of this zone with one record; raises ``RequestError``."""
         known = tuple(job for job in jobs if self._jobs.get(job) is not None)
         missing = tuple(job for job in jobs if self._jobs.get(job) is None)
         if known:
             await self._write(JobsCancelled(known))
             self._journal.tell(Part.JOBS, f'cancelled {len(known)} jobs.')
-        return CancelDone(len(known), missing)
+        return CancelResult(len(known), missing)
 
     async def resolve(self, job_id: str, request: Request) -> Answer:
         """Settle an uncertain or parked job by an operator's word."""
--- a/dandelionreel/jobs/_book.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -15,13 +15,13 @@
 from dandelionreel.jobs._records import (
     AttemptEnded,
     AttemptIntent,
-    AttemptState,
+    AttemptSnapshot,
     JobAccepted,
     JobArrived,
-    JobKept,
     JobMoved,
     JobResolved,
     JobsCancelled,
+    JobSnapshot,
 )
 from dandelionreel.jobs._spec import JobSpec
 from dandelionreel.ownership import DISPATCH_SHARD, ShardFold
@@ -128,7 +128,7 @@
         return taken
 
 
-class JobBook:
+class JobProjection:
     """Jobs by id and by idempotency key."""
 
     def __init__(self, shards: ShardFold, ended_kept: int, keys_kept: int) -> None:
@@ -218,7 +218,7 @@
             self._move(record)
         elif isinstance(record, JobArrived):
             self._arrive(record, position)
-        elif isinstance(record, JobKept):
+        elif isinstance(record, JobSnapshot):
             self._keep(record, position)
 
     def _accept(self, record: JobAccepted, position: Position) -> None:
@@ -340,7 +340,7 @@
         self._ended[job.id] = None
         self._forget_oldest()
 
-    def _keep(self, record: JobKept, position: Position) -> None:
+    def _keep(self, record: JobSnapshot, position: Position) -> None:
         known = self._job_by_id.get(record.job)
         if known is not None:
             self._put(replace(known, written_at=position.wall))
@@ -412,9 +412,9 @@
     return xxhash.xxh3_64_intdigest(f'{customer}|{key}'.encode())
 
 
-def keep_record(job: Job) -> JobKept:
+def keep_record(job: Job) -> JobSnapshot:
     """Return the record that states a live job again."""
-    return JobKept(
+    return JobSnapshot(
         job.id,
         job.key,
         job.digest,
@@ -423,7 +423,7 @@
         job.accepted_at,
         job.failures,
         tuple(
-            AttemptState(
+            AttemptSnapshot(
                 attempt.number,
                 attempt.epoch,
                 attempt.member,
--- a/dandelionreel/jobs/_keeper.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -3,8 +3,14 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamWriter
-from dandelionreel.jobs._book import OPEN_QUESTIONS, Job, JobBook, JobState, keep_record
 from dandelionreel.jobs._dispatcher import Dispatcher
+from dandelionreel.jobs._job_projection import (
+    OPEN_QUESTIONS,
+    Job,
+    JobProjection,
+    JobState,
+    keep_record,
+)
 from dandelionreel.kernel import Clock, Journal, Part, Settings
 
 ROUND_SECONDS = 2.0
@@ -13,14 +19,14 @@
 GROUP = 64
 
 
-class JobKeeper:
+class JobRefresher:
     """The dispatcher's care for old jobs; no job's life hangs on an old record."""
 
     def __init__(
         self,
         settings: Settings,
         clock: Clock,
-        jobs: JobBook,
+        jobs: JobProjection,
         dispatcher: Dispatcher,
         writer: StreamWriter,
         journal: Journal,
--- a/dandelionreel/jobs/_lapses.py
+++ b/dandelionreel/jobs/_lapse_limit.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from dandelionreel.jobs._book import Attempt, Outcome
+from dandelionreel.jobs._job_projection import Attempt, Outcome
 
 #: Losses in a row that count for nothing: two workers that are lost one after the other
 #: under one job are chance more often than not.
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from dandelionreel.backing import LogError, LogService, StreamReader, StreamWriter
-from dandelionreel.jobs._book import Job, JobBook, JobState
+from dandelionreel.jobs._job_projection import Job, JobProjection, JobState
 from dandelionreel.jobs._records import JobAccepted, JobArrived, JobMoved
 from dandelionreel.kernel import (
     Clock,
@@ -41,7 +41,7 @@
     to_zone: str
 
 
-class MoveDone(msgspec.Struct, frozen=True):
+class MoveResult(msgspec.Struct, frozen=True):
     """How many jobs have moved; ask again while it is not 0."""
 
     moved: int
@@ -54,7 +54,7 @@
         self.reader = StreamReader(log, stream, clock, records)
         members = Membership(clock)
         shards = ShardFold(members, clock)
-        self.jobs = JobBook(shards, 0, 0)
+        self.jobs = JobProjection(shards, 0, 0)
         for part in (members, shards, self.jobs):
             self.reader.add(part.fold, part.reset)
         # The daemon's name there is new for each move: its numbers start over.
@@ -86,7 +86,7 @@
         self._own_writer = own_writer
         self._journal = journal
 
-    async def move_from(self, zone: str) -> MoveDone:
+    async def move_from(self, zone: str) -> MoveResult:
         """Move up to ``MOVED_AT_ONCE`` jobs here; raises ``RequestError``.
 
         Safe to repeat: what a move that was cut short has left is finished.
@@ -118,7 +118,7 @@
             await foreign.reader.changed.wait(foreign.reader.changed.count, ROUND_SECONDS)
         raise _log_is_out()
 
-    async def _move(self, foreign: _ForeignZone, zone: str) -> MoveDone:
+    async def _move(self, foreign: _ForeignZone, zone: str) -> MoveResult:
         waiting = foreign.jobs.in_state(JobState.WAITING)[:MOVED_AT_ONCE]
         for job in waiting:
             await foreign.writer.write(JobMoved(job.id, self._zone), WRITE_PATIENCE)
@@ -128,7 +128,7 @@
                 await self._arrive(foreign, job)
                 arrived += 1
         self._journal.tell(Part.JOBS, f'moved {arrived} jobs here from {zone}.')
-        return MoveDone(arrived)
+        return MoveResult(arrived)
 
     async def _arrive(self, foreign: _ForeignZone, job: Job) -> None:
         # Accepted here first: the other stream must not forget it before.
--- a/dandelionreel/jobs/_orders.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -22,7 +22,7 @@
 RECORD_PATIENCE = 3600.0
 
 
-class Orders:
+class OrderSender:
     """Sends starts and stops; stops at a bounded rate."""
 
     def __init__(
--- a/dandelionreel/jobs/_feeder.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -2,10 +2,10 @@
 
 from dandelionreel.backing import HostWatch
 from dandelionreel.contracts import ContractBook
-from dandelionreel.jobs._book import Job, JobBook, JobState, Outcome
-from dandelionreel.jobs._desk import Desk
-from dandelionreel.jobs._shares import ShareKeeper
-from dandelionreel.jobs._tracks import AttemptTrack, TaskTrack
+from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._job_projection import Job, JobProjection, JobState, Outcome
+from dandelionreel.jobs._quota_shares import QuotaShareBalancer
+from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask
 from dandelionreel.kernel import Clock, Settings
 from dandelionreel.placement import Terms, Work, task_ids
 
@@ -20,9 +20,9 @@
         desk: Desk,
         settings: Settings,
         clock: Clock,
-        jobs: JobBook,
+        jobs: JobProjection,
         contracts: ContractBook,
-        shares: ShareKeeper,
+        shares: QuotaShareBalancer,
         hosts: HostWatch,
     ) -> None:
         """Feed ``desk``."""
@@ -48,7 +48,7 @@
         self._desk.planner.queue.remove(job.id)
         if attempt is None or job.id in self._desk.tracks.attempt_by_job:
             return
-        track = AttemptTrack(
+        track = TrackedAttempt(
             job.id,
             attempt.number,
             job.spec.customer,
@@ -61,7 +61,7 @@
         counts_from = self._clock.monotonic()
         ids = task_ids(job.id, attempt.number, len(attempt.workers))
         tasks = [
-            TaskTrack(task_id, worker, counts_from)
+            TrackedTask(task_id, worker, counts_from)
             for task_id, worker in zip(ids, attempt.workers, strict=True)
         ]
         self._desk.tracks.add(track, tasks)
--- a/dandelionreel/jobs/_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -17,7 +17,7 @@
 LEAST_SHARE = 0.01
 
 
-class ShareKeeper:
+class QuotaShareBalancer:
     """Asks for more of a quota when this zone runs out, and gives what it can spare."""
 
     def __init__(
--- a/dandelionreel/jobs/_records.py
+++ b/dandelionreel/jobs/_records.py
@@ -60,7 +60,7 @@
     job: str
 
 
-class AttemptState(Struct, frozen=True):
+class AttemptSnapshot(Struct, frozen=True):
     """An attempt as restated."""
 
     number: int
@@ -71,7 +71,7 @@
     wall: float
 
 
-class JobKept(Struct, frozen=True, tag='job_kept'):
+class JobSnapshot(Struct, frozen=True, tag='job_kept'):
     """A live job with all that is known of it, written again before it expires."""
 
     job: str
@@ -81,7 +81,7 @@
     state: str
     accepted_at: float
     failures: int
-    attempts: tuple[AttemptState, ...]
+    attempts: tuple[AttemptSnapshot, ...]
     moved_to: str = ''
 
 
@@ -93,5 +93,5 @@
     | JobResolved
     | JobMoved
     | JobArrived
-    | JobKept
+    | JobSnapshot
 )
--- a/dandelionreel/jobs/_observer.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -1,12 +1,12 @@
 """What the owners of workers report, compared with what the dispatcher expects."""
 
 from dandelionreel.contracts import ContractBook
-from dandelionreel.jobs._book import Job, JobBook, JobState, Outcome
-from dandelionreel.jobs._desk import Desk
-from dandelionreel.jobs._feeder import QueueFeeder
-from dandelionreel.jobs._orders import Orders
+from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._job_projection import Job, JobProjection, JobState, Outcome
+from dandelionreel.jobs._order_sender import OrderSender
+from dandelionreel.jobs._queue_updater import QueueFeeder
 from dandelionreel.jobs._records import AttemptIntent
-from dandelionreel.jobs._tracks import AttemptTrack, TaskTrack, reported_outcome
+from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask, reported_outcome
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import TaskReport, WorkerReport
 from dandelionreel.placement import Running
@@ -25,10 +25,10 @@
         me: str,
         desk: Desk,
         clock: Clock,
-        jobs: JobBook,
+        jobs: JobProjection,
         contracts: ContractBook,
         feeder: QueueFeeder,
-        orders: Orders,
+        orders: OrderSender,
         journal: Journal,
     ) -> None:
         """Read for the dispatcher ``me``."""
@@ -74,8 +74,8 @@
 
     def _absent_outcome(
         self,
-        track: AttemptTrack,
-        task: TaskTrack,
+        track: TrackedAttempt,
+        task: TrackedTask,
         report: WorkerReport,
     ) -> Outcome:
         """Judge a task that its worker does not list at all."""
@@ -87,7 +87,7 @@
             return Outcome.LAPSED
         return Outcome.LOST
 
-    def _age(self, track: AttemptTrack) -> float:
+    def _age(self, track: TrackedAttempt) -> float:
         """Return how long ago the attempt's intent was written, at the most.
 
         One clock for an attempt of our own; two hosts' clocks for another's.
@@ -163,7 +163,7 @@
             return
         self._desk.planner.queue.remove(job.id)
         self._desk.shelved.discard(job.id)
-        track = AttemptTrack(
+        track = TrackedAttempt(
             job.id,
             told.attempt,
             job.spec.customer,
@@ -171,7 +171,7 @@
             self._clock.wall(),
             adopted=True,
         )
-        task = TaskTrack(told.id, worker, self._clock.monotonic(), is_running=True)
+        task = TrackedTask(told.id, worker, self._clock.monotonic(), is_running=True)
         self._desk.tracks.add(track, [task])
         intent = AttemptIntent(job.id, told.attempt, self._desk.epoch, self._me, (worker,))
         self._orders.write_later(intent)
@@ -181,12 +181,12 @@
             outcome = Outcome.LAPSED if track.idempotent else Outcome.LOST
             self._end_task(track, task, outcome)
 
-    def _end_task(self, track: AttemptTrack, task: TaskTrack, outcome: Outcome) -> None:
+    def _end_task(self, track: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
         task.outcome = outcome
         self._desk.release(task)
         self._learn(track, task, outcome)
 
-    def _learn(self, track: AttemptTrack, task: TaskTrack, outcome: Outcome) -> None:
+    def _learn(self, track: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
         worker = self._desk.worker(task.worker)
         job = self._jobs.get(track.job)
         if worker is None or job is None:
--- a/dandelionreel/jobs/_tracks.py
+++ b/dandelionreel/jobs/_tracked_attempts.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from dandelionreel.jobs._book import Outcome
+from dandelionreel.jobs._job_projection import Outcome
 from dandelionreel.peers import TaskReport
 
 
 @dataclass
-class TaskTrack:
+class TrackedTask:
     """One task; ``absent_after`` is when a report that lacks it begins to count.
 
     A report tells of a moment that may lie before the start was sent. It is a
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class AttemptTrack:
+class TrackedAttempt:
     """One attempt; ``adopted`` when another dispatcher started it.
 
     ``intent_wall`` is on the wall clock, ``tracked_at`` on the monotonic one.
@@ -38,9 +38,9 @@
     adopted: bool = False
     stopping: bool = False
     finished: bool = False
-    task_by_id: dict[str, TaskTrack] = field(default_factory=dict)
+    task_by_id: dict[str, TrackedTask] = field(default_factory=dict)
 
-    def open_tasks(self) -> Iterator[TaskTrack]:
+    def open_tasks(self) -> Iterator[TrackedTask]:
         """Yield tasks that have not ended."""
         for task in self.task_by_id.values():
             if task.outcome is None:
@@ -72,22 +72,22 @@
         return Outcome.STOPPED
 
 
-class Tracks:
+class AttemptTracker:
     """Tracked attempts by job, and their tasks by worker."""
 
     def __init__(self) -> None:
         """Start with none."""
-        self.attempt_by_job: dict[str, AttemptTrack] = {}
-        self._tasks_by_worker: dict[str, dict[str, AttemptTrack]] = {}
+        self.attempt_by_job: dict[str, TrackedAttempt] = {}
+        self._tasks_by_worker: dict[str, dict[str, TrackedAttempt]] = {}
 
-    def add(self, track: AttemptTrack, tasks: Iterable[TaskTrack]) -> None:
+    def add(self, track: TrackedAttempt, tasks: Iterable[TrackedTask]) -> None:
         """Follow an attempt."""
         self.attempt_by_job[track.job] = track
         for task in tasks:
             track.task_by_id[task.task_id] = task
             self._tasks_by_worker.setdefault(task.worker, {})[task.task_id] = track
 
-    def drop(self, job: str) -> AttemptTrack | None:
+    def drop(self, job: str) -> TrackedAttempt | None:
         """Stop following a job's attempt."""
         track = self.attempt_by_job.pop(job, None)
         if track is None:
@@ -96,7 +96,7 @@
             self._tasks_by_worker.get(task.worker, {}).pop(task.task_id, None)
         return track
 
-    def on_worker(self, worker: str) -> tuple[tuple[AttemptTrack, TaskTrack], ...]:
+    def on_worker(self, worker: str) -> tuple[tuple[TrackedAttempt, TrackedTask], ...]:
         """Return the tracked tasks of a worker that have not ended."""
         found = []
         for task_id, track in self._tasks_by_worker.get(worker, {}).items():
--- a/dandelionreel/jobs/_views.py
+++ b/dandelionreel/jobs/_views.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dandelionreel.jobs._book import Job
+from dandelionreel.jobs._job_projection import Job
 
 
 class AttemptView(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
     jobs: tuple[str, ...]
 
 
-class CancelDone(msgspec.Struct, frozen=True):
+class CancelResult(msgspec.Struct, frozen=True):
     """How many jobs were named, and which of them are not known."""
 
     cancelled: int
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -9,7 +9,7 @@
 
 from dandelionreel.backing import StreamReader, StreamWriter
 from dandelionreel.http import control_bytes_by_kind
-from dandelionreel.jobs import JobBook, JobState
+from dandelionreel.jobs import JobProjection, JobState
 from dandelionreel.ownership import Claimer
 from dandelionreel.peers import Traffic
 from dandelionreel.placement import Planner
@@ -65,7 +65,7 @@
         reader: StreamReader,
         writer: StreamWriter,
         queue_by_service: dict[str, int],
-        jobs: JobBook,
+        jobs: JobProjection,
         planner: Planner,
         claimer: Claimer,
     ) -> None:
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -3,9 +3,9 @@
 from behave import given, then, when
 
 from dandelionreel.backing import Position
-from dandelionreel.jobs import AttemptIntent, JobAccepted, JobBook, JobState, load_spec
-from dandelionreel.jobs._book import Outcome
-from dandelionreel.jobs._lapses import judge_lapse
+from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
+from dandelionreel.jobs._job_projection import Outcome
+from dandelionreel.jobs._lapse_limit import judge_lapse
 from dandelionreel.jobs._records import AttemptEnded
 from dandelionreel.kernel import ManualClock
 from dandelionreel.ownership import DISPATCH_SHARD, Claimed, Membership, ShardEpoch, ShardFold
@@ -50,7 +50,7 @@
     shards = ShardFold(Membership(clock), clock)
     claim = Claimed(MEMBER, (ShardEpoch(DISPATCH_SHARD, 0),))
     shards.fold(claim, Position(0, MEMBER, 0))
-    context.book = JobBook(shards, 10, 10)
+    context.book = JobProjection(shards, 10, 10)
     accepted = JobAccepted('j1', 'key', 'digest', load_spec(SPEC))
     context.book.fold(accepted, position(context, NOW))
     wall = NOW - HOUR if 'an hour before' in earlier else NOW
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -14,7 +14,7 @@
     TaskOrder,
     TaskStatus,
 )
-from dandelionreel.jobs import AttemptIntent, JobAccepted, JobBook, JobState, load_spec
+from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
 from dandelionreel.kernel import ManualClock
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
@@ -180,7 +180,7 @@
 def make_job(context):
     clock = ManualClock()
     context.shards = ShardFold(Membership(clock), clock)
-    context.book = JobBook(context.shards, 10, 10)
+    context.book = JobProjection(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
     accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
     context.book.fold(accepted, Position(1, 'a/1', 0))
