--- a/dandelionreel/callers/_front.py
+++ b/dandelionreel/callers/_front.py
@@ -98,7 +98,7 @@
         return self._intake.list_page(request)
 
     async def _cancel(self, request: Request, hops: int) -> Answer:
-        body = self._intake.read_cancel(request)
+        body = self._intake.decode_cancel(request)
         if hops:
             return answer_json(await self._intake.cancel(body.jobs))
         jobs_by_zone: dict[str, list[str]] = {}
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -339,7 +339,7 @@
             self._zone_writer,
             self._journal,
         )
-        self._fleet.deliver_to(self._dispatcher.take_report)
+        self._fleet.deliver_to(self._dispatcher.handle_report)
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
@@ -457,7 +457,7 @@
             self._dispatcher.run,
             self._dispatcher.follow_log,
             self._orders.run,
-            self._orders.run_records,
+            self._orders.write_queued_records,
             self._shares.run,
             self._keeper.run,
             self._update_metrics,
@@ -571,7 +571,7 @@
             return Refused('not a report')
         if not self._dispatcher.is_active:
             return Refused('not the dispatcher')
-        await self._dispatcher.take_report(report)
+        await self._dispatcher.handle_report(report)
         return Done()
 
 
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -125,7 +125,7 @@
             await self._reader.changed.wait(seen, FOLLOW_SECONDS)
             await self._desk.wake.notify()
 
-    async def take_report(self, report: WorkerReport) -> None:
+    async def handle_report(self, report: WorkerReport) -> None:
         """Learn from the owner of a worker what runs there."""
         if self.is_active:
             await self._observer.take(report)
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -141,7 +141,7 @@
         next_after = jobs[-1].id if len(jobs) == limit else ''
         return answer_json(JobPage(tuple(view_job(job) for job in jobs), next_after))
 
-    def read_cancel(self, request: Request) -> CancelBody:
+    def decode_cancel(self, request: Request) -> CancelBody:
         """Return which jobs to cancel; raises ``RequestError``."""
         try:
             body = msgspec.json.decode(request.body, type=CancelBody)
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -114,7 +114,7 @@
                 await curio.sleep(pause)
             await curio.sleep(STOP_AGAIN_SECONDS)
 
-    async def run_records(self) -> None:
+    async def write_queued_records(self) -> None:
         """Write what was left to be written, for ever."""
         while True:
             if not self._records:
