--- a/bench/guards.py
+++ b/bench/guards.py
@@ -68,8 +68,8 @@
     Guard(
         'only the very intent that landed counts',
         'jobs/_job_projection.py',
-        'return told == (last.number, last.epoch, last.member, last.workers)',
-        'return told[:2] == (last.number, last.epoch)',
+        'return identity == (last.number, last.epoch, last.member, last.workers)',
+        'return identity[:2] == (last.number, last.epoch)',
         'parts.feature:GIVEN UP',
     ),
     Guard(
--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -5,9 +5,9 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamWriter
-from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import JobProjection, JobState, Outcome
-from dandelionreel.jobs._lapse_limit import judge_lapse
+from dandelionreel.jobs._lapse_limit import classify_lapse
 from dandelionreel.jobs._metrics import JobMetrics
 from dandelionreel.jobs._order_sender import OrderSender
 from dandelionreel.jobs._records import AttemptEnded
@@ -16,12 +16,12 @@
 from dandelionreel.routing import RetryBudget
 
 #: In a log outage the record of an end waits this long for the log to return.
-OUTAGE_PATIENCE = 86_400.0
-BACKOFF_BASE = 0.5
-BACKOFF_LIMIT = 60.0
-BACKOFF_DOUBLINGS = 10
+OUTAGE_WRITE_TIMEOUT_SECONDS = 86_400.0
+BACKOFF_BASE_SECONDS = 0.5
+BACKOFF_MAX_SECONDS = 60.0
+MAX_BACKOFF_DOUBLINGS = 10
 #: A retry outside the budget waits this much longer.
-BUDGET_PAUSE = 5.0
+OVER_BUDGET_DELAY_SECONDS = 5.0
 
 
 class RetryBudgets:
@@ -31,17 +31,17 @@
         """Start with none."""
         self._budget_by_customer: dict[str, RetryBudget] = {}
 
-    def of(self, customer: str) -> RetryBudget:
+    def for_customer(self, customer: str) -> RetryBudget:
         """Return a customer's budget."""
         return self._budget_by_customer.setdefault(customer, RetryBudget())
 
 
-class AttemptSettler:
+class AttemptFinalizer:
     """Writes what became of attempts, and stops what must not go on."""
 
     def __init__(
         self,
-        desk: Desk,
+        state: DispatcherState,
         clock: Clock,
         jobs: JobProjection,
         writer: StreamWriter,
@@ -51,7 +51,7 @@
         journal: Journal,
     ) -> None:
         """Settle the attempts of ``desk``."""
-        self._desk = desk
+        self._state = state
         self._clock = clock
         self._jobs = jobs
         self._writer = writer
@@ -61,67 +61,70 @@
         self._journal = journal
         self._random = random.Random()
 
-    async def settle_ended(self) -> None:
+    async def finalize_ended(self) -> None:
         """Have the ends of all ended attempts written, each once."""
-        for track in tuple(self._desk.tracks.attempt_by_job.values()):
-            if not track.has_ended or track.finished:
+        for tracked in tuple(self._state.tracker.attempt_by_job.values()):
+            if not tracked.has_ended or tracked.is_finalizing:
                 continue
-            job = self._jobs.get(track.job)
-            if job is not None and job.last is not None:
-                if job.state is not JobState.RUNNING or job.last.number > track.number:
-                    self._desk.tracks.drop(track.job)
+            job = self._jobs.get(tracked.job)
+            if job is not None and job.last_attempt is not None:
+                if job.state is not JobState.RUNNING or job.last_attempt.number > tracked.number:
+                    self._state.tracker.drop(tracked.job)
                     continue
-            track.finished = True
-            await curio.spawn(self._settle, track, self._desk.epoch, daemon=True)
+            tracked.is_finalizing = True
+            await curio.spawn(self._finalize, tracked, self._state.epoch, daemon=True)
 
     def stop_unwanted(self) -> None:
         """Stop what was cancelled and what is left of a gang that went wrong."""
-        for track in tuple(self._desk.tracks.attempt_by_job.values()):
-            job = self._jobs.get(track.job)
+        for tracked in tuple(self._state.tracker.attempt_by_job.values()):
+            job = self._jobs.get(tracked.job)
             cancelled = job is not None and job.cancelled
-            if track.stopping or not (cancelled or track.has_gone_wrong):
+            if tracked.stop_requested or not (cancelled or tracked.has_failed_task):
                 continue
-            track.stopping = True
-            for task in track.open_tasks():
-                self._orders.stop_later(self._desk.epoch, task.worker, task.task_id)
+            tracked.stop_requested = True
+            for task in tracked.unfinished_tasks():
+                self._orders.queue_stop(self._state.epoch, task.worker, task.task_id)
 
-    async def _settle(self, track: TrackedAttempt, epoch: int) -> None:
-        outcome = self._judge(track)
-        record = AttemptEnded(track.job, track.number, epoch, outcome.value)
+    async def _finalize(self, tracked: TrackedAttempt, epoch: int) -> None:
+        outcome = self._classify_outcome(tracked)
+        record = AttemptEnded(tracked.job, tracked.number, epoch, outcome.value)
         self._journal.tell_frequent(
             Part.JOBS,
-            f'attempt {track.number} of {track.job} ended; {outcome.value}.',
-            job=track.job,
+            f'attempt {tracked.number} of {tracked.job} ended; {outcome.value}.',
+            job=tracked.job,
             outcome=outcome.value,
         )
-        self._plan_retry(track, outcome)
+        self._schedule_retry(tracked, outcome)
         try:
-            await self._writer.write(record, OUTAGE_PATIENCE)
+            await self._writer.write(record, OUTAGE_WRITE_TIMEOUT_SECONDS)
         except LogError:
-            track.finished = False
+            tracked.is_finalizing = False
             return
-        if self._desk.epoch != epoch:
+        if self._state.epoch != epoch:
             return
-        self._desk.tracks.drop(track.job)
-        self._desk.changes.job_ids[track.job] = None
-        self._metrics.ended(track.customer, outcome.value)
-        await self._desk.wake.notify()
+        self._state.tracker.drop(tracked.job)
+        self._state.changes.job_ids[tracked.job] = None
+        self._metrics.count_end(tracked.customer, outcome.value)
+        await self._state.wake.notify()
 
-    def _judge(self, track: TrackedAttempt) -> Outcome:
-        job = self._jobs.get(track.job)
+    def _classify_outcome(self, tracked: TrackedAttempt) -> Outcome:
+        job = self._jobs.get(tracked.job)
         if job is None:
-            return track.outcome()
-        earlier = [attempt for attempt in job.attempts if attempt.number < track.number]
-        return judge_lapse(track.outcome(), earlier, self._clock.wall())
+            return tracked.combined_outcome()
+        earlier = [attempt for attempt in job.attempts if attempt.number < tracked.number]
+        return classify_lapse(tracked.combined_outcome(), earlier, self._clock.wall())
 
-    def _plan_retry(self, track: TrackedAttempt, outcome: Outcome) -> None:
+    def _schedule_retry(self, tracked: TrackedAttempt, outcome: Outcome) -> None:
         """Set when the next attempt may come: backoff with full jitter, in budget."""
         if outcome in {Outcome.NOT_STARTED, Outcome.SUCCEEDED, Outcome.STOPPED}:
             return
-        job = self._jobs.get(track.job)
+        job = self._jobs.get(tracked.job)
         failures = job.failures if job else 0
-        longest = min(BACKOFF_LIMIT, BACKOFF_BASE * 2 ** min(failures + 1, BACKOFF_DOUBLINGS))
-        pause = self._random.uniform(0, longest)
-        if not self._budgets.of(track.customer).spend():
-            pause += BUDGET_PAUSE
-        self._desk.not_before[track.job] = self._clock.wall() + pause
+        max_delay = min(
+            BACKOFF_MAX_SECONDS,
+            BACKOFF_BASE_SECONDS * 2 ** min(failures + 1, MAX_BACKOFF_DOUBLINGS),
+        )
+        delay = self._random.uniform(0, max_delay)
+        if not self._budgets.for_customer(tracked.customer).spend():
+            delay += OVER_BUDGET_DELAY_SECONDS
+        self._state.not_before[tracked.job] = self._clock.wall() + delay
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -5,7 +5,7 @@
 from dandelionreel.backing import LogError, StreamReader, StreamWriter
 from dandelionreel.contracts import ContractBook
 from dandelionreel.jobs._attempt_finalizer import RetryBudgets
-from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import Job, JobProjection, Outcome
 from dandelionreel.jobs._metrics import JobMetrics
 from dandelionreel.jobs._order_sender import OrderSender
@@ -16,12 +16,12 @@
 from dandelionreel.placement import Placement, Running, Work, task_ids
 from dandelionreel.workers import REFUSED, STARTED
 
-WRITE_PATIENCE = 10.0
+WRITE_TIMEOUT_SECONDS = 10.0
 #: In a log outage the record of a start waits this long for the log to return.
-OUTAGE_PATIENCE = 86_400.0
-AVOID_SECONDS = 5.0
-VICTIM_SECONDS = 3.0
-VICTIM_ROUND_SECONDS = 0.25
+OUTAGE_WRITE_TIMEOUT_SECONDS = 86_400.0
+AVOID_WORKER_SECONDS = 5.0
+PREEMPTION_TIMEOUT_SECONDS = 3.0
+PREEMPTION_POLL_SECONDS = 0.25
 
 
 class AttemptStarter:
@@ -29,8 +29,8 @@
 
     def __init__(
         self,
-        me: str,
-        desk: Desk,
+        member: str,
+        state: DispatcherState,
         clock: Clock,
         jobs: JobProjection,
         contracts: ContractBook,
@@ -42,8 +42,8 @@
         journal: Journal,
     ) -> None:
         """Start for the dispatcher ``me``."""
-        self._me = me
-        self._desk = desk
+        self._member = member
+        self._state = state
         self._clock = clock
         self._jobs = jobs
         self._contracts = contracts
@@ -54,16 +54,16 @@
         self._metrics = metrics
         self._journal = journal
 
-    async def begin(self, placement: Placement) -> None:
+    async def start(self, placement: Placement) -> None:
         """Track the attempt that a placement stands for, and carry it out."""
         work = placement.work
         job = self._jobs.get(work.id)
         if job is None:
-            self._undo(placement)
+            self._release_capacity(placement)
             return
-        self._tell_placement(placement)
-        self._note_waiting(job)
-        track = TrackedAttempt(
+        self._log_placement(placement)
+        self._record_wait(job)
+        tracked = TrackedAttempt(
             work.id,
             work.attempt,
             work.customer,
@@ -72,55 +72,55 @@
             self._clock.monotonic(),
         )
         ids = task_ids(work.id, work.attempt, work.tasks)
-        never = float('inf')
+        not_yet = float('inf')
         tasks = [
-            TrackedTask(task_id, worker, never)
+            TrackedTask(task_id, worker, not_yet)
             for task_id, worker in zip(ids, placement.workers, strict=True)
         ]
-        self._desk.tracks.add(track, tasks)
-        await curio.spawn(self._carry_out, placement, track, self._desk.epoch, daemon=True)
+        self._state.tracker.add(tracked, tasks)
+        await curio.spawn(self._execute, placement, tracked, self._state.epoch, daemon=True)
 
-    async def _carry_out(self, placement: Placement, track: TrackedAttempt, epoch: int) -> None:
+    async def _execute(self, placement: Placement, tracked: TrackedAttempt, epoch: int) -> None:
         for victim in placement.victims:
             await curio.spawn(self._preempt, victim, epoch, daemon=True)
         if not await self._write_intent(placement, epoch):
-            self._desk.tracks.drop(placement.work.id)
-            self._undo(placement)
+            self._state.tracker.drop(placement.work.id)
+            self._release_capacity(placement)
             job = self._jobs.get(placement.work.id)
             if job is not None:
-                self._desk.changes.job_ids[job.id] = None
-            await self._desk.wake.notify()
+                self._state.changes.job_ids[job.id] = None
+            await self._state.wake.notify()
             return
         if placement.victims:
-            await self._await_victims(placement)
-        group = [
+            await self._wait_for_victims(placement)
+        starts = [
             await curio.spawn(self._start_task, placement.work, task, epoch, daemon=True)
-            for task in track.task_by_id.values()
+            for task in tracked.task_by_id.values()
         ]
-        for started in group:
+        for started in starts:
             await started.join()
-        await self._desk.wake.notify()
+        await self._state.wake.notify()
 
     async def _write_intent(self, placement: Placement, epoch: int) -> bool:
         """Return whether the attempt is this dispatcher's to start."""
         work = placement.work
-        intent = AttemptIntent(work.id, work.attempt, epoch, self._me, placement.workers)
+        intent = AttemptIntent(work.id, work.attempt, epoch, self._member, placement.workers)
         if self._reader.outage_since is not None:
             if not work.idempotent:
                 return False
             # The log is out: an idempotent job goes on under ownership alone.
-            await curio.spawn(self._write_later, intent, daemon=True)
-            return self._desk.may_act(epoch)
+            await curio.spawn(self._write_after_outage, intent, daemon=True)
+            return self._state.may_act(epoch)
         try:
-            await self._writer.write(intent, WRITE_PATIENCE)
+            await self._writer.write(intent, WRITE_TIMEOUT_SECONDS)
         except LogError:
             return False
         job = self._jobs.get(work.id)
-        return job is not None and job.runs(intent) and self._desk.may_act(epoch)
+        return job is not None and job.matches_intent(intent) and self._state.may_act(epoch)
 
-    async def _write_later(self, record: AttemptIntent) -> None:
+    async def _write_after_outage(self, record: AttemptIntent) -> None:
         try:
-            await self._writer.write(record, OUTAGE_PATIENCE)
+            await self._writer.write(record, OUTAGE_WRITE_TIMEOUT_SECONDS)
         except LogError as error:
             self._journal.tell(Part.JOBS, f'a record was not written; {error}.')
 
@@ -137,27 +137,27 @@
             work.task_class,
         )
         answer = None
-        if self._desk.may_act(epoch):
+        if self._state.may_act(epoch):
             answer = await self._orders.place(order)
         if answer is None or answer.outcome == REFUSED:
-            self._note_refused(work, task, answer.cause if answer else 'no authority')
+            self._handle_refusal(work, task, answer.cause if answer else 'no authority')
             return
         now = self._clock.monotonic()
         if answer.outcome == STARTED:
             task.is_running = True
             task.absent_after = now
-            self._metrics.started(work.customer, work.task_class)
+            self._metrics.count_start(work.customer, work.task_class)
             return
         # It may be on its way still; a report counts once it cannot be.
-        task.absent_after = now + self._desk.order_seconds
+        task.absent_after = now + self._state.max_order_seconds
 
-    def _note_refused(self, work: Work, task: TrackedTask, cause: str) -> None:
+    def _handle_refusal(self, work: Work, task: TrackedTask, cause: str) -> None:
         task.outcome = Outcome.NOT_STARTED
-        self._desk.release(task)
-        _, former = self._desk.avoid.get(work.id, (0.0, frozenset()))
-        self._desk.avoid[work.id] = (
-            self._clock.monotonic() + AVOID_SECONDS,
-            former | {task.worker},
+        self._state.release(task)
+        _, avoided = self._state.avoided_workers.get(work.id, (0.0, frozenset()))
+        self._state.avoided_workers[work.id] = (
+            self._clock.monotonic() + AVOID_WORKER_SECONDS,
+            avoided | {task.worker},
         )
         self._journal.tell_frequent(
             Part.PLACEMENT,
@@ -173,56 +173,56 @@
             f'stops {victim.task_id} on {worker}; urgent work needs the room.',
             task=victim.task_id,
         )
-        await self._orders.act(epoch, worker, victim.task_id, 'checkpoint')
-        await self._orders.act(epoch, worker, victim.task_id, 'stop')
+        await self._orders.send_action(epoch, worker, victim.task_id, 'checkpoint')
+        await self._orders.send_action(epoch, worker, victim.task_id, 'stop')
 
-    async def _await_victims(self, placement: Placement) -> None:
+    async def _wait_for_victims(self, placement: Placement) -> None:
         """Wait until the preempted tasks are reported ended, but not for long."""
-        until = self._clock.monotonic() + VICTIM_SECONDS
+        until = self._clock.monotonic() + PREEMPTION_TIMEOUT_SECONDS
         names = set(placement.workers)
         while self._clock.monotonic() < until:
-            seen = self._desk.wake.count
-            left = [
+            seen = self._state.wake.count
+            remaining = [
                 victim
                 for victim in placement.victims
                 if any(victim.task_id in self._running_on(name) for name in names)
             ]
-            if not left:
+            if not remaining:
                 return
-            await self._desk.wake.wait(seen, VICTIM_ROUND_SECONDS)
+            await self._state.wake.wait(seen, PREEMPTION_POLL_SECONDS)
 
     def _running_on(self, name: str) -> dict[str, Running]:
-        worker = self._desk.worker(name)
+        worker = self._state.worker(name)
         return worker.running_by_task if worker else {}
 
     def _worker_of(self, victim: Running) -> str:
-        track = self._desk.tracks.attempt_by_job.get(victim.job)
-        task = track.task_by_id.get(victim.task_id) if track else None
+        tracked = self._state.tracker.attempt_by_job.get(victim.job)
+        task = tracked.task_by_id.get(victim.task_id) if tracked else None
         return task.worker if task else ''
 
-    def _undo(self, placement: Placement) -> None:
+    def _release_capacity(self, placement: Placement) -> None:
         work = placement.work
         ids = task_ids(work.id, work.attempt, work.tasks)
         for task_id, name in zip(ids, placement.workers, strict=True):
-            worker = self._desk.worker(name)
+            worker = self._state.worker(name)
             if worker is not None:
-                self._desk.planner.cell.release(worker, task_id)
+                self._state.planner.cell.release(worker, task_id)
 
-    def _note_waiting(self, job: Job) -> None:
+    def _record_wait(self, job: Job) -> None:
         if job.attempts:
             return
         customer = job.spec.customer
         waited = max(0.0, self._clock.wall() - job.accepted_at)
-        self._metrics.waited(customer, job.spec.task_class, waited)
+        self._metrics.observe_wait(customer, job.spec.task_class, waited)
         contract = self._contracts.effective(customer)
         if contract is not None:
-            self._budgets.of(customer).earn(contract.requests.retry_budget)
+            self._budgets.for_customer(customer).earn(contract.requests.retry_budget)
 
     def _command(self, job_id: str) -> str:
         job = self._jobs.get(job_id)
         return job.spec.command if job else ''
 
-    def _tell_placement(self, placement: Placement) -> None:
+    def _log_placement(self, placement: Placement) -> None:
         work = placement.work
         self._journal.tell_frequent(
             Part.PLACEMENT,
@@ -230,5 +230,5 @@
             job=work.id,
             customer=work.customer,
             workers=list(placement.workers),
-            considered=self._desk.planner.looked_at,
+            considered=self._state.planner.looked_at,
         )
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -5,24 +5,24 @@
 
 from dandelionreel.backing import HostWatch, StreamReader, StreamWriter
 from dandelionreel.contracts import ContractBook
-from dandelionreel.jobs._attempt_finalizer import AttemptSettler, RetryBudgets
+from dandelionreel.jobs._attempt_finalizer import AttemptFinalizer, RetryBudgets
 from dandelionreel.jobs._attempt_starter import AttemptStarter
-from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import JobProjection, JobState
 from dandelionreel.jobs._metrics import JobMetrics
 from dandelionreel.jobs._order_sender import OrderSender
-from dandelionreel.jobs._queue_updater import QueueFeeder
+from dandelionreel.jobs._queue_updater import QueueUpdater
 from dandelionreel.jobs._quota_shares import QuotaShareBalancer
-from dandelionreel.jobs._report_handler import ReportReader
+from dandelionreel.jobs._report_handler import ReportHandler
 from dandelionreel.kernel import Clock, Journal, Part, Settings
 from dandelionreel.ownership import DISPATCH_SHARD, Authority, ShardFold
 from dandelionreel.peers import WorkerReport
 from dandelionreel.placement import Planner
 
 ROUND_SECONDS = 0.5
-FOLLOW_SECONDS = 60.0
+LOG_WAIT_SECONDS = 60.0
 #: Decisions in one round, so that reports and heartbeats get their turn.
-ROUND_DECISIONS = 64
+MAX_DECISIONS_PER_ROUND = 64
 
 
 class Dispatcher:
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        me: str,
+        member: str,
         settings: Settings,
         clock: Clock,
         authority: Authority,
@@ -53,10 +53,10 @@
         self._reader = reader
         self._shares = shares
         self._journal = journal
-        self._desk = Desk(settings, authority, jobs.watch())
+        self._state = DispatcherState(settings, authority, jobs.subscribe())
         budgets = RetryBudgets()
-        self._feeder = QueueFeeder(
-            self._desk,
+        self._queue_updater = QueueUpdater(
+            self._state,
             settings,
             clock,
             jobs,
@@ -65,8 +65,8 @@
             hosts,
         )
         self._starter = AttemptStarter(
-            me,
-            self._desk,
+            member,
+            self._state,
             clock,
             jobs,
             contracts,
@@ -77,18 +77,18 @@
             metrics,
             journal,
         )
-        self._observer = ReportReader(
-            me,
-            self._desk,
+        self._report_handler = ReportHandler(
+            member,
+            self._state,
             clock,
             jobs,
             contracts,
-            self._feeder,
+            self._queue_updater,
             orders,
             journal,
         )
-        self._settler = AttemptSettler(
-            self._desk,
+        self._finalizer = AttemptFinalizer(
+            self._state,
             clock,
             jobs,
             writer,
@@ -101,60 +101,60 @@
     @property
     def is_active(self) -> bool:
         """Return whether this daemon dispatches now."""
-        return bool(self._desk.epoch)
+        return bool(self._state.epoch)
 
     @property
     def planner(self) -> Planner:
         """Return what decides, with its queue and its picture of the workers."""
-        return self._desk.planner
+        return self._state.planner
 
     async def run(self) -> None:
         """Dispatch whenever this daemon may, for ever."""
         while True:
-            seen = self._desk.wake.count
+            seen = self._state.wake.count
             if self._authority.may_dispatch(DISPATCH_SHARD):
                 await self._round()
             else:
-                self._stand_down()
-            await self._desk.wake.wait(seen, ROUND_SECONDS)
+                self._stop_dispatching()
+            await self._state.wake.wait(seen, ROUND_SECONDS)
 
     async def follow_log(self) -> None:
         """Wake the dispatcher after every batch of records, for ever."""
         while True:
             seen = self._reader.changed.count
-            await self._reader.changed.wait(seen, FOLLOW_SECONDS)
-            await self._desk.wake.notify()
+            await self._reader.changed.wait(seen, LOG_WAIT_SECONDS)
+            await self._state.wake.notify()
 
     async def handle_report(self, report: WorkerReport) -> None:
         """Learn from the owner of a worker what runs there."""
         if self.is_active:
-            await self._observer.take(report)
+            await self._report_handler.handle(report)
 
     async def _round(self) -> None:
         self._take_over_if_new()
-        self._feeder.feed()
-        await self._settler.settle_ended()
-        self._settler.stop_unwanted()
-        placements = self.planner.decide(self._clock.wall(), ROUND_DECISIONS)
+        self._queue_updater.update()
+        await self._finalizer.finalize_ended()
+        self._finalizer.stop_unwanted()
+        placements = self.planner.decide(self._clock.wall(), MAX_DECISIONS_PER_ROUND)
         for placement in placements:
-            await self._starter.begin(placement)
-        self._shares.consider(self.planner)
-        if len(placements) == ROUND_DECISIONS:
-            await self._desk.wake.notify()
+            await self._starter.start(placement)
+        self._shares.plan_transfers(self.planner)
+        if len(placements) == MAX_DECISIONS_PER_ROUND:
+            await self._state.wake.notify()
 
     def _take_over_if_new(self) -> None:
         epoch = self._shards.epoch(DISPATCH_SHARD)
-        if epoch == self._desk.epoch:
+        if epoch == self._state.epoch:
             return
-        self._stand_down()
-        self._desk.epoch = epoch
-        self._desk.took_over_at = self._clock.monotonic()
+        self._stop_dispatching()
+        self._state.epoch = epoch
+        self._state.took_over_at = self._clock.monotonic()
         known = (job.id for job in self._jobs.in_state(*JobState))
-        self._desk.changes.job_ids.update(dict.fromkeys(known))
+        self._state.changes.job_ids.update(dict.fromkeys(known))
         self._journal.tell(Part.JOBS, 'dispatches for the zone.', epoch=epoch)
 
-    def _stand_down(self) -> None:
+    def _stop_dispatching(self) -> None:
         if not self.is_active:
             return
-        self._journal.tell(Part.JOBS, 'stops dispatching for the zone.', epoch=self._desk.epoch)
-        self._desk.clear()
+        self._journal.tell(Part.JOBS, 'stops dispatching for the zone.', epoch=self._state.epoch)
+        self._state.clear()
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -7,10 +7,10 @@
 from dandelionreel.placement import Cell, FairQueue, Planner, RunTimes, Terms, WorkerView
 
 #: Slack beyond a lease before its task counts as ended, in seconds.
-LAPSE_MARGIN = 2.0
+LAPSE_MARGIN_SECONDS = 2.0
 
 
-class Desk:
+class DispatcherState:
     """The picture of the zone: queue, cell, attempts that may run.
 
     All of it is rebuilt from the log and from the workers' reports when this
@@ -29,7 +29,7 @@
         self._terms: dict[str, Terms] = {}
         self.changes = changes
         self.wake = Signal()
-        self.times = RunTimes()
+        self.run_times = RunTimes()
         self.epoch = 0
         self.took_over_at = 0.0
         self.clear()
@@ -37,13 +37,13 @@
     def clear(self) -> None:
         """Forget the picture; learned run times stay."""
         self.epoch = 0
-        self.tracks = AttemptTracker()
+        self.tracker = AttemptTracker()
         #: The ownership epoch under which each worker was last reported.
-        self.reported: dict[str, int] = {}
+        self.reported_epochs: dict[str, int] = {}
         self.not_before: dict[str, float] = {}
-        self.avoid: dict[str, tuple[float, frozenset[str]]] = {}
-        self.shelved: set[str] = set()
-        self.planner = Planner(Cell(), FairQueue(self.terms), self.times)
+        self.avoided_workers: dict[str, tuple[float, frozenset[str]]] = {}
+        self.deferred: set[str] = set()
+        self.planner = Planner(Cell(), FairQueue(self.terms), self.run_times)
 
     def terms(self, customer: str) -> Terms:
         """Return a customer's terms as of this round."""
@@ -71,10 +71,10 @@
     def lapse_seconds(self) -> float:
         """Return after how long without renewal a task has surely ended."""
         timings = self._settings.timings
-        return timings.lease * (1 + timings.clock_drift) + LAPSE_MARGIN
+        return timings.lease * (1 + timings.clock_drift) + LAPSE_MARGIN_SECONDS
 
     @property
-    def order_seconds(self) -> float:
+    def max_order_seconds(self) -> float:
         """Return how long an order to a worker's owner may stay under way."""
         timings = self._settings.timings
         allowed = timings.start_deadline + timings.heartbeat * 2
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -8,7 +8,7 @@
 from dandelionreel.backing import HostEntry, HostWatch, LogError, StreamReader, StreamWriter
 from dandelionreel.contracts import ContractBook, require_contract
 from dandelionreel.http import Answer, Request, answer_json
-from dandelionreel.jobs._job_projection import OPEN_QUESTIONS, Job, JobProjection
+from dandelionreel.jobs._job_projection import RESOLVABLE_STATES, Job, JobProjection
 from dandelionreel.jobs._records import JobAccepted, JobResolved, JobsCancelled
 from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_spec
 from dandelionreel.jobs._views import (
@@ -34,13 +34,13 @@
 from dandelionreel.ownership import choose_owner
 from dandelionreel.placement import copies
 
-KEY_HEADER = 'idempotency-key'
-ID_BYTES = 8
-WRITE_PATIENCE = 5.0
-RETRY_AFTER = 5.0
-PAGE_LIMIT = 1000
-DEFAULT_PAGE = 100
-CANCEL_LIMIT = 10_000
+IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
+RANDOM_ID_BYTES = 8
+WRITE_TIMEOUT_SECONDS = 5.0
+RETRY_AFTER_SECONDS = 5.0
+MAX_PAGE_SIZE = 1000
+DEFAULT_PAGE_SIZE = 100
+MAX_CANCELLED_JOBS = 10_000
 HTTP_ACCEPTED = 202
 HTTP_BAD_REQUEST = 400
 HTTP_NOT_FOUND = 404
@@ -88,7 +88,7 @@
         It must be the same whichever daemon is asked, or a repeated submission
         would be accepted twice. Without a key any zone will do.
         """
-        key = request.header(KEY_HEADER)
+        key = request.header(IDEMPOTENCY_KEY_HEADER)
         if not key:
             return self._zone
         customer = self._read_spec(request).customer
@@ -97,12 +97,12 @@
     async def submit(self, request: Request) -> Answer:
         """Accept a job of this zone; raises ``RequestError``."""
         spec = self._read_spec(request)
-        key = request.header(KEY_HEADER) or os.urandom(ID_BYTES).hex()
+        key = request.header(IDEMPOTENCY_KEY_HEADER) or os.urandom(RANDOM_ID_BYTES).hex()
         digest = xxhash.xxh64_hexdigest(msgspec.json.encode(spec))
-        known = self._jobs.by_key(spec.customer, key)
+        known = self._jobs.find_by_key(spec.customer, key)
         if known is None:
-            self._check_old(spec.customer, key)
-            self._check_allowed(spec)
+            self._check_key_not_expired(spec.customer, key)
+            self._check_admission(spec)
             known = await self._accept(spec, key, digest)
         if known.digest != digest:
             raise not_run(
@@ -124,12 +124,12 @@
     def list_page(self, request: Request) -> Answer:
         """Return a page of jobs, filtered by customer and state."""
         query = request.query_by_name
-        text = query.get('limit', str(DEFAULT_PAGE))
-        if not text.isdecimal() or not 1 <= int(clip(text)) <= PAGE_LIMIT:
+        text = query.get('limit', str(DEFAULT_PAGE_SIZE))
+        if not text.isdecimal() or not 1 <= int(clip(text)) <= MAX_PAGE_SIZE:
             raise not_run(
                 HTTP_BAD_REQUEST,
                 'bad-query',
-                f'limit: {clip(text)!r} is not allowed; give 1 to {PAGE_LIMIT}',
+                f'limit: {clip(text)!r} is not allowed; give 1 to {MAX_PAGE_SIZE}',
             )
         limit = int(text)
         jobs = self._jobs.page(
@@ -147,11 +147,11 @@
             body = msgspec.json.decode(request.body, type=CancelBody)
         except msgspec.MsgspecError as error:
             raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
-        if not 1 <= len(body.jobs) <= CANCEL_LIMIT:
+        if not 1 <= len(body.jobs) <= MAX_CANCELLED_JOBS:
             raise not_run(
                 HTTP_BAD_REQUEST,
                 'bad-body',
-                f'jobs: names {len(body.jobs)}; give 1 to {CANCEL_LIMIT}',
+                f'jobs: names {len(body.jobs)}; give 1 to {MAX_CANCELLED_JOBS}',
             )
         return body
 
@@ -177,7 +177,7 @@
                 'bad-body',
                 f'outcome: {clip(body.outcome)!r} is not allowed; give ran or not_run',
             )
-        if job.state not in OPEN_QUESTIONS:
+        if job.state not in RESOLVABLE_STATES:
             raise not_run(
                 HTTP_CONFLICT,
                 'job-not-open',
@@ -187,10 +187,10 @@
         return self.show(job_id)
 
     async def _accept(self, spec: JobSpec, key: str, digest: str) -> Job:
-        job_id = f'{self._zone}.{os.urandom(ID_BYTES).hex()}'
+        job_id = f'{self._zone}.{os.urandom(RANDOM_ID_BYTES).hex()}'
         await self._write(JobAccepted(job_id, key, digest, spec))
         # Another daemon may have written the same key first.
-        job = self._jobs.by_key(spec.customer, key)
+        job = self._jobs.find_by_key(spec.customer, key)
         if job is None:
             raise unknown(HTTP_TIMEOUT, 'job-not-read-back', 'ask again with the same key')
         self._journal.tell_frequent(
@@ -207,12 +207,12 @@
                 HTTP_UNAVAILABLE,
                 'log-unavailable',
                 'the log is out of reach; nothing was taken',
-                RETRY_AFTER,
+                RETRY_AFTER_SECONDS,
             )
         try:
-            await self._writer.write(record, WRITE_PATIENCE)
+            await self._writer.write(record, WRITE_TIMEOUT_SECONDS)
         except LogError as error:
-            raise _log_trouble(error) from error
+            raise _translate_log_error(error) from error
 
     def _read_spec(self, request: Request) -> JobSpec:
         try:
@@ -226,20 +226,20 @@
             raise not_run(HTTP_NOT_FOUND, 'unknown-job', f'no job {clip(job_id)!r} is known')
         return job
 
-    def _check_old(self, customer: str, key: str) -> None:
-        old = self._jobs.old_id(customer, key)
-        if not old:
+    def _check_key_not_expired(self, customer: str, key: str) -> None:
+        ended_id = self._jobs.find_ended_id(customer, key)
+        if not ended_id:
             return
         raise RequestError(
             Problem(
                 Verdict.RAN,
                 HTTP_CONFLICT,
                 'already-ran',
-                f'this idempotency key belongs to job {old}, which ended earlier',
+                f'this idempotency key belongs to job {ended_id}, which ended earlier',
             ),
         )
 
-    def _check_allowed(self, spec: JobSpec) -> None:
+    def _check_admission(self, spec: JobSpec) -> None:
         contract = require_contract(self._contracts, spec.customer, spec.task_class)
         total = spec.resources.times(spec.tasks)
         if not total.fits(contract.quota.resources()):
@@ -249,22 +249,24 @@
                 f'demand: {total} is above the quota of {spec.customer}, '
                 f'{contract.quota.resources()}; it could never run',
             )
-        if self._jobs.live(spec.customer) >= contract.jobs_waiting:
+        if self._jobs.count_live(spec.customer) >= contract.jobs_waiting:
             raise not_run(
                 HTTP_TOO_MANY,
                 'too-many-jobs',
                 f'{spec.customer} has {contract.jobs_waiting} jobs here already',
-                RETRY_AFTER,
+                RETRY_AFTER_SECONDS,
             )
-        self._check_fits_ever(spec)
+        self._check_fits_workers(spec)
 
-    def _check_fits_ever(self, spec: JobSpec) -> None:
+    def _check_fits_workers(self, spec: JobSpec) -> None:
         """Refuse at once what no worker can ever hold."""
         workers = self._hosts.of_kind('worker', self._zone)
         if not workers:
             return
-        places = sum(min(spec.tasks, copies(spec.resources, one.capacity)) for one in workers)
-        if places >= spec.tasks:
+        capacity_in_tasks = sum(
+            min(spec.tasks, copies(spec.resources, worker.capacity)) for worker in workers
+        )
+        if capacity_in_tasks >= spec.tasks:
             return
         largest = max(workers, key=_processors).capacity
         raise not_run(
@@ -279,13 +281,13 @@
     return entry.capacity.processors
 
 
-def _log_trouble(error: LogError) -> RequestError:
+def _translate_log_error(error: LogError) -> RequestError:
     if error.verdict is Verdict.NOT_RUN:
         return not_run(
             HTTP_UNAVAILABLE,
             'log-unavailable',
             'the log is out of reach; nothing was taken',
-            RETRY_AFTER,
+            RETRY_AFTER_SECONDS,
         )
     return unknown(
         HTTP_TIMEOUT,
--- a/dandelionreel/jobs/_job_projection.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -55,10 +55,10 @@
     LOST = 'lost'
 
 
-LIVE = frozenset((JobState.WAITING, JobState.RUNNING))
+LIVE_STATES = frozenset((JobState.WAITING, JobState.RUNNING))
 #: States that an operator may settle.
-OPEN_QUESTIONS = frozenset((JobState.UNCERTAIN, JobState.PARKED))
-UNFINISHED = LIVE | OPEN_QUESTIONS | {JobState.MOVED}
+RESOLVABLE_STATES = frozenset((JobState.UNCERTAIN, JobState.PARKED))
+UNFINISHED_STATES = LIVE_STATES | RESOLVABLE_STATES | {JobState.MOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     epoch: int
     member: str
     workers: tuple[str, ...]
-    wall: float
+    intent_wall: float
     outcome: Outcome | None = None
 
 
@@ -92,22 +92,22 @@
     ended_at: float = 0
 
     @property
-    def last(self) -> Attempt | None:
+    def last_attempt(self) -> Attempt | None:
         """Return the latest attempt."""
         return self.attempts[-1] if self.attempts else None
 
-    def runs(self, intent: AttemptIntent) -> bool:
+    def matches_intent(self, intent: AttemptIntent) -> bool:
         """Return whether that very intent is the one that the log holds.
 
         An earlier one of the same dispatcher, given up because its answer was
         lost, may have landed first and name other workers. A successor would
         look for the tasks there, not find them, and start them again.
         """
-        last = self.last
+        last = self.last_attempt
         if last is None or self.state is not JobState.RUNNING:
             return False
-        told = (intent.attempt, intent.epoch, intent.member, intent.workers)
-        return told == (last.number, last.epoch, last.member, last.workers)
+        identity = (intent.attempt, intent.epoch, intent.member, intent.workers)
+        return identity == (last.number, last.epoch, last.member, last.workers)
 
     @property
     def next_attempt(self) -> int:
@@ -121,7 +121,7 @@
 
     job_ids: dict[str, None] = field(default_factory=dict)
 
-    def take(self) -> tuple[str, ...]:
+    def pop_all(self) -> tuple[str, ...]:
         """Return the changed jobs and start over."""
         taken = tuple(self.job_ids)
         self.job_ids.clear()
@@ -131,36 +131,36 @@
 class JobProjection:
     """Jobs by id and by idempotency key."""
 
-    def __init__(self, shards: ShardFold, ended_kept: int, keys_kept: int) -> None:
+    def __init__(self, shards: ShardFold, max_ended: int, max_keys: int) -> None:
         """Judge intents by the dispatch epoch.
 
         Keeps ``ended_kept`` ended jobs whole (1.2 KB each), and of older ones
         the idempotency keys, ``keys_kept`` at the most.
         """
         self._shards = shards
-        self._ended_kept = ended_kept
-        self._keys_kept = keys_kept
-        self._old_id_by_key: dict[int, str] = {}
+        self._max_ended = max_ended
+        self._max_keys = max_keys
+        self._ended_id_by_key_hash: dict[int, str] = {}
         self._job_by_id: dict[str, Job] = {}
         self._id_by_key: dict[tuple[str, str], str] = {}
-        self._ended: dict[str, None] = {}
+        self._ended_ids: dict[str, None] = {}
         self._ids_by_state: dict[JobState, dict[str, None]] = {state: {} for state in JobState}
-        self._changes: list[JobChanges] = []
+        self._subscriptions: list[JobChanges] = []
         self._live_by_customer: dict[str, int] = {}
 
-    def watch(self) -> JobChanges:
+    def subscribe(self) -> JobChanges:
         """Return an object that collects changed jobs from now on, with all known."""
         changes = JobChanges(dict.fromkeys(self._job_by_id))
-        self._changes.append(changes)
+        self._subscriptions.append(changes)
         return changes
 
     def reset(self) -> None:
         """Forget all jobs."""
         self._job_by_id.clear()
         self._id_by_key.clear()
-        self._ended.clear()
+        self._ended_ids.clear()
         self._live_by_customer.clear()
-        self._old_id_by_key.clear()
+        self._ended_id_by_key_hash.clear()
         for ids in self._ids_by_state.values():
             ids.clear()
 
@@ -168,14 +168,14 @@
         """Return a job."""
         return self._job_by_id.get(job)
 
-    def by_key(self, customer: str, key: str) -> Job | None:
+    def find_by_key(self, customer: str, key: str) -> Job | None:
         """Return the job that was submitted with that key."""
         job = self._id_by_key.get((customer, key))
         return self._job_by_id.get(job) if job else None
 
-    def old_id(self, customer: str, key: str) -> str:
+    def find_ended_id(self, customer: str, key: str) -> str:
         """Return the id of a job that ended long ago under that key, or an empty text."""
-        return self._old_id_by_key.get(hash_key(customer, key), '')
+        return self._ended_id_by_key_hash.get(hash_key(customer, key), '')
 
     def in_state(self, *states: JobState) -> tuple[Job, ...]:
         """Return jobs in any of the states, in the order in which they got there."""
@@ -185,7 +185,7 @@
         """Return how many jobs are in a state."""
         return len(self._ids_by_state[state])
 
-    def live(self, customer: str) -> int:
+    def count_live(self, customer: str) -> int:
         """Return how many jobs of a customer wait or run."""
         return self._live_by_customer.get(customer, 0)
 
@@ -204,29 +204,29 @@
     def fold(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, JobAccepted):
-            self._accept(record, position)
+            self._apply_accepted(record, position)
         elif isinstance(record, AttemptIntent):
-            self._intend(record, position)
+            self._apply_intent(record, position)
         elif isinstance(record, AttemptEnded):
-            self._end_attempt(record, position)
+            self._apply_attempt_end(record, position)
         elif isinstance(record, JobsCancelled):
             for job_id in record.jobs:
-                self._cancel(job_id, position)
+                self._apply_cancellation(job_id, position)
         elif isinstance(record, JobResolved):
-            self._resolve(record, position)
+            self._apply_resolution(record, position)
         elif isinstance(record, JobMoved):
-            self._move(record)
+            self._apply_move(record)
         elif isinstance(record, JobArrived):
-            self._arrive(record, position)
+            self._apply_arrival(record, position)
         elif isinstance(record, JobSnapshot):
-            self._keep(record, position)
+            self._apply_snapshot(record, position)
 
-    def _accept(self, record: JobAccepted, position: Position) -> None:
+    def _apply_accepted(self, record: JobAccepted, position: Position) -> None:
         spec = record.spec
         known = self._id_by_key.get((spec.customer, record.key))
         if record.job in self._job_by_id or known is not None:
             return
-        if self.old_id(spec.customer, record.key):
+        if self.find_ended_id(spec.customer, record.key):
             return
         self._id_by_key[spec.customer, record.key] = record.job
         self._put(
@@ -241,7 +241,7 @@
             ),
         )
 
-    def _intend(self, record: AttemptIntent, position: Position) -> None:
+    def _apply_intent(self, record: AttemptIntent, position: Position) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.WAITING:
             return
@@ -265,18 +265,18 @@
             ),
         )
 
-    def _end_attempt(self, record: AttemptEnded, position: Position) -> None:
+    def _apply_attempt_end(self, record: AttemptEnded, position: Position) -> None:
         job = self._job_by_id.get(record.job)
-        if job is None or job.state is not JobState.RUNNING or job.last is None:
+        if job is None or job.state is not JobState.RUNNING or job.last_attempt is None:
             return
-        if record.attempt != job.last.number:
+        if record.attempt != job.last_attempt.number:
             return
         # What a dispatcher that has been replaced believes may be wrong: its
         # successor can have seen the task run.
         if record.epoch != self._shards.epoch(DISPATCH_SHARD):
             return
         outcome = Outcome(record.outcome)
-        ended = replace(job.last, outcome=outcome)
+        ended = replace(job.last_attempt, outcome=outcome)
         job = replace(
             job,
             attempts=(*job.attempts[:-1], ended),
@@ -287,60 +287,60 @@
 
     def _after_attempt(self, job: Job, outcome: Outcome, position: Position) -> Job:
         if outcome is Outcome.SUCCEEDED and job.spec.task_class != 'service':
-            return _ended(job, JobState.SUCCEEDED, position)
+            return _end_job(job, JobState.SUCCEEDED, position)
         if job.cancelled:
-            return _ended(job, JobState.CANCELLED, position)
+            return _end_job(job, JobState.CANCELLED, position)
         if outcome in {Outcome.NOT_STARTED, Outcome.SUCCEEDED}:
             return replace(job, state=JobState.WAITING)
         if not job.spec.idempotent:
-            return self._after_single_run(job, outcome, position)
+            return self._after_non_idempotent_run(job, outcome, position)
         if outcome is Outcome.FAILED:
             job = replace(job, failures=job.failures + 1)
             if job.failures >= job.spec.max_attempts:
                 return replace(job, state=JobState.PARKED)
         return replace(job, state=JobState.WAITING)
 
-    def _after_single_run(self, job: Job, outcome: Outcome, position: Position) -> Job:
+    def _after_non_idempotent_run(self, job: Job, outcome: Outcome, position: Position) -> Job:
         """A non-idempotent job may have run; it is never started again by itself."""
         if outcome is Outcome.FAILED:
-            return _ended(job, JobState.FAILED, position)
+            return _end_job(job, JobState.FAILED, position)
         return replace(job, state=JobState.UNCERTAIN)
 
-    def _cancel(self, job_id: str, position: Position) -> None:
+    def _apply_cancellation(self, job_id: str, position: Position) -> None:
         job = self._job_by_id.get(job_id)
-        if job is None or job.state not in UNFINISHED:
+        if job is None or job.state not in UNFINISHED_STATES:
             return
         if job.state is JobState.RUNNING:
             self._put(replace(job, cancelled=True))
             return
         if job.state is JobState.UNCERTAIN:
             return
-        self._put(_ended(job, JobState.CANCELLED, position))
+        self._put(_end_job(job, JobState.CANCELLED, position))
 
-    def _resolve(self, record: JobResolved, position: Position) -> None:
+    def _apply_resolution(self, record: JobResolved, position: Position) -> None:
         job = self._job_by_id.get(record.job)
-        if job is None or job.state not in OPEN_QUESTIONS:
+        if job is None or job.state not in RESOLVABLE_STATES:
             return
         if record.outcome == 'ran':
-            self._put(_ended(job, JobState.SUCCEEDED, position))
+            self._put(_end_job(job, JobState.SUCCEEDED, position))
             return
         self._put(replace(job, state=JobState.WAITING, failures=0, written_at=position.wall))
 
-    def _move(self, record: JobMoved) -> None:
+    def _apply_move(self, record: JobMoved) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.WAITING:
             return
         self._put(replace(job, state=JobState.MOVED, moved_to=record.zone))
 
-    def _arrive(self, record: JobArrived, position: Position) -> None:
+    def _apply_arrival(self, record: JobArrived, position: Position) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.MOVED:
             return
         self._put(replace(job, ended_at=position.wall))
-        self._ended[job.id] = None
-        self._forget_oldest()
+        self._ended_ids[job.id] = None
+        self._drop_oldest_ended()
 
-    def _keep(self, record: JobSnapshot, position: Position) -> None:
+    def _apply_snapshot(self, record: JobSnapshot, position: Position) -> None:
         known = self._job_by_id.get(record.job)
         if known is not None:
             self._put(replace(known, written_at=position.wall))
@@ -373,38 +373,38 @@
         )
 
     def _put(self, job: Job) -> None:
-        former = self._job_by_id.get(job.id)
-        if former is not None and former.state is not job.state:
-            self._ids_by_state[former.state].pop(job.id, None)
-        self._count_live(former, job)
+        previous = self._job_by_id.get(job.id)
+        if previous is not None and previous.state is not job.state:
+            self._ids_by_state[previous.state].pop(job.id, None)
+        self._update_live_count(previous, job)
         self._job_by_id[job.id] = job
         self._ids_by_state[job.state][job.id] = None
-        for changes in self._changes:
+        for changes in self._subscriptions:
             changes.job_ids[job.id] = None
-        if job.state not in UNFINISHED:
-            self._ended[job.id] = None
-            self._forget_oldest()
+        if job.state not in UNFINISHED_STATES:
+            self._ended_ids[job.id] = None
+            self._drop_oldest_ended()
 
-    def _count_live(self, former: Job | None, job: Job) -> None:
-        was_live = former is not None and former.state in LIVE
-        is_live = job.state in LIVE
+    def _update_live_count(self, previous: Job | None, job: Job) -> None:
+        was_live = previous is not None and previous.state in LIVE_STATES
+        is_live = job.state in LIVE_STATES
         if was_live != is_live:
             customer = job.spec.customer
             count = self._live_by_customer.get(customer, 0)
             self._live_by_customer[customer] = count + (1 if is_live else -1)
 
-    def _forget_oldest(self) -> None:
-        while len(self._ended) > self._ended_kept:
-            oldest = next(iter(self._ended))
-            self._ended.pop(oldest)
+    def _drop_oldest_ended(self) -> None:
+        while len(self._ended_ids) > self._max_ended:
+            oldest = next(iter(self._ended_ids))
+            self._ended_ids.pop(oldest)
             job = self._job_by_id.pop(oldest)
             self._ids_by_state[job.state].pop(oldest, None)
             self._id_by_key.pop((job.spec.customer, job.key), None)
             # A settlement that is submitted again after thousands of others
             # have ended must still be known as the one that ran.
-            self._old_id_by_key[hash_key(job.spec.customer, job.key)] = job.id
-            if len(self._old_id_by_key) > self._keys_kept:
-                self._old_id_by_key.pop(next(iter(self._old_id_by_key)))
+            self._ended_id_by_key_hash[hash_key(job.spec.customer, job.key)] = job.id
+            if len(self._ended_id_by_key_hash) > self._max_keys:
+                self._ended_id_by_key_hash.pop(next(iter(self._ended_id_by_key_hash)))
 
 
 def hash_key(customer: str, key: str) -> int:
@@ -412,7 +412,7 @@
     return xxhash.xxh3_64_intdigest(f'{customer}|{key}'.encode())
 
 
-def keep_record(job: Job) -> JobSnapshot:
+def make_snapshot(job: Job) -> JobSnapshot:
     """Return the record that states a live job again."""
     return JobSnapshot(
         job.id,
@@ -429,7 +429,7 @@
                 attempt.member,
                 attempt.workers,
                 attempt.outcome.value if attempt.outcome else '',
-                attempt.wall,
+                attempt.intent_wall,
             )
             for attempt in job.attempts
         ),
@@ -437,7 +437,7 @@
     )
 
 
-def _ended(job: Job, state: JobState, position: Position) -> Job:
+def _end_job(job: Job, state: JobState, position: Position) -> Job:
     return replace(job, state=state, ended_at=position.wall, written_at=position.wall)
 
 
--- a/dandelionreel/jobs/_job_refresher.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -5,18 +5,18 @@
 from dandelionreel.backing import LogError, StreamWriter
 from dandelionreel.jobs._dispatcher import Dispatcher
 from dandelionreel.jobs._job_projection import (
-    OPEN_QUESTIONS,
+    RESOLVABLE_STATES,
     Job,
     JobProjection,
     JobState,
-    keep_record,
+    make_snapshot,
 )
 from dandelionreel.kernel import Clock, Journal, Part, Settings
 
 ROUND_SECONDS = 2.0
-WRITE_PATIENCE = 10.0
+WRITE_TIMEOUT_SECONDS = 10.0
 #: Jobs that are written again in one round.
-GROUP = 64
+MAX_JOBS_PER_ROUND = 64
 
 
 class JobRefresher:
@@ -46,25 +46,27 @@
             if not self._dispatcher.is_active:
                 continue
             try:
-                await self.keep_due()
+                await self.refresh_due()
             except LogError as error:
                 self._journal.tell(Part.JOBS, f'could not write jobs again: {error}.')
 
-    async def keep_due(self) -> None:
+    async def refresh_due(self) -> None:
         """Write jobs again whose newest record is a third of the retention old."""
         tasks = [
-            await curio.spawn(self._writer.write, keep_record(job), WRITE_PATIENCE, daemon=True)
-            for job in self._due()[:GROUP]
+            await curio.spawn(
+                self._writer.write, make_snapshot(job), WRITE_TIMEOUT_SECONDS, daemon=True
+            )
+            for job in self._find_due()[:MAX_JOBS_PER_ROUND]
         ]
         for task in tasks:
             await task.join()
 
-    def _due(self) -> list[Job]:
-        oldest = self._clock.wall() - self._settings.timings.retention / 3
+    def _find_due(self) -> list[Job]:
+        due_before = self._clock.wall() - self._settings.timings.retention / 3
         live = self._jobs.in_state(
             JobState.WAITING,
             JobState.RUNNING,
             JobState.MOVED,
-            *OPEN_QUESTIONS,
+            *RESOLVABLE_STATES,
         )
-        return [job for job in live if job.written_at < oldest and not job.ended_at]
+        return [job for job in live if job.written_at < due_before and not job.ended_at]
--- a/dandelionreel/jobs/_lapse_limit.py
+++ b/dandelionreel/jobs/_lapse_limit.py
@@ -12,25 +12,25 @@
 
 #: Losses in a row that count for nothing: two workers that are lost one after the other
 #: under one job are chance more often than not.
-LAPSES_EXCUSED = 2
+EXCUSED_LAPSES = 2
 #: Seconds in which they must have begun: a service outlives many workers in its months.
-LAPSE_WINDOW = 600.0
+LAPSE_WINDOW_SECONDS = 600.0
 
 
-def judge_lapse(outcome: Outcome, earlier: Sequence[Attempt], wall: float) -> Outcome:
+def classify_lapse(outcome: Outcome, earlier: Sequence[Attempt], now: float) -> Outcome:
     """Return what an attempt came to, given the job's attempts before it.
 
-    ``wall`` is the time in seconds since the epoch. Attempts that never started say nothing.
+    ``now`` is the time in seconds since the epoch. Attempts that never started say nothing.
     """
     if outcome is not Outcome.LAPSED:
         return outcome
-    excused = 0
+    recent_losses = 0
     for attempt in reversed(earlier):
         if attempt.outcome is Outcome.NOT_STARTED:
             continue
         if attempt.outcome not in {Outcome.LAPSED, Outcome.FAILED}:
             break
-        if attempt.wall < wall - LAPSE_WINDOW:
+        if attempt.intent_wall < now - LAPSE_WINDOW_SECONDS:
             break
-        excused += 1
-    return Outcome.FAILED if excused >= LAPSES_EXCUSED else outcome
+        recent_losses += 1
+    return Outcome.FAILED if recent_losses >= EXCUSED_LAPSES else outcome
--- a/dandelionreel/jobs/_metrics.py
+++ b/dandelionreel/jobs/_metrics.py
@@ -2,7 +2,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
-SECONDS = (0.01, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 15, 60, 300, 1800, 7200)
+BUCKETS_SECONDS = (0.01, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 15, 60, 300, 1800, 7200)
 
 
 class JobMetrics:
@@ -15,7 +15,7 @@
             'Time from acceptance to the first start.',
             ('customer', 'task_class'),
             registry=registry,
-            buckets=SECONDS,
+            buckets=BUCKETS_SECONDS,
         )
         self._starts = Counter(
             'dandelionreel_task_starts',
@@ -30,14 +30,14 @@
             registry=registry,
         )
 
-    def waited(self, customer: str, task_class: str, seconds: float) -> None:
+    def observe_wait(self, customer: str, task_class: str, seconds: float) -> None:
         """Count a first start."""
         self._waiting.labels(customer, task_class).observe(seconds)
 
-    def started(self, customer: str, task_class: str) -> None:
+    def count_start(self, customer: str, task_class: str) -> None:
         """Count a task's start."""
         self._starts.labels(customer, task_class).inc()
 
-    def ended(self, customer: str, outcome: str) -> None:
+    def count_end(self, customer: str, outcome: str) -> None:
         """Count an attempt's end."""
         self._ends.labels(customer, outcome).inc()
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -25,11 +25,11 @@
 )
 from dandelionreel.ownership import Membership, ShardFold
 
-WRITE_PATIENCE = 10.0
+WRITE_TIMEOUT_SECONDS = 10.0
 ROUND_SECONDS = 0.2
-CATCH_UP_ROUNDS = 50
-MOVED_AT_ONCE = 500
-RETRY_AFTER = 5.0
+MAX_CATCH_UP_WAITS = 50
+MOVE_BATCH_SIZE = 500
+RETRY_AFTER_SECONDS = 5.0
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
 
@@ -47,10 +47,12 @@
     moved: int
 
 
-class _ForeignZone:
+class _RemoteZone:
     """Another zone's stream, folded for one move."""
 
-    def __init__(self, log: LogService, stream: str, clock: Clock, records: Any, me: str) -> None:
+    def __init__(
+        self, log: LogService, stream: str, clock: Clock, records: Any, member: str
+    ) -> None:
         self.reader = StreamReader(log, stream, clock, records)
         members = Membership(clock)
         shards = ShardFold(members, clock)
@@ -58,7 +60,7 @@
         for part in (members, shards, self.jobs):
             self.reader.add(part.fold, part.reset)
         # The daemon's name there is new for each move: its numbers start over.
-        writer = f'{me}+{clock.wall():.6f}'
+        writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
 
 
@@ -67,7 +69,7 @@
 
     def __init__(
         self,
-        me: str,
+        member: str,
         settings: Settings,
         clock: Clock,
         log: LogService,
@@ -77,7 +79,7 @@
         journal: Journal,
     ) -> None:
         """Move jobs to the zone of ``settings``; ``stream_name`` has a place for a zone."""
-        self._me = me
+        self._member = member
         self._zone = settings.availability_zone
         self._clock = clock
         self._log = log
@@ -92,18 +94,18 @@
         Safe to repeat: what a move that was cut short has left is finished.
         """
         async with AsyncExitStack() as stack:
-            foreign = _ForeignZone(
+            remote = _RemoteZone(
                 self._log,
                 self._stream_name.format(zone),
                 self._clock,
                 self._records,
-                self._me,
+                self._member,
             )
-            await start_task(stack, foreign.reader.run, ROUND_SECONDS)
-            await start_task(stack, foreign.writer.run)
-            await self._catch_up(foreign)
+            await start_task(stack, remote.reader.run, ROUND_SECONDS)
+            await start_task(stack, remote.writer.run)
+            await self._catch_up(remote)
             try:
-                return await self._move(foreign, zone)
+                return await self._move(remote, zone)
             except LogError as error:
                 raise unknown(
                     HTTP_TIMEOUT,
@@ -111,36 +113,36 @@
                     f'{error}; move again, nothing is lost or doubled',
                 ) from error
 
-    async def _catch_up(self, foreign: _ForeignZone) -> None:
-        for _ in range(CATCH_UP_ROUNDS):
-            if foreign.reader.caught_up:
+    async def _catch_up(self, remote: _RemoteZone) -> None:
+        for _ in range(MAX_CATCH_UP_WAITS):
+            if remote.reader.caught_up:
                 return
-            await foreign.reader.changed.wait(foreign.reader.changed.count, ROUND_SECONDS)
-        raise _log_is_out()
+            await remote.reader.changed.wait(remote.reader.changed.count, ROUND_SECONDS)
+        raise _log_unavailable()
 
-    async def _move(self, foreign: _ForeignZone, zone: str) -> MoveResult:
-        waiting = foreign.jobs.in_state(JobState.WAITING)[:MOVED_AT_ONCE]
+    async def _move(self, remote: _RemoteZone, zone: str) -> MoveResult:
+        waiting = remote.jobs.in_state(JobState.WAITING)[:MOVE_BATCH_SIZE]
         for job in waiting:
-            await foreign.writer.write(JobMoved(job.id, self._zone), WRITE_PATIENCE)
-        arrived = 0
-        for job in foreign.jobs.in_state(JobState.MOVED):
+            await remote.writer.write(JobMoved(job.id, self._zone), WRITE_TIMEOUT_SECONDS)
+        moved = 0
+        for job in remote.jobs.in_state(JobState.MOVED):
             if job.moved_to == self._zone and not job.ended_at:
-                await self._arrive(foreign, job)
-                arrived += 1
-        self._journal.tell(Part.JOBS, f'moved {arrived} jobs here from {zone}.')
-        return MoveResult(arrived)
+                await self._complete_move(remote, job)
+                moved += 1
+        self._journal.tell(Part.JOBS, f'moved {moved} jobs here from {zone}.')
+        return MoveResult(moved)
 
-    async def _arrive(self, foreign: _ForeignZone, job: Job) -> None:
+    async def _complete_move(self, remote: _RemoteZone, job: Job) -> None:
         # Accepted here first: the other stream must not forget it before.
         accepted = JobAccepted(job.id, job.key, job.digest, job.spec)
-        await self._own_writer.write(accepted, WRITE_PATIENCE)
-        await foreign.writer.write(JobArrived(job.id), WRITE_PATIENCE)
+        await self._own_writer.write(accepted, WRITE_TIMEOUT_SECONDS)
+        await remote.writer.write(JobArrived(job.id), WRITE_TIMEOUT_SECONDS)
 
 
-def _log_is_out() -> RequestError:
+def _log_unavailable() -> RequestError:
     return not_run(
         HTTP_UNAVAILABLE,
         'log-unavailable',
         'the log is out of reach; nothing was moved',
-        RETRY_AFTER,
+        RETRY_AFTER_SECONDS,
     )
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -16,10 +16,10 @@
 from dandelionreel.workers import REFUSED, UNKNOWN, WorkerFleet
 
 #: A stop that was not confirmed is sent again after this long, this often.
-STOP_AGAIN_SECONDS = 1.0
-STOP_TRIES = 30
+STOP_RETRY_SECONDS = 1.0
+MAX_STOP_TRIES = 30
 IDLE_SECONDS = 0.5
-RECORD_PATIENCE = 3600.0
+RECORD_TIMEOUT_SECONDS = 3600.0
 
 
 class OrderSender:
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        me: str,
+        member: str,
         settings: Settings,
         clock: Clock,
         shards: ShardFold,
@@ -37,7 +37,7 @@
         journal: Journal,
     ) -> None:
         """Order as the dispatcher ``me``."""
-        self._me = me
+        self._member = member
         self._settings = settings
         self._clock = clock
         self._shards = shards
@@ -45,21 +45,21 @@
         self._directory = directory
         self._writer = writer
         self._journal = journal
-        self._stops: dict[str, tuple[int, str, int]] = {}
-        self._records: list = []
+        self._pending_stops: dict[str, tuple[int, str, int]] = {}
+        self._queued_records: list = []
         self._changed = Signal()
 
     @property
-    def stops_waiting(self) -> int:
+    def pending_stop_count(self) -> int:
         """Return how many stops have not been confirmed."""
-        return len(self._stops)
+        return len(self._pending_stops)
 
     async def place(self, order: PlaceOrder) -> PlaceAnswer:
         """Have a task started; the answer tells what is known of it."""
-        owner = self._owner(order.worker)
+        owner = self._find_owner(order.worker)
         if not owner:
             return PlaceAnswer(REFUSED, 'the worker has no owner')
-        if owner == self._me:
+        if owner == self._member:
             return await self._fleet.place(order)
         timeout = self._settings.timings.start_deadline * 2
         try:
@@ -71,13 +71,13 @@
             return frame.message
         return PlaceAnswer(UNKNOWN, 'not an answer')
 
-    async def act(self, epoch: int, worker: str, task_id: str, action: str) -> bool:
+    async def send_action(self, epoch: int, worker: str, task_id: str, action: str) -> bool:
         """Stop, checkpoint or throttle a task; False when it was not confirmed."""
         order = TaskAction(epoch, worker, task_id, action)
-        owner = self._owner(worker)
+        owner = self._find_owner(worker)
         if not owner:
             return False
-        if owner == self._me:
+        if owner == self._member:
             return await self._fleet.act(order)
         try:
             frame = await self._directory.ask(
@@ -89,13 +89,13 @@
             return False
         return isinstance(frame.message, Done)
 
-    def stop_later(self, epoch: int, worker: str, task_id: str) -> None:
+    def queue_stop(self, epoch: int, worker: str, task_id: str) -> None:
         """Have a task stopped as soon as the rate allows."""
-        self._stops.setdefault(task_id, (epoch, worker, STOP_TRIES))
+        self._pending_stops.setdefault(task_id, (epoch, worker, MAX_STOP_TRIES))
 
-    def write_later(self, record: object) -> None:
+    def queue_record(self, record: object) -> None:
         """Have a record written as soon as the log takes it."""
-        self._records.append(record)
+        self._queued_records.append(record)
 
     async def run(self) -> None:
         """Send stops at a bounded rate, for ever.
@@ -103,40 +103,40 @@
         A wave of cancellations would otherwise fill the connections to the
         workers, and urgent starts would wait behind it.
         """
-        pause = 1 / self._settings.limits.stops_per_second
+        interval = 1 / self._settings.limits.stops_per_second
         while True:
             seen = self._changed.count
-            if not self._stops:
+            if not self._pending_stops:
                 await self._changed.wait(seen, IDLE_SECONDS)
                 continue
-            for task_id in tuple(self._stops):
-                await curio.spawn(self._stop, task_id, daemon=True)
-                await curio.sleep(pause)
-            await curio.sleep(STOP_AGAIN_SECONDS)
+            for task_id in tuple(self._pending_stops):
+                await curio.spawn(self._try_stop, task_id, daemon=True)
+                await curio.sleep(interval)
+            await curio.sleep(STOP_RETRY_SECONDS)
 
     async def write_queued_records(self) -> None:
         """Write what was left to be written, for ever."""
         while True:
-            if not self._records:
+            if not self._queued_records:
                 await curio.sleep(IDLE_SECONDS)
                 continue
-            record = self._records.pop(0)
+            record = self._queued_records.pop(0)
             try:
-                await self._writer.write(record, RECORD_PATIENCE)
+                await self._writer.write(record, RECORD_TIMEOUT_SECONDS)
             except LogError as error:
                 self._journal.tell(Part.JOBS, f'a record was not written; {error}.')
 
-    async def _stop(self, task_id: str) -> None:
-        entry = self._stops.get(task_id)
-        if entry is None:
+    async def _try_stop(self, task_id: str) -> None:
+        pending = self._pending_stops.get(task_id)
+        if pending is None:
             return
-        epoch, worker, tries = entry
-        if await self.act(epoch, worker, task_id, 'stop') or tries <= 1:
-            self._stops.pop(task_id, None)
+        epoch, worker, tries = pending
+        if await self.send_action(epoch, worker, task_id, 'stop') or tries <= 1:
+            self._pending_stops.pop(task_id, None)
             return
-        self._stops[task_id] = (epoch, worker, tries - 1)
+        self._pending_stops[task_id] = (epoch, worker, tries - 1)
 
-    def _owner(self, worker: str) -> str:
+    def _find_owner(self, worker: str) -> str:
         claim = self._shards.get(worker_shard(worker))
         if claim is None or claim.released:
             return ''
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -2,22 +2,22 @@
 
 from dandelionreel.backing import HostWatch
 from dandelionreel.contracts import ContractBook
-from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import Job, JobProjection, JobState, Outcome
 from dandelionreel.jobs._quota_shares import QuotaShareBalancer
 from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask
 from dandelionreel.kernel import Clock, Settings
 from dandelionreel.placement import Terms, Work, task_ids
 
-UNSHELVE_SECONDS = 0.25
+DEFERRED_RETRY_SECONDS = 0.25
 
 
-class QueueFeeder:
+class QueueUpdater:
     """Brings the desk's queue and cell in step with log, contracts and host list."""
 
     def __init__(
         self,
-        desk: Desk,
+        state: DispatcherState,
         settings: Settings,
         clock: Clock,
         jobs: JobProjection,
@@ -26,111 +26,111 @@
         hosts: HostWatch,
     ) -> None:
         """Feed ``desk``."""
-        self._desk = desk
+        self._state = state
         self._settings = settings
         self._clock = clock
         self._jobs = jobs
         self._contracts = contracts
         self._shares = shares
         self._hosts = hosts
-        self._shelf_checked_at = 0.0
+        self._deferred_checked_at = 0.0
 
-    def feed(self) -> None:
+    def update(self) -> None:
         """Take in all that has changed since the last round."""
-        self._refresh_terms()
-        self._follow_hosts()
-        self._absorb_changes()
-        self._unshelve()
+        self._update_terms()
+        self._update_workers()
+        self._apply_changes()
+        self._requeue_deferred()
 
-    def follow(self, job: Job) -> None:
+    def track_attempt(self, job: Job) -> None:
         """Track an attempt that another dispatcher started."""
-        attempt = job.last
-        self._desk.planner.queue.remove(job.id)
-        if attempt is None or job.id in self._desk.tracks.attempt_by_job:
+        attempt = job.last_attempt
+        self._state.planner.queue.remove(job.id)
+        if attempt is None or job.id in self._state.tracker.attempt_by_job:
             return
-        track = TrackedAttempt(
+        tracked = TrackedAttempt(
             job.id,
             attempt.number,
             job.spec.customer,
             job.spec.idempotent,
-            attempt.wall,
+            attempt.intent_wall,
             adopted=True,
         )
         # Reports count at once: their makers know our epoch and refuse what
         # the former dispatcher may still order (spec/attempts.py).
-        counts_from = self._clock.monotonic()
+        absent_after = self._clock.monotonic()
         ids = task_ids(job.id, attempt.number, len(attempt.workers))
         tasks = [
-            TrackedTask(task_id, worker, counts_from)
+            TrackedTask(task_id, worker, absent_after)
             for task_id, worker in zip(ids, attempt.workers, strict=True)
         ]
-        self._desk.tracks.add(track, tasks)
+        self._state.tracker.add(tracked, tasks)
 
-    def _refresh_terms(self) -> None:
+    def _update_terms(self) -> None:
         terms_by_customer = {}
         for customer in self._contracts.customers():
             contract = self._contracts.effective(customer)
             if contract is None:
                 continue
-            share = self._shares.usable(customer)
+            share = self._shares.usable_share(customer)
             terms_by_customer[customer] = Terms(
                 contract.weight,
                 contract.quota.resources().times(share),
                 contract.guaranteed.resources().times(share),
             )
-        self._desk.replace_terms(terms_by_customer)
+        self._state.replace_terms(terms_by_customer)
 
-    def _follow_hosts(self) -> None:
+    def _update_workers(self) -> None:
         zone = self._settings.availability_zone
         listed = set()
         for entry in self._hosts.of_kind('worker', zone):
             listed.add(entry.name)
             if not entry.is_live:
-                self._close_to_new(entry.name)
+                self._block_new_tasks(entry.name)
                 continue
-            if entry.name not in self._desk.planner.cell.worker_by_name:
-                worker = self._desk.planner.cell.add(entry.name, entry.rack, entry.capacity)
+            if entry.name not in self._state.planner.cell.worker_by_name:
+                worker = self._state.planner.cell.add(entry.name, entry.rack, entry.capacity)
                 # Nothing is placed there before its owner has reported it.
-                self._desk.planner.cell.set_room(worker, worker.used)
-        cell = self._desk.planner.cell
+                self._state.planner.cell.set_room(worker, worker.used)
+        cell = self._state.planner.cell
         for name in tuple(cell.worker_by_name):
-            if name not in listed and not self._desk.tracks.on_worker(name):
+            if name not in listed and not self._state.tracker.tasks_on_worker(name):
                 cell.remove(name)
 
-    def _close_to_new(self, name: str) -> None:
-        worker = self._desk.planner.cell.worker_by_name.get(name)
+    def _block_new_tasks(self, name: str) -> None:
+        worker = self._state.planner.cell.worker_by_name.get(name)
         if worker is not None:
-            self._desk.planner.cell.set_room(worker, worker.used)
+            self._state.planner.cell.set_room(worker, worker.used)
 
-    def _absorb_changes(self) -> None:
-        for job_id in self._desk.changes.take():
+    def _apply_changes(self) -> None:
+        for job_id in self._state.changes.pop_all():
             job = self._jobs.get(job_id)
             if job is None or job.state not in {JobState.WAITING, JobState.RUNNING}:
-                self._desk.planner.queue.remove(job_id)
-                self._desk.shelved.discard(job_id)
+                self._state.planner.queue.remove(job_id)
+                self._state.deferred.discard(job_id)
                 continue
             if job.state is JobState.WAITING:
                 self._enqueue(job)
             else:
-                self.follow(job)
+                self.track_attempt(job)
 
     def _enqueue(self, job: Job) -> None:
-        if job.id in self._desk.planner.queue or job.id in self._desk.tracks.attempt_by_job:
+        if job.id in self._state.planner.queue or job.id in self._state.tracker.attempt_by_job:
             return
         now = self._clock.wall()
-        if self._desk.not_before.get(job.id, 0) > now:
-            self._desk.shelved.add(job.id)
+        if self._state.not_before.get(job.id, 0) > now:
+            self._state.deferred.add(job.id)
             return
-        self._desk.not_before.pop(job.id, None)
+        self._state.not_before.pop(job.id, None)
         if not self._may_start_again(job):
-            self._desk.shelved.add(job.id)
+            self._state.deferred.add(job.id)
             return
-        work = self._work(job)
+        work = self._make_work(job)
         if work is None:
-            self._desk.shelved.add(job.id)
+            self._state.deferred.add(job.id)
             return
-        self._desk.shelved.discard(job.id)
-        self._desk.planner.queue.add(work)
+        self._state.deferred.discard(job.id)
+        self._state.planner.queue.add(work)
 
     def _may_start_again(self, job: Job) -> bool:
         """Return whether no unrecorded attempt of the job can be running.
@@ -144,11 +144,11 @@
         names = {
             entry.name for entry in self._hosts.of_kind('worker', self._settings.availability_zone)
         }
-        if names <= set(self._desk.reported):
+        if names <= set(self._state.reported_epochs):
             return True
-        return self._clock.monotonic() - self._desk.took_over_at > self._desk.lapse_seconds
+        return self._clock.monotonic() - self._state.took_over_at > self._state.lapse_seconds
 
-    def _work(self, job: Job) -> Work | None:
+    def _make_work(self, job: Job) -> Work | None:
         contract = self._contracts.effective(job.spec.customer)
         terms = contract.terms(job.spec.task_class) if contract else None
         if terms is None:
@@ -168,34 +168,34 @@
             tasks=spec.tasks,
             preemptible=terms.preemptible and spec.idempotent and spec.tasks == 1,
             idempotent=spec.idempotent,
-            run_seconds=self._desk.planner.estimate(spec.customer, spec.kind, spec.run_seconds),
+            run_seconds=self._state.planner.estimate(spec.customer, spec.kind, spec.run_seconds),
             kind=spec.kind,
-            avoid=self._avoided(job),
+            avoid=self._find_workers_to_avoid(job),
             attempt=job.next_attempt,
         )
 
-    def _avoided(self, job: Job) -> frozenset[str]:
+    def _find_workers_to_avoid(self, job: Job) -> frozenset[str]:
         failed = {
             worker
             for attempt in job.attempts
             if attempt.outcome is Outcome.FAILED
             for worker in attempt.workers
         }
-        until, refused = self._desk.avoid.get(job.id, (0.0, frozenset()))
+        until, refused = self._state.avoided_workers.get(job.id, (0.0, frozenset()))
         if until > self._clock.monotonic():
             failed |= refused
-        if len(failed) >= len(self._desk.planner.cell.worker_by_name):
+        if len(failed) >= len(self._state.planner.cell.worker_by_name):
             return frozenset()
         return frozenset(failed)
 
-    def _unshelve(self) -> None:
+    def _requeue_deferred(self) -> None:
         now = self._clock.monotonic()
-        if now - self._shelf_checked_at < UNSHELVE_SECONDS:
+        if now - self._deferred_checked_at < DEFERRED_RETRY_SECONDS:
             return
-        self._shelf_checked_at = now
-        for job_id in tuple(self._desk.shelved):
+        self._deferred_checked_at = now
+        for job_id in tuple(self._state.deferred):
             job = self._jobs.get(job_id)
             if job is not None and job.state is JobState.WAITING:
                 self._enqueue(job)
             else:
-                self._desk.shelved.discard(job_id)
+                self._state.deferred.discard(job_id)
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -10,11 +10,11 @@
 from dandelionreel.placement import Planner
 
 #: A zone asks again for the same customer after this long.
-ASK_SECONDS = 5.0
+REQUEST_INTERVAL_SECONDS = 5.0
 ROUND_SECONDS = 0.5
-WRITE_PATIENCE = 10.0
+WRITE_TIMEOUT_SECONDS = 10.0
 #: Smaller parts are not worth a record.
-LEAST_SHARE = 0.01
+MIN_SHARE = 0.01
 
 
 class QuotaShareBalancer:
@@ -34,66 +34,66 @@
         self._contracts = contracts
         self._writer = writer
         self._journal = journal
-        self._given: dict[str, float] = {}
-        self._asked_at: dict[str, float] = {}
-        self._wanted: dict[str, float] = {}
-        self._gifts: dict[str, tuple[str, float]] = {}
+        self._reserved: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
+        self._pending_requests: dict[str, float] = {}
+        self._pending_transfers: dict[str, tuple[str, float]] = {}
         self._changed = Signal()
 
-    def usable(self, customer: str) -> float:
+    def usable_share(self, customer: str) -> float:
         """Return the part of the quota that may be used here now."""
         held = self._contracts.share(customer, self._zone)
-        return max(0.0, held - self._given.get(customer, 0))
+        return max(0.0, held - self._reserved.get(customer, 0))
 
-    def consider(self, planner: Planner) -> None:
+    def plan_transfers(self, planner: Planner) -> None:
         """Note what this zone lacks and what it can spare."""
         for customer in self._contracts.customers():
-            self._consider_lack(customer, planner)
-            self._consider_gift(customer, planner)
+            self._plan_request(customer, planner)
+            self._plan_transfer(customer, planner)
 
     async def run(self) -> None:
         """Write requests and gifts, for ever."""
         while True:
             await self._changed.wait(self._changed.count, ROUND_SECONDS)
             try:
-                await self._write_wanted()
-                await self._write_gifts()
+                await self._write_requests()
+                await self._write_transfers()
             except LogError as error:
                 self._journal.tell(Part.CONTRACTS, f'could not move a share: {error}.')
 
-    def _consider_lack(self, customer: str, planner: Planner) -> None:
+    def _plan_request(self, customer: str, planner: Planner) -> None:
         now = self._clock.monotonic()
         contract = self._contracts.effective(customer)
         if contract is None or not planner.queue.waiting(customer):
             return
-        if now - self._asked_at.get(customer, float('-inf')) < ASK_SECONDS:
+        if now - self._requested_at.get(customer, float('-inf')) < REQUEST_INTERVAL_SECONDS:
             return
         used = planner.cell.usage.of(customer)
         for work in planner.queue.by_customer(customer):
             quota = contract.quota.resources()
             needed = (used + work.total).dominant_share(quota)
-            lack = needed - self.usable(customer)
-            if lack > 0 and needed <= 1:
-                self._wanted[customer] = lack
-                self._asked_at[customer] = now
+            shortfall = needed - self.usable_share(customer)
+            if shortfall > 0 and needed <= 1:
+                self._pending_requests[customer] = shortfall
+                self._requested_at[customer] = now
                 return
 
-    def _consider_gift(self, customer: str, planner: Planner) -> None:
-        if customer in self._gifts:
+    def _plan_transfer(self, customer: str, planner: Planner) -> None:
+        if customer in self._pending_transfers:
             return
-        for (wanted, zone), lack in self._contracts.wanted_shares.items():
-            if wanted != customer or zone == self._zone:
+        for (requester, zone), shortfall in self._contracts.wanted_shares.items():
+            if requester != customer or zone == self._zone:
                 continue
-            spare = self._spare(customer, planner, zone)
-            gift = min(spare, max(lack, LEAST_SHARE))
-            if gift >= LEAST_SHARE and self._is_richest(customer, zone):
+            spare = self._find_spare(customer, planner, zone)
+            amount = min(spare, max(shortfall, MIN_SHARE))
+            if amount >= MIN_SHARE and self._has_largest_share(customer, zone):
                 # From here on this zone does without it, whatever becomes of
                 # the record: its answer may be lost after it took effect.
-                self._given[customer] = self._given.get(customer, 0) + gift
-                self._gifts[customer] = (zone, gift)
+                self._reserved[customer] = self._reserved.get(customer, 0) + amount
+                self._pending_transfers[customer] = (zone, amount)
                 return
 
-    def _spare(self, customer: str, planner: Planner, taker: str) -> float:
+    def _find_spare(self, customer: str, planner: Planner, recipient: str) -> float:
         """Return what this zone does without, for ``taker``.
 
         Two zones that each wait for a job larger than their parts would wait
@@ -105,37 +105,39 @@
             return 0
         quota = contract.quota.resources()
         used = planner.cell.usage.of(customer)
-        usable = quota.times(self.usable(customer))
-        heads = planner.queue.by_customer(customer) if planner.queue.waiting(customer) else []
-        for work in heads:
+        usable = quota.times(self.usable_share(customer))
+        candidates = planner.queue.by_customer(customer) if planner.queue.waiting(customer) else []
+        for work in candidates:
             if (used + work.total).fits(usable):
                 used += work.total
-            elif self._zone < taker:
+            elif self._zone < recipient:
                 return 0
-        return max(0.0, self.usable(customer) - used.dominant_share(quota))
+        return max(0.0, self.usable_share(customer) - used.dominant_share(quota))
 
-    def _is_richest(self, customer: str, taker: str) -> bool:
+    def _has_largest_share(self, customer: str, recipient: str) -> bool:
         shares = [
             (part.share, part.zone)
             for part in self._contracts.shares(customer)
-            if part.zone != taker
+            if part.zone != recipient
         ]
         return bool(shares) and max(shares)[1] == self._zone
 
-    async def _write_wanted(self) -> None:
-        for customer, lack in tuple(self._wanted.items()):
-            self._wanted.pop(customer)
-            await self._writer.write(ShareWanted(customer, self._zone, lack), WRITE_PATIENCE)
+    async def _write_requests(self) -> None:
+        for customer, shortfall in tuple(self._pending_requests.items()):
+            self._pending_requests.pop(customer)
+            await self._writer.write(
+                ShareWanted(customer, self._zone, shortfall), WRITE_TIMEOUT_SECONDS
+            )
 
-    async def _write_gifts(self) -> None:
-        for customer, (zone, gift) in tuple(self._gifts.items()):
-            moved = ShareMoved(customer, self._zone, zone, gift)
-            await self._writer.write(moved, WRITE_PATIENCE)
+    async def _write_transfers(self) -> None:
+        for customer, (zone, amount) in tuple(self._pending_transfers.items()):
+            moved = ShareMoved(customer, self._zone, zone, amount)
+            await self._writer.write(moved, WRITE_TIMEOUT_SECONDS)
             # The record has been read back: the fold now holds the smaller part.
-            self._gifts.pop(customer)
-            self._given[customer] = max(0.0, self._given.get(customer, 0) - gift)
+            self._pending_transfers.pop(customer)
+            self._reserved[customer] = max(0.0, self._reserved.get(customer, 0) - amount)
             self._journal.tell(
                 Part.CONTRACTS,
-                f'gave {gift:.3f} of the quota of {customer} to {zone}; it had work waiting.',
+                f'gave {amount:.3f} of the quota of {customer} to {zone}; it had work waiting.',
                 customer=customer,
             )
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -1,203 +1,203 @@
 """What the owners of workers report, compared with what the dispatcher expects."""
 
 from dandelionreel.contracts import ContractBook
-from dandelionreel.jobs._dispatcher_state import Desk
+from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import Job, JobProjection, JobState, Outcome
 from dandelionreel.jobs._order_sender import OrderSender
-from dandelionreel.jobs._queue_updater import QueueFeeder
+from dandelionreel.jobs._queue_updater import QueueUpdater
 from dandelionreel.jobs._records import AttemptIntent
-from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask, reported_outcome
+from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask, parse_outcome
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import TaskReport, WorkerReport
 from dandelionreel.placement import Running
 
 #: Slack when ages on two hosts' wall clocks are compared.
-WALL_MARGIN = 1.0
+WALL_CLOCK_MARGIN_SECONDS = 1.0
 #: Slack for the time that a report took to be made.
-OWN_MARGIN = 0.2
+REPORT_MARGIN_SECONDS = 0.2
 
 
-class ReportReader:
+class ReportHandler:
     """Ends tasks, adopts running ones and stops strangers, by the reports."""
 
     def __init__(
         self,
-        me: str,
-        desk: Desk,
+        member: str,
+        state: DispatcherState,
         clock: Clock,
         jobs: JobProjection,
         contracts: ContractBook,
-        feeder: QueueFeeder,
+        queue_updater: QueueUpdater,
         orders: OrderSender,
         journal: Journal,
     ) -> None:
         """Read for the dispatcher ``me``."""
-        self._me = me
-        self._desk = desk
+        self._member = member
+        self._state = state
         self._clock = clock
         self._jobs = jobs
         self._contracts = contracts
-        self._feeder = feeder
+        self._queue_updater = queue_updater
         self._orders = orders
         self._journal = journal
 
-    async def take(self, report: WorkerReport) -> None:
+    async def handle(self, report: WorkerReport) -> None:
         """Learn from the owner of a worker what runs there."""
         # An owner that has not read of our taking over may still obey our
         # predecessor: what it does not list may yet be started.
-        if report.dispatch_epoch != self._desk.epoch:
+        if report.dispatch_epoch != self._state.epoch:
             return
-        if report.epoch < self._desk.reported.get(report.worker, 0):
+        if report.epoch < self._state.reported_epochs.get(report.worker, 0):
             return
-        worker = self._desk.worker(report.worker)
+        worker = self._state.worker(report.worker)
         if worker is None:
             return
         if report.reachable:
-            self._desk.reported[report.worker] = report.epoch
-            self._desk.planner.cell.set_room(worker, report.room)
-            self._compare(report)
-        elif report.silent > self._desk.lapse_seconds:
-            self._lapse_all(report.worker)
-        await self._desk.wake.notify()
-
-    def _compare(self, report: WorkerReport) -> None:
+            self._state.reported_epochs[report.worker] = report.epoch
+            self._state.planner.cell.set_room(worker, report.room)
+            self._apply_report(report)
+        elif report.silent > self._state.lapse_seconds:
+            self._end_all_tasks(report.worker)
+        await self._state.wake.notify()
+
+    def _apply_report(self, report: WorkerReport) -> None:
         report_by_task = {task.id: task for task in report.tasks}
-        for track, task in self._desk.tracks.on_worker(report.worker):
-            told = report_by_task.get(task.task_id)
-            if told is not None and told.running:
+        for tracked, task in self._state.tracker.tasks_on_worker(report.worker):
+            reported = report_by_task.get(task.task_id)
+            if reported is not None and reported.running:
                 task.is_running = True
-            elif told is not None:
-                self._end_task(track, task, reported_outcome(told))
+            elif reported is not None:
+                self._end_task(tracked, task, parse_outcome(reported))
             elif report.as_of >= task.absent_after:
-                self._end_task(track, task, self._absent_outcome(track, task, report))
-        self._count_reported(report, report_by_task)
+                self._end_task(tracked, task, self._classify_absent_task(tracked, task, report))
+        self._update_running(report, report_by_task)
 
-    def _absent_outcome(
+    def _classify_absent_task(
         self,
-        track: TrackedAttempt,
+        tracked: TrackedAttempt,
         task: TrackedTask,
         report: WorkerReport,
     ) -> Outcome:
         """Judge a task that its worker does not list at all."""
-        age = self._age(track)
+        age = self._max_age(tracked)
         if not task.is_running and age < report.remembers:
             # The worker remembers everything since then: it never started.
             return Outcome.NOT_STARTED
-        if track.idempotent:
+        if tracked.idempotent:
             return Outcome.LAPSED
         return Outcome.LOST
 
-    def _age(self, track: TrackedAttempt) -> float:
+    def _max_age(self, tracked: TrackedAttempt) -> float:
         """Return how long ago the attempt's intent was written, at the most.
 
         One clock for an attempt of our own; two hosts' clocks for another's.
         """
-        if track.adopted:
-            return self._clock.wall() - track.intent_wall + WALL_MARGIN
-        return self._clock.monotonic() - track.tracked_at + OWN_MARGIN
+        if tracked.adopted:
+            return self._clock.wall() - tracked.intent_wall + WALL_CLOCK_MARGIN_SECONDS
+        return self._clock.monotonic() - tracked.tracked_at + REPORT_MARGIN_SECONDS
 
-    def _count_reported(
+    def _update_running(
         self,
         report: WorkerReport,
         report_by_task: dict[str, TaskReport],
     ) -> None:
         """Count in the cell what the worker runs, and nothing else."""
-        worker = self._desk.worker(report.worker)
+        worker = self._state.worker(report.worker)
         if worker is None:
             return
         for task_id in tuple(worker.running_by_task):
-            told = report_by_task.get(task_id)
+            reported = report_by_task.get(task_id)
             tracked = self._is_tracked(task_id)
-            if not tracked and (told is None or not told.running):
-                self._desk.planner.cell.release(worker, task_id)
-        for told in report.tasks:
-            if told.running and told.id not in worker.running_by_task:
-                self._desk.planner.cell.hold(worker, self._running(told))
-            if told.running and not self._desk.tracks.knows(told):
-                self._judge_stranger(report.worker, told)
+            if not tracked and (reported is None or not reported.running):
+                self._state.planner.cell.release(worker, task_id)
+        for reported in report.tasks:
+            if reported.running and reported.id not in worker.running_by_task:
+                self._state.planner.cell.hold(worker, self._make_running(reported))
+            if reported.running and not self._state.tracker.has_task(reported):
+                self._handle_untracked_task(report.worker, reported)
 
     def _is_tracked(self, task_id: str) -> bool:
         job, _, _ = task_id.rsplit('.', 2)
-        track = self._desk.tracks.attempt_by_job.get(job)
-        task = track.task_by_id.get(task_id) if track else None
+        tracked = self._state.tracker.attempt_by_job.get(job)
+        task = tracked.task_by_id.get(task_id) if tracked else None
         return task is not None and task.outcome is None
 
-    def _running(self, told: TaskReport) -> Running:
-        job = self._jobs.get(told.job)
-        customer = job.spec.customer if job else told.customer
+    def _make_running(self, reported: TaskReport) -> Running:
+        job = self._jobs.get(reported.job)
+        customer = job.spec.customer if job else reported.customer
         contract = self._contracts.effective(customer)
-        task_class = job.spec.task_class if job else told.task_class
+        task_class = job.spec.task_class if job else reported.task_class
         terms = contract.terms(task_class) if contract else None
         now = self._clock.wall()
         may_stop = bool(job and job.spec.idempotent and job.spec.tasks == 1)
         declared = job.spec.run_seconds if job else 0
         kind = job.spec.kind if job else ''
         return Running(
-            told.id,
-            told.job,
+            reported.id,
+            reported.job,
             customer,
             task_class,
-            told.demand,
+            reported.demand,
             now,
-            now + self._desk.planner.estimate(customer, kind, declared),
+            now + self._state.planner.estimate(customer, kind, declared),
             terms.priority if terms else 0,
             bool(terms and terms.preemptible and may_stop),
         )
 
-    def _judge_stranger(self, worker: str, told: TaskReport) -> None:
+    def _handle_untracked_task(self, worker: str, reported: TaskReport) -> None:
         """Deal with a running task that no tracked attempt accounts for."""
-        job = self._jobs.get(told.job)
-        if job is not None and job.state is JobState.RUNNING and job.last is not None:
-            if job.last.number == told.attempt:
-                self._feeder.follow(job)
+        job = self._jobs.get(reported.job)
+        if job is not None and job.state is JobState.RUNNING and job.last_attempt is not None:
+            if job.last_attempt.number == reported.attempt:
+                self._queue_updater.track_attempt(job)
                 return
         if job is not None and job.state is JobState.WAITING:
-            if told.attempt == job.next_attempt and job.spec.tasks == 1:
-                self._adopt_unrecorded(job, worker, told)
+            if reported.attempt == job.next_attempt and job.spec.tasks == 1:
+                self._adopt_unrecorded_task(job, worker, reported)
                 return
-        self._orders.stop_later(self._desk.epoch, worker, told.id)
+        self._orders.queue_stop(self._state.epoch, worker, reported.id)
 
-    def _adopt_unrecorded(self, job: Job, worker: str, told: TaskReport) -> None:
+    def _adopt_unrecorded_task(self, job: Job, worker: str, reported: TaskReport) -> None:
         """Take over a task that was started during a log outage without a record."""
-        if job.id in self._desk.tracks.attempt_by_job:
+        if job.id in self._state.tracker.attempt_by_job:
             return
-        self._desk.planner.queue.remove(job.id)
-        self._desk.shelved.discard(job.id)
-        track = TrackedAttempt(
+        self._state.planner.queue.remove(job.id)
+        self._state.deferred.discard(job.id)
+        tracked = TrackedAttempt(
             job.id,
-            told.attempt,
+            reported.attempt,
             job.spec.customer,
             job.spec.idempotent,
             self._clock.wall(),
             adopted=True,
         )
-        task = TrackedTask(told.id, worker, self._clock.monotonic(), is_running=True)
-        self._desk.tracks.add(track, [task])
-        intent = AttemptIntent(job.id, told.attempt, self._desk.epoch, self._me, (worker,))
-        self._orders.write_later(intent)
+        task = TrackedTask(reported.id, worker, self._clock.monotonic(), is_running=True)
+        self._state.tracker.add(tracked, [task])
+        intent = AttemptIntent(job.id, reported.attempt, self._state.epoch, self._member, (worker,))
+        self._orders.queue_record(intent)
 
-    def _lapse_all(self, worker: str) -> None:
-        for track, task in self._desk.tracks.on_worker(worker):
-            outcome = Outcome.LAPSED if track.idempotent else Outcome.LOST
-            self._end_task(track, task, outcome)
+    def _end_all_tasks(self, worker: str) -> None:
+        for tracked, task in self._state.tracker.tasks_on_worker(worker):
+            outcome = Outcome.LAPSED if tracked.idempotent else Outcome.LOST
+            self._end_task(tracked, task, outcome)
 
-    def _end_task(self, track: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
+    def _end_task(self, tracked: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
         task.outcome = outcome
-        self._desk.release(task)
-        self._learn(track, task, outcome)
+        self._state.release(task)
+        self._record_result(tracked, task, outcome)
 
-    def _learn(self, track: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
-        worker = self._desk.worker(task.worker)
-        job = self._jobs.get(track.job)
+    def _record_result(self, tracked: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
+        worker = self._state.worker(task.worker)
+        job = self._jobs.get(tracked.job)
         if worker is None or job is None:
             return
         if outcome is Outcome.SUCCEEDED:
-            self._desk.planner.cell.note_success(worker)
-            ran = self._clock.wall() - track.intent_wall
-            self._desk.times.note(track.customer, job.spec.kind, ran)
+            self._state.planner.cell.note_success(worker)
+            ran = self._clock.wall() - tracked.intent_wall
+            self._state.run_times.note(tracked.customer, job.spec.kind, ran)
         elif outcome is Outcome.FAILED:
             now = self._clock.wall()
-            if self._desk.planner.cell.note_failure(worker, track.job, now):
+            if self._state.planner.cell.note_failure(worker, tracked.job, now):
                 self._journal.tell(
                     Part.PLACEMENT,
                     f'sends nothing to {worker.name} for a while; '
--- a/dandelionreel/jobs/_tracked_attempts.py
+++ b/dandelionreel/jobs/_tracked_attempts.py
@@ -36,11 +36,11 @@
     intent_wall: float
     tracked_at: float = 0
     adopted: bool = False
-    stopping: bool = False
-    finished: bool = False
+    stop_requested: bool = False
+    is_finalizing: bool = False
     task_by_id: dict[str, TrackedTask] = field(default_factory=dict)
 
-    def open_tasks(self) -> Iterator[TrackedTask]:
+    def unfinished_tasks(self) -> Iterator[TrackedTask]:
         """Yield tasks that have not ended."""
         for task in self.task_by_id.values():
             if task.outcome is None:
@@ -52,13 +52,13 @@
         return all(task.outcome is not None for task in self.task_by_id.values())
 
     @property
-    def has_gone_wrong(self) -> bool:
+    def has_failed_task(self) -> bool:
         """Return whether some task ended otherwise than well."""
         return any(
             task.outcome not in {None, Outcome.SUCCEEDED} for task in self.task_by_id.values()
         )
 
-    def outcome(self) -> Outcome:
+    def combined_outcome(self) -> Outcome:
         """Return what the whole attempt came to; all its tasks have ended."""
         found = {task.outcome for task in self.task_by_id.values()}
         if found == {Outcome.SUCCEEDED}:
@@ -80,35 +80,35 @@
         self.attempt_by_job: dict[str, TrackedAttempt] = {}
         self._tasks_by_worker: dict[str, dict[str, TrackedAttempt]] = {}
 
-    def add(self, track: TrackedAttempt, tasks: Iterable[TrackedTask]) -> None:
+    def add(self, tracked: TrackedAttempt, tasks: Iterable[TrackedTask]) -> None:
         """Follow an attempt."""
-        self.attempt_by_job[track.job] = track
+        self.attempt_by_job[tracked.job] = tracked
         for task in tasks:
-            track.task_by_id[task.task_id] = task
-            self._tasks_by_worker.setdefault(task.worker, {})[task.task_id] = track
+            tracked.task_by_id[task.task_id] = task
+            self._tasks_by_worker.setdefault(task.worker, {})[task.task_id] = tracked
 
     def drop(self, job: str) -> TrackedAttempt | None:
         """Stop following a job's attempt."""
-        track = self.attempt_by_job.pop(job, None)
-        if track is None:
+        tracked = self.attempt_by_job.pop(job, None)
+        if tracked is None:
             return None
-        for task in track.task_by_id.values():
+        for task in tracked.task_by_id.values():
             self._tasks_by_worker.get(task.worker, {}).pop(task.task_id, None)
-        return track
+        return tracked
 
-    def on_worker(self, worker: str) -> tuple[tuple[TrackedAttempt, TrackedTask], ...]:
+    def tasks_on_worker(self, worker: str) -> tuple[tuple[TrackedAttempt, TrackedTask], ...]:
         """Return the tracked tasks of a worker that have not ended."""
         found = []
-        for task_id, track in self._tasks_by_worker.get(worker, {}).items():
-            task = track.task_by_id[task_id]
+        for task_id, tracked in self._tasks_by_worker.get(worker, {}).items():
+            task = tracked.task_by_id[task_id]
             if task.outcome is None:
-                found.append((track, task))
+                found.append((tracked, task))
         return tuple(found)
 
-    def knows(self, report: TaskReport) -> bool:
+    def has_task(self, report: TaskReport) -> bool:
         """Return whether a reported task belongs to a tracked attempt."""
-        track = self.attempt_by_job.get(report.job)
-        return track is not None and report.id in track.task_by_id
+        tracked = self.attempt_by_job.get(report.job)
+        return tracked is not None and report.id in tracked.task_by_id
 
     def clear(self) -> None:
         """Follow nothing any more."""
@@ -116,7 +116,7 @@
         self._tasks_by_worker.clear()
 
 
-def reported_outcome(report: TaskReport) -> Outcome:
+def parse_outcome(report: TaskReport) -> Outcome:
     """Return the outcome that a worker reported."""
     known = {
         'succeeded': Outcome.SUCCEEDED,
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -5,7 +5,7 @@
 from dandelionreel.backing import Position
 from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
 from dandelionreel.jobs._job_projection import Outcome
-from dandelionreel.jobs._lapse_limit import judge_lapse
+from dandelionreel.jobs._lapse_limit import classify_lapse
 from dandelionreel.jobs._records import AttemptEnded
 from dandelionreel.kernel import ManualClock
 from dandelionreel.ownership import DISPATCH_SHARD, Claimed, Membership, ShardEpoch, ShardFold
@@ -40,7 +40,7 @@
 
 def judge(context, number):
     earlier = [one for one in context.book.get('j1').attempts if one.number < number]
-    return judge_lapse(Outcome.LAPSED, earlier, NOW)
+    return classify_lapse(Outcome.LAPSED, earlier, NOW)
 
 
 @given('a job of 3 tries whose attempts ended {earlier}')
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -199,8 +199,8 @@
 @then('the job runs by the intent for w1 and not by the one for w2')
 def check_runs_by(context):
     job = context.book.get('z.1')
-    assert job.runs(_intent('w1'))
-    assert not job.runs(_intent('w2'))
+    assert job.matches_intent(_intent('w1'))
+    assert not job.matches_intent(_intent('w2'))
 
 
 @when('another dispatcher claims, and then its intent for w1 lands')
