--- a/dandelionreel/jobs/__init__.py
+++ b/dandelionreel/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: accepted in the log, placed by the zone's dispatcher, ended once."""
+"""Job lifecycle: jobs are accepted into the log, dispatched per zone and finalized once."""
 
 from dandelionreel.jobs._dispatcher import Dispatcher
 from dandelionreel.jobs._job_api import JobApi, zone_of_job
--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -1,4 +1,4 @@
-"""From ended tasks to records: outcomes, retries, stops."""
+"""Finalizes ended attempts: writes their outcomes and schedules retries."""
 
 import random
 
@@ -7,7 +7,7 @@
 from dandelionreel.backing import LogError, StreamWriter
 from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import JobProjection, JobState, Outcome
-from dandelionreel.jobs._lapse_limit import classify_lapse
+from dandelionreel.jobs._lapses import classify_lapse
 from dandelionreel.jobs._metrics import JobMetrics
 from dandelionreel.jobs._order_sender import OrderSender
 from dandelionreel.jobs._records import AttemptEnded
@@ -15,29 +15,29 @@
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.routing import RetryBudget
 
-#: In a log outage the record of an end waits this long for the log to return.
+#: How long the outcome of an attempt waits for the log during an outage.
 OUTAGE_WRITE_TIMEOUT_SECONDS = 86_400.0
 BACKOFF_BASE_SECONDS = 0.5
 BACKOFF_MAX_SECONDS = 60.0
 MAX_BACKOFF_DOUBLINGS = 10
-#: A retry outside the budget waits this much longer.
+#: Added to the delay of a retry that exceeds the retry budget.
 OVER_BUDGET_DELAY_SECONDS = 5.0
 
 
 class RetryBudgets:
-    """The budget of each customer in this zone."""
+    """The retry budgets of the customers in this zone."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no budgets."""
         self._budget_by_customer: dict[str, RetryBudget] = {}
 
     def for_customer(self, customer: str) -> RetryBudget:
-        """Return a customer's budget."""
+        """Return a customer's retry budget."""
         return self._budget_by_customer.setdefault(customer, RetryBudget())
 
 
 class AttemptFinalizer:
-    """Writes what became of attempts, and stops what must not go on."""
+    """Writes the outcomes of attempts, and stops cancelled or failed ones."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         metrics: JobMetrics,
         journal: Journal,
     ) -> None:
-        """Settle the attempts of ``desk``."""
+        """Finalize the attempts that ``state`` tracks."""
         self._state = state
         self._clock = clock
         self._jobs = jobs
@@ -62,7 +62,7 @@
         self._random = random.Random()
 
     async def finalize_ended(self) -> None:
-        """Have the ends of all ended attempts written, each once."""
+        """Start writing the outcome of each ended attempt, once."""
         for tracked in tuple(self._state.tracker.attempt_by_job.values()):
             if not tracked.has_ended or tracked.is_finalizing:
                 continue
@@ -75,7 +75,7 @@
             await curio.spawn(self._finalize, tracked, self._state.epoch, daemon=True)
 
     def stop_unwanted(self) -> None:
-        """Stop what was cancelled and what is left of a gang that went wrong."""
+        """Stop cancelled attempts, and the remaining tasks of a gang of which one has failed."""
         for tracked in tuple(self._state.tracker.attempt_by_job.values()):
             job = self._jobs.get(tracked.job)
             cancelled = job is not None and job.cancelled
@@ -115,7 +115,7 @@
         return classify_lapse(tracked.combined_outcome(), earlier, self._clock.wall())
 
     def _schedule_retry(self, tracked: TrackedAttempt, outcome: Outcome) -> None:
-        """Set when the next attempt may come: backoff with full jitter, in budget."""
+        """Set the earliest time of the next attempt: exponential backoff with full jitter."""
         if outcome in {Outcome.NOT_STARTED, Outcome.SUCCEEDED, Outcome.STOPPED}:
             return
         job = self._jobs.get(tracked.job)
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -1,4 +1,4 @@
-"""From a decision to running tasks: intent, orders, preemption."""
+"""Carries out placements: writes intents, preempts and starts tasks."""
 
 import curio
 
@@ -17,7 +17,7 @@
 from dandelionreel.workers import REFUSED, STARTED
 
 WRITE_TIMEOUT_SECONDS = 10.0
-#: In a log outage the record of a start waits this long for the log to return.
+#: How long the intent of a started attempt waits for the log during an outage.
 OUTAGE_WRITE_TIMEOUT_SECONDS = 86_400.0
 AVOID_WORKER_SECONDS = 5.0
 PREEMPTION_TIMEOUT_SECONDS = 3.0
@@ -25,7 +25,7 @@
 
 
 class AttemptStarter:
-    """Carries placements out; each in a task of its own."""
+    """Starts the attempts of placements, each in a background task."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         metrics: JobMetrics,
         journal: Journal,
     ) -> None:
-        """Start for the dispatcher ``me``."""
+        """Start attempts for the dispatcher ``member``."""
         self._member = member
         self._state = state
         self._clock = clock
@@ -55,7 +55,7 @@
         self._journal = journal
 
     async def start(self, placement: Placement) -> None:
-        """Track the attempt that a placement stands for, and carry it out."""
+        """Track the attempt of a placement, and start it in the background."""
         work = placement.work
         job = self._jobs.get(work.id)
         if job is None:
@@ -102,13 +102,13 @@
         await self._state.wake.notify()
 
     async def _write_intent(self, placement: Placement, epoch: int) -> bool:
-        """Return whether the attempt is this dispatcher's to start."""
+        """Write the intent; return whether this dispatcher may start the attempt."""
         work = placement.work
         intent = AttemptIntent(work.id, work.attempt, epoch, self._member, placement.workers)
         if self._reader.outage_since is not None:
             if not work.idempotent:
                 return False
-            # The log is out: an idempotent job goes on under ownership alone.
+            # Without the log, ownership alone permits the start of an idempotent job.
             await curio.spawn(self._write_after_outage, intent, daemon=True)
             return self._state.may_act(epoch)
         try:
@@ -122,7 +122,7 @@
         try:
             await self._writer.write(record, OUTAGE_WRITE_TIMEOUT_SECONDS)
         except LogError as error:
-            self._journal.tell(Part.JOBS, f'a record was not written; {error}.')
+            self._journal.tell(Part.JOBS, f'a record could not be written; {error}.')
 
     async def _start_task(self, work: Work, task: TrackedTask, epoch: int) -> None:
         order = PlaceOrder(
@@ -140,7 +140,9 @@
         if self._state.may_act(epoch):
             answer = await self._orders.place(order)
         if answer is None or answer.outcome == REFUSED:
-            self._handle_refusal(work, task, answer.cause if answer else 'no authority')
+            self._handle_refusal(
+                work, task, answer.cause if answer else 'this daemon may no longer dispatch'
+            )
             return
         now = self._clock.monotonic()
         if answer.outcome == STARTED:
@@ -148,7 +150,7 @@
             task.absent_after = now
             self._metrics.count_start(work.customer, work.task_class)
             return
-        # It may be on its way still; a report counts once it cannot be.
+        # The order may still be in transit; reports count once it cannot be.
         task.absent_after = now + self._state.max_order_seconds
 
     def _handle_refusal(self, work: Work, task: TrackedTask, cause: str) -> None:
@@ -161,7 +163,7 @@
         )
         self._journal.tell_frequent(
             Part.PLACEMENT,
-            f'{task.worker} did not take {task.task_id}; {cause}.',
+            f'{task.worker} did not start {task.task_id}; {cause}.',
             task=task.task_id,
             worker=task.worker,
         )
@@ -170,14 +172,14 @@
         worker = self._worker_of(victim)
         self._journal.tell(
             Part.PLACEMENT,
-            f'stops {victim.task_id} on {worker}; urgent work needs the room.',
+            f'stops {victim.task_id} on {worker}; an urgent job needs its resources.',
             task=victim.task_id,
         )
         await self._orders.send_action(epoch, worker, victim.task_id, 'checkpoint')
         await self._orders.send_action(epoch, worker, victim.task_id, 'stop')
 
     async def _wait_for_victims(self, placement: Placement) -> None:
-        """Wait until the preempted tasks are reported ended, but not for long."""
+        """Wait until the preempted tasks have ended by report, or the timeout is over."""
         until = self._clock.monotonic() + PREEMPTION_TIMEOUT_SECONDS
         names = set(placement.workers)
         while self._clock.monotonic() < until:
@@ -226,7 +228,7 @@
         work = placement.work
         self._journal.tell_frequent(
             Part.PLACEMENT,
-            f'puts {work.id} on {", ".join(sorted(set(placement.workers)))}; {placement.reason}.',
+            f'places {work.id} on {", ".join(sorted(set(placement.workers)))}; {placement.reason}.',
             job=work.id,
             customer=work.customer,
             workers=list(placement.workers),
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -1,6 +1,6 @@
-"""The zone's dispatcher: decides, writes intents, has tasks started, settles ends.
+"""A zone's dispatcher: places jobs, writes intents, starts tasks and finalizes attempts.
 
-Every daemon has one; only the owner of the zone's dispatch shard acts.
+Every daemon has one; only the one that owns the zone's dispatch shard is active.
 """
 
 from dandelionreel.backing import HostWatch, StreamReader, StreamWriter
@@ -21,12 +21,12 @@
 
 ROUND_SECONDS = 0.5
 LOG_WAIT_SECONDS = 60.0
-#: Decisions in one round, so that reports and heartbeats get their turn.
+#: Limits a round, so that reports and heartbeats are handled in between.
 MAX_DECISIONS_PER_ROUND = 64
 
 
 class Dispatcher:
-    """Places the jobs of the zone on its workers."""
+    """Runs the jobs of a zone on its workers."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         metrics: JobMetrics,
         journal: Journal,
     ) -> None:
-        """Dispatch as ``me`` while it owns the dispatch shard."""
+        """Dispatch as ``member`` while it owns the dispatch shard."""
         self._clock = clock
         self._authority = authority
         self._shards = shards
@@ -100,16 +100,16 @@
 
     @property
     def is_active(self) -> bool:
-        """Return whether this daemon dispatches now."""
+        """Return whether this daemon currently dispatches."""
         return bool(self._state.epoch)
 
     @property
     def planner(self) -> Planner:
-        """Return what decides, with its queue and its picture of the workers."""
+        """Return the planner, with its queue and its view of the workers."""
         return self._state.planner
 
     async def run(self) -> None:
-        """Dispatch whenever this daemon may, for ever."""
+        """Dispatch while this daemon owns the dispatch shard, forever."""
         while True:
             seen = self._state.wake.count
             if self._authority.may_dispatch(DISPATCH_SHARD):
@@ -119,14 +119,14 @@
             await self._state.wake.wait(seen, ROUND_SECONDS)
 
     async def follow_log(self) -> None:
-        """Wake the dispatcher after every batch of records, for ever."""
+        """Wake the dispatcher after every batch of log records, forever."""
         while True:
             seen = self._reader.changed.count
             await self._reader.changed.wait(seen, LOG_WAIT_SECONDS)
             await self._state.wake.notify()
 
     async def handle_report(self, report: WorkerReport) -> None:
-        """Learn from the owner of a worker what runs there."""
+        """Process a report of a worker's owner on the tasks there."""
         if self.is_active:
             await self._report_handler.handle(report)
 
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the zone's dispatcher share while it is in office."""
+"""State that the components of a zone's dispatcher share."""
 
 from dandelionreel.jobs._job_projection import JobChanges
 from dandelionreel.jobs._tracked_attempts import AttemptTracker, TrackedTask
@@ -6,15 +6,15 @@
 from dandelionreel.ownership import DISPATCH_SHARD, Authority
 from dandelionreel.placement import Cell, FairQueue, Planner, RunTimes, Terms, WorkerView
 
-#: Slack beyond a lease before its task counts as ended, in seconds.
+#: Margin after a lease's expiry before its task counts as ended.
 LAPSE_MARGIN_SECONDS = 2.0
 
 
 class DispatcherState:
-    """The picture of the zone: queue, cell, attempts that may run.
+    """The dispatcher's view of its zone: queue, workers and attempts that may run.
 
-    All of it is rebuilt from the log and from the workers' reports when this
-    daemon takes the dispatch shard over, and dropped when it loses it.
+    It is rebuilt from the log and from worker reports when this daemon takes
+    the dispatch shard over, and cleared when it loses the shard.
     """
 
     def __init__(
@@ -23,7 +23,7 @@
         authority: Authority,
         changes: JobChanges,
     ) -> None:
-        """Start out of office."""
+        """Start inactive, with dispatch epoch 0."""
         self._settings = settings
         self._authority = authority
         self._terms: dict[str, Terms] = {}
@@ -35,47 +35,50 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forget the picture; learned run times stay."""
+        """Clear the state, except for the learned run times."""
         self.epoch = 0
         self.tracker = AttemptTracker()
-        #: The ownership epoch under which each worker was last reported.
+        #: The ownership epoch of each worker's last report.
         self.reported_epochs: dict[str, int] = {}
+        #: Per job, the earliest time of its next attempt, in epoch seconds.
         self.not_before: dict[str, float] = {}
+        #: Per job, workers to avoid and until when, on the monotonic clock.
         self.avoided_workers: dict[str, tuple[float, frozenset[str]]] = {}
+        #: Waiting jobs that may not be queued yet.
         self.deferred: set[str] = set()
         self.planner = Planner(Cell(), FairQueue(self.terms), self.run_times)
 
     def terms(self, customer: str) -> Terms:
-        """Return a customer's terms as of this round."""
+        """Return a customer's contract terms as of this round."""
         return self._terms.get(customer, Terms())
 
     def replace_terms(self, terms_by_customer: dict[str, Terms]) -> None:
-        """Replace all customers' terms."""
+        """Replace the contract terms of all customers."""
         self._terms = terms_by_customer
 
     def worker(self, name: str) -> WorkerView | None:
-        """Return a worker of the cell."""
+        """Return a worker of the cell, or ``None`` if it is unknown."""
         return self.planner.cell.worker_by_name.get(name)
 
     def release(self, task: TrackedTask) -> None:
-        """Stop counting a task in the cell."""
+        """Release the resources of a task in the cell."""
         worker = self.worker(task.worker)
         if worker is not None:
             self.planner.cell.release(worker, task.task_id)
 
     def may_act(self, epoch: int) -> bool:
-        """Return whether this daemon is still the dispatcher of that epoch."""
+        """Return whether this daemon is still the dispatcher of ``epoch``."""
         return self.epoch == epoch and self._authority.may_dispatch(DISPATCH_SHARD)
 
     @property
     def lapse_seconds(self) -> float:
-        """Return after how long without renewal a task has surely ended."""
+        """Return after how many seconds without a lease renewal a task has certainly ended."""
         timings = self._settings.timings
         return timings.lease * (1 + timings.clock_drift) + LAPSE_MARGIN_SECONDS
 
     @property
     def max_order_seconds(self) -> float:
-        """Return how long an order to a worker's owner may stay under way."""
+        """Return for how many seconds an order to a worker's owner may be in transit."""
         timings = self._settings.timings
         allowed = timings.start_deadline + timings.heartbeat * 2
         return (allowed + self._authority.flight) * (1 + timings.clock_drift)
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -1,4 +1,4 @@
-"""Accepting, showing, listing, cancelling and settling jobs, for this zone or another."""
+"""The job API of a zone: submit, show, list, cancel and resolve jobs."""
 
 import os
 
@@ -52,13 +52,13 @@
 
 
 def zone_of_job(job: str) -> str:
-    """Return the zone that a job's id names."""
+    """Return the zone in a job's id."""
     zone, _, _ = job.rpartition('.')
     return zone
 
 
 class JobApi:
-    """This zone's jobs towards callers; the zone's stream is the only store."""
+    """Serves the jobs of this zone; they are stored only in the zone's log stream."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Accept for the zone of ``settings``."""
+        """Serve the zone of ``settings``."""
         self._settings = settings
         self._zone = settings.availability_zone
         self._clock = clock
@@ -83,10 +83,10 @@
         self._journal = journal
 
     def home_zone(self, request: Request) -> str:
-        """Return the zone that keeps the job's idempotency key.
+        """Return the zone that stores the job's idempotency key.
 
-        It must be the same whichever daemon is asked, or a repeated submission
-        would be accepted twice. Without a key any zone will do.
+        All daemons must choose the same zone, or a repeated submission would
+        be accepted twice. Without a key, any zone will do.
         """
         key = request.header(IDEMPOTENCY_KEY_HEADER)
         if not key:
@@ -95,29 +95,29 @@
         return choose_owner(f'job|{customer}|{key}', zones_of(self._settings))
 
     async def submit(self, request: Request) -> Answer:
-        """Accept a job of this zone; raises ``RequestError``."""
+        """Accept a job into this zone; raises ``RequestError``."""
         spec = self._read_spec(request)
         key = request.header(IDEMPOTENCY_KEY_HEADER) or os.urandom(RANDOM_ID_BYTES).hex()
         digest = xxhash.xxh64_hexdigest(msgspec.json.encode(spec))
         known = self._jobs.find_by_key(spec.customer, key)
         if known is None:
-            self._check_key_not_expired(spec.customer, key)
+            self._check_key_not_of_ended_job(spec.customer, key)
             self._check_admission(spec)
             known = await self._accept(spec, key, digest)
         if known.digest != digest:
             raise not_run(
                 HTTP_INVALID,
                 'key-reused',
-                f'this idempotency key belongs to job {known.id}, which is another job',
+                f'this idempotency key was used for job {known.id}, whose spec differs',
             )
         return answer_json(view_job(known), HTTP_ACCEPTED)
 
     def show(self, job_id: str) -> Answer:
-        """Return one job; raises ``RequestError``."""
+        """Return a job; raises ``RequestError``."""
         return answer_json(view_job(self._find(job_id)))
 
     def moved_to(self, job_id: str) -> str:
-        """Return the zone that a job of this zone has gone to, or an empty text."""
+        """Return the zone that a job was moved to, or an empty string."""
         job = self._jobs.get(job_id)
         return job.moved_to if job else ''
 
@@ -142,7 +142,7 @@
         return answer_json(JobPage(tuple(view_job(job) for job in jobs), next_after))
 
     def decode_cancel(self, request: Request) -> CancelBody:
-        """Return which jobs to cancel; raises ``RequestError``."""
+        """Decode a request to cancel jobs; raises ``RequestError``."""
         try:
             body = msgspec.json.decode(request.body, type=CancelBody)
         except msgspec.MsgspecError as error:
@@ -151,12 +151,12 @@
             raise not_run(
                 HTTP_BAD_REQUEST,
                 'bad-body',
-                f'jobs: names {len(body.jobs)}; give 1 to {MAX_CANCELLED_JOBS}',
+                f'jobs: has {len(body.jobs)} ids; give 1 to {MAX_CANCELLED_JOBS}',
             )
         return body
 
     async def cancel(self, jobs: tuple[str, ...]) -> CancelResult:
-        """Cancel jobs of this zone with one record; raises ``RequestError``."""
+        """Cancel jobs of this zone with one log record; raises ``RequestError``."""
         known = tuple(job for job in jobs if self._jobs.get(job) is not None)
         missing = tuple(job for job in jobs if self._jobs.get(job) is None)
         if known:
@@ -165,7 +165,7 @@
         return CancelResult(len(known), missing)
 
     async def resolve(self, job_id: str, request: Request) -> Answer:
-        """Settle an uncertain or parked job by an operator's word."""
+        """Apply an operator's resolution to an uncertain or parked job."""
         job = self._find(job_id)
         try:
             body = msgspec.json.decode(request.body, type=ResolveBody)
@@ -181,7 +181,7 @@
             raise not_run(
                 HTTP_CONFLICT,
                 'job-not-open',
-                f'job {job_id} is {job.state.value}; only uncertain or parked ones are resolved',
+                f'job {job_id} is {job.state.value}; only uncertain or parked jobs can be resolved',
             )
         await self._write(JobResolved(job_id, body.outcome))
         return self.show(job_id)
@@ -189,13 +189,17 @@
     async def _accept(self, spec: JobSpec, key: str, digest: str) -> Job:
         job_id = f'{self._zone}.{os.urandom(RANDOM_ID_BYTES).hex()}'
         await self._write(JobAccepted(job_id, key, digest, spec))
-        # Another daemon may have written the same key first.
+        # Another daemon may have accepted a job with the same key first.
         job = self._jobs.find_by_key(spec.customer, key)
         if job is None:
-            raise unknown(HTTP_TIMEOUT, 'job-not-read-back', 'ask again with the same key')
+            raise unknown(
+                HTTP_TIMEOUT,
+                'job-not-read-back',
+                'the job may be stored; retry with the same idempotency key',
+            )
         self._journal.tell_frequent(
             Part.JOBS,
-            f'accepted {job.id}; its record was read back.',
+            f'accepted {job.id}; its record was read back from the log.',
             job=job.id,
             customer=spec.customer,
         )
@@ -206,7 +210,7 @@
             raise not_run(
                 HTTP_UNAVAILABLE,
                 'log-unavailable',
-                'the log is out of reach; nothing was taken',
+                'the log is unreachable; the request was not stored',
                 RETRY_AFTER_SECONDS,
             )
         try:
@@ -223,10 +227,10 @@
     def _find(self, job_id: str) -> Job:
         job = self._jobs.get(job_id)
         if job is None:
-            raise not_run(HTTP_NOT_FOUND, 'unknown-job', f'no job {clip(job_id)!r} is known')
+            raise not_run(HTTP_NOT_FOUND, 'unknown-job', f'job {clip(job_id)!r} is unknown')
         return job
 
-    def _check_key_not_expired(self, customer: str, key: str) -> None:
+    def _check_key_not_of_ended_job(self, customer: str, key: str) -> None:
         ended_id = self._jobs.find_ended_id(customer, key)
         if not ended_id:
             return
@@ -235,7 +239,7 @@
                 Verdict.RAN,
                 HTTP_CONFLICT,
                 'already-ran',
-                f'this idempotency key belongs to job {ended_id}, which ended earlier',
+                f'this idempotency key was used for job {ended_id}, which has ended',
             ),
         )
 
@@ -246,20 +250,20 @@
             raise not_run(
                 HTTP_INVALID,
                 'above-quota',
-                f'demand: {total} is above the quota of {spec.customer}, '
-                f'{contract.quota.resources()}; it could never run',
+                f'demand: {total} exceeds the quota of {spec.customer}, '
+                f'{contract.quota.resources()}; the job could never run',
             )
         if self._jobs.count_live(spec.customer) >= contract.jobs_waiting:
             raise not_run(
                 HTTP_TOO_MANY,
                 'too-many-jobs',
-                f'{spec.customer} has {contract.jobs_waiting} jobs here already',
+                f'{spec.customer} already has {contract.jobs_waiting} jobs in this zone',
                 RETRY_AFTER_SECONDS,
             )
         self._check_fits_workers(spec)
 
     def _check_fits_workers(self, spec: JobSpec) -> None:
-        """Refuse at once what no worker can ever hold."""
+        """Reject a job that does not fit on the zone's workers even if they are empty."""
         workers = self._hosts.of_kind('worker', self._zone)
         if not workers:
             return
@@ -272,8 +276,8 @@
         raise not_run(
             HTTP_INVALID,
             'never-fits',
-            f'demand: {spec.tasks} times {spec.resources} fits no set of workers here, '
-            f'the largest has {largest}; it could never run',
+            f'demand: {spec.tasks} times {spec.resources} does not fit on the workers of the zone, '
+            f'the largest has {largest}; the job could never run',
         )
 
 
@@ -286,11 +290,11 @@
         return not_run(
             HTTP_UNAVAILABLE,
             'log-unavailable',
-            'the log is out of reach; nothing was taken',
+            'the log is unreachable; the request was not stored',
             RETRY_AFTER_SECONDS,
         )
     return unknown(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
-        'the log did not confirm in time; ask again with the same idempotency key',
+        'the log did not confirm the write in time; retry with the same idempotency key',
     )
--- a/dandelionreel/jobs/_job_projection.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -1,8 +1,8 @@
-"""All jobs of one zone, folded from its stream in log order.
+"""All jobs of one zone, computed from the records of its log stream.
 
-The log's order alone decides: the first valid intent for an attempt is the
-only one, and an intent written under an older dispatch epoch than the one in
-force at its place in the log is none.
+Conflicts are decided by log order alone: only the first valid intent for an
+attempt counts, and an intent is ignored if its dispatch epoch is older than
+the one in force at the intent's position in the log.
 """
 
 import enum
@@ -28,7 +28,12 @@
 
 
 class JobState(enum.Enum):
-    """Where a job stands."""
+    """The state of a job.
+
+    ``uncertain``: not idempotent, and it may have run. ``parked``: it failed
+    ``max_attempts`` times. An operator resolves both.
+    ``moved``: it belongs to another zone.
+    """
 
     WAITING = 'waiting'
     RUNNING = 'running'
@@ -41,10 +46,10 @@
 
 
 class Outcome(enum.Enum):
-    """What became of an attempt.
+    """How an attempt ended.
 
-    ``not_started``: no task ran. ``stopped``: told to stop, and did.
-    ``lapsed``: ended with its lease. ``lost``: cannot be known.
+    ``not_started``: no task ran. ``stopped``: stopped on request.
+    ``lapsed``: ended when its lease expired. ``lost``: the result is unknown.
     """
 
     SUCCEEDED = 'succeeded'
@@ -56,14 +61,17 @@
 
 
 LIVE_STATES = frozenset((JobState.WAITING, JobState.RUNNING))
-#: States that an operator may settle.
+#: States that an operator may resolve.
 RESOLVABLE_STATES = frozenset((JobState.UNCERTAIN, JobState.PARKED))
 UNFINISHED_STATES = LIVE_STATES | RESOLVABLE_STATES | {JobState.MOVED}
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt; ``outcome`` is ``None`` while it may run. ``wall``: epoch seconds."""
+    """An attempt; ``outcome`` is ``None`` while it may run.
+
+    ``intent_wall`` is the time of its intent, in epoch seconds.
+    """
 
     number: int
     epoch: int
@@ -75,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One job; ``accepted_at`` and ``written_at`` are in epoch seconds."""
+    """A job; times are in epoch seconds, ``written_at`` is that of its newest record."""
 
     id: str
     key: str
@@ -97,11 +105,12 @@
         return self.attempts[-1] if self.attempts else None
 
     def matches_intent(self, intent: AttemptIntent) -> bool:
-        """Return whether that very intent is the one that the log holds.
+        """Return whether the job's running attempt comes from exactly this intent.
 
-        An earlier one of the same dispatcher, given up because its answer was
-        lost, may have landed first and name other workers. A successor would
-        look for the tasks there, not find them, and start them again.
+        The same dispatcher may have written an earlier intent whose append
+        timed out but took effect, with other workers. If that one counts, a
+        successor looks for the tasks on those workers, does not find them and
+        starts them again.
         """
         last = self.last_attempt
         if last is None or self.state is not JobState.RUNNING:
@@ -111,31 +120,31 @@
 
     @property
     def next_attempt(self) -> int:
-        """Return the number of the attempt that may come next."""
+        """Return the number that the next attempt has."""
         return len(self.attempts) + 1
 
 
 @dataclass
 class JobChanges:
-    """Jobs that changed since a part of the daemon last looked."""
+    """The ids of jobs that changed since a subscriber last called ``pop_all``."""
 
     job_ids: dict[str, None] = field(default_factory=dict)
 
     def pop_all(self) -> tuple[str, ...]:
-        """Return the changed jobs and start over."""
+        """Return the ids of the changed jobs and clear them."""
         taken = tuple(self.job_ids)
         self.job_ids.clear()
         return taken
 
 
 class JobProjection:
-    """Jobs by id and by idempotency key."""
+    """All jobs of a zone, by id and by idempotency key."""
 
     def __init__(self, shards: ShardFold, max_ended: int, max_keys: int) -> None:
-        """Judge intents by the dispatch epoch.
+        """Check intents against the dispatch epoch of ``shards``.
 
-        Keeps ``ended_kept`` ended jobs whole (1.2 KB each), and of older ones
-        the idempotency keys, ``keys_kept`` at the most.
+        Keeps ``max_ended`` ended jobs (1.2 KB each), and of older ones only
+        the idempotency keys, at most ``max_keys``.
         """
         self._shards = shards
         self._max_ended = max_ended
@@ -149,13 +158,13 @@
         self._live_by_customer: dict[str, int] = {}
 
     def subscribe(self) -> JobChanges:
-        """Return an object that collects changed jobs from now on, with all known."""
+        """Return a collector of changed jobs, which starts with all known jobs."""
         changes = JobChanges(dict.fromkeys(self._job_by_id))
         self._subscriptions.append(changes)
         return changes
 
     def reset(self) -> None:
-        """Forget all jobs."""
+        """Remove all jobs, before the stream is read again."""
         self._job_by_id.clear()
         self._id_by_key.clear()
         self._ended_ids.clear()
@@ -165,20 +174,20 @@
             ids.clear()
 
     def get(self, job: str) -> Job | None:
-        """Return a job."""
+        """Return a job, or ``None`` if it is unknown."""
         return self._job_by_id.get(job)
 
     def find_by_key(self, customer: str, key: str) -> Job | None:
-        """Return the job that was submitted with that key."""
+        """Return the job that a customer submitted with an idempotency key."""
         job = self._id_by_key.get((customer, key))
         return self._job_by_id.get(job) if job else None
 
     def find_ended_id(self, customer: str, key: str) -> str:
-        """Return the id of a job that ended long ago under that key, or an empty text."""
+        """Return the id of a job that ended and was dropped, or an empty string."""
         return self._ended_id_by_key_hash.get(hash_key(customer, key), '')
 
     def in_state(self, *states: JobState) -> tuple[Job, ...]:
-        """Return jobs in any of the states, in the order in which they got there."""
+        """Return the jobs in the given states, ordered by when they entered their state."""
         return tuple(self._job_by_id[job] for state in states for job in self._ids_by_state[state])
 
     def count(self, state: JobState) -> int:
@@ -186,11 +195,11 @@
         return len(self._ids_by_state[state])
 
     def count_live(self, customer: str) -> int:
-        """Return how many jobs of a customer wait or run."""
+        """Return how many jobs of a customer are waiting or running."""
         return self._live_by_customer.get(customer, 0)
 
     def page(self, after: str, limit: int, customer: str, state: str) -> tuple[Job, ...]:
-        """Return jobs with ids above ``after``, at most ``limit``, by id."""
+        """Return up to ``limit`` jobs with ids above ``after``, by id; empty filters match all."""
         found = [
             job
             for job in self._job_by_id.values()
@@ -202,7 +211,7 @@
         return tuple(found[:limit])
 
     def fold(self, record: msgspec.Struct, position: Position) -> None:
-        """Apply one record."""
+        """Apply one record of the zone's stream."""
         if isinstance(record, JobAccepted):
             self._apply_accepted(record, position)
         elif isinstance(record, AttemptIntent):
@@ -271,8 +280,8 @@
             return
         if record.attempt != job.last_attempt.number:
             return
-        # What a dispatcher that has been replaced believes may be wrong: its
-        # successor can have seen the task run.
+        # A replaced dispatcher may be wrong about the outcome: its successor
+        # may have seen the task run.
         if record.epoch != self._shards.epoch(DISPATCH_SHARD):
             return
         outcome = Outcome(record.outcome)
@@ -301,7 +310,7 @@
         return replace(job, state=JobState.WAITING)
 
     def _after_non_idempotent_run(self, job: Job, outcome: Outcome, position: Position) -> Job:
-        """A non-idempotent job may have run; it is never started again by itself."""
+        """Return a non-idempotent job that may have run; it is never restarted automatically."""
         if outcome is Outcome.FAILED:
             return _end_job(job, JobState.FAILED, position)
         return replace(job, state=JobState.UNCERTAIN)
@@ -400,20 +409,20 @@
             job = self._job_by_id.pop(oldest)
             self._ids_by_state[job.state].pop(oldest, None)
             self._id_by_key.pop((job.spec.customer, job.key), None)
-            # A settlement that is submitted again after thousands of others
-            # have ended must still be known as the one that ran.
+            # A non-idempotent job that is submitted again after thousands of
+            # others have ended must still be recognized as one that ran.
             self._ended_id_by_key_hash[hash_key(job.spec.customer, job.key)] = job.id
             if len(self._ended_id_by_key_hash) > self._max_keys:
                 self._ended_id_by_key_hash.pop(next(iter(self._ended_id_by_key_hash)))
 
 
 def hash_key(customer: str, key: str) -> int:
-    """Return a short stand-in for a customer's idempotency key."""
+    """Return a 64-bit hash of a customer's idempotency key."""
     return xxhash.xxh3_64_intdigest(f'{customer}|{key}'.encode())
 
 
 def make_snapshot(job: Job) -> JobSnapshot:
-    """Return the record that states a live job again."""
+    """Return the record with the full state of an unfinished job."""
     return JobSnapshot(
         job.id,
         job.key,
--- a/dandelionreel/jobs/_job_refresher.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -1,4 +1,4 @@
-"""Writes live jobs again before their records expire, and hands moved ones over."""
+"""Rewrites unfinished jobs to the log before their records expire."""
 
 import curio
 
@@ -15,12 +15,11 @@
 
 ROUND_SECONDS = 2.0
 WRITE_TIMEOUT_SECONDS = 10.0
-#: Jobs that are written again in one round.
 MAX_JOBS_PER_ROUND = 64
 
 
 class JobRefresher:
-    """The dispatcher's care for old jobs; no job's life hangs on an old record."""
+    """Refreshes the records of old jobs, so that log retention never drops an unfinished job."""
 
     def __init__(
         self,
@@ -31,7 +30,7 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Keep the jobs of ``jobs`` while ``dispatcher`` is active."""
+        """Refresh the jobs of ``jobs`` while ``dispatcher`` is active."""
         self._settings = settings
         self._clock = clock
         self._jobs = jobs
@@ -40,7 +39,7 @@
         self._journal = journal
 
     async def run(self) -> None:
-        """Write what is due again, for ever."""
+        """Refresh jobs that are due, forever."""
         while True:
             await curio.sleep(ROUND_SECONDS)
             if not self._dispatcher.is_active:
@@ -48,10 +47,10 @@
             try:
                 await self.refresh_due()
             except LogError as error:
-                self._journal.tell(Part.JOBS, f'could not write jobs again: {error}.')
+                self._journal.tell(Part.JOBS, f'could not refresh job records: {error}.')
 
     async def refresh_due(self) -> None:
-        """Write jobs again whose newest record is a third of the retention old."""
+        """Rewrite the jobs whose newest record is older than a third of the retention time."""
         tasks = [
             await curio.spawn(
                 self._writer.write, make_snapshot(job), WRITE_TIMEOUT_SECONDS, daemon=True
--- a/dandelionreel/jobs/_metrics.py
+++ b/dandelionreel/jobs/_metrics.py
@@ -1,4 +1,4 @@
-"""What the dispatcher counts."""
+"""Prometheus metrics of the dispatcher."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
@@ -6,7 +6,7 @@
 
 
 class JobMetrics:
-    """Waiting times, starts and ends of jobs."""
+    """Waiting times of jobs, starts of tasks and ends of attempts."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         """Register with ``registry``."""
@@ -31,13 +31,13 @@
         )
 
     def observe_wait(self, customer: str, task_class: str, seconds: float) -> None:
-        """Count a first start."""
+        """Record the time from a job's acceptance to its first start."""
         self._waiting.labels(customer, task_class).observe(seconds)
 
     def count_start(self, customer: str, task_class: str) -> None:
-        """Count a task's start."""
+        """Count the start of a task."""
         self._starts.labels(customer, task_class).inc()
 
     def count_end(self, customer: str, outcome: str) -> None:
-        """Count an attempt's end."""
+        """Count the end of an attempt."""
         self._ends.labels(customer, outcome).inc()
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -1,8 +1,8 @@
-"""Takes over jobs of a zone that is out of reach.
+"""Moves jobs out of a zone that is unreachable.
 
-Only jobs without an intent can be moved. The move and an intent of the zone's
-own dispatcher race in that zone's stream; whichever stands first in the log
-wins, so a job never runs in both zones (spec/attempts.py).
+Only jobs without an intent can be moved. The move and an intent of that zone's
+own dispatcher compete in the zone's log stream; whichever comes first in the
+log wins, so a job never runs in both zones (spec/attempts.py).
 """
 
 from contextlib import AsyncExitStack
@@ -35,20 +35,20 @@
 
 
 class MoveBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which zone's waiting jobs go to which."""
+    """A request to move the waiting jobs of one zone to another."""
 
     from_zone: str
     to_zone: str
 
 
 class MoveResult(msgspec.Struct, frozen=True):
-    """How many jobs have moved; ask again while it is not 0."""
+    """How many jobs were moved; repeat the request until it is 0."""
 
     moved: int
 
 
 class _RemoteZone:
-    """Another zone's stream, folded for one move."""
+    """Another zone's log stream and its jobs, read for one move."""
 
     def __init__(
         self, log: LogService, stream: str, clock: Clock, records: Any, member: str
@@ -59,7 +59,7 @@
         self.jobs = JobProjection(shards, 0, 0)
         for part in (members, shards, self.jobs):
             self.reader.add(part.fold, part.reset)
-        # The daemon's name there is new for each move: its numbers start over.
+        # Each move needs a new writer name, because its record numbers start over.
         writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
 
@@ -78,7 +78,7 @@
         own_writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Move jobs to the zone of ``settings``; ``stream_name`` has a place for a zone."""
+        """Move jobs to the zone of ``settings``; ``stream_name`` is a format string for a zone."""
         self._member = member
         self._zone = settings.availability_zone
         self._clock = clock
@@ -89,9 +89,9 @@
         self._journal = journal
 
     async def move_from(self, zone: str) -> MoveResult:
-        """Move up to ``MOVED_AT_ONCE`` jobs here; raises ``RequestError``.
+        """Move up to ``MOVE_BATCH_SIZE`` jobs to this zone; raises ``RequestError``.
 
-        Safe to repeat: what a move that was cut short has left is finished.
+        Can be repeated: it also completes a move that was interrupted.
         """
         async with AsyncExitStack() as stack:
             remote = _RemoteZone(
@@ -110,7 +110,7 @@
                 raise unknown(
                     HTTP_TIMEOUT,
                     'log-outcome-unknown',
-                    f'{error}; move again, nothing is lost or doubled',
+                    f'{error}; repeat the move, no job is lost or duplicated',
                 ) from error
 
     async def _catch_up(self, remote: _RemoteZone) -> None:
@@ -129,11 +129,11 @@
             if job.moved_to == self._zone and not job.ended_at:
                 await self._complete_move(remote, job)
                 moved += 1
-        self._journal.tell(Part.JOBS, f'moved {moved} jobs here from {zone}.')
+        self._journal.tell(Part.JOBS, f'moved {moved} jobs from {zone} to this zone.')
         return MoveResult(moved)
 
     async def _complete_move(self, remote: _RemoteZone, job: Job) -> None:
-        # Accepted here first: the other stream must not forget it before.
+        # Accept the job here first: the other stream must not drop it before.
         accepted = JobAccepted(job.id, job.key, job.digest, job.spec)
         await self._own_writer.write(accepted, WRITE_TIMEOUT_SECONDS)
         await remote.writer.write(JobArrived(job.id), WRITE_TIMEOUT_SECONDS)
@@ -143,6 +143,6 @@
     return not_run(
         HTTP_UNAVAILABLE,
         'log-unavailable',
-        'the log is out of reach; nothing was moved',
+        'the log is unreachable; no job was moved',
         RETRY_AFTER_SECONDS,
     )
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -1,4 +1,4 @@
-"""Orders to the owners of workers, at this daemon or at a peer."""
+"""Sends orders to the owners of workers, in this daemon or at a peer."""
 
 import curio
 
@@ -15,7 +15,7 @@
 )
 from dandelionreel.workers import REFUSED, UNKNOWN, WorkerFleet
 
-#: A stop that was not confirmed is sent again after this long, this often.
+#: Interval and number of tries of a stop that is not confirmed.
 STOP_RETRY_SECONDS = 1.0
 MAX_STOP_TRIES = 30
 IDLE_SECONDS = 0.5
@@ -23,7 +23,7 @@
 
 
 class OrderSender:
-    """Sends starts and stops; stops at a bounded rate."""
+    """Sends starts and stops of tasks; stops are rate-limited."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Order as the dispatcher ``me``."""
+        """Send orders as the dispatcher ``member``."""
         self._member = member
         self._settings = settings
         self._clock = clock
@@ -45,17 +45,18 @@
         self._directory = directory
         self._writer = writer
         self._journal = journal
+        #: Per task: dispatch epoch, worker and remaining tries.
         self._pending_stops: dict[str, tuple[int, str, int]] = {}
         self._queued_records: list = []
         self._changed = Signal()
 
     @property
     def pending_stop_count(self) -> int:
-        """Return how many stops have not been confirmed."""
+        """Return how many stops are not confirmed yet."""
         return len(self._pending_stops)
 
     async def place(self, order: PlaceOrder) -> PlaceAnswer:
-        """Have a task started; the answer tells what is known of it."""
+        """Ask a worker's owner to start a task, and return its answer."""
         owner = self._find_owner(order.worker)
         if not owner:
             return PlaceAnswer(REFUSED, 'the worker has no owner')
@@ -69,10 +70,10 @@
             return PlaceAnswer(outcome, f'{owner}: {error}')
         if isinstance(frame.message, PlaceAnswer):
             return frame.message
-        return PlaceAnswer(UNKNOWN, 'not an answer')
+        return PlaceAnswer(UNKNOWN, 'the peer sent no placement answer')
 
     async def send_action(self, epoch: int, worker: str, task_id: str, action: str) -> bool:
-        """Stop, checkpoint or throttle a task; False when it was not confirmed."""
+        """Stop, checkpoint or throttle a task; return whether it was confirmed."""
         order = TaskAction(epoch, worker, task_id, action)
         owner = self._find_owner(worker)
         if not owner:
@@ -90,18 +91,18 @@
         return isinstance(frame.message, Done)
 
     def queue_stop(self, epoch: int, worker: str, task_id: str) -> None:
-        """Have a task stopped as soon as the rate allows."""
+        """Queue a stop, which is sent when the rate limit allows."""
         self._pending_stops.setdefault(task_id, (epoch, worker, MAX_STOP_TRIES))
 
     def queue_record(self, record: object) -> None:
-        """Have a record written as soon as the log takes it."""
+        """Queue a record, which is written when the log is available."""
         self._queued_records.append(record)
 
     async def run(self) -> None:
-        """Send stops at a bounded rate, for ever.
+        """Send queued stops at a limited rate, forever.
 
-        A wave of cancellations would otherwise fill the connections to the
-        workers, and urgent starts would wait behind it.
+        Without the limit, a burst of cancellations would fill the connections
+        to the workers and delay urgent starts.
         """
         interval = 1 / self._settings.limits.stops_per_second
         while True:
@@ -115,7 +116,7 @@
             await curio.sleep(STOP_RETRY_SECONDS)
 
     async def write_queued_records(self) -> None:
-        """Write what was left to be written, for ever."""
+        """Write queued records, forever."""
         while True:
             if not self._queued_records:
                 await curio.sleep(IDLE_SECONDS)
@@ -124,7 +125,7 @@
             try:
                 await self._writer.write(record, RECORD_TIMEOUT_SECONDS)
             except LogError as error:
-                self._journal.tell(Part.JOBS, f'a record was not written; {error}.')
+                self._journal.tell(Part.JOBS, f'a record could not be written; {error}.')
 
     async def _try_stop(self, task_id: str) -> None:
         pending = self._pending_stops.get(task_id)
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -1,4 +1,4 @@
-"""From the log to the queue: which jobs wait, and which attempts to follow."""
+"""Updates the dispatcher's queue and workers from the log, the contracts and the host list."""
 
 from dandelionreel.backing import HostWatch
 from dandelionreel.contracts import ContractBook
@@ -13,7 +13,7 @@
 
 
 class QueueUpdater:
-    """Brings the desk's queue and cell in step with log, contracts and host list."""
+    """Keeps the queue and the cell of a ``DispatcherState`` up to date."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         shares: QuotaShareBalancer,
         hosts: HostWatch,
     ) -> None:
-        """Feed ``desk``."""
+        """Update ``state``."""
         self._state = state
         self._settings = settings
         self._clock = clock
@@ -36,14 +36,14 @@
         self._deferred_checked_at = 0.0
 
     def update(self) -> None:
-        """Take in all that has changed since the last round."""
+        """Apply all changes since the last round."""
         self._update_terms()
         self._update_workers()
         self._apply_changes()
         self._requeue_deferred()
 
     def track_attempt(self, job: Job) -> None:
-        """Track an attempt that another dispatcher started."""
+        """Track the last attempt of a job, which another dispatcher started."""
         attempt = job.last_attempt
         self._state.planner.queue.remove(job.id)
         if attempt is None or job.id in self._state.tracker.attempt_by_job:
@@ -56,8 +56,8 @@
             attempt.intent_wall,
             adopted=True,
         )
-        # Reports count at once: their makers know our epoch and refuse what
-        # the former dispatcher may still order (spec/attempts.py).
+        # Reports count at once: their senders know this epoch and refuse any
+        # late orders of the former dispatcher (spec/attempts.py).
         absent_after = self._clock.monotonic()
         ids = task_ids(job.id, attempt.number, len(attempt.workers))
         tasks = [
@@ -90,7 +90,7 @@
                 continue
             if entry.name not in self._state.planner.cell.worker_by_name:
                 worker = self._state.planner.cell.add(entry.name, entry.rack, entry.capacity)
-                # Nothing is placed there before its owner has reported it.
+                # No task is placed there until its owner has sent a report.
                 self._state.planner.cell.set_room(worker, worker.used)
         cell = self._state.planner.cell
         for name in tuple(cell.worker_by_name):
@@ -135,9 +135,9 @@
     def _may_start_again(self, job: Job) -> bool:
         """Return whether no unrecorded attempt of the job can be running.
 
-        While the log was out, a former dispatcher may have started idempotent
-        jobs whose intents never reached it. Its tasks show in the reports of
-        the workers' owners, or their leases lapse.
+        During a log outage, a former dispatcher may have started idempotent
+        jobs whose intents were never written. Such tasks appear in the
+        workers' reports, or their leases expire.
         """
         if not job.spec.idempotent:
             return True
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -1,7 +1,7 @@
-"""A zone's part of each quota, as escrow: the giver gives before the taker has.
+"""Balances the shares of quotas between zones, in the manner of escrow.
 
-Whoever is cut off from whom, the parts in use never add up to more than the
-contract.
+A zone gives a share up before the recipient may use it, so the shares in use
+never exceed the contract, whatever network partitions occur.
 """
 
 from dandelionreel.backing import LogError, StreamWriter
@@ -9,16 +9,16 @@
 from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal
 from dandelionreel.placement import Planner
 
-#: A zone asks again for the same customer after this long.
+#: Minimum interval between requests for the same customer.
 REQUEST_INTERVAL_SECONDS = 5.0
 ROUND_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 10.0
-#: Smaller parts are not worth a record.
+#: Smaller shares are not worth a log record.
 MIN_SHARE = 0.01
 
 
 class QuotaShareBalancer:
-    """Asks for more of a quota when this zone runs out, and gives what it can spare."""
+    """Requests quota shares that this zone lacks, and transfers ones that it can spare."""
 
     def __init__(
         self,
@@ -28,12 +28,13 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Keep the parts of the settings' zone; write to the cell's stream."""
+        """Balance the shares of this zone; ``writer`` writes to the cell's log stream."""
         self._zone = settings.availability_zone
         self._clock = clock
         self._contracts = contracts
         self._writer = writer
         self._journal = journal
+        #: Shares that this zone no longer uses, because a transfer of them is being written.
         self._reserved: dict[str, float] = {}
         self._requested_at: dict[str, float] = {}
         self._pending_requests: dict[str, float] = {}
@@ -41,25 +42,27 @@
         self._changed = Signal()
 
     def usable_share(self, customer: str) -> float:
-        """Return the part of the quota that may be used here now."""
+        """Return the share of the quota that this zone may currently use."""
         held = self._contracts.share(customer, self._zone)
         return max(0.0, held - self._reserved.get(customer, 0))
 
     def plan_transfers(self, planner: Planner) -> None:
-        """Note what this zone lacks and what it can spare."""
+        """Plan requests for missing shares and transfers of spare shares."""
         for customer in self._contracts.customers():
             self._plan_request(customer, planner)
             self._plan_transfer(customer, planner)
 
     async def run(self) -> None:
-        """Write requests and gifts, for ever."""
+        """Write planned requests and transfers to the log, forever."""
         while True:
             await self._changed.wait(self._changed.count, ROUND_SECONDS)
             try:
                 await self._write_requests()
                 await self._write_transfers()
             except LogError as error:
-                self._journal.tell(Part.CONTRACTS, f'could not move a share: {error}.')
+                self._journal.tell(
+                    Part.CONTRACTS, f'could not write a quota share record: {error}.'
+                )
 
     def _plan_request(self, customer: str, planner: Planner) -> None:
         now = self._clock.monotonic()
@@ -81,24 +84,24 @@
     def _plan_transfer(self, customer: str, planner: Planner) -> None:
         if customer in self._pending_transfers:
             return
-        for (requester, zone), shortfall in self._contracts.wanted_shares.items():
-            if requester != customer or zone == self._zone:
+        for (wanted_customer, zone), shortfall in self._contracts.wanted_shares.items():
+            if wanted_customer != customer or zone == self._zone:
                 continue
             spare = self._find_spare(customer, planner, zone)
             amount = min(spare, max(shortfall, MIN_SHARE))
             if amount >= MIN_SHARE and self._has_largest_share(customer, zone):
-                # From here on this zone does without it, whatever becomes of
-                # the record: its answer may be lost after it took effect.
+                # This zone stops using the share now, even if the write seems to
+                # fail: the record may be stored although its answer is lost.
                 self._reserved[customer] = self._reserved.get(customer, 0) + amount
                 self._pending_transfers[customer] = (zone, amount)
                 return
 
     def _find_spare(self, customer: str, planner: Planner, recipient: str) -> float:
-        """Return what this zone does without, for ``taker``.
+        """Return the share that this zone can spare for the zone ``recipient``.
 
-        Two zones that each wait for a job larger than their parts would wait
-        for ever: the one whose name comes first keeps and gets, and gives
-        back once its job has ended.
+        Two zones that each have a waiting job larger than their share would
+        deadlock. To prevent that, the zone whose name sorts first keeps its
+        share and gets the other's; it gives back after its job has ended.
         """
         contract = self._contracts.effective(customer)
         if contract is None:
@@ -133,11 +136,11 @@
         for customer, (zone, amount) in tuple(self._pending_transfers.items()):
             moved = ShareMoved(customer, self._zone, zone, amount)
             await self._writer.write(moved, WRITE_TIMEOUT_SECONDS)
-            # The record has been read back: the fold now holds the smaller part.
+            # The record was read back, so ``_contracts`` already has the reduced share.
             self._pending_transfers.pop(customer)
             self._reserved[customer] = max(0.0, self._reserved.get(customer, 0) - amount)
             self._journal.tell(
                 Part.CONTRACTS,
-                f'gave {amount:.3f} of the quota of {customer} to {zone}; it had work waiting.',
+                f'gave {amount:.3f} of the quota of {customer} to {zone}, which has jobs waiting.',
                 customer=customer,
             )
--- a/dandelionreel/jobs/_records.py
+++ b/dandelionreel/jobs/_records.py
@@ -1,4 +1,4 @@
-"""Records of jobs, as they stand in a zone's stream."""
+"""Job records as they are stored in a zone's log stream."""
 
 from msgspec import Struct
 
@@ -6,7 +6,7 @@
 
 
 class JobAccepted(Struct, frozen=True, tag='job_accepted'):
-    """A job is taken; ``key`` is the caller's idempotency key, ``digest`` its body's."""
+    """A job was accepted; ``key`` is its idempotency key, ``digest`` the hash of its spec."""
 
     job: str
     key: str
@@ -15,7 +15,7 @@
 
 
 class AttemptIntent(Struct, frozen=True, tag='attempt_intent'):
-    """A dispatcher is about to start an attempt: one worker for each task."""
+    """A dispatcher is about to start an attempt, with one worker for each task."""
 
     job: str
     attempt: int
@@ -25,7 +25,7 @@
 
 
 class AttemptEnded(Struct, frozen=True, tag='attempt_ended'):
-    """What became of an attempt; see ``Outcome``."""
+    """An attempt ended; ``outcome`` is a value of ``Outcome``."""
 
     job: str
     attempt: int
@@ -35,33 +35,33 @@
 
 
 class JobsCancelled(Struct, frozen=True, tag='jobs_cancelled'):
-    """Jobs that shall not run, or stop."""
+    """Jobs were cancelled: waiting ones don't start, running ones are stopped."""
 
     jobs: tuple[str, ...]
 
 
 class JobResolved(Struct, frozen=True, tag='job_resolved'):
-    """An operator settles an uncertain or parked job: ``ran`` or ``not_run``."""
+    """An operator resolved an uncertain or parked job; ``outcome`` is ``ran`` or ``not_run``."""
 
     job: str
     outcome: str
 
 
 class JobMoved(Struct, frozen=True, tag='job_moved'):
-    """A job that has no intent yet belongs to another zone from here on."""
+    """A waiting job, without an intent, belongs to another zone from this record on."""
 
     job: str
     zone: str
 
 
 class JobArrived(Struct, frozen=True, tag='job_arrived'):
-    """The other zone has taken the moved job; nothing is left to do here."""
+    """The other zone has accepted a moved job; this zone has nothing left to do for it."""
 
     job: str
 
 
 class AttemptSnapshot(Struct, frozen=True):
-    """An attempt as restated."""
+    """An attempt within a ``JobSnapshot``; ``wall`` is the time of its intent, in epoch seconds."""
 
     number: int
     epoch: int
@@ -72,7 +72,7 @@
 
 
 class JobSnapshot(Struct, frozen=True, tag='job_kept'):
-    """A live job with all that is known of it, written again before it expires."""
+    """The full state of an unfinished job, written before its older records expire."""
 
     job: str
     key: str
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -1,4 +1,4 @@
-"""What the owners of workers report, compared with what the dispatcher expects."""
+"""Compares the reports of worker owners with the attempts that the dispatcher tracks."""
 
 from dandelionreel.contracts import ContractBook
 from dandelionreel.jobs._dispatcher_state import DispatcherState
@@ -11,14 +11,14 @@
 from dandelionreel.peers import TaskReport, WorkerReport
 from dandelionreel.placement import Running
 
-#: Slack when ages on two hosts' wall clocks are compared.
+#: Margin for the offset between two hosts' wall clocks.
 WALL_CLOCK_MARGIN_SECONDS = 1.0
-#: Slack for the time that a report took to be made.
+#: Margin for the time that it takes to make a report.
 REPORT_MARGIN_SECONDS = 0.2
 
 
 class ReportHandler:
-    """Ends tasks, adopts running ones and stops strangers, by the reports."""
+    """Applies reports: ends tracked tasks, adopts running ones and stops unknown ones."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         orders: OrderSender,
         journal: Journal,
     ) -> None:
-        """Read for the dispatcher ``me``."""
+        """Handle reports for the dispatcher ``member``."""
         self._member = member
         self._state = state
         self._clock = clock
@@ -42,9 +42,9 @@
         self._journal = journal
 
     async def handle(self, report: WorkerReport) -> None:
-        """Learn from the owner of a worker what runs there."""
-        # An owner that has not read of our taking over may still obey our
-        # predecessor: what it does not list may yet be started.
+        """Apply a report of a worker's owner on the tasks there."""
+        # An owner that has not read of this dispatch epoch may still obey the
+        # previous dispatcher, and start a task that its report lacks.
         if report.dispatch_epoch != self._state.epoch:
             return
         if report.epoch < self._state.reported_epochs.get(report.worker, 0):
@@ -78,19 +78,20 @@
         task: TrackedTask,
         report: WorkerReport,
     ) -> Outcome:
-        """Judge a task that its worker does not list at all."""
+        """Return the outcome of a task that its worker's report lacks."""
         age = self._max_age(tracked)
         if not task.is_running and age < report.remembers:
-            # The worker remembers everything since then: it never started.
+            # The worker would remember the task if it had started since then.
             return Outcome.NOT_STARTED
         if tracked.idempotent:
             return Outcome.LAPSED
         return Outcome.LOST
 
     def _max_age(self, tracked: TrackedAttempt) -> float:
-        """Return how long ago the attempt's intent was written, at the most.
+        """Return an upper bound of the age of the attempt's intent, in seconds.
 
-        One clock for an attempt of our own; two hosts' clocks for another's.
+        An adopted attempt compares the wall clocks of two hosts; an attempt of
+        this dispatcher uses its monotonic clock.
         """
         if tracked.adopted:
             return self._clock.wall() - tracked.intent_wall + WALL_CLOCK_MARGIN_SECONDS
@@ -101,7 +102,7 @@
         report: WorkerReport,
         report_by_task: dict[str, TaskReport],
     ) -> None:
-        """Count in the cell what the worker runs, and nothing else."""
+        """Make the cell's running tasks of a worker match its report."""
         worker = self._state.worker(report.worker)
         if worker is None:
             return
@@ -145,7 +146,7 @@
         )
 
     def _handle_untracked_task(self, worker: str, reported: TaskReport) -> None:
-        """Deal with a running task that no tracked attempt accounts for."""
+        """Adopt or stop a running task that belongs to no tracked attempt."""
         job = self._jobs.get(reported.job)
         if job is not None and job.state is JobState.RUNNING and job.last_attempt is not None:
             if job.last_attempt.number == reported.attempt:
@@ -158,7 +159,7 @@
         self._orders.queue_stop(self._state.epoch, worker, reported.id)
 
     def _adopt_unrecorded_task(self, job: Job, worker: str, reported: TaskReport) -> None:
-        """Take over a task that was started during a log outage without a record."""
+        """Adopt a task whose intent was not written because the log was unavailable."""
         if job.id in self._state.tracker.attempt_by_job:
             return
         self._state.planner.queue.remove(job.id)
@@ -200,7 +201,6 @@
             if self._state.planner.cell.note_failure(worker, tracked.job, now):
                 self._journal.tell(
                     Part.PLACEMENT,
-                    f'sends nothing to {worker.name} for a while; '
-                    'several different jobs failed there.',
+                    f'quarantines {worker.name}; several different jobs failed there.',
                     worker=worker.name,
                 )
--- a/dandelionreel/jobs/_spec.py
+++ b/dandelionreel/jobs/_spec.py
@@ -1,4 +1,4 @@
-"""What a caller submits as a job."""
+"""The job specification that a client submits."""
 
 from typing import Annotated
 
@@ -18,7 +18,7 @@
 
 
 class JobSpec(Struct, frozen=True, forbid_unknown_fields=True):
-    """One job; ``tasks`` above one is a gang, started together or not at all."""
+    """A submitted job; with several tasks it is a gang, which starts whole or not at all."""
 
     customer: Name
     command: Command
@@ -33,16 +33,16 @@
 
     @property
     def resources(self) -> Resources:
-        """Return what one task asks for."""
+        """Return the resources that one task requests."""
         return self.demand.resources()
 
 
 class JobSpecError(ValueError):
-    """A job is not acceptable; the message names field, value and what is allowed."""
+    """A job is invalid; the message names the field, its value and what is allowed."""
 
 
 def load_spec(text: bytes) -> JobSpec:
-    """Decode and check a job; raises ``JobSpecError``."""
+    """Decode and validate a job; raises ``JobSpecError``."""
     try:
         spec = msgspec.json.decode(text, type=JobSpec)
     except msgspec.MsgspecError as error:
@@ -51,7 +51,9 @@
         allowed = ', '.join(TASK_CLASSES)
         raise JobSpecError(f'task_class: {spec.task_class!r} is unknown; allowed: {allowed}')
     if spec.task_class == 'service' and not spec.idempotent:
-        raise JobSpecError('idempotent: false; a service is started again, so it must be true')
+        raise JobSpecError(
+            'idempotent: false; a service is restarted when it ends, so it must be true'
+        )
     if not spec.demand.processors and not spec.demand.memory_mb:
-        raise JobSpecError('demand: asks for nothing; give processors or memory_mb above 0')
+        raise JobSpecError('demand: requests no resources; give processors or memory_mb above 0')
     return spec
--- a/dandelionreel/jobs/_tracked_attempts.py
+++ b/dandelionreel/jobs/_tracked_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that may be running, as the zone's dispatcher follows them."""
+"""Attempts that may be running, as the zone's dispatcher tracks them."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -9,10 +9,10 @@
 
 @dataclass
 class TrackedTask:
-    """One task; ``absent_after`` is when a report that lacks it begins to count.
+    """A task; a report without it proves its absence from ``absent_after`` on.
 
-    A report tells of a moment that may lie before the start was sent. It is a
-    proof of absence only if its maker had seen our clock at that time or later.
+    A report may describe a time before the start was sent. It proves absence
+    only if its ``as_of``, on this dispatcher's clock, is ``absent_after`` or later.
     """
 
     task_id: str
@@ -24,9 +24,10 @@
 
 @dataclass
 class TrackedAttempt:
-    """One attempt; ``adopted`` when another dispatcher started it.
+    """An attempt; ``adopted`` if another dispatcher started it.
 
-    ``intent_wall`` is on the wall clock, ``tracked_at`` on the monotonic one.
+    ``intent_wall`` is on the wall clock, ``tracked_at`` on the monotonic clock.
+    ``is_finalizing`` while its outcome is being written.
     """
 
     job: str
@@ -41,25 +42,25 @@
     task_by_id: dict[str, TrackedTask] = field(default_factory=dict)
 
     def unfinished_tasks(self) -> Iterator[TrackedTask]:
-        """Yield tasks that have not ended."""
+        """Yield the tasks that have not ended."""
         for task in self.task_by_id.values():
             if task.outcome is None:
                 yield task
 
     @property
     def has_ended(self) -> bool:
-        """Return whether all tasks have."""
+        """Return whether all tasks have ended."""
         return all(task.outcome is not None for task in self.task_by_id.values())
 
     @property
     def has_failed_task(self) -> bool:
-        """Return whether some task ended otherwise than well."""
+        """Return whether a task has ended without success."""
         return any(
             task.outcome not in {None, Outcome.SUCCEEDED} for task in self.task_by_id.values()
         )
 
     def combined_outcome(self) -> Outcome:
-        """Return what the whole attempt came to; all its tasks have ended."""
+        """Return the outcome of the attempt, all of whose tasks have ended."""
         found = {task.outcome for task in self.task_by_id.values()}
         if found == {Outcome.SUCCEEDED}:
             return Outcome.SUCCEEDED
@@ -68,27 +69,27 @@
         for worst in (Outcome.LOST, Outcome.FAILED, Outcome.LAPSED, Outcome.STOPPED):
             if worst in found:
                 return worst
-        # Some tasks did their work, others never started.
+        # Some tasks succeeded, the others never started.
         return Outcome.STOPPED
 
 
 class AttemptTracker:
-    """Tracked attempts by job, and their tasks by worker."""
+    """Tracked attempts, by job and by worker."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no attempts."""
         self.attempt_by_job: dict[str, TrackedAttempt] = {}
         self._tasks_by_worker: dict[str, dict[str, TrackedAttempt]] = {}
 
     def add(self, tracked: TrackedAttempt, tasks: Iterable[TrackedTask]) -> None:
-        """Follow an attempt."""
+        """Track an attempt and its tasks."""
         self.attempt_by_job[tracked.job] = tracked
         for task in tasks:
             tracked.task_by_id[task.task_id] = task
             self._tasks_by_worker.setdefault(task.worker, {})[task.task_id] = tracked
 
     def drop(self, job: str) -> TrackedAttempt | None:
-        """Stop following a job's attempt."""
+        """Stop tracking a job's attempt, and return it."""
         tracked = self.attempt_by_job.pop(job, None)
         if tracked is None:
             return None
@@ -97,7 +98,7 @@
         return tracked
 
     def tasks_on_worker(self, worker: str) -> tuple[tuple[TrackedAttempt, TrackedTask], ...]:
-        """Return the tracked tasks of a worker that have not ended."""
+        """Return the tasks of a worker that have not ended, with their attempts."""
         found = []
         for task_id, tracked in self._tasks_by_worker.get(worker, {}).items():
             task = tracked.task_by_id[task_id]
@@ -111,13 +112,13 @@
         return tracked is not None and report.id in tracked.task_by_id
 
     def clear(self) -> None:
-        """Follow nothing any more."""
+        """Stop tracking all attempts."""
         self.attempt_by_job.clear()
         self._tasks_by_worker.clear()
 
 
 def parse_outcome(report: TaskReport) -> Outcome:
-    """Return the outcome that a worker reported."""
+    """Return the outcome that a report names; an unknown one counts as failed."""
     known = {
         'succeeded': Outcome.SUCCEEDED,
         'failed': Outcome.FAILED,
--- a/dandelionreel/jobs/_views.py
+++ b/dandelionreel/jobs/_views.py
@@ -1,4 +1,4 @@
-"""Jobs as callers and operators see them."""
+"""Bodies of the job API: requests and responses."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class AttemptView(msgspec.Struct, frozen=True):
-    """One attempt; ``outcome`` is empty while it may run."""
+    """An attempt; ``outcome`` is empty while it may still run."""
 
     number: int
     workers: tuple[str, ...]
@@ -14,7 +14,7 @@
 
 
 class JobView(msgspec.Struct, frozen=True):
-    """One job; times are epoch seconds."""
+    """A job; times are in epoch seconds."""
 
     id: str
     customer: str
@@ -29,33 +29,33 @@
 
 
 class JobPage(msgspec.Struct, frozen=True):
-    """Some jobs by id; ``next_after`` is empty on the last page."""
+    """A page of jobs, sorted by id; ``next_after`` is empty on the last page."""
 
     jobs: tuple[JobView, ...]
     next_after: str
 
 
 class CancelBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which jobs to cancel."""
+    """A request to cancel jobs."""
 
     jobs: tuple[str, ...]
 
 
 class CancelResult(msgspec.Struct, frozen=True):
-    """How many jobs were named, and which of them are not known."""
+    """How many known jobs were cancelled, and which ids are unknown."""
 
     cancelled: int
     unknown: tuple[str, ...]
 
 
 class ResolveBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an operator found out about a job: ``ran`` or ``not_run``."""
+    """An operator's resolution of a job; ``outcome`` is ``ran`` or ``not_run``."""
 
     outcome: str
 
 
 def view_job(job: Job) -> JobView:
-    """Return a job as callers see it."""
+    """Return a job as the API shows it."""
     return JobView(
         job.id,
         job.spec.customer,
--- a/features/lapses.feature
+++ b/features/lapses.feature
@@ -1,10 +1,11 @@
 Feature: Jobs that are lost with their workers
 
-  # Guards against starting a task for ever whose attempts lapse without a report.
-  Scenario Outline: An attempt is lost with its worker
-    Given a job of 3 tries whose attempts ended <earlier>
+  # Guards against restarting a job forever that crashes every worker it runs on: its attempts
+  # end with their leases, without a reported failure.
+  Scenario Outline: An attempt of a job is lost with its worker
+    Given a job with a limit of 3 failures whose attempts ended <earlier>
     When its next attempt ends as lapsed
-    Then that attempt is told as <outcome>
+    Then that attempt counts as <outcome>
 
     Examples:
       | earlier                          | outcome |
@@ -16,7 +17,7 @@
       | lapsed, stopped, lapsed          | lapsed  |
       | lapsed, lapsed an hour before    | lapsed  |
 
-  Scenario: A job whose workers are lost each time ends
-    Given a job of 3 tries whose attempts ended not at all
+  Scenario: A job whose worker is lost on each attempt is parked
+    Given a job with a limit of 3 failures whose attempts ended not at all
     When each of its attempts ends as lapsed
     Then it is parked after 5 attempts
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -1,4 +1,4 @@
-"""Steps of unlike workloads."""
+"""Steps for different workloads on one cell."""
 
 import os
 import time
@@ -9,13 +9,13 @@
 from features.cells import contract, job
 from standins import wait_until
 
-NAME = 'ub-east-d0'
+DAEMON = 'ub-east-d0'
 
 
 @when('the jobs of {source} are moved to {target}')
 def move_jobs(context, source, target):
     body = {'from_zone': source, 'to_zone': target}
-    reply = context.cell.admin(NAME, 'POST', '/v1/jobs/move', body)
+    reply = context.cell.admin(DAEMON, 'POST', '/v1/jobs/move', body)
     assert reply.status == 200, reply
     context.moved = reply.json()['moved']
     assert context.moved > 0
@@ -34,22 +34,26 @@
                 done.update(view['id'] for view in reply.json()['jobs'])
         return set(context.submitted) <= done
 
-    assert wait_until(succeeded, 90, 0.3), _states(context)
+    assert wait_until(succeeded, 90, 0.3), _get_job_views(context)
     east = {run['job'] for run in context.cell.runs() if run['worker'].startswith('ub-east')}
-    moved = [one for one in context.submitted if one.startswith('ub-west') and one in east]
+    moved = [
+        job_id for job_id in context.submitted if job_id.startswith('ub-west') and job_id in east
+    ]
     assert len(moved) == context.moved, (len(moved), context.moved)
     shown = context.cell.admin('ub-west-d0', 'GET', f'/v1/jobs/{context.submitted[-1]}')
     assert shown.json()['state'] == 'succeeded', shown
 
 
-def _states(context):
-    return [context.cell.admin(NAME, 'GET', f'/v1/jobs/{one}').body for one in context.submitted]
+def _get_job_views(context):
+    return [
+        context.cell.admin(DAEMON, 'GET', f'/v1/jobs/{job_id}').body for job_id in context.submitted
+    ]
 
 
 @when('a gang of {tasks:d} tasks of {processors:d} processors is submitted')
 def submit_gang(context, tasks, processors):
     spec = job('run 1', tasks=tasks, demand={'processors': processors, 'memory_mb': 256})
-    reply = context.cell.submit(NAME, spec, 'gang')
+    reply = context.cell.submit(DAEMON, spec, 'gang')
     assert reply.status == 202, reply
     context.gang = reply.json()['id']
     context.submitted.append(context.gang)
@@ -65,7 +69,7 @@
 @when(
     '{count:d} idempotent jobs of {processors:d} processors running {seconds:g} seconds fill the cell'
 )
-def fill(context, count, processors, seconds):
+def fill_cell(context, count, processors, seconds):
     _submit(context, count, processors, seconds)
     assert wait_until(lambda: len(context.cell.runs()) == count, 15)
 
@@ -82,7 +86,7 @@
     spec = job(f'run {seconds}', demand=demand, idempotent=True, customer=customer)
 
     def submit(_):
-        reply = context.cell.submit(NAME, spec, os.urandom(6).hex())
+        reply = context.cell.submit(DAEMON, spec, os.urandom(6).hex())
         assert reply.status == 202, reply
         return reply.json()['id']
 
@@ -97,7 +101,7 @@
     demand = {'processors': processors, 'memory_mb': 256}
     spec = job('run 0.5', demand=demand, task_class='urgent')
     context.urgent_at = time.monotonic()
-    context.urgent = context.cell.submit(NAME, spec, 'urgent').json()['id']
+    context.urgent = context.cell.submit(DAEMON, spec, 'urgent').json()['id']
 
 
 @then('the urgent job started within {seconds:g} seconds')
@@ -112,37 +116,37 @@
     stopped = [run for run in context.cell.runs() if run['outcome'] == 'stopped']
     assert stopped
 
-    def again():
-        shown = context.cell.admin(NAME, 'GET', f'/v1/jobs/{stopped[0]["job"]}').json()
+    def is_retried():
+        shown = context.cell.admin(DAEMON, 'GET', f'/v1/jobs/{stopped[0]["job"]}').json()
         return shown['state'] in {'waiting', 'running'} and shown['attempts'][0]['outcome']
 
-    assert wait_until(again, 10)
+    assert wait_until(is_retried, 10)
 
 
 @when('a job with command {command} is submitted')
 def submit_command(context, command):
-    reply = context.cell.submit(NAME, job(command, idempotent=True), 'one')
+    reply = context.cell.submit(DAEMON, job(command, idempotent=True), 'one')
     context.jobs = [reply.json()['id']]
 
 
-@then('its log lines tell of throttle, checkpoint and stop')
-def check_held_back(context):
-    def told():
-        log = context.cell.log_of(NAME)
+@then('the log shows its throttle, checkpoint and stop')
+def check_throttled(context):
+    def logged():
+        log = context.cell.log_of(DAEMON)
         return all(
             f'to {word} {context.jobs[0]}' in log for word in ('throttle', 'checkpoint', 'stop')
         )
 
-    assert wait_until(told, 40, 0.3)
+    assert wait_until(logged, 40, 0.3)
 
 
-@when('{name} fails everything it starts')
+@when('every task that {name} starts fails')
 def fail_all(context, name):
     context.cell.set_host_faults(name, fail_tasks=True)
 
 
 @then('{name} started at most {count:d} of them')
-def check_few(context, name, count):
+def check_start_limit(context, name, count):
     runs = [run for run in context.cell.runs() if run['worker'] == name]
     assert 1 <= len(runs) <= count, len(runs)
 
@@ -163,8 +167,8 @@
     context.second = _submit(context, count, 8, 0.3, 'caribsea')
 
 
-@then("the second customer's jobs are done before the flood is half through")
-def check_share(context):
+@then("the second customer's jobs are done before 100 jobs of the flood have ended")
+def check_fairness(context):
     def done():
         ended = {run['job'] for run in context.cell.runs() if run['ended_at']}
         return set(context.second) <= ended
@@ -175,7 +179,7 @@
 
 
 @given('a contract with a quota of {processors:d} processors is in force')
-def put_quota(context, processors):
+def publish_quota(context, processors):
     quota = {'processors': processors, 'memory_mb': 800_000}
     reply = context.cell.publish(contract(1, quota=quota))
     assert reply.status == 200, reply
@@ -185,7 +189,7 @@
 def submit_to_zones(context, processors):
     spec = job('run 1', demand={'processors': processors, 'memory_mb': 256}, idempotent=True)
     for name in context.cell.daemons:
-        # Without a key the daemon that is asked keeps the job in its zone.
+        # Without an idempotency key, the daemon stores the job in its own zone.
         reply = context.cell.submit(name, spec)
         assert reply.status == 202, reply
         context.submitted.append(reply.json()['id'])
@@ -203,8 +207,8 @@
         used = run['demand']['processors']
         changes.append((run['started_at'], used))
         changes.append((run['ended_at'], -used))
-    in_use = most = 0
+    in_use = peak = 0
     for _, change in sorted(changes):
         in_use += change
-        most = max(most, in_use)
-    assert 24 <= most <= processors, most
+        peak = max(peak, in_use)
+    assert 24 <= peak <= processors, peak
--- a/features/work.feature
+++ b/features/work.feature
@@ -1,6 +1,6 @@
-Feature: Unlike workloads on one cell
+Feature: Different workloads on one cell
 
-  # Guards against running a job in two zones.
+  # Guards against running a job in two zones, when it is moved away from a zone that returns.
   Scenario: Jobs of a lost zone are moved, and the zone comes back
     Given a cell of 2 zones with 1 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -11,7 +11,7 @@
     Then every job ends as succeeded in one zone or the other
     And no promise is broken
 
-  # A gang needs all its tasks at once; half of it would only hold workers.
+  # Guards against starting a part of a gang, whose tasks would occupy workers without progress.
   Scenario: A gang starts all its tasks together
     Given a cell of 1 zones with 2 daemons, 3 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -21,7 +21,7 @@
     And the tasks of the gang started within 1 second of each other
     And no promise is broken
 
-  # A boat waits at the rail while basin charts fill every worker.
+  # Guards against an urgent job that waits while batch jobs occupy every worker.
   Scenario: Urgent work stops batch work that its contract lets be preempted
     Given a cell of 1 zones with 2 daemons, 2 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -31,23 +31,23 @@
     And the stopped jobs are waiting or running again
     And no promise is broken
 
-  # Declared sizes are far off: a task takes twice the memory it declared.
-  Scenario: A task that outgrows its declaration is held back, then stopped
+  # Guards against a task that uses twice the memory that it declared.
+  Scenario: A task that exceeds its declared memory is throttled, then stopped
     Given a cell of 1 zones with 1 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
     When a job with command swell 30 is submitted
-    Then its log lines tell of throttle, checkpoint and stop
+    Then the log shows its throttle, checkpoint and stop
 
-  # One worker fails everything it starts. Its jobs are not to blame.
-  Scenario: A worker that fails everything gets no more work
+  # Guards against sending more jobs to a worker where every task fails, whatever its job.
+  Scenario: A worker where every task fails gets no more work
     Given a cell of 1 zones with 2 daemons, 3 workers and 1 endpoints
     And version 1 of the contract is in force
-    When ub-east-w0 fails everything it starts
+    When every task that ub-east-w0 starts fails
     And 60 idempotent jobs of 4 processors running 0.2 seconds are submitted
     Then all submitted jobs end as succeeded
     And ub-east-w0 started at most 20 of them
 
-  # A job that fails on every worker is set aside and shown to operators.
+  # Guards against retrying forever a job that fails on every worker.
   Scenario: A job that fails everywhere is parked
     Given a cell of 1 zones with 2 daemons, 2 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -57,17 +57,17 @@
     When an operator resolves it as ran
     Then the job ends as succeeded
 
-  # Guards against one customer that floods the queue.
+  # Guards against one customer that delays another by filling the queue.
   Scenario: A customer floods the queue
     Given a cell of 1 zones with 2 daemons, 2 workers and 1 endpoints
     And version 1 of the contract is in force
     And a second customer has a contract too
     When 150 jobs of 8 processors running 0.3 seconds are submitted to ub-east-d0
     And 5 jobs of the second customer are submitted behind them
-    Then the second customer's jobs are done before the flood is half through
+    Then the second customer's jobs are done before 100 jobs of the flood have ended
 
-  # Guards against exceeding a quota that zones share.
-  Scenario: A zone that runs out of its part of a quota gets more
+  # Guards against exceeding a quota that is shared between zones.
+  Scenario: A zone that runs out of its share of a quota gets more
     Given a cell of 2 zones with 1 daemons, 2 workers and 1 endpoints
     And a contract with a quota of 32 processors is in force
     When a job of 24 processors is submitted to each zone
