--- a/bench/replay.py
+++ b/bench/replay.py
@@ -20,7 +20,7 @@
 from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
 from dandelionreel.cell.decisions._reservations import Rank
 from dandelionreel.cell.decisions._waiting import RankInputs, WaitingOrder, WithinRateFirst
-from dandelionreel.cell.membership._advisors import PATIENT_SHARE
+from dandelionreel.cell.membership._advisors import NON_URGENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
     Configuration,
@@ -40,8 +40,8 @@
     Submission,
 )
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import longest_lease
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.owner._predecessor_leases import lease_upper_bound
+from dandelionreel.cell.store import StoredJob
 
 #: Seconds: an order's way, a stop, a restart from a checkpoint, and between plans.
 ORDER_SECONDS = 0.004
@@ -219,7 +219,7 @@
     def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step."""
         job = urgency.job
-        return Rank(False, False, 0, 0, job.accepted, job.id, urgency.step.name)
+        return Rank(False, False, 0, 0, job.accepted_at, job.id, urgency.step.name)
 
 
 class FirstCome(Planner):
@@ -373,7 +373,7 @@
                 name, 'desk', '10.0.0.1', number, f'zone-{zone}', self.load.capacity, labels, False
             )
             self._work[name] = {}
-        self.cell.see_runners(registrations, 0)
+        self.cell.update_runners(registrations, 0)
         for name, state in self.cell.runner_by_id.items():
             state.recorded = True
             self._poll_once(name)
@@ -381,7 +381,7 @@
     def _poll_once(self, runner: str, *ended: EndedRun) -> None:
         running = tuple(RunningTask(*run, '', 0, 0) for run in self._work[runner])
         view = RunnerView(self._now, running, ended)
-        self.cell.viewed(self.cell.runner_by_id[runner], view, self._now, self._now)
+        self.cell.handle_view(self.cell.runner_by_id[runner], view, self._now, self._now)
 
     def _cut_off(self, cut: Cut) -> None:
         for state in self.cell.runner_by_id.values():
@@ -389,7 +389,7 @@
                 state.suspect = True
                 self._unseen_by_runner[state.id] = []
         self._later(LEASE_SECONDS - LEASE_AGE, self._lapse)
-        self._later(longest_lease(LEASE_SECONDS), self._expire_leases)
+        self._later(lease_upper_bound(LEASE_SECONDS), self._expire_leases)
         self._later(cut.seconds, self._reconnect)
 
     def _lapse(self) -> None:
@@ -401,7 +401,7 @@
 
     def _expire_leases(self) -> None:
         for runner in self._unseen_by_runner:
-            self.cell.runner_lapsed(runner)
+            self.cell.handle_lapsed_runner(runner)
 
     def _reconnect(self) -> None:
         ends_by_runner = self._unseen_by_runner
@@ -421,9 +421,9 @@
         account = self._draw_account()
         spec = JobSpec('', steps)
         submission = Submission(kind.queue.name, 'desk', self._now, spec, '', account)
-        self.cell.see_job(BookedJob(job_id, submission, False, None), self._now, self._now)
+        self.cell.update_job(StoredJob(job_id, submission, False, None), self._now, self._now)
         weight = kind.worth * min(MOST_WEIGHT, 0.3 + 0.7 * work / usual)
-        if not self.cell.job_by_id[job_id].beyond_rate:
+        if not self.cell.job_by_id[job_id].exceeds_account_rate:
             self._weight_by_job[job_id] = weight
             self._owed_work.append((weight, work / MILLI))
             for tally in self._tallies(kind.queue.name, account):
@@ -483,7 +483,7 @@
             return
         began = time.perf_counter()
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
-        free = int(PATIENT_SHARE * self.load.hosts) - self._busy[False] - waiting
+        free = int(NON_URGENT_SHARE * self.load.hosts) - self._busy[False] - waiting
         made = self.planner.plan(self._now, self._now, free)
         self.plan_seconds.append(time.perf_counter() - began)
         for allocation in self.cell.take_stops():
@@ -499,14 +499,16 @@
     def _ask(self) -> None:
         while self._waiting:
             urgent = self._waiting[0][0] == 0
-            most = int(PATIENT_SHARE * self.load.hosts)
+            most = int(NON_URGENT_SHARE * self.load.hosts)
             if sum(self._busy.values()) >= self.load.hosts or (
                 not urgent and self._busy[False] >= most
             ):
                 return
             question = heapq.heappop(self._waiting)[2]
             self._busy[urgent] += 1
-            takes = question.advice.decision + question.advice.per_runner * len(question.runners)
+            takes = question.advice.decision_seconds + question.advice.seconds_per_runner * len(
+                question.runners
+            )
             self._later(takes, self._answer, question, urgent)
 
     def _answer(self, question: AdviceRequest, urgent: bool) -> None:
@@ -517,7 +519,7 @@
             for runner in question.runners
             if random.Random(f'{question.step}{runner}{self._seed}').random() < share
         ]
-        until = self._now + question.advice.valid
+        until = self._now + question.advice.valid_seconds
         self.cell.tickets.note_answer(question.step, question.runners, permits, until)
         self._ask()
 
@@ -527,14 +529,14 @@
 
     def _start(self, allocation: Allocation) -> None:
         if not self.cell.may_start(allocation) or allocation.runner in self._unseen_by_runner:
-            self.cell.withdraw(allocation)
+            self.cell.release_start(allocation)
             return
         job = self.cell.job_by_id[allocation.task.job]
         kind = self._kind_of(job.id)
         if job.id not in self._begun:
             self._begun.add(job.id)
             waits = self.tally_by_queue[kind.queue.name].first_waits
-            waits.append(self._now - job.accepted)
+            waits.append(self._now - job.accepted_at)
         step = job.find_step(allocation.task)
         # Members of a gang end together; else each task has a duration of its own.
         name = step.name if step.step.gang else allocation.task
@@ -546,11 +548,11 @@
         fails = random.Random(f'{name}{allocation.run}{self._seed}').random() < kind.fails
         run = (allocation.task, allocation.run)
         self._work[allocation.runner][run] = (self._now, takes, saved)
-        self.cell.start_answered(allocation, StartReply.STARTED, self._now)
+        self.cell.handle_start_reply(allocation, StartReply.STARTED, self._now)
         self._later(takes, self._end, allocation, Outcome.FAILED if fails else Outcome.DONE)
 
     def _stop(self, allocation: Allocation) -> None:
-        self.cell.stop_answered(allocation, self._now)
+        self.cell.handle_stop_reply(allocation, self._now)
         self._end(allocation, Outcome.STOPPED)
 
     def _end(self, allocation: Allocation, outcome: Outcome) -> None:
@@ -586,7 +588,7 @@
             return
         job = self.cell.job_by_id[job_id]
         kind = self._kind_of(job_id)
-        took = (self._now - job.accepted) / self.cell.objective_of(job)
+        took = (self._now - job.accepted_at) / self.cell.objective_of(job)
         for tally in self._tallies(kind.queue.name, job.account):
             if job.state is JobState.COMPLETED and took <= 1:
                 tally.in_time += 1
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -1,4 +1,4 @@
-"""Stores what clients ask for: by the owner, by a peer, or by this host."""
+"""Stores clients' submissions and cancellations through the owner, a peer or this host."""
 
 from collections.abc import Awaitable, Callable, Iterator
 from dataclasses import dataclass, field
@@ -6,52 +6,52 @@
 
 from dandelionreel.cell.clients._client_call import (
     HTTP_UNAVAILABLE,
-    RETRY_AFTER,
-    STORE_CAUSE,
+    RETRY_AFTER_SECONDS,
+    STORE_UNAVAILABLE_CAUSE,
     ClientCall,
     refuse,
 )
 from dandelionreel.cell.clients._readiness import Rotation
 from dandelionreel.cell.clients._relay import Relay, Relayed
-from dandelionreel.cell.membership import ContactWatch
+from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.model import ClientCodec, KeyedRecord
 from dandelionreel.cell.owner import Dispatcher
-from dandelionreel.cell.store import Follower, GroupWriter, Written
+from dandelionreel.cell.store import Follower, GroupWriter, WriteOutcome
 from dandelionreel.http import Answer, answer_problem
 from dandelionreel.kernel import Clock, Problem, Verdict
 
-#: Seconds that an own append may take before a peer is asked to do it: more
-#: than a slow store needs, and a third of what a client waits.
-OWN_PATIENCE = 0.9
-#: Seconds after a failed append before a client's request is tried here again.
-PROBE_SECONDS = 0.4
-#: What is known is older than this: a peer may know more. Reads end at least
-#: twice a second, with the owner's heartbeats.
-CUT_OFF_AGE = 1.2
+#: Seconds for an append by this host before a peer is asked to do it: more than a slow store needs,
+#: and a third of the time that a client waits.
+APPEND_TIMEOUT_SECONDS = 0.9
+#: Seconds after a failed append before this host tries one for a client again.
+APPEND_RETRY_SECONDS = 0.4
+#: Age in seconds of the latest read above which a peer may know more. Reads complete at least twice
+#: a second, since the owner writes heartbeats.
+STALE_READ_SECONDS = 1.2
 HTTP_TIMEOUT = 504
-REFUSALS = frozenset((429, HTTP_UNAVAILABLE))
+RETRYABLE_STATUSES = frozenset((429, HTTP_UNAVAILABLE))
 
 
 @dataclass
 class _Progress:
-    """What trying to store something has come to so far."""
+    """The attempts so far to store a record."""
 
-    by: str = ''
-    #: Whether an append may have taken place.
-    maybe: bool = False
-    #: What each attempt came to, for the line of one that was not answered 2xx.
-    tried: list[str] = field(default_factory=list)
+    attempted_by: str = ''
+    #: Whether a record may have been appended although no attempt succeeded.
+    in_doubt: bool = False
+    #: The outcome of each attempt, for the log line of a call that was not answered 2xx.
+    outcomes: list[str] = field(default_factory=list)
 
 
 Attempt = Callable[[float, _Progress], Awaitable[Answer | None]]
-AtOwner = Callable[[Dispatcher, float], Awaitable[Written]]
+StoreAtOwner = Callable[[Dispatcher, float], Awaitable[WriteOutcome]]
 Forwarder = Callable[[ClientCall, float], Awaitable[Relayed]]
-#: Logs what became of a call, with further fields.
+#: Logs the outcome of a call, with further fields.
 LogOutcome = Callable[..., None]
 
 
 class ClientWrites:
-    """Stores records on behalf of clients, and says truly what became of them."""
+    """Stores records for clients; each answer says if one was stored, not stored or in doubt."""
 
     def __init__(
         self,
@@ -59,18 +59,18 @@
         follower: Follower,
         writer: GroupWriter,
         relay: Relay,
-        owned: Callable[[], Dispatcher | None],
-        contact: ContactWatch,
+        get_dispatcher: Callable[[], Dispatcher | None],
+        partition_detector: PartitionDetector,
         rotation: Rotation,
         clock: Clock,
     ) -> None:
-        """Write with ``writer`` where neither the owner nor a peer does."""
+        """Append with ``writer`` where neither the owner nor a peer does."""
         self._codec = codec
         self._follower = follower
         self._writer = writer
         self._relay = relay
-        self._owned = owned
-        self._contact = contact
+        self._get_dispatcher = get_dispatcher
+        self._partition_detector = partition_detector
         self._rotation = rotation
         self._clock = clock
 
@@ -78,129 +78,135 @@
         self,
         call: ClientCall,
         record: KeyedRecord,
-        at_owner: AtOwner,
+        store_at_owner: StoreAtOwner,
         log: LogOutcome,
         **fields: str,
     ) -> Answer:
-        """Have the owner store what a client asked for, else do it here or by a peer.
+        """Store a client's record through the owner, otherwise through this host or a peer.
 
-        Whoever was told "not accepted" may rely on it. So that is said only
-        when no append can have taken place, neither here nor at a peer.
+        A client may rely on the answer that its request was not accepted. So it is given only when
+        no append can have taken place, neither at this host nor at a peer.
         """
         began = self._clock.monotonic()
-        until = began + call.patience
+        deadline = began + call.timeout
         progress = _Progress()
-        for attempt in self._attempts(call, record, at_owner):
-            left = until - self._clock.monotonic()
-            if left <= 0 or await self._is_hopeless(progress):
+        for attempt in self._attempts(call, record, store_at_owner):
+            remaining = deadline - self._clock.monotonic()
+            if remaining <= 0 or await self._is_host_cut_off(progress):
                 break
-            answer = await attempt(left, progress)
-            if answer is not None and (answer.status not in REFUSALS or not progress.maybe):
+            answer = await attempt(remaining, progress)
+            if answer is not None and (
+                answer.status not in RETRYABLE_STATUSES or not progress.in_doubt
+            ):
                 log(
-                    f'{answer.status} by {progress.by}',
+                    f'{answer.status} by {progress.attempted_by}',
                     **fields,
                     seconds=round(self._clock.monotonic() - began, 3),
                 )
                 return answer
         log(
-            'may be stored' if progress.maybe else 'not stored',
+            'may be stored' if progress.in_doubt else 'not stored',
             **fields,
             seconds=round(self._clock.monotonic() - began, 3),
-            store_failing=round(max(0.0, until - self._writer.failing_since), 3),
-            tried=progress.tried,
+            store_failing=round(max(0.0, deadline - self._writer.failing_since), 3),
+            tried=progress.outcomes,
         )
         return self._answer_failed(progress)
 
-    async def _is_hopeless(self, progress: _Progress) -> bool:
-        """Return whether this host is cut off, so that nothing more is worth a try.
+    async def _is_host_cut_off(self, progress: _Progress) -> bool:
+        """Return whether this host is cut off, so that further attempts are pointless.
 
-        Its client's few retries are better spent on hosts of another zone.
+        The client's few retries are better spent on hosts of another zone.
         """
-        if self._contact.cut_off:
+        if self._partition_detector.cut_off:
             return True
-        return bool(progress.tried) and await self._contact.check()
+        return bool(progress.outcomes) and await self._partition_detector.check()
 
     def _answer_failed(self, progress: _Progress) -> Answer:
-        if progress.maybe:
+        if progress.in_doubt:
             detail = 'what was asked for may have been stored'
             return answer_problem(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
         detail = 'the store takes nothing just now; it was not accepted'
-        return refuse(STORE_CAUSE, detail, self._retry_after())
+        return refuse(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
 
     def _retry_after(self) -> float:
-        """Return the seconds after which another host is likely to take a request.
+        """Return the seconds after which another host is likely to accept a request.
 
-        Behind a cut that is when the balancer sends clients to other zones.
+        Inside a partition that is when the load balancer has moved clients to other zones.
         """
-        if not self._contact.cut_off:
-            return RETRY_AFTER
-        return max(RETRY_AFTER, self._rotation.seconds_left(self._clock.monotonic()))
+        if not self._partition_detector.cut_off:
+            return RETRY_AFTER_SECONDS
+        return max(RETRY_AFTER_SECONDS, self._rotation.seconds_left(self._clock.monotonic()))
 
     def _attempts(
         self,
         call: ClientCall,
         record: KeyedRecord,
-        at_owner: AtOwner,
+        store_at_owner: StoreAtOwner,
     ) -> Iterator[Attempt]:
-        """Return the ways to store something, the best one first."""
-        dispatcher = self._owned()
+        """Yield the ways to store a record, the best one first."""
+        dispatcher = self._get_dispatcher()
         if dispatcher is not None:
-            yield self._by_owner(dispatcher, at_owner)
+            yield self._by_owner(dispatcher, store_at_owner)
         elif not call.relayed:
             yield self._by_peer(call, self._relay.forward_to_owner)
-            yield self._by_peer(call, self._relay.forward_to_deputy)
-        cut_off = self._is_cut_off(self._clock.monotonic())
-        # Where a deputy answers, it is the one to write: a slow store has to take
-        # one append of a zone's hosts at a time, not one of each.
-        if not cut_off and (call.relayed or self._relay.find_deputy() is None):
+            yield self._by_peer(call, self._relay.forward_to_zone_writer)
+        store_unreachable = self._is_store_unreachable(self._clock.monotonic())
+        # If the zone's writer is reachable, only it appends: a slow store then gets one append at a
+        # time from the hosts of a zone, not one from each.
+        if not store_unreachable and (call.relayed or self._relay.find_zone_writer() is None):
             yield self._by_this_host(record)
-        if cut_off and not call.relayed:
+        if store_unreachable and not call.relayed:
             yield self._by_peer(call, self._relay.forward)
 
-    def _by_owner(self, dispatcher: Dispatcher, at_owner: AtOwner) -> Attempt:
-        async def by_owner(left: float, progress: _Progress) -> Answer | None:
-            progress.by = 'the owner'
+    def _by_owner(self, dispatcher: Dispatcher, store_at_owner: StoreAtOwner) -> Attempt:
+        async def by_owner(remaining: float, progress: _Progress) -> Answer | None:
+            progress.attempted_by = 'the owner'
             if dispatcher.store_is_failing:
-                progress.tried.append('the owner: its store is failing')
+                progress.outcomes.append('the owner: its store is failing')
                 return None
-            return self._judge(await at_owner(dispatcher, min(left, OWN_PATIENCE)), progress)
+            return self._note_outcome(
+                await store_at_owner(dispatcher, min(remaining, APPEND_TIMEOUT_SECONDS)), progress
+            )
 
         return by_owner
 
     def _by_this_host(self, record: KeyedRecord) -> Attempt:
-        async def by_this_host(left: float, progress: _Progress) -> Answer | None:
-            progress.by = 'this host'
-            outcome = await self._writer.write([record], min(left, OWN_PATIENCE))
-            return self._judge(outcome, progress)
+        async def by_this_host(remaining: float, progress: _Progress) -> Answer | None:
+            progress.attempted_by = 'this host'
+            outcome = await self._writer.write([record], min(remaining, APPEND_TIMEOUT_SECONDS))
+            return self._note_outcome(outcome, progress)
 
         return by_this_host
 
     def _by_peer(self, call: ClientCall, forward: Forwarder) -> Attempt:
-        async def by_peer(left: float, progress: _Progress) -> Answer | None:
-            progress.by = 'a peer'
-            passed = await forward(call, left)
-            progress.maybe = progress.maybe or passed.maybe
-            status: Any = passed.answer.status if passed.answer else 'none could act'
-            progress.tried.append(f'a peer: {"may have acted" if passed.maybe else status}')
-            return passed.answer
+        async def by_peer(remaining: float, progress: _Progress) -> Answer | None:
+            progress.attempted_by = 'a peer'
+            forwarded = await forward(call, remaining)
+            progress.in_doubt = progress.in_doubt or forwarded.in_doubt
+            status: Any = forwarded.answer.status if forwarded.answer else 'none could act'
+            progress.outcomes.append(
+                f'a peer: {"may have acted" if forwarded.in_doubt else status}'
+            )
+            return forwarded.answer
 
         return by_peer
 
-    def _judge(self, outcome: Written, progress: _Progress) -> Answer | None:
-        """Return the answer to something that was stored, and note what is in doubt."""
-        if outcome is Written.STORED:
+    def _note_outcome(self, outcome: WriteOutcome, progress: _Progress) -> Answer | None:
+        """Return the answer if the record was stored, else record the outcome."""
+        if outcome is WriteOutcome.STORED:
             return self._codec.answer_accepted()
-        progress.maybe = progress.maybe or outcome is not Written.REFUSED
-        progress.tried.append(f'{progress.by}: {outcome.value}')
+        progress.in_doubt = progress.in_doubt or outcome is not WriteOutcome.REFUSED
+        progress.outcomes.append(f'{progress.attempted_by}: {outcome.value}')
         return None
 
-    def _is_cut_off(self, now: float) -> bool:
+    def _is_store_unreachable(self, now: float) -> bool:
         """Return whether the store is known not to serve this host.
 
-        Trying again for each client would hold all of them up; one try in
-        ``PROBE_SECONDS``, and the reads, find out when the store is back.
+        An attempt for each client would delay all of them. One attempt every
+        ``APPEND_RETRY_SECONDS``, and the reads, detect when the store is back.
         """
-        if self._follower.age(now) > CUT_OFF_AGE:
+        if self._follower.age(now) > STALE_READ_SECONDS:
             return True
         writer = self._writer
-        return writer.in_trouble(now) and now - writer.failed_at < PROBE_SECONDS
+        return writer.store_is_failing(now) and now - writer.failed_at < APPEND_RETRY_SECONDS
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -1,9 +1,10 @@
-"""Answers for jobs inside a partitioned availability zone, by what its runners list.
+"""Reads of job states inside a partitioned availability zone, by what its runners list.
 
-Load pattern: a zone is cut off with its hosts, its runners and its clients, whose jobs end at
-runners next door. Hosts of the zone poll these runners without renewing leases or acknowledging
-ends, and tell clients which jobs are complete. The owner outside lets no lease there expire before
-these hosts have told it which. Model: ``spec/behind_a_cut.py``.
+Load pattern: a zone is cut off with its hosts, runners and clients, and the clients' jobs end on
+runners of the same zone. Hosts of the zone poll these runners without renewing leases or
+acknowledging ended runs, and tell clients which jobs are complete. The owner outside lets no lease
+in that zone expire before these hosts have told it which jobs are complete. Model:
+``spec/behind_a_cut.py``.
 """
 
 from collections.abc import Callable
@@ -11,7 +12,7 @@
 import curio
 
 from dandelionreel.cell.decisions import ANY_RUNNER, is_complete
-from dandelionreel.cell.membership import Completions, ContactWatch, PeerLinks, rank_hosts
+from dandelionreel.cell.membership import Completions, PartitionDetector, PeerLinks, rank_hosts
 from dandelionreel.cell.model import (
     EndedRun,
     Registration,
@@ -20,51 +21,51 @@
     RunnerFenced,
     RunnerReplaced,
 )
-from dandelionreel.cell.store import JobBook, RunnersFolder
+from dandelionreel.cell.store import CellState, RunnerProjection
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import CompletionsSeen, Done, PeerError
 
-#: Seconds for which what a runner has listed is good enough for the next question.
-VIEW_SECONDS = 0.2
-#: Seconds for the answer of a host of the same zone, and how many of them are told.
-ANSWER_SECONDS = 0.2
-PEERS_TOLD = 3
+#: Seconds for which a runner's view is reused for further requests.
+VIEW_CACHE_SECONDS = 0.2
+#: Seconds for the reply of a host of the same zone, and how many of them are tried.
+ANSWER_TIMEOUT = 0.2
+MAX_PEERS_TOLD = 3
 
 MakeRunner = Callable[[Registration], Runner]
 
 
 class _CachedView:
-    """The latest look at one runner."""
+    """The latest view of one runner."""
 
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
         self.lock = curio.Lock()
-        self.at = float('-inf')
+        self.polled_at = float('-inf')
         self.ended: tuple[EndedRun, ...] = ()
 
 
 class PartitionReads:
-    """Answers for jobs of a zone that is cut off."""
+    """Tells which jobs are complete while this host's zone is cut off."""
 
     def __init__(
         self,
         me: str,
         zone: str,
-        book: JobBook,
-        runners: RunnersFolder,
-        contact: ContactWatch,
+        book: CellState,
+        runners: RunnerProjection,
+        partition_detector: PartitionDetector,
         completions: Completions,
         links: PeerLinks,
         make_runner: MakeRunner,
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Look for ``me`` at the runners of ``zone``."""
+        """Poll the runners of ``zone`` for the host ``me``."""
         self._me = me
         self._zone = zone
         self._book = book
         self._runners = runners
-        self._contact = contact
+        self._partition_detector = partition_detector
         self._completions = completions
         self._links = links
         self._make_runner = make_runner
@@ -73,19 +74,22 @@
         self._view_by_runner: dict[str, _CachedView] = {}
 
     async def is_complete(self, job: str) -> bool:
-        """Return whether this host may tell that a job is complete, by its zone's runners."""
-        questions = self._completions.questions
-        if not self._contact.may_serve_reads or not await self._is_listed_done(job):
+        """Return whether the zone's runners list a job as done and clients may be told so."""
+        queries_before = self._completions.query_count
+        if not self._partition_detector.may_serve_reads or not await self._is_done_at_runners(job):
             return False
-        if not await self._tell_zone(job):
+        if not await self._replicate_to_zone(job):
             return False
-        # The owner has asked meanwhile, and does not know of this job.
-        if questions != self._completions.questions or not self._contact.may_serve_reads:
+        # If the owner has queried this host meanwhile, its reply did not contain this job.
+        if (
+            queries_before != self._completions.query_count
+            or not self._partition_detector.may_serve_reads
+        ):
             return False
-        self._completions.note_seen([job])
+        self._completions.note_zone_completions([job])
         self._journal.tell_frequent(
             Part.JOBS,
-            'shown as complete behind a cut.',
+            'shown as complete inside a partition.',
             jobs=[job],
             count=1,
             epoch=self._epoch(),
@@ -93,12 +97,12 @@
         return True
 
     async def close(self) -> None:
-        """Give up the ways to runners."""
-        for look in self._view_by_runner.values():
-            await look.runner.close()
+        """Close the connections to runners."""
+        for cached in self._view_by_runner.values():
+            await cached.runner.close()
         self._view_by_runner.clear()
 
-    async def _is_listed_done(self, job: str) -> bool:
+    async def _is_done_at_runners(self, job: str) -> bool:
         booked = self._book.find(job)
         if booked is None or booked.submission is None or booked.progress is None:
             return False
@@ -106,44 +110,47 @@
             return False
         ended: list[EndedRun] = []
         for registration in self._runners_of(booked.progress.runners):
-            ended.extend(await self._ends_at(registration))
-        mine = [end for end in ended if end.task.job == job]
-        return is_complete(job, booked.submission.spec, booked.progress, mine)
+            ended.extend(await self._ended_runs_at(registration))
+        job_ends = [end for end in ended if end.task.job == job]
+        return is_complete(job, booked.submission.spec, booked.progress, job_ends)
 
     def _runners_of(self, names: tuple[str, ...]) -> list[Registration]:
-        """Return the runners of this zone that a job may have run on."""
+        """Return the runners of this zone on which a job may have run, from ``names``."""
         return [
             registration
             for runner, registration in self._runners.registration_by_id.items()
             if registration.zone == self._zone and (runner in names or ANY_RUNNER in names)
         ]
 
-    async def _ends_at(self, registration: Registration) -> tuple[EndedRun, ...]:
-        look = self._view_by_runner.get(registration.runner)
-        if look is None:
-            look = _CachedView(self._make_runner(registration))
-            self._view_by_runner[registration.runner] = look
-        async with look.lock:
-            if self._clock.monotonic() - look.at >= VIEW_SECONDS:
-                look.ended = await self._poll_once(look.runner)
-                look.at = self._clock.monotonic()
-        return look.ended
+    async def _ended_runs_at(self, registration: Registration) -> tuple[EndedRun, ...]:
+        cached = self._view_by_runner.get(registration.runner)
+        if cached is None:
+            cached = _CachedView(self._make_runner(registration))
+            self._view_by_runner[registration.runner] = cached
+        async with cached.lock:
+            if self._clock.monotonic() - cached.polled_at >= VIEW_CACHE_SECONDS:
+                cached.ended = await self._poll_once(cached.runner)
+                cached.polled_at = self._clock.monotonic()
+        return cached.ended
 
     async def _poll_once(self, runner: Runner) -> tuple[EndedRun, ...]:
-        """Return the ends that a runner lists; nothing is renewed nor acknowledged there."""
+        """Return the ended runs of a runner without renewing leases or acknowledging ends."""
         try:
             view = await runner.poll(self._epoch(), 0, None, 0)
         except (RunnerError, RunnerFenced, RunnerReplaced):
-            # It is away, its next life knows nothing, or a later owner reaches it.
+            # The runner does not answer, was restarted, or has seen a later owner.
             return ()
         return view.ended
 
-    async def _tell_zone(self, job: str) -> bool:
-        """Tell hosts of this zone; return whether one of them has taken the word."""
-        for host in self._zone_hosts()[:PEERS_TOLD]:
+    async def _replicate_to_zone(self, job: str) -> bool:
+        """Tell other hosts of this zone that a job is complete, until one accepts it.
+
+        Return whether one has.
+        """
+        for host in self._zone_hosts()[:MAX_PEERS_TOLD]:
             member = self._book.member_by_host[host]
             try:
-                frame = await self._links.ask(member, CompletionsSeen((job,)), ANSWER_SECONDS)
+                frame = await self._links.ask(member, CompletionsSeen((job,)), ANSWER_TIMEOUT)
             except PeerError:
                 continue
             if isinstance(frame.message, Done):
--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -91,7 +91,7 @@
     def _steps_without_runner(self, listed: dict[str, Registration]) -> list[Step]:
         """Return steps that no active runner can take, one for each label and rack."""
         step_by_need: dict[tuple[str, str], Step] = {}
-        for job in self._cell.live_by_id.values():
+        for job in self._cell.unfinished_job_by_id.values():
             for step in job.spec.steps:
                 if step.required_label or step.data_rack:
                     step_by_need[step.required_label, step.data_rack] = step
@@ -107,9 +107,9 @@
 
     def _is_idle(self, state: RunnerState) -> bool:
         """Return whether a runner holds no runs and has discarded every end that it listed."""
-        if state.id in self._cell.unseen or state.allocation_by_run:
+        if state.id in self._cell.unseen_runners or state.allocation_by_run:
             return False
-        return state.noted == state.confirmed
+        return state.processed_end == state.confirmed_end
 
 
 def _accepts_starts(registration: Registration) -> bool:
--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -71,7 +71,7 @@
             return []
         demand = counted_demand(step)
         slots_and_runners = [
-            (count_slots(demand, runner.room), runner)
+            (count_slots(demand, runner.free_capacity), runner)
             for runner in runners
             if runner.id not in tickets.asked
         ]
@@ -100,7 +100,7 @@
         chosen = []
         slots_found = 0
         for runner in sorted(runners, key=partial(_is_elsewhere, zone)):
-            slots = count_slots(demand, runner.room, limit)
+            slots = count_slots(demand, runner.free_capacity, limit)
             if runner.id in tickets.allowed and slots and slots_found < step.waiting:
                 chosen.append(runner)
                 slots_found += slots
@@ -205,4 +205,4 @@
 
 
 def _expected_seconds(advice: AdvicePolicy, runners: int) -> float:
-    return advice.decision + advice.per_runner * runners
+    return advice.decision_seconds + advice.seconds_per_runner * runners
--- a/dandelionreel/cell/decisions/_allocation_table.py
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -3,11 +3,11 @@
 Every change to an allocation goes through this module.
 """
 
-from dandelionreel.cell.decisions._job_runs import JobRuns
-from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState
+from dandelionreel.cell.decisions._job_runs import AllocationIndex
+from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, TaskRun
-from dandelionreel.cell.decisions._stops import Stops
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun
+from dandelionreel.cell.decisions._stops import StopQueue
 from dandelionreel.cell.model import TaskName
 
 
@@ -18,14 +18,14 @@
         """Start without jobs and runners."""
         self.job_by_id: dict[str, JobRun] = {}
         #: Jobs that may still have tasks to start.
-        self.live_by_id: dict[str, JobRun] = {}
+        self.unfinished_job_by_id: dict[str, JobRun] = {}
         self.runner_by_id: dict[str, RunnerState] = {}
         #: Ids of jobs whose progress may have to be written to the store.
         self.dirty: set[str] = set()
-        self._runs = JobRuns()
+        self._runs = AllocationIndex()
         #: Total demand of the runs of each client account.
         self.usage = self._runs.usage
-        self._stops = Stops()
+        self._stops = StopQueue()
 
     def hold(self, runner: RunnerState, allocation: Allocation) -> None:
         """Add an allocation to its runner and its job."""
@@ -36,18 +36,18 @@
         self._runs.free(runner, allocation)
         job = self.job_by_id.get(allocation.task.job)
         if job is not None:
-            job.note_run_over(allocation.task, allocation.run)
+            job.note_run_ended(allocation.task, allocation.run)
             self.dirty.add(job.id)
         return job
 
     def drop_lost(self, runner: RunnerState, allocation: Allocation) -> None:
         """Remove a run that is known to be gone but whose end was never listed."""
         job = self.free(runner, allocation)
-        found = None if job is None else job.find(allocation.task)
+        found = None if job is None else job.find_task(allocation.task)
         if found is None:
             return
         step, task = found
-        if allocation.checkpoint and task.phase is not Phase.DONE:
+        if allocation.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = allocation.checkpoint
         if not is_current(task, allocation.runner, allocation.run):
             return
@@ -63,7 +63,7 @@
     def find(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
         """Return a task with its step, ``None`` if the task is unknown."""
         job = self.job_by_id.get(name.job)
-        return None if job is None else job.find(name)
+        return None if job is None else job.find_task(name)
 
     def find_allocation(self, task: TaskRun) -> Allocation | None:
         """Return the allocation of a placed task, ``None`` if there is none."""
@@ -79,18 +79,18 @@
 
     def confirm_start(self, allocation: Allocation, now: float) -> None:
         """Note that the runner has confirmed a start."""
-        if allocation.phase is not Holding.STARTING:
+        if allocation.phase is not AllocationPhase.STARTING:
             return
-        allocation.phase = Holding.RUNNING
+        allocation.phase = AllocationPhase.RUNNING
         allocation.started_at = now
-        allocation.settled_at = now
-        self.note_began(allocation.task.job)
+        allocation.order_answered_at = now
+        self.mark_started(allocation.task.job)
 
-    def note_began(self, job_id: str) -> None:
+    def mark_started(self, job_id: str) -> None:
         """Note that the first task of a job has started."""
         job = self.job_by_id.get(job_id)
-        if job is not None and not job.began:
-            job.note_began()
+        if job is not None and not job.has_started:
+            job.mark_started()
             self.dirty.add(job.id)
 
     def stop(self, allocation: Allocation) -> None:
@@ -104,7 +104,7 @@
     def stop_members(self, step: StepRun) -> None:
         """Stop all placed members of a gang."""
         for task in step.tasks:
-            allocation = self.find_allocation(task) if task.phase is Phase.PLACED else None
+            allocation = self.find_allocation(task) if task.phase is TaskPhase.PLACED else None
             if allocation is not None:
                 self.stop(allocation)
 
@@ -124,4 +124,4 @@
 
 def is_current(task: TaskRun, runner: str, run: int) -> bool:
     """Return whether a run is the current run of its task."""
-    return task.phase is Phase.PLACED and task.runner == runner and task.run == run
+    return task.phase is TaskPhase.PLACED and task.runner == runner and task.run == run
--- a/dandelionreel/cell/decisions/_objectives.py
+++ b/dandelionreel/cell/decisions/_objectives.py
@@ -22,7 +22,10 @@
     """
     advice_seconds = 0.0
     if queue is not None and queue.advice is not None:
-        advice_seconds = queue.advice.decision + TYPICAL_REQUEST_RUNNERS * queue.advice.per_runner
+        advice_seconds = (
+            queue.advice.decision_seconds
+            + TYPICAL_REQUEST_RUNNERS * queue.advice.seconds_per_runner
+        )
     path_seconds = critical_path_seconds(
         spec, [step.estimate * _count_waves(step, quota) + advice_seconds for step in spec.steps]
     )
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -26,7 +26,7 @@
     has_required_label,
 )
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, counted_demand
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, counted_demand
 from dandelionreel.cell.decisions._waiting import (
     TOO_LATE,
     Candidate,
@@ -221,7 +221,7 @@
         count = 0
         for runner, _ in ticketed:
             if state.reservations.may_start(runner.id, candidate.rank, ends_by):
-                count += count_slots(demand, runner.room, step.step.max_per_runner)
+                count += count_slots(demand, runner.free_capacity, step.step.max_per_runner)
         return count >= step.waiting
 
     def _runners_with_tickets(
@@ -284,11 +284,11 @@
         ticketed = [
             entry
             for entry in ticketed
-            if demand.fits(entry[0].room)
+            if demand.fits(entry[0].free_capacity)
             and state.reservations.may_start(entry[0].id, candidate.rank, ends_by)
         ]
         for task in step.tasks if ticketed else ():
-            if task.phase is not Phase.WAITING:
+            if task.phase is not TaskPhase.WAITING:
                 continue
             if not allowed or state.starts_left <= 0:
                 return True
@@ -431,7 +431,7 @@
 
 def _free_cpu(runners: dict[str, RunnerState]) -> float:
     """Return the free CPU; an overcommitted runner counts as zero."""
-    return sum(max(0, runner.room.cpu) for runner in runners.values())
+    return sum(max(0, runner.free_capacity.cpu) for runner in runners.values())
 
 
 def _may_request(queue: Queue, state: _PlanState) -> bool:
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -11,7 +11,12 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import Allocation, Holding, RunnerState, expected_end
+from dandelionreel.cell.decisions._ledger import (
+    Allocation,
+    AllocationPhase,
+    RunnerState,
+    expected_end,
+)
 from dandelionreel.cell.decisions._reservations import count_slots
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import Queue
@@ -92,14 +97,14 @@
         """Return the runs to stop for each slot that a runner can offer."""
         demand = counted_demand(step)
         limit = step.step.max_per_runner
-        free = runner.room
+        free = runner.free_capacity
         for allocation in runner.allocation_by_run.values():
-            if allocation.phase is Holding.STOPPING:
+            if allocation.phase is AllocationPhase.STOPPING:
                 free += allocation.demand
         slots: list[list[Allocation]] = [[] for _ in range(count_slots(demand, free, limit))]
         pending: list[Allocation] = []
         for victim in self._find_victims(queue, runner, now):
-            if victim.phase is Holding.STOPPING:
+            if victim.phase is AllocationPhase.STOPPING:
                 continue
             free += victim.demand
             pending.append(victim)
@@ -124,7 +129,7 @@
 
     def _may_preempt(self, allocation: Allocation, queue: Queue, now: float) -> bool:
         job = self._cell.job_by_id.get(allocation.task.job)
-        if job is None or allocation.phase is not Holding.RUNNING:
+        if job is None or allocation.phase is not AllocationPhase.RUNNING:
             return False
         queue_of_job = self._cell.queue_of(job)
         step = job.find_step(allocation.task)
@@ -135,7 +140,7 @@
         if spec.gang or spec.long_running or not spec.checkpointing:
             return False
         end = expected_end(allocation, now)
-        in_time = end + OBJECTIVE_MARGIN_SECONDS < job.accepted + self._cell.objective_of(job)
+        in_time = end + OBJECTIVE_MARGIN_SECONDS < job.accepted_at + self._cell.objective_of(job)
         return in_time and end > now + STOP_LATENCY_SECONDS
 
 
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -92,8 +92,8 @@
         count = self._count(candidate, quota)
         if step.step.gang:
             count = self._count_gang(candidate, quota, count)
-        if not count and job.held_by != HELD_BY_QUOTA:
-            job.held_by = HELD_BY_QUOTA
+        if not count and job.hold_reason != HELD_BY_QUOTA:
+            job.hold_reason = HELD_BY_QUOTA
             self.newly_blocked.append(job)
         return count
 
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -97,9 +97,9 @@
     def _count_unseen(self, wall: float) -> None:
         """Count the remaining demand of jobs that may run unseen, capped by runner capacity."""
         runners_by_account: dict[str, set[str]] = {}
-        for job in self._allocations.live_by_id.values():
+        for job in self._allocations.unfinished_job_by_id.values():
             runners = self._unseen_runners(job)
-            if not job.account or not runners or job.over:
+            if not job.account or not runners or job.is_over:
                 continue
             runners_by_account.setdefault(job.account, set()).update(runners)
             held = self._capacity(runners)
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -181,7 +181,7 @@
 ) -> list[tuple[float, int]]:
     """Return the times at which slots on a runner come free, and how many each time."""
     slot_gains = []
-    free = runner.room
+    free = runner.free_capacity
     slots = count_slots(demand, free, limit)
     if slots:
         slot_gains.append((now, slots))
--- a/dandelionreel/cell/decisions/_runner_choice.py
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -38,7 +38,9 @@
     limit = step.step.max_per_runner
     rack = step.step.data_rack
     for runner, ticket in ticketed:
-        if not demand.fits(runner.room) or not runner.takes(quarantined=task.quarantined):
+        if not demand.fits(runner.free_capacity) or not runner.accepts(
+            quarantined=task.quarantined
+        ):
             continue
         if limit and runner.count_step(step.name) >= limit:
             continue
@@ -57,7 +59,7 @@
 def _remaining_share(demand: Demand, runner: RunnerState) -> float:
     """Return the free share of a runner with the task placed, CPU plus memory."""
     capacity = runner.registration.capacity
-    room = runner.room
+    room = runner.free_capacity
     return (room.cpu - demand.cpu) / max(1, capacity.cpu) + (
         room.memory_mb - demand.memory_mb
     ) / max(1, capacity.memory_mb)
@@ -94,9 +96,9 @@
     # Best fit: free capacity stays concentrated on few runners.
     fullest_first = sorted(available, key=lambda entry: _remaining_share(demand, entry[0]))
     for runner, ticket in fullest_first:
-        if not runner.takes(quarantined=quarantined):
+        if not runner.accepts(quarantined=quarantined):
             continue
-        slots = count_slots(demand, runner.room, limit)
+        slots = count_slots(demand, runner.free_capacity, limit)
         if limit:
             slots = min(slots, limit - runner.count_step(step.name))
         assigned.extend([(runner, ticket)] * min(slots, needed - len(assigned)))
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -1,14 +1,14 @@
-"""What a poll at a runner changes: runs that are at work, ends, and runs that are gone. No I/O."""
+"""Applies the answers to runner polls: running, ended and missing runs. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from dandelionreel.cell.decisions._allocation_table import AllocationTable, is_current
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._ledger import NEVER, Allocation, Holding, RunnerState
-from dandelionreel.cell.decisions._losses import Losses
+from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
+from dandelionreel.cell.decisions._losses import RunnerLosses
 from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, TaskRun, counted_demand
+from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun, counted_demand
 from dandelionreel.cell.model import (
     Demand,
     EndedRun,
@@ -23,7 +23,11 @@
 
 @dataclass
 class PollEffect:
-    """What a poll at a runner has changed."""
+    """Changes made by a poll answer.
+
+    ``ended`` has the allocation of each ended run, if there was one. ``adopted`` counts the runs
+    taken over from earlier owners.
+    """
 
     ended: list[tuple[EndedRun, Allocation | None]] = field(default_factory=list)
     adopted: int = 0
@@ -31,99 +35,105 @@
     crashes: list[Crash] = field(default_factory=list)
 
     @property
-    def is_news(self) -> bool:
-        """Return whether something may start or has to stop because of it; most polls only renew
-        leases.
+    def has_changes(self) -> bool:
+        """Return whether runs may start or must stop because of it.
+
+        Most polls only renew leases.
         """
         return bool(self.ended or self.adopted or self.lost or self.crashes)
 
 
-class RunnerViews:
-    """Takes what runners list."""
+class RunnerViewHandler:
+    """Updates jobs and allocations from the poll answers of runners."""
 
     def __init__(
         self,
         allocations: AllocationTable,
-        losses: Losses,
+        losses: RunnerLosses,
         unreadable_jobs: set[str],
         queue_of: Callable[[JobRun], Queue | None],
     ) -> None:
-        """Change ``holdings``; others keep ``unreadable_jobs``."""
+        """Update ``allocations``; the caller maintains ``unreadable_jobs``."""
         self._allocations = allocations
         self._losses = losses
         self._unreadable_jobs = unreadable_jobs
         self._queue_of = queue_of
 
-    def take(self, runner: RunnerState, view: RunnerView, asked: float, now: float) -> PollEffect:
-        """Take all that a runner lists; ``asked`` is when the look was sent."""
+    def apply(
+        self, runner: RunnerState, view: RunnerView, polled_at: float, now: float
+    ) -> PollEffect:
+        """Apply a poll answer; ``polled_at`` is when the poll was sent."""
         effect = PollEffect()
         if runner.answered_at == NEVER or runner.suspect:
             effect.crashes = self._losses.note_answer(runner)
         runner.note_clock(view.clock, now)
         runner.answered_at = now
         runner.suspect = False
-        runner.missed = False
+        runner.missed_last_poll = False
         runner.readable_through = view.readable_through
         for ended in view.ended:
-            if ended.number <= runner.noted:
+            if ended.number <= runner.processed_end:
                 continue
-            runner.noted = ended.number
+            runner.processed_end = ended.number
             if ended.task.job in self._unreadable_jobs:
-                runner.keep_end(ended.number)
-            effect.ended.append((ended, self._take_end(runner, ended)))
-        listed = set()
+                runner.retain_end(ended.number)
+            effect.ended.append((ended, self._apply_end(runner, ended)))
+        listed_runs = set()
         for running in view.running:
-            listed.add((running.task, running.run))
-            effect.adopted += self._take_running(runner, running, asked, now)
+            listed_runs.add((running.task, running.run))
+            effect.adopted += self._apply_running(runner, running, polled_at, now)
         if view.complete:
-            self._lose_unlisted(runner, listed, asked, effect)
+            self._drop_unlisted(runner, listed_runs, polled_at, effect)
         return effect
 
-    def _lose_unlisted(
+    def _drop_unlisted(
         self,
         runner: RunnerState,
-        listed: set[tuple[TaskName, int]],
-        asked: float,
+        listed_runs: set[tuple[TaskName, int]],
+        polled_at: float,
         effect: PollEffect,
     ) -> None:
-        """Drop what a complete view does not list.
+        """Drop allocations that a complete view does not list.
 
-        In any other, a run that is not listed may be among the ends that are not, or its
-        row may not be readable: taken for gone, its task would start again.
+        In an incomplete view, a missing run may be among the ends that are not listed, or its row
+        may be unreadable. If it were dropped, its task would be started again.
         """
         for allocation in tuple(runner.allocation_by_run.values()):
-            if (allocation.task, allocation.run) in listed or allocation.settled_at is None:
+            if (
+                allocation.task,
+                allocation.run,
+            ) in listed_runs or allocation.order_answered_at is None:
                 continue
-            # A poll that was under way when the order was answered may have
-            # been listed before the order took effect.
-            if asked > allocation.settled_at:
+            # The answer to a poll that was in flight when the start or stop was answered may
+            # show the state before it took effect.
+            if polled_at > allocation.order_answered_at:
                 effect.lost.append(allocation)
                 self._allocations.drop_lost(runner, allocation)
 
-    def _take_end(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
+    def _apply_end(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
         allocations = self._allocations
         allocation = runner.allocation_by_run.get((ended.task, ended.run))
         job = allocations.job_by_id.get(ended.task.job)
         if allocation is not None:
             allocations.free(runner, allocation)
-        found = None if job is None else job.find(ended.task)
+        found = None if job is None else job.find_task(ended.task)
         if job is None or found is None:
             return allocation
         step, task = found
-        if ended.checkpoint and task.phase is not Phase.DONE:
+        if ended.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = ended.checkpoint
         if ended.outcome is Outcome.DONE and not step.step.long_running:
-            self._take_done(job, step, ended)
+            self._apply_done(job, step, ended)
             return allocation
         if ended.outcome is Outcome.FAILED:
-            self._take_failed(job, task, runner, ended)
+            self._apply_failure(job, task, runner, ended)
         if is_current(task, runner.id, ended.run):
             step.release(task)
             if step.step.gang:
                 allocations.stop_members(step)
         return allocation
 
-    def _take_failed(
+    def _apply_failure(
         self,
         job: JobRun,
         task: TaskRun,
@@ -137,23 +147,25 @@
         if job.state is JobState.FAILED:
             self._allocations.stop_job(job.id)
 
-    def _take_done(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
+    def _apply_done(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
         allocations = self._allocations
         members = step.tasks if step.step.gang else [step.tasks[ended.task.index]]
         for member in members:
-            current = allocations.find_allocation(member) if member.phase is Phase.PLACED else None
-            # Members of the gang that is done end by themselves; a later run
-            # of the same task must not go on.
+            current = (
+                allocations.find_allocation(member) if member.phase is TaskPhase.PLACED else None
+            )
+            # Members of the successful gang run end by themselves; a later run of the same task
+            # must be stopped.
             if current is not None and current.run != ended.run:
                 allocations.stop(current)
         job.note_done(ended.task)
         allocations.dirty.add(job.id)
 
-    def _take_running(
+    def _apply_running(
         self,
         runner: RunnerState,
         running: RunningTask,
-        asked: float,
+        polled_at: float,
         now: float,
     ) -> int:
         allocation = runner.allocation_by_run.get((running.task, running.run))
@@ -164,25 +176,25 @@
         allocation.gauge = running.gauge
         allocation.checkpoint = running.checkpoint or allocation.checkpoint
         self._allocations.confirm_start(allocation, now)
-        self._allocations.repeat_stop(allocation, asked)
+        self._allocations.repeat_stop(allocation, polled_at)
         return 0
 
     def _adopt(self, runner: RunnerState, running: RunningTask, now: float) -> None:
-        """Count a run that an earlier owner started, and keep it if it is wanted."""
+        """Allocate a run that an earlier owner started; stop it if it is not wanted."""
         allocations = self._allocations
         job = allocations.job_by_id.get(running.task.job)
-        found = None if job is None else job.find(running.task)
+        found = None if job is None else job.find_task(running.task)
         account = '' if job is None else job.account
-        allocation = _make_adopted(runner, running, now, found, account)
+        allocation = _make_adopted_allocation(runner, running, now, found, account)
         allocations.hold(runner, allocation)
         if job is None or found is None:
             allocations.stop(allocation)
             return
         step, task = found
-        if job.over or task.phase is Phase.DONE:
+        if job.is_over or task.phase is TaskPhase.DONE:
             allocations.stop(allocation)
             return
-        if task.phase is Phase.PLACED:
+        if task.phase is TaskPhase.PLACED:
             if task.run > running.run:
                 allocations.stop(allocation)
                 return
@@ -191,10 +203,10 @@
             if current is not None:
                 allocations.stop(current)
         step.place(task, runner.id, running.run)
-        allocations.note_began(job.id)
+        allocations.mark_started(job.id)
 
 
-def _make_adopted(
+def _make_adopted_allocation(
     runner: RunnerState,
     running: RunningTask,
     now: float,
@@ -207,13 +219,13 @@
         runner.id,
         Demand() if found is None else counted_demand(found[0]),
         now,
-        phase=Holding.RUNNING,
+        phase=AllocationPhase.RUNNING,
         started_at=now,
-        settled_at=now,
+        order_answered_at=now,
         percent=running.percent,
         gauge=running.gauge,
         checkpoint=running.checkpoint,
         expected=0.0 if found is None else found[0].step.estimate,
-        known=found is not None,
+        demand_known=found is not None,
         account=account,
     )
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -60,10 +60,10 @@
     def rank(self, inputs: RankInputs) -> Rank:
         """Return the rank of a step."""
         job = inputs.job
-        may_defer = inputs.now - job.accepted < MAX_DEFERRAL_SECONDS
+        may_defer = inputs.now - job.accepted_at < MAX_DEFERRAL_SECONDS
         return Rank(
             may_defer and inputs.lateness == TOO_LATE,
-            may_defer and job.beyond_rate,
+            may_defer and job.exceeds_account_rate,
             inputs.priority,
             inputs.lateness if may_defer else 0,
             inputs.deadline,
@@ -80,9 +80,9 @@
 ) -> list[Candidate]:
     """Return the steps that are ready to start, the most urgent first."""
     candidates = []
-    cell.drop_over(wall)
-    for job in cell.live_by_id.values():
-        if job.over or cell.is_blocked(job):
+    cell.drop_finished_jobs(wall)
+    for job in cell.unfinished_job_by_id.values():
+        if job.is_over or cell.is_blocked(job):
             continue
         queue = cell.queue_of(job)
         priority = queue.priority if queue else 0
@@ -90,8 +90,8 @@
         for step in job.ready_steps(wall):
             if now < step.not_before:
                 continue
-            lateness = _lateness(now + step.step.estimate, job.accepted, objective)
-            inputs = RankInputs(job, step, priority, lateness, job.accepted + objective, now)
+            lateness = _lateness(now + step.step.estimate, job.accepted_at, objective)
+            inputs = RankInputs(job, step, priority, lateness, job.accepted_at + objective, now)
             candidates.append(Candidate(job, step, queue, lateness, make_rank(inputs)))
     candidates.sort(key=_rank)
     return candidates
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -1,10 +1,10 @@
-"""The hosts of a cell: who owns it, who can reach whom, what peers tell each other."""
+"""Cell membership: owner election, partition detection and exchanges between peers."""
 
 from dandelionreel.cell.membership._advisors import AdvicePool, LocalAdvisor, PeerLinks
 from dandelionreel.cell.membership._claim_order import (
     SUCCESSORS,
-    find_deputy,
-    keeps_runners,
+    find_zone_writer,
+    follows_runner_list,
     larger_hosts,
     rank_hosts,
 )
@@ -12,36 +12,36 @@
 from dandelionreel.cell.membership._completion_reports import CompletionReports
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._configuration_exchange import ConfigurationExchange
-from dandelionreel.cell.membership._contact_watch import ContactWatch
 from dandelionreel.cell.membership._election import (
-    ASK_SECONDS,
     AUTHORITY_SECONDS,
-    BEAT_SECONDS,
+    HEARTBEAT_SECONDS,
+    OWNER_QUERY_TIMEOUT,
     Election,
     Term,
-    name_incarnation,
+    make_incarnation_id,
 )
 from dandelionreel.cell.membership._owner_watch import OwnerWatch
+from dandelionreel.cell.membership._partition_detector import PartitionDetector
 
 __all__ = (
-    'ASK_SECONDS',
+    'OWNER_QUERY_TIMEOUT',
     'AUTHORITY_SECONDS',
     'AdvicePool',
-    'BEAT_SECONDS',
+    'HEARTBEAT_SECONDS',
     'CompletionAnswers',
     'CompletionReports',
     'Completions',
     'ConfigurationExchange',
-    'ContactWatch',
+    'PartitionDetector',
     'Election',
     'LocalAdvisor',
     'OwnerWatch',
     'PeerLinks',
     'SUCCESSORS',
     'Term',
-    'find_deputy',
-    'keeps_runners',
+    'find_zone_writer',
+    'follows_runner_list',
     'larger_hosts',
-    'name_incarnation',
+    'make_incarnation_id',
     'rank_hosts',
 )
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -1,7 +1,7 @@
-"""Group commit: everything that waits goes into one append, the newest of each key.
+"""Group commit: all waiting records go into one append, only the newest of each key.
 
-Load pattern: the tasks of a job end within milliseconds of each other, and each end is a newer
-record of the same job. Only the last of those that wait is appended.
+Load pattern: the tasks of a job end within milliseconds of each other, and each end leads to a
+newer record of the same job. Only the newest waiting one is appended.
 """
 
 import enum
@@ -21,36 +21,35 @@
 )
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 
-#: Records of one append: keeps a backlog's append within a few milliseconds.
-RECORDS_PER_APPEND = 200
-#: Bytes of one append, well below what the store takes at once.
-BYTES_PER_APPEND = 1_000_000
-#: Bounds in seconds for an append's answer. The wait follows what was measured and doubles with
-#: each miss, so that a slow store is not taken for a silent one.
-SHORTEST_TIMEOUT = 0.3
-LONGEST_TIMEOUT = 0.9
-#: Seconds that a plain writer waits for every answer: an append that is sent again while the first
-#: one is queued at the store makes the queue longer.
-PLAIN_TIMEOUT = 0.9
-#: The wait is this many times the typical answer, and doubles after each miss.
+#: Keeps the append of a backlog within a few milliseconds.
+MAX_APPEND_RECORDS = 200
+#: Well below the store's limit for one append.
+MAX_APPEND_BYTES = 1_000_000
+#: Bounds of a fenced append's timeout. It follows the measured latency and doubles with each
+#: timeout, so that a slow store is not taken for a silent one.
+MIN_TIMEOUT_SECONDS = 0.3
+MAX_TIMEOUT_SECONDS = 0.9
+#: Constant for unfenced writers: an append that is sent again while the first one is queued at
+#: the store makes the queue longer.
+UNFENCED_TIMEOUT_SECONDS = 0.9
+#: Ratio of the timeout to the typical latency.
 TIMEOUT_FACTOR = 8.0
-#: Weight of the newest answer in the typical one.
-NEWEST_WEIGHT = 0.2
-#: Seconds of refusals or resets, and of silence, after which the store counts as out of
-#: reach. Silence is also what a slow store looks like at first.
+#: Weight of the newest latency in the moving average.
+NEWEST_LATENCY_WEIGHT = 0.2
+#: Seconds of refused or reset connections, and of silence, after which the store counts as
+#: unreachable. Longer for silence, as a slow store looks silent at first.
 REFUSING_SECONDS = 0.2
 SILENT_SECONDS = 1.0
-#: Seconds for which a failed append tells something about the store.
-MEMORY_SECONDS = 1.5
-#: Seconds between tries while the store refuses or stays silent. Plain writers pause twice as long
-#: after each failure, up to the longest pause, with jitter, so that they do not fill a slow store's
-#: queue.
+#: Seconds after which a failed append says nothing about the store any more.
+FAILURE_MEMORY_SECONDS = 1.5
+#: Seconds between attempts while appends fail. Unfenced writers double the pause after each
+#: failure, up to the maximum, with jitter, so that they do not fill a slow store's queue.
 RETRY_SECONDS = 0.1
-LONGEST_PAUSE = 0.8
+MAX_RETRY_SECONDS = 0.8
 
 
-class Written(enum.Enum):
-    """What became of records that were to be written."""
+class WriteOutcome(enum.Enum):
+    """What became of records that were to be written; ``UNKNOWN`` ones may be stored."""
 
     STORED = 'stored'
     REFUSED = 'refused'
@@ -59,50 +58,49 @@
 
 
 @dataclass
-class _Entry:
+class _PendingWrite:
     records: Sequence[KeyedRecord]
-    until: float
-    maybe: bool = False
-    outcome: Written | None = None
+    deadline: float
+    in_doubt: bool = False
+    outcome: WriteOutcome | None = None
     event: curio.Event = field(default_factory=curio.Event)
 
 
-class AnswerTimes:
-    """How long answers take, and so how long one is worth waiting for. No I/O."""
+class AppendLatency:
+    """Moving average of the latency of appends, and the timeout derived from it. No I/O."""
 
     def __init__(self) -> None:
-        """Start with a quick server."""
-        self._typical = SHORTEST_TIMEOUT / TIMEOUT_FACTOR
-        self._stretch = 1.0
+        """Assume a fast store, whose timeout is the minimum."""
+        self._typical_seconds = MIN_TIMEOUT_SECONDS / TIMEOUT_FACTOR
+        self._backoff_factor = 1.0
 
     @property
-    def typical(self) -> float:
-        """Return how long an answer typically takes, in seconds."""
-        return self._typical
+    def typical_seconds(self) -> float:
+        """Return the moving average of the latency in seconds."""
+        return self._typical_seconds
 
     @property
     def timeout(self) -> float:
-        """Return how long to wait for the next answer, in seconds."""
-        wanted = max(SHORTEST_TIMEOUT, self._typical * TIMEOUT_FACTOR)
-        return min(LONGEST_TIMEOUT, wanted * self._stretch)
+        """Return the timeout of the next append in seconds."""
+        wanted = max(MIN_TIMEOUT_SECONDS, self._typical_seconds * TIMEOUT_FACTOR)
+        return min(MAX_TIMEOUT_SECONDS, wanted * self._backoff_factor)
 
     def note_answer(self, seconds: float) -> None:
-        """Learn from an answer."""
-        self._typical += NEWEST_WEIGHT * (seconds - self._typical)
-        self._stretch = 1.0
+        """Update the average by the latency of an answered append."""
+        self._typical_seconds += NEWEST_LATENCY_WEIGHT * (seconds - self._typical_seconds)
+        self._backoff_factor = 1.0
 
-    def note_miss(self) -> None:
-        """Wait longer next time: the server may be slow, not silent."""
-        self._stretch *= 2
+    def note_timeout(self) -> None:
+        """Double the next timeout: the store may be slow, not silent."""
+        self._backoff_factor *= 2
 
 
 class GroupWriter:
     """Appends to one topic, one append at a time.
 
-    Plain writers append records that may be repeated without harm, so an
-    append without an answer is simply sent again. A fenced writer repeats the
-    very same append under the same sequence number: the store answers it as
-    the first time, and refuses it for good once a higher epoch has written.
+    The records of an unfenced writer are idempotent, so an append without an answer is simply
+    sent again. A fenced writer repeats the identical append under the same sequence number: the
+    store answers it as the first time, and refuses it once a higher epoch has written.
     """
 
     def __init__(
@@ -112,82 +110,82 @@
         journal: Journal,
         fence: WriterFence | None = None,
     ) -> None:
-        """Write to ``topic``; ``fence`` names the next append of a fenced writer."""
+        """Write to ``topic``; ``fence`` has the epoch and sequence number of the next append."""
         self._topic = topic
         self._clock = clock
         self._journal = journal
         self._fence = fence
-        self._waiting: deque[_Entry] = deque()
+        self._waiting: deque[_PendingWrite] = deque()
         self._event = curio.Event()
-        self._times = AnswerTimes()
+        self._latency = AppendLatency()
         self._pause = RETRY_SECONDS
         self._failed_fast = False
         self.fenced = False
-        #: How many writes were given up: their records stand nowhere, or may not.
+        #: How many writes were given up: their records are not stored, or may not be.
         self.given_up = 0
-        #: Since when no append has succeeded, infinite while they do.
+        #: Since when no append has succeeded, infinite while appends succeed.
         self.failing_since = float('inf')
         self.failed_at = float('-inf')
-        #: When the latest append that was answered had been sent.
+        #: When the latest successful append was sent.
         self.stored_at = float('-inf')
 
-    def in_trouble(self, now: float) -> bool:
-        """Return whether the store takes nothing from this host just now.
+    def store_is_failing(self, now: float) -> bool:
+        """Return whether the store currently accepts no appends of this host.
 
-        An idle writer learns nothing, so what it knew of an outage is forgotten in time.
+        An idle writer does not notice the end of an outage, so a failure expires after a while.
         """
-        if now - self.failed_at > MEMORY_SECONDS:
+        if now - self.failed_at > FAILURE_MEMORY_SECONDS:
             return False
         limit = REFUSING_SECONDS if self._failed_fast else SILENT_SECONDS
         return now - self.failing_since >= limit
 
     @property
-    def usual_seconds(self) -> float:
-        """Return how long an append usually takes just now."""
-        return self._times.typical
-
-    async def write(self, records: Sequence[KeyedRecord], patience: float) -> Written:
-        """Append the records within ``patience`` seconds and tell what became of them."""
-        entry = _Entry(records, self._clock.monotonic() + patience)
-        self._waiting.append(entry)
+    def typical_latency(self) -> float:
+        """Return the moving average of an append's latency in seconds."""
+        return self._latency.typical_seconds
+
+    async def write(self, records: Sequence[KeyedRecord], timeout: float) -> WriteOutcome:
+        """Append the records within ``timeout`` seconds and return what became of them."""
+        pending = _PendingWrite(records, self._clock.monotonic() + timeout)
+        self._waiting.append(pending)
         await self._event.set()
-        await entry.event.wait()
-        return entry.outcome or Written.UNKNOWN
+        await pending.event.wait()
+        return pending.outcome or WriteOutcome.UNKNOWN
 
     async def run(self) -> None:
-        """Append what waits, for ever."""
+        """Append waiting records until the writer is fenced off."""
         while not self.fenced:
             await self._event.wait()
             self._event.clear()
             while self._waiting and not self.fenced:
-                await self._append(self._take())
+                await self._append(self._take_batch())
         await self._fail_all()
 
-    def _take(self) -> list[_Entry]:
-        taken: list[_Entry] = []
+    def _take_batch(self) -> list[_PendingWrite]:
+        taken: list[_PendingWrite] = []
         records = 0
         size = 0
-        while self._waiting and records < RECORDS_PER_APPEND and size < BYTES_PER_APPEND:
-            entry = self._waiting.popleft()
-            taken.append(entry)
-            records += len(entry.records)
-            size += sum(len(record.content or b'') for record in entry.records)
+        while self._waiting and records < MAX_APPEND_RECORDS and size < MAX_APPEND_BYTES:
+            pending = self._waiting.popleft()
+            taken.append(pending)
+            records += len(pending.records)
+            size += sum(len(record.content or b'') for record in pending.records)
         return taken
 
-    async def _append(self, entries: list[_Entry]) -> None:
-        while entries:
-            batch = _keep_newest(entries)
+    async def _append(self, writes: list[_PendingWrite]) -> None:
+        while writes:
+            batch = _keep_newest(writes)
             if not batch:
-                # Only waits for what was written before.
-                await _settle(entries, Written.STORED)
+                # A write without records only waits for those before it.
+                await _complete(writes, WriteOutcome.STORED)
                 return
             sent_at = self._clock.monotonic()
             try:
                 await self._topic.append(batch, self._timeout, self._fence)
             except FencedError as error:
-                self._journal.tell(Part.LOG, f'lost the right to write: {error}.')
+                self._journal.tell(Part.LOG, f'the store has fenced off this writer: {error}.')
                 self.fenced = True
-                await _settle(entries, Written.FENCED)
+                await _complete(writes, WriteOutcome.FENCED)
                 return
             except StoreError as error:
                 self._journal.tell_frequent(
@@ -199,76 +197,78 @@
                 self.failed_at = self._clock.monotonic()
                 self._failed_fast = self.failed_at - sent_at < self._timeout / 2
                 if not self._failed_fast:
-                    self._times.note_miss()
+                    self._latency.note_timeout()
                 self.failing_since = min(self.failing_since, sent_at)
-                entries = await self._retry(entries, error)
+                writes = await self._retry(writes, error)
                 continue
-            self._times.note_answer(self._clock.monotonic() - sent_at)
+            self._latency.note_answer(self._clock.monotonic() - sent_at)
             self._pause = RETRY_SECONDS
             self.failing_since = float('inf')
             self.stored_at = sent_at
             if self._fence is not None:
                 self._fence = WriterFence(self._fence.epoch, self._fence.sequence + 1)
-            await _settle(entries, Written.STORED)
+            await _complete(writes, WriteOutcome.STORED)
             return
 
-    async def _retry(self, entries: list[_Entry], error: StoreError) -> list[_Entry]:
-        """Return the entries that are tried again, after a pause."""
+    async def _retry(self, writes: list[_PendingWrite], error: StoreError) -> list[_PendingWrite]:
+        """Return the writes that are to be tried again, after a pause."""
         now = self._clock.monotonic()
         kept = []
-        for entry in entries:
-            entry.maybe = entry.maybe or error.verdict is not Verdict.NOT_RUN
-            # What a fenced append holds must stay the same until it is known
-            # not to have taken place.
-            if now < entry.until or (self._fence is not None and entry.maybe):
-                kept.append(entry)
+        for pending in writes:
+            pending.in_doubt = pending.in_doubt or error.verdict is not Verdict.NOT_RUN
+            # The content of a fenced append must not change until it is known that the store
+            # has not executed it.
+            if now < pending.deadline or (self._fence is not None and pending.in_doubt):
+                kept.append(pending)
                 continue
-            await self._abandon(entry)
-        await self._drop_overdue(now)
+            await self._abandon(pending)
+        await self._abandon_expired(now)
         if kept:
             await curio.sleep(self._pause)
         if self._fence is None:
-            longer = min(LONGEST_PAUSE, 2 * self._pause)
+            longer = min(MAX_RETRY_SECONDS, 2 * self._pause)
             self._pause = longer * (1 - random.random() / 2)
         return kept
 
-    async def _drop_overdue(self, now: float) -> None:
-        """Give up what has waited too long behind an append that fails; it was never sent.
+    async def _abandon_expired(self, now: float) -> None:
+        """Give up writes that have waited too long behind a failing append.
 
-        Only who knows that may ask another host.
+        They were never sent and are reported as such: only then may the caller ask another host.
         """
-        overdue = [entry for entry in self._waiting if entry.until <= now]
-        # Taken out without a pause: what is queued meanwhile stays behind all that waits, or
-        # an older record of a job could land behind its newest.
-        self._waiting = deque(entry for entry in self._waiting if now < entry.until)
-        for entry in overdue:
-            await self._abandon(entry)
-
-    async def _abandon(self, entry: _Entry) -> None:
+        expired = [pending for pending in self._waiting if pending.deadline <= now]
+        # No await between the two: writes that are queued meanwhile must stay behind all waiting
+        # ones, or an older record of a job could be appended after its newest.
+        self._waiting = deque(pending for pending in self._waiting if now < pending.deadline)
+        for pending in expired:
+            await self._abandon(pending)
+
+    async def _abandon(self, pending: _PendingWrite) -> None:
         self.given_up += 1
-        entry.outcome = Written.UNKNOWN if entry.maybe else Written.REFUSED
-        await entry.event.set()
+        pending.outcome = WriteOutcome.UNKNOWN if pending.in_doubt else WriteOutcome.REFUSED
+        await pending.event.set()
 
     @property
     def _timeout(self) -> float:
-        return PLAIN_TIMEOUT if self._fence is None else self._times.timeout
+        return UNFENCED_TIMEOUT_SECONDS if self._fence is None else self._latency.timeout
 
     async def _fail_all(self) -> None:
-        await _settle(self._waiting, Written.FENCED)
+        await _complete(self._waiting, WriteOutcome.FENCED)
         self._waiting.clear()
 
 
-def _keep_newest(entries: Sequence[_Entry]) -> list[KeyedRecord]:
-    """Return the newest record of each key: of one append, the store keeps no other."""
+def _keep_newest(writes: Sequence[_PendingWrite]) -> list[KeyedRecord]:
+    """Return the newest record of each key; the store would keep no others of one append."""
     record_by_key: dict[str, KeyedRecord] = {}
-    for entry in entries:
-        for record in entry.records:
+    for pending in writes:
+        for record in pending.records:
             record_by_key.pop(record.key, None)
             record_by_key[record.key] = record
     return list(record_by_key.values())
 
 
-async def _settle(entries: Sequence[_Entry] | deque[_Entry], outcome: Written) -> None:
-    for entry in entries:
-        entry.outcome = outcome
-        await entry.event.set()
+async def _complete(
+    writes: Sequence[_PendingWrite] | deque[_PendingWrite], outcome: WriteOutcome
+) -> None:
+    for pending in writes:
+        pending.outcome = outcome
+        await pending.event.set()
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -1,4 +1,4 @@
-"""What an entry host shows of client accounts: use, quota, share, what waits, refusals."""
+"""The status of client accounts that an entry host shows: usage, quota, share and refusals."""
 
 from collections import Counter
 from typing import Any
@@ -6,36 +6,38 @@
 from dandelionreel.accounts import Account, weighted_share
 from dandelionreel.cell.decisions import Cell
 from dandelionreel.cell.model import Configuration, Demand
-from dandelionreel.cell.store import JobBook
+from dandelionreel.cell.store import CellState
 
 #: Accounts that are shown by name, those with the largest weight first.
-MOST_ACCOUNTS = 100
-#: Stands for all other accounts.
-OTHERS = 'others'
+MAX_LISTED_ACCOUNTS = 100
+#: Name under which the refusals of all other accounts are counted.
+OTHER_ACCOUNTS = 'others'
 
 
 class RefusalCounts:
-    """How many calls of each account this host has refused; bounded in its names."""
+    """Counts the refused requests of each account, for a bounded number of names."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without refusals."""
         self.count_by_account: Counter[str] = Counter()
 
     def note(self, account: str) -> None:
-        """Count a call that was refused."""
-        known = account in self.count_by_account or len(self.count_by_account) < MOST_ACCOUNTS
-        self.count_by_account[account if known else OTHERS] += 1
+        """Count a refused request."""
+        has_own_count = (
+            account in self.count_by_account or len(self.count_by_account) < MAX_LISTED_ACCOUNTS
+        )
+        self.count_by_account[account if has_own_count else OTHER_ACCOUNTS] += 1
 
 
 def view_accounts(
     cell: Cell | None,
     configuration: Configuration | None,
-    book: JobBook,
+    cell_state: CellState,
     refusals: RefusalCounts,
 ) -> dict[str, Any]:
-    """Return what is shown; only the owner, with its ``cell``, knows use and what waits."""
-    owner = book.owner
-    member = None if owner is None else book.member_by_host.get(owner.host)
+    """Return the status; only the owner, which has a ``cell``, knows usage and waiting jobs."""
+    owner = cell_state.owner
+    member = None if owner is None else cell_state.member_by_host.get(owner.host)
     return {
         'owns': cell is not None,
         'owner': '' if owner is None else owner.host,
@@ -51,8 +53,8 @@
     """Return the accounts that are shown, those with the largest weight first."""
     if configuration is None or configuration.accounts is None:
         return []
-    known = configuration.accounts.account_by_name.values()
-    return sorted(known, key=_by_weight)[:MOST_ACCOUNTS]
+    accounts = configuration.accounts.account_by_name.values()
+    return sorted(accounts, key=_weight_sort_key)[:MAX_LISTED_ACCOUNTS]
 
 
 def _view_account(
@@ -69,11 +71,11 @@
     if cell is None:
         return row
     used = cell.quotas.used(account.name)
-    jobs = [job for job in cell.live_by_id.values() if job.account == account.name]
+    jobs = [job for job in cell.unfinished_job_by_id.values() if job.account == account.name]
     row['used'] = _view_amounts(used)
     row['share'] = round(weighted_share(used, cell.capacity(), account.weight), 6)
     row['jobs'] = len(jobs)
-    row['held'] = sum(bool(job.held_by) for job in jobs)
+    row['held'] = sum(bool(job.hold_reason) for job in jobs)
     return row
 
 
@@ -81,5 +83,5 @@
     return {'cores': amounts.cpu / 1000, 'memory_mb': amounts.memory_mb, 'gpu': amounts.gpu}
 
 
-def _by_weight(account: Account[Demand]) -> tuple[float, str]:
+def _weight_sort_key(account: Account[Demand]) -> tuple[float, str]:
     return -account.weight, account.name
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -1,9 +1,9 @@
-"""What an entry host answers its peers."""
+"""The server of an entry host for the messages of its peers."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
 
-from dandelionreel.cell.clients import ClientFront
+from dandelionreel.cell.clients import ClientApi
 from dandelionreel.cell.membership import (
     CompletionAnswers,
     ConfigurationExchange,
@@ -28,36 +28,36 @@
 )
 from dandelionreel.platform import Address
 
-AnswerAsked = Callable[[Frame], Awaitable[Message]]
+OwnerQueryHandler = Callable[[Frame], Awaitable[Message]]
 
 
 async def listen_peers(
     stack: AsyncExitStack,
     address: Address,
-    front: ClientFront,
+    front: ClientApi,
     election: Election,
     advisor: LocalAdvisor,
     completions: CompletionAnswers,
     exchange: ConfigurationExchange,
-    answer_asked: AnswerAsked,
+    answer_owner_query: OwnerQueryHandler,
     clock: Clock,
     journal: Journal,
 ) -> None:
     """Answer peers at an address until the stack closes.
 
-    ``answer_asked`` tells whether this host acts as the owner, or could.
+    ``answer_owner_query`` replies whether this host acts as the owner, or could.
     """
     peers = PeerServer(election.incarnation, clock, EchoBook(), journal, Traffic())
-    answerers = (
+    handlers = (
         (Forward, front.handle_relayed),
-        (OwnerFailing, election.take_failing),
-        (OwnerAsked, answer_asked),
+        (OwnerFailing, election.handle_owner_failing),
+        (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer),
         (CompletionsTold, completions.merge_completions),
         (CompletionsSeen, completions.merge_zone_completions),
-        (CompletionsWanted, completions.answer_wanted),
+        (CompletionsWanted, completions.answer_query),
         (ConfigurationWanted, exchange.answer),
     )
-    for kind, answerer in answerers:
-        peers.answer(kind, answerer)
+    for kind, handler in handlers:
+        peers.answer(kind, handler)
     await peers.start(stack, address.host, address.port)
--- a/features/cell_parts.py
+++ b/features/cell_parts.py
@@ -19,7 +19,7 @@
     Submission,
     TaskName,
 )
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 
 GANG_TIMEOUT = 3.0
 START = 1000.0
@@ -59,41 +59,41 @@
         self.allocations = []
         for number, runner in enumerate(runners):
             self.registration_by_id[runner] = make_registration(runner, port=number)
-        self.see_runners()
+        self.update_runners()
         if seen:
             for runner in runners:
                 self.poll(runner)
 
-    def see_runners(self):
+    def update_runners(self):
         """Pass the current registrations to the cell."""
-        self.cell.see_runners(self.registration_by_id, self.now)
+        self.cell.update_runners(self.registration_by_id, self.now)
         for state in self.cell.runner_by_id.values():
             state.recorded = True
 
     def drain(self, runner):
         """Mark a runner as draining; it exits in 2 s at the earliest."""
         self.registration_by_id[runner] = make_registration(runner, draining=True)
-        self.see_runners()
+        self.update_runners()
         return stop_on_draining_runners(self.cell, self.now)
 
     def add_job(self, job, steps, queue='urgent', age=0.0, progress=None, cancelled=False, zone=''):
         """Add a job as if read from the store; return it."""
         spec = JobSpec('payload', tuple(steps))
         submission = Submission(queue, 'desk', self.now - age, spec, zone)
-        self.cell.see_job(BookedJob(job, submission, cancelled, progress), self.now, self.now)
+        self.cell.update_job(StoredJob(job, submission, cancelled, progress), self.now, self.now)
         return self.cell.job_by_id[job]
 
     def cancel(self, job):
         """Cancel a job as if the cancellation was read from the store."""
         submission = self.cell.job_by_id[job].submission
-        self.cell.see_job(BookedJob(job, submission, True, None), self.now, self.now)
+        self.cell.update_job(StoredJob(job, submission, True, None), self.now, self.now)
 
     def plan(self, start=True):
         """Plan once and, with ``start``, confirm all starts."""
         plan = self.planner.plan(self.now, self.now)
         self.allocations.extend(plan.starts)
         for allocation in plan.starts if start else ():
-            self.cell.start_answered(allocation, StartReply.STARTED, self.now)
+            self.cell.handle_start_reply(allocation, StartReply.STARTED, self.now)
         return plan
 
     def poll(self, runner, running=(), ended=(), asked=None, complete=True):
@@ -107,7 +107,7 @@
             ends.append(EndedRun(number, name, run, Outcome(outcome), ''))
         view = RunnerView(self.now, running_tasks, tuple(ends), complete)
         state = self.cell.runner_by_id[runner]
-        return self.cell.viewed(state, view, self.now if asked is None else asked, self.now)
+        return self.cell.handle_view(state, view, self.now if asked is None else asked, self.now)
 
     def runs_on(self, runner):
         """Return the keys ``(task, run)`` of the allocations on a runner."""
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -1,10 +1,10 @@
-"""What serves a client's call, for scenarios that need no process."""
+"""Objects that serve a client's call, for scenarios without processes."""
 
 from dandelionreel.accounts import Caller
 from dandelionreel.cell.clients._access import AccessControl
+from dandelionreel.cell.clients._client_api import ClientApi
 from dandelionreel.cell.clients._client_call import ClientCall
 from dandelionreel.cell.clients._client_writes import ClientWrites
-from dandelionreel.cell.clients._front import ClientFront
 from dandelionreel.cell.clients._readiness import Rotation
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.http import Request
@@ -14,12 +14,12 @@
 
 
 def make_call(method, target, caller=None, relayed=False):
-    """Return a call that has just come in."""
+    """Return a call that has just arrived."""
     return ClientCall(Request(method, target), caller or Caller(), 'north', 0.0, relayed)
 
 
-class Connected:
-    """A host that is not cut off."""
+class ConnectedDetector:
+    """A partition detector of a host that is not cut off."""
 
     cut_off = False
 
@@ -28,7 +28,7 @@
 
 
 class SureExchange:
-    """Peers that know no newer configuration."""
+    """A configuration exchange with peers that have no newer configuration."""
 
     async def confirm(self):
         return True
@@ -37,40 +37,42 @@
         return 0.0
 
     def note_version(self, version):
-        """Take note of a peer's version."""
+        """Ignore a peer's version."""
 
 
-def make_front(
+def make_client_api(
     configuration,
     jobs,
     follower,
     writer,
     relay,
-    owned=lambda: None,
+    get_dispatcher=lambda: None,
     exchange=None,
-    contact=None,
+    partition_detector=None,
     rotation=None,
     clock=None,
     longest_age=None,
 ):
-    """Return a front of the zone north."""
+    """Return the client API of a host in the zone north."""
     clock = clock or SystemClock()
     codec = JsonClientCodec()
-    contact = contact or Connected()
+    partition_detector = partition_detector or ConnectedDetector()
     rotation = rotation or Rotation()
-    return ClientFront(
+    return ClientApi(
         'north',
         codec,
         configuration,
         AccessControl(configuration, exchange or SureExchange(), longest_age),
         jobs,
         follower,
-        ClientWrites(codec, follower, writer, relay, owned, contact, rotation, clock),
+        ClientWrites(
+            codec, follower, writer, relay, get_dispatcher, partition_detector, rotation, clock
+        ),
         relay,
-        owned,
+        get_dispatcher,
         Completions(clock),
         None,
-        contact,
+        partition_detector,
         clock,
         journal(),
         lambda method, status, seconds: None,
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -1,4 +1,4 @@
-"""Steps on runs that are lost with their runner, without processes."""
+"""Steps for runs that are lost with their runner; no processes are started."""
 
 from dataclasses import replace
 
@@ -6,18 +6,18 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions._ledger import QUARANTINE_SECONDS
-from dandelionreel.cell.decisions._losses import Losses, note_last_words
+from dandelionreel.cell.decisions._losses import RunnerLosses, apply_last_registrations
 from dandelionreel.cell.model import RunnerView, RunningTask, StartReply
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
 from dandelionreel.cell.model._services import RunnerError, StartAnswer
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.kernel import ManualClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step, task
 from features.store_parts import make_owner_context
 
-LONG_WELL = 30
+LONG_RUN_SECONDS = 30
 EARLIER_RUN = 7
 
 
@@ -29,143 +29,143 @@
     assert context.start.runner == 'w1', context.start
 
 
-def start_well(context):
+def confirm_start(context):
     small = context.small
-    small.cell.start_answered(context.start, StartReply.STARTED, small.now)
+    small.cell.handle_start_reply(context.start, StartReply.STARTED, small.now)
 
 
-def another_answers(context):
-    context.small.cell.runner_ended('w1', proven=True)
+def replace_runner(context):
+    context.small.cell.handle_ended_runner('w1', proven=True)
 
 
-def next_life_answers(context):
-    """Another life registers at w1's address and answers its first look."""
+def answer_as_new_incarnation(context):
+    """Register another incarnation at w1's address and answer its first poll."""
     small = context.small
     port = small.registration_by_id.pop('w1').port
     small.registration_by_id['w1+'] = make_registration('w1+', port=port)
-    small.see_runners()
+    small.update_runners()
     small.poll('w1+')
 
 
 @given('an owner with a task that runs on w1')
 def running(context):
     make_owner(context)
-    start_well(context)
+    confirm_start(context)
 
 
-@when("another life answers at w1's address")
+@when("another incarnation answers at w1's address")
 def replaced(context):
-    another_answers(context)
+    replace_runner(context)
 
 
-@when("another life answers at w1's address, to a look, a start and a stop")
+@when("another incarnation answers at w1's address, to a poll, a start and a stop")
 def replaced_thrice(context):
     state = context.small.cell.runner_by_id['w1']
-    losses = Losses(context.small.cell.live_by_id, set())
+    losses = RunnerLosses(context.small.cell.unfinished_job_by_id, set())
     assert len(losses.note_end(state)) == 1
     assert not losses.note_end(state)
-    another_answers(context)
-    another_answers(context)
+    replace_runner(context)
+    replace_runner(context)
 
 
-@when('the leases on w1 run out')
+@when('the leases on w1 expire')
 def lapse(context):
     context.small.now += 10
     context.small.cell.runner_by_id['w1'].suspect = True
-    context.small.cell.runner_lapsed('w1')
+    context.small.cell.handle_lapsed_runner('w1')
 
 
-@when('the leases on w1 run out, then w1 answers')
+@when('the leases on w1 expire, then w1 answers')
 def lapse_then_answer(context):
     lapse(context)
     context.small.poll('w1')
-    next_life_answers(context)
+    answer_as_new_incarnation(context)
 
 
-@when('the leases on w1 run out, then another life answers')
+@when('the leases on w1 expire, then another incarnation answers')
 def lapse_then_next(context):
     lapse(context)
-    context.small.cell.runner_ended('w1', proven=False)
-    next_life_answers(context)
+    context.small.cell.handle_ended_runner('w1', proven=False)
+    answer_as_new_incarnation(context)
 
 
-@when('the leases on w1 run out, then another life is listed')
+@when('the leases on w1 expire, then another incarnation is listed')
 def lapse_then_listed(context):
     lapse(context)
     port = context.small.registration_by_id['w1'].port
     context.small.registration_by_id['w1+'] = make_registration('w1+', port=port)
-    context.small.see_runners()
+    context.small.update_runners()
 
 
-@when('w1 says that it leaves, then another life answers')
+@when('w1 announces a drain, then another incarnation answers')
 def leaves(context):
     context.small.drain('w1')
-    another_answers(context)
+    replace_runner(context)
 
 
-@when('w1 says that it leaves as its entry goes, then another answers')
-def leaves_unheard(context):
+@when('w1 announces a drain as its entry is removed, then another answers')
+def leaves_with_entry(context):
     small = context.small
     last = replace(small.registration_by_id.pop('w1'), draining=True)
-    small.see_runners()
-    note_last_words(small.cell.runner_by_id.values(), {'w1': last}.get, small.now)
-    another_answers(context)
+    small.update_runners()
+    apply_last_registrations(small.cell.runner_by_id.values(), {'w1': last}.get, small.now)
+    replace_runner(context)
 
 
 @then('the task waits with {count:d} crashes')
 def waits(context, count):
-    found = context.job.find(task('j1'))
+    found = context.job.find_task(task('j1'))
     assert context.job.state is not JobState.FAILED
     assert not found[1].runner, found
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
 
 
-@then('the task waits with {count:d} crashes, {close:d} of them close')
+@then('the task waits with {count:d} crashes, {close:d} of them during its start')
 def waits_close(context, count, close):
     waits(context, count)
-    assert sum(run.close for run in context.job.crashes.crashed) == close
+    assert sum(run.during_start for run in context.job.crashes.crashed) == close
 
 
 @given('an owner with a task whose start on w1 {became}')
 def start_became(context, became):
     make_owner(context)
     start = context.start
-    start.unanswered = became in {'broke its connection', 'was met with silence'}
-    start.broken = became == 'broke its connection'
+    start.start_unanswered = became in {'broke its connection', 'timed out'}
+    start.connection_broken = became == 'broke its connection'
     if became.startswith('was answered'):
-        start_well(context)
+        confirm_start(context)
     if 'stop' in became:
         context.small.cell.stop(start)
     if '30 s' in became:
-        context.small.now += LONG_WELL
+        context.small.now += LONG_RUN_SECONDS
         context.small.poll('w1', running=[(start.task, start.run)])
 
 
 @given('an owner with a task under which {before}')
 def crashed_before(context, before):
     count = int(before[0]) if before[0].isdigit() else 0
-    close = 'closely' in before
+    close = 'at its start' in before
     crashed = tuple(CrashedRun(0, 0, 0, EARLIER_RUN + number, close) for number in range(count))
     make_owner(context, progress=Progress(1, JobState.RUNNING, crashed=crashed))
-    context.start.unanswered = context.start.broken = 'broke w1' in before
-    if not context.start.broken:
-        start_well(context)
+    context.start.start_unanswered = context.start.connection_broken = 'broke w1' in before
+    if not context.start.connection_broken:
+        confirm_start(context)
     if '30 s' in before:
-        context.small.now += LONG_WELL
+        context.small.now += LONG_RUN_SECONDS
         context.small.poll('w1', running=[(context.start.task, context.start.run)])
 
 
-@when("its job is {over}, and another life answers at w1's address")
+@when("its job is {over}, and another incarnation answers at w1's address")
 def over_before(context, over):
     if over == 'cancelled':
         context.small.cancel('j1')
     else:
-        # Listed by a former owner's runner: the run on w1 is still being stopped.
+        # An earlier run of the task is done on another runner; the one on w1 is still being stopped.
         context.job.note_done(task('j1'))
-    another_answers(context)
+    replace_runner(context)
 
 
-@then('its job is told as {state}')
+@then('its job is reported as {state}')
 def job_state(context, state):
     assert context.job.progress(1, 0.0).state is JobState(state), context.job.state
 
@@ -174,32 +174,32 @@
 def busy_owner(context):
     context.small = SmallCell(('w1', 'w2', 'w3', 'w4'))
     for number, cpu in enumerate((9000, 8000), 1):
-        # Only one runner is listed, so the work lies there.
+        # Only one runner is listed, so the work is placed there.
         context.listed = dict(context.small.registration_by_id)
         name = f'w{number}'
         context.small.registration_by_id = {name: context.listed[name]}
-        context.small.see_runners()
+        context.small.update_runners()
         context.small.add_job(f'j{number}', [step(cpu, seconds=60)])
         assert len(context.small.plan().starts) == 1
         context.small.registration_by_id = context.listed
-        context.small.see_runners()
+        context.small.update_runners()
 
 
 @when('two tasks break the connection of a fourth runner, which comes back')
 def two_break(context):
     small = context.small
     keep = {name: small.registration_by_id.pop(name) for name in ('w1', 'w2', 'w3')}
-    small.see_runners()
+    small.update_runners()
     context.jobs = [small.add_job(f's{number}', [step()]) for number in (1, 2)]
     starts = small.plan(start=False).starts
     assert [start.runner for start in starts] == ['w4', 'w4'], starts
     for start in starts:
-        start.unanswered = start.broken = True
+        start.start_unanswered = start.connection_broken = True
     small.registration_by_id.update(keep)
     small.registration_by_id.pop('w4')
-    small.see_runners()
-    small.cell.runner_ended('w4', proven=True)
-    # One fits on each of the three runners.
+    small.update_runners()
+    small.cell.handle_ended_runner('w4', proven=True)
+    # One task fits on each of the three runners.
     small.add_job('other', [step(22_000, count=3, seconds=60)])
     context.starts = small.plan(start=False).starts
 
@@ -227,7 +227,7 @@
 def beside(context):
     small = context.small
     for start in context.starts:
-        small.cell.start_answered(start, StartReply.STARTED, small.now)
+        small.cell.handle_start_reply(start, StartReply.STARTED, small.now)
     small.now += QUARANTINE_SECONDS / 2
     assert not small.plan().starts
     small.now += QUARANTINE_SECONDS / 2
@@ -240,32 +240,32 @@
     if 'first' in stored:
         crashed = ()
     else:
-        run = EARLIER_RUN if 'as counted' in stored else EARLIER_RUN + 1
+        run = EARLIER_RUN if 'already counted' in stored else EARLIER_RUN + 1
         starts = (StoredStart(0, 0, 0, run, 'w2' if 'w2' in stored else 'w1'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('w1', 'w2'), crashed, starts)
     context.small = SmallCell(('w1', 'w2'), epoch=2, seen=False)
-    context.small.cell.unseen.add('w1')
+    context.small.cell.unseen_runners.add('w1')
     context.job = context.small.add_job('j1', [step()], progress=progress)
 
 
-@when("it finds that another life answers at w1's address")
+@when("it finds that another incarnation answers at w1's address")
 def finds_replaced(context):
-    another_answers(context)
+    replace_runner(context)
 
 
 @when('the leases on w1 must have run out and its entry {entry}')
 def unseen_given_up(context, entry):
-    if entry == 'has gone':
+    if entry == 'is gone':
         context.small.registration_by_id.pop('w1')
-        context.small.see_runners()
-    context.small.cell.give_up_unseen(tuple(context.small.cell.unseen))
+        context.small.update_runners()
+    context.small.cell.drop_unseen_runners(tuple(context.small.cell.unseen_runners))
 
 
 @then('it counts {count:d} crashes under the task')
 def counts(context, count):
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
     if count > 1:
-        assert context.job in context.small.cell.take_dirty()
+        assert context.job in context.small.cell.take_dirty_jobs()
 
 
 @then('it stores the next start before it is sent')
@@ -292,47 +292,47 @@
 
 
 class CountingRunner:
-    """Takes all starts."""
+    """Runner that accepts and counts all starts."""
 
     def __init__(self):
         self.starts = 0
 
     async def start(self, order, check):
-        """Answer as started."""
+        """Answer that the task has started."""
         self.starts += 1
         return StartAnswer(StartReply.STARTED, None)
 
 
 class BreakingRunner:
-    """Breaks the connection of each look."""
+    """Runner that breaks the connection of each poll."""
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        """Break it."""
-        raise RunnerError('broken answer', Verdict.UNKNOWN, broken=True)
+        """Break the connection."""
+        raise RunnerError('broken answer', Verdict.UNKNOWN, connection_broken=True)
 
 
 class LateRunner:
-    """Answers a look for a life that another exchange has found to be over meanwhile."""
+    """Runner that answers a poll after another exchange has found its incarnation to have ended."""
 
     def __init__(self, context):
         self.context = context
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
-        """List what ran before."""
+        """List the run of the ended incarnation."""
         start = self.context.start
-        another_answers(self.context)
+        replace_runner(self.context)
         listed = RunningTask(start.task, start.run, '', 0, 0.0)
         return RunnerView(self.context.small.now, (listed,), ())
 
 
-@when('a look at w1 is answered after another life was met there')
+@when('a poll of w1 is answered after another incarnation was found there')
 def late_answer(context):
-    owner = own_context(context)
+    owner = make_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, LateRunner(context))
 
 
-def own_context(context):
+def make_context(context):
     return make_owner_context(context.small.cell, ManualClock(context.small.now))
 
 
@@ -342,14 +342,14 @@
     context.job.stored_runners.add('w1')
 
 
-@when('w1 falls silent before the start is sent')
+@when('w1 becomes silent before the start is sent')
 def falls_silent(context):
-    owner = own_context(context)
+    owner = make_context(context)
     context.runner = owner.runner_by_id['w1'] = CountingRunner()
     context.small.cell.runner_by_id['w1'].suspect = True
 
     async def send():
-        await Orders(owner).send_starts([context.start])
+        await OrderSender(owner).send_starts([context.start])
         await curio.sleep(0.05)
 
     curio.run(send)
@@ -361,19 +361,19 @@
     waits(context, 0)
 
 
-@given('an owner that looks at w1')
-def looking(context):
+@given('an owner that polls w1')
+def polling(context):
     context.small = SmallCell(('w1',))
 
 
-@when('the connection of the look breaks')
-def look_breaks(context):
-    owner = own_context(context)
+@when('the connection of the poll breaks')
+def poll_breaks(context):
+    owner = make_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, BreakingRunner())
 
 
-@then('nothing is placed on w1 until a look is answered')
+@then('nothing is placed on w1 until a poll is answered')
 def nothing_placed(context):
     context.small.add_job('j1', [step()])
     assert not context.small.plan().starts
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,30 +1,30 @@
-"""Steps on requests that are passed on to a peer."""
+"""Steps on requests that are forwarded to a peer."""
 
 import curio
 from behave import given, then, when
 
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.model._records import (
-    MEMBER,
+    MEMBER_PREFIX,
     OWNER_KEY,
     Member,
     Owner,
     make_record,
 )
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.http import Answer
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, Frame, OwnerAsked, PeerError, Refused
 from features.client_parts import make_call
-from features.store_parts import DeafPeer, journal
+from features.store_parts import SilentPeerLinks, journal
 
 
 class OnePeer:
-    """Links to a peer that gives one answer, once it has said that it can act."""
+    """Links to a peer that can act and answers each request with one status."""
 
     def __init__(self, status):
         self._status = status
-        #: Whether the next question gets no answer.
+        #: Whether the next message gets no reply.
         self.deaf = False
 
     async def ask(self, member, message, timeout):
@@ -39,35 +39,35 @@
 
 @given('a peer that answers {status:d}')
 def answering_peer(context, status):
-    book = JobBook()
+    book = CellState()
     book.fold(
         [
             make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1')),
-            make_record(f'{MEMBER}peer', Member('north', '127.0.0.1', 1)),
+            make_record(f'{MEMBER_PREFIX}peer', Member('north', '127.0.0.1', 1)),
         ]
     )
     context.relay = Relay('me', book, OnePeer(status), SystemClock(), journal())
 
 
-class CutPeer:
-    """Links to a peer behind a cut, or one that cannot act; what is sent is in doubt."""
+class UnreliablePeer:
+    """Links to a peer that gives one reply to a query, or none, and none to forwarded requests."""
 
-    def __init__(self, word):
-        self._word = word
-        self.handed = 0
+    def __init__(self, reply):
+        self._reply = reply
+        self.forwards = 0
 
     async def ask(self, member, message, timeout):
-        self.handed += isinstance(message, Forward)
-        if self._word is None or self.handed:
+        self.forwards += isinstance(message, Forward)
+        if self._reply is None or self.forwards:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
-        return Frame(1, 'peer/1', 0, 0, self._word)
+        return Frame(1, 'peer/1', 0, 0, self._reply)
 
 
 @given('an owner that {answers} when it is asked whether it acts')
-def cut_peer(context, answers):
+def unreliable_owner(context, answers):
     answering_peer(context, 200)
-    words = {'says nothing': None, 'says that it does not': Refused('no')}
-    context.links = CutPeer(words[answers])
+    reply_by_name = {'says nothing': None, 'says that it does not': Refused('no')}
+    context.links = UnreliablePeer(reply_by_name[answers])
     clock = ManualClock(1000)
     context.relay = Relay('me', context.relay._book, context.links, clock, journal())
 
@@ -85,14 +85,14 @@
 
 @then('no job was handed to it')
 def nothing_handed(context):
-    assert context.links.handed == 0
+    assert context.links.forwards == 0
 
 
 @given('a peer that has not answered {misses:d} requests in a row')
 def deaf_peer(context, misses):
     answering_peer(context, 200)
     context.clock = ManualClock(1000)
-    context.links = DeafPeer()
+    context.links = SilentPeerLinks()
     context.relay = Relay('me', context.relay._book, context.links, context.clock, journal())
     for _ in range(misses):
         context.clock.advance(100)
@@ -123,4 +123,4 @@
 def client_outcome(context, outcome):
     relayed = context.relayed
     assert (relayed.answer is not None) is (outcome == 'is told so')
-    assert relayed.maybe is (outcome == 'is left in doubt')
+    assert relayed.in_doubt is (outcome == 'is left in doubt')
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the wait for former owners' leases, as it takes effect."""
+"""Steps for the wait for earlier owners' leases."""
 
 import curio
 from behave import given, then, when
@@ -7,39 +7,39 @@
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._model import JobSpec, JobState
 from dandelionreel.cell.model._records import (
-    ATTENDED_KEY,
     OWNER_KEY,
-    PROGRESS,
-    SUBMISSION,
-    UNSETTLED_SECONDS,
-    Attended,
+    PREDECESSOR_LEASE_SECONDS,
+    PROGRESS_PREFIX,
+    RUNNERS_IN_USE_KEY,
+    SUBMISSION_PREFIX,
     Owner,
     Progress,
+    RunnersInUse,
     Submission,
     make_record,
 )
 from dandelionreel.cell.model._services import RecordBatch
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import Predecessors, longest_lease
-from dandelionreel.cell.store._directory import JobFolder
-from dandelionreel.cell.store._job_book import JobBook
+from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases, lease_upper_bound
+from dandelionreel.cell.store._cell_state import CellState
+from dandelionreel.cell.store._projections import CellProjection
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import step
 from features.store_parts import DRIFT, Host, journal, make_dispatcher
 from standins import MemoryTopic
 
-ALL_LEASES = AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
+MAX_WAIT_SECONDS = AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
 
 
-@given('a store with an owner of which a new host has only read, and its job on w9')
+@given('a store with an owner that a new host has never heard from, and its job on w9')
 def owner_with_job(context):
     context.topic = MemoryTopic()
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     records = [
         make_record(OWNER_KEY, Owner(4, 'other', 'other/1')),
-        make_record(f'{SUBMISSION}j1', submission),
-        make_record(f'{PROGRESS}j1', Progress(4, JobState.RUNNING, runners=('w9',))),
-        make_record(ATTENDED_KEY, Attended(4, ('w9',))),
+        make_record(f'{SUBMISSION_PREFIX}j1', submission),
+        make_record(f'{PROGRESS_PREFIX}j1', Progress(4, JobState.RUNNING, runners=('w9',))),
+        make_record(RUNNERS_IN_USE_KEY, RunnersInUse(4, ('w9',))),
     ]
     curio.run(context.topic.append, records, 0.1, WriterFence(4, 3))
     context.host = Host('me', context.topic)
@@ -50,62 +50,62 @@
 def owns(context):
     term = curio.run(context.host.own)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
-@then('that job stays alone for all 17.7 s, and not for longer')
-def left_alone_for_all(context):
+@then('that job stays blocked for all 17.7 s, and not for longer')
+def blocked_for_all(context):
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
-    give_up = context.dispatcher._rounds._give_up_unseen
-    curio.run(give_up, context.began + ALL_LEASES)
+    drop_unseen_runners = context.dispatcher._periodic_checks._drop_unseen_runners
+    curio.run(drop_unseen_runners, context.began + MAX_WAIT_SECONDS)
     assert cell.is_blocked(job)
-    curio.run(give_up, context.began + ALL_LEASES + LEASE_SECONDS)
+    curio.run(drop_unseen_runners, context.began + MAX_WAIT_SECONDS + LEASE_SECONDS)
     assert not cell.is_blocked(job)
 
 
 @given('the longest lease that an owner may grant at the end of its authority')
 def longest(context):
-    context.longest = AUTHORITY_SECONDS + longest_lease(LEASE_SECONDS)
+    context.longest = AUTHORITY_SECONDS + lease_upper_bound(LEASE_SECONDS)
 
 
-@then('a claim says that it may last as long')
+@then('the wait that a claim announces covers it')
 def claim_covers(context):
-    assert context.longest <= UNSETTLED_SECONDS < context.longest + 0.2
+    assert context.longest <= PREDECESSOR_LEASE_SECONDS < context.longest + 0.2
 
 
-@given('a wait for an owner that was heard of just now')
+@given('a wait for an owner that was heard from just now')
 def wait_for_owner(context):
     former = Owner(1, 'other', 'other/1')
     term = Term(2, 'me/1', WriterFence(2, 1), 1000.0, False, False, former=former)
-    context.wait = Predecessors(term, LEASE_SECONDS, 1000.0)
-    context.until = context.wait.until
+    context.wait = PredecessorLeases(term, LEASE_SECONDS, 1000.0)
+    context.end_before = context.wait.end_at
 
 
-@when('its successor looks for a proof that it has ended and finds none')
+@when('its successor checks for proof that it has ended and finds none')
 def no_proof(context):
-    assert not context.wait.look(JobBook(), 1001.0)
+    assert not context.wait.shorten_if_ended(CellState(), 1001.0)
 
 
 @then('the wait is as long as before')
 def as_long(context):
-    assert context.wait.until == context.until >= 1000.0 + ALL_LEASES
+    assert context.wait.end_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
 
 
-@given('a host that has known the owner for long')
+@given('a host that has long known the owner')
 def known_owner(context):
     context.clock = ManualClock()
-    context.folder = JobFolder(context.clock, journal())
-    context.folder.restart(RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1))
+    context.folder = CellProjection(context.clock, journal())
+    context.folder.load_snapshot(RecordBatch((make_record(OWNER_KEY, Owner(1, 'o', 'o/1')),), 1, 1))
 
 
 @when('it reads a snapshot with a later heartbeat of that owner')
 def later_snapshot(context):
     context.clock.advance(20)
     record = make_record(OWNER_KEY, Owner(1, 'o', 'o/1', 9))
-    context.folder.restart(RecordBatch((record,), 9, 9))
+    context.folder.load_snapshot(RecordBatch((record,), 9, 9))
 
 
-@then('the owner counts as heard of just now')
+@then('the owner counts as heard from just now')
 def heard_now(context):
     assert context.folder.owner_heard_at == context.clock.monotonic()
