--- a/bench/replay.py
+++ b/bench/replay.py
@@ -20,7 +20,7 @@
 from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
 from dandelionreel.cell.decisions._reservations import Rank
 from dandelionreel.cell.decisions._waiting import RankInputs, WaitingOrder, WithinRateFirst
-from dandelionreel.cell.membership._advisors import PATIENT_SHARE
+from dandelionreel.cell.membership._advisors import NON_URGENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
     Configuration,
@@ -40,8 +40,8 @@
     Submission,
 )
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import longest_lease
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.owner._predecessor_leases import lease_upper_bound
+from dandelionreel.cell.store import StoredJob
 
 #: Seconds: an order's way, a stop, a restart from a checkpoint, and between plans.
 ORDER_SECONDS = 0.004
@@ -389,7 +389,7 @@
                 state.suspect = True
                 self._unseen_by_runner[state.id] = []
         self._later(LEASE_SECONDS - LEASE_AGE, self._lapse)
-        self._later(longest_lease(LEASE_SECONDS), self._expire_leases)
+        self._later(lease_upper_bound(LEASE_SECONDS), self._expire_leases)
         self._later(cut.seconds, self._reconnect)
 
     def _lapse(self) -> None:
@@ -421,7 +421,7 @@
         account = self._draw_account()
         spec = JobSpec('', steps)
         submission = Submission(kind.queue.name, 'desk', self._now, spec, '', account)
-        self.cell.update_job(BookedJob(job_id, submission, False, None), self._now, self._now)
+        self.cell.update_job(StoredJob(job_id, submission, False, None), self._now, self._now)
         weight = kind.worth * min(MOST_WEIGHT, 0.3 + 0.7 * work / usual)
         if not self.cell.job_by_id[job_id].exceeds_account_rate:
             self._weight_by_job[job_id] = weight
@@ -483,7 +483,7 @@
             return
         began = time.perf_counter()
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
-        free = int(PATIENT_SHARE * self.load.hosts) - self._busy[False] - waiting
+        free = int(NON_URGENT_SHARE * self.load.hosts) - self._busy[False] - waiting
         made = self.planner.plan(self._now, self._now, free)
         self.plan_seconds.append(time.perf_counter() - began)
         for allocation in self.cell.take_stops():
@@ -499,7 +499,7 @@
     def _ask(self) -> None:
         while self._waiting:
             urgent = self._waiting[0][0] == 0
-            most = int(PATIENT_SHARE * self.load.hosts)
+            most = int(NON_URGENT_SHARE * self.load.hosts)
             if sum(self._busy.values()) >= self.load.hosts or (
                 not urgent and self._busy[False] >= most
             ):
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -27,7 +27,7 @@
     StartReply,
     find_later_incarnations,
 )
-from dandelionreel.cell.store import BookedJob
+from dandelionreel.cell.store import StoredJob
 
 #: Run numbers that one epoch has for one task. A later owner's numbers are higher than all
 #: of an earlier owner's, so run numbers need not be stored.
@@ -113,7 +113,7 @@
             return bool(self.unseen_runners)
         return not self.unseen_runners.isdisjoint(job.runners)
 
-    def update_job(self, booked: BookedJob, now: float, wall: float) -> None:
+    def update_job(self, booked: StoredJob, now: float, wall: float) -> None:
         """Apply what the store holds for a job, new or known.
 
         An unreadable job that is not known here is not started. The ends of its runs are not
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -1,6 +1,7 @@
-"""What the owner's cell is doing, told once a second while anything waits.
+"""Logs the load of the owner's cell once a second while tasks wait.
 
-Explains waiting: whether room, runners, tickets or the owner's own processor are short.
+The line shows why they wait: lack of free capacity, runners or tickets, or of processor time in the
+owner.
 """
 
 from collections import Counter
@@ -10,50 +11,51 @@
 from dandelionreel.cell.membership import AdvicePool
 from dandelionreel.kernel import Journal, Part
 
-#: Seconds between two lines.
+#: Seconds between two log lines.
 REPORT_SECONDS = 1.0
+#: Thousandths in a unit: millicores in a core, milliseconds in a second.
 MILLI = 1000
 
 
 @dataclass
-class _Tally:
+class _PlanTotals:
     plans: int = 0
     plan_seconds: float = 0.0
     longest_plan: float = 0.0
     starts: int = 0
-    stopped: int = 0
-    questions: int = 0
+    preempted: int = 0
+    advice_requests: int = 0
 
 
 class LoadReport:
-    """Adds up plans, and tells of them with the state of the cell."""
+    """Totals the plans of each period and logs them with the state of the cell."""
 
     def __init__(self, cell: Cell, pool: AdvicePool, journal: Journal) -> None:
-        """Look at that cell, and at its questions in ``pool``."""
+        """Report on ``cell`` and on its pending advice requests in ``pool``."""
         self._cell = cell
         self._pool = pool
         self._journal = journal
         self._stalled = StalledJobs(cell)
-        self._tally = _Tally()
-        self._told_at = float('-inf')
+        self._totals = _PlanTotals()
+        self._reported_at = float('-inf')
 
-    def note_plan(self, made: Plan, seconds: float) -> None:
-        """Add a plan that took that long."""
-        tally = self._tally
-        tally.plans += 1
-        tally.plan_seconds += seconds
-        tally.longest_plan = max(tally.longest_plan, seconds)
-        tally.starts += len(made.starts)
-        tally.stopped += len(made.preempted)
-        tally.questions += len(made.advice_requests)
+    def add_plan(self, plan: Plan, seconds: float) -> None:
+        """Add a plan that took ``seconds`` to compute."""
+        totals = self._totals
+        totals.plans += 1
+        totals.plan_seconds += seconds
+        totals.longest_plan = max(totals.longest_plan, seconds)
+        totals.starts += len(plan.starts)
+        totals.preempted += len(plan.preempted)
+        totals.advice_requests += len(plan.advice_requests)
 
-    def look(self, now: float, wall: float, epoch: int) -> None:
-        """Log one line a second as long as something waits, and the jobs that are stalled."""
-        if now < self._told_at + REPORT_SECONDS:
+    def report(self, now: float, wall: float, epoch: int) -> None:
+        """Log stalled jobs, and the load if tasks wait, unless the last report is too recent."""
+        if now < self._reported_at + REPORT_SECONDS:
             return
-        self._told_at = now
-        tally = self._tally
-        self._tally = _Tally()
+        self._reported_at = now
+        totals = self._totals
+        self._totals = _PlanTotals()
         self._log_stalled(now, wall, epoch)
         waiting = self._count_waiting(wall)
         if not waiting:
@@ -62,7 +64,7 @@
         usable = [runner for runner in runners if runner.usable(now)]
         self._journal.tell(
             Part.PLACEMENT,
-            'tasks wait.',
+            'tasks are waiting.',
             epoch=epoch,
             waiting=dict(waiting),
             runners=len(self._cell.runner_by_id),
@@ -73,12 +75,12 @@
             cores_free=sum(max(0, runner.free_capacity.cpu) for runner in usable) // MILLI,
             cores=sum(runner.registration.capacity.cpu for runner in usable) // MILLI,
             advice_waiting=self._pool.waiting,
-            plans=tally.plans,
-            plan_ms=round(MILLI * tally.plan_seconds / max(1, tally.plans), 1),
-            longest_plan_ms=round(MILLI * tally.longest_plan, 1),
-            starts=tally.starts,
-            stopped_for_gangs=tally.stopped,
-            questions=tally.questions,
+            plans=totals.plans,
+            plan_ms=round(MILLI * totals.plan_seconds / max(1, totals.plans), 1),
+            longest_plan_ms=round(MILLI * totals.longest_plan, 1),
+            starts=totals.starts,
+            stopped_for_gangs=totals.preempted,
+            questions=totals.advice_requests,
         )
 
     def _log_stalled(self, now: float, wall: float, epoch: int) -> None:
@@ -96,7 +98,7 @@
             )
 
     def _count_waiting(self, wall: float) -> Counter[str]:
-        """Return how many tasks wait whose turn has come, by queue."""
+        """Return the number of waiting tasks whose step is ready, by queue."""
         waiting: Counter[str] = Counter()
         for job in self._cell.unfinished_job_by_id.values():
             if job.is_over:
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the dispatcher share for one term, and how they store notes."""
+"""State that the parts of the dispatcher share during one term, and writes to the store."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -17,39 +17,40 @@
     Topic,
     make_progress_records,
 )
-from dandelionreel.cell.store import GroupWriter, Written
+from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.kernel import Clock, Journal, Part, Signal, seconds_or_none
 
 #: Seconds for which runners keep their tasks without a renewal: longer than a usual partition.
 LEASE_SECONDS = 8.5
 
-#: Seconds without an answered append after which nothing is started: less than a successor needs to
-#: claim the cell and poll the runners.
-START_SECONDS = 1.5
+#: Seconds without an answered append after which no task is started: less than a successor needs
+#: to claim the cell and poll the runners.
+START_AUTHORITY_SECONDS = 1.5
 
-#: Seconds that the list of runners may be old when a start is sent: runners drain and shrink.
-LIST_SECONDS = 2.5
+#: Maximum age in seconds of the runner list when a start is sent: a listed runner may have begun to
+#: drain or lost capacity since.
+MAX_RUNNER_LIST_AGE_SECONDS = 2.5
 
-#: Lost runs that are logged when their runner ends.
+#: Maximum number of lost runs that are logged for one runner.
 MAX_LOGGED = 40
 
-ListAge = Callable[[], float]
-Confirms = Callable[[str, float], Awaitable[bool]]
+GetRunnerListAge = Callable[[], float]
+ConfirmZone = Callable[[str, float], Awaitable[bool]]
 MakeRunner = Callable[[Registration], Runner]
 
 
 def always_fresh() -> float:
-    """Return the age of a list of runners that never gets old."""
+    """Return 0, the age of a runner list that never becomes stale."""
     return 0.0
 
 
 async def always_confirmed(zone: str, since: float) -> bool:
-    """Return that nobody in a zone may have shown anything."""
+    """Confirm any zone, for contexts in which no host answers clients during a partition."""
     return True
 
 
 class OwnerContext:
-    """The cell of one term, the right to act on it, and the way to the store."""
+    """Cell state of one term, the checks of the owner's authority, and the writer to the store."""
 
     def __init__(
         self,
@@ -60,11 +61,11 @@
         longest_lease: float,
         clock: Clock,
         journal: Journal,
-        list_age: ListAge = always_fresh,
+        get_runner_list_age: GetRunnerListAge = always_fresh,
     ) -> None:
-        """Work under ``term``; leases are cut to ``longest_lease`` seconds.
+        """Create the context of ``term``; leases last at most ``longest_lease`` seconds.
 
-        ``list_age`` tells how old the list of runners is, in seconds.
+        ``get_runner_list_age`` returns the age of the runner list in seconds.
         """
         self.term = term
         self.cell = cell
@@ -74,110 +75,112 @@
         self.writer = GroupWriter(topic, clock, journal, term.fence)
         claimed_at = term.claimed_at
         self.writer.stored_at = clock.monotonic() if claimed_at is None else claimed_at
-        #: Notified whenever something may be started or has to be stopped.
-        self.wake = Signal()
+        #: Notified whenever a task may be startable or has to be stopped.
+        self.plan_needed = Signal()
         self.ended = curio.Event()
-        #: Jobs that are complete and on their way to the store; ``completed`` is notified
-        #: when there are more.
-        self.unstored_complete: set[str] = set()
-        self.completed = Signal()
-        #: Why the term was lost, empty while it was not.
-        self.lost = ''
+        #: Jobs whose completion is being written to the store. ``completions_changed`` is notified
+        #: when jobs are added.
+        self.unstored_completions: set[str] = set()
+        self.completions_changed = Signal()
+        #: Why the term has ended; empty while it lasts.
+        self.end_reason = ''
         self.runner_by_id: dict[str, Runner] = {}
-        self.list_age = list_age
+        self.get_runner_list_age = get_runner_list_age
         self._make_runner = make_runner
-        #: Whether hosts of a zone whose runner is silent since a time have told what they
-        #: have shown; until then nothing that ran there counts as lost.
-        self.confirms: Confirms = always_confirmed
-
-    async def lose(self, cause: str) -> None:
-        """End the term: another host owns the cell, or may."""
-        if not self.lost:
-            self.lost = cause
+        #: Returns whether the hosts of a zone have reported the completions that they have shown to
+        #: clients since a time. Until then no run in that zone counts as lost.
+        self.confirm_zone: ConfirmZone = always_confirmed
+
+    async def end_term(self, cause: str) -> None:
+        """End the term: another host owns the cell or may own it."""
+        if not self.end_reason:
+            self.end_reason = cause
         await self.ended.set()
 
     def may_act(self) -> bool:
-        """Return whether this host may still send anything as the owner.
+        """Return whether this host may still send orders as the owner.
 
-        A process that was paused or cut off learns late that it was replaced:
-        its orders are then fenced by the runners its successor has reached,
-        and this ends them on those that it has not.
+        A process that was paused or partitioned learns late that it was replaced. Runners that its
+        successor has reached fence its orders; this check covers the runners that the successor has
+        not reached.
         """
-        if self.lost or self.writer.fenced:
+        if self.end_reason or self.writer.fenced:
             return False
         return self.clock.monotonic() - self.writer.stored_at < AUTHORITY_SECONDS
 
     def may_start(self) -> bool:
         """Return whether this host may still start tasks.
 
-        An owner that the store has not answered for a while may have a
-        successor, which reads ends on runners that this host cannot reach.
-        Starting a task again here would run it after such an end was noted.
+        While the store does not answer, a successor may already have read the end of a run on a
+        runner that this host cannot reach. Restarting the task here would run it again after that
+        end was recorded.
         """
-        fresh = self.clock.monotonic() - self.writer.stored_at < START_SECONDS
-        return fresh and self.knows_runners() and self.may_act()
+        recently_stored = self.clock.monotonic() - self.writer.stored_at < START_AUTHORITY_SECONDS
+        return recently_stored and self.runner_list_is_fresh() and self.may_act()
 
-    def knows_runners(self) -> bool:
-        """Return whether the list of runners is new enough to start by it."""
-        return self.list_age() < LIST_SECONDS
+    def runner_list_is_fresh(self) -> bool:
+        """Return whether the runner list is recent enough to start tasks by."""
+        return self.get_runner_list_age() < MAX_RUNNER_LIST_AGE_SECONDS
 
-    def leases_ran_out(self, state: RunnerState) -> bool:
-        """Return whether a runner's tasks are gone because nobody renewed them.
+    def leases_expired(self, state: RunnerState) -> bool:
+        """Return whether all leases on a runner have expired, so that its tasks have ended.
 
-        A successor may renew them unseen. The latest append proves that there
-        was none when it was sent, so the leases must have run out by then.
+        A successor could renew them without this host's knowledge. The latest answered append
+        proves that there was no successor when it was sent, so the leases must have expired by that
+        time.
         """
         return state.leases_expired(self.writer.stored_at, MAX_CLOCK_DRIFT)
 
     async def store_progress(
         self,
         jobs: list[JobRun],
-        *others: KeyedRecord,
-        patience: float = AUTHORITY_SECONDS,
-    ) -> Written:
-        """Store how far jobs are; that is then shown to clients and relied upon.
+        *other_records: KeyedRecord,
+        timeout: float = AUTHORITY_SECONDS,
+    ) -> WriteOutcome:
+        """Store the progress of jobs; once stored it is shown to clients and relied upon.
 
-        Records are made and queued without a pause between: the store keeps the newest record of a
-        job, and an older one that is queued later would revert it.
+        The coroutine does not yield between building and queueing the records: the store keeps the
+        newest record of a job, and an older record queued later would revert it.
         """
-        progress_by_job = self._note_progress(jobs)
-        records = list(others)
+        progress_by_job = self._make_progress(jobs)
+        records = list(other_records)
         for job, progress in progress_by_job.items():
             records.extend(make_progress_records(job.id, progress))
-        await self._expect_complete(progress_by_job)
-        outcome = await self.writer.write(records, patience)
+        await self._note_unstored_completions(progress_by_job)
+        outcome = await self.writer.write(records, timeout)
         for job, progress in progress_by_job.items():
-            if outcome is Written.STORED:
-                self.unstored_complete.discard(job.id)
+            if outcome is WriteOutcome.STORED:
+                self.unstored_completions.discard(job.id)
                 job.stored_state = progress.state
                 job.stored_runners.update(progress.runners)
             else:
                 self.cell.mark_dirty(job)
         return outcome
 
-    async def flush(self) -> Written:
-        """Store the progress of all jobs that have got on, and what is on its way.
+    async def flush(self) -> WriteOutcome:
+        """Store the progress of all changed jobs and wait for writes that are already queued.
 
-        Of a job whose progress is queued already there is nothing more to write; if
-        that is given up meanwhile, an end would be acknowledged that stands nowhere.
+        A job whose progress is already queued has nothing more to write. If a write is given up
+        meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
+        although it is not in the store.
         """
         given_up = self.writer.given_up
         outcome = await self.store_progress(self.cell.take_dirty_jobs())
-        return outcome if self.writer.given_up == given_up else Written.UNKNOWN
+        return outcome if self.writer.given_up == given_up else WriteOutcome.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
-        """Note that a runner is gone, and whether its life is ``proven`` to be over."""
+        """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
         self.journal.tell(
             Part.WORKERS,
             f'{state.id} has ended: {cause}.',
             runner=state.id,
             tasks=len(state.allocation_by_run),
         )
-        self._tell_lost(state)
-        self.tell_crashes(self.cell.handle_ended_runner(state.id, proven=proven))
+        self._log_lost_runs(state)
+        self.log_crashes(self.cell.handle_ended_runner(state.id, proven=proven))
 
-    def lapse_runner(self, state: RunnerState) -> None:
-        """Take all that runs on a silent runner for gone: its leases have run out."""
+    def expire_runner_leases(self, state: RunnerState) -> None:
+        """Treat all runs on a silent runner as ended, since its leases have expired."""
         self.journal.tell(
             Part.WORKERS,
             f'the leases on {state.id} have run out.',
@@ -185,13 +188,13 @@
             tasks=len(state.allocation_by_run),
             epoch=self.term.epoch,
         )
-        self._tell_lost(state)
+        self._log_lost_runs(state)
         self.cell.handle_lapsed_runner(state.id)
 
-    def tell_crashes(self, crashes: list[Crash]) -> None:
-        """Tell under which runs a runner has crashed, and which task is given up for it."""
+    def log_crashes(self, crashes: list[Crash]) -> None:
+        """Log the runs during which a runner crashed, and whether their job is given up."""
         for crash in crashes:
-            outcome = 'its job is given up' if crash.given_up else 'it starts again'
+            outcome = 'its job is given up' if crash.given_up else 'it will be retried'
             self.journal.tell(
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
@@ -201,7 +204,7 @@
             )
 
     def run_fields(self, runner: str, task: TaskName, run: int) -> dict[str, Any]:
-        """Return what names a run in a log line, and who counts it."""
+        """Return the fields that identify a run in a log line, with the owner's epoch."""
         return {
             'runner': runner,
             'job': task.job,
@@ -211,45 +214,45 @@
         }
 
     def add_runner(self, state: RunnerState) -> Runner:
-        """Open the way to a runner."""
+        """Create the client of a runner."""
         runner = self._make_runner(state.registration)
         self.runner_by_id[state.id] = runner
         return runner
 
     async def close_runners(self) -> None:
-        """Close the ways to all runners."""
+        """Close the clients of all runners."""
         for runner in self.runner_by_id.values():
             await runner.close()
 
-    async def _expect_complete(self, progress_by_job: dict[JobRun, Progress]) -> None:
+    async def _note_unstored_completions(self, progress_by_job: dict[JobRun, Progress]) -> None:
         complete = [
             job.id
             for job, progress in progress_by_job.items()
             if progress.state is JobState.COMPLETED
         ]
         if complete:
-            self.unstored_complete.update(complete)
-            await self.completed.notify()
+            self.unstored_completions.update(complete)
+            await self.completions_changed.notify()
 
-    def _tell_lost(self, state: RunnerState) -> None:
-        """Tell what is lost with a runner, and how long each run had been there.
+    def _log_lost_runs(self, state: RunnerState) -> None:
+        """Log the runs that are lost with a runner.
 
-        ``runner_age`` is how long the runner had not answered, ``seconds`` since when the
-        run was placed: a run that was lost as soon as it was placed may be the cause.
+        ``runner_age`` is the time since the runner last answered, ``seconds`` the time since the
+        run was placed: a run that is lost right after it was placed may be the cause.
         """
         now = self.clock.monotonic()
-        for held in tuple(state.allocation_by_run.values())[:MAX_LOGGED]:
+        for allocation in tuple(state.allocation_by_run.values())[:MAX_LOGGED]:
             self.journal.tell(
                 Part.WORKERS,
                 f'a run was lost with {state.id}.',
-                **self.run_fields(state.id, held.task, held.run),
-                phase=held.phase.value,
+                **self.run_fields(state.id, allocation.task, allocation.run),
+                phase=allocation.phase.value,
                 draining=state.draining,
                 runner_age=seconds_or_none(now - state.answered_at),
-                seconds=round(now - held.placed_at, 3),
+                seconds=round(now - allocation.placed_at, 3),
             )
 
-    def _note_progress(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
+    def _make_progress(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
         wall = self.clock.wall()
         progress_by_job = {}
         for job in jobs:
--- a/dandelionreel/cell/owner/_parts.py
+++ b/dandelionreel/cell/owner/_parts.py
@@ -1,23 +1,28 @@
-"""What an owner works with in every term."""
+"""Dependencies of the dispatcher that stay the same from term to term."""
 
 from dataclasses import dataclass
 
 from dandelionreel.cell.membership import Completions, Election, LocalAdvisor, PeerLinks
 from dandelionreel.cell.model import Topic
-from dandelionreel.cell.owner._owner_context import ListAge, MakeRunner, always_fresh
-from dandelionreel.cell.store import ConfigurationFolder, Follower, JobFolder, RunnersFolder
+from dandelionreel.cell.owner._owner_context import GetRunnerListAge, MakeRunner, always_fresh
+from dandelionreel.cell.store import (
+    CellProjection,
+    ConfigurationProjection,
+    Follower,
+    RunnerProjection,
+)
 from dandelionreel.kernel import Clock, Journal
 
 
 @dataclass(frozen=True)
 class DispatcherParts:
-    """What a dispatcher works with; made once, used for every term."""
+    """Dependencies and settings of a dispatcher; built once per process, reused in every term."""
 
     topic: Topic
     follower: Follower
-    jobs: JobFolder
-    runners: RunnersFolder
-    configuration: ConfigurationFolder
+    jobs: CellProjection
+    runners: RunnerProjection
+    configuration: ConfigurationProjection
     election: Election
     links: PeerLinks
     advisor: LocalAdvisor
@@ -29,5 +34,5 @@
     gang_timeout: float
     longest_lease: float
     status_kept: float
-    #: How old the list of runners is, in seconds.
-    list_age: ListAge = always_fresh
+    #: Returns the age of the local copy of the runner list, in seconds.
+    get_runner_list_age: GetRunnerListAge = always_fresh
--- /dev/null
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -0,0 +1,52 @@
+"""Computes until when leases granted by earlier owners may last. No I/O.
+
+It matters when the owner is lost together with the network path to some runners: their tasks run as
+long as the lost owner renews the leases, and must not be started elsewhere meanwhile.
+"""
+
+from dandelionreel.cell.decisions import MAX_CLOCK_DRIFT
+from dandelionreel.cell.membership import AUTHORITY_SECONDS, Term
+from dandelionreel.cell.store import CellState
+
+#: Maximum age in seconds of the last reading of a runner's clock when a lease is granted from it.
+MAX_CLOCK_READING_AGE_SECONDS = 2.2
+
+
+def lease_upper_bound(seconds: float) -> float:
+    """Return the longest real time that a lease may last on a runner with a slow clock.
+
+    A lease ends at a time of the runner's clock, which the owner extrapolates from its last
+    reading. Both the time since the reading and the lease itself pass more slowly on that clock.
+    """
+    return (seconds + MAX_CLOCK_READING_AGE_SECONDS * MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
+
+
+class PredecessorLeases:
+    """The time at which the leases of all earlier owners are over, computed as a term begins."""
+
+    def __init__(self, term: Term, lease: float, now: float) -> None:
+        """Compute the end as of ``now``; earlier owners grant leases of ``lease`` seconds."""
+        self._previous_owner = term.former
+        self._lease = lease_upper_bound(lease)
+        # A previous owner that was killed may itself have succeeded one that is partitioned and
+        # still renews leases.
+        self._earlier_leases_end_at = now + term.unsettled
+        self.silent_seconds = 0.0 if term.silent_since is None else now - term.silent_since
+        self.ended = term.released or term.former_ended
+        remaining_authority = (
+            0.0 if self.ended else max(0.0, AUTHORITY_SECONDS - self.silent_seconds)
+        )
+        #: When every lease of an earlier owner has expired, in monotonic seconds.
+        self.end_at = max(now + remaining_authority + self._lease, self._earlier_leases_end_at)
+
+    def shorten_if_ended(self, book: CellState, now: float) -> bool:
+        """Move the end forward if the previous owner has ended; return whether that is news.
+
+        If its host is back with a new process, the old process renews no more leases, and only the
+        last lease that it granted is left to wait for.
+        """
+        if self.ended or self._previous_owner is None or not book.has_ended(self._previous_owner):
+            return False
+        self.ended = True
+        self.end_at = min(self.end_at, max(now + self._lease, self._earlier_leases_end_at))
+        return True
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -14,14 +14,14 @@
 from dandelionreel.http import Server, ServerLimits
 from dandelionreel.jobs import (
     Dispatcher,
-    Intake,
-    JobBook,
-    JobKeeper,
+    JobApi,
     JobMetrics,
     JobMover,
+    JobProjection,
     JobRecord,
-    Orders,
-    ShareKeeper,
+    JobRefresher,
+    OrderSender,
+    QuotaShareBalancer,
 )
 from dandelionreel.kernel import (
     Environment,
@@ -279,7 +279,7 @@
 
     def _build_jobs(self) -> None:
         settings, clock = self._settings, self._clock
-        self._jobs = JobBook(
+        self._jobs = JobProjection(
             self._shards,
             settings.limits.known_jobs,
             settings.limits.known_keys,
@@ -298,14 +298,14 @@
             self._echoes,
             self._journal,
         )
-        self._shares = ShareKeeper(
+        self._shares = QuotaShareBalancer(
             settings,
             clock,
             self._contracts,
             self._cell_writer,
             self._journal,
         )
-        self._orders = Orders(
+        self._orders = OrderSender(
             self.me,
             settings,
             clock,
@@ -331,7 +331,7 @@
             JobMetrics(self._metrics.registry),
             self._journal,
         )
-        self._keeper = JobKeeper(
+        self._keeper = JobRefresher(
             settings,
             clock,
             self._jobs,
@@ -339,13 +339,13 @@
             self._zone_writer,
             self._journal,
         )
-        self._fleet.deliver_to(self._dispatcher.take_report)
+        self._fleet.deliver_to(self._dispatcher.handle_report)
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
     def _build_fronts(self) -> None:
         settings = self._settings
-        intake = Intake(
+        intake = JobApi(
             settings,
             self._clock,
             self._jobs,
@@ -457,7 +457,7 @@
             self._dispatcher.run,
             self._dispatcher.follow_log,
             self._orders.run,
-            self._orders.run_records,
+            self._orders.write_queued_records,
             self._shares.run,
             self._keeper.run,
             self._update_metrics,
@@ -571,7 +571,7 @@
             return Refused('not a report')
         if not self._dispatcher.is_active:
             return Refused('not the dispatcher')
-        await self._dispatcher.take_report(report)
+        await self._dispatcher.handle_report(report)
         return Done()
 
 
--- a/dandelionreel/jobs/_lapses.py
+++ b/dandelionreel/jobs/_lapses.py
@@ -1,36 +1,36 @@
-"""When a run that was lost with its worker counts as a failure. No I/O.
+"""Decides when an attempt that was lost with its worker counts as a failure. No I/O.
 
-Load pattern: an idempotent job crashes each worker that starts it. Its runs end with their
-leases and never as failed, so its limit on failures was never reached: it was started again
-for ever, and took all that ran beside it down each time. Workers are lost by chance as
-well, so the first losses in a row are excused.
+An idempotent job may crash each worker that starts it. Its attempts end with their leases
+and not as failed, so without this rule it never reaches its limit of failures: it is
+restarted forever, and each time takes down all tasks on that worker. Workers are also lost
+for other reasons, so the first losses in a row don't count.
 """
 
 from collections.abc import Sequence
 
-from dandelionreel.jobs._book import Attempt, Outcome
+from dandelionreel.jobs._job_projection import Attempt, Outcome
 
-#: Losses in a row that count for nothing: two workers that are lost one after the other
-#: under one job are chance more often than not.
-LAPSES_EXCUSED = 2
-#: Seconds in which they must have begun: a service outlives many workers in its months.
-LAPSE_WINDOW = 600.0
+#: Losses in a row that don't count as failures: two in a row are more often chance than
+#: the job's fault.
+EXCUSED_LAPSES = 2
+#: Older attempts are ignored: a service that runs for months outlives many workers.
+LAPSE_WINDOW_SECONDS = 600.0
 
 
-def judge_lapse(outcome: Outcome, earlier: Sequence[Attempt], wall: float) -> Outcome:
-    """Return what an attempt came to, given the job's attempts before it.
+def classify_lapse(outcome: Outcome, earlier: Sequence[Attempt], now: float) -> Outcome:
+    """Return an attempt's outcome, given the job's earlier attempts.
 
-    ``wall`` is the time in seconds since the epoch. Attempts that never started say nothing.
+    ``now`` is in epoch seconds. Attempts that never started are skipped.
     """
     if outcome is not Outcome.LAPSED:
         return outcome
-    excused = 0
+    recent_losses = 0
     for attempt in reversed(earlier):
         if attempt.outcome is Outcome.NOT_STARTED:
             continue
         if attempt.outcome not in {Outcome.LAPSED, Outcome.FAILED}:
             break
-        if attempt.wall < wall - LAPSE_WINDOW:
+        if attempt.intent_wall < now - LAPSE_WINDOW_SECONDS:
             break
-        excused += 1
-    return Outcome.FAILED if excused >= LAPSES_EXCUSED else outcome
+        recent_losses += 1
+    return Outcome.FAILED if recent_losses >= EXCUSED_LAPSES else outcome
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the operator's and the cell's own records, where they cannot be read."""
+"""Steps on records of the operator's and the cell's topics that cannot be read."""
 
 import curio
 import msgspec
@@ -25,16 +25,16 @@
 from dandelionreel.platform import decode_submission
 from features.entry_parts import (
     CONFIGURATION,
-    DEEP,
+    DEEP_JSON,
     JOB,
-    MEMBER_PREFIX,
+    MEMBER,
     OWNER,
-    PROGRESS_PREFIX,
-    SUBMISSION_PREFIX,
-    Reader,
+    PROGRESS,
+    SUBMISSION,
+    HostProjections,
     encode,
 )
-from features.entry_reading import configuration, operator_reads
+from features.entry_reading import make_configuration_record, read_configurations
 from features.steps.succession_steps import make_dispatcher
 from features.store_parts import Host
 from standins import MemoryTopic
@@ -42,19 +42,19 @@
 
 @given('a host with configuration 3')
 def host_with_configuration(context):
-    context.reader = Reader()
-    operator_reads(context.reader, configuration(version=3))
+    context.projections = HostProjections()
+    read_configurations(context.projections, make_configuration_record(version=3))
 
 
 BAD_CONFIGURATIONS = {
     'no JSON': b'{"version":',
     'a list': b'[]',
-    'routes that are text': configuration(version=6, routes='all'),
-    'no version': configuration(version=None),
-    'nested deeply': DEEP,
-    'a version below zero': configuration(version=-1),
-    'a version of 400 digits': configuration(version=int('9' * 400)),
-    'a negative timeout': configuration(
+    'routes that are text': make_configuration_record(version=6, routes='all'),
+    'no version': make_configuration_record(version=None),
+    'nested deeply': DEEP_JSON,
+    'a version below zero': make_configuration_record(version=-1),
+    'a version of 400 digits': make_configuration_record(version=int('9' * 400)),
+    'a negative timeout': make_configuration_record(
         version=6, routes=[{**CONFIGURATION['routes'][0], 'timeout_ms': -1}]
     ),
 }
@@ -62,12 +62,14 @@
 
 @when('it reads configuration 5 and then {record}')
 def reads_configurations(context, record):
-    operator_reads(context.reader, configuration(version=5), BAD_CONFIGURATIONS[record])
+    read_configurations(
+        context.projections, make_configuration_record(version=5), BAD_CONFIGURATIONS[record]
+    )
 
 
 @then('configuration 5 is in force')
 def in_force(context):
-    assert context.reader.configuration.current.version == 5
+    assert context.projections.configuration.current.version == 5
 
 
 def changed_spec(*steps):
@@ -81,32 +83,25 @@
 BAD_RECORDS = {
     'no JSON': b'{"queue":',
     'a list': b'[]',
-    'nested deeply': DEEP,
-    'a wild count': changed_spec(Step(10**15, Demand(), 1.0)),
+    'nested deeply': DEEP_JSON,
+    'a huge count': changed_spec(Step(10**15, Demand(), 1.0)),
     'a cycle of steps': changed_spec(Step(1, Demand(), 1.0, (0,))),
     'a tiny interval': encode(
-        Submission(
-            'urgent', 'desk', 9.0, JobSpec('x', SUBMISSION_PREFIX.spec.steps, 2, 1.0, 1e-300)
-        )
+        Submission('urgent', 'desk', 9.0, JobSpec('x', SUBMISSION.spec.steps, 2, 1.0, 1e-300))
     ),
-    'a bad mask': changed_progress(DoneTasks(0, 0, '-x')),
-    'a step too many': changed_progress(DoneTasks(0, 9, '1')),
+    'an invalid mask': changed_progress(DoneTasks(0, 0, '-x')),
+    'an unknown step': changed_progress(DoneTasks(0, 9, '1')),
     'an epoch below zero': encode(msgspec.structs.replace(OWNER, epoch=-1)),
     'an epoch of 400 digits': b'{"epoch":' + b'9' * 400 + b',"host":"x","term":"x/1"}',
     'a host that is a number': b'{"epoch":9,"host":7,"term":"x/1"}',
-    'port 0': encode(msgspec.structs.replace(MEMBER_PREFIX, port=0)),
-    'port 99999': encode(msgspec.structs.replace(MEMBER_PREFIX, port=99999)),
-    'an address of 300 characters': encode(
-        msgspec.structs.replace(MEMBER_PREFIX, address='a' * 300)
-    ),
+    'port 0': encode(msgspec.structs.replace(MEMBER, port=0)),
+    'port 99999': encode(msgspec.structs.replace(MEMBER, port=99999)),
+    'an address of 300 characters': encode(msgspec.structs.replace(MEMBER, address='a' * 300)),
 }
 BEFORE = {
     'nothing': (),
-    'a job': (make_record(f'j/{JOB}', SUBMISSION_PREFIX),),
-    'a job under way': (
-        make_record(f'j/{JOB}', SUBMISSION_PREFIX),
-        make_record(f'e/{JOB}', PROGRESS_PREFIX),
-    ),
+    'a job': (make_record(f'j/{JOB}', SUBMISSION),),
+    'a job under way': (make_record(f'j/{JOB}', SUBMISSION), make_record(f'e/{JOB}', PROGRESS)),
     'a completed job': (make_record(f'e/{JOB}', Progress(4, JobState.COMPLETED, ended_at=9.0)),),
 }
 
@@ -119,7 +114,7 @@
 
 
 def append(context, *records):
-    """Put records into the topic and let the host read all that is new."""
+    """Append records to the topic and let the host read all new ones."""
     if records:
         curio.run(context.memory.append, records, 0.1)
     curio.run(context.host.follower._step)
@@ -131,13 +126,13 @@
     append(context, KeyedRecord(f'{key}/{JOB}', BAD_RECORDS[record]))
 
 
-@when('a client hands in a job with {part}')
+@when('a client submits a job with {part}')
 def hand_in_part(context, part):
-    # Of a field that stands twice the last one counts.
+    # Of a field that is given twice the last one counts.
     context.body = b'{"spec":"x","steps":[{"count":1}],"repeat_count":2,%s}' % part.encode()
 
 
-@then('it is refused as bad input')
+@then('it is refused as invalid')
 def bad_input(context):
     try:
         decode_submission(context.body)
@@ -154,44 +149,44 @@
     append(context)
 
 
-@when('the same job is handed in again')
+@when('the same job is submitted again')
 def handed_in_again(context):
-    booked = context.host.folder.book.find(JOB)
+    stored_job = context.host.folder.state.find(JOB)
     # A host that took the job for accepted would not store it again.
-    assert booked.may_be_stored_again
-    append(context, make_record(f'j/{JOB}', SUBMISSION_PREFIX))
+    assert stored_job.may_be_resubmitted
+    append(context, make_record(f'j/{JOB}', SUBMISSION))
 
 
 @then('the job is shown as {state}')
 def shown_as(context, state):
-    booked = context.host.folder.book.find(JOB)
-    assert booked is not None, 'the job is not known'
-    assert booked.state is JobState(state), booked
+    stored_job = context.host.folder.state.find(JOB)
+    assert stored_job is not None, 'the job is not known'
+    assert stored_job.state is JobState(state), stored_job
 
 
 def start_term(context):
-    """Return the dispatcher of a term that the host begins with what it knows."""
-    clock, former = context.host.clock, context.host.folder.book.owner
+    """Return the dispatcher of a term that the host begins with its present state."""
+    clock, former = context.host.clock, context.host.folder.state.owner
     clock.advance(SILENT_SECONDS)
     term = Term(9, 'me/1', WriterFence(9, 1), clock.now - 1, False, False, former=former)
     dispatcher = make_dispatcher(context.host, term, context.memory, clock)
-    dispatcher._begin()
+    dispatcher._load_state()
     return dispatcher
 
 
 @then('the job is {handled}')
 def handled(context, handled):
-    booked = context.host.folder.book.find(JOB)
+    stored_job = context.host.folder.state.find(JOB)
     dispatcher = start_term(context)
     cell = dispatcher.cell
     job = cell.job_by_id.get(JOB)
     startable = (
         job is not None and not job.is_over and bool(job.ready_steps(context.host.clock.now))
     )
-    assert startable is (handled == 'started'), (booked, job)
+    assert startable is (handled == 'started'), (stored_job, job)
 
 
-@given("a host that hears an owner's heartbeats")
+@given("a host that reads an owner's heartbeats")
 def hears_owner(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
@@ -210,13 +205,13 @@
     assert context.host.folder.owner_heard_at == context.is_confirmed
 
 
-@then('the owner is the same as before')
+@then('the known owner is unchanged')
 def same_owner(context):
-    assert context.host.folder.book.owner == OWNER
-    # Nor after the host has had to start again from a snapshot.
+    assert context.host.folder.state.owner == OWNER
+    # Also after the host has had to start again from a snapshot.
     context.host.follower._offset = None
     append(context)
-    assert context.host.folder.book.owner == OWNER
+    assert context.host.folder.state.owner == OWNER
 
 
 @then('a host that starts now waits for a heartbeat before it claims')
@@ -225,20 +220,20 @@
     curio.run(late.follower._step)
     curio.run(late.follower._step)
     late.follower.fresh_at = late.clock.now
-    late.follower.reached_since = late.clock.now
+    late.follower.reachable_since = late.clock.now
     assert late.election._vacancy() is Vacancy.HELD
     late.clock.advance(SILENT_SECONDS + 0.1)
     late.follower.fresh_at = late.clock.now
     assert late.election._vacancy() is Vacancy.SILENT
-    # Whoever claims then has to expect tasks of an owner of which it knows nothing.
-    assert late.folder.book.owner.unsettled == PREDECESSOR_LEASE_SECONDS
+    # A host that claims then must expect running tasks of the unknown owner.
+    assert late.folder.state.owner.unsettled == PREDECESSOR_LEASE_SECONDS
 
 
 @given('a job that an owner has started on the runner i-1')
 def started_on(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
-    job = (make_record(f'j/{JOB}', SUBMISSION_PREFIX), make_record(f'e/{JOB}', PROGRESS_PREFIX))
+    job = (make_record(f'j/{JOB}', SUBMISSION), make_record(f'e/{JOB}', PROGRESS))
     append(context, make_record('owner', OWNER), *job)
 
 
@@ -248,12 +243,12 @@
     context.dispatcher = start_term(context)
 
 
-@then('it leaves that job alone until the leases must be over')
+@then('it starts no task of that job until all leases must have expired')
 def left_alone(context):
     cell = context.dispatcher.cell
     assert cell.is_blocked(cell.job_by_id[JOB])
-    rounds = context.dispatcher._rounds
-    curio.run(rounds._give_up_unseen, rounds.predecessors.until + 0.1)
+    rounds = context.dispatcher._periodic_checks
+    curio.run(rounds._drop_unseen_runners, rounds.predecessor_leases.end_at + 0.1)
     assert not cell.is_blocked(cell.job_by_id[JOB])
 
 
@@ -261,7 +256,7 @@
 def knows_peer(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
-    append(context, make_record('m/entry-1', MEMBER_PREFIX))
+    append(context, make_record('m/entry-1', MEMBER))
 
 
 @when("the peer's record becomes {record}")
@@ -269,6 +264,6 @@
     append(context, KeyedRecord('m/entry-1', BAD_RECORDS[record]))
 
 
-@then('the peer is where it was')
+@then('the known address of the peer is unchanged')
 def peer_is(context):
-    assert context.host.folder.book.member_by_host == {'entry-1': MEMBER_PREFIX}
+    assert context.host.folder.state.member_by_host == {'entry-1': MEMBER}
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -14,7 +14,7 @@
     TaskOrder,
     TaskStatus,
 )
-from dandelionreel.jobs import AttemptIntent, JobAccepted, JobBook, JobState, load_spec
+from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
 from dandelionreel.kernel import ManualClock
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
@@ -180,7 +180,7 @@
 def make_job(context):
     clock = ManualClock()
     context.shards = ShardProjection(Membership(clock), clock)
-    context.book = JobBook(context.shards, 10, 10)
+    context.book = JobProjection(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
     accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
     context.book.fold(accepted, Position(1, 'a/1', 0))
@@ -199,8 +199,8 @@
 @then('the job runs by the intent for w1 and not by the one for w2')
 def check_runs_by(context):
     job = context.book.get('z.1')
-    assert job.runs(_intent('w1'))
-    assert not job.runs(_intent('w2'))
+    assert job.matches_intent(_intent('w1'))
+    assert not job.matches_intent(_intent('w2'))
 
 
 @when('another dispatcher claims, and then its intent for w1 lands')
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a job that is handed in again while a snapshot is read again."""
+"""Steps on a job that is submitted again while a snapshot is reloaded."""
 
 import curio
 from behave import given, then, when
@@ -15,7 +15,7 @@
     make_record,
 )
 from dandelionreel.cell.model._services import RecordBatch
-from dandelionreel.cell.store._writer import Written
+from dandelionreel.cell.store._writer import WriteOutcome
 from features.cell_parts import step
 from features.store_parts import Host, make_dispatcher
 from standins import MemoryTopic
@@ -23,42 +23,44 @@
 JOB = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
 
 
-@given('an owner that has forgotten a job which ended while it read a snapshot')
+@given('an owner that lost track of a job that ended while it read a snapshot')
 def forgotten(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    book = context.host.folder.book
+    book = context.host.folder.state
     running = make_record(f'{PROGRESS_PREFIX}j1', Progress(1, JobState.RUNNING, runners=('w1',)))
     book.fold([make_record(f'{SUBMISSION_PREFIX}j1', JOB), running])
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
     job.note_done(job.steps(0)[0].tasks[0].name)
     assert job.state is JobState.COMPLETED
     # The page with progress was read before the end, the one with submissions after it.
-    context.host.folder.restart(RecordBatch((running,), 1, 1))
+    context.host.folder.load_snapshot(RecordBatch((running,), 1, 1))
     for job_id in book.take_changed():
-        context.dispatcher._see_job(job_id)
+        context.dispatcher._update_job(job_id)
 
 
-@when('the job is handed in again, and then the owner reads its end')
+@when('the job is submitted again, and then the owner reads its end')
 def handed_in_again(context):
     async def play():
         dispatcher = context.dispatcher
         await curio.spawn(dispatcher._owner_context.writer.run, daemon=True)
         return await dispatcher.accept('j1', JOB, 1.0)
 
-    assert curio.run(play) is Written.STORED
-    book = context.host.folder.book
+    assert curio.run(play) is WriteOutcome.STORED
+    book = context.host.folder.state
     book.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     book.fold(context.topic.records)
     for job_id in book.take_changed():
-        context.dispatcher._see_job(job_id)
+        context.dispatcher._update_job(job_id)
 
 
-@then('nothing of the job is started again')
+@then('no task of the job is started again')
 def nothing_again(context):
     job = context.dispatcher.cell.job_by_id.get('j1')
-    assert job is None or job.is_over, f'{job.id} is {job.state.value} here and over in the store'
+    assert job is None or job.is_over, (
+        f'{job.id} is {job.state.value} at the owner and finished in the store'
+    )
