--- a/dandelionreel/admin/_front.py
+++ b/dandelionreel/admin/_front.py
@@ -21,20 +21,20 @@
 from dandelionreel.backing import StreamReader
 from dandelionreel.callers import CallersFront
 from dandelionreel.contracts import (
-    ContractBook,
     ContractError,
+    ContractProjection,
     ContractPublisher,
     load_contract,
 )
 from dandelionreel.http import Answer, Request, answer_json
-from dandelionreel.jobs import Dispatcher, JobBook, JobState
+from dandelionreel.jobs import Dispatcher, JobProjection, JobState
 from dandelionreel.kernel import Clock, RequestError, Settings, clip, not_run
 from dandelionreel.life import Life
 from dandelionreel.ownership import (
     Authority,
-    Claimer,
     Membership,
-    ShardFold,
+    ShardClaimer,
+    ShardProjection,
     runner_shard,
 )
 from dandelionreel.peers import PeerDirectory
@@ -64,13 +64,13 @@
         registry: CollectorRegistry,
         reader: StreamReader,
         members: Membership,
-        shards: ShardFold,
+        shards: ShardProjection,
         authority: Authority,
-        claimer: Claimer,
+        claimer: ShardClaimer,
         directory: PeerDirectory,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         publisher: ContractPublisher,
-        jobs: JobBook,
+        jobs: JobProjection,
         dispatcher: Dispatcher,
         fleet: WorkerFleet,
         pool: RunnerPool,
@@ -161,12 +161,12 @@
                 __version__,
                 not reasons,
                 reasons,
-                self._claimer.is_member(),
+                self._claimer.may_claim(),
                 self._claimer.draining,
                 self._dispatcher.is_active,
                 min(self._authority.evidence_age(), LONGEST_AGE),
                 outage,
-                len(self._claimer.owned()),
+                len(self._claimer.owned_claims()),
                 self._router.in_flight,
                 {state.value: self._jobs.count(state) for state in JobState},
                 contracts,
@@ -199,7 +199,7 @@
                 claim.shard,
                 claim.owner,
                 claim.epoch,
-                '' if self._shards.is_settled(claim) else claim.former,
+                '' if self._shards.is_settled(claim) else claim.former_owner,
                 claim.released,
                 self._authority.grant(claim.shard).level.value,
             )
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -10,18 +10,18 @@
 from dandelionreel.admin import AdminFront
 from dandelionreel.backing import HostWatch, LogError, StreamReader, StreamWriter
 from dandelionreel.callers import CallersFront, Relay
-from dandelionreel.contracts import ContractBook, ContractPublisher, ContractRecord
+from dandelionreel.contracts import ContractProjection, ContractPublisher, ContractRecord
 from dandelionreel.http import Server, ServerLimits
 from dandelionreel.jobs import (
     Dispatcher,
-    Intake,
-    JobBook,
-    JobKeeper,
+    JobApi,
     JobMetrics,
     JobMover,
+    JobProjection,
     JobRecord,
-    Orders,
-    ShareKeeper,
+    JobRefresher,
+    OrderSender,
+    QuotaShareBalancer,
 )
 from dandelionreel.kernel import (
     Environment,
@@ -41,13 +41,13 @@
     DISPATCH_SHARD,
     Alive,
     Authority,
-    Claimer,
     Joined,
     Membership,
     MembershipRecord,
-    Neighbourhood,
-    PromiseBook,
-    ShardFold,
+    PeerMonitor,
+    PromiseTracker,
+    ShardClaimer,
+    ShardProjection,
     ShardRecord,
     ShardUser,
 )
@@ -101,7 +101,7 @@
         """Return the one shard."""
         return (DISPATCH_SHARD,)
 
-    async def let_go(self, shard: str) -> bool:
+    async def prepare_release(self, shard: str) -> bool:
         """Return True: a dispatcher's orders carry its epoch and an age."""
         return True
 
@@ -188,8 +188,8 @@
         )
         self._cell_members = Membership(clock)
         self._zone_members = Membership(clock)
-        self._shards = ShardFold(self._zone_members, clock)
-        self._promises = PromiseBook(self.me, zone, clock, self._zone_members)
+        self._shards = ShardProjection(self._zone_members, clock)
+        self._promises = PromiseTracker(self.me, zone, clock, self._zone_members)
         self._authority = Authority(
             self.me,
             clock,
@@ -199,7 +199,7 @@
             self._shards,
             self._promises,
         )
-        self._neighbourhood = Neighbourhood(
+        self._peer_monitor = PeerMonitor(
             self.me,
             settings,
             clock,
@@ -210,7 +210,7 @@
             self._hosts,
             self._journal,
         )
-        self._claimer = Claimer(
+        self._claimer = ShardClaimer(
             self.me,
             zone,
             clock,
@@ -220,7 +220,7 @@
             self._shards,
             self._promises,
             self._authority,
-            self._neighbourhood,
+            self._peer_monitor,
             self._zone_reader,
             self._zone_writer,
             self._journal,
@@ -230,7 +230,7 @@
         self._zone_reader.add(self._shards.fold, self._shards.reset)
 
     def _build_contracts(self) -> None:
-        self._contracts = ContractBook(self._cell_members, self._clock)
+        self._contracts = ContractProjection(self._cell_members, self._clock)
         self._cell_reader.add(self._contracts.fold, self._contracts.reset)
         self._publisher = ContractPublisher(
             self.me,
@@ -279,7 +279,7 @@
 
     def _build_jobs(self) -> None:
         settings, clock = self._settings, self._clock
-        self._jobs = JobBook(
+        self._jobs = JobProjection(
             self._shards,
             settings.limits.known_jobs,
             settings.limits.known_keys,
@@ -293,19 +293,19 @@
             self._authority,
             self._shards,
             self._zone_reader,
-            self._neighbourhood,
+            self._peer_monitor,
             self._directory,
             self._echoes,
             self._journal,
         )
-        self._shares = ShareKeeper(
+        self._shares = QuotaShareBalancer(
             settings,
             clock,
             self._contracts,
             self._cell_writer,
             self._journal,
         )
-        self._orders = Orders(
+        self._orders = OrderSender(
             self.me,
             settings,
             clock,
@@ -331,7 +331,7 @@
             JobMetrics(self._metrics.registry),
             self._journal,
         )
-        self._keeper = JobKeeper(
+        self._keeper = JobRefresher(
             settings,
             clock,
             self._jobs,
@@ -339,13 +339,13 @@
             self._zone_writer,
             self._journal,
         )
-        self._fleet.deliver_to(self._dispatcher.take_report)
+        self._fleet.deliver_to(self._dispatcher.handle_report)
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
     def _build_fronts(self) -> None:
         settings = self._settings
-        intake = Intake(
+        intake = JobApi(
             settings,
             self._clock,
             self._jobs,
@@ -407,14 +407,14 @@
         self._answer_peers(callers)
 
     def _answer_peers(self, callers: CallersFront) -> None:
-        self._neighbourhood.speak(self._gossip, self._hear, self._publisher.hear)
+        self._peer_monitor.connect_gossip(self._gossip, self._hear, self._publisher.handle_gossip)
         server = self._peer_server
-        server.answer(Heartbeat, self._neighbourhood.answer)
+        server.answer(Heartbeat, self._peer_monitor.answer_heartbeat)
         server.answer(Forward, callers.answer_forward)
         server.answer(PlaceOrder, self._fleet.answer_place)
         server.answer(TaskAction, self._fleet.answer_action)
         server.answer(WorkerReport, self._answer_report)
-        server.answer(ContractsWanted, self._publisher.answer_wanted)
+        server.answer(ContractsWanted, self._publisher.answer_query)
 
     # Running.
 
@@ -442,10 +442,10 @@
         await start_task(stack, self._cell_writer.run)
         await start_task(stack, self._zone_writer.run)
         await start_task(stack, self._join)
-        await start_task(stack, self._neighbourhood.run, stack)
+        await start_task(stack, self._peer_monitor.run, stack)
         await start_task(
             stack,
-            self._neighbourhood.run_proofs,
+            self._peer_monitor.run_end_detection,
             self._zone_writer,
             self._cell_writer,
         )
@@ -457,7 +457,7 @@
             self._dispatcher.run,
             self._dispatcher.follow_log,
             self._orders.run,
-            self._orders.run_records,
+            self._orders.write_queued_records,
             self._shares.run,
             self._keeper.run,
             self._update_metrics,
@@ -523,7 +523,7 @@
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
             await curio.sleep(period / ALIVE_CHECKS)
-            if not self._neighbourhood.has_silent_neighbour():
+            if not self._peer_monitor.has_silent_neighbour():
                 continue
             with suppress(LogError):
                 await self._zone_writer.write(Alive(self.me), period)
@@ -571,7 +571,7 @@
             return Refused('not a report')
         if not self._dispatcher.is_active:
             return Refused('not the dispatcher')
-        await self._dispatcher.take_report(report)
+        await self._dispatcher.handle_report(report)
         return Done()
 
 
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -9,8 +9,8 @@
 from dandelionreel.ownership import (
     RUNNER_PREFIX,
     Authority,
-    Level,
-    ShardFold,
+    GrantLevel,
+    ShardProjection,
     ShardUser,
     runner_shard,
 )
@@ -30,7 +30,7 @@
         clock: Clock,
         hosts: HostWatch,
         authority: Authority,
-        shards: ShardFold,
+        shards: ShardProjection,
         choice: RunnerChoice,
         journal: Journal,
     ) -> None:
@@ -57,7 +57,7 @@
         for entry in self._hosts.of_kind('endpoint', zone):
             yield runner_shard(entry.name)
 
-    async def let_go(self, shard: str) -> bool:
+    async def prepare_release(self, shard: str) -> bool:
         """Return whether no request is under way on a runner's shard."""
         if not shard.startswith(RUNNER_PREFIX):
             return True
@@ -225,14 +225,14 @@
         name = runner.entry.name
         claim = self._shards.get(runner_shard(name))
         grant = self._authority.grant(runner_shard(name))
-        if claim is None or grant.level is Level.NONE:
+        if claim is None or grant.level is GrantLevel.NONE:
             self._watched.discard(name)
             return
         mark = f'{name}|{grant.epoch}'
         if mark in self._watched:
             return
         self._watched.add(mark)
-        runner.take_over(grant, clean=claim.clean and not claim.former)
+        runner.take_over(grant, clean=claim.clean_handover and not claim.former_owner)
         if runner.foreign:
             await curio.spawn(self._watch_foreign, runner, daemon=True)
         await self.changed.notify()
