--- a/dandelionreel/cell/clients/_front.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -1,4 +1,4 @@
-"""What clients ask: to take a job, to tell its state, to cancel it, to count."""
+"""The HTTP API for clients: submit a job, get its state, cancel it, count waiting jobs."""
 
 import re
 from collections.abc import Callable
@@ -8,15 +8,19 @@
 from dandelionreel.cell.clients._access import AccessControl, Denied
 from dandelionreel.cell.clients._client_call import (
     CAUSE_HEADER,
-    STORE_CAUSE,
+    STORE_UNAVAILABLE_CAUSE,
     ClientCall,
     answer_not_run,
     refuse,
 )
-from dandelionreel.cell.clients._client_writes import CUT_OFF_AGE, REFUSALS, ClientWrites
+from dandelionreel.cell.clients._client_writes import (
+    RETRYABLE_STATUSES,
+    STALE_READ_SECONDS,
+    ClientWrites,
+)
 from dandelionreel.cell.clients._partition_reads import PartitionReads
 from dandelionreel.cell.clients._relay import Relay
-from dandelionreel.cell.membership import Completions, ContactWatch
+from dandelionreel.cell.membership import Completions, PartitionDetector
 from dandelionreel.cell.model import (
     CANCELLATION_PREFIX,
     FINAL_STATES,
@@ -37,18 +41,18 @@
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ForwardAnswer, Frame, Message
 
-#: Ids are chosen by clients.
+#: Form of the job ids, which clients choose.
 JOB_ID = re.compile('[0-9a-f]{16}')
-#: Seconds in which an unknown job is looked for in what the store holds now.
-LOOKUP_PATIENCE = 1.0
-#: Seconds: a state may be that old, and a newer one is waited for that long.
-STATE_AGE = 0.03
-REFRESH_PATIENCE = 0.1
-#: Seconds: a count of waiting jobs may be that old; 2 s are promised.
-COUNT_AGE = 1.2
-#: Seconds after which a job may be handed in again that is larger than its account's quota,
-#: which an operator has to raise first.
-QUOTA_RETRY_AFTER = 60.0
+#: Seconds to wait for a current read of the store when a job is unknown here.
+LOOKUP_TIMEOUT_SECONDS = 1.0
+#: Highest age in seconds of a reported state, and the seconds to wait for a newer one.
+MAX_STATE_AGE_SECONDS = 0.03
+REFRESH_TIMEOUT_SECONDS = 0.1
+#: Highest age in seconds of a count of waiting jobs; 2 s are promised.
+MAX_COUNT_AGE_SECONDS = 1.2
+#: Seconds after which a client may resubmit a job that exceeds its account's quota, which an
+#: operator has to raise first.
+QUOTA_RETRY_AFTER_SECONDS = 60.0
 
 HTTP_BAD_REQUEST = 400
 HTTP_UNAUTHORIZED = 401
@@ -57,12 +61,12 @@
 HTTP_CONFLICT = 409
 HTTP_TOO_LARGE = 413
 HTTP_TOO_MANY = 429
-#: What a call without a known key has to bring (RFC 6750).
+#: Header of the answer to a call without a known API key (RFC 6750).
 CHALLENGE = ('www-authenticate', 'Bearer')
 
 
-class ClientFront:
-    """Answers clients from what stands in the store."""
+class ClientApi:
+    """Answers clients' requests from the records in the store."""
 
     def __init__(
         self,
@@ -74,18 +78,19 @@
         follower: Follower,
         writes: ClientWrites,
         relay: Relay,
-        owned: Callable[[], Dispatcher | None],
+        get_dispatcher: Callable[[], Dispatcher | None],
         completions: Completions,
         partition_reads: PartitionReads,
-        contact: ContactWatch,
+        partition_detector: PartitionDetector,
         clock: Clock,
         journal: Journal,
         note_answer: Callable[[str, int, float], None],
         note_refusal: Callable[[str], None],
     ) -> None:
-        """Answer in ``zone``.
+        """Answer clients of ``zone``.
 
-        Report each answer's method, status and seconds, and the account of each refusal.
+        ``note_answer`` gets the method, status and seconds of each answer, ``note_refusal`` the
+        account of each refused call.
         """
         self._zone = zone
         self._codec = codec
@@ -95,24 +100,24 @@
         self._follower = follower
         self._writes = writes
         self._relay = relay
-        self._owned = owned
+        self._get_dispatcher = get_dispatcher
         self._completions = completions
         self._partition_reads = partition_reads
-        self._contact = contact
+        self._partition_detector = partition_detector
         self._clock = clock
         self._journal = journal
         self._note_answer = note_answer
         self._note_refusal = note_refusal
 
     async def handle(self, request: Request) -> Answer:
-        """Answer one request."""
+        """Answer one request of a client."""
         began = self._clock.monotonic()
         answer = await self._answer(request, began, self._zone)
         self._note_answer(request.method, answer.status, self._clock.monotonic() - began)
         return answer
 
     async def handle_relayed(self, frame: Frame) -> Message:
-        """Answer a request that a peer passes on."""
+        """Answer a request that a peer has forwarded."""
         forward: Any = frame.message
         member = self._jobs.state.member_by_host.get(frame.sender.partition('/')[0])
         answer = await self._answer(
@@ -121,8 +126,8 @@
             member.zone if member else '',
             forward,
         )
-        # The peer may ask another host: the store refuses this one as well.
-        return ForwardAnswer(answer, no_room=answer.header(CAUSE_HEADER) == STORE_CAUSE)
+        # no_room tells the peer to try another host: the store does not serve this one either.
+        return ForwardAnswer(answer, no_room=answer.header(CAUSE_HEADER) == STORE_UNAVAILABLE_CAUSE)
 
     async def _answer(
         self,
@@ -143,10 +148,10 @@
         forwarded = None if forward is None else forward.caller
         caller = await self._access.identify(request, queue, forwarded)
         if isinstance(caller, Denied):
-            return self._deny(request, path, caller)
+            return self._answer_denied(request, path, caller)
         call = ClientCall(request, caller, zone, began, forward is not None)
         answer = await self._serve(call, configuration, queue, path[len(queue.path_prefix) :])
-        if answer.status in REFUSALS:
+        if answer.status in RETRYABLE_STATUSES:
             self._note_refusal(caller.account)
         return answer
 
@@ -159,26 +164,26 @@
     ) -> Answer:
         request = call.request
         if not job_id and request.method == 'GET':
-            return await self._count(queue, call.began)
+            return await self._answer_waiting_count(queue, call.began)
         if not JOB_ID.fullmatch(job_id):
             return answer_not_run(HTTP_BAD_REQUEST, 'bad-id', 'a job id has 16 hexadecimal digits')
         if request.method == 'POST':
-            return await self._submit(call, configuration, queue, job_id)
+            return await self._submit_job(call, configuration, queue, job_id)
         if request.method == 'GET':
-            return await self._state(call, job_id)
+            return await self._answer_state(call, job_id)
         if request.method == 'DELETE':
-            return await self._cancel(call, job_id)
+            return await self._cancel_job(call, job_id)
         return answer_not_run(HTTP_NOT_ALLOWED, 'bad-method', 'use POST, GET or DELETE')
 
-    def _deny(self, request: Request, path: str, denied: Denied) -> Answer:
-        """Refuse a call; one answer for all causes, so that nobody learns what a key lacks."""
+    def _answer_denied(self, request: Request, path: str, denied: Denied) -> Answer:
+        """Refuse a call; the answer is the same for all unknown keys and reveals nothing."""
         self._log(request, path, denied.value, version=self._configuration.version)
         if denied is Denied.UNDECIDED:
             return refuse('key-unchecked', 'whether the key is known cannot be told just now')
         answer = answer_not_run(HTTP_UNAUTHORIZED, 'unknown-key', 'a known API key is needed')
         return Answer(answer.status, (*answer.headers, CHALLENGE), answer.body)
 
-    async def _submit(
+    async def _submit_job(
         self,
         call: ClientCall,
         configuration: Configuration,
@@ -186,16 +191,16 @@
         job_id: str,
     ) -> Answer:
         request = call.request
-        if self._owned() is not None and not self._follower.complete:
-            # A job that is over may not have been read yet, and would run again.
+        if self._get_dispatcher() is not None and not self._follower.complete:
+            # The end of a finished job may not have been read yet; the job would run again.
             now = self._clock.monotonic()
-            if not await self._follower.wait_fresh(now, LOOKUP_PATIENCE):
-                return refuse(STORE_CAUSE, 'the store cannot be read just now')
+            if not await self._follower.wait_fresh(now, LOOKUP_TIMEOUT_SECONDS):
+                return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         if not self._may_see(call, job_id):
             self._log(request, job_id, 'its id is taken by another account')
             return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
-        booked = self._jobs.state.find(job_id)
-        if booked is not None and not booked.may_be_resubmitted:
+        stored_job = self._jobs.state.find(job_id)
+        if stored_job is not None and not stored_job.may_be_resubmitted:
             self._log(request, job_id, 'accepted before')
             return self._codec.answer_accepted()
         if len(request.body) > configuration.body_bytes:
@@ -206,27 +211,27 @@
             self._log(request, job_id, f'not a job: {error}')
             return answer_not_run(HTTP_BAD_REQUEST, 'bad-job', f'{error}')
         if not self._fits_quota(call, configuration, spec):
-            return self._refuse_oversized(call, job_id)
+            return self._answer_over_quota(call, job_id)
         submission = Submission(
             queue.name, queue.service, self._clock.wall(), spec, call.zone, call.caller.account
         )
         return await self._writes.store(
             call,
             make_record(SUBMISSION_PREFIX + job_id, submission),
-            lambda owner, patience: owner.accept(job_id, submission, patience),
+            lambda owner, timeout: owner.accept(job_id, submission, timeout),
             partial(self._log, request, job_id),
             queue=queue.name,
             account=call.caller.account,
         )
 
     def _fits_quota(self, call: ClientCall, configuration: Configuration, spec: JobSpec) -> bool:
-        """Return whether the quota of the caller's account has room for each step by itself."""
+        """Return whether each step by itself fits into the quota of the caller's account."""
         account = configuration.find_account(call.caller.account)
         if account is None or account.quota is None:
             return True
         return all(step.smallest_start.fits(account.quota) for step in spec.steps)
 
-    def _refuse_oversized(self, call: ClientCall, job_id: str) -> Answer:
+    def _answer_over_quota(self, call: ClientCall, job_id: str) -> Answer:
         self._log(
             call.request,
             job_id,
@@ -234,99 +239,105 @@
             account=call.caller.account,
         )
         detail = 'a step needs more at once than the account may have running'
-        return answer_not_run(HTTP_TOO_MANY, 'over-account-quota', detail, QUOTA_RETRY_AFTER)
+        return answer_not_run(
+            HTTP_TOO_MANY, 'over-account-quota', detail, QUOTA_RETRY_AFTER_SECONDS
+        )
 
-    async def _state(self, call: ClientCall, job_id: str) -> Answer:
+    async def _answer_state(self, call: ClientCall, job_id: str) -> Answer:
         if not self._may_see(call, job_id):
-            return self._unknown_job(call, job_id)
-        booked = self._jobs.state.find(job_id)
-        if booked is not None and booked.state in FINAL_STATES:
-            return self._codec.answer_state(booked.state)
-        if booked is not None and self._completions.holds(job_id):
+            return self._answer_unknown_job(call, job_id)
+        stored_job = self._jobs.state.find(job_id)
+        if stored_job is not None and stored_job.state in FINAL_STATES:
+            return self._codec.answer_state(stored_job.state)
+        if stored_job is not None and self._completions.contains(job_id):
             return self._codec.answer_state(JobState.COMPLETED)
-        # A job under way may be over by now, and a client counts its wait until
-        # it sees that; an unknown one may have been stored meanwhile.
-        dispatcher = self._owned()
+        # The job may have ended meanwhile, and clients measure their wait until they see that; an
+        # unknown job may have been stored meanwhile.
+        dispatcher = self._get_dispatcher()
         state = dispatcher.state_of(job_id) if dispatcher else None
         if state is not None:
             return self._codec.answer_state(state)
-        patience = LOOKUP_PATIENCE if booked is None else REFRESH_PATIENCE
-        if self._contact.cut_off:
-            # What is known in this zone is all that can be told; who waits learns no more.
+        timeout = LOOKUP_TIMEOUT_SECONDS if stored_job is None else REFRESH_TIMEOUT_SECONDS
+        if self._partition_detector.cut_off:
+            # Only what this zone knows can be told, and waiting would not add to it.
             if await self._partition_reads.is_complete(job_id):
                 return self._codec.answer_state(JobState.COMPLETED)
-            patience = 0.0
+            timeout = 0.0
         elif dispatcher is None and not call.relayed:
-            answer = await self._ask_state(call, patience)
+            answer = await self._get_state_from_peers(call, timeout)
             if answer is not None:
                 return answer
-        await self._follower.wait_fresh(call.began - STATE_AGE, patience)
-        booked = self._find(call, job_id)
-        if booked is not None:
-            return self._codec.answer_state(booked.state)
-        return self._unknown_job(call, job_id)
+        await self._follower.wait_fresh(call.began - MAX_STATE_AGE_SECONDS, timeout)
+        stored_job = self._find(call, job_id)
+        if stored_job is not None:
+            return self._codec.answer_state(stored_job.state)
+        return self._answer_unknown_job(call, job_id)
 
-    async def _ask_state(self, call: ClientCall, patience: float) -> Answer | None:
-        """Return the owner's answer, or that of any peer where the store is out of reach."""
-        passed = await self._relay.forward_to_owner(call, patience)
-        if passed.answer is None and self._follower.age(call.began) > CUT_OFF_AGE:
-            passed = await self._relay.forward(call, patience)
-        return passed.answer
+    async def _get_state_from_peers(self, call: ClientCall, timeout: float) -> Answer | None:
+        """Return the owner's answer, or that of any peer if this host cannot read the store."""
+        forwarded = await self._relay.forward_to_owner(call, timeout)
+        if forwarded.answer is None and self._follower.age(call.began) > STALE_READ_SECONDS:
+            forwarded = await self._relay.forward(call, timeout)
+        return forwarded.answer
 
-    async def _cancel(self, call: ClientCall, job_id: str) -> Answer:
-        booked = self._find(call, job_id)
-        if booked is None:
-            await self._follower.wait_fresh(call.began, LOOKUP_PATIENCE)
-            booked = self._find(call, job_id)
-        if booked is None:
-            return self._unknown_job(call, job_id)
-        over = booked.state in FINAL_STATES or self._completions.holds(job_id)
-        if booked.cancelled or over:
+    async def _cancel_job(self, call: ClientCall, job_id: str) -> Answer:
+        stored_job = self._find(call, job_id)
+        if stored_job is None:
+            await self._follower.wait_fresh(call.began, LOOKUP_TIMEOUT_SECONDS)
+            stored_job = self._find(call, job_id)
+        if stored_job is None:
+            return self._answer_unknown_job(call, job_id)
+        finished = stored_job.state in FINAL_STATES or self._completions.contains(job_id)
+        if stored_job.cancelled or finished:
             return self._codec.answer_accepted()
         record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
         return await self._writes.store(
             call,
             record,
-            lambda owner, patience: owner.cancel(job_id, patience),
+            lambda owner, timeout: owner.cancel(job_id, timeout),
             partial(self._log, call.request, job_id),
         )
 
     def _find(self, call: ClientCall, job_id: str) -> StoredJob | None:
-        """Return a job that stands in the store, if its caller may know of it."""
+        """Return a stored job if the caller may see it."""
         return self._jobs.state.find(job_id) if self._may_see(call, job_id) else None
 
     def _may_see(self, call: ClientCall, job_id: str) -> bool:
-        """Return whether a job, as far as it is known here, is no other account's.
+        """Return whether a job does not belong to another account, as far as this host knows.
 
-        One that was stored without an account is open to every caller, as it was then.
+        A job that was stored without an account is visible to every caller.
         """
-        booked = self._jobs.state.find(job_id)
-        dispatcher = self._owned()
-        account = '' if booked is None else booked.account
-        if booked is None and dispatcher is not None:
+        stored_job = self._jobs.state.find(job_id)
+        dispatcher = self._get_dispatcher()
+        account = '' if stored_job is None else stored_job.account
+        if stored_job is None and dispatcher is not None:
             account = dispatcher.account_of(job_id)
         return account in {'', call.caller.account}
 
-    def _unknown_job(self, call: ClientCall, job_id: str) -> Answer:
-        """Say that a job does not exist, but only if all that is stored has been read.
+    def _answer_unknown_job(self, call: ClientCall, job_id: str) -> Answer:
+        """Answer that a job does not exist, but only after a current read of the store.
 
         The job of another account does not exist for a caller.
         """
-        if self._follower.fresh_at < call.began - STATE_AGE and self._may_see(call, job_id):
-            return refuse(STORE_CAUSE, 'the store cannot be read just now')
+        if self._follower.fresh_at < call.began - MAX_STATE_AGE_SECONDS and self._may_see(
+            call, job_id
+        ):
+            return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         self._journal.tell_frequent(
             Part.JOBS,
-            f'job {job_id} is asked for, not known.',
+            f'a client asked for unknown job {job_id}.',
             job=job_id,
             account=call.caller.account,
             **self._log_fields(),
         )
         return self._codec.answer_unknown_job()
 
-    async def _count(self, queue: Queue, began: float) -> Answer:
-        """Return how many jobs wait, unless too little has been read to know."""
-        if not await self._follower.wait_fresh(began - COUNT_AGE, LOOKUP_PATIENCE):
-            return refuse(STORE_CAUSE, 'the store cannot be read just now')
+    async def _answer_waiting_count(self, queue: Queue, began: float) -> Answer:
+        """Answer with the number of waiting jobs, unless the latest read is too old."""
+        if not await self._follower.wait_fresh(
+            began - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
+        ):
+            return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
 
     def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
@@ -339,7 +350,7 @@
         )
 
     def _log_fields(self) -> dict[str, Any]:
-        """Return how old what is known here is, in seconds, and who is taken for the owner."""
+        """Return the age of the latest read in seconds, and the owner as this host knows it."""
         owner = self._jobs.state.owner
         return {
             'book_age': seconds_or_none(self._follower.age(self._clock.monotonic())),
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -99,7 +99,7 @@
             self._publish(host, message.jobs)
 
     def _publish(self, host: str, jobs: Iterable[str]) -> None:
-        new_jobs = [job for job in jobs if not self._completions.holds(job)]
+        new_jobs = [job for job in jobs if not self._completions.contains(job)]
         self._completions.note(new_jobs)
         if new_jobs:
             self._owner_context.journal.tell_frequent(
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -5,7 +5,7 @@
 import curio
 
 from dandelionreel.cell.decisions import ANY_RUNNER, AdviceRequest, Cell, JobRun, Plan, Planner
-from dandelionreel.cell.membership import BEAT_SECONDS, AdvicePool, Term
+from dandelionreel.cell.membership import HEARTBEAT_SECONDS, AdvicePool, Term
 from dandelionreel.cell.model import (
     CANCELLATION_PREFIX,
     OWNER_KEY,
@@ -232,7 +232,7 @@
         """
         await self._owner_context.flush()
         self._owner_context.end_reason = 'released'
-        owner_record = self._owner_context.term.record(
+        owner_record = self._owner_context.term.owner_record(
             unsettled=self._unsettled_seconds(),
             released=True,
             version=self._parts.configuration.version,
@@ -272,7 +272,7 @@
         while not self._owner_context.end_reason:
             heartbeat += 1
             version = self._parts.configuration.version
-            owner_record = self._owner_context.term.record(
+            owner_record = self._owner_context.term.owner_record(
                 heartbeat, self._unsettled_seconds(), version=version
             )
             records = [make_record(OWNER_KEY, owner_record)]
@@ -295,7 +295,7 @@
             if outcome is WriteOutcome.STORED:
                 stored = runners_in_use
                 await self._enable_recorded_runners(stored)
-            await curio.sleep(BEAT_SECONDS)
+            await curio.sleep(HEARTBEAT_SECONDS)
 
     async def _enable_recorded_runners(self, stored: frozenset[str]) -> None:
         """Allow tasks on the runners that are now recorded in the store."""
@@ -362,7 +362,7 @@
         plan = self._planner.plan(
             started_at,
             self._clock.wall(),
-            self._pool.free_for_patient,
+            self._pool.free_for_non_urgent,
             self._order_sender.free_starts,
         )
         self._load_report.add_plan(plan, self._clock.monotonic() - started_at)
--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -1,14 +1,14 @@
-"""The first question to every contract: may this customer do this at all."""
+"""Checks whether a customer has a contract that includes a class of work."""
 
-from dandelionreel.contracts._book import ContractBook
+from dandelionreel.contracts._contract_projection import ContractProjection
 from dandelionreel.contracts._document import Contract
 from dandelionreel.kernel import not_run
 
 HTTP_FORBIDDEN = 403
 
 
-def require_contract(book: ContractBook, customer: str, task_class: str) -> Contract:
-    """Return the contract to enforce; raises ``RequestError`` with verdict not run."""
+def require_contract(book: ContractProjection, customer: str, task_class: str) -> Contract:
+    """Return the contract to enforce; raises ``RequestError`` with the verdict not run."""
     contract = book.effective(customer)
     if contract is None:
         raise not_run(
@@ -20,6 +20,6 @@
         raise not_run(
             HTTP_FORBIDDEN,
             'class-not-in-contract',
-            f'the contract of {customer} does not name class {task_class!r}',
+            f'the contract of {customer} does not include class {task_class!r}',
         )
     return contract
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -5,13 +5,13 @@
 
 from dandelionreel.cell.clients import (
     AccessControl,
-    ClientFront,
+    ClientApi,
     ClientWrites,
     PartitionReads,
     Relay,
     Rotation,
 )
-from dandelionreel.cell.membership import Completions, ConfigurationExchange, ContactWatch
+from dandelionreel.cell.membership import Completions, ConfigurationExchange, PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import GroupWriter
 from dandelionreel.entry_accounts import view_accounts
@@ -30,12 +30,12 @@
     get_dispatcher: Callable[[], Dispatcher | None],
     completions: Completions,
     partition_reads: PartitionReads,
-    partition_detector: ContactWatch,
+    partition_detector: PartitionDetector,
     rotation: Rotation,
     clock: Clock,
     journal: Journal,
     metrics: EntryMetrics,
-) -> ClientFront:
+) -> ClientApi:
     """Return the handler of client requests, which counts its answers in ``metrics``."""
     metrics.show_accounts(lambda: _view_accounts(reads, get_dispatcher(), metrics))
     codec = JsonClientCodec()
@@ -43,7 +43,7 @@
     writes = ClientWrites(
         codec, follower, writer, relay, get_dispatcher, partition_detector, rotation, clock
     )
-    return ClientFront(
+    return ClientApi(
         settings.zone,
         codec,
         reads.configuration,
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -14,12 +14,12 @@
     CompletionReports,
     Completions,
     ConfigurationExchange,
-    ContactWatch,
     Election,
     LocalAdvisor,
     OwnerWatch,
+    PartitionDetector,
     PeerLinks,
-    name_incarnation,
+    make_incarnation_id,
 )
 from dandelionreel.cell.model import MEMBER_PREFIX, Member, Registration, Runner, make_record
 from dandelionreel.cell.owner import Dispatcher, DispatcherParts
@@ -92,7 +92,7 @@
         # A connection of its own: claims and the owner's records must not wait behind submissions.
         self._owner_topic = StoreTopic(CELL_TOPIC, settings.store)
         self._writer = GroupWriter(self._reads.topics[CELL_TOPIC], self._clock, self._journal)
-        incarnation = name_incarnation(settings.host)
+        incarnation = make_incarnation_id(settings.host)
         self._peer_links = PeerLinks(incarnation, self._clock)
         self._completions = Completions(self._clock)
         self._election = Election(
@@ -112,9 +112,9 @@
             self._peer_links,
             self._clock,
             self._journal,
-            self._election.note_unanswered,
+            self._election.note_query_unanswered,
         )
-        self._partition_detector = ContactWatch(
+        self._partition_detector = PartitionDetector(
             settings.host,
             settings.zone,
             self._cell_projection.state,
@@ -257,7 +257,7 @@
         dispatcher = self._dispatcher
         acting = dispatcher is not None and dispatcher.may_act and not dispatcher.store_is_failing
         ready = self._may_claim() and self._reads.complete
-        return self._election.answer_asked(frame, acting, ready)
+        return self._election.answer_owner_query(frame, acting, ready)
 
     async def _accept_completions(self, jobs: tuple[str, ...]) -> bool:
         dispatcher = self._dispatcher
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
 
-from dandelionreel.cell.clients import ClientFront
+from dandelionreel.cell.clients import ClientApi
 from dandelionreel.cell.membership import (
     CompletionAnswers,
     ConfigurationExchange,
@@ -34,7 +34,7 @@
 async def listen_peers(
     stack: AsyncExitStack,
     address: Address,
-    front: ClientFront,
+    front: ClientApi,
     election: Election,
     advisor: LocalAdvisor,
     completions: CompletionAnswers,
@@ -50,12 +50,12 @@
     peers = PeerServer(election.incarnation, clock, EchoBook(), journal, Traffic())
     handlers = (
         (Forward, front.handle_relayed),
-        (OwnerFailing, election.take_failing),
+        (OwnerFailing, election.handle_owner_failing),
         (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer),
         (CompletionsTold, completions.merge_completions),
         (CompletionsSeen, completions.merge_zone_completions),
-        (CompletionsWanted, completions.answer_wanted),
+        (CompletionsWanted, completions.answer_query),
         (ConfigurationWanted, exchange.answer),
     )
     for kind, handler in handlers:
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from dandelionreel.cell.clients import Condition, Rotation, find_hindrance
-from dandelionreel.cell.membership import ContactWatch
+from dandelionreel.cell.clients import ReadinessInputs, Rotation, find_unready_reason
+from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import ConfigurationProjection, Follower, GroupWriter
 from dandelionreel.http import Answer, Request
@@ -19,7 +19,7 @@
     def __init__(
         self,
         configuration: ConfigurationProjection,
-        partition_detector: ContactWatch,
+        partition_detector: PartitionDetector,
         writer: GroupWriter,
         follower: Follower,
         get_dispatcher: Callable[[], Dispatcher | None],
@@ -45,17 +45,17 @@
 
     def is_unready(self) -> bool:
         """Return whether clients should currently use another host."""
-        return bool(find_hindrance(self._gather_inputs()))
+        return bool(find_unready_reason(self._gather_inputs()))
 
     async def answer(self, request: Request) -> Answer:
         """Answer one readiness check."""
         inputs = self._gather_inputs()
-        reason = find_hindrance(inputs)
+        reason = find_unready_reason(inputs)
         self._log_change(reason, inputs)
-        self.rotation.note_question(self._clock.monotonic(), ready=not reason)
+        self.rotation.note_readiness_check(self._clock.monotonic(), ready=not reason)
         return Answer(HTTP_UNAVAILABLE if reason else HTTP_OK)
 
-    def _log_change(self, reason: str, inputs: Condition) -> None:
+    def _log_change(self, reason: str, inputs: ReadinessInputs) -> None:
         if reason == self._last_reason:
             return
         self._last_reason = reason
@@ -65,11 +65,11 @@
             store_age=seconds_or_none(inputs.store_age),
         )
 
-    def _gather_inputs(self) -> Condition:
+    def _gather_inputs(self) -> ReadinessInputs:
         now = self._clock.monotonic()
         dispatcher = self._get_dispatcher()
         owner_store_is_failing = dispatcher is not None and dispatcher.store_is_failing
-        return Condition(
+        return ReadinessInputs(
             stopping=self._stopping,
             configured=self._configuration.current is not None,
             cut_off=self._partition_detector.cut_off,
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dandelionreel.cell.membership import keeps_runners
+from dandelionreel.cell.membership import follows_runner_list
 from dandelionreel.cell.model import UnreadableLog
 from dandelionreel.cell.store import (
     CellProjection,
@@ -114,7 +114,7 @@
         )
 
     def _needs_runner_list(self) -> bool:
-        return self._owns_cell() or keeps_runners(self.cell.state.member_by_host, self._host)
+        return self._owns_cell() or follows_runner_list(self.cell.state.member_by_host, self._host)
 
     def _make_unreadable_log(self, topic: str, part: Part) -> UnreadableLog:
         return UnreadableLog(topic, part, self._clock, self._journal, self._note_unreadable)
--- a/dandelionreel/jobs/_book.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -1,8 +1,8 @@
-"""All jobs of one zone, folded from its stream in log order.
+"""All jobs of one zone, computed from the records of its log stream.
 
-The log's order alone decides: the first valid intent for an attempt is the
-only one, and an intent written under an older dispatch epoch than the one in
-force at its place in the log is none.
+Conflicts are decided by log order alone: only the first valid intent for an
+attempt counts, and an intent is ignored if its dispatch epoch is older than
+the one in force at the intent's position in the log.
 """
 
 import enum
@@ -15,20 +15,25 @@
 from dandelionreel.jobs._records import (
     AttemptEnded,
     AttemptIntent,
-    AttemptState,
+    AttemptSnapshot,
     JobAccepted,
     JobArrived,
-    JobKept,
     JobMoved,
     JobResolved,
     JobsCancelled,
+    JobSnapshot,
 )
 from dandelionreel.jobs._spec import JobSpec
-from dandelionreel.ownership import DISPATCH_SHARD, ShardFold
+from dandelionreel.ownership import DISPATCH_SHARD, ShardProjection
 
 
 class JobState(enum.Enum):
-    """Where a job stands."""
+    """The state of a job.
+
+    ``uncertain``: not idempotent, and it may have run. ``parked``: it failed
+    ``max_attempts`` times. An operator resolves both.
+    ``moved``: it belongs to another zone.
+    """
 
     WAITING = 'waiting'
     RUNNING = 'running'
@@ -41,10 +46,10 @@
 
 
 class Outcome(enum.Enum):
-    """What became of an attempt.
+    """How an attempt ended.
 
-    ``not_started``: no task ran. ``stopped``: told to stop, and did.
-    ``lapsed``: ended with its lease. ``lost``: cannot be known.
+    ``not_started``: no task ran. ``stopped``: stopped on request.
+    ``lapsed``: ended when its lease expired. ``lost``: the result is unknown.
     """
 
     SUCCEEDED = 'succeeded'
@@ -55,27 +60,30 @@
     LOST = 'lost'
 
 
-LIVE = frozenset((JobState.WAITING, JobState.RUNNING))
-#: States that an operator may settle.
-OPEN_QUESTIONS = frozenset((JobState.UNCERTAIN, JobState.PARKED))
-UNFINISHED = LIVE | OPEN_QUESTIONS | {JobState.MOVED}
+LIVE_STATES = frozenset((JobState.WAITING, JobState.RUNNING))
+#: States that an operator may resolve.
+RESOLVABLE_STATES = frozenset((JobState.UNCERTAIN, JobState.PARKED))
+UNFINISHED_STATES = LIVE_STATES | RESOLVABLE_STATES | {JobState.MOVED}
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt; ``outcome`` is ``None`` while it may run. ``wall``: epoch seconds."""
+    """An attempt; ``outcome`` is ``None`` while it may run.
+
+    ``intent_wall`` is the time of its intent, in epoch seconds.
+    """
 
     number: int
     epoch: int
     member: str
     workers: tuple[str, ...]
-    wall: float
+    intent_wall: float
     outcome: Outcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One job; ``accepted_at`` and ``written_at`` are in epoch seconds."""
+    """A job; times are in epoch seconds, ``written_at`` is that of its newest record."""
 
     id: str
     key: str
@@ -92,105 +100,106 @@
     ended_at: float = 0
 
     @property
-    def last(self) -> Attempt | None:
+    def last_attempt(self) -> Attempt | None:
         """Return the latest attempt."""
         return self.attempts[-1] if self.attempts else None
 
-    def runs(self, intent: AttemptIntent) -> bool:
-        """Return whether that very intent is the one that the log holds.
+    def matches_intent(self, intent: AttemptIntent) -> bool:
+        """Return whether the job's running attempt comes from exactly this intent.
 
-        An earlier one of the same dispatcher, given up because its answer was
-        lost, may have landed first and name other workers. A successor would
-        look for the tasks there, not find them, and start them again.
+        The same dispatcher may have written an earlier intent whose append
+        timed out but took effect, with other workers. If that one counts, a
+        successor looks for the tasks on those workers, does not find them and
+        starts them again.
         """
-        last = self.last
+        last = self.last_attempt
         if last is None or self.state is not JobState.RUNNING:
             return False
-        told = (intent.attempt, intent.epoch, intent.member, intent.workers)
-        return told == (last.number, last.epoch, last.member, last.workers)
+        identity = (intent.attempt, intent.epoch, intent.member, intent.workers)
+        return identity == (last.number, last.epoch, last.member, last.workers)
 
     @property
     def next_attempt(self) -> int:
-        """Return the number of the attempt that may come next."""
+        """Return the number that the next attempt has."""
         return len(self.attempts) + 1
 
 
 @dataclass
 class JobChanges:
-    """Jobs that changed since a part of the daemon last looked."""
+    """The ids of jobs that changed since a subscriber last called ``pop_all``."""
 
     job_ids: dict[str, None] = field(default_factory=dict)
 
-    def take(self) -> tuple[str, ...]:
-        """Return the changed jobs and start over."""
+    def pop_all(self) -> tuple[str, ...]:
+        """Return the ids of the changed jobs and clear them."""
         taken = tuple(self.job_ids)
         self.job_ids.clear()
         return taken
 
 
-class JobBook:
-    """Jobs by id and by idempotency key."""
+class JobProjection:
+    """All jobs of a zone, by id and by idempotency key."""
 
-    def __init__(self, shards: ShardFold, ended_kept: int, keys_kept: int) -> None:
-        """Judge intents by the dispatch epoch.
+    def __init__(self, shards: ShardProjection, max_ended: int, max_keys: int) -> None:
+        """Check intents against the dispatch epoch of ``shards``.
 
-        Keeps ``ended_kept`` ended jobs whole (1.2 KB each), and of older ones
-        the idempotency keys, ``keys_kept`` at the most.
+        Keeps ``max_ended`` ended jobs (1.2 KB each), and of older ones only
+        the idempotency keys, at most ``max_keys``.
         """
         self._shards = shards
-        self._ended_kept = ended_kept
-        self._keys_kept = keys_kept
-        self._old_id_by_key: dict[int, str] = {}
+        self._max_ended = max_ended
+        self._max_keys = max_keys
+        self._ended_id_by_key_hash: dict[int, str] = {}
         self._job_by_id: dict[str, Job] = {}
         self._id_by_key: dict[tuple[str, str], str] = {}
-        self._ended: dict[str, None] = {}
+        self._ended_ids: dict[str, None] = {}
         self._ids_by_state: dict[JobState, dict[str, None]] = {state: {} for state in JobState}
-        self._changes: list[JobChanges] = []
+        self._subscriptions: list[JobChanges] = []
         self._live_by_customer: dict[str, int] = {}
 
-    def watch(self) -> JobChanges:
-        """Return an object that collects changed jobs from now on, with all known."""
+    def subscribe(self) -> JobChanges:
+        """Return a collector of changed jobs, which starts with all known jobs."""
         changes = JobChanges(dict.fromkeys(self._job_by_id))
-        self._changes.append(changes)
+        self._subscriptions.append(changes)
         return changes
 
     def reset(self) -> None:
-        """Forget all jobs."""
+        """Remove all jobs, before the stream is read again."""
         self._job_by_id.clear()
         self._id_by_key.clear()
-        self._ended.clear()
+        self._ended_ids.clear()
         self._live_by_customer.clear()
-        self._old_id_by_key.clear()
+        self._ended_id_by_key_hash.clear()
         for ids in self._ids_by_state.values():
             ids.clear()
 
     def get(self, job: str) -> Job | None:
-        """Return a job."""
+        """Return a job, or ``None`` if it is unknown."""
         return self._job_by_id.get(job)
 
-    def by_key(self, customer: str, key: str) -> Job | None:
-        """Return the job that was submitted with that key."""
+    def find_by_key(self, customer: str, key: str) -> Job | None:
+        """Return the job that a customer submitted with an idempotency key."""
         job = self._id_by_key.get((customer, key))
         return self._job_by_id.get(job) if job else None
 
-    def old_id(self, customer: str, key: str) -> str:
-        """Return the id of a job that ended long ago under that key, or an empty text."""
-        return self._old_id_by_key.get(hash_key(customer, key), '')
+    def find_ended_id(self, customer: str, key: str) -> str:
+        """Return the id of a job that ended and was dropped, or an empty string."""
+        return self._ended_id_by_key_hash.get(hash_key(customer, key), '')
 
     def in_state(self, *states: JobState) -> tuple[Job, ...]:
-        """Return jobs in any of the states, in the order in which they got there."""
+        """Return the jobs in the given states, ordered by when they entered their state."""
         return tuple(self._job_by_id[job] for state in states for job in self._ids_by_state[state])
 
     def count(self, state: JobState) -> int:
         """Return how many jobs are in a state."""
         return len(self._ids_by_state[state])
 
-    def live(self, customer: str) -> int:
-        """Return how many jobs of a customer wait or run."""
+    def count_live(self, customer: str) -> int:
+        """Return how many jobs of a customer are waiting or running."""
         return self._live_by_customer.get(customer, 0)
 
     def page(self, after: str, limit: int, customer: str, state: str) -> tuple[Job, ...]:
-        """Return jobs with ids above ``after``, at most ``limit``, by id."""
+        """Return up to ``limit`` jobs with ids above ``after``, by id; empty filters match all."""
         found = [
             job
             for job in self._job_by_id.values()
@@ -202,31 +211,31 @@
         return tuple(found[:limit])
 
     def fold(self, record: msgspec.Struct, position: Position) -> None:
-        """Apply one record."""
+        """Apply one record of the zone's stream."""
         if isinstance(record, JobAccepted):
-            self._accept(record, position)
+            self._apply_accepted(record, position)
         elif isinstance(record, AttemptIntent):
-            self._intend(record, position)
+            self._apply_intent(record, position)
         elif isinstance(record, AttemptEnded):
-            self._end_attempt(record, position)
+            self._apply_attempt_end(record, position)
         elif isinstance(record, JobsCancelled):
             for job_id in record.jobs:
-                self._cancel(job_id, position)
+                self._apply_cancellation(job_id, position)
         elif isinstance(record, JobResolved):
-            self._resolve(record, position)
+            self._apply_resolution(record, position)
         elif isinstance(record, JobMoved):
-            self._move(record)
+            self._apply_move(record)
         elif isinstance(record, JobArrived):
-            self._arrive(record, position)
-        elif isinstance(record, JobKept):
-            self._keep(record, position)
+            self._apply_arrival(record, position)
+        elif isinstance(record, JobSnapshot):
+            self._apply_snapshot(record, position)
 
-    def _accept(self, record: JobAccepted, position: Position) -> None:
+    def _apply_accepted(self, record: JobAccepted, position: Position) -> None:
         spec = record.spec
         known = self._id_by_key.get((spec.customer, record.key))
         if record.job in self._job_by_id or known is not None:
             return
-        if self.old_id(spec.customer, record.key):
+        if self.find_ended_id(spec.customer, record.key):
             return
         self._id_by_key[spec.customer, record.key] = record.job
         self._put(
@@ -241,7 +250,7 @@
             ),
         )
 
-    def _intend(self, record: AttemptIntent, position: Position) -> None:
+    def _apply_intent(self, record: AttemptIntent, position: Position) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.WAITING:
             return
@@ -265,18 +274,18 @@
             ),
         )
 
-    def _end_attempt(self, record: AttemptEnded, position: Position) -> None:
+    def _apply_attempt_end(self, record: AttemptEnded, position: Position) -> None:
         job = self._job_by_id.get(record.job)
-        if job is None or job.state is not JobState.RUNNING or job.last is None:
+        if job is None or job.state is not JobState.RUNNING or job.last_attempt is None:
             return
-        if record.attempt != job.last.number:
+        if record.attempt != job.last_attempt.number:
             return
-        # What a dispatcher that has been replaced believes may be wrong: its
-        # successor can have seen the task run.
+        # A replaced dispatcher may be wrong about the outcome: its successor
+        # may have seen the task run.
         if record.epoch != self._shards.epoch(DISPATCH_SHARD):
             return
         outcome = Outcome(record.outcome)
-        ended = replace(job.last, outcome=outcome)
+        ended = replace(job.last_attempt, outcome=outcome)
         job = replace(
             job,
             attempts=(*job.attempts[:-1], ended),
@@ -287,60 +296,60 @@
 
     def _after_attempt(self, job: Job, outcome: Outcome, position: Position) -> Job:
         if outcome is Outcome.SUCCEEDED and job.spec.task_class != 'service':
-            return _ended(job, JobState.SUCCEEDED, position)
+            return _end_job(job, JobState.SUCCEEDED, position)
         if job.cancelled:
-            return _ended(job, JobState.CANCELLED, position)
+            return _end_job(job, JobState.CANCELLED, position)
         if outcome in {Outcome.NOT_STARTED, Outcome.SUCCEEDED}:
             return replace(job, state=JobState.WAITING)
         if not job.spec.idempotent:
-            return self._after_single_run(job, outcome, position)
+            return self._after_non_idempotent_run(job, outcome, position)
         if outcome is Outcome.FAILED:
             job = replace(job, failures=job.failures + 1)
             if job.failures >= job.spec.max_attempts:
                 return replace(job, state=JobState.PARKED)
         return replace(job, state=JobState.WAITING)
 
-    def _after_single_run(self, job: Job, outcome: Outcome, position: Position) -> Job:
-        """A non-idempotent job may have run; it is never started again by itself."""
+    def _after_non_idempotent_run(self, job: Job, outcome: Outcome, position: Position) -> Job:
+        """Return a non-idempotent job that may have run; it is never restarted automatically."""
         if outcome is Outcome.FAILED:
-            return _ended(job, JobState.FAILED, position)
+            return _end_job(job, JobState.FAILED, position)
         return replace(job, state=JobState.UNCERTAIN)
 
-    def _cancel(self, job_id: str, position: Position) -> None:
+    def _apply_cancellation(self, job_id: str, position: Position) -> None:
         job = self._job_by_id.get(job_id)
-        if job is None or job.state not in UNFINISHED:
+        if job is None or job.state not in UNFINISHED_STATES:
             return
         if job.state is JobState.RUNNING:
             self._put(replace(job, cancelled=True))
             return
         if job.state is JobState.UNCERTAIN:
             return
-        self._put(_ended(job, JobState.CANCELLED, position))
+        self._put(_end_job(job, JobState.CANCELLED, position))
 
-    def _resolve(self, record: JobResolved, position: Position) -> None:
+    def _apply_resolution(self, record: JobResolved, position: Position) -> None:
         job = self._job_by_id.get(record.job)
-        if job is None or job.state not in OPEN_QUESTIONS:
+        if job is None or job.state not in RESOLVABLE_STATES:
             return
         if record.outcome == 'ran':
-            self._put(_ended(job, JobState.SUCCEEDED, position))
+            self._put(_end_job(job, JobState.SUCCEEDED, position))
             return
         self._put(replace(job, state=JobState.WAITING, failures=0, written_at=position.wall))
 
-    def _move(self, record: JobMoved) -> None:
+    def _apply_move(self, record: JobMoved) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.WAITING:
             return
         self._put(replace(job, state=JobState.MOVED, moved_to=record.zone))
 
-    def _arrive(self, record: JobArrived, position: Position) -> None:
+    def _apply_arrival(self, record: JobArrived, position: Position) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.MOVED:
             return
         self._put(replace(job, ended_at=position.wall))
-        self._ended[job.id] = None
-        self._forget_oldest()
+        self._ended_ids[job.id] = None
+        self._drop_oldest_ended()
 
-    def _keep(self, record: JobKept, position: Position) -> None:
+    def _apply_snapshot(self, record: JobSnapshot, position: Position) -> None:
         known = self._job_by_id.get(record.job)
         if known is not None:
             self._put(replace(known, written_at=position.wall))
@@ -373,48 +382,48 @@
         )
 
     def _put(self, job: Job) -> None:
-        former = self._job_by_id.get(job.id)
-        if former is not None and former.state is not job.state:
-            self._ids_by_state[former.state].pop(job.id, None)
-        self._count_live(former, job)
+        previous = self._job_by_id.get(job.id)
+        if previous is not None and previous.state is not job.state:
+            self._ids_by_state[previous.state].pop(job.id, None)
+        self._update_live_count(previous, job)
         self._job_by_id[job.id] = job
         self._ids_by_state[job.state][job.id] = None
-        for changes in self._changes:
+        for changes in self._subscriptions:
             changes.job_ids[job.id] = None
-        if job.state not in UNFINISHED:
-            self._ended[job.id] = None
-            self._forget_oldest()
+        if job.state not in UNFINISHED_STATES:
+            self._ended_ids[job.id] = None
+            self._drop_oldest_ended()
 
-    def _count_live(self, former: Job | None, job: Job) -> None:
-        was_live = former is not None and former.state in LIVE
-        is_live = job.state in LIVE
+    def _update_live_count(self, previous: Job | None, job: Job) -> None:
+        was_live = previous is not None and previous.state in LIVE_STATES
+        is_live = job.state in LIVE_STATES
         if was_live != is_live:
             customer = job.spec.customer
             count = self._live_by_customer.get(customer, 0)
             self._live_by_customer[customer] = count + (1 if is_live else -1)
 
-    def _forget_oldest(self) -> None:
-        while len(self._ended) > self._ended_kept:
-            oldest = next(iter(self._ended))
-            self._ended.pop(oldest)
+    def _drop_oldest_ended(self) -> None:
+        while len(self._ended_ids) > self._max_ended:
+            oldest = next(iter(self._ended_ids))
+            self._ended_ids.pop(oldest)
             job = self._job_by_id.pop(oldest)
             self._ids_by_state[job.state].pop(oldest, None)
             self._id_by_key.pop((job.spec.customer, job.key), None)
-            # A settlement that is submitted again after thousands of others
-            # have ended must still be known as the one that ran.
-            self._old_id_by_key[hash_key(job.spec.customer, job.key)] = job.id
-            if len(self._old_id_by_key) > self._keys_kept:
-                self._old_id_by_key.pop(next(iter(self._old_id_by_key)))
+            # A non-idempotent job that is submitted again after thousands of
+            # others have ended must still be recognized as one that ran.
+            self._ended_id_by_key_hash[hash_key(job.spec.customer, job.key)] = job.id
+            if len(self._ended_id_by_key_hash) > self._max_keys:
+                self._ended_id_by_key_hash.pop(next(iter(self._ended_id_by_key_hash)))
 
 
 def hash_key(customer: str, key: str) -> int:
-    """Return a short stand-in for a customer's idempotency key."""
+    """Return a 64-bit hash of a customer's idempotency key."""
     return xxhash.xxh3_64_intdigest(f'{customer}|{key}'.encode())
 
 
-def keep_record(job: Job) -> JobKept:
-    """Return the record that states a live job again."""
-    return JobKept(
+def make_snapshot(job: Job) -> JobSnapshot:
+    """Return the record with the full state of an unfinished job."""
+    return JobSnapshot(
         job.id,
         job.key,
         job.digest,
@@ -423,13 +432,13 @@
         job.accepted_at,
         job.failures,
         tuple(
-            AttemptState(
+            AttemptSnapshot(
                 attempt.number,
                 attempt.epoch,
                 attempt.member,
                 attempt.workers,
                 attempt.outcome.value if attempt.outcome else '',
-                attempt.wall,
+                attempt.intent_wall,
             )
             for attempt in job.attempts
         ),
@@ -437,7 +446,7 @@
     )
 
 
-def _ended(job: Job, state: JobState, position: Position) -> Job:
+def _end_job(job: Job, state: JobState, position: Position) -> Job:
     return replace(job, state=state, ended_at=position.wall, written_at=position.wall)
 
 
--- a/dandelionreel/jobs/_metrics.py
+++ b/dandelionreel/jobs/_metrics.py
@@ -1,12 +1,12 @@
-"""What the dispatcher counts."""
+"""Prometheus metrics of the dispatcher."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
-SECONDS = (0.01, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 15, 60, 300, 1800, 7200)
+BUCKETS_SECONDS = (0.01, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 15, 60, 300, 1800, 7200)
 
 
 class JobMetrics:
-    """Waiting times, starts and ends of jobs."""
+    """Waiting times of jobs, starts of tasks and ends of attempts."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         """Register with ``registry``."""
@@ -15,7 +15,7 @@
             'Time from acceptance to the first start.',
             ('customer', 'task_class'),
             registry=registry,
-            buckets=SECONDS,
+            buckets=BUCKETS_SECONDS,
         )
         self._starts = Counter(
             'dandelionreel_task_starts',
@@ -30,14 +30,14 @@
             registry=registry,
         )
 
-    def waited(self, customer: str, task_class: str, seconds: float) -> None:
-        """Count a first start."""
+    def observe_wait(self, customer: str, task_class: str, seconds: float) -> None:
+        """Record the time from a job's acceptance to its first start."""
         self._waiting.labels(customer, task_class).observe(seconds)
 
-    def started(self, customer: str, task_class: str) -> None:
-        """Count a task's start."""
+    def count_start(self, customer: str, task_class: str) -> None:
+        """Count the start of a task."""
         self._starts.labels(customer, task_class).inc()
 
-    def ended(self, customer: str, outcome: str) -> None:
-        """Count an attempt's end."""
+    def count_end(self, customer: str, outcome: str) -> None:
+        """Count the end of an attempt."""
         self._ends.labels(customer, outcome).inc()
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -1,4 +1,4 @@
-"""Claims, releases and takes over shards so that each has one live owner."""
+"""Claims, releases and takes over shards, so that each shard has one live owner."""
 
 import abc
 from collections.abc import Iterable
@@ -9,47 +9,54 @@
 from dandelionreel.kernel import Clock, Journal, Limits, Part, Timings, Verdict
 from dandelionreel.ownership._authority import Authority
 from dandelionreel.ownership._membership import Membership, member_keys
-from dandelionreel.ownership._promises import PromiseBook
-from dandelionreel.ownership._records import Alive, Claimed, Kept, Released, ShardEpoch
-from dandelionreel.ownership._shards import ShardClaim, ShardFold
+from dandelionreel.ownership._promises import PromiseTracker
+from dandelionreel.ownership._records import Alive, Claimed, Released, Renewed, ShardEpoch
+from dandelionreel.ownership._shards import ShardClaim, ShardProjection
 
-ROUND_SECONDS = 0.5
-WRITE_PATIENCE = 5.0
-#: After a takeover the same shard is not taken over again by this daemon for
-#: this long, doubling, so that two daemons that cannot hear each other do not
-#: take a shard from each other in turns.
-HOLD_OFF = 10.0
-HOLD_OFF_LIMIT = 160.0
-#: How late a fact may be written again, in seconds.
-RESTATE_MARGIN = 2.0
+CHECK_INTERVAL_SECONDS = 0.5
+WRITE_TIMEOUT_SECONDS = 5.0
+#: After a takeover, this daemon doesn't take over the same shard again for this
+#: long, doubled each time. Otherwise two daemons that can't hear each other
+#: would keep taking the shard from each other.
+TAKEOVER_BACKOFF_SECONDS = 10.0
+MAX_TAKEOVER_BACKOFF_SECONDS = 160.0
+#: Margin for members that restate their facts later than due.
+RESTATE_MARGIN_SECONDS = 2.0
 
 
-class Neighbours(abc.ABC):
-    """What the claimer asks about the other members of the zone."""
+class PeerStatus(abc.ABC):
+    """Status of the other members of the zone, as the claimer needs it."""
 
     @abc.abstractmethod
     def is_silent(self, member: str) -> bool:
-        """Return whether neither this daemon nor a neighbour nor the log heard it."""
+        """Return whether there is no recent sign of life of the member.
+
+        Signs are messages to this daemon, those that other members of the
+        zone report, and the member's records in the log.
+        """
 
     @abc.abstractmethod
     def is_draining(self, member: str) -> bool:
-        """Return whether it said that it is about to leave."""
+        """Return whether the member has told that it is about to leave."""
 
     @abc.abstractmethod
     def has_acknowledged_me(self, member: str) -> bool:
-        """Return whether its view names this daemon, so that its promises cover us."""
+        """Return whether the member's view contains this daemon.
+
+        The member then needs this daemon's promise for its evidence.
+        """
 
 
 class ShardUser(abc.ABC):
-    """A part of the daemon that acts on shards."""
+    """A component of the daemon that acts on shards and needs them owned."""
 
     @abc.abstractmethod
     def wanted_shards(self) -> Iterable[str]:
         """Return the shards that should have an owner in this zone."""
 
     @abc.abstractmethod
-    async def let_go(self, shard: str) -> bool:
-        """Return whether nothing is under way on a suspended shard."""
+    async def prepare_release(self, shard: str) -> bool:
+        """Return whether a suspended shard has no work in flight and may be released."""
 
 
 def choose_owner(shard: str, hosts: Iterable[str]) -> str:
@@ -64,13 +71,13 @@
 
 
 def host_of(member: str) -> str:
-    """Return the host part of a member's key."""
+    """Return the host part of a member's key (``host/incarnation``)."""
     host, _, _ = member.partition('/')
     return host
 
 
-class Claimer:
-    """Brings ownership to where it should be, a few moves at a time."""
+class ShardClaimer:
+    """Moves shards of the zone to the hosts that should own them, a few at a time."""
 
     def __init__(
         self,
@@ -80,10 +87,10 @@
         timings: Timings,
         limits: Limits,
         membership: Membership,
-        shards: ShardFold,
-        promises: PromiseBook,
+        shards: ShardProjection,
+        promises: PromiseTracker,
         authority: Authority,
-        neighbours: Neighbours,
+        peer_status: PeerStatus,
         reader: StreamReader,
         writer: StreamWriter,
         journal: Journal,
@@ -98,99 +105,102 @@
         self._shards = shards
         self._promises = promises
         self._authority = authority
-        self._neighbours = neighbours
+        self._peer_status = peer_status
         self._reader = reader
         self._writer = writer
         self._journal = journal
         self._users: list[ShardUser] = []
-        self._hold_by_shard: dict[str, tuple[float, float]] = {}
+        #: When the back-off ends, and its length in seconds.
+        self._takeover_backoff_by_shard: dict[str, tuple[float, float]] = {}
+        #: The owner to whom the promise is withheld, and the epoch of its claim.
         self._withheld_by_shard: dict[str, tuple[str, int]] = {}
-        self._doubtful: set[str] = set()
-        self._kept_at_by_shard: dict[str, tuple[int, float]] = {}
+        self._unconfirmed_claims: set[str] = set()
+        #: The epoch of the claim, and when it was last written.
+        self._renewed_at_by_shard: dict[str, tuple[int, float]] = {}
         self._target_hosts: tuple[str, ...] = ()
         self._target_by_shard: dict[str, str] = {}
         self.draining = False
         self.takeovers = 0
 
     def add_user(self, user: ShardUser) -> None:
-        """Claim the shards of that part too."""
+        """Also claim the shards that ``user`` wants."""
         self._users.append(user)
 
-    def owned(self) -> tuple[ShardClaim, ...]:
-        """Return the claims that this daemon holds, released ones excepted."""
+    def owned_claims(self) -> tuple[ShardClaim, ...]:
+        """Return this daemon's claims that it hasn't released."""
         return tuple(
             claim
             for claim in self._shards.claims()
             if claim.owner == self._me and not claim.released
         )
 
-    def is_member(self) -> bool:
-        """Return whether this daemon may claim.
+    def may_claim(self) -> bool:
+        """Return whether this daemon may claim shards.
 
-        Every live member must know us: only then do their owners ask for our
-        promise before they act on evidence without the log.
+        Every live member of the zone must have acknowledged this daemon: only
+        then do owners require its promise before they act without the log.
         """
         if not self._membership.is_live(self._me):
             return False
-        # A log that was truncated just now may hold no claim of shards that
-        # have owners; these write their claims again within this time.
+        # A log that was truncated recently may lack the claims of shards that
+        # have owners; the owners restate their claims within this time.
         if not self._reader.covers(self._restated_within):
             return False
         for member in self._membership.live(self._zone):
             if member.key == self._me:
                 continue
-            if not self._neighbours.has_acknowledged_me(member.key):
+            if not self._peer_status.has_acknowledged_me(member.key):
                 return False
         return True
 
     async def run(self) -> None:
-        """Look for shards to claim or to release, for ever."""
+        """Claim and release shards whenever the log changes."""
         while True:
             seen = self._reader.changed.count
             try:
-                await self.round()
+                await self.run_once()
             except LogError as error:
-                self._journal.tell(Part.OWNERSHIP, f'could not write: {error}.')
-            await self._reader.changed.wait(seen, ROUND_SECONDS)
+                self._journal.tell(Part.OWNERSHIP, f'could not write to the log: {error}.')
+            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
 
-    async def round(self) -> None:
-        """Do what is due now."""
+    async def run_once(self) -> None:
+        """Do one pass of all claims, releases and renewals that are due."""
         if not self._reader.caught_up or not self._membership.is_live(self._me):
             return
-        await self._void_doubtful()
+        await self._invalidate_unconfirmed_claims()
         self._resume_promises()
-        await self._yield_lost()
+        await self._yield_taken_shards()
         await self._release_surplus()
-        if self.is_member() and not self.draining:
-            await self._claim_wanted()
-        await self._keep_old()
+        if self.may_claim() and not self.draining:
+            await self._claim_assigned_shards()
+        await self._renew_claims()
 
     @property
     def _restated_within(self) -> float:
-        """Return the seconds within which every live fact is written again."""
-        return self._timings.retention / 3 + RESTATE_MARGIN
+        """Return the time within which every live fact is restated in the log."""
+        return self._timings.retention / 3 + RESTATE_MARGIN_SECONDS
 
-    async def _claim_wanted(self) -> None:
+    async def _claim_assigned_shards(self) -> None:
         hosts = self._candidate_hosts()
         wanted = []
-        for shard in self._wanted():
+        for shard in self._wanted_shards():
             if self._target(shard, hosts) != host_of(self._me):
                 continue
             if not self._shards.may_be_claimed(shard, self._me):
                 continue
             claim = self._shards.get(shard)
-            if claim is not None and not self._may_take(claim):
+            if claim is not None and not self._may_take_over(claim):
                 continue
             wanted.append(shard)
         if wanted:
             await self._claim(wanted[: self._limits.group_records])
 
-    def _may_take(self, claim: ShardClaim) -> bool:
+    def _may_take_over(self, claim: ShardClaim) -> bool:
         if claim.released or self._membership.has_ended(claim.owner):
             return True
-        if not self._neighbours.is_silent(claim.owner):
+        if not self._peer_status.is_silent(claim.owner):
             return False
-        until, _ = self._hold_by_shard.get(claim.shard, (0.0, 0.0))
+        until, _ = self._takeover_backoff_by_shard.get(claim.shard, (0.0, 0.0))
         return self._clock.monotonic() >= until
 
     async def _claim(self, wanted: list[str]) -> None:
@@ -198,13 +208,13 @@
             self._withhold(shard)
         claims = tuple(ShardEpoch(shard, self._shards.epoch(shard)) for shard in wanted)
         try:
-            await self._writer.write(Claimed(self._me, claims), WRITE_PATIENCE)
+            await self._writer.write(Claimed(self._me, claims), WRITE_TIMEOUT_SECONDS)
         except LogError as error:
             self._note_failed_claim(wanted, error)
             raise
         won = [shard for shard in wanted if self._owns(shard)]
         for shard in won:
-            self._tell_won(shard)
+            self._log_claimed(shard)
 
     def _withhold(self, shard: str) -> None:
         claim = self._shards.get(shard)
@@ -217,109 +227,117 @@
 
     def _note_failed_claim(self, wanted: list[str], error: LogError) -> None:
         if error.verdict is Verdict.UNKNOWN:
-            self._doubtful.update(wanted)
+            self._unconfirmed_claims.update(wanted)
             return
         for shard in wanted:
-            self._drop_withheld(shard)
+            self._resume_promise(shard)
 
-    async def _void_doubtful(self) -> None:
-        """Make sure that a claim whose answer was lost can no longer land.
+    async def _invalidate_unconfirmed_claims(self) -> None:
+        """Make sure that claims with an unknown outcome can't take effect later.
 
-        It may reach the log at any later time; promising meanwhile would let
-        its owner act beside us. Once a later record of this daemon has been
-        read back, every reader drops the claim, for its number is the lower.
+        Such a claim may still reach the log at any time. If this daemon
+        promised to the current owner meanwhile, both might act on the shard.
+        Once a later record of this daemon has been read back, every reader
+        drops the claim because its record number is lower.
         """
-        if not self._doubtful:
+        if not self._unconfirmed_claims:
             return
-        await self._writer.write(Alive(self._me), WRITE_PATIENCE)
-        for shard in tuple(self._doubtful):
-            self._doubtful.discard(shard)
+        await self._writer.write(Alive(self._me), WRITE_TIMEOUT_SECONDS)
+        for shard in tuple(self._unconfirmed_claims):
+            self._unconfirmed_claims.discard(shard)
             _, epoch = self._withheld_by_shard.get(shard, ('', 0))
             if self._shards.epoch(shard) == epoch:
-                self._drop_withheld(shard)
+                self._resume_promise(shard)
 
     def _resume_promises(self) -> None:
-        """Promise again to owners whose shards this daemon lost or settled."""
+        """Resume promises to owners whose shards this daemon has tried to claim.
+
+        A promise resumes once another claim has won, or the former owner has
+        ended or yielded.
+        """
         for shard, (_, epoch) in tuple(self._withheld_by_shard.items()):
             claim = self._shards.get(shard)
             if claim is None or claim.epoch == epoch:
                 continue
             if claim.owner == self._me and not self._shards.is_settled(claim):
                 continue
-            self._drop_withheld(shard)
+            self._resume_promise(shard)
 
-    def _drop_withheld(self, shard: str) -> None:
+    def _resume_promise(self, shard: str) -> None:
         owner, _ = self._withheld_by_shard.pop(shard, ('', 0))
         if owner:
             self._promises.resume(owner)
 
-    def _tell_won(self, shard: str) -> None:
+    def _log_claimed(self, shard: str) -> None:
         claim = self._shards.get(shard)
         if claim is None:
             return
         reason = 'it had no owner'
-        if claim.former:
-            reason = f'{claim.former} was silent'
+        if claim.former_owner:
+            reason = f'{claim.former_owner} was silent'
             self.takeovers += 1
-            self._hold(shard)
+            self._back_off_takeover(shard)
         self._journal.tell(
             Part.OWNERSHIP,
             f'claimed {shard}; {reason}.',
             shard=shard,
             epoch=claim.epoch,
-            former=claim.former,
+            former=claim.former_owner,
         )
 
-    def _hold(self, shard: str) -> None:
-        _, last = self._hold_by_shard.get(shard, (0.0, 0.0))
-        length = min(max(HOLD_OFF, last * 2), HOLD_OFF_LIMIT)
-        self._hold_by_shard[shard] = (self._clock.monotonic() + length, length)
+    def _back_off_takeover(self, shard: str) -> None:
+        _, last = self._takeover_backoff_by_shard.get(shard, (0.0, 0.0))
+        length = min(max(TAKEOVER_BACKOFF_SECONDS, last * 2), MAX_TAKEOVER_BACKOFF_SECONDS)
+        self._takeover_backoff_by_shard[shard] = (self._clock.monotonic() + length, length)
+
+    async def _yield_taken_shards(self) -> None:
+        """Yield shards that other members have claimed from this daemon.
 
-    async def _yield_lost(self) -> None:
-        """Answer a claim on a shard of ours: stop, wait, and say so in the log."""
+        The record is written once the shard has no work in flight.
+        """
         yielded = []
         for claim in self._shards.claims():
-            if claim.former != self._me:
+            if claim.former_owner != self._me:
                 continue
-            if await self._let_go(claim.shard):
+            if await self._prepare_release(claim.shard):
                 yielded.append(ShardEpoch(claim.shard, claim.epoch - 1))
         if yielded:
-            await self._writer.write(Released(self._me, tuple(yielded)), WRITE_PATIENCE)
+            await self._writer.write(Released(self._me, tuple(yielded)), WRITE_TIMEOUT_SECONDS)
             self._journal.tell(Part.OWNERSHIP, f'yielded {len(yielded)} shards to claimants.')
 
     async def _release_surplus(self) -> None:
-        due = self._surplus()
-        # One that turned out to stay here after all may be used again.
+        due = self._find_surplus()
+        # Shards that should stay with this daemon after all are used again.
         self._authority.suspended.intersection_update(claim.shard for claim in due)
         released = []
         for claim in due:
             self._authority.suspended.add(claim.shard)
-            if await self._let_go(claim.shard):
+            if await self._prepare_release(claim.shard):
                 released.append(ShardEpoch(claim.shard, claim.epoch))
         if not released:
             return
         try:
-            await self._writer.write(Released(self._me, tuple(released)), WRITE_PATIENCE)
+            await self._writer.write(Released(self._me, tuple(released)), WRITE_TIMEOUT_SECONDS)
         finally:
-            for given in released:
-                self._authority.suspended.discard(given.shard)
+            for shard_epoch in released:
+                self._authority.suspended.discard(shard_epoch.shard)
         self._journal.tell(
             Part.OWNERSHIP,
-            f'released {len(released)} shards; others should own them.',
-            shards=[given.shard for given in released],
+            f'released {len(released)} shards that other hosts should own.',
+            shards=[shard_epoch.shard for shard_epoch in released],
         )
 
-    def _surplus(self) -> tuple[ShardClaim, ...]:
+    def _find_surplus(self) -> tuple[ShardClaim, ...]:
         hosts = self._candidate_hosts()
         surplus = [
             claim
-            for claim in self.owned()
+            for claim in self.owned_claims()
             if self._shards.is_settled(claim)
             and (self.draining or self._belongs_elsewhere(claim, hosts))
         ]
         if self.draining:
             return tuple(surplus)
-        count = max(1, int(self._limits.moves_per_second * ROUND_SECONDS))
+        count = max(1, int(self._limits.moves_per_second * CHECK_INTERVAL_SECONDS))
         return tuple(surplus[:count])
 
     def _belongs_elsewhere(self, claim: ShardClaim, hosts: tuple[str, ...]) -> bool:
@@ -327,7 +345,7 @@
         return bool(best) and best != host_of(self._me)
 
     def _target(self, shard: str, hosts: tuple[str, ...]) -> str:
-        """Return who should own a shard; hashed anew only when the hosts change."""
+        """Return the host that should own a shard; cached until the hosts change."""
         if hosts != self._target_hosts:
             self._target_hosts = hosts
             self._target_by_shard.clear()
@@ -348,34 +366,37 @@
     def _may_own(self, key: str) -> bool:
         if key == self._me:
             return False
-        return not (self._neighbours.is_silent(key) or self._neighbours.is_draining(key))
+        return not (self._peer_status.is_silent(key) or self._peer_status.is_draining(key))
 
-    async def _let_go(self, shard: str) -> bool:
+    async def _prepare_release(self, shard: str) -> bool:
         for user in self._users:
-            if not await user.let_go(shard):
+            if not await user.prepare_release(shard):
                 return False
         return True
 
-    async def _keep_old(self) -> None:
-        """Write claims again before a third of the log's retention is left."""
+    async def _renew_claims(self) -> None:
+        """Renew each claim after a third of the log's retention.
+
+        The log would otherwise lose the claim when its record expires.
+        """
         now = self._clock.monotonic()
         due = []
-        for claim in self.owned():
+        for claim in self.owned_claims():
             if not self._shards.is_settled(claim):
                 continue
-            epoch, written = self._kept_at_by_shard.get(claim.shard, (0, 0.0))
+            epoch, written = self._renewed_at_by_shard.get(claim.shard, (0, 0.0))
             if epoch != claim.epoch:
                 written = claim.learned_at
-                self._kept_at_by_shard[claim.shard] = (claim.epoch, written)
+                self._renewed_at_by_shard[claim.shard] = (claim.epoch, written)
             if now - written > self._timings.retention / 3:
                 due.append(ShardEpoch(claim.shard, claim.epoch))
         if not due:
             return
-        await self._writer.write(Kept(self._me, tuple(due)), WRITE_PATIENCE)
-        for kept in due:
-            self._kept_at_by_shard[kept.shard] = (kept.epoch, now)
+        await self._writer.write(Renewed(self._me, tuple(due)), WRITE_TIMEOUT_SECONDS)
+        for renewed in due:
+            self._renewed_at_by_shard[renewed.shard] = (renewed.epoch, now)
 
-    def _wanted(self) -> tuple[str, ...]:
+    def _wanted_shards(self) -> tuple[str, ...]:
         found: list[str] = []
         for user in self._users:
             found.extend(user.wanted_shards())
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -1,4 +1,4 @@
-"""Who owns each shard, folded from the zone's stream in log order."""
+"""The owner of each shard, built from the zone's stream in log order."""
 
 from dataclasses import dataclass, replace
 
@@ -7,9 +7,9 @@
 from dandelionreel.backing import Position
 from dandelionreel.kernel import Clock
 from dandelionreel.ownership._membership import Membership
-from dandelionreel.ownership._records import Claimed, Kept, Released, ShardEpoch
+from dandelionreel.ownership._records import Claimed, Released, Renewed, ShardEpoch
 
-#: What a claim names when its maker knows no claim on the shard.
+#: The epoch that a claim replaces if its author knows no claim on the shard.
 UNKNOWN_EPOCH = 0
 
 
@@ -17,54 +17,55 @@
 class ShardClaim:
     """The valid claim on a shard.
 
-    ``epoch`` is the offset of its record plus one: the same number at every
-    reader, wherever it began to read. ``former`` is the owner before, until it
-    is proven ended or has yielded; ``released`` says that the owner has given
-    the shard up. ``clean`` says that nothing of a former owner was under way
-    when the claim was made. ``learned_at`` is when this daemon folded the
-    claim, on its own clock. ``blind``: made without knowledge of a former
-    claim, and read so too.
+    ``epoch`` is the offset of its record plus one, so it is the same at every
+    reader, wherever reading began. ``former_owner`` is the previous owner, if it
+    had neither released the shard nor ended when the claim was made; cleared
+    once it yields. ``released``: the owner has released the shard.
+    ``clean_handover``: the former owner had no work in flight when the claim
+    was made. ``learned_at`` is when this daemon read the claim (monotonic).
+    ``predecessor_unknown``: neither the claim's author nor this reader knew an
+    earlier claim.
     """
 
     shard: str
     owner: str
     epoch: int
-    former: str = ''
+    former_owner: str = ''
     released: bool = False
-    clean: bool = True
+    clean_handover: bool = True
     learned_at: float = 0
-    blind: bool = False
+    predecessor_unknown: bool = False
 
 
-class ShardFold:
-    """Claims by shard. The first claim in log order that names the epoch wins."""
+class ShardProjection:
+    """Claims by shard; of claims that replace the same epoch, the first in the log wins."""
 
     def __init__(self, membership: Membership, clock: Clock) -> None:
-        """Judge claims by the membership of the same stream."""
+        """Check claims against ``membership``, which is built from the same stream."""
         self._membership = membership
         self._clock = clock
         self._claim_by_shard: dict[str, ShardClaim] = {}
 
     def reset(self) -> None:
-        """Forget all claims."""
+        """Drop all claims before the log is read again."""
         self._claim_by_shard.clear()
 
     def get(self, shard: str) -> ShardClaim | None:
-        """Return the claim in force on a shard."""
+        """Return the valid claim on a shard."""
         return self._claim_by_shard.get(shard)
 
     def claims(self) -> tuple[ShardClaim, ...]:
-        """Return all claims."""
+        """Return the valid claims on all shards."""
         return tuple(self._claim_by_shard.values())
 
     def epoch(self, shard: str) -> int:
-        """Return the epoch in force, 0 before the first claim."""
+        """Return the current epoch of a shard, 0 before the first claim."""
         claim = self._claim_by_shard.get(shard)
         return claim.epoch if claim else 0
 
     def is_settled(self, claim: ShardClaim) -> bool:
-        """Return whether nobody but the owner may still act on the shard."""
-        return not claim.former or self._membership.has_ended(claim.former)
+        """Return whether nobody but the owner may act on the shard any more."""
+        return not claim.former_owner or self._membership.has_ended(claim.former_owner)
 
     def may_be_claimed(self, shard: str, member: str) -> bool:
         """Return whether a claim by ``member`` would be valid now."""
@@ -76,35 +77,36 @@
     def fold(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, Claimed):
-            for wanted in record.claims:
-                self._claim(record.member, wanted, position)
+            for claimed in record.claims:
+                self._apply_claim(record.member, claimed, position)
         elif isinstance(record, Released):
-            for given in record.shards:
-                self._release(record.member, given)
-        elif isinstance(record, Kept):
-            for kept in record.shards:
-                self._keep(record.member, kept)
-
-    def _claim(self, member: str, wanted: ShardEpoch, position: Position) -> None:
-        claim = self._claim_by_shard.get(wanted.shard)
-        if not self._is_valid(member, wanted, claim):
+            for released in record.shards:
+                self._apply_release(record.member, released)
+        elif isinstance(record, Renewed):
+            for renewed in record.shards:
+                self._apply_renewal(record.member, renewed)
+
+    def _apply_claim(self, member: str, claimed: ShardEpoch, position: Position) -> None:
+        claim = self._claim_by_shard.get(claimed.shard)
+        if not self._is_valid(member, claimed, claim):
             return
-        self._claim_by_shard[wanted.shard] = ShardClaim(
-            wanted.shard,
+        self._claim_by_shard[claimed.shard] = ShardClaim(
+            claimed.shard,
             member,
             position.offset + 1,
-            former=self._former(claim),
-            clean=self._is_clean(claim),
+            former_owner=self._unproven_former_owner(claim),
+            clean_handover=self._is_clean_handover(claim),
             learned_at=self._clock.monotonic(),
-            blind=claim is None and wanted.epoch == UNKNOWN_EPOCH,
+            predecessor_unknown=claim is None and claimed.epoch == UNKNOWN_EPOCH,
         )
 
-    def _is_valid(self, member: str, wanted: ShardEpoch, claim: ShardClaim | None) -> bool:
-        """Judge a claim as every reader must, wherever it began to read.
+    def _is_valid(self, member: str, claimed: ShardEpoch, claim: ShardClaim | None) -> bool:
+        """Return whether a claim is valid, with the same result at every reader.
 
-        A reader whose log was truncated may not know a claim that others
-        know. It claims with epoch 0, which is valid where nobody else can be
-        acting: others then agree with it instead of keeping another epoch.
+        A member whose log was truncated may not know an earlier claim that
+        others know, and claims with epoch 0. Such a claim is valid if nobody
+        else can be acting on the shard, so that all readers agree on its
+        epoch instead of keeping another one.
         """
         if self._membership.has_ended(member):
             return False
@@ -112,45 +114,45 @@
             return True
         if not self.is_settled(claim):
             return False
-        if wanted.epoch == claim.epoch:
+        if claimed.epoch == claim.epoch:
             return claim.owner != member or claim.released
-        if wanted.epoch != UNKNOWN_EPOCH:
+        if claimed.epoch != UNKNOWN_EPOCH:
             return False
-        gone = claim.released or self._membership.has_ended(claim.owner)
-        return gone or claim.owner == member
+        owner_gone = claim.released or self._membership.has_ended(claim.owner)
+        return owner_gone or claim.owner == member
 
-    def _former(self, claim: ShardClaim | None) -> str:
+    def _unproven_former_owner(self, claim: ShardClaim | None) -> str:
         if claim is None or claim.released or self._membership.has_ended(claim.owner):
             return ''
         return claim.owner
 
-    def _is_clean(self, claim: ShardClaim | None) -> bool:
+    def _is_clean_handover(self, claim: ShardClaim | None) -> bool:
         if claim is None or claim.released:
             return True
         owner = self._membership.get(claim.owner)
         return owner is not None and owner.left_cleanly
 
-    def _release(self, member: str, given: ShardEpoch) -> None:
-        claim = self._claim_by_shard.get(given.shard)
+    def _apply_release(self, member: str, released: ShardEpoch) -> None:
+        claim = self._claim_by_shard.get(released.shard)
         if claim is None:
             return
-        if claim.owner == member and claim.epoch == given.epoch:
-            self._claim_by_shard[given.shard] = replace(claim, released=True)
-        elif claim.former == member and claim.epoch > given.epoch:
-            self._claim_by_shard[given.shard] = replace(claim, former='')
-
-    def _keep(self, member: str, kept: ShardEpoch) -> None:
-        claim = self._claim_by_shard.get(kept.shard)
-        if claim is not None and (claim.epoch, claim.owner) == (kept.epoch, member):
+        if claim.owner == member and claim.epoch == released.epoch:
+            self._claim_by_shard[released.shard] = replace(claim, released=True)
+        elif claim.former_owner == member and claim.epoch > released.epoch:
+            self._claim_by_shard[released.shard] = replace(claim, former_owner='')
+
+    def _apply_renewal(self, member: str, renewed: ShardEpoch) -> None:
+        claim = self._claim_by_shard.get(renewed.shard)
+        if claim is not None and (claim.epoch, claim.owner) == (renewed.epoch, member):
             return
-        if claim is not None and claim.epoch > kept.epoch and not claim.blind:
+        if claim is not None and claim.epoch > renewed.epoch and not claim.predecessor_unknown:
             return
-        # The claim itself has expired before we read it; its owner has read
-        # it as the valid one, and writes this only for settled shards.
-        self._claim_by_shard[kept.shard] = ShardClaim(
-            kept.shard,
+        # The claim's record expired before this daemon read it. Its owner has
+        # read it as the valid claim, and renews only settled claims.
+        self._claim_by_shard[renewed.shard] = ShardClaim(
+            renewed.shard,
             member,
-            kept.epoch,
-            clean=False,
+            renewed.epoch,
+            clean_handover=False,
             learned_at=self._clock.monotonic(),
         )
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -1,10 +1,10 @@
-"""Steps on who owns the cell."""
+"""Steps on the election of the owner of a cell."""
 
 import curio
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import Cell
-from dandelionreel.cell.membership._claim_order import claim_delay, find_deputy
+from dandelionreel.cell.membership._claim_order import claim_delay, find_zone_writer
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
@@ -49,7 +49,7 @@
 def one_owner(context):
     won = [term for term in context.terms if term is not None]
     assert len(won) == 1, context.terms
-    assert {book.owner.term for book in context.books} == {won[0].term}
+    assert {cell_state.owner.term for cell_state in context.books} == {won[0].term}
 
 
 def _topic_with_owner():
@@ -102,13 +102,13 @@
     curio.run(claim)
 
 
-class LateReads(MemoryTopic):
-    """A topic whose reads are answered late while told so."""
+class DelayedReadTopic(MemoryTopic):
+    """A topic whose reads are blocked while ``late`` is set."""
 
     late = False
 
     async def read(self, offset, wait, max_bytes):
-        """Read once nothing is late any more."""
+        """Read once ``late`` is cleared."""
         while self.late:
             await curio.sleep(0.01)
         return await super().read(offset, wait, max_bytes)
@@ -116,7 +116,7 @@
 
 @given('a host that follows an owner that has left the cell')
 def following_left(context):
-    context.topic = LateReads()
+    context.topic = DelayedReadTopic()
     left = make_record(OWNER_KEY, Owner(1, 'other', 'other/1', released=True))
     curio.run(context.topic.append, [left], 0.1, WriterFence(1, 4))
     context.host = Host('a', context.topic)
@@ -140,7 +140,7 @@
         await until(lambda: context.host.follower.complete)
         if context.late:
             context.topic.late = True
-            # A read that is under way ends first.
+            # Let a read that is in progress end first.
             await curio.sleep(0.1)
             winner = make_record(OWNER_KEY, Owner(2, 'b', 'b/1'))
             await context.topic.append([winner], 0.1, WriterFence(2, 7))
@@ -254,7 +254,7 @@
 
 @then("{me} has its clients' jobs written by {deputy}, with {avoided} out of reach")
 def written_by(context, me, deputy, avoided):
-    found = find_deputy(context.member_by_host, me, {avoided})
+    found = find_zone_writer(context.member_by_host, me, {avoided})
     assert (found or 'itself') == deputy, found
 
 
@@ -266,14 +266,14 @@
 
 @given('the claims of the epochs 1 and 2, and a late heartbeat of epoch 1')
 def claims(context):
-    context.book = CellState()
+    context.cell_state = CellState()
     for epoch, beat in ((1, 0), (2, 0), (1, 5)):
-        context.book.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
+        context.cell_state.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
 
 
 @then('the owner is that of epoch 2')
 def owner_of_epoch(context):
-    assert context.book.owner.epoch == 2
+    assert context.cell_state.owner.epoch == 2
 
 
 @given('a former owner that was killed when earlier owners might act for {unsettled:g} s')
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -14,19 +14,19 @@
     TaskOrder,
     TaskStatus,
 )
-from dandelionreel.jobs import AttemptIntent, JobAccepted, JobBook, JobState, load_spec
+from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
 from dandelionreel.kernel import ManualClock
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
     Claimed,
     Grant,
+    GrantLevel,
     Joined,
-    Level,
     Membership,
-    PromiseBook,
+    PromiseTracker,
     Released,
     ShardEpoch,
-    ShardFold,
+    ShardProjection,
 )
 from dandelionreel.peers import hash_member
 from dandelionreel.routing import part_of_count
@@ -56,19 +56,19 @@
 
 @when('{asked:d} processors are asked for at level {level}')
 def ask_ledger(context, asked, level):
-    grant = Grant(Level(level), EPOCH, 5)
+    grant = Grant(GrantLevel(level), EPOCH, 5)
     context.refusal = context.ledger.refusal(Resources(asked, 0, 0), grant)
 
 
 @when('{asked:d} processors are asked for under a grant later than the listing')
 def ask_late(context, asked):
-    grant = Grant(Level.WHOLE, EPOCH, 11)
+    grant = Grant(GrantLevel.WHOLE, EPOCH, 11)
     context.refusal = context.ledger.refusal(Resources(asked, 0, 0), grant)
 
 
 @when('a start of {processors:d} processors is in doubt and a listing lacks it')
 def doubt(context, processors):
-    grant = Grant(Level.WHOLE, EPOCH, 5)
+    grant = Grant(GrantLevel.WHOLE, EPOCH, 5)
     context.ledger.hold('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.change('j.2.0', HoldState.DOUBTFUL, 12)
     context.ledger.note_listing(TaskList(2, ()), 13)
@@ -128,7 +128,7 @@
 def make_book(context):
     context.clock = ManualClock()
     context.members = Membership(context.clock)
-    context.book = PromiseBook('a/1', 'z', context.clock, context.members)
+    context.book = PromiseTracker('a/1', 'z', context.clock, context.members)
     _join(context, 'a/1')
     _join(context, 'b/1')
 
@@ -179,8 +179,8 @@
 @given('a job and a dispatcher of epoch 1')
 def make_job(context):
     clock = ManualClock()
-    context.shards = ShardFold(Membership(clock), clock)
-    context.book = JobBook(context.shards, 10, 10)
+    context.shards = ShardProjection(Membership(clock), clock)
+    context.book = JobProjection(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
     accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
     context.book.fold(accepted, Position(1, 'a/1', 0))
@@ -199,8 +199,8 @@
 @then('the job runs by the intent for w1 and not by the one for w2')
 def check_runs_by(context):
     job = context.book.get('z.1')
-    assert job.runs(_intent('w1'))
-    assert not job.runs(_intent('w2'))
+    assert job.matches_intent(_intent('w1'))
+    assert not job.matches_intent(_intent('w2'))
 
 
 @when('another dispatcher claims, and then its intent for w1 lands')
