--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -30,10 +30,10 @@
     PlatformRunner,
     Reply,
     UsersPlatform,
-    crashes_by_task,
-    doubled_runs,
-    overfull,
-    started_over,
+    count_crashes_by_task,
+    find_duplicate_runs,
+    find_overallocated_runners,
+    find_starts_over_capacity,
     wait_for,
 )
 
@@ -351,11 +351,11 @@
                 if asked.accepted:
                     wrong.append(f'{asked.path} was accepted and has not ended')
         runs = self._platform.settle()
-        wrong.extend(f'{task} ran twice' for task in doubled_runs(runs))
-        wrong.extend(f'{runner} was overfull' for runner in overfull(runs))
-        over = started_over(runs, self._platform.rooms_by_name)
+        wrong.extend(f'{task} ran twice' for task in find_duplicate_runs(runs))
+        wrong.extend(f'{runner} was overfull' for runner in find_overallocated_runners(runs))
+        over = find_starts_over_capacity(runs, self._platform.rooms_by_name)
         wrong.extend(f'{start} was started over its room' for start in over)
-        crashes = crashes_by_task(runs)
+        crashes = count_crashes_by_task(runs)
         for task, count in crashes.items():
             if count > MOST_CRASHES and self._is_culprit(task):
                 wrong.append(f'{task} crashed {count} runners')
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -25,10 +25,10 @@
 from standins import (
     Cluster,
     Layout,
-    over_filled,
-    over_slots,
-    overlapping,
-    repeated,
+    find_overallocated_workers,
+    find_overlapping_runs,
+    find_overloaded_runners,
+    find_repeated_starts,
     requests_by_mark,
     wait_until,
 )
@@ -391,10 +391,10 @@
         endpoints = self.cell.records('endpoint')
         runs = [run for record in workers for run in record['runs']]
         once = {name for name, is_once in tally.accepted.items() if is_once}
-        tally.wrong.extend(f'over-filled {one}' for one in over_filled(workers))
-        tally.wrong.extend(f'over slots {one}' for one in over_slots(endpoints))
-        tally.wrong.extend(f'in two places {one}' for one in overlapping(runs))
-        tally.wrong.extend(f'run twice {one}' for one in repeated(runs, once))
+        tally.wrong.extend(f'over-filled {one}' for one in find_overallocated_workers(workers))
+        tally.wrong.extend(f'over slots {one}' for one in find_overloaded_runners(endpoints))
+        tally.wrong.extend(f'in two places {one}' for one in find_overlapping_runs(runs))
+        tally.wrong.extend(f'run twice {one}' for one in find_repeated_starts(runs, once))
         tally.wrong.extend(self.judge_requests(requests_by_mark(endpoints)))
         self.starts = len(runs)
         self.worked = sum(len(record['requests']) for record in endpoints)
--- a/bench/soak_accounts.py
+++ b/bench/soak_accounts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from threading import Event, Lock
 
-from standins import AccountRow, EntryHosts, UsersPlatform, started_over_quota, wait_for
+from standins import AccountRow, EntryHosts, UsersPlatform, find_starts_over_quota, wait_for
 
 NAMES = ('blue', 'red', 'green')
 #: Quotas that an account may be given, in thousandths of a core; 0 is none.
@@ -95,7 +95,7 @@
                 except TimeoutError:
                     wrong.append(f'the key {key.text} is not answered with {wanted}')
         runs = self._platform.settle()
-        over = started_over_quota(runs, self.account_by_job, self._platform.quotas)
+        over = find_starts_over_quota(runs, self.account_by_job, self._platform.quotas)
         wrong.extend(f'over its quota: {start}' for start in over)
         return wrong
 
--- a/features/steps/account_host_steps.py
+++ b/features/steps/account_host_steps.py
@@ -15,7 +15,7 @@
     Cuts,
     EntryHosts,
     UsersPlatform,
-    started_over_quota,
+    find_starts_over_quota,
     wait_for,
 )
 
@@ -141,7 +141,7 @@
     wait_completed(context, others[0], 'old')
     accounts = {path.rpartition('/')[2]: 'blue' for path in context.jobs}
     runs = context.platform.settle()
-    over = started_over_quota(runs, accounts, context.platform.quotas)
+    over = find_starts_over_quota(runs, accounts, context.platform.quotas)
     assert not over, over
     assert len(runs) >= len(context.jobs)
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -13,10 +13,10 @@
     FAST_TIMINGS,
     Cluster,
     Layout,
-    over_filled,
-    over_slots,
-    overlapping,
-    repeated,
+    find_overallocated_workers,
+    find_overlapping_runs,
+    find_overloaded_runners,
+    find_repeated_starts,
     requests_by_mark,
     wait_until,
 )
@@ -208,11 +208,11 @@
 def check_promises(context):
     workers = context.cell.records('worker')
     runs = [run for record in workers for run in record['runs']]
-    assert not over_filled(workers), over_filled(workers)
-    assert not overlapping(runs), overlapping(runs)
-    assert not repeated(runs, context.once), repeated(runs, context.once)
+    assert not find_overallocated_workers(workers), find_overallocated_workers(workers)
+    assert not find_overlapping_runs(runs), find_overlapping_runs(runs)
+    assert not find_repeated_starts(runs, context.once), find_repeated_starts(runs, context.once)
     endpoints = context.cell.records('endpoint')
-    assert not over_slots(endpoints), over_slots(endpoints)
+    assert not find_overloaded_runners(endpoints), find_overloaded_runners(endpoints)
 
 
 def _ask(context, name, seconds=0.01, deadline_ms=5000, idempotent='true'):
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -4,7 +4,13 @@
 
 from behave import given, then, when
 
-from standins import EntryHosts, UsersPlatform, doubled_runs, overfull, wait_for
+from standins import (
+    EntryHosts,
+    UsersPlatform,
+    find_duplicate_runs,
+    find_overallocated_runners,
+    wait_for,
+)
 
 DONE = 'completed'
 
@@ -77,8 +83,8 @@
 @then('no task ran twice and no runner was overfull')
 def judge(context):
     runs = context.platform.settle()
-    assert not doubled_runs(runs), doubled_runs(runs)
-    assert not overfull(runs), overfull(runs)
+    assert not find_duplicate_runs(runs), find_duplicate_runs(runs)
+    assert not find_overallocated_runners(runs), find_overallocated_runners(runs)
 
 
 @when('{count:d} jobs of 3 tasks are handed in all over')
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -11,18 +11,18 @@
 )
 from standins._entry_hosts import (
     EntryHosts,
-    crashes_by_task,
-    doubled_runs,
-    overfull,
-    started_over,
-    started_over_quota,
+    count_crashes_by_task,
+    find_duplicate_runs,
+    find_overallocated_runners,
+    find_starts_over_capacity,
+    find_starts_over_quota,
     wait_for,
 )
 from standins._evidence import (
-    over_filled,
-    over_slots,
-    overlapping,
-    repeated,
+    find_overallocated_workers,
+    find_overlapping_runs,
+    find_overloaded_runners,
+    find_repeated_starts,
     requests_by_mark,
 )
 from standins._memory_topic import MemoryTopic
--- a/standins/_entry_hosts.py
+++ b/standins/_entry_hosts.py
@@ -190,7 +190,7 @@
         time.sleep(0.05)
 
 
-def doubled_runs(runs: list[Run]) -> list[str]:
+def find_duplicate_runs(runs: list[Run]) -> list[str]:
     """Return the tasks that ran twice at once, or again after they were done."""
     found = []
     by_task: dict[str, list[Run]] = {}
@@ -209,12 +209,12 @@
     return run.began
 
 
-def crashes_by_task(runs: list[Run]) -> dict[str, int]:
+def count_crashes_by_task(runs: list[Run]) -> dict[str, int]:
     """Return how many runners have crashed under each task."""
     return Counter(run.task for run in runs if run.how == 'crashed')
 
 
-def started_over(runs: list[Run], rooms_by_runner: dict[str, list[Room]]) -> list[str]:
+def find_starts_over_capacity(runs: list[Run], rooms_by_runner: dict[str, list[Room]]) -> list[str]:
     """Return the starts that brought a runner over the room that it had said for long."""
     found = []
     for run in runs:
@@ -230,7 +230,7 @@
     return found
 
 
-def started_over_quota(
+def find_starts_over_quota(
     runs: list[Run],
     account_by_job: dict[str, str],
     quotas: QuotaHistory,
@@ -264,7 +264,7 @@
     return max([said, *recent])
 
 
-def overfull(runs: list[Run], capacity: int = 8000) -> list[str]:
+def find_overallocated_runners(runs: list[Run], capacity: int = 8000) -> list[str]:
     """Return the runners that held more than their processors at some time."""
     found = []
     now = time.monotonic()
--- a/standins/_evidence.py
+++ b/standins/_evidence.py
@@ -8,7 +8,7 @@
 STILL = float('inf')
 
 
-def over_filled(records: list[dict[str, Any]]) -> list[str]:
+def find_overallocated_workers(records: list[dict[str, Any]]) -> list[str]:
     """Return the workers that were at some time given more than they have."""
     found = []
     for record in records:
@@ -19,7 +19,7 @@
     return found
 
 
-def over_slots(records: list[dict[str, Any]]) -> list[str]:
+def find_overloaded_runners(records: list[dict[str, Any]]) -> list[str]:
     """Return the runners that worked on more requests at once than they have slots."""
     return [
         f'{record["runner"]}: {record["most"]} of {record["slots"]}'
@@ -28,7 +28,7 @@
     ]
 
 
-def overlapping(runs: list[Run]) -> list[str]:
+def find_overlapping_runs(runs: list[Run]) -> list[str]:
     """Return tasks that ran in two places, or twice, at the same time."""
     found = []
     runs_by_task: dict[str, list[Run]] = {}
@@ -43,7 +43,7 @@
     return found
 
 
-def repeated(runs: list[Run], jobs: set[str]) -> list[str]:
+def find_repeated_starts(runs: list[Run], jobs: set[str]) -> list[str]:
     """Return those of ``jobs`` that were started more than once."""
     starts_by_task: dict[str, int] = {}
     for run in runs:
