--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -23,7 +23,7 @@
 
 from bench.soak_accounts import Key, SoakAccounts
 from standins import (
-    ANYONE,
+    ANY_NAME,
     Cut,
     Cuts,
     EntryHosts,
@@ -103,7 +103,7 @@
         self._seed = seed
         self._random = random.Random(seed)
         self._seconds = seconds
-        self._platform = UsersPlatform(runners, seed, tells_incarnation=restarts)
+        self._platform = UsersPlatform(runners, seed, reports_incarnation=restarts)
         self._hosts = EntryHosts(self._platform, hosts, block=2 + seed % 200)
         for name in self._hosts.names:
             self._platform.relay(f'store-{name}', 'store')
@@ -243,7 +243,7 @@
         while not self._over.wait(draw.uniform(*FAULT_GAP)):
             runner = draw.choice(self._platform.runners)
             with self._lock:
-                if runner.dark:
+                if runner.is_down:
                     continue
                 runner.resize(draw.choice(ROOMS))
                 self._platform.register(runner)
@@ -300,7 +300,7 @@
 
     def _cut_link(self, seconds: float) -> None:
         link = self._random.choice(self._links)
-        ways = [Cut(ANYONE, link), Cut(link, ANYONE)]
+        ways = [Cut(ANY_NAME, link), Cut(link, ANY_NAME)]
         cuts = self._random.choice((ways, ways[:1], ways[1:]))
         self._change_cuts(cuts, add=True)
         self._later(seconds, self._change_cuts, cuts)
@@ -312,23 +312,23 @@
                     self._cuts.append(cut)
                 else:
                     self._cuts.remove(cut)
-            self._platform.wire.replace(Cuts(tuple(self._cuts)))
+            self._platform.link_faults.replace(Cuts(tuple(self._cuts)))
 
     def _crash_runner(self, seconds: float) -> None:
         runner = self._random.choice(self._platform.runners)
-        if not runner.dark:
+        if not runner.is_down:
             runner.crash()
             self._later(seconds, self._revive, runner)
 
     def _revive(self, runner: PlatformRunner) -> None:
         with self._lock:
-            if runner.tells_incarnation:
-                runner.revive()
+            if runner.reports_incarnation:
+                runner.restart()
                 self._platform.register(runner)
                 return
             self._lives += 1
             self._platform.store.put('keyed.servers', runner.name, None)
-            runner.revive(f'i-again-{self._lives}')
+            runner.restart(f'i-again-{self._lives}')
             self._platform.register(runner)
 
     def _heal(self) -> None:
@@ -350,10 +350,10 @@
             except TimeoutError:
                 if asked.accepted:
                     wrong.append(f'{asked.path} was accepted and has not ended')
-        runs = self._platform.settle()
+        runs = self._platform.collect_runs()
         wrong.extend(f'{task} ran twice' for task in find_duplicate_runs(runs))
         wrong.extend(f'{runner} was overfull' for runner in find_overallocated_runners(runs))
-        over = find_starts_over_capacity(runs, self._platform.rooms_by_name)
+        over = find_starts_over_capacity(runs, self._platform.capacity_changes_by_name)
         wrong.extend(f'{start} was started over its room' for start in over)
         crashes = count_crashes_by_task(runs)
         for task, count in crashes.items():
@@ -371,7 +371,7 @@
             if not asked.accepted and not asked.maybe and job in jobs:
                 wrong.append(f'{asked.path} was refused and ran')
             # An end that its runner took with it may have been noted before.
-            done = {run.task for run in runs if run.how in DONE and run.task.startswith(job)}
+            done = {run.task for run in runs if run.outcome in DONE and run.task.startswith(job)}
             # The end of one member stands for its gang.
             wanted = 1 if asked.gang else asked.tasks
             # One under which two runners have crashed may be given up.
--- a/bench/soak_accounts.py
+++ b/bench/soak_accounts.py
@@ -94,7 +94,7 @@
                     wait_for(lambda key=key, wanted=wanted: _is_answered(hosts, key, wanted), 20)
                 except TimeoutError:
                     wrong.append(f'the key {key.text} is not answered with {wanted}')
-        runs = self._platform.settle()
+        runs = self._platform.collect_runs()
         over = find_starts_over_quota(runs, self.account_by_job, self._platform.quotas)
         wrong.extend(f'over its quota: {start}' for start in over)
         return wrong
--- a/features/steps/account_host_steps.py
+++ b/features/steps/account_host_steps.py
@@ -9,7 +9,7 @@
 from dandelionreel.kernel import Environment
 from features.steps.platform_steps import task
 from standins import (
-    ANYONE,
+    ANY_NAME,
     AccountRow,
     Cut,
     Cuts,
@@ -90,7 +90,7 @@
 @when('the store no longer answers the first host, and the key becomes new')
 def revoke_behind(context):
     link = f'store-{context.hosts.names[0]}'
-    context.platform.wire.replace(Cuts((Cut(ANYONE, link), Cut(link, ANYONE))))
+    context.platform.link_faults.replace(Cuts((Cut(ANY_NAME, link), Cut(link, ANY_NAME))))
     context.platform.configure(2, [AccountRow('blue', ('new',))])
 
 
@@ -140,7 +140,7 @@
     context.others = others
     wait_completed(context, others[0], 'old')
     accounts = {path.rpartition('/')[2]: 'blue' for path in context.jobs}
-    runs = context.platform.settle()
+    runs = context.platform.collect_runs()
     over = find_starts_over_quota(runs, accounts, context.platform.quotas)
     assert not over, over
     assert len(runs) >= len(context.jobs)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -17,8 +17,10 @@
 
 def crashed_runs(context):
     """Return the runs of the job that a runner has crashed under."""
-    runs = context.platform.settle()
-    return [run for run in runs if run.task.startswith(f'{CULPRIT:016x}') and run.how == 'crashed']
+    runs = context.platform.collect_runs()
+    return [
+        run for run in runs if run.task.startswith(f'{CULPRIT:016x}') and run.outcome == 'crashed'
+    ]
 
 
 @when('a job whose task crashes its runner is handed in, and {count:d} others')
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -47,7 +47,7 @@
 
 @given('a runner that has run a task, known by its entry')
 def known_runner(context):
-    context.platform = UsersPlatform(1, tells_incarnation=True)
+    context.platform = UsersPlatform(1, reports_incarnation=True)
     context.platform.start()
     context.stack.callback(context.platform.stop)
     (context.runner,) = context.platform.runners
@@ -86,7 +86,7 @@
 def restart(context):
     context.runner.crash()
     time.sleep(0.05)
-    context.runner.revive()
+    context.runner.restart()
 
 
 @when('it restarts, runs another task to its end, and {call} is sent for the former process')
@@ -158,7 +158,7 @@
 @then('the start is answered, and the new process has run it')
 def new_has_run(context):
     assert context.told is StartReply.STARTED, context.told
-    assert [run.number for run in context.platform.settle()] == [1, 9]
+    assert [run.number for run in context.platform.collect_runs()] == [1, 9]
 
 
 @when('it is out of reach, and a start is sent')
@@ -167,7 +167,7 @@
         context.told = await send(context.http, 'a start', context.runner.clock())
         await context.http.close()
 
-    context.runner.dark = True
+    context.runner.is_down = True
     curio.run(start)
 
 
@@ -188,7 +188,7 @@
         context.told = await send(context.http, call, context.runner.clock())
         await context.http.close()
 
-    context.runner.tells_incarnation = False
+    context.runner.reports_incarnation = False
     if 'stops' not in does:
         context.runner.answer = handle
     curio.run(send_call)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -82,7 +82,7 @@
 
 @then('no task ran twice and no runner was overfull')
 def judge(context):
-    runs = context.platform.settle()
+    runs = context.platform.collect_runs()
     assert not find_duplicate_runs(runs), find_duplicate_runs(runs)
     assert not find_overallocated_runners(runs), find_overallocated_runners(runs)
 
@@ -134,8 +134,8 @@
 
 @then('its task is stopped')
 def task_stopped(context):
-    wait_for(lambda: context.platform.settle()[0].ended is not None)
-    assert [run.how for run in context.platform.runs] == ['stopped']
+    wait_for(lambda: context.platform.collect_runs()[0].ended is not None)
+    assert [run.outcome for run in context.platform.runs] == ['stopped']
 
 
 @when('a long job is handed in and the owner is killed once it runs')
@@ -278,4 +278,4 @@
 
 @then('its task has run once')
 def ran_once(context):
-    assert len(context.platform.settle()) == 1, context.platform.runs
+    assert len(context.platform.collect_runs()) == 1, context.platform.runs
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -16,14 +16,14 @@
 
 @given('{count:d} entry hosts on a platform whose runners restart under their ids')
 def start_restarting(context, count):
-    start_hosts(context, count, BLOCK, tells_incarnation=True)
+    start_hosts(context, count, BLOCK, reports_incarnation=True)
 
 
 def restart(context, runner, dark=0.05):
     """Let a runner crash and start again; its entry tells a while later."""
     runner.crash()
     time.sleep(dark)
-    runner.revive()
+    runner.restart()
     context.platform.register(runner)
 
 
@@ -94,7 +94,7 @@
     platform = context.platform
     hand_in_jobs(context, range(1, 11), cpu=500, seconds=0.1, count=12)
     all_completed(context)
-    ended = Counter(run.runner for run in platform.settle())
+    ended = Counter(run.runner for run in platform.collect_runs())
     assert min(ended.values()) >= ends, ended
     restart_all(context)
     hand_in(context, GANG, task(cpu=2000, seconds=0.6, count=members, gang=True), 'advised')
@@ -102,6 +102,6 @@
 
 @then('the gang has run once')
 def gang_once(context):
-    runs = context.platform.settle()
+    runs = context.platform.collect_runs()
     numbers = {run.number for run in runs if run.task.startswith(f'{GANG:016x}')}
     assert len(numbers) == 1, numbers
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -261,7 +261,7 @@
 @when('a successor has written and the late append lands')
 def successor_writes(context):
     curio.run(context.topic.append, [KeyedRecord('e/x', b'new')], 0.1, WriterFence(2, 9))
-    context.topic.land()
+    context.topic.apply_late_appends()
 
 
 @then('the store holds what the successor wrote')
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -26,7 +26,7 @@
     requests_by_mark,
 )
 from standins._memory_topic import MemoryTopic
-from standins._relay import ANYONE, Cut, Cuts
+from standins._relay import ANY_NAME, Cut, Cuts
 from standins._users_platform import AccountRow, PlatformRunner, Run, UsersPlatform
 
 __all__ = (
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -13,7 +13,7 @@
 from standins._hosts import HostsStandIn
 from standins._log import LogStandIn
 from standins._plan import Plan
-from standins._relay import Relay, Wire
+from standins._relay import LinkFaults, Relay
 from standins._runner import RunnerStandIn
 from standins._worker import WorkerStandIn
 
@@ -26,7 +26,7 @@
     def __init__(self, plan: Plan) -> None:
         """Make what the plan names."""
         self._plan = plan
-        self._wire = Wire(plan.name_by_address)
+        self._link_faults = LinkFaults(plan.name_by_address)
         self._log = LogStandIn()
         self._hosts = HostsStandIn(plan.hosts)
 
@@ -42,7 +42,7 @@
             for relay in plan.relays:
                 listens = (relay.address, relay.port)
                 reaches = (relay.to_address, relay.to_port)
-                await Relay(self._wire, relay.target, listens, reaches).start(stack)
+                await Relay(self._link_faults, relay.target, listens, reaches).start(stack)
             sys.stdout.write('ready\n')
             sys.stdout.flush()
             await curio.sleep(plan.seconds)
@@ -55,7 +55,7 @@
 
     async def _control(self, request: Request) -> Answer:
         if request.path == CONTROL_WIRE:
-            return self._wire.handle(request)
+            return self._link_faults.handle(request)
         return answer_json({})
 
 
--- a/standins/_entry_hosts.py
+++ b/standins/_entry_hosts.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from standins._users_platform import QuotaHistory, Room, Run, UsersPlatform
+from standins._users_platform import CapacityChange, QuotaHistory, Run, UsersPlatform
 
 SETTINGS = """\
 node = "{name}"
@@ -200,7 +200,7 @@
         known.sort(key=_began)
         for earlier, later in zip(known, known[1:], strict=False):
             still_running = earlier.ended is None or later.began < earlier.ended
-            if still_running or earlier.how == 'done':
+            if still_running or earlier.outcome == 'done':
                 found.append(task)
     return found
 
@@ -211,10 +211,12 @@
 
 def count_crashes_by_task(runs: list[Run]) -> dict[str, int]:
     """Return how many runners have crashed under each task."""
-    return Counter(run.task for run in runs if run.how == 'crashed')
+    return Counter(run.task for run in runs if run.outcome == 'crashed')
 
 
-def find_starts_over_capacity(runs: list[Run], rooms_by_runner: dict[str, list[Room]]) -> list[str]:
+def find_starts_over_capacity(
+    runs: list[Run], capacity_changes_by_runner: dict[str, list[CapacityChange]]
+) -> list[str]:
     """Return the starts that brought a runner over the room that it had said for long."""
     found = []
     for run in runs:
@@ -225,7 +227,7 @@
             and other.began <= run.began
             and (other.ended is None or other.ended > run.began)
         )
-        if held > _room_at(rooms_by_runner[run.runner], run.began):
+        if held > _capacity_at(capacity_changes_by_runner[run.runner], run.began):
             found.append(f'{run.task} on {run.runner}')
     return found
 
@@ -252,11 +254,11 @@
     return found
 
 
-def _room_at(rooms: list[Room], at: float) -> int:
+def _capacity_at(capacity_changes: list[CapacityChange], at: float) -> int:
     """Return the most that a runner has said within the time that hosts have to hear it."""
-    said = rooms[0][1]
+    said = capacity_changes[0][1]
     recent = []
-    for since, cpu in rooms:
+    for since, cpu in capacity_changes:
         if since <= at - ROOM_SECONDS:
             said = cpu
         elif since <= at:
--- a/standins/_memory_topic.py
+++ b/standins/_memory_topic.py
@@ -65,7 +65,7 @@
             raise StoreError('the answer was lost', Verdict.UNKNOWN)
         return offset
 
-    def land(self) -> None:
+    def apply_late_appends(self) -> None:
         """Carry out the late appends whose conditions still hold."""
         for records, fence, expected_end in self._late:
             with suppress(StoreError):
--- a/standins/_relay.py
+++ b/standins/_relay.py
@@ -15,7 +15,7 @@
 
 READ_SIZE = 65_536
 #: Whom a rule names to mean every source or target.
-ANYONE = '*'
+ANY_NAME = '*'
 STEP_SECONDS = 0.05
 #: The senders' TCP_USER_TIMEOUT, which a relay's own socket hides from them.
 GIVE_UP_SECONDS = 1.0
@@ -35,7 +35,7 @@
     closed: tuple[str, ...] = ()
 
 
-class Wire:
+class LinkFaults:
     """The cuts that all relays of one stand-in process obey."""
 
     def __init__(self, name_by_address: dict[str, str]) -> None:
@@ -59,7 +59,7 @@
     def is_cut(self, source: str, target: str) -> bool:
         """Return whether bytes that way get lost."""
         for cut in self._cuts.cuts:
-            if cut.source in {source, ANYONE} and cut.target in {target, ANYONE}:
+            if cut.source in {source, ANY_NAME} and cut.target in {target, ANY_NAME}:
                 return True
         return False
 
@@ -73,13 +73,13 @@
 
     def __init__(
         self,
-        wire: Wire,
+        link_faults: LinkFaults,
         target: str,
         listens: tuple[str, int],
         reaches: tuple[str, int],
     ) -> None:
         """Stand before ``target``."""
-        self._wire = wire
+        self._link_faults = link_faults
         self._target = target
         self._listens = listens
         self._reaches = reaches
@@ -92,7 +92,7 @@
 
     async def _run(self) -> None:
         while True:
-            if self._wire.is_closed(self._target):
+            if self._link_faults.is_closed(self._target):
                 await self._close()
                 await curio.sleep(0.05)
                 continue
@@ -108,7 +108,7 @@
             self._listener = None
 
     async def _serve(self, client: Any, address: tuple[str, int]) -> None:
-        source = self._wire.name(address[0])
+        source = self._link_faults.name(address[0])
         try:
             upstream = await connect(*self._reaches, 60)
         except OSError:
@@ -135,7 +135,7 @@
         Bytes that a short cut meets arrive late, as from a send buffer.
         """
         waited = 0.0
-        while self._wire.is_cut(source, target):
+        while self._link_faults.is_cut(source, target):
             if waited > GIVE_UP_SECONDS:
                 return False
             await curio.sleep(STEP_SECONDS)
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -20,7 +20,7 @@
 from dandelionreel.http import Answer, CloseConnection, Request, Server, ServerLimits, answer_json
 from dandelionreel.kernel import start_task
 from standins._other_writer import OtherWriter
-from standins._relay import Relay, Wire
+from standins._relay import LinkFaults, Relay
 
 LENGTH = struct.Struct('>I')
 MILLISECONDS = 1000
@@ -198,7 +198,7 @@
 
 
 #: Since when a runner has so many processors: monotonic seconds, thousandths.
-Room = tuple[float, int]
+CapacityChange = tuple[float, int]
 
 
 @dataclass
@@ -210,9 +210,9 @@
     runner: str
     cpu: int
     began: float
-    until: float
+    planned_end: float
     ended: float | None = None
-    how: str = ''
+    outcome: str = ''
     stopping: bool = False
 
 
@@ -224,20 +224,20 @@
     some time later, under another name or as another incarnation under the same one.
     """
 
-    def __init__(self, name: str, runs: list[Run], *, tells_incarnation: bool = False) -> None:
+    def __init__(self, name: str, runs: list[Run], *, reports_incarnation: bool = False) -> None:
         """Record every run in ``runs``."""
         self.name = name
-        self.dark = False
+        self.is_down = False
         #: The Unix millisecond at which the process started that answers now.
-        self.born = int(time.time() * MILLISECONDS)
+        self.started_at_ms = int(time.time() * MILLISECONDS)
         #: Whether connections to the former process are still to be closed.
-        self.resetting = False
-        self.tells_incarnation = tells_incarnation
+        self.reset_pending = False
+        self.reports_incarnation = reports_incarnation
         #: Answers in place of the runner if it is set.
         self.answer: Callable[[Request], Awaitable[Answer]] | None = None
         self._clock_zero = time.monotonic() - CLOCK_SECONDS
         #: What the runner has said that it has, the latest last.
-        self.rooms: list[Room] = [(0.0, FULL_CPU)]
+        self.capacity_changes: list[CapacityChange] = [(0.0, FULL_CPU)]
         #: Called with the runner once it has crashed under a task.
         self.on_crash: Callable[[PlatformRunner], Awaitable[None]] | None = None
         self._runs = runs
@@ -254,7 +254,7 @@
 
     async def handle(self, request: Request) -> Answer:
         """Answer one order or look."""
-        if self.dark or self.resetting:
+        if self.is_down or self.reset_pending:
             raise CloseConnection
         if self.answer is not None:
             return await self.answer(request)
@@ -278,58 +278,58 @@
         now = time.monotonic()
         deadline = self._deadline + self._clock_zero
         for run in tuple(self._run_by_task.values()):
-            lapsed = deadline < now and deadline < run.until
-            if run.until > now and not lapsed:
+            lapsed = deadline < now and deadline < run.planned_end
+            if run.planned_end > now and not lapsed:
                 continue
-            run.ended = min(run.until, deadline) if lapsed else run.until
-            run.how = 'lapsed' if lapsed else run.how
+            run.ended = min(run.planned_end, deadline) if lapsed else run.planned_end
+            run.outcome = 'lapsed' if lapsed else run.outcome
             del self._run_by_task[run.task]
-            self._ends.append([self._next_end, run.task, run.number, run.how, ''])
+            self._ends.append([self._next_end, run.task, run.number, run.outcome, ''])
             self._next_end += 1
 
     @property
     def cpu(self) -> int:
         """Return the processors that the runner says it has."""
-        return self.rooms[-1][1]
+        return self.capacity_changes[-1][1]
 
     def resize(self, cpu: int) -> None:
         """Have more or fewer processors from now on; what runs goes on."""
-        self.rooms.append((time.monotonic(), cpu))
+        self.capacity_changes.append((time.monotonic(), cpu))
 
     def crash(self) -> None:
         """End everything that runs without a trace; ends not yet read are lost too."""
         self.advance()
         for run in self._runs:
             if run.runner == self.name and run.task in {end[1] for end in self._ends}:
-                run.how = 'unread'
+                run.outcome = 'unread'
         for run in self._run_by_task.values():
             run.ended = time.monotonic()
-            run.how = 'crashed'
+            run.outcome = 'crashed'
         self._run_by_task.clear()
-        self.dark = True
-        self.resetting = True
+        self.is_down = True
+        self.reset_pending = True
 
-    def revive(self, name: str = '') -> None:
+    def restart(self, name: str = '') -> None:
         """Come back, which runs nothing and has seen no token; all counts start anew.
 
         Without a ``name`` it is the next incarnation under the name that it had.
         """
         self.name = name or self.name
-        self.born = max(self.born + 1, int(time.time() * MILLISECONDS))
+        self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * MILLISECONDS))
         self._clock_zero = time.monotonic()
         self._token = 0
         self._deadline = 0.0
         self._highest.clear()
         self._ends.clear()
         self._next_end = 1
-        self.dark = False
+        self.is_down = False
 
     async def _crash_under(self, asked: dict) -> None:
         """Crash if the task that was just started does so, before the start is answered."""
         if 'crash' not in asked['spec'].split() or asked['task'] not in self._run_by_task:
             return
         await curio.sleep(CRASH_SECONDS)
-        if not self.dark:
+        if not self.is_down:
             self.crash()
             if self.on_crash is not None:
                 await curio.spawn(self.on_crash, self, daemon=True)
@@ -348,7 +348,7 @@
         words = asked['spec'].split()
         now = time.monotonic()
         run = Run(task, number, self.name, int(words[0]), now, now + float(words[1]))
-        run.how = 'failed' if 'fail' in words else 'done'
+        run.outcome = 'failed' if 'fail' in words else 'done'
         self._run_by_task[task] = run
         self._highest[task] = number
         self._runs.append(run)
@@ -360,18 +360,18 @@
         run = self._run_by_task.get(task)
         if run is not None and run.number <= number and not run.stopping:
             run.stopping = True
-            run.how = 'stopped'
-            run.until = min(run.until, time.monotonic() + STOP_SECONDS)
+            run.outcome = 'stopped'
+            run.planned_end = min(run.planned_end, time.monotonic() + STOP_SECONDS)
         return self._ok()
 
     async def _hold(self, asked: dict) -> Answer:
         self._ends = [end for end in self._ends if end[0] > asked['acked_through']]
         self._extend(asked.get('deadline_ms', 0))
         until = time.monotonic() + asked.get('wait_ms', 0) / MILLISECONDS
-        born = self.born
+        born = self.started_at_ms
         while not self._ends and time.monotonic() < until:
             await curio.sleep(LOOK_STEP)
-            if self.dark or self.born != born:
+            if self.is_down or self.started_at_ms != born:
                 # A crash ends all connections; the next life answers no look at this one.
                 raise CloseConnection
             self.advance()
@@ -381,8 +381,8 @@
             'running': running,
             'finished': self._ends[:500],
         }
-        if self.tells_incarnation:
-            body['born'] = self.born
+        if self.reports_incarnation:
+            body['born'] = self.started_at_ms
         return answer_json(body)
 
     def _extend(self, deadline_ms: int) -> None:
@@ -410,16 +410,18 @@
 async def _reset_connections(runner: PlatformRunner, server: ResettableServer) -> None:
     """Close the connections to a runner each time that it has crashed."""
     while True:
-        if runner.resetting:
+        if runner.reset_pending:
             await server.reset()
-            runner.resetting = False
+            runner.reset_pending = False
         await curio.sleep(LOOK_STEP)
 
 
 class UsersPlatform:
     """Store, runners and policy service on one loopback address, in one thread."""
 
-    def __init__(self, runners: int = 3, seed: int = 1, *, tells_incarnation: bool = False) -> None:
+    def __init__(
+        self, runners: int = 3, seed: int = 1, *, reports_incarnation: bool = False
+    ) -> None:
         """Prepare ``runners`` runners of the service ``desk``.
 
         Where they tell their incarnation, they restart under the names that they had.
@@ -428,16 +430,16 @@
         self.quotas = QuotaHistory()
         self.runs: list[Run] = []
         self.runners = [
-            PlatformRunner(f'i-{number}', self.runs, tells_incarnation=tells_incarnation)
+            PlatformRunner(f'i-{number}', self.runs, reports_incarnation=reports_incarnation)
             for number in range(runners)
         ]
         self.port_by_name: dict[str, int] = {}
-        self.wire = Wire({})
+        self.link_faults = LinkFaults({})
         self._place_by_runner: dict[PlatformRunner, str] = {}
         self._relayed: dict[str, str] = {}
         self._lives = 0
         #: By every name that a runner had.
-        self.rooms_by_name: dict[str, list[Room]] = {}
+        self.capacity_changes_by_name: dict[str, list[CapacityChange]] = {}
         for runner in self.runners:
             runner.on_crash = self._bring_back
         self._ready = threading.Event()
@@ -458,14 +460,14 @@
 
     def register(self, runner: PlatformRunner, *, state: str = 'ready') -> None:
         """Write a runner's entry; a relay before it is what others see."""
-        self.rooms_by_name[runner.name] = runner.rooms
+        self.capacity_changes_by_name[runner.name] = runner.capacity_changes
         self.store.put('keyed.servers', runner.name, self.entry_of(runner, state))
 
     def entry_of(self, runner: PlatformRunner, state: str = 'ready') -> dict:
         """Return a runner's entry."""
         place = self._place_by_runner.setdefault(runner, runner.name)
         port = self.port_by_name.get(f'relay-{place}', self.port_by_name[place])
-        told = {'born': runner.born} if runner.tells_incarnation else {}
+        told = {'born': runner.started_at_ms} if runner.reports_incarnation else {}
         return {
             **told,
             'service': 'desk',
@@ -520,7 +522,7 @@
             self.quotas.note(time.monotonic(), accounts)
         self.store.put('keyed.op', 'config', document)
 
-    def settle(self) -> list[Run]:
+    def collect_runs(self) -> list[Run]:
         """Bring every runner up to now and return all runs."""
         for runner in self.runners:
             runner.advance()
@@ -529,19 +531,19 @@
     async def _bring_back(self, runner: PlatformRunner) -> None:
         """Let a crashed runner start again, and its old entry expire if its name changes."""
         await curio.sleep(BACK_SECONDS)
-        if runner.tells_incarnation:
-            runner.revive()
+        if runner.reports_incarnation:
+            runner.restart()
             self.register(runner)
             return
         former = runner.name
         self._lives += 1
-        runner.revive(f'{former.split("+")[0]}+{self._lives}')
+        runner.restart(f'{former.split("+")[0]}+{self._lives}')
         self.register(runner)
         self.store.put('keyed.servers', former, None)
 
     def _beat(self) -> None:
         for runner in self.runners:
-            if not runner.dark:
+            if not runner.is_down:
                 self.register(runner)
 
     async def _serve(self) -> None:
@@ -570,7 +572,7 @@
             free.bind(('127.0.0.1', 0))
             port = free.getsockname()[1]
         reaches = ('127.0.0.1', self.port_by_name[target])
-        await Relay(self.wire, name, ('127.0.0.1', port), reaches).start(stack)
+        await Relay(self.link_faults, name, ('127.0.0.1', port), reaches).start(stack)
         self.port_by_name[name] = port
 
     async def _advise(self, request: Request) -> Answer:
