--- a/bench/demo.py
+++ b/bench/demo.py
@@ -41,7 +41,9 @@
     )
     tell(f'in force on all {len(names)} daemons: {in_force}, {time.monotonic() - began:.3f} s')
     for name in names:
-        answer = cell.callers(name, 'POST', '/v1/services/booking/echo', b'pass 4711', HEADERS)
+        answer = cell.request_as_caller(
+            name, 'POST', '/v1/services/booking/echo', b'pass 4711', HEADERS
+        )
         verdict = answer.headers.get('dandelionreel-verdict')
         tell(f'entry check by {name}: {answer.status}, verdict {verdict}, {answer.body!r}')
     accepted = cell.submit(names[0], job('run 1'), 'settlement-1').json()
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -106,9 +106,9 @@
         self._platform = UsersPlatform(runners, seed, reports_incarnation=restarts)
         self._hosts = EntryHosts(self._platform, hosts, block=2 + seed % 200)
         for name in self._hosts.names:
-            self._platform.relay(f'store-{name}', 'store')
+            self._platform.add_relay(f'store-{name}', 'store')
         for runner in self._platform.runners:
-            self._platform.relay(f'relay-{runner.name}', runner.name)
+            self._platform.add_relay(f'relay-{runner.name}', runner.name)
         self._links = [f'store-{name}' for name in self._hosts.names]
         self._links += [f'relay-{runner.name}' for runner in self._platform.runners]
         self._has_accounts = accounts
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -53,7 +53,7 @@
                 pool,
                 load,
                 daemon.address,
-                daemon.callers,
+                daemon.caller_port,
                 '/v1/services/booking/echo',
                 headers,
                 each,
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -73,7 +73,7 @@
         self.seconds = seconds
         self.tally = Tally()
         self.stop = Event()
-        layout = Layout(ZONES, daemons, 2, 2, cuttable=True)
+        layout = Layout(ZONES, daemons, 2, 2, has_relays=True)
         self.cell = Cluster(layout)
         self.version = 1
         self.down: set[str] = set()
@@ -119,7 +119,7 @@
         asked = Asked(os.urandom(8).hex(), os.urandom(200), source.random() < 0.6)
         with self.tally.lock:
             self.tally.asked.append(asked)
-        reply = self.cell.callers(
+        reply = self.cell.request_as_caller(
             name,
             'POST',
             f'/v1/services/booking/echo?seconds={source.choice((0.01, 0.05, 0.4))}',
@@ -302,7 +302,7 @@
             msgspec.structs.replace(one, state='leaving') if one.name == leaving else one
             for one in self.cell.hosts
         ]
-        self.cell.list_hosts(hosts)
+        self.cell.replace_hosts(hosts)
 
     def publish(self) -> None:
         """Publish the next version through some daemon."""
--- a/features/cells.py
+++ b/features/cells.py
@@ -35,7 +35,7 @@
     return spec
 
 
-class CellShelf:
+class SharedCell:
     """One small cell that many scenarios share; it starts when first asked for."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self._stack = ExitStack()
         self._cell: Cluster | None = None
 
-    def shared(self) -> Cluster:
+    def get_cell(self) -> Cluster:
         """Return the shared cell, its contract in force."""
         if self._cell is None:
             self._cell = self._stack.enter_context(Cluster(Layout(daemons=2)))
--- a/features/environment.py
+++ b/features/environment.py
@@ -2,12 +2,12 @@
 
 from contextlib import ExitStack
 
-from features.cells import CellShelf
+from features.cells import SharedCell
 
 
 def before_all(context):
     """Keep one small cell for all scenarios that do not break it."""
-    context.shelf = CellShelf()
+    context.shared_cell = SharedCell()
 
 
 def before_scenario(context, scenario):
@@ -32,4 +32,4 @@
 
 def after_all(context):
     """End the shared cell."""
-    context.shelf.close()
+    context.shared_cell.close()
--- a/features/run.py
+++ b/features/run.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Count:
+class FeatureResult:
     """How the scenarios of one file went, and what was printed."""
 
     passed: int
@@ -33,7 +33,7 @@
     output: str
 
 
-def read_known(path: Path) -> set[str]:
+def read_known_red(path: Path) -> set[str]:
     """Return the scenarios that are known to fail, as ``features/NAME.feature: SCENARIO``."""
     if not path.exists():
         return set()
@@ -43,7 +43,7 @@
     return {line.partition('|')[0].strip() for line in lines}
 
 
-def is_known(scenario: Scenario, known: set[str]) -> bool:
+def is_known_red(scenario: Scenario, known: set[str]) -> bool:
     """Return whether a scenario, or the outline that it is a row of, is known to fail."""
     path = Path(scenario.location.filename).name
     # A row's name is its outline's, and where the row stands.
@@ -53,13 +53,13 @@
 
 def run_file(path: str) -> int:
     """Run one feature in this process; the last line printed is its count."""
-    known = read_known(KNOWN_RED)
+    known = read_known_red(KNOWN_RED)
     configuration = Configuration(['--no-capture', '--format', 'progress'])
     configuration.paths = [path]
     runner = Runner(configuration)
     broken = runner.run()
     scenarios = [one for feature in runner.features for one in feature.walk_scenarios()]
-    red = [one for one in scenarios if is_known(one, known)]
+    red = [one for one in scenarios if is_known_red(one, known)]
     passed = sum(1 for one in scenarios if one.status is Status.passed and one not in red)
     failed = [one for one in scenarios if one.status not in DONE and one not in red]
     for one in red:
@@ -73,7 +73,7 @@
     return int(bool(failed) or unrun)
 
 
-def run_apart(path: Path) -> Count:
+def run_in_subprocess(path: Path) -> FeatureResult:
     """Run one feature in a process of its own."""
     done = subprocess.run(
         [sys.executable, '-m', 'features.run', '--one', str(path)],
@@ -85,8 +85,8 @@
     output, _, last = done.stdout.rstrip().rpartition('\n')
     words = last.split()
     if len(words) != 2 or not all(word.isdecimal() for word in words):
-        return Count(0, 1, done.stdout)
-    return Count(int(words[0]), int(words[1]), output)
+        return FeatureResult(0, 1, done.stdout)
+    return FeatureResult(int(words[0]), int(words[1]), output)
 
 
 def main() -> int:
@@ -96,7 +96,7 @@
         return run_file(arguments[1])
     paths = [Path(text) for text in arguments] or sorted(FOLDER.glob('*.feature'))
     with ThreadPoolExecutor(AT_ONCE) as pool:
-        counts = list(pool.map(run_apart, paths))
+        counts = list(pool.map(run_in_subprocess, paths))
     for count in counts:
         sys.stdout.write(f'{count.output}\n')
     passed = sum(count.passed for count in counts)
--- a/features/steps/account_host_steps.py
+++ b/features/steps/account_host_steps.py
@@ -29,7 +29,7 @@
     context.platform = UsersPlatform()
     context.hosts = EntryHosts(context.platform, 3, BLOCK)
     for name in context.hosts.names:
-        context.platform.relay(f'store-{name}', 'store')
+        context.platform.add_relay(f'store-{name}', 'store')
     context.platform.start()
     context.stack.callback(context.platform.stop)
     context.platform.configure(1, accounts)
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -38,7 +38,7 @@
     'a cuttable cell of {zones:d} zones with {daemons:d} daemons, {workers:d} workers and {endpoints:d} endpoints'
 )
 def start_cuttable_cell(context, zones, daemons, workers, endpoints):
-    layout = Layout(ZONES[:zones], daemons, workers, endpoints, cuttable=True)
+    layout = Layout(ZONES[:zones], daemons, workers, endpoints, has_relays=True)
     context.cell = context.stack.enter_context(Cluster(layout))
     context.submitted = []
     context.once = set()
@@ -218,7 +218,7 @@
 def _ask(context, name, seconds=0.01, deadline_ms=5000, idempotent='true'):
     mark = os.urandom(8).hex()
     body = os.urandom(500)
-    reply = context.cell.callers(
+    reply = context.cell.request_as_caller(
         name,
         'POST',
         f'/v1/services/booking/echo?seconds={seconds}',
@@ -322,7 +322,7 @@
 @when('{name} is listed as leaving')
 def list_leaving(context, name):
     hosts = [replace_state(entry) if entry.name == name else entry for entry in context.cell.hosts]
-    context.cell.list_hosts(hosts)
+    context.cell.replace_hosts(hosts)
 
 
 def replace_state(entry):
@@ -438,7 +438,7 @@
 
 
 def _settle(context, name, key, deadline_ms=3000):
-    return context.cell.callers(
+    return context.cell.request_as_caller(
         name,
         'POST',
         '/v1/services/booking/settle?seconds=0.05',
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -53,7 +53,7 @@
 @when("{what} is sent to the callers' port")
 def send_broken(context, what):
     daemon = context.cell.daemons[NAME]
-    context.received = _send(daemon.address, daemon.callers, BROKEN[what], half_close=False)
+    context.received = _send(daemon.address, daemon.caller_port, BROKEN[what], half_close=False)
 
 
 @then('the connection is answered with {status:d} or closed')
@@ -70,13 +70,17 @@
 @when('a request is sent with header {header} set to {text}')
 def send_header(context, header, text):
     headers = {'dandelionreel-customer': 'khangai', header: text}
-    context.reply = context.cell.callers(NAME, 'POST', '/v1/services/booking/echo', b'', headers)
+    context.reply = context.cell.request_as_caller(
+        NAME, 'POST', '/v1/services/booking/echo', b'', headers
+    )
 
 
 @when('a request is sent to service {service}')
 def send_service(context, service):
     headers = {'dandelionreel-customer': 'khangai'}
-    context.reply = context.cell.callers(NAME, 'POST', f'/v1/services/{service}/x', b'', headers)
+    context.reply = context.cell.request_as_caller(
+        NAME, 'POST', f'/v1/services/{service}/x', b'', headers
+    )
 
 
 @when('a job is submitted with {change}')
@@ -93,7 +97,9 @@
 def send_frame(context, what):
     daemon = context.cell.daemons[NAME]
     half_close = what == 'half a frame'
-    context.received = _send(daemon.address, daemon.peers, _frames()[what], half_close=half_close)
+    context.received = _send(
+        daemon.address, daemon.peer_port, _frames()[what], half_close=half_close
+    )
 
 
 @then('the connection is closed')
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -10,7 +10,7 @@
 
 @given('a shared cell')
 def use_shared_cell(context):
-    context.cell = context.shelf.shared()
+    context.cell = context.shared_cell.get_cell()
 
 
 @then('every daemon enforces version {version:d} of {customer}')
@@ -29,7 +29,7 @@
 def ask_entry_check(context, daemon):
     context.mark = os.urandom(8).hex()
     context.body = os.urandom(2000)
-    context.reply = context.cell.callers(
+    context.reply = context.cell.request_as_caller(
         daemon,
         'POST',
         '/v1/services/booking/echo?seconds=0.01',
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -95,7 +95,7 @@
 @then('CI rejects the list')
 def list_refused(context):
     try:
-        run.read_known(context.known)
+        run.read_known_red(context.known)
     except ValueError as error:
         assert '4 lines' in f'{error}'
         return
@@ -104,12 +104,12 @@
 
 @then('a row of its outline counts as known, and another scenario does not')
 def row_known(context):
-    known = run.read_known(context.known)
+    known = run.read_known_red(context.known)
     place = SimpleNamespace(filename='features/a.feature')
     row = SimpleNamespace(location=place, name='Scenario 0 -- @1.2 ')
     other = SimpleNamespace(location=place, name='Scenario 01')
-    assert run.is_known(row, known)
-    assert not run.is_known(other, known)
+    assert run.is_known_red(row, known)
+    assert not run.is_known_red(other, known)
 
 
 def make_owner(context, *steps):
--- a/features/steps/tool_steps.py
+++ b/features/steps/tool_steps.py
@@ -37,7 +37,7 @@
 @when('the tool asks the cell for {words}')
 def ask_cell(context, words):
     daemon = context.cell.daemons['ub-east-d0']
-    _run(context, [*words.split(), '--admin', f'{daemon.address}:{daemon.admin}'])
+    _run(context, [*words.split(), '--admin', f'{daemon.address}:{daemon.admin_port}'])
 
 
 @then('it exits with {status:d} and writes {text}')
@@ -92,7 +92,7 @@
     context.wave = {reply.json()['id'] for reply in replies}
     assert len(context.wave) == count
     daemon = context.cell.daemons['ub-east-d0']
-    admin = f'{daemon.address}:{daemon.admin}'
+    admin = f'{daemon.address}:{daemon.admin_port}'
     _run(context, ['job', 'cancel', *sorted(context.wave), '--admin', admin])
     assert context.status == 0, context.err
     assert f'{count}' in context.out
--- a/standins/_cluster.py
+++ b/standins/_cluster.py
@@ -64,7 +64,7 @@
     service: str = 'booking'
     slots: int = 8
     capacity: Resources = Resources(32, 65_536, 0)
-    cuttable: bool = False
+    has_relays: bool = False
     seconds: float = 600.0
     timings: dict[str, float] = field(default_factory=lambda: dict(FAST_TIMINGS))
     logs: dict[str, Any] = field(default_factory=dict)
@@ -91,9 +91,9 @@
     name: str
     zone: str
     address: str
-    callers: int
-    admin: int
-    peers: int
+    caller_port: int
+    admin_port: int
+    peer_port: int
     settings: Path
     log: Path
     process: subprocess.Popen | None = None
@@ -265,16 +265,16 @@
     def try_get(self, daemon: DaemonProcess, path: str) -> Reply | None:
         """Return an answer of the admin port, ``None`` when there is none."""
         try:
-            return exchange(daemon.address, daemon.admin, 'GET', path, timeout=2)
+            return exchange(daemon.address, daemon.admin_port, 'GET', path, timeout=2)
         except OSError:
             return None
 
     def admin(self, name: str, method: str, path: str, body: Any = None) -> Reply:
         """Ask a daemon's admin port."""
         daemon = self.daemons[name]
-        return exchange(daemon.address, daemon.admin, method, path, body)
+        return exchange(daemon.address, daemon.admin_port, method, path, body)
 
-    def callers(
+    def request_as_caller(
         self,
         name: str,
         method: str,
@@ -285,7 +285,7 @@
     ) -> Reply:
         """Ask a daemon's callers' port."""
         daemon = self.daemons[name]
-        return exchange(daemon.address, daemon.callers, method, path, body, headers, timeout)
+        return exchange(daemon.address, daemon.caller_port, method, path, body, headers, timeout)
 
     def publish(self, contract: dict[str, Any], replaces: int = 0, name: str = '') -> Reply:
         """Publish a contract through some daemon."""
@@ -297,7 +297,7 @@
     def submit(self, name: str, job: dict[str, Any], key: str = '') -> Reply:
         """Submit a job."""
         headers = {'idempotency-key': key} if key else {}
-        return self.callers(name, 'POST', '/v1/jobs', job, headers)
+        return self.request_as_caller(name, 'POST', '/v1/jobs', job, headers)
 
     # Faults and evidence.
 
@@ -323,7 +323,7 @@
         body = {'cuts': cuts, 'closed': list(closed)}
         exchange(LOOPBACK, self.control_port, 'POST', '/control/cuts', body)
 
-    def list_hosts(self, hosts: list[HostEntry]) -> None:
+    def replace_hosts(self, hosts: list[HostEntry]) -> None:
         """Replace the platform's list of hosts."""
         body = msgspec.to_builtins({'hosts': hosts})
         exchange(LOOPBACK, self.hosts_port, 'POST', '/control/hosts', body)
@@ -385,7 +385,7 @@
         peers = self._ports.take(address)
         reached = peers
         log_port, hosts_port = self.log_port, self.hosts_port
-        if self.layout.cuttable:
+        if self.layout.has_relays:
             reached = self._relay(name, address, peers)
             log_port = self._relay('log', LOOPBACK, self.log_port)
         daemon = DaemonProcess(
@@ -404,8 +404,8 @@
             'host': name,
             'availability_zone': zone,
             'availability_zones': list(self.layout.zones),
-            'callers': _endpoint(address, daemon.callers),
-            'admin': _endpoint(address, daemon.admin),
+            'callers': _endpoint(address, daemon.caller_port),
+            'admin': _endpoint(address, daemon.admin_port),
             'peers': _endpoint(address, peers),
             'peers_advertised': _endpoint(address, reached),
             'source_address': address,
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -491,7 +491,7 @@
             self._beat,
         )
 
-    def relay(self, name: str, target: str) -> None:
+    def add_relay(self, name: str, target: str) -> None:
         """Put a relay called ``name`` before a server, before ``start``."""
         self._relayed[name] = target
 
