--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -31,7 +31,7 @@
     layout = Layout(ZONES[:zones], daemons, workers, endpoints)
     context.cell = context.stack.enter_context(Cluster(layout))
     context.submitted = []
-    context.once = set()
+    context.non_idempotent = set()
 
 
 @given(
@@ -41,34 +41,34 @@
     layout = Layout(ZONES[:zones], daemons, workers, endpoints, has_relays=True)
     context.cell = context.stack.enter_context(Cluster(layout))
     context.submitted = []
-    context.once = set()
+    context.non_idempotent = set()
 
 
 @given('a cell whose log keeps records for {seconds:d} seconds')
-def start_forgetful_cell(context, seconds):
+def start_short_retention_cell(context, seconds):
     timings = {**FAST_TIMINGS, 'retention': seconds}
     layout = Layout(ZONES[:1], 2, 2, 2, timings=timings)
     context.cell = context.stack.enter_context(Cluster(layout))
     context.submitted = []
-    context.once = set()
+    context.non_idempotent = set()
 
 
 @given('version {version:d} of the contract is in force')
-def put_in_force(context, version):
+def publish_version(context, version):
     reply = context.cell.publish(contract(version), version - 1)
     assert reply.status == 200, reply
-    check_in_force(context, version)
+    check_version_everywhere(context, version)
 
 
 @then('version {version:d} is in force on every daemon')
-def check_in_force(context, version):
-    def all_enforce():
-        return all(_version_at(context, name) == version for name in _running(context))
+def check_version_everywhere(context, version):
+    def all_in_force():
+        return all(_version_at(context, name) == version for name in _running_daemons(context))
 
-    assert wait_until(all_enforce, 10)
+    assert wait_until(all_in_force, 10)
 
 
-def _running(context):
+def _running_daemons(context):
     return [name for name, daemon in context.cell.daemons.items() if daemon.is_running]
 
 
@@ -95,23 +95,23 @@
 
 
 @when('{name} goes on')
-def go_on(context, name):
+def resume(context, name):
     context.cell.signal(name, signal.SIGCONT)
 
 
 @when('{seconds:g} seconds pass')
-def let_pass(context, seconds):
+def wait_seconds(context, seconds):
     time.sleep(seconds)
 
 
 @when('the log is out')
-def log_out(context):
+def start_log_outage(context):
     context.cell.set_log_faults(outage=True)
     time.sleep(1)
 
 
 @when('the log is back')
-def log_back(context):
+def end_log_outage(context):
     context.cell.set_log_faults()
 
 
@@ -121,13 +121,13 @@
 
 
 @when('all records of the zone {zone} expire')
-def expire(context, zone):
+def expire_zone_records(context, zone):
     context.cell.truncate_log(f'zone.{zone}')
     context.submitted = []
 
 
 @when('all daemons are killed and started again')
-def replace_all(context):
+def restart_all(context):
     for name in context.cell.daemons:
         context.cell.kill(name)
     for name in context.cell.daemons:
@@ -137,30 +137,30 @@
 
 
 @when('{count:d} jobs of {processors:d} processors are submitted to {name}')
-def submit_many(context, count, processors, name):
-    submit_running(context, count, processors, 0.3, name)
+def submit_short_jobs(context, count, processors, name):
+    submit_jobs(context, count, processors, 0.3, name)
 
 
 @when(
     '{count:d} jobs of {processors:d} processors running {seconds:g} seconds are submitted to {name}'
 )
-def submit_running(context, count, processors, seconds, name):
+def submit_jobs(context, count, processors, seconds, name):
     demand = {'processors': processors, 'memory_mb': 256}
 
     def submit(index):
-        once = index % 3 == 0
-        spec = job(f'run {seconds}', demand=demand, idempotent=not once)
-        reply = _submit_again(context, name, spec, os.urandom(6).hex())
+        non_idempotent = index % 3 == 0
+        spec = job(f'run {seconds}', demand=demand, idempotent=not non_idempotent)
+        reply = _submit_with_retries(context, name, spec, os.urandom(6).hex())
         assert reply.status == 202, reply
-        return reply.json()['id'], once
+        return reply.json()['id'], non_idempotent
 
     with ThreadPoolExecutor(8) as pool:
         accepted = list(pool.map(submit, range(count)))
     context.submitted.extend(name for name, _ in accepted)
-    context.once.update(name for name, once in accepted if once)
+    context.non_idempotent.update(name for name, non_idempotent in accepted if non_idempotent)
 
 
-def _submit_again(context, name, spec, key):
+def _submit_with_retries(context, name, spec, key):
     """Come back when told to, as a caller would, with the same key."""
     until = time.monotonic() + 15
     while True:
@@ -172,7 +172,7 @@
 
 @then('{count:d} jobs submitted to {name} all end as succeeded')
 def submit_and_check(context, count, name):
-    submit_many(context, count, 1, name)
+    submit_short_jobs(context, count, 1, name)
     check_all_end(context, 'succeeded')
 
 
@@ -186,7 +186,7 @@
     missing = set(context.submitted)
 
     def all_ended():
-        for name in _running(context):
+        for name in _running_daemons(context):
             reply = context.cell.try_get(
                 context.cell.daemons[name],
                 f'/v1/jobs?state={state}&limit=1000',
@@ -199,23 +199,27 @@
 
 
 def _describe(context, missing):
-    name = _running(context)[-1]
-    shown = [context.cell.admin(name, 'GET', f'/v1/jobs/{one}').body for one in sorted(missing)[:5]]
-    return f'{len(missing)} missing; {shown}'
+    name = _running_daemons(context)[-1]
+    replies = [
+        context.cell.admin(name, 'GET', f'/v1/jobs/{job_id}').body for job_id in sorted(missing)[:5]
+    ]
+    return f'{len(missing)} missing; {replies}'
 
 
 @then('no promise is broken')
-def check_promises(context):
+def check_guarantees(context):
     workers = context.cell.records('worker')
     runs = [run for record in workers for run in record['runs']]
     assert not find_overallocated_workers(workers), find_overallocated_workers(workers)
     assert not find_overlapping_runs(runs), find_overlapping_runs(runs)
-    assert not find_repeated_starts(runs, context.once), find_repeated_starts(runs, context.once)
+    assert not find_repeated_starts(runs, context.non_idempotent), find_repeated_starts(
+        runs, context.non_idempotent
+    )
     endpoints = context.cell.records('endpoint')
     assert not find_overloaded_runners(endpoints), find_overloaded_runners(endpoints)
 
 
-def _ask(context, name, seconds=0.01, deadline_ms=5000, idempotent='true'):
+def _send_echo(context, name, seconds=0.01, deadline_ms=5000, idempotent='true'):
     mark = os.urandom(8).hex()
     body = os.urandom(500)
     reply = context.cell.request_as_caller(
@@ -236,7 +240,7 @@
 @then('requests to {name} are answered within {seconds:g} seconds')
 def check_answered(context, name, seconds):
     def answered():
-        mark, body, reply = _ask(context, name)
+        mark, body, reply = _send_echo(context, name)
         return reply.status == 200 and reply.body == body and reply.headers['mark'] == mark
 
     assert wait_until(answered, seconds)
@@ -245,17 +249,17 @@
 @then('every shard has a live owner within {seconds:g} seconds')
 def check_owners(context, seconds):
     def all_owned():
-        name = _running(context)[-1]
+        name = _running_daemons(context)[-1]
         shards = context.cell.admin(name, 'GET', '/v1/shards').json()
         hosts = {shard['owner'].split('/')[0] for shard in shards}
         settled = all(not shard['released'] for shard in shards)
-        return settled and hosts <= set(_running(context))
+        return settled and hosts <= set(_running_daemons(context))
 
     assert wait_until(all_owned, seconds)
 
 
 @then('a settlement submitted to {name} is refused as not_run with a time to come back')
-def check_refused(context, name):
+def check_job_refused(context, name):
     reply = context.cell.submit(name, job(idempotent=False), 'outage-key')
     assert reply.status == 503, reply
     assert reply.headers['dandelionreel-verdict'] == 'not_run'
@@ -263,15 +267,15 @@
 
 
 @when('a non-idempotent job running {seconds:g} seconds is started')
-def start_single(context, seconds):
+def start_non_idempotent_job(context, seconds):
     reply = context.cell.submit('ub-east-d0', job(f'run {seconds}'), 'single')
     context.jobs = [reply.json()['id']]
-    context.once.add(context.jobs[0])
+    context.non_idempotent.add(context.jobs[0])
     assert wait_until(lambda: context.cell.runs(context.jobs[0]), 10)
 
 
 @when('its worker is cut off')
-def cut_worker(context):
+def disconnect_worker(context):
     worker = context.cell.runs(context.jobs[0])[0]['worker']
     context.cell.set_host_faults(worker, outage=True)
 
@@ -295,7 +299,7 @@
 @when('{count:d} requests of {seconds:g} seconds are under way at {name}')
 def begin_requests(context, count, seconds, name):
     pool = context.stack.enter_context(ThreadPoolExecutor(count))
-    context.futures = [pool.submit(_ask, context, name, seconds) for _ in range(count)]
+    context.futures = [pool.submit(_send_echo, context, name, seconds) for _ in range(count)]
     time.sleep(0.3)
 
 
@@ -314,7 +318,7 @@
 
 
 @then('{name} ends with status {status:d}')
-def check_ended(context, name, status):
+def check_exit_status(context, name, status):
     process = context.cell.daemons[name].process
     assert process.wait(20) == status
 
@@ -331,50 +335,53 @@
 
 @when('{count:d} requests are sent to all daemons')
 def send_requests(context, count):
-    names = _running(context)
+    names = _running_daemons(context)
     with ThreadPoolExecutor(8) as pool:
         context.sent = list(
             pool.map(
-                lambda index: _ask(context, names[index % len(names)], 0.05, 1500), range(count)
+                lambda index: _send_echo(context, names[index % len(names)], 0.05, 1500),
+                range(count),
             ),
         )
 
 
 @then('{name} has worked on none of them')
-def check_none(context, name):
+def check_none_received(context, name):
     marks = {mark for mark, _, _ in context.sent}
-    worked = {request['mark'] for request in context.cell.record(name)['requests']}
-    assert not marks & worked
+    received_marks = {request['mark'] for request in context.cell.record(name)['requests']}
+    assert not marks & received_marks
     assert all(reply.status == 200 for _, _, reply in context.sent)
 
 
 @when(
     '{count:d} requests of {seconds:g} seconds with a deadline of {deadline:d} milliseconds are sent'
 )
-def send_late(context, count, seconds, deadline):
-    names = _running(context)
+def send_with_deadline(context, count, seconds, deadline):
+    names = _running_daemons(context)
     with ThreadPoolExecutor(count) as pool:
         context.sent = list(
             pool.map(
-                lambda index: _ask(context, names[index % len(names)], seconds, deadline, 'false'),
+                lambda index: _send_echo(
+                    context, names[index % len(names)], seconds, deadline, 'false'
+                ),
                 range(count),
             ),
         )
-    context.late = (seconds, deadline)
+    context.request_options = (seconds, deadline)
 
 
 @when('{count:d} more of them are sent while the runners still work')
-def send_more(context, count):
+def send_more_with_deadline(context, count):
     # The first ones' callers have given up, their runners have not.
-    former = context.sent
-    send_late(context, count, *context.late)
-    context.sent += former
+    earlier_requests = context.sent
+    send_with_deadline(context, count, *context.request_options)
+    context.sent += earlier_requests
     time.sleep(2)
 
 
 @then('each is answered with its own body or a problem with a true verdict')
-def check_own_or_true(context):
-    worked = requests_by_mark(context.cell.records('endpoint'))
+def check_verdicts(context):
+    received_by_mark = requests_by_mark(context.cell.records('endpoint'))
     verdicts = set()
     for mark, body, reply in context.sent:
         verdict = reply.headers['dandelionreel-verdict']
@@ -383,8 +390,8 @@
             assert (reply.headers['mark'], reply.body) == (mark, body)
             continue
         if verdict == 'not_run':
-            assert mark not in worked, mark
-        assert len(worked.get(mark, [])) <= 1
+            assert mark not in received_by_mark, mark
+        assert len(received_by_mark.get(mark, [])) <= 1
     assert verdicts <= {'ran', 'unknown', 'not_run'} and 'unknown' in verdicts, verdicts
 
 
@@ -396,26 +403,26 @@
 
 
 @then("each refusal as not_run is true by the runners' records")
-def check_not_run_true(context):
-    worked = requests_by_mark(context.cell.records('endpoint'))
+def check_not_run_verdicts(context):
+    received_by_mark = requests_by_mark(context.cell.records('endpoint'))
     for mark, _, reply in context.sent:
         assert reply.status != 200
         if reply.headers['dandelionreel-verdict'] == 'not_run':
-            assert mark not in worked
+            assert mark not in received_by_mark
 
 
 @when(
     '{count:d} jobs of {processors:d} processors are submitted while the dispatcher is killed {times:d} times'
 )
-def submit_amid_kills(context, count, processors, times):
-    each = count // (times + 1)
+def submit_during_kills(context, count, processors, times):
+    jobs_per_round = count // (times + 1)
     for _ in range(times):
-        submit_running(context, each, processors, 0.2, _running(context)[-1])
+        submit_jobs(context, jobs_per_round, processors, 0.2, _running_daemons(context)[-1])
         name = _dispatcher(context)
         context.cell.kill(name)
         context.cell.start(name)
         time.sleep(1.5)
-    submit_running(context, each, processors, 0.2, _running(context)[-1])
+    submit_jobs(context, jobs_per_round, processors, 0.2, _running_daemons(context)[-1])
 
 
 def _dispatcher(context):
@@ -424,7 +431,7 @@
 
 
 def _find_dispatcher(context):
-    for name in _running(context):
+    for name in _running_daemons(context):
         reply = context.cell.try_get(context.cell.daemons[name], '/v1/status')
         if reply is not None and reply.status == 200 and reply.json()['dispatches']:
             return name
@@ -437,7 +444,7 @@
     assert not lapsed, lapsed
 
 
-def _settle(context, name, key, deadline_ms=3000):
+def _send_settlement(context, name, key, deadline_ms=3000):
     return context.cell.request_as_caller(
         name,
         'POST',
@@ -454,20 +461,22 @@
     )
 
 
-def _worked_on(context, key):
+def _count_received(context, key):
     return len(requests_by_mark(context.cell.records('endpoint')).get(key, []))
 
 
 @when('the same settlement request is sent to every daemon at once, 3 times over')
-def send_same(context):
+def send_settlement_to_all(context):
     context.key = os.urandom(6).hex()
-    names = _running(context) * 3
+    names = _running_daemons(context) * 3
     with ThreadPoolExecutor(len(names)) as pool:
-        context.replies = list(pool.map(lambda name: _settle(context, name, context.key), names))
+        context.replies = list(
+            pool.map(lambda name: _send_settlement(context, name, context.key), names)
+        )
 
 
 @then("exactly one answer is the runner's, and the others say that it ran or may have")
-def check_one_answer(context):
+def check_single_answer(context):
     answers = [reply for reply in context.replies if reply.status == 200]
     assert len(answers) == 1, context.replies
     others = [reply for reply in context.replies if reply.status != 200]
@@ -476,28 +485,28 @@
 
 
 @then('the runners worked on it once')
-def check_worked_once(context):
-    assert _worked_on(context, context.key) == 1
+def check_received_once(context):
+    assert _count_received(context, context.key) == 1
 
 
 @when('another settlement request is sent to {name}')
-def send_other(context, name):
+def send_other_settlement(context, name):
     context.key = os.urandom(6).hex()
-    context.reply = _settle(context, name, context.key, 1000)
+    context.reply = _send_settlement(context, name, context.key, 1000)
 
 
 @then('it was refused as not_run and no runner saw it')
-def check_not_seen(context):
+def check_not_received(context):
     assert context.reply.headers['dandelionreel-verdict'] == 'not_run', context.reply
     assert 'retry-after' in context.reply.headers
-    assert _worked_on(context, context.key) == 0
+    assert _count_received(context, context.key) == 0
 
 
 @then('the same request is answered once the log serves again')
-def check_served_again(context):
+def check_answered_after_outage(context):
     def answered():
-        reply = _settle(context, 'ub-east-d0', context.key)
+        reply = _send_settlement(context, 'ub-east-d0', context.key)
         return reply.status == 200
 
     assert wait_until(answered, 15, 0.5)
-    assert _worked_on(context, context.key) == 1
+    assert _count_received(context, context.key) == 1
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -43,7 +43,7 @@
 
 
 @then('the answer is its own and whole, with verdict {verdict}')
-def check_whole(context, verdict):
+def check_own_answer(context, verdict):
     assert context.reply.status == 200, context.reply
     assert context.reply.headers['dandelionreel-verdict'] == verdict
     assert context.reply.headers['mark'] == context.mark
@@ -70,14 +70,14 @@
     name = next(iter(context.cell.daemons))
 
     def has_ended():
-        shown = context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}')
-        return shown.status == 200 and shown.json()['state'] == state
+        reply = context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}')
+        return reply.status == 200 and reply.json()['state'] == state
 
     assert wait_until(has_ended, 20)
 
 
 @then("the workers' records show one run of it")
-def check_one_run(context):
+def check_single_run(context):
     assert len(context.cell.runs(context.jobs[0])) == 1
 
 
@@ -89,14 +89,14 @@
 
 
 @given('a cell that keeps the details of {count:d} ended jobs')
-def start_small_memory(context, count):
+def start_cell_with_job_limit(context, count):
     layout = Layout(('ub-east',), 1, 1, 1, limits={'known_jobs': count})
     context.cell = context.stack.enter_context(Cluster(layout))
     assert context.cell.publish(contract()).status == 200
 
 
 @when('a settlement with key {key} has ended and {count:d} others after it')
-def end_many(context, key, count):
+def submit_and_finish_jobs(context, key, count):
     name = 'ub-east-d0'
     context.jobs = []
     for number in range(count + 1):
@@ -104,10 +104,10 @@
         context.jobs.append(reply.json()['id'])
         assert wait_until(lambda: len(context.cell.runs()) == len(context.jobs), 10)
 
-    def forgotten():
+    def is_dropped():
         return context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}').status == 404
 
-    assert wait_until(forgotten, 10)
+    assert wait_until(is_dropped, 10)
 
 
 @then('submitting it again with key {key} is answered as already run')
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -40,9 +40,11 @@
             for entry in plan.hosts:
                 await self._start_host(stack, entry)
             for relay in plan.relays:
-                listens = (relay.address, relay.port)
-                reaches = (relay.to_address, relay.to_port)
-                await Relay(self._link_faults, relay.target, listens, reaches).start(stack)
+                listen_address = (relay.address, relay.port)
+                target_address = (relay.to_address, relay.to_port)
+                await Relay(self._link_faults, relay.target, listen_address, target_address).start(
+                    stack
+                )
             sys.stdout.write('ready\n')
             sys.stdout.flush()
             await curio.sleep(plan.seconds)
--- a/standins/_cluster.py
+++ b/standins/_cluster.py
@@ -25,13 +25,13 @@
 #: cells that run side by side never take each other's ports.
 SUBNET = f'127.{64 + os.getpid() // 256 % 64}.{os.getpid() % 256}'
 LOOPBACK = f'{SUBNET}.1'
-FIRST_DAEMON = 10
-DAEMONS_A_ZONE = 20
+FIRST_DAEMON_ADDRESS = 10
+ADDRESSES_PER_ZONE = 20
 READY_SECONDS = 20.0
 POLL_SECONDS = 0.05
-SETTLED_SECONDS = 0.7
+OWNERSHIP_STABLE_SECONDS = 0.7
 HTTP_TIMEOUT = 30.0
-PROCESS_SECONDS = 3600.0
+MAX_RUN_SECONDS = 3600.0
 PR_SET_PDEATHSIG = 1
 
 #: Faster than a real cell's, so that tests end soon; the ratios stay.
@@ -107,16 +107,16 @@
 class Ports:
     """Free ports; each is handed out once in this process."""
 
-    _given: set[int] = set()
+    _allocated: set[int] = set()
 
-    def take(self, address: str = LOOPBACK) -> int:
+    def allocate(self, address: str = LOOPBACK) -> int:
         """Return a port that is free now."""
         while True:
             with socket.socket() as probe:
                 probe.bind((address, 0))
                 port = probe.getsockname()[1]
-            if port not in self._given:
-                self._given.add(port)
+            if port not in self._allocated:
+                self._allocated.add(port)
                 return port
 
 
@@ -130,16 +130,16 @@
         self._ports = Ports()
         self._directory = Path(self._stack.enter_context(tempfile.TemporaryDirectory()))
         self.address = LOOPBACK
-        self.log_port = self._ports.take()
-        self.hosts_port = self._ports.take()
-        self.control_port = self._ports.take()
+        self.log_port = self._ports.allocate()
+        self.hosts_port = self._ports.allocate()
+        self.control_port = self._ports.allocate()
         self.daemons: dict[str, DaemonProcess] = {}
         self.hosts: list[HostEntry] = []
         self._relays: list[RelayPlan] = []
-        self._names: dict[str, str] = {}
+        self._name_by_address: dict[str, str] = {}
         self._standins: subprocess.Popen | None = None
         for index, zone in enumerate(layout.zones):
-            self._lay_out_zone(index, zone)
+            self._plan_zone(index, zone)
 
     def __enter__(self) -> 'Cluster':
         """Start everything and wait until all daemons are ready."""
@@ -148,7 +148,7 @@
             self.start(daemon.name)
         for daemon in self.daemons.values():
             self.wait_ready(daemon.name)
-        self.wait_settled()
+        self.wait_ownership_stable()
         return self
 
     def __exit__(self, *exc_info: object) -> None:
@@ -171,15 +171,15 @@
             self.control_port,
             tuple(self.hosts),
             tuple(self._relays),
-            self._names,
-            PROCESS_SECONDS,
+            self._name_by_address,
+            MAX_RUN_SECONDS,
         )
         path = self._directory / 'plan.json'
         path.write_bytes(msgspec.json.encode(plan))
         self._standins = subprocess.Popen(
             [sys.executable, '-m', 'standins', str(path)],
             stdout=subprocess.PIPE,
-            preexec_fn=_end_with_parent,
+            preexec_fn=_kill_with_parent,
             cwd=Path(__file__).parent.parent,
         )
         line = self._standins.stdout.readline()
@@ -200,7 +200,7 @@
                     str(daemon.settings),
                 ],
                 stderr=log,
-                preexec_fn=_end_with_parent,
+                preexec_fn=_kill_with_parent,
                 cwd=Path(__file__).parent.parent,
             )
 
@@ -235,16 +235,16 @@
             time.sleep(POLL_SECONDS)
         raise RuntimeError(f'{name} did not get ready: {self.log_of(name)[-2000:]}')
 
-    def wait_settled(self) -> None:
+    def wait_ownership_stable(self) -> None:
         """Wait until ownership has stopped moving: scenarios begin from there."""
         until = time.monotonic() + READY_SECONDS
-        former: list[Any] = []
+        previous_owners: list[Any] = []
         while time.monotonic() < until:
-            time.sleep(SETTLED_SECONDS)
+            time.sleep(OWNERSHIP_STABLE_SECONDS)
             owners = [self.owners_in(zone) for zone in self.layout.zones]
-            if owners == former and all(owners):
+            if owners == previous_owners and all(owners):
                 return
-            former = owners
+            previous_owners = owners
         raise RuntimeError('ownership did not settle')
 
     def owners_in(self, zone: str) -> list[tuple[str, str]]:
@@ -348,7 +348,7 @@
 
     # Laying out.
 
-    def _lay_out_zone(self, index: int, zone: str) -> None:
+    def _plan_zone(self, index: int, zone: str) -> None:
         layout = self.layout
         for number in range(layout.workers):
             self.hosts.append(
@@ -357,7 +357,7 @@
                     'worker',
                     zone,
                     LOOPBACK,
-                    self._ports.take(),
+                    self._ports.allocate(),
                     rack=f'{zone}-rack{number // 6}',
                     capacity=layout.capacity,
                 ),
@@ -369,45 +369,45 @@
                     'endpoint',
                     zone,
                     LOOPBACK,
-                    self._ports.take(),
+                    self._ports.allocate(),
                     service=layout.service,
                     slots=layout.slots,
                     connections=64,
                 ),
             )
         for number in range(layout.daemons):
-            self._lay_out_daemon(index, zone, number)
+            self._plan_daemon(index, zone, number)
 
-    def _lay_out_daemon(self, index: int, zone: str, number: int) -> None:
+    def _plan_daemon(self, index: int, zone: str, number: int) -> None:
         name = f'{zone}-d{number}'
-        address = f'{SUBNET}.{FIRST_DAEMON + index * DAEMONS_A_ZONE + number}'
-        self._names[address] = name
-        peers = self._ports.take(address)
-        reached = peers
+        address = f'{SUBNET}.{FIRST_DAEMON_ADDRESS + index * ADDRESSES_PER_ZONE + number}'
+        self._name_by_address[address] = name
+        peer_port = self._ports.allocate(address)
+        advertised_port = peer_port
         log_port, hosts_port = self.log_port, self.hosts_port
         if self.layout.has_relays:
-            reached = self._relay(name, address, peers)
-            log_port = self._relay('log', LOOPBACK, self.log_port)
+            advertised_port = self._add_relay(name, address, peer_port)
+            log_port = self._add_relay('log', LOOPBACK, self.log_port)
         daemon = DaemonProcess(
             name,
             zone,
             address,
-            self._ports.take(address),
-            self._ports.take(address),
-            peers,
+            self._ports.allocate(address),
+            self._ports.allocate(address),
+            peer_port,
             self._directory / f'{name}.json',
             self._directory / f'{name}.log',
         )
         self.daemons[name] = daemon
-        self.hosts.append(HostEntry(name, 'entry', zone, address, reached))
+        self.hosts.append(HostEntry(name, 'entry', zone, address, advertised_port))
         settings = {
             'host': name,
             'availability_zone': zone,
             'availability_zones': list(self.layout.zones),
             'callers': _endpoint(address, daemon.caller_port),
             'admin': _endpoint(address, daemon.admin_port),
-            'peers': _endpoint(address, peers),
-            'peers_advertised': _endpoint(address, reached),
+            'peers': _endpoint(address, peer_port),
+            'peers_advertised': _endpoint(address, advertised_port),
             'source_address': address,
             'platform': {
                 'log': _endpoint(LOOPBACK, log_port),
@@ -419,13 +419,13 @@
         }
         daemon.settings.write_text(json.dumps(settings))
 
-    def _relay(self, target: str, address: str, port: int) -> int:
-        listens = self._ports.take(address)
-        self._relays.append(RelayPlan(target, address, listens, address, port))
-        return listens
+    def _add_relay(self, target: str, address: str, port: int) -> int:
+        listen_port = self._ports.allocate(address)
+        self._relays.append(RelayPlan(target, address, listen_port, address, port))
+        return listen_port
 
 
-def _end_with_parent() -> None:
+def _kill_with_parent() -> None:
     """Have the kernel end this process when the test run ends, however it does."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
@@ -451,17 +451,17 @@
     try:
         connection.request(method, path, payload, headers or {})
         answer = connection.getresponse()
-        named = {name.lower(): text for name, text in answer.getheaders()}
-        return Reply(answer.status, named, answer.read())
+        header_by_name = {name.lower(): text for name, text in answer.getheaders()}
+        return Reply(answer.status, header_by_name, answer.read())
     finally:
         connection.close()
 
 
-def wait_until(test: Any, seconds: float = 15.0, pause: float = POLL_SECONDS) -> bool:
-    """Return whether ``test()`` becomes true within ``seconds``."""
+def wait_until(condition: Any, seconds: float = 15.0, pause: float = POLL_SECONDS) -> bool:
+    """Return whether ``condition()`` becomes true within ``seconds``."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        if test():
+        if condition():
             return True
         time.sleep(pause)
-    return bool(test())
+    return bool(condition())
--- a/standins/_entry_hosts.py
+++ b/standins/_entry_hosts.py
@@ -34,12 +34,12 @@
 PEERS_PORT = 7810
 METRICS_PORT = 9464
 #: Seconds that nothing here takes on any machine.
-LONG = 60
+LONG_TIMEOUT = 60
 #: Seconds after which no start may rest on the room that a runner had before: 3 s in touch
 #: and one heartbeat of 1.5 s.
-ROOM_SECONDS = 4.5
+CAPACITY_UPDATE_SECONDS = 4.5
 #: Seconds after which a configuration is in force everywhere, with a paused owner's.
-CONFIGURATION_SECONDS = 5.0
+CONFIGURATION_UPDATE_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
@@ -118,13 +118,13 @@
                 headers['Authorization'] = f'Bearer {key}'
             connection.request(method, path, content, headers)
             answer = connection.getresponse()
-            raw = answer.read()
+            content_bytes = answer.read()
             retry_after = answer.getheader('Retry-After') or ''
         except OSError:
             return Reply(0, {})
         finally:
             connection.close()
-        return Reply(answer.status, json.loads(raw) if raw else {}, retry_after)
+        return Reply(answer.status, json.loads(content_bytes) if content_bytes else {}, retry_after)
 
     def address_of(self, name: str) -> str:
         """Return the IP of a host."""
@@ -181,10 +181,10 @@
         return [json.loads(line)['epoch'] for line in lines]
 
 
-def wait_for(done, patience: float = LONG) -> None:
+def wait_for(condition, timeout: float = LONG_TIMEOUT) -> None:
     """Wait until ``done()`` is true; raises ``TimeoutError``."""
-    until = time.monotonic() + patience
-    while not done():
+    until = time.monotonic() + timeout
+    while not condition():
         if time.monotonic() > until:
             raise TimeoutError('it did not happen')
         time.sleep(0.05)
@@ -196,16 +196,16 @@
     by_task: dict[str, list[Run]] = {}
     for run in runs:
         by_task.setdefault(run.task, []).append(run)
-    for task, known in by_task.items():
-        known.sort(key=_began)
-        for earlier, later in zip(known, known[1:], strict=False):
+    for task, task_runs in by_task.items():
+        task_runs.sort(key=_get_start)
+        for earlier, later in zip(task_runs, task_runs[1:], strict=False):
             still_running = earlier.ended is None or later.began < earlier.ended
             if still_running or earlier.outcome == 'done':
                 found.append(task)
     return found
 
 
-def _began(run: Run) -> float:
+def _get_start(run: Run) -> float:
     return run.began
 
 
@@ -220,14 +220,14 @@
     """Return the starts that brought a runner over the room that it had said for long."""
     found = []
     for run in runs:
-        held = sum(
+        cpu_in_use = sum(
             other.cpu
             for other in runs
             if other.runner == run.runner
             and other.began <= run.began
             and (other.ended is None or other.ended > run.began)
         )
-        if held > _capacity_at(capacity_changes_by_runner[run.runner], run.began):
+        if cpu_in_use > _capacity_at(capacity_changes_by_runner[run.runner], run.began):
             found.append(f'{run.task} on {run.runner}')
     return found
 
@@ -241,29 +241,29 @@
     found = []
     for run in runs:
         account = account_by_job.get(run.task.split('.')[0], '')
-        quota = quotas.highest(account, run.began - CONFIGURATION_SECONDS, run.began)
-        held = sum(
+        quota = quotas.get_highest(account, run.began - CONFIGURATION_UPDATE_SECONDS, run.began)
+        cpu_in_use = sum(
             other.cpu
             for other in runs
             if account_by_job.get(other.task.split('.')[0]) == account
             and other.began <= run.began
             and (other.ended is None or other.ended > run.began)
         )
-        if quota and held > quota:
-            found.append(f'{run.task}: {account} has {held} of {quota}')
+        if quota and cpu_in_use > quota:
+            found.append(f'{run.task}: {account} has {cpu_in_use} of {quota}')
     return found
 
 
 def _capacity_at(capacity_changes: list[CapacityChange], at: float) -> int:
     """Return the most that a runner has said within the time that hosts have to hear it."""
-    said = capacity_changes[0][1]
-    recent = []
+    known_cpu = capacity_changes[0][1]
+    recent_cpus = []
     for since, cpu in capacity_changes:
-        if since <= at - ROOM_SECONDS:
-            said = cpu
+        if since <= at - CAPACITY_UPDATE_SECONDS:
+            known_cpu = cpu
         elif since <= at:
-            recent.append(cpu)
-    return max([said, *recent])
+            recent_cpus.append(cpu)
+    return max([known_cpu, *recent_cpus])
 
 
 def find_overallocated_runners(runs: list[Run], capacity: int = 8000) -> list[str]:
@@ -278,10 +278,10 @@
                 continue
             ended = now if run.ended is None else run.ended
             changes.extend(((run.began, 1, run.cpu), (ended, 0, -run.cpu)))
-        held = 0
+        cpu_in_use = 0
         for _, _, change in sorted(changes):
-            held += change
-            if held > capacity:
+            cpu_in_use += change
+            if cpu_in_use > capacity:
                 found.append(runner)
                 break
     return found
--- a/standins/_evidence.py
+++ b/standins/_evidence.py
@@ -5,7 +5,7 @@
 Run = dict[str, Any]
 RESOURCES = ('processors', 'memory_mb', 'accelerators')
 ROUNDING = 1e-6
-STILL = float('inf')
+STILL_RUNNING = float('inf')
 
 
 def find_overallocated_workers(records: list[dict[str, Any]]) -> list[str]:
@@ -35,11 +35,11 @@
     for run in runs:
         index = run['task'].rsplit('.', 1)[1]
         runs_by_task.setdefault(f'{run["job"]}#{index}', []).append(run)
-    for task, same in runs_by_task.items():
-        same.sort(key=_start)
-        for former, later in zip(same, same[1:], strict=False):
-            if later['started_at'] < _end(former):
-                found.append(f'{task}: {former["worker"]} and {later["worker"]}')
+    for task, task_runs in runs_by_task.items():
+        task_runs.sort(key=_get_start)
+        for earlier, later in zip(task_runs, task_runs[1:], strict=False):
+            if later['started_at'] < _get_end(earlier):
+                found.append(f'{task}: {earlier["worker"]} and {later["worker"]}')
     return found
 
 
@@ -63,9 +63,9 @@
     return found
 
 
-def _start(run: Run) -> float:
+def _get_start(run: Run) -> float:
     return run['started_at']
 
 
-def _end(run: Run) -> float:
-    return run['ended_at'] or STILL
+def _get_end(run: Run) -> float:
+    return run['ended_at'] or STILL_RUNNING
--- a/standins/_faults.py
+++ b/standins/_faults.py
@@ -20,14 +20,14 @@
     fail_tasks: bool = False
     leaving: bool = False
 
-    async def before(self) -> None:
+    async def apply_before(self) -> None:
         """Apply what happens before a request is acted upon."""
         if self.outage:
             raise CloseConnection
         if self.slow:
             await curio.sleep(self.slow)
 
-    def after(self) -> None:
+    def apply_after(self) -> None:
         """Apply what happens after it took effect."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -27,16 +27,16 @@
         if request.path == HOSTS:
             self.hosts = msgspec.json.decode(request.body, type=HostsDone).hosts
             return answer_json(HostsDone(self.hosts))
-        await self.faults.before()
+        await self.faults.apply_before()
         return self._list(request)
 
     def _list(self, request: Request) -> Answer:
         zone = request.query_by_name.get('availability_zone', '')
-        shown = tuple(
+        listed = tuple(
             one for one in self.hosts if one.kind == 'entry' or zone in {'', one.availability_zone}
         )
-        body = msgspec.json.encode(HostsDone(shown))
-        mark = f'"{xxhash.xxh64_hexdigest(body)}"'
-        if request.header('if-none-match') == mark:
-            return Answer(HTTP_NOT_MODIFIED, (('etag', mark),))
-        return answer_json(HostsDone(shown), headers=(('etag', mark),))
+        body = msgspec.json.encode(HostsDone(listed))
+        entity_tag = f'"{xxhash.xxh64_hexdigest(body)}"'
+        if request.header('if-none-match') == entity_tag:
+            return Answer(HTTP_NOT_MODIFIED, (('etag', entity_tag),))
+        return answer_json(HostsDone(listed), headers=(('etag', entity_tag),))
--- a/standins/_log.py
+++ b/standins/_log.py
@@ -46,7 +46,7 @@
             return answer_json(self.counts)
         if request.path == TRUNCATE:
             return self._truncate(request)
-        await self.faults.before()
+        await self.faults.apply_before()
         stream = request.path.removeprefix('/v1/streams/').removesuffix('/records')
         if request.method == 'POST':
             return await self._append(stream, request)
@@ -58,7 +58,7 @@
         offset = await self.log.append(stream, records)
         self.counts.appends += 1
         self.counts.records += len(records)
-        self.faults.after()
+        self.faults.apply_after()
         return answer_json(AppendDone(offset))
 
     async def _read(self, stream: str, request: Request) -> Answer:
@@ -70,7 +70,7 @@
             batch = await self.log.read(stream, offset, wait)
         except LogTruncatedError as error:
             return answer_json(ReadDone(error.first, error.first, error.first, []), HTTP_GONE)
-        await self.faults.before()
+        await self.faults.apply_before()
         records = [msgspec.Raw(text) for text in batch.records]
         first = self.log.stream(stream).first
         return answer_json(ReadDone(first, batch.tail, batch.offset, records))
--- a/standins/_other_writer.py
+++ b/standins/_other_writer.py
@@ -9,36 +9,38 @@
 #: which bring their own entries back.
 WRITE_SECONDS = 0.02
 HEARTBEAT_SECONDS = 0.3
-NO_TEXT = b'\xff\xfe'
+INVALID_UTF8 = b'\xff\xfe'
 #: One record of so many names no key.
-ONE_WITHOUT_KEY = 10
-DEEP = b'[' * 5000 + b']' * 5000
+KEYLESS_ONE_IN = 10
+DEEPLY_NESTED_JSON = b'[' * 5000 + b']' * 5000
 
 PutRaw = Callable[[bytes], None]
 
 
-def make_record(draw: random.Random, key: str, entry: dict) -> bytes:
+def make_record(rng: random.Random, key: str, entry: dict) -> bytes:
     """Return a record, without its length, that was made from a runner's good entry."""
     content = json.dumps(entry).encode()
     changed = dict(entry)
-    name = draw.choice(list(entry))
-    changed[name] = draw.choice((None, -1, [], {}, 'elsewhere', '10.0.0.1:99999', int('9' * 400)))
-    missing = {field: known for field, known in entry.items() if field != name}
-    bad = draw.choice(
+    name = rng.choice(list(entry))
+    changed[name] = rng.choice((None, -1, [], {}, 'elsewhere', '10.0.0.1:99999', int('9' * 400)))
+    missing = {field: text for field, text in entry.items() if field != name}
+    bad_content = rng.choice(
         (
             json.dumps(changed).encode(),
             json.dumps(missing).encode(),
             json.dumps({**entry, 'service': 'elsewhere'}).encode(),
             json.dumps({**entry, 'state': 'resting'}).encode(),
-            content[: draw.randrange(1, len(content))],
-            b''.join((NO_TEXT, content)),
-            DEEP,
+            content[: rng.randrange(1, len(content))],
+            b''.join((INVALID_UTF8, content)),
+            DEEPLY_NESTED_JSON,
             b'null',
         )
     )
-    if not draw.randrange(ONE_WITHOUT_KEY):
-        return draw.choice((b'', b'\x00', b'\xc8short', b''.join((b'\x02', NO_TEXT, bad))))
-    return bytes([len(key)]) + key.encode() + bad
+    if not rng.randrange(KEYLESS_ONE_IN):
+        return rng.choice(
+            (b'', b'\x00', b'\xc8short', b''.join((b'\x02', INVALID_UTF8, bad_content)))
+        )
+    return bytes([len(key)]) + key.encode() + bad_content
 
 
 class OtherWriter:
@@ -49,14 +51,14 @@
         seed: str,
         put_raw: PutRaw,
         entries: Callable[[], dict[str, dict]],
-        beat: Callable[[], None],
+        write_heartbeats: Callable[[], None],
     ) -> None:
         """Draw from ``seed``; ``entries`` are the runners' own, ``beat`` writes them."""
         self._random = random.Random(seed)
         self._put_raw = put_raw
         self._entries = entries
-        self._beat = beat
-        self._over = Event()
+        self._write_heartbeats = write_heartbeats
+        self._stop_requested = Event()
         self._thread = Thread(target=self._write, daemon=True)
         self.written = 0
 
@@ -66,18 +68,18 @@
 
     def stop(self) -> None:
         """End it; the runners' entries are written once more."""
-        self._over.set()
+        self._stop_requested.set()
         self._thread.join()
-        self._beat()
+        self._write_heartbeats()
 
     def _write(self) -> None:
-        while not self._over.wait(WRITE_SECONDS):
+        while not self._stop_requested.wait(WRITE_SECONDS):
             entries = self._entries()
-            known = self._random.choice(list(entries))
+            known_key = self._random.choice(list(entries))
             # Half of its records are those of runners, the others name none.
-            mine = f'i-strange-{self._random.randrange(1000)}'
-            key = self._random.choice((known, mine))
-            self._put_raw(make_record(self._random, key, entries[known]))
+            unknown_key = f'i-strange-{self._random.randrange(1000)}'
+            key = self._random.choice((known_key, unknown_key))
+            self._put_raw(make_record(self._random, key, entries[known_key]))
             self.written += 1
             if not self.written % round(HEARTBEAT_SECONDS / WRITE_SECONDS):
-                self._beat()
+                self._write_heartbeats()
--- a/standins/_relay.py
+++ b/standins/_relay.py
@@ -16,9 +16,9 @@
 READ_SIZE = 65_536
 #: Whom a rule names to mean every source or target.
 ANY_NAME = '*'
-STEP_SECONDS = 0.05
+POLL_SECONDS = 0.05
 #: The senders' TCP_USER_TIMEOUT, which a relay's own socket hides from them.
-GIVE_UP_SECONDS = 1.0
+TCP_USER_TIMEOUT_SECONDS = 1.0
 
 
 class Cut(msgspec.Struct, frozen=True):
@@ -75,14 +75,14 @@
         self,
         link_faults: LinkFaults,
         target: str,
-        listens: tuple[str, int],
-        reaches: tuple[str, int],
+        listen_address: tuple[str, int],
+        target_address: tuple[str, int],
     ) -> None:
         """Stand before ``target``."""
         self._link_faults = link_faults
         self._target = target
-        self._listens = listens
-        self._reaches = reaches
+        self._listen_address = listen_address
+        self._target_address = target_address
         self._listener: Any = None
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -97,7 +97,7 @@
                 await curio.sleep(0.05)
                 continue
             if self._listener is None:
-                self._listener = listen(*self._listens)
+                self._listener = listen(*self._listen_address)
             accepted = await curio.ignore_after(0.05, self._listener.accept)
             if accepted is not None:
                 await curio.spawn(self._serve, *accepted, daemon=True)
@@ -110,12 +110,12 @@
     async def _serve(self, client: Any, address: tuple[str, int]) -> None:
         source = self._link_faults.name(address[0])
         try:
-            upstream = await connect(*self._reaches, 60)
+            upstream = await connect(*self._target_address, 60)
         except OSError:
             await client.close()
             return
-        back = await curio.spawn(
-            self._pass_on,
+        reply_task = await curio.spawn(
+            self._forward,
             upstream,
             client,
             self._target,
@@ -123,34 +123,34 @@
             daemon=True,
         )
         try:
-            await self._pass_on(client, upstream, source, self._target)
+            await self._forward(client, upstream, source, self._target)
         finally:
-            await back.cancel()
+            await reply_task.cancel()
             await client.close()
             await upstream.close()
 
-    async def _pass_cut(self, source: str, target: str) -> bool:
+    async def _wait_while_cut(self, source: str, target: str) -> bool:
         """Hold bytes back while a cut lasts; False once TCP would give up.
 
         Bytes that a short cut meets arrive late, as from a send buffer.
         """
-        waited = 0.0
+        waited_seconds = 0.0
         while self._link_faults.is_cut(source, target):
-            if waited > GIVE_UP_SECONDS:
+            if waited_seconds > TCP_USER_TIMEOUT_SECONDS:
                 return False
-            await curio.sleep(STEP_SECONDS)
-            waited += STEP_SECONDS
+            await curio.sleep(POLL_SECONDS)
+            waited_seconds += POLL_SECONDS
         return True
 
-    async def _pass_on(self, reading: Any, writing: Any, source: str, target: str) -> None:
+    async def _forward(self, reader: Any, writer: Any, source: str, target: str) -> None:
         try:
             while True:
-                received = await reading.recv(READ_SIZE)
-                if not await self._pass_cut(source, target):
+                received = await reader.recv(READ_SIZE)
+                if not await self._wait_while_cut(source, target):
                     return
                 if not received:
-                    await writing.shutdown(socket.SHUT_WR)
+                    await writer.shutdown(socket.SHUT_WR)
                     return
-                await writing.sendall(received)
+                await writer.sendall(received)
         except OSError:
             return
--- a/standins/_runner.py
+++ b/standins/_runner.py
@@ -55,7 +55,7 @@
         super().__init__()
         self.entry = entry
         self._busy = 0
-        self._most = 0
+        self._peak_busy = 0
         self._requests: list[RequestRecord] = []
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -73,12 +73,12 @@
             if self.faults.outage:
                 raise CloseConnection
             return answer_json({'busy': self._busy})
-        await self.faults.before()
+        await self.faults.apply_before()
         return await self._work(request)
 
     def record(self) -> RunnerRecord:
         """Return what was worked on here."""
-        return RunnerRecord(self.entry.name, self.entry.slots, self._most, 0, self._requests)
+        return RunnerRecord(self.entry.name, self.entry.slots, self._peak_busy, 0, self._requests)
 
     async def _work(self, request: Request) -> Answer:
         record = RequestRecord(
@@ -89,13 +89,13 @@
         )
         self._requests.append(record)
         self._busy += 1
-        self._most = max(self._most, self._busy)
+        self._peak_busy = max(self._peak_busy, self._busy)
         try:
             await curio.sleep(float(request.query_by_name.get('seconds', '0')))
         finally:
             self._busy -= 1
             record.ended_at = time.monotonic()
-        self.faults.after()
+        self.faults.apply_after()
         record.answered = True
         headers = [('content-type', 'application/octet-stream'), ('runner', self.entry.name)]
         headers.append(('mark', request.header('mark')))
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -22,20 +22,20 @@
 from standins._other_writer import OtherWriter
 from standins._relay import LinkFaults, Relay
 
-LENGTH = struct.Struct('>I')
+LENGTH_PREFIX = struct.Struct('>I')
 MILLISECONDS = 1000
 STOP_SECONDS = 0.1
-LOOK_STEP = 0.01
+POLL_SECONDS = 0.01
 #: Seconds between the start of a task that crashes its runner and the crash, and until
 #: the runner is back.
-CRASH_SECONDS = 0.01
-BACK_SECONDS = 1.0
+CRASH_DELAY_SECONDS = 0.01
+RESTART_SECONDS = 1.0
 #: Processors of a runner, in thousandths.
 FULL_CPU = 8000
 #: Seconds that the clock of a runner shows when the platform starts.
-CLOCK_SECONDS = 5000.0
+INITIAL_CLOCK_SECONDS = 5000.0
 #: Seconds for which a runner keeps its tasks at the most without a renewal.
-LONGEST_LEASE = 10.0
+MAX_LEASE_SECONDS = 10.0
 SERVER_LIMITS = ServerLimits(idle_seconds=600)
 
 
@@ -68,9 +68,9 @@
         self._random = random.Random(seed)
         self.faults = StoreFaults()
 
-    def put(self, topic: str, key: str, fact: object) -> None:
+    def put(self, topic: str, key: str, document: object) -> None:
         """Write as the operator or as a runner does; ``None`` drops the key."""
-        content = b'' if fact is None else json.dumps(fact).encode()
+        content = b'' if document is None else json.dumps(document).encode()
         self.put_raw(topic, bytes([len(key)]) + key.encode() + content)
 
     def put_raw(self, topic: str, record: bytes) -> None:
@@ -111,7 +111,7 @@
         done = {'offset': len(topic.records)}
         position = 0
         while position < len(body):
-            length = LENGTH.unpack_from(body, position)[0]
+            length = LENGTH_PREFIX.unpack_from(body, position)[0]
             topic.records.append(body[position + 4 : position + 4 + length])
             position += 4 + length
         done['end'] = len(topic.records)
@@ -142,10 +142,10 @@
     async def _read(self, topic: _Topic, offset: int, wait_ms: int) -> Answer:
         until = time.monotonic() + wait_ms / MILLISECONDS
         while len(topic.records) <= offset and time.monotonic() < until:
-            await curio.sleep(LOOK_STEP)
+            await curio.sleep(POLL_SECONDS)
         body = struct.pack('>QQ', len(topic.records), 0)
         for record in topic.records[offset:]:
-            body += LENGTH.pack(len(record)) + record
+            body += LENGTH_PREFIX.pack(len(record)) + record
         return Answer(200, (), body)
 
     def _topic(self, name: str) -> _Topic:
@@ -179,7 +179,7 @@
         """Start with none."""
         self._quotas_by_account: dict[str, list[tuple[float, int]]] = {}
 
-    def note(self, now: float, accounts: Sequence[AccountRow]) -> None:
+    def add_configuration(self, now: float, accounts: Sequence[AccountRow]) -> None:
         """Take a new configuration; one that an account is not in puts no limit on it."""
         names = {row.name for row in accounts}
         for name in self._quotas_by_account.keys() - names:
@@ -187,7 +187,7 @@
         for row in accounts:
             self._quotas_by_account.setdefault(row.name, []).append((now, row.cpu))
 
-    def highest(self, account: str, since: float, until: float) -> int:
+    def get_highest(self, account: str, since: float, until: float) -> int:
         """Return the highest quota that may have been in force in a time; 0 is no limit."""
         found = []
         for number, (at, cpu) in enumerate(self._quotas_by_account.get(account, ())):
@@ -235,18 +235,18 @@
         self.reports_incarnation = reports_incarnation
         #: Answers in place of the runner if it is set.
         self.answer: Callable[[Request], Awaitable[Answer]] | None = None
-        self._clock_zero = time.monotonic() - CLOCK_SECONDS
+        self._clock_zero = time.monotonic() - INITIAL_CLOCK_SECONDS
         #: What the runner has said that it has, the latest last.
         self.capacity_changes: list[CapacityChange] = [(0.0, FULL_CPU)]
         #: Called with the runner once it has crashed under a task.
         self.on_crash: Callable[[PlatformRunner], Awaitable[None]] | None = None
         self._runs = runs
-        self._token = 0
+        self._fencing_token = 0
         self._deadline = 0.0
         self._run_by_task: dict[str, Run] = {}
-        self._highest: dict[str, int] = {}
-        self._ends: list[list] = []
-        self._next_end = 1
+        self._highest_run_by_task: dict[str, int] = {}
+        self._unacknowledged_ends: list[list] = []
+        self._next_end_number = 1
 
     def clock(self) -> float:
         """Return what the runner's clock shows, in seconds."""
@@ -259,19 +259,19 @@
         if self.answer is not None:
             return await self.answer(request)
         self.advance()
-        asked = json.loads(request.body)
+        order = json.loads(request.body)
         if request.header('x-expected-instance') not in {'', self.name}:
             return answer_json({}, 421)
-        if asked['fencing_token'] < self._token:
-            return self._refuse('fence')
-        self._token = asked['fencing_token']
+        if order['fencing_token'] < self._fencing_token:
+            return self._reject('fence')
+        self._fencing_token = order['fencing_token']
         if request.path == '/v1/run-start':
-            answer = self._start(asked)
-            await self._crash_under(asked)
+            answer = self._start(order)
+            await self._crash_if_requested(order)
             return answer
         if request.path == '/v1/run-stop':
-            return self._stop(asked)
-        return await self._hold(asked)
+            return self._stop(order)
+        return await self._renew_and_poll(order)
 
     def advance(self) -> None:
         """End what is due: tasks that are done or stopped, and lapsed leases."""
@@ -284,8 +284,10 @@
             run.ended = min(run.planned_end, deadline) if lapsed else run.planned_end
             run.outcome = 'lapsed' if lapsed else run.outcome
             del self._run_by_task[run.task]
-            self._ends.append([self._next_end, run.task, run.number, run.outcome, ''])
-            self._next_end += 1
+            self._unacknowledged_ends.append(
+                [self._next_end_number, run.task, run.number, run.outcome, '']
+            )
+            self._next_end_number += 1
 
     @property
     def cpu(self) -> int:
@@ -300,7 +302,9 @@
         """End everything that runs without a trace; ends not yet read are lost too."""
         self.advance()
         for run in self._runs:
-            if run.runner == self.name and run.task in {end[1] for end in self._ends}:
+            if run.runner == self.name and run.task in {
+                end[1] for end in self._unacknowledged_ends
+            }:
                 run.outcome = 'unread'
         for run in self._run_by_task.values():
             run.ended = time.monotonic()
@@ -317,46 +321,46 @@
         self.name = name or self.name
         self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * MILLISECONDS))
         self._clock_zero = time.monotonic()
-        self._token = 0
+        self._fencing_token = 0
         self._deadline = 0.0
-        self._highest.clear()
-        self._ends.clear()
-        self._next_end = 1
+        self._highest_run_by_task.clear()
+        self._unacknowledged_ends.clear()
+        self._next_end_number = 1
         self.is_down = False
 
-    async def _crash_under(self, asked: dict) -> None:
+    async def _crash_if_requested(self, order: dict) -> None:
         """Crash if the task that was just started does so, before the start is answered."""
-        if 'crash' not in asked['spec'].split() or asked['task'] not in self._run_by_task:
+        if 'crash' not in order['spec'].split() or order['task'] not in self._run_by_task:
             return
-        await curio.sleep(CRASH_SECONDS)
+        await curio.sleep(CRASH_DELAY_SECONDS)
         if not self.is_down:
             self.crash()
             if self.on_crash is not None:
                 await curio.spawn(self.on_crash, self, daemon=True)
         raise CloseConnection
 
-    def _start(self, asked: dict) -> Answer:
-        self._extend(asked['deadline_ms'])
-        task, number = asked['task'], asked['run']
+    def _start(self, order: dict) -> Answer:
+        self._extend_lease(order['deadline_ms'])
+        task, number = order['task'], order['run']
         known = self._run_by_task.get(task)
         if known is not None and known.number == number:
             return self._ok()
-        if number <= self._highest.get(task, 0):
-            return self._refuse('old')
-        if asked['deadline_ms'] / MILLISECONDS < self.clock():
-            return self._refuse('late')
-        words = asked['spec'].split()
+        if number <= self._highest_run_by_task.get(task, 0):
+            return self._reject('old')
+        if order['deadline_ms'] / MILLISECONDS < self.clock():
+            return self._reject('late')
+        arguments = order['spec'].split()
         now = time.monotonic()
-        run = Run(task, number, self.name, int(words[0]), now, now + float(words[1]))
-        run.outcome = 'failed' if 'fail' in words else 'done'
+        run = Run(task, number, self.name, int(arguments[0]), now, now + float(arguments[1]))
+        run.outcome = 'failed' if 'fail' in arguments else 'done'
         self._run_by_task[task] = run
-        self._highest[task] = number
+        self._highest_run_by_task[task] = number
         self._runs.append(run)
         return self._ok()
 
-    def _stop(self, asked: dict) -> Answer:
-        task, number = asked['task'], asked['run']
-        self._highest[task] = max(self._highest.get(task, 0), number)
+    def _stop(self, order: dict) -> Answer:
+        task, number = order['task'], order['run']
+        self._highest_run_by_task[task] = max(self._highest_run_by_task.get(task, 0), number)
         run = self._run_by_task.get(task)
         if run is not None and run.number <= number and not run.stopping:
             run.stopping = True
@@ -364,13 +368,15 @@
             run.planned_end = min(run.planned_end, time.monotonic() + STOP_SECONDS)
         return self._ok()
 
-    async def _hold(self, asked: dict) -> Answer:
-        self._ends = [end for end in self._ends if end[0] > asked['acked_through']]
-        self._extend(asked.get('deadline_ms', 0))
-        until = time.monotonic() + asked.get('wait_ms', 0) / MILLISECONDS
+    async def _renew_and_poll(self, order: dict) -> Answer:
+        self._unacknowledged_ends = [
+            end for end in self._unacknowledged_ends if end[0] > order['acked_through']
+        ]
+        self._extend_lease(order.get('deadline_ms', 0))
+        until = time.monotonic() + order.get('wait_ms', 0) / MILLISECONDS
         born = self.started_at_ms
-        while not self._ends and time.monotonic() < until:
-            await curio.sleep(LOOK_STEP)
+        while not self._unacknowledged_ends and time.monotonic() < until:
+            await curio.sleep(POLL_SECONDS)
             if self.is_down or self.started_at_ms != born:
                 # A crash ends all connections; the next life answers no look at this one.
                 raise CloseConnection
@@ -379,15 +385,15 @@
         body = {
             'clock_ms': self._clock_ms(),
             'running': running,
-            'finished': self._ends[:500],
+            'finished': self._unacknowledged_ends[:500],
         }
         if self.reports_incarnation:
             body['born'] = self.started_at_ms
         return answer_json(body)
 
-    def _extend(self, deadline_ms: int) -> None:
-        asked = min(deadline_ms / MILLISECONDS, self.clock() + LONGEST_LEASE)
-        self._deadline = max(self._deadline, asked)
+    def _extend_lease(self, deadline_ms: int) -> None:
+        requested_deadline = min(deadline_ms / MILLISECONDS, self.clock() + MAX_LEASE_SECONDS)
+        self._deadline = max(self._deadline, requested_deadline)
 
     def _clock_ms(self) -> int:
         return int(self.clock() * MILLISECONDS)
@@ -395,7 +401,7 @@
     def _ok(self) -> Answer:
         return answer_json({'clock_ms': self._clock_ms()})
 
-    def _refuse(self, reason: str) -> Answer:
+    def _reject(self, reason: str) -> Answer:
         return answer_json({'clock_ms': self._clock_ms(), 'reason': reason}, 409)
 
 
@@ -413,7 +419,7 @@
         if runner.reset_pending:
             await server.reset()
             runner.reset_pending = False
-        await curio.sleep(LOOK_STEP)
+        await curio.sleep(POLL_SECONDS)
 
 
 class UsersPlatform:
@@ -435,13 +441,13 @@
         ]
         self.port_by_name: dict[str, int] = {}
         self.link_faults = LinkFaults({})
-        self._place_by_runner: dict[PlatformRunner, str] = {}
-        self._relayed: dict[str, str] = {}
-        self._lives = 0
+        self._original_name_by_runner: dict[PlatformRunner, str] = {}
+        self._target_by_relay: dict[str, str] = {}
+        self._restart_count = 0
         #: By every name that a runner had.
         self.capacity_changes_by_name: dict[str, list[CapacityChange]] = {}
         for runner in self.runners:
-            runner.on_crash = self._bring_back
+            runner.on_crash = self._restart_after_crash
         self._ready = threading.Event()
         self._stop = threading.Event()
         self._thread = threading.Thread(target=curio.run, args=(self._serve,), daemon=True)
@@ -465,11 +471,11 @@
 
     def entry_of(self, runner: PlatformRunner, state: str = 'ready') -> dict:
         """Return a runner's entry."""
-        place = self._place_by_runner.setdefault(runner, runner.name)
-        port = self.port_by_name.get(f'relay-{place}', self.port_by_name[place])
-        told = {'born': runner.started_at_ms} if runner.reports_incarnation else {}
+        original_name = self._original_name_by_runner.setdefault(runner, runner.name)
+        port = self.port_by_name.get(f'relay-{original_name}', self.port_by_name[original_name])
+        incarnation_fields = {'born': runner.started_at_ms} if runner.reports_incarnation else {}
         return {
-            **told,
+            **incarnation_fields,
             'service': 'desk',
             'address': f'127.0.0.1:{port}',
             'zone': 'north',
@@ -488,12 +494,12 @@
             seed,
             lambda record: self.store.put_raw('keyed.servers', record),
             lambda: {runner.name: self.entry_of(runner) for runner in self.runners},
-            self._beat,
+            self._write_heartbeats,
         )
 
     def add_relay(self, name: str, target: str) -> None:
         """Put a relay called ``name`` before a server, before ``start``."""
-        self._relayed[name] = target
+        self._target_by_relay[name] = target
 
     def configure(self, version: int = 1, accounts: Sequence[AccountRow] | None = None) -> None:
         """Write a configuration with one plain queue and one that needs advice.
@@ -519,7 +525,7 @@
         document = {'version': version, 'routes': routes, 'services': services, 'limits': {}}
         if accounts is not None:
             document['tenants'] = [row.encode() for row in accounts]
-            self.quotas.note(time.monotonic(), accounts)
+            self.quotas.add_configuration(time.monotonic(), accounts)
         self.store.put('keyed.op', 'config', document)
 
     def collect_runs(self) -> list[Run]:
@@ -528,20 +534,20 @@
             runner.advance()
         return list(self.runs)
 
-    async def _bring_back(self, runner: PlatformRunner) -> None:
+    async def _restart_after_crash(self, runner: PlatformRunner) -> None:
         """Let a crashed runner start again, and its old entry expire if its name changes."""
-        await curio.sleep(BACK_SECONDS)
+        await curio.sleep(RESTART_SECONDS)
         if runner.reports_incarnation:
             runner.restart()
             self.register(runner)
             return
-        former = runner.name
-        self._lives += 1
-        runner.restart(f'{former.split("+")[0]}+{self._lives}')
+        previous_name = runner.name
+        self._restart_count += 1
+        runner.restart(f'{previous_name.split("+")[0]}+{self._restart_count}')
         self.register(runner)
-        self.store.put('keyed.servers', former, None)
+        self.store.put('keyed.servers', previous_name, None)
 
-    def _beat(self) -> None:
+    def _write_heartbeats(self) -> None:
         for runner in self.runners:
             if not runner.is_down:
                 self.register(runner)
@@ -553,7 +559,7 @@
             for runner in self.runners:
                 server = await self._listen(stack, runner.name, runner.handle)
                 await start_task(stack, _reset_connections, runner, server)
-            for name, target in self._relayed.items():
+            for name, target in self._target_by_relay.items():
                 await self._listen_relay(stack, name, target)
             self._ready.set()
             while not self._stop.is_set():
@@ -571,8 +577,8 @@
         with socket.socket() as free:
             free.bind(('127.0.0.1', 0))
             port = free.getsockname()[1]
-        reaches = ('127.0.0.1', self.port_by_name[target])
-        await Relay(self.link_faults, name, ('127.0.0.1', port), reaches).start(stack)
+        target_address = ('127.0.0.1', self.port_by_name[target])
+        await Relay(self.link_faults, name, ('127.0.0.1', port), target_address).start(stack)
         self.port_by_name[name] = port
 
     async def _advise(self, request: Request) -> Answer:
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -63,10 +63,10 @@
         super().__init__()
         self.entry = entry
         self._worker = MemoryWorker(entry)
-        self._worker.watch(self._note)
+        self._worker.watch(self._record_change)
         self._run_by_task: dict[str, RunRecord] = {}
         self._in_use = NOTHING
-        self._most = NOTHING
+        self._peak_usage = NOTHING
 
     async def start(self, stack: AsyncExitStack) -> None:
         """Listen until the stack closes."""
@@ -81,18 +81,18 @@
         if request.path == RECORD:
             runs = list(self._run_by_task.values())
             return answer_json(
-                WorkerRecord(self.entry.name, self.entry.capacity, self._most, runs),
+                WorkerRecord(self.entry.name, self.entry.capacity, self._peak_usage, runs),
             )
-        await self.faults.before()
+        await self.faults.apply_before()
         try:
-            answer = await self._handle(request)
+            answer = await self._dispatch(request)
         except WorkerError as error:
             problem = Problem(error.verdict, HTTP_CONFLICT, 'refused', f'{error}')
             return answer_problem(problem)
-        self.faults.after()
+        self.faults.apply_after()
         return answer
 
-    async def _handle(self, request: Request) -> Answer:
+    async def _dispatch(self, request: Request) -> Answer:
         if request.path == TASKS:
             query = request.query_by_name
             wait = int(query.get('wait_ms', '0')) / MILLISECONDS
@@ -100,16 +100,16 @@
         if request.path == '/v1/leases':
             await self._worker.renew(msgspec.json.decode(request.body, type=LeaseRenewal))
             return answer_json({})
-        rest = request.path.removeprefix(f'{TASKS}/')
+        task_path = request.path.removeprefix(f'{TASKS}/')
         if request.method == 'PUT':
             order = msgspec.json.decode(request.body, type=TaskOrder)
-            await self._worker.start(rest, order, 0, _always)
+            await self._worker.start(task_path, order, 0, _always)
             return answer_json({}, HTTP_CREATED)
-        task_id, _, action = rest.rpartition('/')
+        task_id, _, action = task_path.rpartition('/')
         await self._worker.act(task_id, action)
         return answer_json({})
 
-    def _note(self, task: MemoryTask) -> None:
+    def _record_change(self, task: MemoryTask) -> None:
         order = task.order
         if task.outcome:
             run = self._run_by_task[task.id]
@@ -129,7 +129,7 @@
             time.monotonic(),
         )
         self._in_use += order.demand
-        self._most = self._most.at_least(self._in_use)
+        self._peak_usage = self._peak_usage.at_least(self._in_use)
 
 
 def _always() -> bool:
