--- a/features/__init__.py
+++ b/features/__init__.py
@@ -1,1 +1,1 @@
-"""Features: what users see, run through real daemons and stand-ins."""
+"""Features: behaviour that users see, checked with real daemons and stand-ins."""
--- a/features/cells.py
+++ b/features/cells.py
@@ -7,7 +7,7 @@
 
 
 def contract(version: int = 1, customer: str = 'khangai', **changes: Any) -> dict[str, Any]:
-    """Return a contract that allows all classes and much work."""
+    """Return a contract with all classes and high limits."""
     document = {
         'customer': customer,
         'version': version,
@@ -36,22 +36,22 @@
 
 
 class SharedCell:
-    """One small cell that many scenarios share; it starts when first asked for."""
+    """A small cell that many scenarios share; it starts on first use."""
 
     def __init__(self) -> None:
-        """Start with no cell."""
+        """Create no cell yet."""
         self._stack = ExitStack()
         self._cell: Cluster | None = None
 
     def get_cell(self) -> Cluster:
-        """Return the shared cell, its contract in force."""
+        """Return the shared cell, after its first start with a published contract."""
         if self._cell is None:
             self._cell = self._stack.enter_context(Cluster(Layout(daemons=2)))
             reply = self._cell.publish(contract())
             if reply.status != 200:
-                raise RuntimeError(f'no contract: {reply.body!r}')
+                raise RuntimeError(f'publishing the contract failed: {reply.body!r}')
         return self._cell
 
     def close(self) -> None:
-        """End the cell."""
+        """Stop the cell."""
         self._stack.close()
--- a/features/cuts.feature
+++ b/features/cuts.feature
@@ -1,8 +1,8 @@
 Feature: Cuts between daemons, zones and the platform
 
-  # Guards against an owner that stops though its peers can vouch for it.
+  # Guards against an owner that stops serving although its peers confirm that it is alive.
   Scenario: An owner loses the log but not its peers
-    Given a cuttable cell of 1 zones with 3 daemons, 2 workers and 3 endpoints
+    Given a cell with relayed links and 1 zones with 3 daemons, 2 workers and 3 endpoints
     And version 1 of the contract is in force
     When the link from ub-east-d0 to log is cut both ways
     And 3 seconds pass
@@ -13,9 +13,9 @@
     Then all submitted jobs end as succeeded
     And no promise is broken
 
-  # Guards against shards that move back and forth between daemons that cannot hear each other.
+  # Guards against shards that move back and forth between daemons that cannot reach each other.
   Scenario: Two daemons lose each other but not the log
-    Given a cuttable cell of 1 zones with 2 daemons, 2 workers and 2 endpoints
+    Given a cell with relayed links and 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When the link from ub-east-d0 to ub-east-d1 is cut both ways
     And 20 jobs of 4 processors are submitted to ub-east-d0
@@ -25,9 +25,10 @@
     Then all submitted jobs end as succeeded
     And no promise is broken
 
-  # Guards against overfilling a worker by an owner that is alone and those that take over.
+  # Guards against overallocating a worker: the isolated owner and its successors could both
+  # start tasks there.
   Scenario: An owner loses the log and its peers with starts queued
-    Given a cuttable cell of 1 zones with 3 daemons, 2 workers and 2 endpoints
+    Given a cell with relayed links and 1 zones with 3 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When 60 jobs of 8 processors running 1 seconds are submitted to ub-east-d1
     And ub-east-d0 is cut off from everything
@@ -39,7 +40,7 @@
 
   # Bytes pass in one direction only.
   Scenario Outline: A one-way cut from <source> to <target>
-    Given a cuttable cell of 1 zones with 2 daemons, 2 workers and 2 endpoints
+    Given a cell with relayed links and 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When 30 jobs of 8 processors running 0.5 seconds are submitted to ub-east-d1
     And the link from <source> to <target> is cut one way
@@ -56,7 +57,7 @@
 
   # Guards against a zone that stops serving when it is cut off.
   Scenario: A zone is cut off from the rest and from the log
-    Given a cuttable cell of 2 zones with 2 daemons, 1 workers and 2 endpoints
+    Given a cell with relayed links and 2 zones with 2 daemons, 1 workers and 2 endpoints
     And version 1 of the contract is in force
     When the zone ub-west is cut off from the rest and from the log
     And 4 seconds pass
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""What every scenario gets: a clean-up stack, and one cell for each feature that asks."""
+"""Hooks of behave: a cleanup stack for each scenario, and a cell for scenarios to share."""
 
 from contextlib import ExitStack
 
@@ -6,23 +6,23 @@
 
 
 def before_all(context):
-    """Keep one small cell for all scenarios that do not break it."""
+    """Provide a small cell for all scenarios that cause no failures in it."""
     context.shared_cell = SharedCell()
 
 
 def before_scenario(context, scenario):
-    """Give the scenario a stack that closes what it opens."""
+    """Provide an exit stack for the resources that the scenario opens."""
     context.stack = ExitStack()
 
 
 def after_step(context, step):
-    """Tell why a step failed; the progress format does not."""
+    """Print why a step failed, since the progress format does not."""
     if step.status.name in {'failed', 'error'}:
         print(f'\n{step.keyword} {step.name}\n{step.error_message}')
 
 
 def after_scenario(context, scenario):
-    """Close what the scenario opened; show the logs of a failed one."""
+    """Close the resources of the scenario, and print the logs if it failed."""
     cell = getattr(context, 'cell', None)
     if scenario.status == 'failed' and cell is not None:
         for name in cell.daemons:
@@ -31,5 +31,5 @@
 
 
 def after_all(context):
-    """End the shared cell."""
+    """Stop the shared cell."""
     context.shared_cell.close()
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -1,7 +1,8 @@
-Feature: What must hold when things fail
-  Each scenario runs real daemons; the workers' and runners' own records judge.
+Feature: Guarantees during failures
+  Each scenario runs real daemons; the records of workers and runners are checked.
+  A settlement is a payment: it must not run twice.
 
-  # Guards against using a dead owner's slots while its last request may be under way.
+  # Guards against using the slots of a dead owner while its last requests may still run.
   Scenario: An owner is killed; its workers and runners find a new owner
     Given a cell of 1 zones with 3 daemons, 4 workers and 4 endpoints
     And version 1 of the contract is in force
@@ -11,7 +12,8 @@
     And 20 jobs submitted to ub-east-d1 all end as succeeded
     And no promise is broken
 
-  # Guards against a paused owner that sends on waking what its successor does not count.
+  # Guards against an owner that resumes after a pause and sends queued starts that its
+  # successor does not count.
   Scenario Outline: An owner is paused for <seconds> seconds with starts queued
     Given a cell of 1 zones with 3 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
@@ -25,14 +27,14 @@
       | 0.8     |
       | 8       |
 
-  # Guards against losing accepted work, or stopping urgent work, while the log is out.
+  # Guards against losing accepted jobs, or no longer serving requests, while the log is out.
   Scenario: The log is out
     Given a cell of 1 zones with 3 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When 60 jobs of 4 processors are submitted to ub-east-d1
     And the log is out
     Then requests to ub-east-d0 are answered within 5 seconds
-    And a settlement submitted to ub-east-d2 is refused as not_run with a time to come back
+    And a settlement submitted to ub-east-d2 is refused as not_run with a retry-after header
     When 5 seconds pass
     Then requests to ub-east-d2 are answered within 5 seconds
     When the log is back
--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -1,7 +1,8 @@
 Feature: Recovery from the log, the peers and the workers alone
-  Hosts keep nothing: what a daemon knows it has read or been told.
+  Hosts store nothing: a daemon gets its state from the log, the peers and the workers.
+  A settlement is a payment: it must not run twice.
 
-  # Guards against doing something twice because its answer was lost.
+  # Guards against running a job twice because the answer to its write was lost.
   Scenario: Answers of the log are lost after the write took effect
     Given a cell of 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
@@ -10,7 +11,7 @@
     Then all submitted jobs end as succeeded
     And no promise is broken
 
-  # Guards against losing work when all daemons are replaced at once.
+  # Guards against losing jobs when all daemons are replaced at once.
   Scenario: All daemons are replaced at once
     Given a cell of 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
@@ -21,8 +22,8 @@
     And version 1 is in force on every daemon
     And no promise is broken
 
-  # Guards against starting a settlement again of which nobody knows whether it was paid.
-  Scenario: A worker is lost with a settlement and a rebuild on it
+  # Guards against starting a settlement again when it is unknown whether it was paid.
+  Scenario: A worker is lost with a non-idempotent job on it
     Given a cell of 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When a non-idempotent job running 60 seconds is started
@@ -32,7 +33,7 @@
     Then the job ends as succeeded
     And no promise is broken
 
-  # Guards against claiming shards by a log that was truncated.
+  # Guards against claiming shards by the incomplete state of a truncated log.
   Scenario: The log is truncated past a daemon's offset
     Given a cell whose log keeps records for 6 seconds
     And version 1 of the contract is in force
@@ -44,7 +45,7 @@
     Then 10 jobs submitted to ub-east-d0 all end as succeeded
     And no promise is broken
 
-  # Guards against losing or doubling settlements when dispatchers die at any moment.
+  # Guards against losing or repeating settlements when a dispatcher dies at any moment.
   Scenario: Dispatchers are killed at many moments
     Given a cell of 1 zones with 3 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
@@ -52,7 +53,7 @@
     Then all submitted jobs end as succeeded
     And no promise is broken
 
-  # Guards against tasks that lapse when their owner dies while the log is out.
+  # Guards against tasks whose leases expire because their owner dies while the log is out.
   Scenario: An owner dies while the log is out
     Given a cell of 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
--- a/features/run.py
+++ b/features/run.py
@@ -1,7 +1,7 @@
-"""Runs all features, several files at once, and prints their count in one last line.
+"""Runs all features, several files in parallel, and prints the totals in the last line.
 
-Scenarios that KNOWN-RED.txt names are run and printed, and count neither as passed nor
-as failed. Each of its lines begins with ``features/NAME.feature: SCENARIO |``.
+Scenarios listed in KNOWN-RED.txt are run and printed, but count neither as passed nor
+as failed. Each line of that file begins with ``features/NAME.feature: SCENARIO |``.
 """
 
 import subprocess
@@ -16,17 +16,17 @@
 from behave.runner import Runner
 
 FOLDER = Path(__file__).parent
-#: Cells that run at the same time; each is a handful of processes.
+#: Each feature may start a cell of several processes.
 MAX_PARALLEL_FEATURES = 4
 NOT_FAILED = (Status.passed, Status.skipped)
 KNOWN_RED = FOLDER.parent / 'KNOWN-RED.txt'
-#: Lines that the file may have: more would hide what is broken.
+#: Limits the lines of the file, since a long list would hide what is broken.
 MAX_KNOWN_RED = 3
 
 
 @dataclass(frozen=True)
 class FeatureResult:
-    """How the scenarios of one file went, and what was printed."""
+    """The results of the scenarios of one file, and what was printed."""
 
     passed: int
     failed: int
@@ -40,21 +40,21 @@
     lines = path.read_text().splitlines()
     if len(lines) > MAX_KNOWN_RED:
         raise ValueError(
-            f'{path.name} has {len(lines)} lines; mend some, {MAX_KNOWN_RED} may stand'
+            f'{path.name} has {len(lines)} lines; fix some, {MAX_KNOWN_RED} are allowed'
         )
     return {line.partition('|')[0].strip() for line in lines}
 
 
 def is_known_red(scenario: Scenario, known_red: set[str]) -> bool:
-    """Return whether a scenario, or the outline that it is a row of, is known to fail."""
+    """Return whether a scenario, or the outline that it is a row of, is listed as failing."""
     path = Path(scenario.location.filename).name
-    # A row's name is its outline's, and where the row stands.
+    # A row is named after its outline, followed by the row's position.
     name, _, _ = scenario.name.partition(' -- @')
     return f'features/{path}: {name}' in known_red
 
 
 def run_file(path: str) -> int:
-    """Run one feature in this process; the last line printed is its count."""
+    """Run one feature in this process; the last line printed has its counts."""
     known_red = read_known_red(KNOWN_RED)
     configuration = Configuration(['--no-capture', '--format', 'progress'])
     configuration.paths = [path]
@@ -80,7 +80,7 @@
 
 
 def run_in_subprocess(path: Path) -> FeatureResult:
-    """Run one feature in a process of its own."""
+    """Run one feature in its own process."""
     completed = subprocess.run(
         [sys.executable, '-m', 'features.run', '--one', str(path)],
         stdout=subprocess.PIPE,
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,6 +1,6 @@
-Feature: Random faults, together and twice
+Feature: Short soak runs with overlapping random faults
 
-  # Guards against promises that do not hold under random faults.
+  # Guards against violations of the guarantees under random faults.
   Scenario Outline: A short run with seed <seed>
     When random faults with seed <seed> go on for 10 seconds
     Then no promise was broken in the run
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring failures about, and judge by the workers' own records."""
+"""Steps that cause failures, and check the records of workers and runners."""
 
 import os
 import signal
@@ -35,7 +35,7 @@
 
 
 @given(
-    'a cuttable cell of {zones:d} zones with {daemons:d} daemons, {workers:d} workers and {endpoints:d} endpoints'
+    'a cell with relayed links and {zones:d} zones with {daemons:d} daemons, {workers:d} workers and {endpoints:d} endpoints'
 )
 def start_cuttable_cell(context, zones, daemons, workers, endpoints):
     layout = Layout(ZONES[:zones], daemons, workers, endpoints, has_relays=True)
@@ -161,7 +161,7 @@
 
 
 def _submit_with_retries(context, name, spec, key):
-    """Come back when told to, as a caller would, with the same key."""
+    """Retry with the same key while the answer is 503, as a caller would."""
     until = time.monotonic() + 15
     while True:
         reply = context.cell.submit(name, spec, key)
@@ -258,7 +258,7 @@
     assert wait_until(all_owned, seconds)
 
 
-@then('a settlement submitted to {name} is refused as not_run with a time to come back')
+@then('a settlement submitted to {name} is refused as not_run with a retry-after header')
 def check_job_refused(context, name):
     reply = context.cell.submit(name, job(idempotent=False), 'outage-key')
     assert reply.status == 503, reply
@@ -372,7 +372,7 @@
 
 @when('{count:d} more of them are sent while the runners still work')
 def send_more_with_deadline(context, count):
-    # The first ones' callers have given up, their runners have not.
+    # The callers of the first requests have timed out; the runners still work on them.
     earlier_requests = context.sent
     send_with_deadline(context, count, *context.request_options)
     context.sent += earlier_requests
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the whole path."""
+"""Steps of requests and jobs from submission to result."""
 
 import os
 
@@ -25,8 +25,8 @@
     assert wait_until(all_enforce, 5)
 
 
-@when('a lounge desk asks {daemon} for an entry check')
-def ask_entry_check(context, daemon):
+@when('a caller sends an echo request to {daemon}')
+def send_echo(context, daemon):
     context.mark = os.urandom(8).hex()
     context.body = os.urandom(2000)
     context.reply = context.cell.request_as_caller(
@@ -42,7 +42,7 @@
     )
 
 
-@then('the answer is its own and whole, with verdict {verdict}')
+@then('the answer has its own mark and body, with verdict {verdict}')
 def check_own_answer(context, verdict):
     assert context.reply.status == 200, context.reply
     assert context.reply.headers['dandelionreel-verdict'] == verdict
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform, its workers and its endpoints."""
+"""Stand-ins (test doubles) for the platform, its workers and its endpoints."""
 
 from standins._cluster import (
     FAST_TIMINGS,
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs all stand-ins that a plan names in one process."""
+"""Runs all stand-ins of a plan file in one process."""
 
 import logging
 import sys
@@ -17,14 +17,14 @@
 from standins._runner import RunnerStandIn
 from standins._worker import WorkerStandIn
 
-CONTROL_WIRE = '/control/cuts'
+CONTROL_CUTS = '/control/cuts'
 
 
 class StandIns:
     """The log, the host list, workers, endpoints and relays of one plan."""
 
     def __init__(self, plan: Plan) -> None:
-        """Make what the plan names."""
+        """Create the servers of the plan."""
         self._plan = plan
         self._link_faults = LinkFaults(plan.name_by_address)
         self._log = LogStandIn()
@@ -56,13 +56,13 @@
             await RunnerStandIn(entry).start(stack)
 
     async def _control(self, request: Request) -> Answer:
-        if request.path == CONTROL_WIRE:
+        if request.path == CONTROL_CUTS:
             return self._link_faults.handle(request)
         return answer_json({})
 
 
 def main() -> None:
-    """Read the plan that the first argument names, and serve it."""
+    """Load the plan file named by the first argument and run its stand-ins."""
     logging.getLogger('curio').addHandler(logging.NullHandler())
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)
     curio.run(StandIns(plan).run)
--- a/standins/_cluster.py
+++ b/standins/_cluster.py
@@ -21,8 +21,8 @@
 from dandelionreel.kernel import Endpoint
 from standins._plan import Plan, RelayPlan
 
-#: Each process that starts cells has loopback addresses of its own, so that
-#: cells that run side by side never take each other's ports.
+#: Loopback subnet derived from the process id, so that cells started by parallel
+#: processes don't compete for ports.
 SUBNET = f'127.{64 + os.getpid() // 256 % 64}.{os.getpid() % 256}'
 LOOPBACK = f'{SUBNET}.1'
 FIRST_DAEMON_ADDRESS = 10
@@ -34,7 +34,7 @@
 MAX_RUN_SECONDS = 3600.0
 PR_SET_PDEATHSIG = 1
 
-#: Faster than a real cell's, so that tests end soon; the ratios stay.
+#: Shorter than in production, so that tests end soon; the ratios are the same.
 FAST_TIMINGS = {
     'authority': 1.5,
     'heartbeat': 0.3,
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """How large a cell to start; ``cuttable`` puts relays between the parts."""
+    """Size and settings of a test cell; ``has_relays`` lets tests cut the links of daemons."""
 
     zones: tuple[str, ...] = ('ub-east', 'ub-west')
     daemons: int = 1
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """One whole HTTP answer; header names in lower case."""
+    """A complete HTTP response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -86,7 +86,7 @@
 
 @dataclass
 class DaemonProcess:
-    """One daemon, its addresses, and its process while it runs."""
+    """A daemon, its addresses and files, and its process once it was started."""
 
     name: str
     zone: str
@@ -105,7 +105,7 @@
 
 
 class Ports:
-    """Free ports; each is handed out once in this process."""
+    """Allocates free ports, each only once in this process."""
 
     _allocated: set[int] = set()
 
@@ -121,10 +121,10 @@
 
 
 class Cluster:
-    """A cell on loopback. Leave it by the ``with`` block: it ends what it started."""
+    """A cell of real processes on loopback; leaving the ``with`` block ends them."""
 
     def __init__(self, layout: Layout) -> None:
-        """Lay out ports and files; nothing runs yet."""
+        """Allocate ports and write the settings files; start nothing yet."""
         self.layout = layout
         self._stack = ExitStack()
         self._ports = Ports()
@@ -152,7 +152,7 @@
         return self
 
     def __exit__(self, *exc_info: object) -> None:
-        """End all processes that this object started."""
+        """Kill all processes that this object started."""
         for daemon in self.daemons.values():
             self.kill(daemon.name)
         if self._standins is not None:
@@ -211,7 +211,7 @@
             os.kill(daemon.process.pid, number)
 
     def kill(self, name: str) -> None:
-        """End a daemon at once."""
+        """Kill a daemon, even one that is paused."""
         daemon = self.daemons[name]
         if daemon.process is None:
             return
@@ -221,22 +221,22 @@
         daemon.process.wait()
 
     def wait_ready(self, name: str) -> None:
-        """Wait until a daemon is ready and a member."""
+        """Wait until a daemon reports that it is ready and a member of the cell."""
         daemon = self.daemons[name]
         until = time.monotonic() + READY_SECONDS
         while time.monotonic() < until:
             if not daemon.is_running:
-                raise RuntimeError(f'{name} ended: {self.log_of(name)[-2000:]}')
+                raise RuntimeError(f'{name} exited: {self.log_of(name)[-2000:]}')
             reply = self.try_get(daemon, '/v1/status')
             if reply is not None and reply.status == 200:
                 status = reply.json()
                 if status['ready'] and status['is_member']:
                     return
             time.sleep(POLL_SECONDS)
-        raise RuntimeError(f'{name} did not get ready: {self.log_of(name)[-2000:]}')
+        raise RuntimeError(f'{name} did not become ready: {self.log_of(name)[-2000:]}')
 
     def wait_ownership_stable(self) -> None:
-        """Wait until ownership has stopped moving: scenarios begin from there."""
+        """Wait until shard ownership is stable, so that scenarios start from a fixed state."""
         until = time.monotonic() + READY_SECONDS
         previous_owners: list[Any] = []
         while time.monotonic() < until:
@@ -245,10 +245,10 @@
             if owners == previous_owners and all(owners):
                 return
             previous_owners = owners
-        raise RuntimeError('ownership did not settle')
+        raise RuntimeError('shard ownership did not become stable')
 
     def owners_in(self, zone: str) -> list[tuple[str, str]]:
-        """Return each shard's owner, nothing while some shard has none."""
+        """Return each shard and its owner, or nothing while a shard is missing or released."""
         name = next(one.name for one in self.daemons.values() if one.zone == zone)
         shards = self.admin(name, 'GET', '/v1/shards').json()
         expected = self.layout.workers + self.layout.endpoints + 1
@@ -257,20 +257,20 @@
         return [(shard['shard'], shard['owner']) for shard in shards]
 
     def log_of(self, name: str) -> str:
-        """Return what a daemon has written so far."""
+        """Return what a daemon has logged so far."""
         return self.daemons[name].log.read_text()
 
-    # Questions.
+    # Requests.
 
     def try_get(self, daemon: DaemonProcess, path: str) -> Reply | None:
-        """Return an answer of the admin port, ``None`` when there is none."""
+        """Send a GET request to the admin port; return ``None`` if there is no answer."""
         try:
             return exchange(daemon.address, daemon.admin_port, 'GET', path, timeout=2)
         except OSError:
             return None
 
     def admin(self, name: str, method: str, path: str, body: Any = None) -> Reply:
-        """Ask a daemon's admin port."""
+        """Send a request to a daemon's admin port."""
         daemon = self.daemons[name]
         return exchange(daemon.address, daemon.admin_port, method, path, body)
 
@@ -283,12 +283,12 @@
         headers: dict[str, str] | None = None,
         timeout: float = HTTP_TIMEOUT,
     ) -> Reply:
-        """Ask a daemon's callers' port."""
+        """Send a request to the port that a daemon serves callers on."""
         daemon = self.daemons[name]
         return exchange(daemon.address, daemon.caller_port, method, path, body, headers, timeout)
 
     def publish(self, contract: dict[str, Any], replaces: int = 0, name: str = '') -> Reply:
-        """Publish a contract through some daemon."""
+        """Publish a contract through the named daemon, or through the first one."""
         name = name or next(iter(self.daemons))
         path = f'/v1/contracts/{contract["customer"]}'
         body = {'contract': contract, 'replaces': replaces, 'author': 'operator'}
@@ -299,26 +299,29 @@
         headers = {'idempotency-key': key} if key else {}
         return self.request_as_caller(name, 'POST', '/v1/jobs', job, headers)
 
-    # Faults and evidence.
+    # Faults and records.
 
     def set_log_faults(self, **faults: Any) -> None:
-        """Replace the log's faults."""
+        """Replace the faults of the log stand-in."""
         exchange(LOOPBACK, self.log_port, 'POST', '/control/faults', faults)
 
     def set_host_faults(self, host: str, **faults: Any) -> None:
-        """Replace the faults of a worker or an endpoint."""
+        """Replace the faults of the stand-in of a worker or an endpoint."""
         entry = self.host(host)
         exchange(entry.address, entry.port, 'POST', '/control/faults', faults)
 
     def truncate_log(self, stream: str, first: int | None = None) -> None:
-        """Let records of a stream expire."""
+        """Drop the records of a stream before the offset ``first``, or all of them."""
         query = f'stream={stream}'
         if first is not None:
             query = f'{query}&first={first}'
         exchange(LOOPBACK, self.log_port, 'POST', f'/control/truncate?{query}')
 
     def cut(self, *pairs: tuple[str, str], closed: tuple[str, ...] = ()) -> None:
-        """Lose all bytes from the first to the second of each pair; replaces former cuts."""
+        """Replace all cuts: drop the bytes from the first to the second name of each pair.
+
+        Relays of the ``closed`` targets refuse connections.
+        """
         cuts = [{'source': source, 'target': target} for source, target in pairs]
         body = {'cuts': cuts, 'closed': list(closed)}
         exchange(LOOPBACK, self.control_port, 'POST', '/control/cuts', body)
@@ -329,11 +332,11 @@
         exchange(LOOPBACK, self.hosts_port, 'POST', '/control/hosts', body)
 
     def host(self, name: str) -> HostEntry:
-        """Return a host of the plan."""
+        """Return the host with this name."""
         return next(entry for entry in self.hosts if entry.name == name)
 
     def record(self, host: str) -> dict[str, Any]:
-        """Return what a worker or endpoint has done, by its own record."""
+        """Return what the stand-in of a worker or an endpoint has recorded."""
         entry = self.host(host)
         return exchange(entry.address, entry.port, 'GET', '/control/record').json()
 
@@ -346,7 +349,7 @@
         found = [run for record in self.records('worker') for run in record['runs']]
         return [run for run in found if job in {'', run['job']}]
 
-    # Laying out.
+    # Layout.
 
     def _plan_zone(self, index: int, zone: str) -> None:
         layout = self.layout
@@ -426,7 +429,7 @@
 
 
 def _kill_with_parent() -> None:
-    """Have the kernel end this process when the test run ends, however it does."""
+    """Have the kernel kill this process when the test process ends, even if that is killed."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
--- a/standins/_entry_hosts.py
+++ b/standins/_entry_hosts.py
@@ -1,4 +1,4 @@
-"""Real entry hosts as processes, each on a loopback address of its own."""
+"""Starts entry hosts as real processes, each on its own loopback address."""
 
 import json
 import os
@@ -33,18 +33,19 @@
 READINESS_PORT = 7802
 PEERS_PORT = 7810
 METRICS_PORT = 9464
-#: Seconds that nothing here takes on any machine.
+#: Seconds; longer than anything here takes, even on a slow machine.
 LONG_TIMEOUT = 60
-#: Seconds after which no start may rest on the room that a runner had before: 3 s in touch
-#: and one heartbeat of 1.5 s.
+#: Seconds after which no start may rely on a runner's previous capacity: 3 s for which
+#: a contact is valid, and one heartbeat interval of 1.5 s.
 CAPACITY_UPDATE_SECONDS = 4.5
-#: Seconds after which a configuration is in force everywhere, with a paused owner's.
+#: Seconds after which a configuration is in effect on all hosts, including an owner that
+#: was paused.
 CONFIGURATION_UPDATE_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
 class Reply:
-    """A host's answer; status 0 says that there was none."""
+    """A host's response; status 0 means that there was none."""
 
     status: int
     body: dict
@@ -52,10 +53,10 @@
 
 
 class EntryHosts:
-    """Starts, signals and asks entry hosts; ends only what it started."""
+    """Starts entry hosts, sends them signals and requests, and ends those that it started."""
 
     def __init__(self, platform: UsersPlatform, count: int = 3, block: int = 1) -> None:
-        """Use the addresses 127.0.``block``.1 and up."""
+        """Prepare ``count`` hosts on the addresses from 127.0.``block``.1 on."""
         self._platform = platform
         self._folder = TemporaryDirectory()
         self.names = [f'entry-{number}' for number in range(1, count + 1)]
@@ -65,7 +66,7 @@
         self.process_by_name: dict[str, subprocess.Popen] = {}
 
     def start(self, name: str) -> None:
-        """Start a host; its log goes to a file of its own."""
+        """Start a host that logs to its own file."""
         folder = Path(self._folder.name)
         settings = folder / f'{name}.toml'
         ports = self._platform.port_by_name
@@ -90,13 +91,13 @@
             )
 
     def send(self, name: str, number: int) -> None:
-        """Send a signal to a host that was started here."""
+        """Send a signal to a host if it still runs."""
         process = self.process_by_name[name]
         if process.poll() is None:
             process.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a host at once."""
+        """Kill a host and wait for its end."""
         self.send(name, signal.SIGKILL)
         self.process_by_name[name].wait()
 
@@ -109,7 +110,7 @@
         wait: float = 5,
         key: str = '',
     ) -> Reply:
-        """Ask one host as a client does, with an API key if there is one."""
+        """Send a client's request to one host, with an API key if one is given."""
         connection = HTTPConnection(self._address_by_name[name], CALLERS_PORT, timeout=wait)
         content = json.dumps(body) if isinstance(body, dict) else body
         try:
@@ -127,11 +128,11 @@
         return Reply(answer.status, json.loads(content_bytes) if content_bytes else {}, retry_after)
 
     def address_of(self, name: str) -> str:
-        """Return the IP of a host."""
+        """Return the IP address of a host."""
         return self._address_by_name[name]
 
     def is_ready(self, name: str) -> bool:
-        """Ask as the balancer does."""
+        """Query the readiness endpoint, as the load balancer does."""
         connection = HTTPConnection(self._address_by_name[name], READINESS_PORT, timeout=2)
         try:
             connection.request('GET', '/v1/readyz')
@@ -142,7 +143,7 @@
             connection.close()
 
     def metrics(self, name: str) -> str:
-        """Return what a host serves as metrics."""
+        """Return the metrics page of a host."""
         connection = HTTPConnection(self._address_by_name[name], METRICS_PORT, timeout=5)
         try:
             connection.request('GET', '/metrics')
@@ -155,7 +156,7 @@
         wait_for(lambda: all(self.is_ready(name) for name in self.process_by_name))
 
     def owner(self) -> str:
-        """Return the host that owns the cell, by its log."""
+        """Return the host that logged the newest ownership of the cell."""
         found = ''
         newest = 0
         for name in self.names:
@@ -165,11 +166,11 @@
         return found
 
     def log_of(self, name: str) -> str:
-        """Return what a host has written."""
+        """Return what a host has logged."""
         return (Path(self._folder.name) / f'{name}.log').read_text(errors='replace')
 
     def close(self) -> None:
-        """End all hosts."""
+        """Kill all hosts and delete their files."""
         for process in self.process_by_name.values():
             if process.poll() is None:
                 process.kill()
@@ -182,11 +183,11 @@
 
 
 def wait_for(condition, timeout: float = LONG_TIMEOUT) -> None:
-    """Wait until ``done()`` is true; raises ``TimeoutError``."""
+    """Wait until ``condition()`` is true; raises ``TimeoutError``."""
     until = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > until:
-            raise TimeoutError('it did not happen')
+            raise TimeoutError('the condition was not met in time')
         time.sleep(0.05)
 
 
@@ -210,14 +211,14 @@
 
 
 def count_crashes_by_task(runs: list[Run]) -> dict[str, int]:
-    """Return how many runners have crashed under each task."""
+    """Return for each task how often a runner crashed while running it."""
     return Counter(run.task for run in runs if run.outcome == 'crashed')
 
 
 def find_starts_over_capacity(
     runs: list[Run], capacity_changes_by_runner: dict[str, list[CapacityChange]]
 ) -> list[str]:
-    """Return the starts that brought a runner over the room that it had said for long."""
+    """Return the starts that took a runner over the capacity that hosts may assume."""
     found = []
     for run in runs:
         cpu_in_use = sum(
@@ -237,7 +238,7 @@
     account_by_job: dict[str, str],
     quotas: QuotaHistory,
 ) -> list[str]:
-    """Return the starts that brought an account over the highest quota that may be in force."""
+    """Return the starts that took an account over the highest quota that may be in effect."""
     found = []
     for run in runs:
         account = account_by_job.get(run.task.split('.')[0], '')
@@ -255,7 +256,7 @@
 
 
 def _capacity_at(capacity_changes: list[CapacityChange], at: float) -> int:
-    """Return the most that a runner has said within the time that hosts have to hear it."""
+    """Return the highest capacity that hosts may assume, given the time an update takes."""
     known_cpu = capacity_changes[0][1]
     recent_cpus = []
     for since, cpu in capacity_changes:
@@ -267,7 +268,7 @@
 
 
 def find_overallocated_runners(runs: list[Run], capacity: int = 8000) -> list[str]:
-    """Return the runners that held more than their processors at some time."""
+    """Return the runners whose tasks used more processors than they have at some time."""
     found = []
     now = time.monotonic()
     runners = {run.runner for run in runs}
--- a/standins/_evidence.py
+++ b/standins/_evidence.py
@@ -1,4 +1,4 @@
-"""Judges promises by the workers' and runners' own records, never by our logs."""
+"""Checks guarantees by the records of the stand-ins, never by the logs of the daemons."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def find_overallocated_workers(records: list[dict[str, Any]]) -> list[str]:
-    """Return the workers that were at some time given more than they have."""
+    """Return the workers whose tasks exceeded their capacity at some time."""
     found = []
     for record in records:
         for name in RESOURCES:
@@ -55,7 +55,7 @@
 
 
 def requests_by_mark(records: list[dict[str, Any]]) -> dict[str, list[dict[str, Any]]]:
-    """Return the requests that runners worked on, by the mark that their callers sent."""
+    """Return the requests that runners received, by the ``mark`` header of their callers."""
     found: dict[str, list[dict[str, Any]]] = {}
     for record in records:
         for request in record['requests']:
--- a/standins/_faults.py
+++ b/standins/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to show."""
+"""Faults that tests can set in a stand-in."""
 
 import curio
 import msgspec
@@ -7,11 +7,12 @@
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at present; all off by default.
+    """The faults in effect; all are off by default.
 
-    ``outage`` answers nothing; ``slow`` adds seconds to each answer;
-    ``lose_answers`` acts on that many requests and then drops the connection;
-    ``fail_tasks`` lets a worker fail everything it starts.
+    ``outage`` closes connections without an answer; ``slow`` delays each answer by so
+    many seconds; ``lose_answers`` is the number of requests that take effect and whose
+    answers are lost; ``fail_tasks`` makes a worker fail every task that it starts;
+    ``leaving`` makes a runner close each connection after its answer.
     """
 
     outage: bool = False
@@ -21,27 +22,27 @@
     leaving: bool = False
 
     async def apply_before(self) -> None:
-        """Apply what happens before a request is acted upon."""
+        """Apply the faults that act before a request takes effect."""
         if self.outage:
             raise CloseConnection
         if self.slow:
             await curio.sleep(self.slow)
 
     def apply_after(self) -> None:
-        """Apply what happens after it took effect."""
+        """Apply the faults that act after a request took effect."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
             raise CloseConnection
 
 
 class FaultSwitch:
-    """Lets a test set the faults of one stand-in over HTTP."""
+    """A stand-in whose faults tests set over HTTP."""
 
     def __init__(self) -> None:
         """Start without faults."""
         self.faults = Faults()
 
     def set(self, request: Request) -> Answer:
-        """Replace the faults by those of the body."""
+        """Replace the faults with those in the request body."""
         self.faults = msgspec.json.decode(request.body, type=Faults)
         return answer_json(self.faults)
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -13,7 +13,7 @@
 
 
 class HostsStandIn(FaultSwitch):
-    """A list that tests replace as a whole; its lag is the test's to make."""
+    """A list that tests replace as a whole, and late if they want it to be outdated."""
 
     def __init__(self, hosts: tuple[HostEntry, ...] = ()) -> None:
         """Start with ``hosts``."""
--- a/standins/_log.py
+++ b/standins/_log.py
@@ -22,7 +22,7 @@
 
 
 class LogCounts(msgspec.Struct):
-    """What the log has been asked."""
+    """Counts of the requests that the log has handled."""
 
     appends: int = 0
     records: int = 0
@@ -30,7 +30,7 @@
 
 
 class LogStandIn(FaultSwitch):
-    """Streams in memory, over the HTTP protocol of ``dandelionreel.backing``."""
+    """Streams in memory behind the HTTP protocol of ``dandelionreel.backing``."""
 
     def __init__(self) -> None:
         """Start with empty streams."""
--- a/standins/_memory_topic.py
+++ b/standins/_memory_topic.py
@@ -1,4 +1,4 @@
-"""A topic of the platform's store in memory, told to fail by tests."""
+"""An in-memory topic of the platform's store with faults that tests inject."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -20,12 +20,12 @@
 
 
 class MemoryTopic(Topic):
-    """Keeps records, the newest of each key, and the epoch of the fenced writer.
+    """Keeps all records, and the epoch and the sequence of the fenced writer.
 
-    ``faults`` are taken one for each append: ``refuse`` does nothing, ``lose``
-    appends and loses the answer, ``silence`` does nothing and stays silent,
-    ``late`` answers nothing and appends when ``land`` is called, ``grow`` lets
-    somebody else append right before.
+    Each append takes one of the ``faults``: ``refuse`` rejects it, ``lose`` appends
+    but loses the answer, ``silence`` does nothing and never answers, ``late``
+    doesn't answer and appends once ``apply_late_appends`` is called, ``grow`` lets
+    another writer append first.
     """
 
     def __init__(self) -> None:
@@ -47,17 +47,17 @@
         fence: WriterFence | None = None,
         expected_end: int | None = None,
     ) -> int:
-        """Append, or fail as told."""
+        """Append, or fail with the next fault."""
         self.appends += 1
         fault = self.faults.popleft() if self.faults else ''
         if self.down or fault == 'refuse':
             raise StoreError('refused', Verdict.NOT_RUN)
         if fault == 'silence':
             await curio.sleep(timeout)
-            raise StoreError('silent', Verdict.UNKNOWN)
+            raise StoreError('no answer', Verdict.UNKNOWN)
         if fault == 'late':
             self._late.append((records, fence, expected_end))
-            raise StoreError('silent', Verdict.UNKNOWN)
+            raise StoreError('no answer', Verdict.UNKNOWN)
         if fault == 'grow':
             self._append([KeyedRecord('other', b'{}')], None, None)
         offset = self._append(records, fence, expected_end)
@@ -66,18 +66,18 @@
         return offset
 
     def apply_late_appends(self) -> None:
-        """Carry out the late appends whose conditions still hold."""
+        """Apply the delayed appends whose conditions still hold."""
         for records, fence, expected_end in self._late:
             with suppress(StoreError):
                 self._append(records, fence, expected_end)
         self._late.clear()
 
     async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
-        """Return what follows ``offset``, waiting a little for news."""
+        """Return the records from ``offset`` on, after a short wait if there are none."""
         if self.down:
             raise StoreError('refused', Verdict.NOT_RUN)
         if offset < self.first:
-            raise RecordsExpired('gone')
+            raise RecordsExpired('the records have expired')
         if offset >= len(self.records):
             await curio.sleep(min(wait, 0.01))
         records = tuple(self.records[offset:])
@@ -92,7 +92,7 @@
         return RecordBatch(kept, len(self.records), len(self.records))
 
     async def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no connection is open."""
 
     def _append(
         self,
@@ -103,7 +103,7 @@
         if fence is not None and self._is_repeated(fence):
             return self._offset_by_sequence[fence.sequence]
         if expected_end is not None and expected_end != len(self.records):
-            raise ConflictError('grown', Verdict.NOT_RUN)
+            raise ConflictError('the topic has grown', Verdict.NOT_RUN)
         offset = len(self.records)
         for number, record in enumerate(records):
             self.records.append(KeyedRecord(record.key, record.content, offset + number))
@@ -113,7 +113,7 @@
         return offset
 
     def _is_repeated(self, fence: WriterFence) -> bool:
-        """Return whether the append was carried out before; raises ``FencedError``."""
+        """Return whether the append was applied before; raises ``FencedError``."""
         if fence.epoch < self._epoch:
             raise FencedError('fenced', Verdict.NOT_RUN)
         if fence.epoch > self._epoch:
--- a/standins/_other_writer.py
+++ b/standins/_other_writer.py
@@ -1,16 +1,16 @@
-"""Another writer in the runners' topic: entries that no runner has written."""
+"""Another writer in the runners' topic, which writes broken entries."""
 
 import json
 import random
 from collections.abc import Callable
 from threading import Event, Thread
 
-#: Seconds between two of its records, and between two heartbeats of the runners,
-#: which bring their own entries back.
+#: Seconds between two broken records, and between two heartbeats of the runners,
+#: which write their valid entries again.
 WRITE_SECONDS = 0.02
 HEARTBEAT_SECONDS = 0.3
 INVALID_UTF8 = b'\xff\xfe'
-#: One record of so many names no key.
+#: One in so many records has no valid key.
 KEYLESS_ONE_IN = 10
 DEEPLY_NESTED_JSON = b'[' * 5000 + b']' * 5000
 
@@ -18,7 +18,7 @@
 
 
 def make_record(rng: random.Random, key: str, entry: dict) -> bytes:
-    """Return a record, without its length, that was made from a runner's good entry."""
+    """Return a broken record, without its length prefix, made from a runner's valid entry."""
     content = json.dumps(entry).encode()
     changed = dict(entry)
     name = rng.choice(list(entry))
@@ -44,7 +44,7 @@
 
 
 class OtherWriter:
-    """Writes until it is stopped, while the runners go on writing their own entries."""
+    """Writes broken records in a thread, while the runners go on writing valid entries."""
 
     def __init__(
         self,
@@ -53,7 +53,10 @@
         entries: Callable[[], dict[str, dict]],
         write_heartbeats: Callable[[], None],
     ) -> None:
-        """Draw from ``seed``; ``entries`` are the runners' own, ``beat`` writes them."""
+        """Choose by ``seed``; ``entries`` are the runners' valid ones.
+
+        ``write_heartbeats`` writes these again.
+        """
         self._random = random.Random(seed)
         self._put_raw = put_raw
         self._entries = entries
@@ -63,11 +66,11 @@
         self.written = 0
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End it; the runners' entries are written once more."""
+        """Stop the thread and write the runners' valid entries once more."""
         self._stop_requested.set()
         self._thread.join()
         self._write_heartbeats()
@@ -76,7 +79,7 @@
         while not self._stop_requested.wait(WRITE_SECONDS):
             entries = self._entries()
             known_key = self._random.choice(list(entries))
-            # Half of its records are those of runners, the others name none.
+            # Half of the records have the key of a runner, the others an unknown key.
             unknown_key = f'i-strange-{self._random.randrange(1000)}'
             key = self._random.choice((known_key, unknown_key))
             self._put_raw(make_record(self._random, key, entries[known_key]))
--- a/standins/_plan.py
+++ b/standins/_plan.py
@@ -1,4 +1,4 @@
-"""What one process of stand-ins runs."""
+"""The plan file: what a process of stand-ins runs."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class RelayPlan(msgspec.Struct, frozen=True):
-    """A relay before one target."""
+    """A relay in front of one target."""
 
     target: str
     address: str
@@ -16,7 +16,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Ports and hosts; the process ends by itself after ``seconds``."""
+    """Ports, hosts and relays; the process ends by itself after ``seconds``."""
 
     address: str
     log_port: int
--- a/standins/_relay.py
+++ b/standins/_relay.py
@@ -1,7 +1,7 @@
 """A TCP relay whose links tests can cut, in one direction or in both.
 
-A cut swallows bytes and keeps connections open, as a lost network does; it
-refuses nothing. Daemons are told apart by the address that they connect from.
+A cut drops bytes and keeps connections open, as a network partition does; it
+refuses no connection. Daemons are identified by their source address.
 """
 
 from contextlib import AsyncExitStack
@@ -14,50 +14,51 @@
 from dandelionreel.http import Answer, Request, answer_json, connect, listen
 
 READ_SIZE = 65_536
-#: Whom a rule names to mean every source or target.
+#: Stands for every source or every target of a cut.
 ANY_NAME = '*'
 POLL_SECONDS = 0.05
-#: The senders' TCP_USER_TIMEOUT, which a relay's own socket hides from them.
+#: The TCP_USER_TIMEOUT of the senders. The relay applies it, since its socket
+#: acknowledges their bytes, so that their own timeout never runs out.
 TCP_USER_TIMEOUT_SECONDS = 1.0
 
 
 class Cut(msgspec.Struct, frozen=True):
-    """Bytes from ``source`` to ``target`` get lost."""
+    """Drops the bytes from ``source`` to ``target``."""
 
     source: str
     target: str
 
 
 class Cuts(msgspec.Struct):
-    """All cuts in force, and relays that refuse connections."""
+    """All cuts in effect, and the targets whose relays refuse connections."""
 
     cuts: tuple[Cut, ...] = ()
     closed: tuple[str, ...] = ()
 
 
 class LinkFaults:
-    """The cuts that all relays of one stand-in process obey."""
+    """The cuts that all relays of a process apply."""
 
     def __init__(self, name_by_address: dict[str, str]) -> None:
-        """Name sources by the addresses that they connect from."""
+        """Identify sources by the addresses that they connect from."""
         self._name_by_address = name_by_address
         self._cuts = Cuts()
 
     def replace(self, cuts: Cuts) -> None:
-        """Put these cuts in force instead of all others."""
+        """Replace all cuts."""
         self._cuts = cuts
 
     def handle(self, request: Request) -> Answer:
-        """Replace the cuts by those of the body."""
+        """Replace the cuts with those in the request body."""
         self._cuts = msgspec.json.decode(request.body, type=Cuts)
         return answer_json(self._cuts)
 
     def name(self, address: str) -> str:
-        """Return the name of a source."""
+        """Return the name that belongs to a source address."""
         return self._name_by_address.get(address, address)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Return whether bytes that way get lost."""
+        """Return whether bytes in this direction are dropped."""
         for cut in self._cuts.cuts:
             if cut.source in {source, ANY_NAME} and cut.target in {target, ANY_NAME}:
                 return True
@@ -69,7 +70,7 @@
 
 
 class Relay:
-    """Listens for one target and passes bytes on while no cut forbids it."""
+    """Listens in front of one target and forwards bytes that no cut drops."""
 
     def __init__(
         self,
@@ -78,7 +79,7 @@
         listen_address: tuple[str, int],
         target_address: tuple[str, int],
     ) -> None:
-        """Stand before ``target``."""
+        """Prepare a relay from ``listen_address`` to ``target_address``."""
         self._link_faults = link_faults
         self._target = target
         self._listen_address = listen_address
@@ -130,9 +131,9 @@
             await upstream.close()
 
     async def _wait_while_cut(self, source: str, target: str) -> bool:
-        """Hold bytes back while a cut lasts; False once TCP would give up.
+        """Wait while a cut lasts; return False once TCP would give up.
 
-        Bytes that a short cut meets arrive late, as from a send buffer.
+        Bytes held up by a short cut arrive late, as from a send buffer.
         """
         waited_seconds = 0.0
         while self._link_faults.is_cut(source, target):
--- a/standins/_runner.py
+++ b/standins/_runner.py
@@ -1,7 +1,7 @@
-"""A stand-in runner: eight slots, 64 connections, answers what it was asked.
+"""A stand-in for a runner, by default with eight slots and 64 connections.
 
-``POST /echo`` returns the body with a mark of the runner; the query's
-``seconds`` is how long it works. It records every request by its id.
+``POST /echo`` returns the body, the ``mark`` header and the name of the runner;
+the query's ``seconds`` is how long the work takes. Every request is recorded with its id.
 """
 
 import time
@@ -38,7 +38,7 @@
 
 
 class RunnerRecord(msgspec.Struct):
-    """All requests, and the most that were worked on at once."""
+    """All requests, and the highest number in progress at once."""
 
     runner: str
     slots: int
@@ -48,10 +48,10 @@
 
 
 class RunnerStandIn(FaultSwitch):
-    """One runner on a port of its own."""
+    """A runner on its own port."""
 
     def __init__(self, entry: HostEntry) -> None:
-        """Stand in for ``entry``."""
+        """Prepare the runner that ``entry`` describes."""
         super().__init__()
         self.entry = entry
         self._busy = 0
@@ -77,7 +77,7 @@
         return await self._work(request)
 
     def record(self) -> RunnerRecord:
-        """Return what was worked on here."""
+        """Return the requests that this runner has handled."""
         return RunnerRecord(self.entry.name, self.entry.slots, self._peak_busy, 0, self._requests)
 
     async def _work(self, request: Request) -> Answer:
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -1,7 +1,7 @@
-"""The users' platform in one thread: its store, runners and policy service, told to fail.
+"""A stand-in for the users' platform in one thread: store, runners and policy service.
 
-They speak the published protocol over HTTP, so the real daemons meet them through
-the adapter. Runners keep a record of every run, from which tests judge.
+They serve the published protocol over HTTP, so real daemons reach them through the
+adapter, and have faults that tests set. Runners record every run; tests check these records.
 """
 
 import base64
@@ -26,33 +26,33 @@
 MILLISECONDS = 1000
 STOP_SECONDS = 0.1
 POLL_SECONDS = 0.01
-#: Seconds between the start of a task that crashes its runner and the crash, and until
-#: the runner is back.
+#: Seconds from the start of a task that crashes its runner to the crash, and from the crash
+#: to the runner's restart.
 CRASH_DELAY_SECONDS = 0.01
 RESTART_SECONDS = 1.0
-#: Processors of a runner, in thousandths.
+#: Processors of a runner, in thousandths of one.
 FULL_CPU = 8000
 #: Seconds that the clock of a runner shows when the platform starts.
 INITIAL_CLOCK_SECONDS = 5000.0
-#: Seconds for which a runner keeps its tasks at the most without a renewal.
+#: Seconds for which a runner keeps its tasks without a renewal, at most.
 MAX_LEASE_SECONDS = 10.0
 SERVER_LIMITS = ServerLimits(idle_seconds=600)
 
 
 @dataclass
 class StoreFaults:
-    """What the store does to calls: shares between 0 and 1, seconds."""
+    """Faults of the store; shares are between 0 and 1, times in seconds."""
 
     down: bool = False
     lose_share: float = 0.0
     delay: float = 0.0
-    #: Addresses that are turned away.
+    #: Source addresses whose requests are refused.
     refused_hosts: set[str] = field(default_factory=set)
 
 
 class _Topic:
     def __init__(self) -> None:
-        #: Each with the length of its key, its key and its value.
+        #: Each consists of the length of its key, the key and the value.
         self.records: list[bytes] = []
         self.epoch = 0
         self.next_sequence = 0
@@ -69,16 +69,16 @@
         self.faults = StoreFaults()
 
     def put(self, topic: str, key: str, document: object) -> None:
-        """Write as the operator or as a runner does; ``None`` drops the key."""
+        """Write a record as the operator or a runner does; ``None`` deletes the key."""
         content = b'' if document is None else json.dumps(document).encode()
         self.put_raw(topic, bytes([len(key)]) + key.encode() + content)
 
     def put_raw(self, topic: str, record: bytes) -> None:
-        """Write as another writer may: whatever bytes the record has."""
+        """Write arbitrary bytes as a record, as another writer may."""
         self._topic(topic).records.append(record)
 
     async def handle(self, request: Request) -> Answer:
-        """Answer one call, or fail as told."""
+        """Answer a request, or fail as ``faults`` says."""
         if self.faults.delay:
             await curio.sleep(self.faults.delay)
         if self.faults.down:
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True)
 class AccountRow:
-    """One client account as the operator writes it; ``cpu`` of 0 is no limit."""
+    """A client account as the operator writes it; a ``cpu`` of 0 means no limit."""
 
     name: str
     keys: tuple[str, ...]
@@ -173,14 +173,14 @@
 
 
 class QuotaHistory:
-    """Which quota each account has had since when."""
+    """The quotas that each account has had over time."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without accounts."""
         self._quotas_by_account: dict[str, list[tuple[float, int]]] = {}
 
     def add_configuration(self, now: float, accounts: Sequence[AccountRow]) -> None:
-        """Take a new configuration; one that an account is not in puts no limit on it."""
+        """Add a new configuration; an account missing from it has no limit."""
         names = {row.name for row in accounts}
         for name in self._quotas_by_account.keys() - names:
             self._quotas_by_account[name].append((now, 0))
@@ -188,7 +188,7 @@
             self._quotas_by_account.setdefault(row.name, []).append((now, row.cpu))
 
     def get_highest(self, account: str, since: float, until: float) -> int:
-        """Return the highest quota that may have been in force in a time; 0 is no limit."""
+        """Return the highest quota that may have been in effect in a period; 0 means no limit."""
         found = []
         for number, (at, cpu) in enumerate(self._quotas_by_account.get(account, ())):
             later = self._quotas_by_account[account][number + 1 :]
@@ -197,13 +197,13 @@
         return 0 if not found or 0 in found else max(found)
 
 
-#: Since when a runner has so many processors: monotonic seconds, thousandths.
+#: Time of a change in monotonic seconds, and the processors from then on in thousandths.
 CapacityChange = tuple[float, int]
 
 
 @dataclass
 class Run:
-    """One run as its runner saw it; times are monotonic seconds."""
+    """A run as its runner recorded it; times are monotonic seconds."""
 
     task: str
     number: int
@@ -217,28 +217,28 @@
 
 
 class PlatformRunner:
-    """Starts what it is told, under a fence and one lease for all of it.
+    """Runs tasks under a fencing token and one lease for all of them.
 
     A task's payload says what it does: ``cpu seconds [fail | crash]``. One that crashes
-    its runner ends all that runs there, and breaks all connections; the runner is back
-    some time later, under another name or as another incarnation under the same one.
+    its runner ends all tasks there and breaks all connections; the runner restarts some
+    time later, under another name or as another incarnation of the same name.
     """
 
     def __init__(self, name: str, runs: list[Run], *, reports_incarnation: bool = False) -> None:
         """Record every run in ``runs``."""
         self.name = name
         self.is_down = False
-        #: The Unix millisecond at which the process started that answers now.
+        #: The Unix millisecond at which the current incarnation started.
         self.started_at_ms = int(time.time() * MILLISECONDS)
-        #: Whether connections to the former process are still to be closed.
+        #: Whether the connections to the crashed process are still to be closed.
         self.reset_pending = False
         self.reports_incarnation = reports_incarnation
-        #: Answers in place of the runner if it is set.
+        #: Handles requests instead of the runner if it is set.
         self.answer: Callable[[Request], Awaitable[Answer]] | None = None
         self._clock_zero = time.monotonic() - INITIAL_CLOCK_SECONDS
-        #: What the runner has said that it has, the latest last.
+        #: The capacities that the runner has reported, the latest last.
         self.capacity_changes: list[CapacityChange] = [(0.0, FULL_CPU)]
-        #: Called with the runner once it has crashed under a task.
+        #: Called with the runner after a task has crashed it.
         self.on_crash: Callable[[PlatformRunner], Awaitable[None]] | None = None
         self._runs = runs
         self._fencing_token = 0
@@ -253,7 +253,7 @@
         return time.monotonic() - self._clock_zero
 
     async def handle(self, request: Request) -> Answer:
-        """Answer one order or look."""
+        """Answer an order or a poll."""
         if self.is_down or self.reset_pending:
             raise CloseConnection
         if self.answer is not None:
@@ -274,7 +274,7 @@
         return await self._renew_and_poll(order)
 
     def advance(self) -> None:
-        """End what is due: tasks that are done or stopped, and lapsed leases."""
+        """End the tasks that are due: done, stopped, or with a lease that has expired."""
         now = time.monotonic()
         deadline = self._deadline + self._clock_zero
         for run in tuple(self._run_by_task.values()):
@@ -291,15 +291,15 @@
 
     @property
     def cpu(self) -> int:
-        """Return the processors that the runner says it has."""
+        """Return the processors that the runner reports."""
         return self.capacity_changes[-1][1]
 
     def resize(self, cpu: int) -> None:
-        """Have more or fewer processors from now on; what runs goes on."""
+        """Change the number of processors; running tasks go on."""
         self.capacity_changes.append((time.monotonic(), cpu))
 
     def crash(self) -> None:
-        """End everything that runs without a trace; ends not yet read are lost too."""
+        """End all tasks without reporting it; ends that were not read yet are lost too."""
         self.advance()
         for run in self._runs:
             if run.runner == self.name and run.task in {
@@ -314,9 +314,9 @@
         self.reset_pending = True
 
     def restart(self, name: str = '') -> None:
-        """Come back, which runs nothing and has seen no token; all counts start anew.
+        """Start again without tasks, fencing token or ends; all counters start anew.
 
-        Without a ``name`` it is the next incarnation under the name that it had.
+        Without a ``name`` it is the next incarnation of its old name.
         """
         self.name = name or self.name
         self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * MILLISECONDS))
@@ -329,7 +329,7 @@
         self.is_down = False
 
     async def _crash_if_requested(self, order: dict) -> None:
-        """Crash if the task that was just started does so, before the start is answered."""
+        """Crash before the start is answered if the started task asks for it."""
         if 'crash' not in order['spec'].split() or order['task'] not in self._run_by_task:
             return
         await curio.sleep(CRASH_DELAY_SECONDS)
@@ -378,7 +378,8 @@
         while not self._unacknowledged_ends and time.monotonic() < until:
             await curio.sleep(POLL_SECONDS)
             if self.is_down or self.started_at_ms != born:
-                # A crash ends all connections; the next life answers no look at this one.
+                # A crash breaks all connections: the next incarnation must not answer a poll
+                # that was sent to this one.
                 raise CloseConnection
             self.advance()
         running = [[run.task, run.number, '', 0, 0] for run in self._run_by_task.values()]
@@ -406,15 +407,15 @@
 
 
 class ResettableServer(Server):
-    """A server whose open connections end with the process that they reached."""
+    """A server that can close its connections, as if its process had ended."""
 
     async def reset(self) -> None:
-        """Close all connections; new ones are taken."""
+        """Close all connections; new ones are accepted."""
         await self._cancel_all()
 
 
 async def _reset_connections(runner: PlatformRunner, server: ResettableServer) -> None:
-    """Close the connections to a runner each time that it has crashed."""
+    """Close the connections to a runner after each of its crashes."""
     while True:
         if runner.reset_pending:
             await server.reset()
@@ -430,7 +431,7 @@
     ) -> None:
         """Prepare ``runners`` runners of the service ``desk``.
 
-        Where they tell their incarnation, they restart under the names that they had.
+        If they report their incarnation, they keep their names after a restart.
         """
         self.store = PlatformStore(seed)
         self.quotas = QuotaHistory()
@@ -444,7 +445,7 @@
         self._original_name_by_runner: dict[PlatformRunner, str] = {}
         self._target_by_relay: dict[str, str] = {}
         self._restart_count = 0
-        #: By every name that a runner had.
+        #: Has an entry for each name that a runner has had.
         self.capacity_changes_by_name: dict[str, list[CapacityChange]] = {}
         for runner in self.runners:
             runner.on_crash = self._restart_after_crash
@@ -453,7 +454,7 @@
         self._thread = threading.Thread(target=curio.run, args=(self._serve,), daemon=True)
 
     def start(self) -> None:
-        """Serve until ``stop``; runners register themselves."""
+        """Serve in a thread until ``stop``, and register the runners."""
         self._thread.start()
         self._ready.wait()
         for runner in self.runners:
@@ -465,7 +466,7 @@
         self._thread.join()
 
     def register(self, runner: PlatformRunner, *, state: str = 'ready') -> None:
-        """Write a runner's entry; a relay before it is what others see."""
+        """Write a runner's entry, with the port of its relay if it has one."""
         self.capacity_changes_by_name[runner.name] = runner.capacity_changes
         self.store.put('keyed.servers', runner.name, self.entry_of(runner, state))
 
@@ -489,7 +490,7 @@
         }
 
     def make_other_writer(self, seed: str) -> OtherWriter:
-        """Return a writer that fills the runners' topic with bad entries once started."""
+        """Return a writer that, once started, writes broken entries to the runners' topic."""
         return OtherWriter(
             seed,
             lambda record: self.store.put_raw('keyed.servers', record),
@@ -498,13 +499,13 @@
         )
 
     def add_relay(self, name: str, target: str) -> None:
-        """Put a relay called ``name`` before a server, before ``start``."""
+        """Add a relay called ``name`` in front of a server; only before ``start``."""
         self._target_by_relay[name] = target
 
     def configure(self, version: int = 1, accounts: Sequence[AccountRow] | None = None) -> None:
-        """Write a configuration with one plain queue and one that needs advice.
+        """Write a configuration with a plain queue and one that needs placement advice.
 
-        Without ``accounts`` no call needs a key.
+        Without ``accounts`` requests need no API key.
         """
         routes = []
         for number, name in enumerate(('plain', 'advised')):
@@ -529,13 +530,13 @@
         self.store.put('keyed.op', 'config', document)
 
     def collect_runs(self) -> list[Run]:
-        """Bring every runner up to now and return all runs."""
+        """End the tasks that are due on every runner, and return all runs."""
         for runner in self.runners:
             runner.advance()
         return list(self.runs)
 
     async def _restart_after_crash(self, runner: PlatformRunner) -> None:
-        """Let a crashed runner start again, and its old entry expire if its name changes."""
+        """Restart a crashed runner, and remove its old entry if its name changes."""
         await curio.sleep(RESTART_SECONDS)
         if runner.reports_incarnation:
             runner.restart()
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -1,6 +1,6 @@
-"""A stand-in worker over HTTP, with faults and a record of its own.
+"""A stand-in for a worker, served over HTTP, with faults.
 
-The record of what ran when, and with how much, is the tests' evidence.
+It records what ran when, and with which resources; tests check these records.
 """
 
 import time
@@ -31,7 +31,7 @@
 
 
 class RunRecord(msgspec.Struct):
-    """One start on this worker: the evidence. Times are monotonic seconds."""
+    """One start on this worker. Times are monotonic seconds."""
 
     worker: str
     task: str
@@ -47,7 +47,7 @@
 
 
 class WorkerRecord(msgspec.Struct):
-    """All starts, and the most that was in use at once."""
+    """All starts, and the highest use of each resource."""
 
     worker: str
     capacity: Resources
@@ -56,10 +56,10 @@
 
 
 class WorkerStandIn(FaultSwitch):
-    """One worker on a port of its own."""
+    """A worker on its own port."""
 
     def __init__(self, entry: HostEntry) -> None:
-        """Stand in for ``entry``."""
+        """Prepare the worker that ``entry`` describes."""
         super().__init__()
         self.entry = entry
         self._worker = MemoryWorker(entry)
