--- a/features/run.py
+++ b/features/run.py
@@ -60,18 +60,24 @@
     configuration.paths = [path]
     runner = Runner(configuration)
     has_failed = runner.run()
-    scenarios = [one for feature in runner.features for one in feature.walk_scenarios()]
-    known_failures = [one for one in scenarios if is_known_red(one, known_red)]
+    scenarios = [scenario for feature in runner.features for scenario in feature.walk_scenarios()]
+    known_failures = [scenario for scenario in scenarios if is_known_red(scenario, known_red)]
     passed = sum(
-        1 for one in scenarios if one.status is Status.passed and one not in known_failures
+        1
+        for scenario in scenarios
+        if scenario.status is Status.passed and scenario not in known_failures
     )
     failed = [
-        one for one in scenarios if one.status not in NOT_FAILED and one not in known_failures
+        scenario
+        for scenario in scenarios
+        if scenario.status not in NOT_FAILED and scenario not in known_failures
     ]
-    for one in known_failures:
-        sys.stdout.write(f'KNOWN RED {one.location}: {one.name}: {one.status.name}\n')
-    for one in failed:
-        sys.stdout.write(f'FAILED {one.location}: {one.name}\n')
+    for scenario in known_failures:
+        sys.stdout.write(
+            f'KNOWN RED {scenario.location}: {scenario.name}: {scenario.status.name}\n'
+        )
+    for scenario in failed:
+        sys.stdout.write(f'FAILED {scenario.location}: {scenario.name}\n')
     could_not_run = bool(has_failed) and not failed and not known_failures
     if could_not_run:
         sys.stdout.write(f'FAILED {path}: it could not be run\n')
--- a/standins/_cluster.py
+++ b/standins/_cluster.py
@@ -249,7 +249,7 @@
 
     def owners_in(self, zone: str) -> list[tuple[str, str]]:
         """Return each shard and its owner, or nothing while a shard is missing or released."""
-        name = next(one.name for one in self.daemons.values() if one.zone == zone)
+        name = next(daemon.name for daemon in self.daemons.values() if daemon.zone == zone)
         shards = self.admin(name, 'GET', '/v1/shards').json()
         expected = self.layout.workers + self.layout.endpoints + 1
         if len(shards) != expected or any(shard['released'] for shard in shards):
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -33,7 +33,9 @@
     def _list(self, request: Request) -> Answer:
         zone = request.query_by_name.get('availability_zone', '')
         listed = tuple(
-            one for one in self.hosts if one.kind == 'entry' or zone in {'', one.availability_zone}
+            host
+            for host in self.hosts
+            if host.kind == 'entry' or zone in {'', host.availability_zone}
         )
         body = msgspec.json.encode(HostsDone(listed))
         entity_tag = f'"{xxhash.xxh64_hexdigest(body)}"'
