--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -47,7 +47,7 @@
         settings.zone,
         codec,
         reads.configuration,
-        AccessControl(reads.configuration, exchange, settings.longest_key_age),
+        AccessControl(reads.configuration, exchange, settings.max_key_age),
         reads.cell,
         follower,
         writes,
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -185,7 +185,7 @@
         )
         self._client_server = Server(
             self._client_api.handle,
-            ServerLimits(connections=settings.connections),
+            ServerLimits(connections=settings.max_connections),
             # Closes kept connections of an unready host: its clients would otherwise go on
             # sending requests in vain to a host that the balancer has taken out.
             self._readiness.is_unready,
@@ -306,8 +306,8 @@
             journal=self._journal,
             host=settings.host,
             gang_timeout=settings.gang_timeout,
-            longest_lease=settings.longest_lease,
-            status_kept=settings.status_kept,
+            longest_lease=settings.max_lease,
+            status_kept=settings.status_retention,
             get_runner_list_age=lambda: self._reads.runners_follower.age(self._clock.monotonic()),
         )
         while True:
@@ -358,7 +358,7 @@
         self._journal.tell(Part.LIFE, 'is stopping; it is not ready any more.')
         if self._dispatcher is not None:
             await self._dispatcher.end()
-        deadline = stop_began_at + self._settings.grace - EXIT_MARGIN_SECONDS
+        deadline = stop_began_at + self._settings.stop_grace - EXIT_MARGIN_SECONDS
         while self._clock.monotonic() < min(deadline, stop_began_at + BALANCER_NOTICE_SECONDS):
             await curio.sleep(POLL_SECONDS)
         self._client_server.finish()
--- a/dandelionreel/platform/_settings.py
+++ b/dandelionreel/platform/_settings.py
@@ -67,8 +67,8 @@
     """One host's place and surroundings; all durations in seconds.
 
     ``peers`` is where this host's daemon listens for its peers, on the first
-    of the ports that are free for that. ``longest_lease`` is what runners cut
-    leases to. ``longest_key_age`` is how old the configuration may be by which API keys
+    of the ports that are free for that. ``max_lease`` is what runners cut
+    leases to. ``max_key_age`` is how old the configuration may be by which API keys
     are checked, ``None`` for any age. ``seeds`` are where some peers listen, which may be
     out of date: a host that has read of no peer asks there.
     """
@@ -82,12 +82,12 @@
     metrics: Address
     store: Address
     advice: Address | None
-    grace: float
-    longest_lease: float
+    stop_grace: float
+    max_lease: float
     gang_timeout: float
-    status_kept: float
-    longest_key_age: float | None
-    connections: int
+    status_retention: float
+    max_key_age: float | None
+    max_connections: int
     cores: float
 
 
@@ -146,12 +146,12 @@
         metrics=Address(decoded.ip, first_port + 1),
         store=parse_address(decoded.platform.address),
         advice=parse_address(decoded.advice) if decoded.advice else None,
-        grace=bounds.grace_s,
-        longest_lease=bounds.max_hold_ms / MILLISECONDS,
+        stop_grace=bounds.grace_s,
+        max_lease=bounds.max_hold_ms / MILLISECONDS,
         gang_timeout=bounds.gang_timeout_ms / MILLISECONDS,
-        status_kept=bounds.status_s,
-        longest_key_age=bounds.revoke_ms / MILLISECONDS if bounds.revoke_strict else None,
+        status_retention=bounds.status_s,
+        max_key_age=bounds.revoke_ms / MILLISECONDS if bounds.revoke_strict else None,
         # The share of one core, and how many times as fast as one it is.
         cores=decoded.limits.cpu_share * decoded.limits.cores,
-        connections=max(FEWEST_CONNECTIONS, decoded.limits.max_fds - RESERVED_DESCRIPTORS),
+        max_connections=max(FEWEST_CONNECTIONS, decoded.limits.max_fds - RESERVED_DESCRIPTORS),
     )
