--- a/dandelionreel/platform/_accounts.py
+++ b/dandelionreel/platform/_accounts.py
@@ -16,12 +16,12 @@
 
 #: Stands for "no limit", more than any cell has; exact in JSON.
 UNLIMITED = 9_007_199_254_740_992
-LARGEST_WEIGHT = 1e9
-LONGEST_NAME = 255
+MAX_WEIGHT = 1e9
+MAX_NAME_LENGTH = 255
 
 Amount = Annotated[int, msgspec.Meta(ge=0, lt=UNLIMITED)]
-Weight = Annotated[float, msgspec.Meta(gt=0, le=LARGEST_WEIGHT)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_NAME)]
+Weight = Annotated[float, msgspec.Meta(gt=0, le=MAX_WEIGHT)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Key = Annotated[str, msgspec.Meta(min_length=1)]
 
 
@@ -38,8 +38,8 @@
     maximum: _Maximum | None = None
 
 
-_TENANT = msgspec.json.Decoder(_Tenant)
-_ANY = msgspec.json.Decoder()
+_TENANT_DECODER = msgspec.json.Decoder(_Tenant)
+_ANY_DECODER = msgspec.json.Decoder()
 
 
 class AccountDecoder:
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         """Start without a former version."""
         self._account_by_row: dict[bytes, tuple[Account[Demand] | None, tuple[str, ...]]] = {}
-        self._former: Accounts | None = None
+        self._previous: Accounts | None = None
 
     def decode(self, rows: Sequence[msgspec.Raw]) -> Accounts:
         """Return the accounts, with all that is wrong with them."""
@@ -59,21 +59,21 @@
             content = bytes(row)
             decoded = self._account_by_row.get(content) or _decode_row(content)
             account_by_row[content] = decoded
-            account, wrong = decoded
-            problems.extend(wrong)
+            account, row_problems = decoded
+            problems.extend(row_problems)
             if account is not None:
                 accounts.append(account)
         self._account_by_row = account_by_row
-        directory = AccountDirectory(accounts, self._former)
+        directory = AccountDirectory(accounts, self._previous)
         directory.problems.extend(problems)
-        self._former = directory
+        self._previous = directory
         return directory
 
 
 def _decode_row(content: bytes) -> tuple[Account[Demand] | None, tuple[str, ...]]:
     """Return the account of a row and what is wrong with it; no message names a key."""
     try:
-        return _account(decode_json(_TENANT, content)), ()
+        return _to_account(decode_json(_TENANT_DECODER, content)), ()
     except UnreadableError:
         return _decode_fields(content)
 
@@ -81,45 +81,47 @@
 def _decode_fields(content: bytes) -> tuple[Account[Demand] | None, tuple[str, ...]]:
     """Return what can be used of a row, field by field."""
     try:
-        fields = decode_json(_ANY, content)
+        fields = decode_json(_ANY_DECODER, content)
         name = msgspec.convert(fields.get('name') if isinstance(fields, dict) else None, Name)
     except ValueError:
         return None, ('an account without a usable name is left out',)
-    wrong: list[str] = []
-    weight = _convert(fields, 'weight', Weight, 1.0)
+    row_problems: list[str] = []
+    weight = _convert_field(fields, 'weight', Weight, 1.0)
     if weight is None:
-        wrong.append(f'the weight of account {name!r} cannot be used, it counts as 1')
-    maximum = _convert(fields, 'maximum', _Maximum, _Maximum())
+        row_problems.append(f'the weight of account {name!r} cannot be used, it counts as 1')
+    maximum = _convert_field(fields, 'maximum', _Maximum, _Maximum())
     if maximum is None:
-        wrong.append(f'the maximum of account {name!r} cannot be used, it has none')
-    listed = fields.get('api_keys', [])
-    keys = tuple(key for key in listed if isinstance(key, str) and key) if _is_list(listed) else ()
-    if not _is_list(listed) or len(keys) != len(listed):
-        wrong.append(f'account {name!r} has keys that cannot be used, the others count')
+        row_problems.append(f'the maximum of account {name!r} cannot be used, it has none')
+    raw_keys = fields.get('api_keys', [])
+    keys = (
+        tuple(key for key in raw_keys if isinstance(key, str) and key) if _is_list(raw_keys) else ()
+    )
+    if not _is_list(raw_keys) or len(keys) != len(raw_keys):
+        row_problems.append(f'account {name!r} has keys that cannot be used, the others count')
     tenant = _Tenant(name, keys, weight or 1.0, maximum or _Maximum())
-    return _account(tenant), tuple(wrong)
+    return _to_account(tenant), tuple(row_problems)
 
 
-def _is_list(listed: Any) -> bool:
-    return isinstance(listed, list)
+def _is_list(raw_keys: Any) -> bool:
+    return isinstance(raw_keys, list)
 
 
-def _convert(fields: dict[str, Any], name: str, kind: Any, default: Any) -> Any:
+def _convert_field(fields: dict[str, Any], name: str, field_type: Any, default: Any) -> Any:
     """Return a field, its default where it is missing, ``None`` where it cannot be used."""
     if name not in fields:
         return default
     try:
-        return msgspec.convert(fields[name], kind)
+        return msgspec.convert(fields[name], field_type)
     except ValueError:
         return None
 
 
-def _account(tenant: _Tenant) -> Account[Demand]:
+def _to_account(tenant: _Tenant) -> Account[Demand]:
     digests = frozenset(digest_key(key) for key in tenant.api_keys)
-    return Account(tenant.name, tenant.weight, _quota(tenant.maximum), digests)
+    return Account(tenant.name, tenant.weight, _to_quota(tenant.maximum), digests)
 
 
-def _quota(maximum: _Maximum | None) -> Demand | None:
+def _to_quota(maximum: _Maximum | None) -> Demand | None:
     """Return what may run; an amount of 0 is no limit."""
     if maximum is None or maximum == _Maximum():
         return None
--- a/dandelionreel/platform/_advice.py
+++ b/dandelionreel/platform/_advice.py
@@ -17,7 +17,7 @@
 from dandelionreel.platform._settings import Address
 
 #: The service takes at most this many runners in one call.
-RUNNERS_PER_CALL = 100
+MAX_RUNNERS_PER_CALL = 100
 HTTP_OK = 200
 
 
@@ -25,7 +25,7 @@
     allowed: list[tuple[str, str]] = []
 
 
-_ALLOWED = msgspec.json.Decoder(_Allowed)
+_ALLOWED_DECODER = msgspec.json.Decoder(_Allowed)
 
 
 class HttpAdvice(AdviceService):
@@ -42,7 +42,7 @@
         timeout: float,
     ) -> tuple[Permit, ...]:
         """Return the permits among ``runners``, which are incarnations."""
-        incarnation_by_id = {runner_id(one): one for one in runners[:RUNNERS_PER_CALL]}
+        incarnation_by_id = {runner_id(one): one for one in runners[:MAX_RUNNERS_PER_CALL]}
         fields = {
             'step': f'{step.job}.{step.occurrence}.{step.step}',
             'workers': list(incarnation_by_id),
@@ -56,7 +56,7 @@
         if answer.status != HTTP_OK:
             raise AdviceError(f'the policy service answered {answer.status}')
         try:
-            decoded = decode_json(_ALLOWED, answer.body)
+            decoded = decode_json(_ALLOWED_DECODER, answer.body)
         except UnreadableError as error:
             raise AdviceError(f'the answer cannot be read: {error}') from error
         return tuple(
--- a/dandelionreel/platform/_configuration.py
+++ b/dandelionreel/platform/_configuration.py
@@ -12,16 +12,16 @@
 MILLISECONDS = 1000
 #: Versions are whole and exact in JSON up to here. An absurd one would keep every later
 #: version from coming into force.
-LARGEST = 9_007_199_254_740_992
+JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 
-Version = Annotated[int, msgspec.Meta(ge=0, lt=LARGEST)]
-Number = Annotated[float, msgspec.Meta(ge=0)]
+Version = Annotated[int, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class _Advice(msgspec.Struct, frozen=True):
-    decision_ms: Number = 0
-    period_ms: Number = 0
-    valid_ms: Number = 2000
+    decision_ms: NonNegative = 0
+    period_ms: NonNegative = 0
+    valid_ms: NonNegative = 2000
 
 
 class _Route(msgspec.Struct, frozen=True):
@@ -29,11 +29,11 @@
     host: str
     path_prefix: str
     service: str = ''
-    timeout_ms: Number = 3000
-    target_latency_ms: Number = 0
+    timeout_ms: NonNegative = 3000
+    target_latency_ms: NonNegative = 0
     priority: int = 0
     max_attempts: int = 1
-    slack_factor: Number = 1
+    slack_factor: NonNegative = 1
     advice: _Advice | None = None
     public: bool = False
 
@@ -73,17 +73,17 @@
             Service(entry.name, entry.enforces_capacity, entry.standby)
             for entry in document.services
         )
-        rows = document.tenants
+        tenant_rows = document.tenants
         return Configuration(
             document.version,
-            tuple(_queue(route) for route in document.routes),
+            tuple(_to_queue(route) for route in document.routes),
             services,
             document.limits.max_body_bytes,
-            None if rows is None else self._accounts.decode(rows),
+            None if tenant_rows is None else self._accounts.decode(tenant_rows),
         )
 
 
-def _queue(route: _Route) -> Queue:
+def _to_queue(route: _Route) -> Queue:
     advice = None
     if route.advice is not None:
         advice = AdvicePolicy(
--- a/dandelionreel/platform/_framing.py
+++ b/dandelionreel/platform/_framing.py
@@ -24,9 +24,9 @@
 )
 from dandelionreel.kernel import Verdict
 
-LENGTH = struct.Struct('>I')
+RECORD_LENGTH = struct.Struct('>I')
 #: A read's answer begins with the topic's end and its first kept offset.
-READ_HEAD = struct.Struct('>QQ')
+READ_HEADER = struct.Struct('>QQ')
 
 
 class _Row(msgspec.Struct, rename={'content': 'value'}, frozen=True):
@@ -41,7 +41,7 @@
     has_more: bool = False
 
 
-_DOCUMENT = msgspec.json.Decoder(_Document)
+_DOCUMENT_DECODER = msgspec.json.Decoder(_Document)
 
 
 @dataclass(frozen=True)
@@ -59,14 +59,14 @@
 
     A record that the answer holds only in part is left to the next read.
     """
-    if len(raw) < READ_HEAD.size:
+    if len(raw) < READ_HEADER.size:
         raise StoreError('the answer to a read is cut short', Verdict.NOT_RUN)
-    end, first = READ_HEAD.unpack_from(raw)
-    position = READ_HEAD.size
+    end, first = READ_HEADER.unpack_from(raw)
+    position = READ_HEADER.size
     records: list[KeyedRecord] = []
-    while position + LENGTH.size <= len(raw):
-        length = LENGTH.unpack_from(raw, position)[0]
-        begin = position + LENGTH.size
+    while position + RECORD_LENGTH.size <= len(raw):
+        length = RECORD_LENGTH.unpack_from(raw, position)[0]
+        begin = position + RECORD_LENGTH.size
         if begin + length > len(raw):
             break
         position = begin + length
@@ -102,14 +102,14 @@
 def decode_page(raw: bytes) -> Page:
     """Return a page of newest records; raises ``StoreError`` when it is no page."""
     try:
-        document = decode_json(_DOCUMENT, raw)
+        document = decode_json(_DOCUMENT_DECODER, raw)
     except UnreadableError:
-        return _decode_rows(raw)
-    records = tuple(_read_row(row) for row in document.entries)
-    return Page(records, document.end, document.has_more, _last_key(records))
+        return _decode_page_by_row(raw)
+    records = tuple(_decode_row(row) for row in document.entries)
+    return Page(records, document.end, document.has_more, _find_last_key(records))
 
 
-def _decode_rows(raw: bytes) -> Page:
+def _decode_page_by_row(raw: bytes) -> Page:
     """Return a page row by row, where one of them makes the page unreadable as a whole.
 
     The decoder that is used otherwise takes no page with half a surrogate pair in one
@@ -117,30 +117,30 @@
     """
     try:
         document = json.loads(raw.decode(errors='replace'))
-        shape = msgspec.convert(document, _Shape)
+        raw_page = msgspec.convert(document, _RawDocument)
     except (ValueError, RecursionError) as error:
         raise StoreError(f'a page cannot be read: {error}', Verdict.NOT_RUN) from error
-    records = tuple(_convert_row(row) for row in shape.entries)
-    return Page(records, shape.end, shape.has_more, _last_key(records))
+    records = tuple(_decode_raw_row(row) for row in raw_page.entries)
+    return Page(records, raw_page.end, raw_page.has_more, _find_last_key(records))
 
 
-class _Shape(msgspec.Struct, rename={'entries': 'items'}, frozen=True):
+class _RawDocument(msgspec.Struct, rename={'entries': 'items'}, frozen=True):
     entries: list[Any]
     end: int
     has_more: bool = False
 
 
-def _convert_row(raw: Any) -> KeyedRecord:
+def _decode_raw_row(raw: Any) -> KeyedRecord:
     key = raw.get('key') if isinstance(raw, dict) else None
-    if not isinstance(key, str) or not _is_text(key):
+    if not isinstance(key, str) or not _is_encodable(key):
         return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no key'))
     try:
-        return _read_row(msgspec.convert(raw, _Row))
+        return _decode_row(msgspec.convert(raw, _Row))
     except ValueError as error:
         return KeyedRecord(key, None, error=UnreadableError(Reason.FRAME, f'{error}'))
 
 
-def _is_text(key: str) -> bool:
+def _is_encodable(key: str) -> bool:
     """Return whether a key is text that can be written: half a surrogate pair is not."""
     try:
         return bool(key.encode())
@@ -148,7 +148,7 @@
         return False
 
 
-def _read_row(row: _Row) -> KeyedRecord:
+def _decode_row(row: _Row) -> KeyedRecord:
     if not row.key:
         return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no key'))
     try:
@@ -159,6 +159,6 @@
     return KeyedRecord(row.key, content or None, row.offset)
 
 
-def _last_key(records: tuple[KeyedRecord, ...]) -> str:
+def _find_last_key(records: tuple[KeyedRecord, ...]) -> str:
     """Return the last key that is known: items without one are read again behind it."""
     return next((record.key for record in reversed(records) if record.key), '')
--- a/dandelionreel/platform/_registrations.py
+++ b/dandelionreel/platform/_registrations.py
@@ -17,18 +17,18 @@
 MILLISECONDS = 1000
 #: More than any machine has of anything; a larger amount is a mistake, and would let
 #: every task fit.
-LARGEST_AMOUNT = 2_147_483_648
+MAX_AMOUNT = 2_147_483_648
 #: Milliseconds for which a draining runner may say that it stays: a day.
-LONGEST_STAY = 86_400_000
-LONGEST_NAME = 255
+MAX_REMAINING_MS = 86_400_000
+MAX_NAME_LENGTH = 255
 
-Amount = Annotated[int, msgspec.Meta(ge=0, le=LARGEST_AMOUNT)]
-Number = Annotated[float, msgspec.Meta(ge=0)]
+Amount = Annotated[int, msgspec.Meta(ge=0, le=MAX_AMOUNT)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 #: Milliseconds are whole and exact up to here in JSON.
-LARGEST = 9_007_199_254_740_992
+JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 #: The Unix millisecond at which a runner's process started.
-Started = Annotated[int, msgspec.Meta(ge=1, lt=LARGEST)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_NAME)]
+StartMilliseconds = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 
 
 class _Capacity(msgspec.Struct, frozen=True):
@@ -50,13 +50,13 @@
     version: str
     slots: Amount
     state: Literal['ready', 'draining']
-    cold_left_ms: Number
+    cold_left_ms: NonNegative
     sequence: int
     capacity: _Capacity
     labels: tuple[str, ...]
     #: The start of the process that wrote the entry.
-    born: Started | msgspec.UnsetType = msgspec.UNSET
-    remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=LONGEST_STAY)] | None = None
+    born: StartMilliseconds | msgspec.UnsetType = msgspec.UNSET
+    remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_REMAINING_MS)] | None = None
 
 
 _DECODER = msgspec.json.Decoder(_Entry)
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -34,18 +34,18 @@
 #: takes some tens. An order that stays unanswered is simply repeated.
 ORDER_TIMEOUT = 0.4
 #: Seconds beyond the time that a poll may wait at the runner.
-POLL_TIMEOUT = 0.6
+POLL_TIMEOUT_MARGIN = 0.6
 #: Connections for orders to one runner: one unanswered order must not hold up
 #: the starts behind it.
-ORDER_CHANNELS = 3
+ORDER_CONNECTIONS = 3
 
 #: Lists runs and ends; renews leases and acknowledges ends where it is told to.
 POLL_PATH = '/v1/hold'
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
 HTTP_CONFLICT = 409
-HTTP_REPLACED = 421
-UNHEALTHY = frozenset((429, 503))
+HTTP_MISDIRECTED = 421
+UNHEALTHY_STATUSES = frozenset((429, 503))
 MILLISECONDS = 1000
 
 _REPLY_BY_REASON = {
@@ -57,12 +57,12 @@
 }
 
 
-class _Clock(msgspec.Struct):
+class _OrderReply(msgspec.Struct):
     clock_ms: float | None = None
     reason: str = ''
 
 
-_CLOCK = msgspec.json.Decoder(_Clock)
+_ORDER_REPLY_DECODER = msgspec.json.Decoder(_OrderReply)
 
 
 def encode_task(task: TaskName) -> str:
@@ -82,9 +82,9 @@
             ('content-type', 'application/json'),
             ('x-expected-instance', runner_id(registration.runner)),
         )
-        self._polls = self._make_channel()
-        self._orders = [self._make_channel() for _ in range(ORDER_CHANNELS)]
-        self._next_order = 0
+        self._poll_channel = self._make_channel()
+        self._order_channels = [self._make_channel() for _ in range(ORDER_CONNECTIONS)]
+        self._next_channel = 0
         self._epoch = 0
 
     async def start(self, order: StartOrder, check: Check) -> StartAnswer:
@@ -101,19 +101,19 @@
         if order.ticket:
             fields['ticket'] = order.ticket
         try:
-            answer = await self._order('/v1/run-start', fields, check)
+            answer = await self._send_order('/v1/run-start', fields, check)
         except RunnerReplaced:
             return StartAnswer(StartReply.REPLACED, None)
         except RunnerFenced:
             return StartAnswer(StartReply.FENCED, None)
-        clock, reason = _read_clock(answer)
+        clock, reason = _decode_order_reply(answer)
         if answer.status == HTTP_OK:
             return StartAnswer(StartReply.STARTED, clock)
         if answer.status == HTTP_CONFLICT:
             return StartAnswer(_REPLY_BY_REASON.get(reason, StartReply.INVALID), clock)
-        if answer.status == HTTP_REPLACED:
+        if answer.status == HTTP_MISDIRECTED:
             return StartAnswer(StartReply.REPLACED, None)
-        if answer.status in UNHEALTHY:
+        if answer.status in UNHEALTHY_STATUSES:
             return StartAnswer(StartReply.UNHEALTHY, clock)
         if answer.status == HTTP_BAD_REQUEST:
             return StartAnswer(StartReply.INVALID, clock)
@@ -122,7 +122,7 @@
     async def stop(self, task: TaskName, run: int, epoch: int) -> None:
         """Stop a run."""
         fields = {'task': encode_task(task), 'run': run, 'fencing_token': epoch}
-        self._check_answer(await self._order('/v1/run-stop', fields))
+        self._check_answer(await self._send_order('/v1/run-stop', fields))
 
     async def poll(
         self,
@@ -137,7 +137,9 @@
             fields['deadline_ms'] = int(lease_until * MILLISECONDS)
         if wait:
             fields['wait_ms'] = int(wait * MILLISECONDS)
-        answer = await self._call(self._polls, POLL_PATH, fields, POLL_TIMEOUT + wait)
+        answer = await self._exchange(
+            self._poll_channel, POLL_PATH, fields, POLL_TIMEOUT_MARGIN + wait
+        )
         self._check_answer(answer)
         view = decode_view(answer.body)
         self._check_incarnation(view)
@@ -145,7 +147,7 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        for channel in (self._polls, *self._orders):
+        for channel in (self._poll_channel, *self._order_channels):
             await channel.close()
 
     def _make_channel(self) -> Channel:
@@ -178,21 +180,23 @@
     def _check_answer(self, answer: Answer) -> None:
         if answer.status == HTTP_OK:
             return
-        if answer.status == HTTP_REPLACED:
+        if answer.status == HTTP_MISDIRECTED:
             raise RunnerReplaced(self._runner)
         if answer.status == HTTP_CONFLICT:
-            _, reason = _read_clock(answer)
+            _, reason = _decode_order_reply(answer)
             if reason == 'fence':
                 raise RunnerFenced(self._runner)
             return
         raise RunnerError(f'the runner answered {answer.status}', Verdict.NOT_RUN)
 
-    async def _order(self, path: str, fields: dict[str, Any], check: Check | None = None) -> Answer:
-        self._next_order = (self._next_order + 1) % ORDER_CHANNELS
-        channel = self._orders[self._next_order]
-        return await self._call(channel, path, fields, ORDER_TIMEOUT, check)
+    async def _send_order(
+        self, path: str, fields: dict[str, Any], check: Check | None = None
+    ) -> Answer:
+        self._next_channel = (self._next_channel + 1) % ORDER_CONNECTIONS
+        channel = self._order_channels[self._next_channel]
+        return await self._exchange(channel, path, fields, ORDER_TIMEOUT, check)
 
-    async def _call(
+    async def _exchange(
         self,
         channel: Channel,
         path: str,
@@ -209,9 +213,9 @@
             raise RunnerError(f'{error}', verdict, connection_broken=broken) from error
 
 
-def _read_clock(answer: Answer) -> tuple[float | None, str]:
+def _decode_order_reply(answer: Answer) -> tuple[float | None, str]:
     try:
-        decoded = decode_json(_CLOCK, answer.body)
+        decoded = decode_json(_ORDER_REPLY_DECODER, answer.body)
     except UnreadableError:
         # The status alone says what came of the order.
         return None, ''
--- a/dandelionreel/platform/_settings.py
+++ b/dandelionreel/platform/_settings.py
@@ -30,7 +30,7 @@
     readiness: str
 
 
-class _Store(msgspec.Struct, frozen=True):
+class _Platform(msgspec.Struct, frozen=True):
     address: str
 
 
@@ -49,12 +49,12 @@
     max_fds: int = 4096
 
 
-class _File(msgspec.Struct, frozen=True):
+class _SettingsFile(msgspec.Struct, frozen=True):
     node: str
     ip: str
     zone: str
     listen: _Listen
-    platform: _Store
+    platform: _Platform
     port_range: tuple[int, int]
     advice: str = ''
     seeds: tuple[str, ...] = ()
@@ -93,12 +93,12 @@
 
 #: Descriptors that stay free for files, the store, runners and peers.
 RESERVED_DESCRIPTORS = 1200
-FEWEST_CONNECTIONS = 256
+MIN_CONNECTIONS = 256
 MILLISECONDS = 1000
 #: A name or an IPv4 address.
-HOST_NAME = re.compile('[0-9A-Za-z._-]{1,253}')
-PORT = re.compile('[0-9]{1,5}')
-LAST_PORT = 65_535
+HOST_PATTERN = re.compile('[0-9A-Za-z._-]{1,253}')
+PORT_PATTERN = re.compile('[0-9]{1,5}')
+MAX_PORT = 65_535
 
 
 def parse_address(text: str) -> Address:
@@ -108,11 +108,11 @@
     long or a port that cannot be raises no ``OSError`` where it is connected to.
     """
     host, _, port = text.rpartition(':')
-    if not HOST_NAME.fullmatch(host) or not PORT.fullmatch(port):
+    if not HOST_PATTERN.fullmatch(host) or not PORT_PATTERN.fullmatch(port):
         raise SettingsError(f'{text!r} is not an address; write it as host:port')
     number = int(port)
-    if not 0 < number <= LAST_PORT:
-        raise SettingsError(f'{text!r} has no port from 1 to {LAST_PORT}')
+    if not 0 < number <= MAX_PORT:
+        raise SettingsError(f'{text!r} has no port from 1 to {MAX_PORT}')
     return Address(host, number)
 
 
@@ -128,7 +128,7 @@
 def decode_host_settings(raw: dict[str, Any]) -> HostSettings:
     """Check the file's tables; fields that are not known are ignored."""
     try:
-        decoded = msgspec.convert(raw, _File, strict=False)
+        decoded = msgspec.convert(raw, _SettingsFile, strict=False)
     except msgspec.ValidationError as error:
         raise SettingsError(f'{error}') from error
     bounds = decoded.bounds
@@ -153,5 +153,5 @@
         max_key_age=bounds.revoke_ms / MILLISECONDS if bounds.revoke_strict else None,
         # The share of one core, and how many times as fast as one it is.
         cores=decoded.limits.cpu_share * decoded.limits.cores,
-        max_connections=max(FEWEST_CONNECTIONS, decoded.limits.max_fds - RESERVED_DESCRIPTORS),
+        max_connections=max(MIN_CONNECTIONS, decoded.limits.max_fds - RESERVED_DESCRIPTORS),
     )
--- a/dandelionreel/platform/_store.py
+++ b/dandelionreel/platform/_store.py
@@ -20,7 +20,7 @@
 from dandelionreel.http import Answer, Channel, ExchangeError, Request
 from dandelionreel.kernel import Verdict
 from dandelionreel.platform._framing import (
-    LENGTH,
+    RECORD_LENGTH,
     Page,
     decode_batch,
     decode_page,
@@ -44,17 +44,17 @@
 HTTP_CONFLICT = 409
 HTTP_GONE = 410
 HTTP_PRECONDITION = 412
-NOT_DONE = frozenset((400, 403, 404, 429, 503, 507))
+NOT_EXECUTED_STATUSES = frozenset((400, 403, 404, 429, 503, 507))
 MILLISECONDS = 1000
 
 
-class _Appended(msgspec.Struct):
+class _AppendReply(msgspec.Struct):
     offset: int = 0
     end: int = 0
     reason: str = ''
 
 
-_APPENDED = msgspec.json.Decoder(_Appended)
+_APPEND_REPLY_DECODER = msgspec.json.Decoder(_AppendReply)
 
 
 def encode_records(records: Sequence[KeyedRecord]) -> bytes:
@@ -63,7 +63,7 @@
     for record in records:
         key = record.key.encode()
         content = record.content or b''
-        body += LENGTH.pack(1 + len(key) + len(content))
+        body += RECORD_LENGTH.pack(1 + len(key) + len(content))
         body.append(len(key))
         body += key
         body += content
@@ -79,8 +79,8 @@
     def __init__(self, name: str, store: Address) -> None:
         """Use the topic ``name`` of the store at that address."""
         self._name = name
-        self._writes = Channel(store.host, store.port, 'store')
-        self._reads = Channel(store.host, store.port, 'store')
+        self._append_channel = Channel(store.host, store.port, 'store')
+        self._read_channel = Channel(store.host, store.port, 'store')
 
     async def append(
         self,
@@ -102,10 +102,10 @@
             f'/v1/log-append?{urlencode(fields)}',
             body=encode_records(records),
         )
-        answer = await _exchange(self._writes, request, timeout)
+        answer = await _exchange(self._append_channel, request, timeout)
         if answer.status == HTTP_OK:
-            return _decode_appended(answer).offset
-        raise _append_error(answer)
+            return _decode_append_reply(answer).offset
+        raise _make_append_error(answer)
 
     async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
         """Return records from ``offset`` on."""
@@ -117,11 +117,11 @@
             'wait_ms': int(wait * MILLISECONDS),
         }
         request = Request('GET', f'/v1/log-read?{urlencode(fields)}')
-        answer = await _exchange(self._reads, request, READ_TIMEOUT + wait)
+        answer = await _exchange(self._read_channel, request, READ_TIMEOUT + wait)
         if answer.status == HTTP_GONE:
             raise RecordsExpired(f'records of {self._name} before {offset} are gone')
         if answer.status != HTTP_OK:
-            raise _read_error(answer)
+            raise _make_read_error(answer)
         return decode_batch(answer.body, offset)
 
     async def snapshot(self) -> RecordBatch:
@@ -149,8 +149,8 @@
 
     async def close(self) -> None:
         """Close both connections."""
-        await self._writes.close()
-        await self._reads.close()
+        await self._append_channel.close()
+        await self._read_channel.close()
 
     async def _read_page(self, last_key: str) -> Page:
         fields: dict[str, object] = {'topic': self._name, 'part': 0}
@@ -158,9 +158,9 @@
             # Misleading name: the page goes on behind this key.
             fields['depends_on'] = last_key
         request = Request('GET', f'/v1/log-newest?{urlencode(fields)}')
-        answer = await _exchange(self._reads, request, READ_TIMEOUT)
+        answer = await _exchange(self._read_channel, request, READ_TIMEOUT)
         if answer.status != HTTP_OK:
-            raise _read_error(answer)
+            raise _make_read_error(answer)
         return decode_page(answer.body)
 
 
@@ -172,29 +172,29 @@
         raise StoreError(f'the store is out of reach: {error}', verdict) from error
 
 
-def _decode_appended(answer: Answer) -> _Appended:
+def _decode_append_reply(answer: Answer) -> _AppendReply:
     try:
-        return decode_json(_APPENDED, answer.body)
+        return decode_json(_APPEND_REPLY_DECODER, answer.body)
     except UnreadableError as error:
         raise StoreError(f'the answer cannot be read: {error}', Verdict.UNKNOWN) from error
 
 
-def _read_reason(answer: Answer) -> str:
+def _decode_reason(answer: Answer) -> str:
     try:
-        return decode_json(_APPENDED, answer.body).reason
+        return decode_json(_APPEND_REPLY_DECODER, answer.body).reason
     except UnreadableError as error:
         return f'no reason that can be read: {error}'
 
 
-def _append_error(answer: Answer) -> StoreError:
+def _make_append_error(answer: Answer) -> StoreError:
     if answer.status == HTTP_PRECONDITION:
         return ConflictError('the topic has grown meanwhile', Verdict.NOT_RUN)
     if answer.status == HTTP_CONFLICT:
-        reason = _read_reason(answer)
+        reason = _decode_reason(answer)
         return FencedError(f'another writer was there: {reason}', Verdict.NOT_RUN)
-    verdict = Verdict.NOT_RUN if answer.status in NOT_DONE else Verdict.UNKNOWN
+    verdict = Verdict.NOT_RUN if answer.status in NOT_EXECUTED_STATUSES else Verdict.UNKNOWN
     return StoreError(f'the store answered {answer.status}', verdict)
 
 
-def _read_error(answer: Answer) -> StoreError:
+def _make_read_error(answer: Answer) -> StoreError:
     return StoreError(f'the store answered {answer.status}', Verdict.NOT_RUN)
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -17,7 +17,7 @@
 
 MILLISECONDS = 1000
 HTTP_GONE = 410
-PAYLOAD_BYTES = 4000
+MAX_PAYLOAD_BYTES = 4000
 
 
 class _Step(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
     max_unavailable: int = 0
 
 
-class _Job(msgspec.Struct, frozen=True):
+class _Submission(msgspec.Struct, frozen=True):
     spec: str
     steps: tuple[_Step, ...]
     repeat_count: int = 0
@@ -49,23 +49,23 @@
     interval_ms: float = 0
 
 
-_DECODER = msgspec.json.Decoder(_Job)
+_DECODER = msgspec.json.Decoder(_Submission)
 
 
 def decode_submission(body: bytes) -> JobSpec:
     """Return the job that a body describes; raises ``SubmissionError``."""
     try:
-        job = decode_json(_DECODER, body)
+        submission = decode_json(_DECODER, body)
     except UnreadableError as error:
         raise SubmissionError(f'{error}') from error
-    if len(job.spec.encode()) > PAYLOAD_BYTES:
-        raise SubmissionError(f'spec is over {PAYLOAD_BYTES} bytes')
+    if len(submission.spec.encode()) > MAX_PAYLOAD_BYTES:
+        raise SubmissionError(f'spec is over {MAX_PAYLOAD_BYTES} bytes')
     spec = JobSpec(
-        payload=job.spec,
-        steps=tuple(_step(step) for step in job.steps),
-        repeat_count=job.repeat_count,
-        first_run=job.first_run_ms / MILLISECONDS,
-        interval=job.interval_ms / MILLISECONDS,
+        payload=submission.spec,
+        steps=tuple(_to_step(step) for step in submission.steps),
+        repeat_count=submission.repeat_count,
+        first_run=submission.first_run_ms / MILLISECONDS,
+        interval=submission.interval_ms / MILLISECONDS,
     )
     try:
         check_spec(spec)
@@ -74,7 +74,7 @@
     return spec
 
 
-def _step(step: _Step) -> Step:
+def _to_step(step: _Step) -> Step:
     return Step(
         count=step.count,
         demand=Demand(step.cpu, step.mem_mb, step.gpu),
--- a/dandelionreel/platform/_views.py
+++ b/dandelionreel/platform/_views.py
@@ -19,22 +19,22 @@
 
 MILLISECONDS = 1000
 #: Numbers of runs and ends, and milliseconds, are whole and exact up to here in JSON.
-LARGEST = 9_007_199_254_740_992
+JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 
 #: Ends that a runner lists at most; it has more where it lists as many.
-MOST_ENDS = 500
+MAX_LISTED_ENDS = 500
 
-Count = Annotated[int, msgspec.Meta(ge=0, lt=LARGEST)]
+RunNumber = Annotated[int, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
 #: Ends are numbered from 1. One absurd number would hide all ends behind it.
-EndNumber = Annotated[int, msgspec.Meta(ge=1, lt=LARGEST)]
+EndNumber = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
 #: The Unix millisecond at which the runner's process started.
-Started = Annotated[int, msgspec.Meta(ge=1, lt=LARGEST)]
-Clock = Annotated[float, msgspec.Meta(ge=0, lt=LARGEST)]
+StartMilliseconds = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
+ClockMilliseconds = Annotated[float, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
 
 
 class _Running(msgspec.Struct, array_like=True, frozen=True):
     task: str
-    run: Count
+    run: RunNumber
     saved: str | None = ''
     percent: float | None = 0
     gauge: float | None = 0
@@ -43,36 +43,36 @@
 class _Ended(msgspec.Struct, array_like=True, frozen=True):
     number: EndNumber
     task: str
-    run: Count
+    run: RunNumber
     how: Outcome
     saved: str | None = ''
 
 
-class _Numbered(msgspec.Struct, array_like=True, frozen=True):
+class _EndNumberOnly(msgspec.Struct, array_like=True, frozen=True):
     """The part of an end that is needed to keep it from being acknowledged."""
 
     number: EndNumber
 
 
-class _Rows(msgspec.Struct, frozen=True):
-    clock_ms: Clock
-    born: Started | msgspec.UnsetType = msgspec.UNSET
+class _RawView(msgspec.Struct, frozen=True):
+    clock_ms: ClockMilliseconds
+    born: StartMilliseconds | msgspec.UnsetType = msgspec.UNSET
     running: list[msgspec.Raw] = []
     finished: list[msgspec.Raw] = []
 
 
 class _View(msgspec.Struct, frozen=True):
-    clock_ms: Clock
-    born: Started | msgspec.UnsetType = msgspec.UNSET
+    clock_ms: ClockMilliseconds
+    born: StartMilliseconds | msgspec.UnsetType = msgspec.UNSET
     running: list[_Running] = []
     finished: list[_Ended] = []
 
 
-_VIEW = msgspec.json.Decoder(_View)
-_ROWS = msgspec.json.Decoder(_Rows)
-_RUNNING = msgspec.json.Decoder(_Running)
-_ENDED = msgspec.json.Decoder(_Ended)
-_NUMBERED = msgspec.json.Decoder(_Numbered)
+_VIEW_DECODER = msgspec.json.Decoder(_View)
+_RAW_VIEW_DECODER = msgspec.json.Decoder(_RawView)
+_RUNNING_DECODER = msgspec.json.Decoder(_Running)
+_ENDED_DECODER = msgspec.json.Decoder(_Ended)
+_END_NUMBER_DECODER = msgspec.json.Decoder(_EndNumberOnly)
 
 
 def decode_task(text: str) -> TaskName:
@@ -87,67 +87,67 @@
     A row that cannot be read leaves the view incomplete and costs no other row.
     """
     try:
-        view = decode_json(_VIEW, raw)
+        view = decode_json(_VIEW_DECODER, raw)
         return RunnerView(
             view.clock_ms / MILLISECONDS,
-            tuple(_running(row) for row in view.running),
-            tuple(_ended(row) for row in view.finished),
-            complete=len(view.finished) < MOST_ENDS,
-            incarnation=_incarnation(view.born),
+            tuple(_to_running_task(row) for row in view.running),
+            tuple(_to_ended_run(row) for row in view.finished),
+            complete=len(view.finished) < MAX_LISTED_ENDS,
+            incarnation=_to_incarnation(view.born),
         )
     except ValueError:
-        return _decode_rows(raw)
+        return _decode_view_by_row(raw)
 
 
-def _decode_rows(raw: bytes) -> RunnerView:
+def _decode_view_by_row(raw: bytes) -> RunnerView:
     """Return what can be read, row by row."""
     try:
-        rows = decode_json(_ROWS, raw)
+        rows = decode_json(_RAW_VIEW_DECODER, raw)
     except UnreadableError as error:
         # The look may have renewed the leases.
         raise RunnerError(f'the answer cannot be read: {error}', Verdict.UNKNOWN) from error
     running = []
     for row in rows.running:
         with suppress(ValueError):
-            running.append(_running(decode_json(_RUNNING, bytes(row))))
-    ended, readable_through = _read_ends(rows.finished)
+            running.append(_to_running_task(decode_json(_RUNNING_DECODER, bytes(row))))
+    ended, readable_through = _decode_ends(rows.finished)
     return RunnerView(
         rows.clock_ms / MILLISECONDS,
         tuple(running),
         tuple(ended),
         complete=False,
         readable_through=readable_through,
-        incarnation=_incarnation(rows.born),
+        incarnation=_to_incarnation(rows.born),
     )
 
 
-def _incarnation(born: int | msgspec.UnsetType) -> int | None:
+def _to_incarnation(born: int | msgspec.UnsetType) -> int | None:
     return None if born is msgspec.UNSET else born
 
 
-def _read_ends(rows: list[msgspec.Raw]) -> tuple[list[EndedRun], int | None]:
+def _decode_ends(rows: list[msgspec.Raw]) -> tuple[list[EndedRun], int | None]:
     """Return the ends that can be read, and the number below the first other one."""
     ended: list[EndedRun] = []
-    lowest: int | None = None
+    readable_through: int | None = None
     for row in rows:
         try:
-            ended.append(_ended(decode_json(_ENDED, bytes(row))))
+            ended.append(_to_ended_run(decode_json(_ENDED_DECODER, bytes(row))))
         except ValueError:
-            last = ended[-1].number if ended else 0
-            below = _number_below(row, last)
-            lowest = below if lowest is None else min(lowest, below)
-    return ended, lowest
+            last_readable = ended[-1].number if ended else 0
+            below = _find_number_below(row, last_readable)
+            readable_through = below if readable_through is None else min(readable_through, below)
+    return ended, readable_through
 
 
-def _number_below(row: msgspec.Raw, last: int) -> int:
+def _find_number_below(row: msgspec.Raw, last_readable: int) -> int:
     """Return the number before an unreadable end, ``last`` where it tells none."""
     try:
-        return decode_json(_NUMBERED, bytes(row)).number - 1
+        return decode_json(_END_NUMBER_DECODER, bytes(row)).number - 1
     except UnreadableError:
-        return last
+        return last_readable
 
 
-def _running(row: _Running) -> RunningTask:
+def _to_running_task(row: _Running) -> RunningTask:
     return RunningTask(
         decode_task(row.task),
         row.run,
@@ -157,5 +157,5 @@
     )
 
 
-def _ended(row: _Ended) -> EndedRun:
+def _to_ended_run(row: _Ended) -> EndedRun:
     return EndedRun(row.number, decode_task(row.task), row.run, row.how, row.saved or '')
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -194,8 +194,8 @@
 def make_raw_topic(name='keyed.servers'):
     """Return a topic, and the raw store that answers it."""
     topic = StoreTopic(name, Address('127.0.0.1', 1))
-    topic._reads = RawStore()
-    return topic, topic._reads
+    topic._read_channel = RawStore()
+    return topic, topic._read_channel
 
 
 class ListJournal(Journal):
