--- a/dandelionreel/platform/__init__.py
+++ b/dandelionreel/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: its names, formats and calls; it decides nothing."""
+"""Adapter to the users' platform: its formats, calls and settings file; decides nothing."""
 
 from dandelionreel.platform._advice import HttpAdvice
 from dandelionreel.platform._records import JsonRecordCodec
--- a/dandelionreel/platform/_accounts.py
+++ b/dandelionreel/platform/_accounts.py
@@ -1,7 +1,7 @@
-"""Client accounts as the operator's configuration lists them, each row by itself.
+"""Decodes the client accounts in the operator's configuration, each row on its own.
 
-A row that is wrong in part costs no other: what can be used stays in force, and the
-directory says what cannot.
+An invalid row does not affect other rows: its valid fields are used, and the directory lists
+the problems.
 """
 
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 Accounts = AccountDirectory[Demand]
 
-#: Stands for "no limit", more than any cell has; exact in JSON.
+#: Means "no limit": more than any cell has. JSON numbers are exact up to here.
 UNLIMITED = 9_007_199_254_740_992
 MAX_WEIGHT = 1e9
 MAX_NAME_LENGTH = 255
@@ -43,15 +43,15 @@
 
 
 class AccountDecoder:
-    """Decodes rows; one that stands in the former version too is not decoded again."""
+    """Decodes account rows; rows unchanged since the previous version are not decoded again."""
 
     def __init__(self) -> None:
-        """Start without a former version."""
+        """Create a decoder that has seen no version yet."""
         self._account_by_row: dict[bytes, tuple[Account[Demand] | None, tuple[str, ...]]] = {}
         self._previous: Accounts | None = None
 
     def decode(self, rows: Sequence[msgspec.Raw]) -> Accounts:
-        """Return the accounts, with all that is wrong with them."""
+        """Return the accounts and the problems found in the rows."""
         account_by_row = {}
         accounts = []
         problems: list[str] = []
@@ -71,7 +71,7 @@
 
 
 def _decode_row(content: bytes) -> tuple[Account[Demand] | None, tuple[str, ...]]:
-    """Return the account of a row and what is wrong with it; no message names a key."""
+    """Return a row's account and its problems; no message contains an API key."""
     try:
         return _to_account(decode_json(_TENANT_DECODER, content)), ()
     except UnreadableError:
@@ -79,25 +79,25 @@
 
 
 def _decode_fields(content: bytes) -> tuple[Account[Demand] | None, tuple[str, ...]]:
-    """Return what can be used of a row, field by field."""
+    """Decode the valid fields of a row one by one."""
     try:
         fields = decode_json(_ANY_DECODER, content)
         name = msgspec.convert(fields.get('name') if isinstance(fields, dict) else None, Name)
     except ValueError:
-        return None, ('an account without a usable name is left out',)
+        return None, ('an account without a valid name was ignored',)
     row_problems: list[str] = []
     weight = _convert_field(fields, 'weight', Weight, 1.0)
     if weight is None:
-        row_problems.append(f'the weight of account {name!r} cannot be used, it counts as 1')
+        row_problems.append(f'account {name!r} has an invalid weight; using 1')
     maximum = _convert_field(fields, 'maximum', _Maximum, _Maximum())
     if maximum is None:
-        row_problems.append(f'the maximum of account {name!r} cannot be used, it has none')
+        row_problems.append(f'account {name!r} has an invalid maximum; using no limit')
     raw_keys = fields.get('api_keys', [])
     keys = (
         tuple(key for key in raw_keys if isinstance(key, str) and key) if _is_list(raw_keys) else ()
     )
     if not _is_list(raw_keys) or len(keys) != len(raw_keys):
-        row_problems.append(f'account {name!r} has keys that cannot be used, the others count')
+        row_problems.append(f'account {name!r} has invalid keys; using the others')
     tenant = _Tenant(name, keys, weight or 1.0, maximum or _Maximum())
     return _to_account(tenant), tuple(row_problems)
 
@@ -107,7 +107,7 @@
 
 
 def _convert_field(fields: dict[str, Any], name: str, field_type: Any, default: Any) -> Any:
-    """Return a field, its default where it is missing, ``None`` where it cannot be used."""
+    """Return a field, its default if it is missing, or ``None`` if it is invalid."""
     if name not in fields:
         return default
     try:
@@ -122,7 +122,7 @@
 
 
 def _to_quota(maximum: _Maximum | None) -> Demand | None:
-    """Return what may run; an amount of 0 is no limit."""
+    """Return the quota; a maximum of 0 means no limit."""
     if maximum is None or maximum == _Maximum():
         return None
     return Demand(
--- a/dandelionreel/platform/_advice.py
+++ b/dandelionreel/platform/_advice.py
@@ -1,4 +1,4 @@
-"""The policy service that says which runners may run a step."""
+"""Client of the policy service, which decides which runners may run a step."""
 
 from collections.abc import Sequence
 
@@ -16,7 +16,7 @@
 from dandelionreel.http import Channel, ExchangeError, Request
 from dandelionreel.platform._settings import Address
 
-#: The service takes at most this many runners in one call.
+#: The service accepts at most this many runners in one call.
 MAX_RUNNERS_PER_CALL = 100
 HTTP_OK = 200
 
@@ -29,10 +29,10 @@
 
 
 class HttpAdvice(AdviceService):
-    """One connection: the service takes one call at a time from each host."""
+    """Uses one connection: the service accepts one call at a time from each host."""
 
     def __init__(self, service: Address) -> None:
-        """Ask the service at that address."""
+        """Create a client of the service at this address."""
         self._channel = Channel(service.host, service.port, 'advice')
 
     async def ask(
@@ -41,7 +41,10 @@
         runners: Sequence[str],
         timeout: float,
     ) -> tuple[Permit, ...]:
-        """Return the permits among ``runners``, which are incarnations."""
+        """Return permits for those of ``runners`` that may run the step.
+
+        ``runners`` are ids of incarnations; the service knows only the ids of runners.
+        """
         incarnation_by_id = {runner_id(one): one for one in runners[:MAX_RUNNERS_PER_CALL]}
         fields = {
             'step': f'{step.job}.{step.occurrence}.{step.step}',
@@ -52,13 +55,13 @@
         try:
             answer = await self._channel.exchange(request, timeout)
         except ExchangeError as error:
-            raise AdviceError(f'the policy service is out of reach: {error}') from error
+            raise AdviceError(f'the policy service is unreachable: {error}') from error
         if answer.status != HTTP_OK:
             raise AdviceError(f'the policy service answered {answer.status}')
         try:
             decoded = decode_json(_ALLOWED_DECODER, answer.body)
         except UnreadableError as error:
-            raise AdviceError(f'the answer cannot be read: {error}') from error
+            raise AdviceError(f'the policy service sent an unreadable answer: {error}') from error
         return tuple(
             Permit(incarnation_by_id[runner], ticket)
             for runner, ticket in decoded.allowed
--- a/dandelionreel/platform/_configuration.py
+++ b/dandelionreel/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as it stands in the store."""
+"""Decodes the operator's configuration from the store."""
 
 from typing import Annotated
 
@@ -7,11 +7,11 @@
 from dandelionreel.cell.model import AdvicePolicy, Configuration, Queue, Service, decode_json
 from dandelionreel.platform._accounts import AccountDecoder
 
-#: The operator's key that holds the newest configuration in full.
+#: The key in the operator's topic under which the whole current configuration is stored.
 CONFIGURATION_KEY = 'config'
 MILLISECONDS = 1000
-#: Versions are whole and exact in JSON up to here. An absurd one would keep every later
-#: version from coming into force.
+#: JSON numbers are exact integers up to here. A version above it is rejected: it would prevent
+#: every later version from coming into force.
 JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 
 Version = Annotated[int, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
@@ -60,14 +60,14 @@
 
 
 class ConfigurationDecoder:
-    """Decodes versions one after the other; what a version leaves as it was costs little."""
+    """Decodes successive versions; accounts that did not change are not decoded again."""
 
     def __init__(self) -> None:
-        """Start without a former version."""
+        """Create a decoder that has seen no version yet."""
         self._accounts = AccountDecoder()
 
     def decode(self, content: bytes) -> Configuration:
-        """Return the configuration; raises ``UnreadableError``."""
+        """Decode a configuration; raises ``UnreadableError``."""
         document = decode_json(_DECODER, content)
         services = tuple(
             Service(entry.name, entry.enforces_capacity, entry.standby)
--- a/dandelionreel/platform/_framing.py
+++ b/dandelionreel/platform/_framing.py
@@ -1,8 +1,8 @@
-"""Where the store's bytes become records, one place for all topics.
+"""Decodes the answers of the store into records, for all topics.
 
-Another writer's record may name no key, or hold what no decoder takes. It is passed
-on with the reason, so that it keeps its offset and costs no other record. An answer
-that was itself cut short is a failed read: it is read again.
+A record of another writer may have no key or be undecodable. It is returned with an error, so
+that offsets stay correct and the other records are still used. A truncated answer counts as a
+failed read, which is repeated.
 """
 
 import base64
@@ -25,7 +25,7 @@
 from dandelionreel.kernel import Verdict
 
 RECORD_LENGTH = struct.Struct('>I')
-#: A read's answer begins with the topic's end and its first kept offset.
+#: The answer to a read starts with the end offset of the topic and its first retained offset.
 READ_HEADER = struct.Struct('>QQ')
 
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Page:
-    """Newest records; the next page is asked for behind ``last_key``."""
+    """A page of the newest records of the keys; the next page starts after ``last_key``."""
 
     records: tuple[KeyedRecord, ...]
     end: int
@@ -55,12 +55,12 @@
 
 
 def decode_batch(raw: bytes, offset: int) -> RecordBatch:
-    """Return the records of a read that asked for ``offset``; raises ``StoreError``.
+    """Decode the answer to a read from ``offset`` on; raises ``StoreError``.
 
-    A record that the answer holds only in part is left to the next read.
+    A truncated record at the end of the answer is left to the next read.
     """
     if len(raw) < READ_HEADER.size:
-        raise StoreError('the answer to a read is cut short', Verdict.NOT_RUN)
+        raise StoreError('the answer to a read is truncated', Verdict.NOT_RUN)
     end, first = READ_HEADER.unpack_from(raw)
     position = READ_HEADER.size
     records: list[KeyedRecord] = []
@@ -72,7 +72,7 @@
         position = begin + length
         records.append(_decode_record(raw[begin:position], offset + len(records)))
     if position < len(raw) and not records:
-        raise StoreError('the answer to a read is cut short', Verdict.NOT_RUN)
+        raise StoreError('the answer to a read is truncated', Verdict.NOT_RUN)
     return RecordBatch(tuple(records), offset + len(records), max(end, first))
 
 
@@ -86,21 +86,23 @@
 
 def _split_record(raw: bytes) -> tuple[str, bytes]:
     if not raw:
-        raise UnreadableError(Reason.FRAME, 'it has no bytes')
+        raise UnreadableError(Reason.FRAME, 'the record is empty')
     begin = 1
     end = begin + raw[0]
     if end > len(raw):
-        raise UnreadableError(Reason.FRAME, f'its key has {raw[0]} bytes, it has {len(raw)}')
+        raise UnreadableError(
+            Reason.FRAME, f'the key has {raw[0]} bytes, the whole record {len(raw)}'
+        )
     if end == begin:
-        raise UnreadableError(Reason.KEY, 'its key is empty')
+        raise UnreadableError(Reason.KEY, 'the key is empty')
     try:
         return raw[begin:end].decode(), raw[end:]
     except UnicodeDecodeError as error:
-        raise UnreadableError(Reason.KEY, f'its key is no text: {error}') from error
+        raise UnreadableError(Reason.KEY, f'the key is not UTF-8: {error}') from error
 
 
 def decode_page(raw: bytes) -> Page:
-    """Return a page of newest records; raises ``StoreError`` when it is no page."""
+    """Decode a page of newest records; raises ``StoreError`` if it is not a page."""
     try:
         document = decode_json(_DOCUMENT_DECODER, raw)
     except UnreadableError:
@@ -110,16 +112,16 @@
 
 
 def _decode_page_by_row(raw: bytes) -> Page:
-    """Return a page row by row, where one of them makes the page unreadable as a whole.
+    """Decode a page row by row, for a page that cannot be decoded as a whole.
 
-    The decoder that is used otherwise takes no page with half a surrogate pair in one
-    key, and no bytes that are not text.
+    The faster ``msgspec`` decoder rejects a whole page if a key contains a lone surrogate or if
+    some bytes are not UTF-8.
     """
     try:
         document = json.loads(raw.decode(errors='replace'))
         raw_page = msgspec.convert(document, _RawDocument)
     except (ValueError, RecursionError) as error:
-        raise StoreError(f'a page cannot be read: {error}', Verdict.NOT_RUN) from error
+        raise StoreError(f'a page is unreadable: {error}', Verdict.NOT_RUN) from error
     records = tuple(_decode_raw_row(row) for row in raw_page.entries)
     return Page(records, raw_page.end, raw_page.has_more, _find_last_key(records))
 
@@ -133,7 +135,7 @@
 def _decode_raw_row(raw: Any) -> KeyedRecord:
     key = raw.get('key') if isinstance(raw, dict) else None
     if not isinstance(key, str) or not _is_encodable(key):
-        return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no key'))
+        return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no valid key'))
     try:
         return _decode_row(msgspec.convert(raw, _Row))
     except ValueError as error:
@@ -141,7 +143,7 @@
 
 
 def _is_encodable(key: str) -> bool:
-    """Return whether a key is text that can be written: half a surrogate pair is not."""
+    """Return whether a key can be encoded as UTF-8; a lone surrogate cannot."""
     try:
         return bool(key.encode())
     except UnicodeEncodeError:
@@ -150,15 +152,15 @@
 
 def _decode_row(row: _Row) -> KeyedRecord:
     if not row.key:
-        return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no key'))
+        return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no valid key'))
     try:
         content = base64.b64decode(row.content, validate=True)
     except (binascii.Error, ValueError) as error:
-        unreadable = UnreadableError(Reason.FRAME, f'it is no base64: {error}')
+        unreadable = UnreadableError(Reason.FRAME, f'the value is not base64: {error}')
         return KeyedRecord(row.key, None, row.offset, unreadable)
     return KeyedRecord(row.key, content or None, row.offset)
 
 
 def _find_last_key(records: tuple[KeyedRecord, ...]) -> str:
-    """Return the last key that is known: items without one are read again behind it."""
+    """Return the last valid key; items without one after it are read again with the next page."""
     return next((record.key for record in reversed(records) if record.key), '')
--- a/dandelionreel/platform/_records.py
+++ b/dandelionreel/platform/_records.py
@@ -1,4 +1,4 @@
-"""The records of the operator and of the runners, as the cell wants them decoded."""
+"""Codec of the records of the operator and of the runners."""
 
 from dandelionreel.cell.model import Configuration, RecordCodec, Registration
 from dandelionreel.platform._configuration import CONFIGURATION_KEY, ConfigurationDecoder
@@ -6,18 +6,18 @@
 
 
 class JsonRecordCodec(RecordCodec):
-    """JSON records under the platform's keys."""
+    """Decodes the JSON records that the platform stores."""
 
     configuration_key = CONFIGURATION_KEY
 
     def __init__(self) -> None:
-        """Start without a former configuration."""
+        """Create a codec that has seen no configuration yet."""
         self._configurations = ConfigurationDecoder()
 
     def decode_configuration(self, content: bytes) -> Configuration:
-        """Return the configuration; raises ``UnreadableError``."""
+        """Decode a configuration; raises ``UnreadableError``."""
         return self._configurations.decode(content)
 
     def decode_registration(self, runner: str, content: bytes) -> Registration:
-        """Return a runner's registration; raises ``UnreadableError``."""
+        """Decode a runner's registration; raises ``UnreadableError``."""
         return decode_registration(runner, content)
--- a/dandelionreel/platform/_registrations.py
+++ b/dandelionreel/platform/_registrations.py
@@ -1,4 +1,4 @@
-"""What runners write about themselves in the store."""
+"""Decodes the entries that runners write about themselves in the store."""
 
 from typing import Annotated, Literal
 
@@ -15,18 +15,18 @@
 from dandelionreel.platform._settings import SettingsError, parse_address
 
 MILLISECONDS = 1000
-#: More than any machine has of anything; a larger amount is a mistake, and would let
-#: every task fit.
+#: More than any machine has of any resource. A larger amount is an error and would make every
+#: task fit.
 MAX_AMOUNT = 2_147_483_648
-#: Milliseconds for which a draining runner may say that it stays: a day.
+#: Longest time that a draining runner may report as remaining: a day.
 MAX_REMAINING_MS = 86_400_000
 MAX_NAME_LENGTH = 255
 
 Amount = Annotated[int, msgspec.Meta(ge=0, le=MAX_AMOUNT)]
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
-#: Milliseconds are whole and exact up to here in JSON.
+#: JSON numbers are exact integers up to here.
 JSON_INTEGER_LIMIT = 9_007_199_254_740_992
-#: The Unix millisecond at which a runner's process started.
+#: Start time of a runner's process, in milliseconds since the Unix epoch.
 StartMilliseconds = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 
@@ -38,10 +38,10 @@
 
 
 class _Entry(msgspec.Struct, frozen=True):
-    """All that a runner's entry holds; what is not used here is checked all the same.
+    """The entry of a runner; fields that are not used are checked as well.
 
-    An entry with one field missing or wrong was written by something that is no
-    runner, and its other fields are worth no more.
+    If a field is missing or invalid, the entry was not written by a runner, and its other
+    fields cannot be trusted either.
     """
 
     service: Name
@@ -54,7 +54,7 @@
     sequence: int
     capacity: _Capacity
     labels: tuple[str, ...]
-    #: The start of the process that wrote the entry.
+    #: When the process that wrote the entry started.
     born: StartMilliseconds | msgspec.UnsetType = msgspec.UNSET
     remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_REMAINING_MS)] | None = None
 
@@ -63,7 +63,7 @@
 
 
 def decode_registration(runner: str, content: bytes) -> Registration:
-    """Return the registration under a runner's id; raises ``UnreadableError``."""
+    """Decode the entry stored under the id ``runner``; raises ``UnreadableError``."""
     entry = decode_json(_DECODER, content)
     try:
         address = parse_address(entry.address)
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -1,9 +1,10 @@
-"""Runners: starts, stops and polls over HTTP.
+"""HTTP client of a runner: starts, stops and polls.
 
-Each call reaches the incarnation that it is meant for, or has no effect. A call names the
-runner by its id, which the next incarnation has too; what tells them apart is only in the
-answer to a poll. So each new connection is tried with a poll that renews, acknowledges and
-starts nothing: what answers it is the process that all calls on that connection reach.
+Each call either reaches the intended incarnation of the runner or has no effect. A request
+contains only the runner's id, which later incarnations share; only the answer to a poll contains
+the incarnation. Each new connection is therefore checked with a poll that renews no leases,
+acknowledges nothing and starts nothing: all later calls on the connection reach the process
+that answered it.
 """
 
 from typing import Any
@@ -30,16 +31,16 @@
 from dandelionreel.kernel import Verdict
 from dandelionreel.platform._views import decode_view
 
-#: Seconds for an order. A runner answers within milliseconds; a slow link
-#: takes some tens. An order that stays unanswered is simply repeated.
+#: Timeout in seconds for a start or a stop. A runner answers within milliseconds, over a slow
+#: link within some tens of them. An unanswered order is repeated.
 ORDER_TIMEOUT = 0.4
-#: Seconds beyond the time that a poll may wait at the runner.
+#: Seconds added to the time that a poll may wait at the runner.
 POLL_TIMEOUT_MARGIN = 0.6
-#: Connections for orders to one runner: one unanswered order must not hold up
-#: the starts behind it.
+#: Connections for starts and stops per runner: an unanswered order must not block the starts
+#: after it.
 ORDER_CONNECTIONS = 3
 
-#: Lists runs and ends; renews leases and acknowledges ends where it is told to.
+#: Lists runs and ends; also renews leases and acknowledges ends if the request says so.
 POLL_PATH = '/v1/hold'
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
@@ -66,15 +67,15 @@
 
 
 def encode_task(task: TaskName) -> str:
-    """Return a task's name as runners know it."""
+    """Return the name of a task on the wire."""
     return f'{task.job}.{task.occurrence}.{task.step}.{task.index}'
 
 
 class HttpRunner(Runner):
-    """One runner, with a connection for polls and a few for orders."""
+    """Client of one runner, with a connection for polls and several for orders."""
 
     def __init__(self, registration: Registration) -> None:
-        """Reach the runner where it registered itself."""
+        """Create a client for the address and the incarnation of a registration."""
         self._runner = registration.runner
         self._incarnation = registration.incarnation
         self._address = (registration.address, registration.port)
@@ -88,7 +89,10 @@
         self._epoch = 0
 
     async def start(self, order: StartOrder, check: Check) -> StartAnswer:
-        """Start a task; ``check`` is asked right before the bytes leave."""
+        """Start a task; ``check`` is called right before the request is sent.
+
+        If it returns false, nothing is sent.
+        """
         fields: dict[str, object] = {
             'task': encode_task(order.task),
             'run': order.run,
@@ -131,7 +135,11 @@
         lease_until: float | None,
         wait: float,
     ) -> RunnerView:
-        """Renew all leases and list everything."""
+        """Return the runs and ends on the runner.
+
+        Renews all leases to ``lease_until`` unless it is ``None``, and acknowledges the ends up
+        to the number ``acknowledged``.
+        """
         fields: dict[str, object] = {'fencing_token': epoch, 'acked_through': acknowledged}
         if lease_until is not None:
             fields['deadline_ms'] = int(lease_until * MILLISECONDS)
@@ -157,7 +165,7 @@
         return Channel(address, port, 'runner', check_peer=self._check_peer)
 
     async def _check_peer(self, connection: Connection) -> None:
-        """Raise ``RunnerReplaced`` where another incarnation is at the end of a connection."""
+        """Raise ``RunnerReplaced`` if a connection leads to another incarnation."""
         fields = {'fencing_token': self._epoch, 'acked_through': 0}
         answer = await connection.exchange(self._make_request(POLL_PATH, fields), ORDER_TIMEOUT)
         self._check_answer(answer)
@@ -171,7 +179,7 @@
         if view.incarnation == self._incarnation:
             return
         if view.incarnation is None:
-            raise RunnerError('the answer does not tell the incarnation', Verdict.NOT_RUN)
+            raise RunnerError('the answer does not contain the incarnation', Verdict.NOT_RUN)
         raise RunnerReplaced(self._runner)
 
     def _make_request(self, path: str, fields: dict[str, Any]) -> Request:
@@ -217,7 +225,7 @@
     try:
         decoded = decode_json(_ORDER_REPLY_DECODER, answer.body)
     except UnreadableError:
-        # The status alone says what came of the order.
+        # The HTTP status alone tells the result of the order.
         return None, ''
     clock = None if decoded.clock_ms is None else decoded.clock_ms / MILLISECONDS
     return clock, decoded.reason
--- a/dandelionreel/platform/_settings.py
+++ b/dandelionreel/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into what a host needs to know."""
+"""Decodes the platform's settings file into the settings of a host."""
 
 import re
 import tomllib
@@ -8,18 +8,18 @@
 
 import msgspec
 
-#: Names the environment variable that holds the path of the settings file.
+#: Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = 'DANDELIONREEL_NODE_FILE'
 DEFAULT_PATH = '/etc/dandelionreel/node.toml'
 
 
 class SettingsError(ValueError):
-    """The settings file cannot be used; the message names the field."""
+    """The settings file is invalid; the message names the field."""
 
 
 @dataclass(frozen=True)
 class Address:
-    """A listening address."""
+    """A host name or IPv4 address, and a port."""
 
     host: str
     port: int
@@ -64,13 +64,14 @@
 
 @dataclass(frozen=True)
 class HostSettings:
-    """One host's place and surroundings; all durations in seconds.
-
-    ``peers`` is where this host's daemon listens for its peers, on the first
-    of the ports that are free for that. ``max_lease`` is what runners cut
-    leases to. ``max_key_age`` is how old the configuration may be by which API keys
-    are checked, ``None`` for any age. ``seeds`` are where some peers listen, which may be
-    out of date: a host that has read of no peer asks there.
+    """Settings of one host; durations are in seconds.
+
+    ``peers`` is the address on which the host listens for its peers, on the first port of the
+    range. ``stop_grace`` is the time for a planned stop. Runners shorten leases to ``max_lease``.
+    ``max_key_age`` is the maximum age of the configuration against which API keys are checked,
+    ``None`` for any age. ``seeds`` are possibly outdated addresses of peers, used by a host that
+    has not yet read about any peer. ``status_retention`` is how long the state of a finished job
+    must be kept. ``cores`` is the processor time of the host, in cores of standard speed.
     """
 
     host: str
@@ -91,7 +92,7 @@
     cores: float
 
 
-#: Descriptors that stay free for files, the store, runners and peers.
+#: File descriptors reserved for files, the store, runners and peers.
 RESERVED_DESCRIPTORS = 1200
 MIN_CONNECTIONS = 256
 MILLISECONDS = 1000
@@ -104,8 +105,8 @@
 def parse_address(text: str) -> Address:
     """Return ``host:port`` as an address; raises ``SettingsError``.
 
-    Other digits than ours count as digits to ``str.isdigit``, and a name that is too
-    long or a port that cannot be raises no ``OSError`` where it is connected to.
+    The patterns are strict because ``str.isdigit`` accepts non-ASCII digits, and because
+    connecting to an overlong name or an invalid port raises something other than ``OSError``.
     """
     host, _, port = text.rpartition(':')
     if not HOST_PATTERN.fullmatch(host) or not PORT_PATTERN.fullmatch(port):
@@ -126,7 +127,7 @@
 
 
 def decode_host_settings(raw: dict[str, Any]) -> HostSettings:
-    """Check the file's tables; fields that are not known are ignored."""
+    """Validate the decoded TOML; unknown fields are ignored. Raises ``SettingsError``."""
     try:
         decoded = msgspec.convert(raw, _SettingsFile, strict=False)
     except msgspec.ValidationError as error:
@@ -134,14 +135,14 @@
     bounds = decoded.bounds
     first_port, last_port = decoded.port_range
     if last_port <= first_port:
-        raise SettingsError('port_range needs two ports or more')
+        raise SettingsError('port_range must have at least two ports')
     return HostSettings(
         host=decoded.node,
         zone=decoded.zone,
         callers=parse_address(decoded.listen.frontend),
         readiness=parse_address(decoded.listen.readiness),
         peers=Address(decoded.ip, first_port),
-        # Ports are the same on all hosts; seeds name another one of theirs.
+        # All hosts use the same port for peers; the ports in ``seeds`` are other ports.
         seeds=tuple(Address(parse_address(seed).host, first_port) for seed in decoded.seeds),
         metrics=Address(decoded.ip, first_port + 1),
         store=parse_address(decoded.platform.address),
@@ -151,7 +152,7 @@
         gang_timeout=bounds.gang_timeout_ms / MILLISECONDS,
         status_retention=bounds.status_s,
         max_key_age=bounds.revoke_ms / MILLISECONDS if bounds.revoke_strict else None,
-        # The share of one core, and how many times as fast as one it is.
+        # The share of one core, times the speed of that core relative to a standard one.
         cores=decoded.limits.cpu_share * decoded.limits.cores,
         max_connections=max(MIN_CONNECTIONS, decoded.limits.max_fds - RESERVED_DESCRIPTORS),
     )
--- a/dandelionreel/platform/_store.py
+++ b/dandelionreel/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: keyed topics over HTTP."""
+"""HTTP client of the platform's metadata store, which has topics of keyed records."""
 
 from collections.abc import Sequence
 from urllib.parse import urlencode
@@ -27,16 +27,16 @@
 )
 from dandelionreel.platform._settings import Address
 
-#: The operator's records.
+#: Records of the operator.
 OPERATOR_TOPIC = 'keyed.op'
-#: What runners say about themselves.
+#: Entries that runners write about themselves.
 RUNNERS_TOPIC = 'keyed.servers'
-#: This system's own records.
+#: Records of this system.
 CELL_TOPIC = 'keyed.cell'
-#: All writers of the owner's records share one name; the epoch tells them apart.
+#: All owners use the same producer name; the store distinguishes them by their epoch.
 OWNER_PRODUCER = 'owner'
 
-#: Seconds. The store answers in 4 ms; when slowed 60 times in about 0.25 s.
+#: In seconds. The store answers in 4 ms, or in about 0.25 s when it is 60 times as slow.
 READ_TIMEOUT = 1.2
 KILOBYTE = 1024
 
@@ -58,7 +58,7 @@
 
 
 def encode_records(records: Sequence[KeyedRecord]) -> bytes:
-    """Return the body of an append: each record with its length and its key."""
+    """Return the body of an append: each record with its length and its key first."""
     body = bytearray()
     for record in records:
         key = record.key.encode()
@@ -71,13 +71,13 @@
 
 
 class StoreTopic(Topic):
-    """One topic; appends and waiting reads have a connection each.
+    """Client of one topic, with one connection for appends and one for reads.
 
-    A read waits at the store for news, and an append must not wait behind it.
+    A read waits at the store for new records; an append must not be queued behind it.
     """
 
     def __init__(self, name: str, store: Address) -> None:
-        """Use the topic ``name`` of the store at that address."""
+        """Create a client of the topic ``name`` in the store at this address."""
         self._name = name
         self._append_channel = Channel(store.host, store.port, 'store')
         self._read_channel = Channel(store.host, store.port, 'store')
@@ -89,7 +89,7 @@
         fence: WriterFence | None = None,
         expected_end: int | None = None,
     ) -> int:
-        """Append all or none; return the first offset."""
+        """Append all records or none; return the first offset."""
         fields: dict[str, object] = {'topic': self._name, 'part': 0}
         if expected_end is not None:
             fields['at'] = expected_end
@@ -108,7 +108,7 @@
         raise _make_append_error(answer)
 
     async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
-        """Return records from ``offset`` on."""
+        """Return records from ``offset`` on, waiting up to ``wait`` seconds for some."""
         fields = {
             'topic': self._name,
             'part': 0,
@@ -119,7 +119,7 @@
         request = Request('GET', f'/v1/log-read?{urlencode(fields)}')
         answer = await _exchange(self._read_channel, request, READ_TIMEOUT + wait)
         if answer.status == HTTP_GONE:
-            raise RecordsExpired(f'records of {self._name} before {offset} are gone')
+            raise RecordsExpired(f'records of {self._name} at offset {offset} have expired')
         if answer.status != HTTP_OK:
             raise _make_read_error(answer)
         return decode_batch(answer.body, offset)
@@ -127,10 +127,10 @@
     async def snapshot(self) -> RecordBatch:
         """Return the newest record of each key.
 
-        Pages are read one after the other, so the batch goes on from the end
-        that the first page named: what changed meanwhile is read again. A page that
-        ends where it began would be read for ever, and a part of the records is no
-        snapshot: a host would forget the jobs that are missing.
+        Pages are read one after the other, so the next read must start at the end offset of the
+        first page to include changes made meanwhile. A page without progress raises
+        ``StoreError``: it would otherwise be requested forever, and an incomplete snapshot
+        would make a host forget jobs.
         """
         records: list[KeyedRecord] = []
         end = None
@@ -143,7 +143,7 @@
             if not page.has_more or not page.records:
                 return RecordBatch(tuple(records), end, end)
             if page.last_key in {'', last_key}:
-                message = f'pages of {self._name} do not get beyond {last_key!r}'
+                message = f'pages of {self._name} make no progress beyond the key {last_key!r}'
                 raise StoreError(message, Verdict.NOT_RUN)
             last_key = page.last_key
 
@@ -155,7 +155,7 @@
     async def _read_page(self, last_key: str) -> Page:
         fields: dict[str, object] = {'topic': self._name, 'part': 0}
         if last_key:
-            # Misleading name: the page goes on behind this key.
+            # Despite its name, the parameter makes the page start after this key.
             fields['depends_on'] = last_key
         request = Request('GET', f'/v1/log-newest?{urlencode(fields)}')
         answer = await _exchange(self._read_channel, request, READ_TIMEOUT)
@@ -169,29 +169,31 @@
         return await channel.exchange(request, timeout)
     except ExchangeError as error:
         verdict = Verdict.UNKNOWN if error.sent else Verdict.NOT_RUN
-        raise StoreError(f'the store is out of reach: {error}', verdict) from error
+        raise StoreError(f'the store is unreachable: {error}', verdict) from error
 
 
 def _decode_append_reply(answer: Answer) -> _AppendReply:
     try:
         return decode_json(_APPEND_REPLY_DECODER, answer.body)
     except UnreadableError as error:
-        raise StoreError(f'the answer cannot be read: {error}', Verdict.UNKNOWN) from error
+        raise StoreError(
+            f'the store sent an unreadable answer: {error}', Verdict.UNKNOWN
+        ) from error
 
 
 def _decode_reason(answer: Answer) -> str:
     try:
         return decode_json(_APPEND_REPLY_DECODER, answer.body).reason
     except UnreadableError as error:
-        return f'no reason that can be read: {error}'
+        return f'its reason is unreadable: {error}'
 
 
 def _make_append_error(answer: Answer) -> StoreError:
     if answer.status == HTTP_PRECONDITION:
-        return ConflictError('the topic has grown meanwhile', Verdict.NOT_RUN)
+        return ConflictError('records were appended to the topic meanwhile', Verdict.NOT_RUN)
     if answer.status == HTTP_CONFLICT:
         reason = _decode_reason(answer)
-        return FencedError(f'another writer was there: {reason}', Verdict.NOT_RUN)
+        return FencedError(f'fenced off by another writer: {reason}', Verdict.NOT_RUN)
     verdict = Verdict.NOT_RUN if answer.status in NOT_EXECUTED_STATUSES else Verdict.UNKNOWN
     return StoreError(f'the store answered {answer.status}', verdict)
 
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -1,4 +1,4 @@
-"""What clients hand in, and how they are told about it."""
+"""Decodes job submissions and encodes answers to clients."""
 
 import msgspec
 
@@ -53,13 +53,13 @@
 
 
 def decode_submission(body: bytes) -> JobSpec:
-    """Return the job that a body describes; raises ``SubmissionError``."""
+    """Decode a job from a request body; raises ``SubmissionError``."""
     try:
         submission = decode_json(_DECODER, body)
     except UnreadableError as error:
         raise SubmissionError(f'{error}') from error
     if len(submission.spec.encode()) > MAX_PAYLOAD_BYTES:
-        raise SubmissionError(f'spec is over {MAX_PAYLOAD_BYTES} bytes')
+        raise SubmissionError(f'spec is longer than {MAX_PAYLOAD_BYTES} bytes')
     spec = JobSpec(
         payload=submission.spec,
         steps=tuple(_to_step(step) for step in submission.steps),
@@ -96,24 +96,24 @@
 
 
 class JsonClientCodec(ClientCodec):
-    """Jobs and answers as JSON."""
+    """JSON codec of submissions and answers."""
 
     def decode_submission(self, body: bytes) -> JobSpec:
-        """Return the job that a body describes; raises ``SubmissionError``."""
+        """Decode a job from a request body; raises ``SubmissionError``."""
         return decode_submission(body)
 
     def answer_accepted(self) -> Answer:
-        """Tell that the request stands in the store."""
+        """Answer that the request has been stored."""
         return answer_json({})
 
     def answer_state(self, state: JobState) -> Answer:
-        """Tell a job's state; the states have the same names on the wire."""
+        """Answer with a job's state; states have the same names on the wire."""
         return answer_json({'state': state.value})
 
     def answer_pending(self, count: int) -> Answer:
-        """Tell how many jobs of a queue have not begun."""
+        """Answer with the number of jobs of a queue that have not started."""
         return answer_json({'pending': count})
 
     def answer_unknown_job(self) -> Answer:
-        """Tell that no such job exists."""
+        """Answer that the job does not exist."""
         return answer_json({}, HTTP_GONE)
--- a/dandelionreel/platform/_views.py
+++ b/dandelionreel/platform/_views.py
@@ -1,4 +1,4 @@
-"""What a runner lists in answer to a poll: what runs there and what has ended."""
+"""Decodes a runner's answer to a poll: its running tasks and the ends of runs."""
 
 from contextlib import suppress
 from typing import Annotated
@@ -18,16 +18,16 @@
 from dandelionreel.kernel import Verdict
 
 MILLISECONDS = 1000
-#: Numbers of runs and ends, and milliseconds, are whole and exact up to here in JSON.
+#: JSON numbers are exact integers up to here.
 JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 
-#: Ends that a runner lists at most; it has more where it lists as many.
+#: A runner lists at most this many ends; if it lists this many, it may have more.
 MAX_LISTED_ENDS = 500
 
 RunNumber = Annotated[int, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
-#: Ends are numbered from 1. One absurd number would hide all ends behind it.
+#: Ends are numbered from 1. Accepting an absurdly large number would hide all ends below it.
 EndNumber = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
-#: The Unix millisecond at which the runner's process started.
+#: Start time of the runner's process, in milliseconds since the Unix epoch.
 StartMilliseconds = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
 ClockMilliseconds = Annotated[float, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
 
@@ -49,7 +49,7 @@
 
 
 class _EndNumberOnly(msgspec.Struct, array_like=True, frozen=True):
-    """The part of an end that is needed to keep it from being acknowledged."""
+    """The number of an otherwise unreadable end, so that the end is not acknowledged."""
 
     number: EndNumber
 
@@ -76,15 +76,15 @@
 
 
 def decode_task(text: str) -> TaskName:
-    """Return the task of that name; raises ``ValueError``."""
+    """Decode the name of a task; raises ``ValueError``."""
     job, occurrence, step, index = text.split('.')
     return TaskName(job, int(occurrence), int(step), int(index))
 
 
 def decode_view(raw: bytes) -> RunnerView:
-    """Return what a runner listed; raises ``RunnerError`` when nothing can be read.
+    """Decode a runner's answer to a poll; raises ``RunnerError`` if nothing is readable.
 
-    A row that cannot be read leaves the view incomplete and costs no other row.
+    If a row is unreadable, the view is incomplete, but the other rows are still used.
     """
     try:
         view = decode_json(_VIEW_DECODER, raw)
@@ -100,12 +100,14 @@
 
 
 def _decode_view_by_row(raw: bytes) -> RunnerView:
-    """Return what can be read, row by row."""
+    """Decode the readable rows one by one."""
     try:
         rows = decode_json(_RAW_VIEW_DECODER, raw)
     except UnreadableError as error:
-        # The look may have renewed the leases.
-        raise RunnerError(f'the answer cannot be read: {error}', Verdict.UNKNOWN) from error
+        # The runner may have renewed the leases.
+        raise RunnerError(
+            f'the runner sent an unreadable answer: {error}', Verdict.UNKNOWN
+        ) from error
     running = []
     for row in rows.running:
         with suppress(ValueError):
@@ -126,7 +128,10 @@
 
 
 def _decode_ends(rows: list[msgspec.Raw]) -> tuple[list[EndedRun], int | None]:
-    """Return the ends that can be read, and the number below the first other one."""
+    """Return the readable ends, and the highest number below all unreadable ones.
+
+    The number is ``None`` if all ends are readable.
+    """
     ended: list[EndedRun] = []
     readable_through: int | None = None
     for row in rows:
@@ -140,7 +145,10 @@
 
 
 def _find_number_below(row: msgspec.Raw, last_readable: int) -> int:
-    """Return the number before an unreadable end, ``last`` where it tells none."""
+    """Return the number before an unreadable end.
+
+    Returns ``last_readable`` if the number of the end is unreadable too.
+    """
     try:
         return decode_json(_END_NUMBER_DECODER, bytes(row)).number - 1
     except UnreadableError:
