--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,28 +1,28 @@
 Feature: Entry hosts on the users' platform
 
-  Real hosts, one process each, against a store, runners and a policy service that
-  speak the platform's protocol. The runners' own records judge.
+  Real hosts, one process each, against stand-ins for the platform's store, runners and policy
+  service. The runs recorded by the runners are checked.
 
   Background:
     Given the platform and 3 entry hosts
 
-  Scenario Outline: A job from hand-in to its end
-    When a job is handed in at the queue <queue>
-    Then every host tells that it is completed
-    And no task ran twice and no runner was overfull
+  Scenario Outline: A job is submitted and completed
+    When a job is submitted to the queue <queue>
+    Then every host reports that it is completed
+    And no task ran twice and no runner exceeded its capacity
 
     Examples:
       | queue   |
       | plain   |
       | advised |
 
-  Scenario: Jobs by the dozen
-    When 40 jobs of 3 tasks are handed in all over
+  Scenario: Dozens of jobs
+    When 40 jobs of 3 tasks are submitted to all hosts
     Then all of them are completed
-    And no task ran twice and no runner was overfull
+    And no task ran twice and no runner exceeded its capacity
 
-  Scenario Outline: What cannot be taken is refused with a reason
-    When <method> <path> is asked with <body>
+  Scenario Outline: Invalid requests are refused
+    When <method> <path> is requested with <body>
     Then the answer is <status>
 
     Examples:
@@ -39,20 +39,20 @@
       | DELETE | /plain/0123456789abcdef | nothing                                     | 410    |
       | GET    | /plain/                 | nothing                                     | 200    |
 
-  # Guards against a cancelled job that runs on or comes back.
+  # Guards against a cancelled job that continues to run or is started again.
   Scenario: A job is cancelled while it runs
-    When a long job is handed in and cancelled once it runs
-    Then every host tells that it is cancelled
+    When a long job is submitted and cancelled while it runs
+    Then every host reports that it is cancelled
     And its task is stopped
 
-  # Guards against starting a task again that a dead owner's runner still runs.
+  # Guards against starting a task again that was started by a dead owner and still runs.
   Scenario: The owner is killed while a job runs
-    When a long job is handed in and the owner is killed once it runs
-    Then the other hosts tell that the job is completed
-    And no task ran twice and no runner was overfull
+    When a long job is submitted and the owner is killed while it runs
+    Then the other hosts report that the job is completed
+    And no task ran twice and no runner exceeded its capacity
     And the logs tell who accepted, started, took over, found, noted and closed it
 
-  # Guards against a task that runs on after its owner died and its job was cancelled.
+  # Guards against a task that is not stopped because its job was cancelled after the owner died.
   Scenario Outline: The owner is killed between a start and its cancellation
     When the owner is killed while a long job runs on a runner whose entry <entry>
     And its client cancels the job at another host
@@ -63,53 +63,53 @@
       | stays    |
       | has gone |
 
-  # All hosts lost power right after the client was told that its job is taken.
-  Scenario: All hosts are killed right after a job was taken
-    When a job is handed in and all hosts are killed and started again
-    Then every host tells that it is completed
+  # All hosts lose power right after the client was told that its job is accepted.
+  Scenario: All hosts are killed right after a job was accepted
+    When a job is submitted and all hosts are killed and started again
+    Then every host reports that it is completed
 
   # Guards against running a job that was refused while the store was down.
-  Scenario: The store is down for a while
-    When the store is down while jobs are handed in
-    Then each is refused with a time to come back, and none of them runs
+  Scenario: The store is down temporarily
+    When the store is down while jobs are submitted
+    Then each is refused with a Retry-After time, and none of them runs
     And the logs tell for each of them that it was refused, and what was tried
-    When the platform is back
+    When the platform is up again
     Then a new job is completed
 
-  # Guards against running a job twice because an append's answer was lost.
+  # Guards against running a job twice because the answer to an append was lost.
   Scenario: Answers of the store are lost
-    When 20 jobs are handed in while a third of the store's answers are lost
+    When 20 jobs are submitted while a third of the store's answers are lost
     Then all of them are completed
-    And no task ran twice and no runner was overfull
+    And no task ran twice and no runner exceeded its capacity
 
   Scenario: A runner crashes with tasks on it
-    When a long job is handed in and its runner crashes
-    Then every host tells that it is completed
-    And no task ran twice and no runner was overfull
+    When a long job is submitted and its runner crashes
+    Then every host reports that it is completed
+    And no task ran twice and no runner exceeded its capacity
 
-  # Guards against cutting off work by a planned stop.
+  # Guards against a planned stop that interrupts jobs.
   Scenario: The owner is stopped
-    When the owner is stopped while jobs are handed in at the others
+    When the owner is stopped while jobs are submitted to the others
     Then all of them are completed
-    And the stopped host has ended with status 0
+    And the stopped host has exited with status 0
 
-  # Guards against losing or doubling tasks while another writer fills the runners' topic.
+  # Guards against losing or repeating tasks while another writer fills the runners' topic.
   Scenario: Another writer fills the runners' topic while jobs run
-    When another writer fills the runners' topic while 30 jobs are handed in
+    When another writer fills the runners' topic while 30 jobs are submitted
     Then all of them are completed
-    And no task ran twice and no runner was overfull
-    And every host is alive and has counted unreadable records
+    And no task ran twice and no runner exceeded its capacity
+    And every host still runs and has counted unreadable records
 
-  # The owner is killed meanwhile: its successor reads the same topic from a snapshot.
+  # The successor of the killed owner reads the same topic from a snapshot.
   Scenario: The owner is killed while another writer fills the runners' topic
-    When another writer is at work, and the owner is killed once a long job runs
-    Then the other hosts tell that the job is completed
-    And no task ran twice and no runner was overfull
-
-  # Guards against starting a task again whose job was shown as complete while the store was away.
-  Scenario: A job ends while the store is away, and its owner and its runner are lost
-    When the store goes away while a long job runs
-    Then every host tells that it is completed
-    When the owner and the runner are lost before the platform is back
-    Then the other hosts tell that the job is completed
+    When another writer is active, and the owner is killed while a long job runs
+    Then the other hosts report that the job is completed
+    And no task ran twice and no runner exceeded its capacity
+
+  # Guards against restarting a task whose job was reported as completed while the store was down.
+  Scenario: A job ends while the store is down, and its owner and its runner crash
+    When the store goes down while a long job runs
+    Then every host reports that it is completed
+    When the owner and the runner crash before the platform is up again
+    Then the other hosts report that the job is completed
     And its task has run once
--- a/features/platform_soak.feature
+++ b/features/platform_soak.feature
@@ -1,9 +1,9 @@
-Feature: Random faults on entry hosts, overlapping
+Feature: Overlapping random faults on entry hosts
 
-  # Guards against promises that do not hold under overlapping faults.
-  Scenario Outline: A short run
-    When faults of seed <seed> strike the entry hosts for <seconds> seconds
-    Then every promise was kept
+  # Guards against violations of guarantees under overlapping faults.
+  Scenario Outline: A short soak
+    When random faults with seed <seed> hit the entry hosts for <seconds> seconds
+    Then no guarantee was violated
 
     Examples:
       | seed | seconds |
--- a/features/steps/ends_steps.py
+++ b/features/steps/ends_steps.py
@@ -1,4 +1,4 @@
-"""Steps on runners with more ends than one look lists."""
+"""Steps for runners that have more ends of runs than one poll lists."""
 
 import msgspec
 from behave import given, then, when
@@ -8,19 +8,19 @@
 from dandelionreel.platform._views import decode_view
 from features.cell_parts import SmallCell, step, task
 
-LISTED = 500
+LISTED_ENDS = 500
 
 
-@given('a task on w1 that is done there, its end behind 500 others')
-def end_behind(context):
+@given('a task that is done on w1, its end listed after 500 others')
+def start_and_end_task(context):
     context.small = SmallCell(('w1',))
     context.small.add_job('j1', [step()])
     context.small.plan()
     assert context.small.runs_on('w1')
 
 
-@given('a successor that waits for w1 with the tasks of a job')
-def successor_waits(context):
+@given('a successor that waits for w1 before it starts the tasks of a job')
+def start_successor(context):
     context.small = SmallCell(('w1', 'w2'), epoch=2, seen=False)
     context.small.poll('w2')
     context.small.cell.unseen_runners.add('w1')
@@ -30,20 +30,22 @@
 
 
 @when('w1 lists its first 500 ends')
-def lists_500(context):
+def list_first_ends(context):
     context.small.now += 1
-    ends = [(number + 1, task('j0', number), 1, 'done') for number in range(LISTED)]
+    ends = [(number + 1, task('j0', number), 1, 'done') for number in range(LISTED_ENDS)]
     context.small.poll('w1', ended=ends, complete=False)
 
 
-@then('an answer with {count:d} ends counts as {extent}')
-def answer_extent(context, count, extent):
+@then('an answer with {count:d} ends counts as {completeness}')
+def check_answer_complete(context, count, completeness):
     rows = [[number + 1, f'{"a" * 16}.0.0.{number}', 1, 'done', ''] for number in range(count)]
     view = decode_view(msgspec.json.encode({'clock_ms': 5, 'running': [], 'finished': rows}))
-    assert view.complete == (extent == 'complete')
+    assert view.complete == (completeness == 'complete')
 
 
 @then('the task is not started again')
-def not_again(context):
-    again = context.small.plan().starts
-    assert not again, f'{again[0].task} starts as run {again[0].run} on {again[0].runner}'
+def check_not_restarted(context):
+    restarts = context.small.plan().starts
+    assert not restarts, (
+        f'{restarts[0].task} starts as run {restarts[0].run} on {restarts[0].runner}'
+    )
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on incarnations of runners: calls, entries, ids."""
+"""Steps for incarnations of runners: calls, entries and ids."""
 
 import json
 import time
@@ -7,7 +7,7 @@
 
 import curio
 from behave import given, then, when
-from hypothesis import given as drawn
+from hypothesis import given as hypothesis_given
 from hypothesis import settings, strategies
 
 from dandelionreel.backing import HostEntry, MemoryWorker, Resources, TaskOrder
@@ -45,14 +45,14 @@
     return StartOrder(TaskName(JOB, 0, 0, index), run, '500 0.05', EPOCH, runner_clock + LEASE)
 
 
-@given('a runner that has run a task, known by its entry')
+@given('a runner that has run a task and is known from its entry')
 def known_runner(context):
     context.platform = UsersPlatform(1, tells_incarnation=True)
     context.platform.start()
     context.stack.callback(context.platform.stop)
     (context.runner,) = context.platform.runners
-    context.http = HttpRunner(read_entry(context))
-    curio.run(run_one, context)
+    context.client = HttpRunner(read_entry(context))
+    curio.run(run_and_forget_task, context)
 
 
 def read_entry(context):
@@ -60,25 +60,25 @@
     return JsonRecordCodec().decode_registration(context.runner.name, content)
 
 
-async def run_one(context):
-    """Let the runner do a task and forget it, on connections that are closed again."""
-    http = HttpRunner(read_entry(context))
-    answer = await http.start(make_order(context.runner.clock(), 0, 1), lambda: True)
+async def run_and_forget_task(context):
+    """Run a task on the runner and acknowledge its end, then close the connections."""
+    client = HttpRunner(read_entry(context))
+    answer = await client.start(make_order(context.runner.clock(), 0, 1), lambda: True)
     assert answer.reply is StartReply.STARTED, answer
-    view = await http.poll(EPOCH, 0, None, 1.0)
+    view = await client.poll(EPOCH, 0, None, 1.0)
     assert [end.number for end in view.ended] == [1], view
-    await http.poll(EPOCH, 1, None, 0)
-    await http.close()
+    await client.poll(EPOCH, 1, None, 0)
+    await client.close()
 
 
-async def send(http, call, clock):
-    """Send a call; return what came of it."""
+async def send(client, call, clock):
+    """Send a call; return its result, or the error that it raised."""
     try:
         if 'start' in call:
-            return (await http.start(make_order(clock, 2, 9), lambda: True)).reply
+            return (await client.start(make_order(clock, 2, 9), lambda: True)).reply
         if 'stop' in call:
-            return await http.stop(TaskName(JOB, 0, 0, 1), 2, EPOCH)
-        return await http.poll(EPOCH, 10, clock + LEASE, 0)
+            return await client.stop(TaskName(JOB, 0, 0, 1), 2, EPOCH)
+        return await client.poll(EPOCH, 10, clock + LEASE, 0)
     except (RunnerReplaced, RunnerError) as error:
         return error
 
@@ -89,54 +89,54 @@
     context.runner.revive()
 
 
-@when('it restarts, runs another task to its end, and {call} is sent for the former process')
-def call_former(context, call):
+@when('it restarts, runs another task to its end, and {call} intended for the former process is sent')
+def call_former_process(context, call):
     async def call_all():
         if 'opened before' in call:
-            # The calls on it are carried by connections of their own.
-            await context.http.poll(EPOCH, 0, None, 0)
+            # Opens the connection for polls and the three connections for orders.
+            await context.client.poll(EPOCH, 0, None, 0)
             for _ in range(3):
-                await context.http.stop(TaskName(JOB, 0, 0, 7), 1, EPOCH)
+                await context.client.stop(TaskName(JOB, 0, 0, 7), 1, EPOCH)
         restart(context)
         await run_to_end()
         clock = context.runner.clock() + 1000
         for _ in range(4):
-            context.told = await send(context.http, call, clock)
-            if not isinstance(context.told, RunnerError):
+            context.result = await send(context.client, call, clock)
+            if not isinstance(context.result, RunnerError):
                 break
-            # The connection broke: a later try meets the new process.
-        await context.http.close()
+            # The connection broke; the next try reaches the new process.
+        await context.client.close()
 
     async def run_to_end():
-        """The owner of the new process lets it run two tasks."""
-        http = HttpRunner(read_entry(context))
+        """Start two tasks on the new process, as its owner does."""
+        client = HttpRunner(read_entry(context))
         for index, spec in ((0, '500 0.01'), (1, '500 5')):
             order = make_order(context.runner.clock(), index, 2)
-            await http.start(
+            await client.start(
                 StartOrder(order.task, 2, spec, EPOCH, order.lease_until), lambda: True
             )
-        await http.close()
+        await client.close()
 
     curio.run(call_all)
 
 
-@then('the caller is told that the runner was replaced')
-def told_replaced(context):
-    assert context.told is StartReply.REPLACED or isinstance(context.told, RunnerReplaced), (
-        context.told
+@then('the caller learns that the runner was replaced')
+def check_replaced(context):
+    assert context.result is StartReply.REPLACED or isinstance(context.result, RunnerReplaced), (
+        context.result
     )
 
 
-@then('the new process has started, stopped, renewed and forgotten nothing')
-def nothing_done(context):
-    async def look():
-        http = HttpRunner(read_entry(context))
-        view = await http.poll(EPOCH, 0, None, 0)
-        await http.close()
+@then('the new process has started, stopped, renewed and acknowledged nothing')
+def check_new_process_unaffected(context):
+    async def poll_runner():
+        client = HttpRunner(read_entry(context))
+        view = await client.poll(EPOCH, 0, None, 0)
+        await client.close()
         return view
 
     time.sleep(0.2)
-    view = curio.run(look)
+    view = curio.run(poll_runner)
     assert [end.number for end in view.ended] == [1], view
     assert [running.task.index for running in view.running] == [1], view
     assert {run.task for run in context.platform.runs if run.number == 9} == set()
@@ -144,59 +144,59 @@
     assert lease <= LEASE, lease
 
 
-@when('it restarts, registers, and a start is sent by its new entry')
-def start_new(context):
+@when('it restarts, registers, and a start is sent to the address in its new entry')
+def start_on_new_process(context):
     async def start():
-        http = HttpRunner(read_entry(context))
-        context.told = await send(http, 'a start', context.runner.clock())
-        await http.close()
+        client = HttpRunner(read_entry(context))
+        context.result = await send(client, 'a start', context.runner.clock())
+        await client.close()
 
     restart(context)
     curio.run(start)
 
 
 @then('the start is answered, and the new process has run it')
-def new_has_run(context):
-    assert context.told is StartReply.STARTED, context.told
+def check_new_process_ran_task(context):
+    assert context.result is StartReply.STARTED, context.result
     assert [run.number for run in context.platform.settle()] == [1, 9]
 
 
-@when('it is out of reach, and a start is sent')
-def start_silent(context):
+@when('it does not answer, and a start is sent')
+def start_on_silent_runner(context):
     async def start():
-        context.told = await send(context.http, 'a start', context.runner.clock())
-        await context.http.close()
+        context.result = await send(context.client, 'a start', context.runner.clock())
+        await context.client.close()
 
     context.runner.dark = True
     curio.run(start)
 
 
-@then('the caller is told that it did not run')
-def told_not_run(context):
-    assert isinstance(context.told, RunnerError), context.told
-    assert context.told.verdict is Verdict.NOT_RUN, context.told.verdict
+@then('the caller learns that the start was not executed')
+def check_not_run(context):
+    assert isinstance(context.result, RunnerError), context.result
+    assert context.result.verdict is Verdict.NOT_RUN, context.result.verdict
 
 
-@when('it {does}, and {call} is sent')
-def answers_badly(context, does, call):
+@when('it {behavior}, and {call} is sent')
+def answer_invalidly(context, behavior, call):
     async def handle(request):
-        if 'half' in does:
+        if 'half' in behavior:
             return Answer(200, (), b'{"clock_ms": 5')
         return answer_json({'clock_ms': 5, 'born': 'soon', 'running': [], 'finished': []})
 
     async def send_call():
-        context.told = await send(context.http, call, context.runner.clock())
-        await context.http.close()
+        context.result = await send(context.client, call, context.runner.clock())
+        await context.client.close()
 
     context.runner.tells_incarnation = False
-    if 'stops' not in does:
+    if 'stops' not in behavior:
         context.runner.answer = handle
     curio.run(send_call)
 
 
-@then('the caller is told that the runner gave no usable answer, and that it did not run')
-def told_unusable(context):
-    told_not_run(context)
+@then('the caller learns that the answer was invalid and that nothing was executed')
+def check_unusable_answer(context):
+    check_not_run(context)
     assert not context.platform.runs[1:], context.platform.runs
 
 
@@ -228,44 +228,44 @@
     return KeyedRecord('i-1', json.dumps(fields).encode())
 
 
-def read(context, entry):
-    context.folder.fold(RecordBatch((make_record(entry),), 1, 1))
+def read_entry_record(context, entry):
+    context.projection.fold(RecordBatch((make_record(entry),), 1, 1))
 
 
-@given('a host that knows i-1 by {entry}')
-def host_has_read(context, entry):
-    context.folder = RunnerProjection(JsonRecordCodec(), ManualClock(), journal())
-    read(context, entry)
+@given('a host that knows i-1 from {entry}')
+def read_first_entry(context, entry):
+    context.projection = RunnerProjection(JsonRecordCodec(), ManualClock(), journal())
+    read_entry_record(context, entry)
 
 
 @when('{entry} of i-1 follows')
-def host_reads(context, entry):
-    read(context, entry)
+def read_next_entry(context, entry):
+    read_entry_record(context, entry)
 
 
-@then('the host lists {known}')
-def host_knows(context, known):
-    incarnation, _, useless = known.partition(', ')
-    found = context.folder.registration_by_id
+@then('the host lists {expected}')
+def check_listed_runners(context, expected):
+    incarnation, _, unusable = expected.partition(', ')
+    found = context.projection.registration_by_id
     if incarnation == 'nothing':
         assert not found, found
         return
     assert list(found) == [incarnation], found
-    assert found[incarnation].usable is not bool(useless), found
+    assert found[incarnation].usable is not bool(unusable), found
     assert found[incarnation].runner == incarnation, found
 
 
-@then('{incarnation} is known as gone, where it was')
-def known_gone(context, incarnation):
-    assert incarnation in context.folder.removed_by_id
-    assert context.folder.find(incarnation).address == '10.0.0.1'
+@then('{incarnation} is known as removed, with its address')
+def check_removed(context, incarnation):
+    assert incarnation in context.projection.removed_by_id
+    assert context.projection.find(incarnation).address == '10.0.0.1'
 
 
 # Successors
 
 
 @given('a successor that has not seen i-1@7, on which a task may run')
-def successor(context):
+def start_successor(context):
     crashed, starts = (CrashedRun(0, 0, 0, 1),), (StoredStart(0, 0, 0, 2, 'i-1@7'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('i-1@7',), crashed, starts)
     context.small = SmallCell((), epoch=2)
@@ -274,33 +274,33 @@
 
 
 @when('an entry of {incarnation} is read')
-def entry_read(context, incarnation):
+def read_incarnation_entry(context, incarnation):
     small = context.small
     small.registration_by_id[incarnation] = make_registration(incarnation)
     small.update_runners()
 
 
 @when('{incarnation} has answered')
-def has_answered(context, incarnation):
-    entry_read(context, incarnation)
+def answer_poll(context, incarnation):
+    read_incarnation_entry(context, incarnation)
     context.small.poll(incarnation)
 
 
 @then('the task {state}, with {count:d} crashes')
-def task_state(context, state, count):
+def check_task_state(context, state, count):
     cell = context.small.cell
     cell.drop_unseen_runners(cell.find_replaced_runners())
-    assert cell.is_blocked(context.job) is (state == 'is left alone'), cell.unseen_runners
-    # One of them had been counted before.
+    assert cell.is_blocked(context.job) is (state == 'is not started'), cell.unseen_runners
+    # One crash was counted before.
     assert context.job.crashes.count(task('j1')) == 1 + count, context.job.crashes.crashed
     assert len(context.small.plan().starts) == (state == 'may start')
 
 
-# Workers of the product's own interface
+# Workers with the native worker API
 
 
 class RestartingWorker:
-    """The process that runs on a worker now, behind a client that reconnects by itself."""
+    """A worker that can restart, behind a client that reconnects by itself."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -345,9 +345,9 @@
         context.revision = await context.agent._watch(context.revision)
 
 
-@when('the worker restarts within {seconds:g} s, starts another task and is watched twice')
+@when('the worker restarts within {seconds:g} s, starts another task and is polled twice')
 def worker_restarts(context, seconds):
-    async def go_on():
+    async def continue_watching():
         context.clock.now += 50
         await context.agent._watch(context.revision)
         context.clock.now += seconds
@@ -356,26 +356,26 @@
         await context.worker.start_task('j2.1.0')
         await watch_twice(context)
 
-    curio.run(go_on)
+    curio.run(continue_watching)
 
 
-@when('it is watched twice without a change')
+@when('it is polled twice without a change')
 def worker_unchanged(context):
-    async def go_on():
+    async def continue_watching():
         for _ in range(2):
             context.clock.now += 4
             context.revision = await context.agent._watch(context.revision)
 
-    curio.run(go_on)
+    curio.run(continue_watching)
 
 
-@then('the other task is held, and the one that it ran before is not')
-def other_held(context):
+@then("only the task of the new process is in the worker's ledger")
+def check_only_other_held(context):
     assert [hold.task_id for hold in context.agent.ledger.holds()] == ['j2.1.0']
 
 
 @then('its tasks were listed in full only once')
-def listed_once(context):
+def check_listed_once(context):
     assert context.worker.full_lists == 1, context.worker.full_lists
 
 
@@ -383,26 +383,26 @@
 
 
 @given("any runner's id and any start")
-def any_id(context):
+def draw_ids(context):
     context.ids = strategies.text('@i-1', max_size=6)
     context.starts = strategies.none() | strategies.integers(1, 12)
 
 
 @then("the incarnation's id gives the runner's id back, and differs for each start")
-def ids_come_back(context):
+def check_ids_reversible(context):
     @settings(max_examples=400, database=None, derandomize=True)
-    @drawn(context.ids, context.starts, context.ids, context.starts)
+    @hypothesis_given(context.ids, context.starts, context.ids, context.starts)
     def check(runner, started, other, other_started):
-        named = incarnation_id(runner, started)
-        assert runner_id(named) == runner
+        incarnation = incarnation_id(runner, started)
+        assert runner_id(incarnation) == runner
         same = (runner, started) == (other, other_started)
-        assert (named == incarnation_id(other, other_started)) is same
+        assert (incarnation == incarnation_id(other, other_started)) is same
 
     check()
 
 
 @given('any names in the store')
-def any_names(context):
+def draw_names(context):
     starts = strategies.integers(0, 10**18).map(str) | strategies.sampled_from(
         ['', 'x', '\u0663', '9' * 5000]
     )
@@ -410,10 +410,12 @@
     context.names |= strategies.text('@i9', max_size=4)
 
 
-@then('none of them is taken for later than another by anything but its start')
-def later_by_start(context):
+@then('a name counts as a later incarnation of another only because of its start time')
+def check_later_by_start(context):
     @settings(max_examples=400, database=None, derandomize=True)
-    @drawn(strategies.lists(context.names, max_size=3), strategies.lists(context.names, max_size=3))
+    @hypothesis_given(
+        strategies.lists(context.names, max_size=3), strategies.lists(context.names, max_size=3)
+    )
     def check(names, others):
         for name, later in find_later_incarnations(names, others).items():
             assert runner_id(name) == runner_id(later)
@@ -424,14 +426,14 @@
 
 @given('a policy service that allows every runner that it is asked about')
 def policy_service(context):
-    context.asked = []
+    context.requested_runners = []
 
 
 @when('it is asked about i-1@7 and i-2')
 def ask_policy(context):
     async def answer(request):
-        context.asked = json.loads(request.body)['workers']
-        allowed = [[runner, f't-{runner}'] for runner in context.asked]
+        context.requested_runners = json.loads(request.body)['workers']
+        allowed = [[runner, f't-{runner}'] for runner in context.requested_runners]
         return answer_json({'allowed': [*allowed, ['i-3', 't-strange']]})
 
     async def ask():
@@ -447,8 +449,8 @@
 
 
 @then('it was asked about i-1 and i-2, and permits i-1@7 and i-2')
-def permits_incarnations(context):
-    assert context.asked == ['i-1', 'i-2'], context.asked
+def check_permits(context):
+    assert context.requested_runners == ['i-1', 'i-2'], context.requested_runners
     assert [(permit.runner, permit.ticket) for permit in context.permits] == [
         ('i-1@7', 't-i-1'),
         ('i-2', 't-i-2'),
--- a/features/steps/platform_soak_steps.py
+++ b/features/steps/platform_soak_steps.py
@@ -1,16 +1,16 @@
-"""Steps of short soaks of entry hosts."""
+"""Steps for short soak tests of entry hosts."""
 
 from behave import then, when
 
 from bench.platform_soak import PlatformSoak
 
 
-@when('faults of seed {seed:d} strike the entry hosts for {seconds:g} seconds')
-def soak(context, seed, seconds):
+@when('random faults with seed {seed:d} hit the entry hosts for {seconds:g} seconds')
+def run_soak(context, seed, seconds):
     context.tally = PlatformSoak(seed, seconds).run()
 
 
-@then('every promise was kept')
-def kept(context):
+@then('no guarantee was violated')
+def check_guarantees(context):
     assert any(asked.accepted for asked in context.tally.asked)
     assert not context.tally.wrong, context.tally.wrong
