--- a/dandelionreel/admin/_front.py
+++ b/dandelionreel/admin/_front.py
@@ -177,7 +177,7 @@
         views = []
         now = self._clock.monotonic()
         for member in self._members.live():
-            state = self._directory.of_member(member.key)
+            state = self._directory.get_by_member(member.key)
             heard_ago = -1.0
             if member.key == self._me:
                 heard_ago = 0.0
--- a/dandelionreel/backing/__init__.py
+++ b/dandelionreel/backing/__init__.py
@@ -5,11 +5,11 @@
     HostEntry,
     HostList,
     HostListError,
-    HostsDone,
+    HostsResult,
     HttpHostList,
     StaticHostList,
 )
-from dandelionreel.backing._http_log import AppendBody, AppendDone, HttpLog, ReadDone
+from dandelionreel.backing._http_log import AppendBody, AppendResult, HttpLog, ReadResult
 from dandelionreel.backing._log import (
     LogBatch,
     LogError,
@@ -21,8 +21,8 @@
 from dandelionreel.backing._resources import EPSILON, NOTHING, Resources
 from dandelionreel.backing._stream import (
     Envelope,
-    Folder,
     Position,
+    RecordHandler,
     StreamReader,
     StreamWriter,
 )
@@ -42,14 +42,13 @@
     'EPSILON',
     'NOTHING',
     'AppendBody',
-    'AppendDone',
+    'AppendResult',
     'Envelope',
-    'Folder',
     'HostEntry',
     'HostList',
     'HostListError',
     'HostWatch',
-    'HostsDone',
+    'HostsResult',
     'HttpHostList',
     'HttpLog',
     'HttpWorker',
@@ -63,7 +62,8 @@
     'MemoryTask',
     'MemoryWorker',
     'Position',
-    'ReadDone',
+    'ReadResult',
+    'RecordHandler',
     'Resources',
     'StaticHostList',
     'StreamReader',
--- a/dandelionreel/backing/_host_watch.py
+++ b/dandelionreel/backing/_host_watch.py
@@ -3,7 +3,7 @@
 import curio
 
 from dandelionreel.backing._hosts import HostEntry, HostList, HostListError
-from dandelionreel.kernel import Clock, Journal, Part, Signal
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part
 
 
 class HostWatch:
@@ -21,7 +21,7 @@
         self._gone_at_by_name: dict[str, float] = {}
         self.entry_by_name: dict[str, HostEntry] = {}
         self.read_at = float('-inf')
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
 
     async def run(self, interval: float) -> None:
         """Read the list every ``interval`` seconds, for ever."""
@@ -49,7 +49,7 @@
             await self.changed.notify()
         return True
 
-    def of_kind(self, kind: str, availability_zone: str) -> tuple[HostEntry, ...]:
+    def zone_hosts_of_kind(self, kind: str, availability_zone: str) -> tuple[HostEntry, ...]:
         """Return hosts of a kind in one zone, by name."""
         return tuple(
             entry
@@ -57,11 +57,11 @@
             if entry.kind == kind and entry.availability_zone == availability_zone
         )
 
-    def all_of_kind(self, kind: str) -> tuple[HostEntry, ...]:
+    def all_hosts_of_kind(self, kind: str) -> tuple[HostEntry, ...]:
         """Return hosts of a kind in all zones, by name."""
         return tuple(entry for _, entry in sorted(self.entry_by_name.items()) if entry.kind == kind)
 
-    def gone_for(self, name: str) -> float:
+    def missing_seconds(self, name: str) -> float:
         """Return how long a host has been missing from the list, in seconds."""
         gone_at = self._gone_at_by_name.get(name)
         if gone_at is None:
--- a/dandelionreel/backing/_hosts.py
+++ b/dandelionreel/backing/_hosts.py
@@ -33,7 +33,7 @@
         return self.state == 'live'
 
 
-class HostsDone(msgspec.Struct, frozen=True):
+class HostsResult(msgspec.Struct, frozen=True):
     """Answer of the host list."""
 
     hosts: tuple[HostEntry, ...]
@@ -90,7 +90,7 @@
             return self._known
         if answer.status != HTTP_OK:
             raise HostListError(f'the host list answered {answer.status}')
-        self._known = msgspec.json.decode(answer.body, type=HostsDone).hosts
+        self._known = msgspec.json.decode(answer.body, type=HostsResult).hosts
         self._mark = answer.header('etag')
         return self._known
 
--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -25,13 +25,13 @@
     records: list[msgspec.Raw]
 
 
-class AppendDone(msgspec.Struct, frozen=True):
+class AppendResult(msgspec.Struct, frozen=True):
     """Answer to an append: the offset of its first record."""
 
     offset: int
 
 
-class ReadDone(msgspec.Struct, frozen=True):
+class ReadResult(msgspec.Struct, frozen=True):
     """Answer to a read."""
 
     first: int
@@ -64,7 +64,7 @@
             raise LogError(f'the log refused ({answer.status})', Verdict.NOT_RUN)
         if answer.status != HTTP_OK:
             raise LogError(f'the log answered {answer.status}', Verdict.UNKNOWN)
-        return msgspec.json.decode(answer.body, type=AppendDone).offset
+        return msgspec.json.decode(answer.body, type=AppendResult).offset
 
     async def read(self, stream: str, offset: int, wait: float) -> LogBatch:
         """Return records from ``offset``, waiting up to ``wait`` seconds."""
@@ -73,7 +73,7 @@
         answer = await self._exchange(self._read_by_stream, stream, request, wait)
         if answer.status not in {HTTP_OK, HTTP_GONE}:
             raise LogError(f'the log answered {answer.status}', Verdict.UNKNOWN)
-        done = msgspec.json.decode(answer.body, type=ReadDone)
+        done = msgspec.json.decode(answer.body, type=ReadResult)
         if answer.status == HTTP_GONE:
             raise LogTruncatedError(done.first)
         return LogBatch(done.offset, done.tail, tuple(bytes(raw) for raw in done.records))
--- a/dandelionreel/backing/_memory_log.py
+++ b/dandelionreel/backing/_memory_log.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from dandelionreel.backing._log import LogBatch, LogService, LogTruncatedError
-from dandelionreel.kernel import Endpoint, PluginKind, Signal, plugins
+from dandelionreel.kernel import ChangeNotifier, Endpoint, PluginKind, plugins
 
 READ_RECORDS = 500
 
@@ -15,7 +15,7 @@
         """Start empty."""
         self.first = 0
         self.records: list[bytes] = []
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
 
     @property
     def tail(self) -> int:
--- a/dandelionreel/backing/_memory_worker.py
+++ b/dandelionreel/backing/_memory_worker.py
@@ -22,7 +22,7 @@
     WorkerError,
     WorkerService,
 )
-from dandelionreel.kernel import Clock, PluginKind, Signal, SystemClock, Verdict, plugins
+from dandelionreel.kernel import ChangeNotifier, Clock, PluginKind, SystemClock, Verdict, plugins
 
 MILLISECONDS = 1000
 STEP_SECONDS = 0.2
@@ -76,7 +76,7 @@
         self._began = self._clock.monotonic()
         self._task_by_id: dict[str, MemoryTask] = {}
         self._tombstones: set[str] = set()
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
         self._revision = 0
         self._watchers: list[TaskWatcher] = []
         #: While set, every task fails shortly after its start.
--- a/dandelionreel/backing/_stream.py
+++ b/dandelionreel/backing/_stream.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from dandelionreel.backing._log import LogError, LogService, LogTruncatedError
-from dandelionreel.kernel import Clock, Signal, Verdict
+from dandelionreel.kernel import ChangeNotifier, Clock, Verdict
 
 RETRY_SECONDS = 0.25
 READ_ERROR_SECONDS = 0.25
@@ -37,7 +37,7 @@
     wall: float
 
 
-Folder = Callable[[msgspec.Struct, Position], None]
+RecordHandler = Callable[[msgspec.Struct, Position], None]
 
 
 class StreamReader:
@@ -48,14 +48,14 @@
         self._log = log
         self._clock = clock
         self._decoder = msgspec.json.Decoder(records)
-        self._folders: list[Folder] = []
+        self._folders: list[RecordHandler] = []
         self._resets: list[Callable[[], None]] = []
         self._last_by_writer: dict[str, int] = {}
         self.stream = stream
         self.offset = 0
         self.evidence_at = float('-inf')
         self.caught_up = False
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
         self.outage_since: float | None = None
         self.outage_seconds = 0.0
         self.read_seconds = 0.0
@@ -65,7 +65,7 @@
         self._first_wall: float | None = None
         self.unreadable = 0
 
-    def add(self, folder: Folder, reset: Callable[[], None]) -> None:
+    def add_handler(self, folder: RecordHandler, reset: Callable[[], None]) -> None:
         """Fold every record with ``folder``; ``reset`` empties what it built."""
         self._folders.append(folder)
         self._resets.append(reset)
@@ -74,7 +74,7 @@
         """Return whether a record of that writer has been folded."""
         return self._last_by_writer.get(writer, -1) >= number
 
-    def covers(self, seconds: float) -> bool:
+    def covers_last(self, seconds: float) -> bool:
         """Return whether all that was written in the last ``seconds`` has been read.
 
         Facts are written again at fixed intervals; one that is not found in
@@ -197,7 +197,7 @@
         self._group_records = group_records
         self._next_number = 0
         self._waiting: list[_Pending] = []
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
         self.appends = 0
         self.records = 0
         self.append_seconds = 0.0
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -18,12 +18,12 @@
 from dandelionreel.peers import (
     AdviceGiven,
     AdviceWanted,
-    EchoBook,
     Frame,
     Message,
+    PeerClocks,
     PeerError,
     PeerLink,
-    Traffic,
+    TrafficCounter,
 )
 
 #: A request times out after its announced duration times the factor, plus the margin.
@@ -46,8 +46,8 @@
         """Send messages as the host ``me``."""
         self._me = me
         self._clock = clock
-        self._echoes = EchoBook()
-        self._traffic = Traffic()
+        self._peer_clocks = PeerClocks()
+        self._traffic = TrafficCounter()
         self._link_by_address: dict[tuple[str, int], PeerLink] = {}
 
     async def ask(self, member: Member, message: Message, timeout: float) -> Frame:
@@ -55,7 +55,7 @@
         address = (member.address, member.port)
         link = self._link_by_address.get(address)
         if link is None:
-            link = PeerLink(*address, self._me, self._clock, self._echoes, self._traffic)
+            link = PeerLink(*address, self._me, self._clock, self._peer_clocks, self._traffic)
             self._link_by_address[address] = link
         return await link.ask(message, timeout)
 
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -18,7 +18,7 @@
     make_progress_records,
 )
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
-from dandelionreel.kernel import Clock, Journal, Part, Signal, seconds_or_none
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, seconds_or_none
 
 #: Seconds for which runners keep their tasks without a renewal: longer than a usual partition.
 LEASE_SECONDS = 8.5
@@ -76,12 +76,12 @@
         claimed_at = term.claimed_at
         self.writer.stored_at = clock.monotonic() if claimed_at is None else claimed_at
         #: Notified whenever a task may be startable or has to be stopped.
-        self.plan_needed = Signal()
+        self.plan_needed = ChangeNotifier()
         self.ended = curio.Event()
         #: Jobs whose completion is being written to the store. ``completions_changed`` is notified
         #: when jobs are added.
         self.unstored_completions: set[str] = set()
-        self.completions_changed = Signal()
+        self.completions_changed = ChangeNotifier()
         #: Why the term has ended; empty while it lasts.
         self.end_reason = ''
         self.runner_by_id: dict[str, Runner] = {}
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -6,7 +6,7 @@
 import curio
 
 from dandelionreel.cell.model import RecordBatch, RecordsExpired, StoreError, Topic
-from dandelionreel.kernel import Clock, Journal, Part, Signal
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part
 
 #: Seconds between attempts while the store is unreachable.
 RETRY_SECONDS = 0.15
@@ -104,7 +104,7 @@
         self.lost_at = NEVER
         #: When the store last answered a read.
         self.answered_at = NEVER
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
 
     @property
     def started(self) -> bool:
--- a/dandelionreel/cli/_daemon.py
+++ b/dandelionreel/cli/_daemon.py
@@ -7,7 +7,7 @@
 
 from dandelionreel import __version__
 from dandelionreel.daemon import Daemon
-from dandelionreel.http import use_source
+from dandelionreel.http import set_source_address
 from dandelionreel.kernel import (
     Environment,
     ExitStatus,
@@ -51,7 +51,7 @@
     path = make_parser().parse_args(argv).settings
     try:
         settings = load_settings(path.read_bytes())
-        use_source(settings.source_address)
+        set_source_address(settings.source_address)
         daemon = Daemon(settings, environment)
     except OSError as error:
         environment.tell_error(f'{path}: {error.strerror}; name a readable settings file')
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -119,9 +119,9 @@
         if state.gossip.contracts == self._contracts.digest():
             return
         now = self._clock.monotonic()
-        if now - state.contracts_asked_at < QUERY_INTERVAL_SECONDS:
+        if now - state.contracts_queried_at < QUERY_INTERVAL_SECONDS:
             return
-        state.contracts_asked_at = now
+        state.contracts_queried_at = now
         await curio.spawn(self._query_contracts, state, daemon=True)
 
     async def answer_query(self, frame: Frame) -> Message:
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -54,19 +54,19 @@
 from dandelionreel.peers import (
     ContractsWanted,
     Done,
-    EchoBook,
     Forward,
     Frame,
     Gossip,
     Heartbeat,
     Message,
+    PeerClocks,
     PeerDirectory,
     PeerServer,
     PeerState,
     PlaceOrder,
     Refused,
     TaskAction,
-    Traffic,
+    TrafficCounter,
     WorkerReport,
     hash_member,
 )
@@ -176,13 +176,13 @@
     def _build_ownership(self) -> None:
         settings, clock = self._settings, self._clock
         zone = settings.availability_zone
-        self._traffic = Traffic()
-        self._echoes = EchoBook()
-        self._directory = PeerDirectory(self.me, clock, self._echoes, self._traffic)
+        self._traffic = TrafficCounter()
+        self._peer_clocks = PeerClocks()
+        self._directory = PeerDirectory(self.me, clock, self._peer_clocks, self._traffic)
         self._peer_server = PeerServer(
             self.me,
             clock,
-            self._echoes,
+            self._peer_clocks,
             self._journal,
             self._traffic,
         )
@@ -225,13 +225,13 @@
             self._zone_writer,
             self._journal,
         )
-        self._cell_reader.add(self._cell_members.fold, self._cell_members.reset)
-        self._zone_reader.add(self._zone_members.fold, self._zone_members.reset)
-        self._zone_reader.add(self._shards.fold, self._shards.reset)
+        self._cell_reader.add_handler(self._cell_members.fold, self._cell_members.reset)
+        self._zone_reader.add_handler(self._zone_members.fold, self._zone_members.reset)
+        self._zone_reader.add_handler(self._shards.fold, self._shards.reset)
 
     def _build_contracts(self) -> None:
         self._contracts = ContractProjection(self._cell_members, self._clock)
-        self._cell_reader.add(self._contracts.fold, self._contracts.reset)
+        self._cell_reader.add_handler(self._contracts.fold, self._contracts.reset)
         self._publisher = ContractPublisher(
             self.me,
             self._settings,
@@ -254,7 +254,7 @@
     def _build_requests(self) -> None:
         self._metrics = DaemonMetrics(self._traffic)
         self._keys = KeyFold()
-        self._zone_reader.add(self._keys.fold, self._keys.reset)
+        self._zone_reader.add_handler(self._keys.fold, self._keys.reset)
         self._pool = RunnerPool(
             self._settings,
             self._clock,
@@ -284,7 +284,7 @@
             settings.limits.known_jobs,
             settings.limits.known_keys,
         )
-        self._zone_reader.add(self._jobs.fold, self._jobs.reset)
+        self._zone_reader.add_handler(self._jobs.fold, self._jobs.reset)
         self._fleet = WorkerFleet(
             self.me,
             settings,
@@ -295,7 +295,7 @@
             self._zone_reader,
             self._peer_monitor,
             self._directory,
-            self._echoes,
+            self._peer_clocks,
             self._journal,
         )
         self._shares = QuotaShareBalancer(
@@ -409,12 +409,12 @@
     def _answer_peers(self, callers: CallersFront) -> None:
         self._peer_monitor.connect_gossip(self._gossip, self._hear, self._publisher.handle_gossip)
         server = self._peer_server
-        server.answer(Heartbeat, self._peer_monitor.answer_heartbeat)
-        server.answer(Forward, callers.answer_forward)
-        server.answer(PlaceOrder, self._fleet.answer_place)
-        server.answer(TaskAction, self._fleet.answer_action)
-        server.answer(WorkerReport, self._answer_report)
-        server.answer(ContractsWanted, self._publisher.answer_query)
+        server.add_handler(Heartbeat, self._peer_monitor.answer_heartbeat)
+        server.add_handler(Forward, callers.answer_forward)
+        server.add_handler(PlaceOrder, self._fleet.answer_place)
+        server.add_handler(TaskAction, self._fleet.answer_action)
+        server.add_handler(WorkerReport, self._answer_report)
+        server.add_handler(ContractsWanted, self._publisher.answer_query)
 
     # Running.
 
@@ -480,14 +480,14 @@
             return
         in_flight = InFlight()
         in_flight.add(lambda: self._router.in_flight)
-        in_flight.add(lambda: self._callers_server.busy)
+        in_flight.add(lambda: self._callers_server.requests_in_progress)
         await self._life.drain(
             self._claimer,
             in_flight,
             self._zone_writer,
             self._cell_writer,
             self.me,
-            self._callers_server.finish,
+            self._callers_server.disable_keep_alive,
         )
 
     def _was_declared_ended(self) -> bool:
@@ -552,7 +552,7 @@
         return Gossip(
             view=self._promises.view() if near else (),
             heard=tuple(map(hash_member, heard)) if near else (),
-            rooms=self._pool.rooms(),
+            service_slots=self._pool.rooms(),
             leaving=self._pool.own_signs() if near else (),
             contracts=self._contracts.digest(),
             draining=self._claimer.draining,
@@ -562,7 +562,7 @@
         self._pool.hear_leaving(state.gossip.leaving)
         if state.gossip.contracts == self._contracts.digest():
             self._life.heard_contracts = True
-        if state.gossip.rooms:
+        if state.gossip.service_slots:
             await self._pool.changed.notify()
 
     async def _answer_report(self, frame: Frame) -> Message:
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -361,10 +361,12 @@
         deadline = stop_began_at + self._settings.grace - EXIT_MARGIN_SECONDS
         while self._clock.monotonic() < min(deadline, stop_began_at + BALANCER_NOTICE_SECONDS):
             await curio.sleep(POLL_SECONDS)
-        self._client_server.finish()
-        while self._client_server.busy and self._clock.monotonic() < deadline:
+        self._client_server.disable_keep_alive()
+        while self._client_server.requests_in_progress and self._clock.monotonic() < deadline:
             await curio.sleep(POLL_SECONDS)
-        self._journal.tell(Part.LIFE, 'has stopped.', unanswered=self._client_server.busy)
+        self._journal.tell(
+            Part.LIFE, 'has stopped.', unanswered=self._client_server.requests_in_progress
+        )
 
 
 def _make_runner(registration: Registration) -> Runner:
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -17,14 +17,14 @@
     CompletionsTold,
     CompletionsWanted,
     ConfigurationWanted,
-    EchoBook,
     Forward,
     Frame,
     Message,
     OwnerAsked,
     OwnerFailing,
+    PeerClocks,
     PeerServer,
-    Traffic,
+    TrafficCounter,
 )
 from dandelionreel.platform import Address
 
@@ -47,7 +47,7 @@
 
     ``answer_owner_query`` replies whether this host acts as the owner, or could.
     """
-    peers = PeerServer(election.incarnation, clock, EchoBook(), journal, Traffic())
+    peers = PeerServer(election.incarnation, clock, PeerClocks(), journal, TrafficCounter())
     handlers = (
         (Forward, front.handle_relayed),
         (OwnerFailing, election.handle_owner_failing),
@@ -59,5 +59,5 @@
         (ConfigurationWanted, exchange.answer),
     )
     for kind, handler in handlers:
-        peers.answer(kind, handler)
+        peers.add_handler(kind, handler)
     await peers.start(stack, address.host, address.port)
--- a/dandelionreel/http/__init__.py
+++ b/dandelionreel/http/__init__.py
@@ -1,12 +1,12 @@
 """HTTP by h11 on both sides, over curio's sockets."""
 
 from dandelionreel.http._client import (
-    BrokenError,
     Channel,
     Connection,
+    ConnectionBrokenError,
     ExchangeError,
-    ForbiddenError,
     RefusedError,
+    SendForbiddenError,
     control_bytes_by_kind,
     fetch,
 )
@@ -29,7 +29,7 @@
     Server,
     ServerLimits,
 )
-from dandelionreel.http._sockets import connect, interrupt, listen, use_source
+from dandelionreel.http._sockets import connect, listen, set_source_address, shut_down
 
 __all__ = (
     'JSON_TYPE',
@@ -38,17 +38,17 @@
     'VERDICT_HEADER',
     'Answer',
     'BadMessage',
-    'BrokenError',
     'Channel',
     'CloseConnection',
     'Connection',
+    'ConnectionBrokenError',
     'ExchangeError',
-    'ForbiddenError',
     'Handler',
     'Headers',
     'ProblemDocument',
     'RefusedError',
     'Request',
+    'SendForbiddenError',
     'Server',
     'ServerLimits',
     'answer_json',
@@ -56,7 +56,7 @@
     'connect',
     'control_bytes_by_kind',
     'fetch',
-    'interrupt',
     'listen',
-    'use_source',
+    'set_source_address',
+    'shut_down',
 )
--- a/dandelionreel/http/_client.py
+++ b/dandelionreel/http/_client.py
@@ -7,7 +7,7 @@
 import h11
 
 from dandelionreel.http._messages import Answer, Headers, Request
-from dandelionreel.http._sockets import connect, interrupt
+from dandelionreel.http._sockets import connect, shut_down
 
 READ_SIZE = 65_536
 #: Asked right before bytes leave: may they?
@@ -87,7 +87,7 @@
             raise
         except (OSError, h11.ProtocolError) as error:
             await self.close()
-            raise BrokenError(f'broken answer: {error}', sent=progress.sent) from error
+            raise ConnectionBrokenError(f'broken answer: {error}', sent=progress.sent) from error
         except BaseException:
             await self.close()
             raise
@@ -105,10 +105,10 @@
         if sock is not None:
             await sock.close()
 
-    async def interrupt(self) -> None:
+    async def shut_down(self) -> None:
         """Let an exchange of another task fail at once, which then closes the socket."""
         if self._sock is not None:
-            await interrupt(self._sock)
+            await shut_down(self._sock)
 
     async def _exchange(
         self,
@@ -125,7 +125,7 @@
             payload += self._http.send(h11.Data(data=request.body))
         payload += self._http.send(h11.EndOfMessage())
         if check is not None and not check():
-            raise ForbiddenError('no authority any more', sent=False)
+            raise SendForbiddenError('no authority any more', sent=False)
         progress.sent = True
         self._count(len(payload))
         await self._sock.sendall(payload)
@@ -167,11 +167,11 @@
     """Nothing listens there: the process that did has ended."""
 
 
-class BrokenError(ExchangeError):
+class ConnectionBrokenError(ExchangeError):
     """The connection ended before the whole answer came; a silent one times out instead."""
 
 
-class ForbiddenError(ExchangeError):
+class SendForbiddenError(ExchangeError):
     """The right to send had ended by the time that the bytes could leave."""
 
 
@@ -268,7 +268,7 @@
         """Close the connection, or have the exchange under way fail and do so."""
         self._closed = True
         if self._lock.locked():
-            await self._connection.interrupt()
+            await self._connection.shut_down()
         else:
             await self._connection.close()
 
--- a/dandelionreel/http/_server.py
+++ b/dandelionreel/http/_server.py
@@ -56,19 +56,19 @@
         self,
         handler: Handler,
         limits: ServerLimits | None = None,
-        leaves: Callable[[], bool] = _never,
+        is_draining: Callable[[], bool] = _never,
     ) -> None:
         """Serve every request by ``handler``.
 
         While ``leaves()`` holds, each connection is closed after its current answer.
         """
         self._handler = handler
-        self._leaves = leaves
+        self._is_draining = is_draining
         self._limits = limits or ServerLimits()
         self._open = 0
         self._closing = False
         self._tasks: set[Any] = set()
-        self.busy = 0
+        self.requests_in_progress = 0
         self.port = 0
 
     async def start(self, stack: AsyncExitStack, address: str, port: int) -> None:
@@ -79,7 +79,7 @@
         stack.push_async_callback(self._cancel_all)
         await start_task(stack, self._accept, sock)
 
-    def finish(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close each connection after its current answer from now on."""
         self._closing = True
 
@@ -129,12 +129,12 @@
                 return
             if request is None:
                 return
-            self.busy += 1
+            self.requests_in_progress += 1
             try:
                 answer = await self._handle(request)
                 await self._write(client, http, answer)
             finally:
-                self.busy -= 1
+                self.requests_in_progress -= 1
             if http.our_state is h11.MUST_CLOSE:
                 return
             http.start_next_cycle()
@@ -244,7 +244,7 @@
             if name not in {'connection', 'transfer-encoding', 'content-length'}
         ]
         headers.append(('content-length', str(len(answer.body))))
-        if last or self._closing or self._leaves():
+        if last or self._closing or self._is_draining():
             headers.append(('connection', 'close'))
         payload = http.send(h11.Response(status_code=answer.status, headers=headers))
         if answer.body:
--- a/dandelionreel/http/_sockets.py
+++ b/dandelionreel/http/_sockets.py
@@ -15,7 +15,7 @@
     address = ''
 
 
-def use_source(address: str) -> None:
+def set_source_address(address: str) -> None:
     """Let all outgoing connections of this process leave from ``address``."""
     _Source.address = address
 
@@ -38,7 +38,7 @@
     return sock
 
 
-async def interrupt(sock: Any) -> None:
+async def shut_down(sock: Any) -> None:
     """End a connection on which another task may wait; that task closes it.
 
     Closed under its feet, the descriptor stays in curio's selector. Once another
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -2,7 +2,7 @@
 
 from dandelionreel.jobs._job_projection import JobChanges
 from dandelionreel.jobs._tracked_attempts import AttemptTracker, TrackedTask
-from dandelionreel.kernel import Settings, Signal
+from dandelionreel.kernel import ChangeNotifier, Settings
 from dandelionreel.ownership import DISPATCH_SHARD, Authority
 from dandelionreel.placement import Cell, FairQueue, Planner, RunTimes, Terms, WorkerView
 
@@ -28,7 +28,7 @@
         self._authority = authority
         self._terms: dict[str, Terms] = {}
         self.changes = changes
-        self.wake = Signal()
+        self.wake = ChangeNotifier()
         self.run_times = RunTimes()
         self.epoch = 0
         self.took_over_at = 0.0
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -264,7 +264,7 @@
 
     def _check_fits_workers(self, spec: JobSpec) -> None:
         """Reject a job that does not fit on the zone's workers even if they are empty."""
-        workers = self._hosts.of_kind('worker', self._zone)
+        workers = self._hosts.zone_hosts_of_kind('worker', self._zone)
         if not workers:
             return
         capacity_in_tasks = sum(
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -58,7 +58,7 @@
         shards = ShardProjection(members, clock)
         self.jobs = JobProjection(shards, 0, 0)
         for part in (members, shards, self.jobs):
-            self.reader.add(part.fold, part.reset)
+            self.reader.add_handler(part.fold, part.reset)
         # Each move needs a new writer name, because its record numbers start over.
         writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -3,7 +3,7 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamWriter
-from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal, Verdict
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, Settings, Verdict
 from dandelionreel.ownership import ShardProjection, worker_shard
 from dandelionreel.peers import (
     Done,
@@ -48,7 +48,7 @@
         #: Per task: dispatch epoch, worker and remaining tries.
         self._pending_stops: dict[str, tuple[int, str, int]] = {}
         self._queued_records: list = []
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
 
     @property
     def pending_stop_count(self) -> int:
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -83,7 +83,7 @@
     def _update_workers(self) -> None:
         zone = self._settings.availability_zone
         listed = set()
-        for entry in self._hosts.of_kind('worker', zone):
+        for entry in self._hosts.zone_hosts_of_kind('worker', zone):
             listed.add(entry.name)
             if not entry.is_live:
                 self._block_new_tasks(entry.name)
@@ -142,7 +142,8 @@
         if not job.spec.idempotent:
             return True
         names = {
-            entry.name for entry in self._hosts.of_kind('worker', self._settings.availability_zone)
+            entry.name
+            for entry in self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
         }
         if names <= set(self._state.reported_epochs):
             return True
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -6,7 +6,7 @@
 
 from dandelionreel.backing import LogError, StreamWriter
 from dandelionreel.contracts import ContractProjection, ShareMoved, ShareWanted
-from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, Settings
 from dandelionreel.placement import Planner
 
 #: Minimum interval between requests for the same customer.
@@ -39,7 +39,7 @@
         self._requested_at: dict[str, float] = {}
         self._pending_requests: dict[str, float] = {}
         self._pending_transfers: dict[str, tuple[str, float]] = {}
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
 
     def usable_share(self, customer: str) -> float:
         """Return the share of the quota that this zone may currently use."""
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -54,9 +54,9 @@
             return
         if report.reachable:
             self._state.reported_epochs[report.worker] = report.epoch
-            self._state.planner.cell.set_room(worker, report.room)
+            self._state.planner.cell.set_room(worker, report.usable_capacity)
             self._apply_report(report)
-        elif report.silent > self._state.lapse_seconds:
+        elif report.unrenewed_seconds > self._state.lapse_seconds:
             self._end_all_tasks(report.worker)
         await self._state.wake.notify()
 
@@ -80,7 +80,7 @@
     ) -> Outcome:
         """Return the outcome of a task that its worker's report lacks."""
         age = self._max_age(tracked)
-        if not task.is_running and age < report.remembers:
+        if not task.is_running and age < report.history_seconds:
             # The worker would remember the task if it had started since then.
             return Outcome.NOT_STARTED
         if tracked.idempotent:
--- a/dandelionreel/kernel/__init__.py
+++ b/dandelionreel/kernel/__init__.py
@@ -19,7 +19,7 @@
     zones_of,
 )
 from dandelionreel.kernel._signals import watch_signals
-from dandelionreel.kernel._tasks import Signal, start_task
+from dandelionreel.kernel._tasks import ChangeNotifier, start_task
 from dandelionreel.kernel._text import clip
 from dandelionreel.kernel._verdict import (
     Problem,
@@ -30,6 +30,7 @@
 )
 
 __all__ = (
+    'ChangeNotifier',
     'Clock',
     'Endpoint',
     'Environment',
@@ -47,7 +48,6 @@
     'RequestError',
     'Settings',
     'SettingsError',
-    'Signal',
     'StaticHost',
     'SystemClock',
     'Timings',
--- a/dandelionreel/kernel/_tasks.py
+++ b/dandelionreel/kernel/_tasks.py
@@ -38,7 +38,7 @@
         return
 
 
-class Signal:
+class ChangeNotifier:
     """Wakes every waiter each time that something has changed.
 
     A waiter that takes the count before it looks at the state cannot miss a
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -11,7 +11,7 @@
 from dandelionreel.http import control_bytes_by_kind
 from dandelionreel.jobs import JobProjection, JobState
 from dandelionreel.ownership import ShardClaimer
-from dandelionreel.peers import Traffic
+from dandelionreel.peers import TrafficCounter
 from dandelionreel.placement import Planner
 
 PAGE_FIELD = 1
@@ -20,7 +20,7 @@
 class ControlBytes(Collector):
     """Bytes of control messages, by peer and kind."""
 
-    def __init__(self, traffic: Traffic) -> None:
+    def __init__(self, traffic: TrafficCounter) -> None:
         """Read the counts that the peers' streams keep."""
         self._traffic = traffic
 
@@ -41,7 +41,7 @@
 class DaemonMetrics:
     """Gauges that are set once a second."""
 
-    def __init__(self, traffic: Traffic) -> None:
+    def __init__(self, traffic: TrafficCounter) -> None:
         """Keep a registry of its own, so that daemons in one process stay apart."""
         self.registry = CollectorRegistry()
         self.registry.register(ControlBytes(traffic))
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -88,7 +88,7 @@
         self._detect_pause()
         now = self._clock.monotonic()
         period = self._settings.timings.silent_after
-        state = self._directory.of_member(member)
+        state = self._directory.get_by_member(member)
         if state is None:
             return True
         # A daemon that was paused has missed the messages of all others. After
@@ -104,7 +104,7 @@
 
     def is_draining(self, member: str) -> bool:
         """Return whether the member has told that it is about to leave."""
-        state = self._directory.of_member(member)
+        state = self._directory.get_by_member(member)
         return state is not None and state.gossip.draining
 
     def has_acknowledged_me(self, member: str) -> bool:
@@ -122,7 +122,7 @@
         for member in self._zone_members.live(self._zone):
             if member.key == self._me:
                 continue
-            state = self._directory.of_member(member.key)
+            state = self._directory.get_by_member(member.key)
             if state is None or now - state.heard_at > self._settings.timings.silent_after:
                 return now
             latest = max(latest, state.heard_since)
@@ -186,13 +186,13 @@
         for member in self._cell_members.live() + self._zone_members.live():
             self._add_peer(member.host, member.availability_zone, member.address, member.peers_port)
         # Without the log, a new daemon finds its peers only by the host list.
-        for entry in self._hosts.all_of_kind('entry'):
+        for entry in self._hosts.all_hosts_of_kind('entry'):
             self._add_peer(entry.name, entry.availability_zone, entry.address, entry.port)
 
     def _add_peer(self, host: str, zone: str, address: str, port: int) -> None:
         if host == self._settings.host or not address:
             return
-        self._directory.learn(PeerAddress(host, zone, address, port))
+        self._directory.set_address(PeerAddress(host, zone, address, port))
 
     async def _send_heartbeats(self, host: str) -> None:
         timings = self._settings.timings
@@ -234,7 +234,7 @@
             )
 
     async def _handle_gossip(self, member: str, gossip: Gossip, *, same_zone: bool) -> None:
-        state = self._directory.note(member, gossip)
+        state = self._directory.record_gossip(member, gossip)
         if same_zone and hash_member(self._me) in gossip.view:
             self._acknowledged_by.add(member)
         if state is None:
@@ -294,9 +294,9 @@
 
     def _proof_by_host_list(self, member: Member) -> str:
         period = self._settings.timings.silent_after * GONE_SILENT_PERIODS
-        if self._hosts.gone_for(member.host) < period:
+        if self._hosts.missing_seconds(member.host) < period:
             return ''
-        state = self._directory.of_member(member.key)
+        state = self._directory.get_by_member(member.key)
         if state is not None and self._clock.monotonic() - state.heard_at < period:
             return ''
         if not self.is_silent(member.key):
--- a/dandelionreel/peers/__init__.py
+++ b/dandelionreel/peers/__init__.py
@@ -23,8 +23,8 @@
     PeerDirectory,
     PeerState,
 )
-from dandelionreel.peers._framing import FRAME_BYTES, FrameStream, Traffic
-from dandelionreel.peers._link import NEVER, EchoBook, PeerError, PeerLink
+from dandelionreel.peers._framing import FRAME_BYTES, FrameStream, TrafficCounter
+from dandelionreel.peers._link import NO_CLOCK_READING, PeerClocks, PeerError, PeerLink
 from dandelionreel.peers._messages import (
     ContractState,
     ContractsWanted,
@@ -39,7 +39,7 @@
     PlaceAnswer,
     PlaceOrder,
     Refused,
-    ServiceRoom,
+    ServiceSlots,
     TaskAction,
     TaskReport,
     WorkerReport,
@@ -48,12 +48,12 @@
 from dandelionreel.peers._server import PeerServer
 
 __all__ = (
-    'AdviceGiven',
-    'AdviceWanted',
     'FRAME_BYTES',
-    'NEVER',
     'NEVER_HEARD',
+    'NO_CLOCK_READING',
     'PROTOCOL_VERSION',
+    'AdviceGiven',
+    'AdviceWanted',
     'CompletionsSeen',
     'CompletionsTold',
     'CompletionsWanted',
@@ -62,7 +62,6 @@
     'ContractState',
     'ContractsWanted',
     'Done',
-    'EchoBook',
     'Forward',
     'ForwardAnswer',
     'Frame',
@@ -75,6 +74,7 @@
     'OwnerAsked',
     'OwnerFailing',
     'PeerAddress',
+    'PeerClocks',
     'PeerDirectory',
     'PeerError',
     'PeerLink',
@@ -83,10 +83,10 @@
     'PlaceAnswer',
     'PlaceOrder',
     'Refused',
-    'ServiceRoom',
+    'ServiceSlots',
     'TaskAction',
     'TaskReport',
-    'Traffic',
+    'TrafficCounter',
     'WorkerReport',
     'decode_frame',
     'encode_frame',
--- a/dandelionreel/peers/_codec.py
+++ b/dandelionreel/peers/_codec.py
@@ -37,7 +37,7 @@
     PlaceAnswer,
     PlaceOrder,
     Refused,
-    ServiceRoom,
+    ServiceSlots,
     TaskAction,
     TaskReport,
     WorkerReport,
@@ -116,7 +116,9 @@
     return {
         'view': list(gossip.view),
         'heard': list(gossip.heard),
-        'rooms': [{'service': room.service, 'freeSlots': room.free_slots} for room in gossip.rooms],
+        'rooms': [
+            {'service': room.service, 'freeSlots': room.free_slots} for room in gossip.service_slots
+        ],
         'leaving': list(gossip.leaving),
         'contracts': gossip.contracts,
         'draining': gossip.draining,
@@ -127,7 +129,7 @@
     return Gossip(
         tuple(node.view),
         tuple(node.heard),
-        tuple(ServiceRoom(room.service, room.freeSlots) for room in node.rooms),
+        tuple(ServiceSlots(room.service, room.freeSlots) for room in node.rooms),
         tuple(node.leaving),
         node.contracts,
         node.draining,
@@ -297,10 +299,10 @@
             'worker': message.worker,
             'epoch': message.epoch,
             'reachable': message.reachable,
-            'room': _resources(message.room),
+            'room': _resources(message.usable_capacity),
             'tasks': [_task_report(task) for task in message.tasks],
-            'silentMs': int(message.silent * MILLISECONDS),
-            'remembersMs': int(message.remembers * MILLISECONDS),
+            'silentMs': int(message.unrenewed_seconds * MILLISECONDS),
+            'remembersMs': int(message.history_seconds * MILLISECONDS),
             'asOf': int(message.as_of * MILLISECONDS),
             'dispatchEpoch': message.dispatch_epoch,
         }
--- a/dandelionreel/peers/_directory.py
+++ b/dandelionreel/peers/_directory.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 
 from dandelionreel.kernel import Clock, Verdict
-from dandelionreel.peers._framing import Traffic
-from dandelionreel.peers._link import EchoBook, PeerError, PeerLink
+from dandelionreel.peers._framing import TrafficCounter
+from dandelionreel.peers._link import PeerClocks, PeerError, PeerLink
 from dandelionreel.peers._messages import Frame, Gossip, Message
 
 NEVER_HEARD = float('-inf')
@@ -35,8 +35,8 @@
     refusals: int = 0
     gossip: Gossip = field(default_factory=Gossip)
     #: Free slots already used up by forwards since the last gossip.
-    sent_since: int = 0
-    contracts_asked_at: float = NEVER_HEARD
+    forwards_since_gossip: int = 0
+    contracts_queried_at: float = NEVER_HEARD
 
 
 class PeerDirectory:
@@ -46,17 +46,17 @@
         self,
         me: str,
         clock: Clock,
-        echoes: EchoBook,
-        traffic: Traffic,
+        peer_clocks: PeerClocks,
+        traffic: TrafficCounter,
     ) -> None:
         """Ask peers as ``me``."""
         self._me = me
         self._clock = clock
-        self._echoes = echoes
+        self._peer_clocks = peer_clocks
         self._traffic = traffic
         self._state_by_host: dict[str, PeerState] = {}
 
-    def learn(self, address: PeerAddress) -> PeerState:
+    def set_address(self, address: PeerAddress) -> PeerState:
         """Keep a daemon's address; a changed one gets a new link."""
         known = self._state_by_host.get(address.host)
         if known is not None and known.address == address:
@@ -66,7 +66,7 @@
             address.port,
             self._me,
             self._clock,
-            self._echoes,
+            self._peer_clocks,
             self._traffic,
         )
         state = PeerState(address, link)
@@ -89,14 +89,14 @@
         """Return the state of a host's daemon."""
         return self._state_by_host.get(host)
 
-    def of_member(self, member: str) -> PeerState | None:
+    def get_by_member(self, member: str) -> PeerState | None:
         """Return the state of the host that a member runs on."""
         host, _, _ = member.partition('/')
         return self._state_by_host.get(host)
 
-    def note(self, member: str, gossip: Gossip) -> PeerState | None:
+    def record_gossip(self, member: str, gossip: Gossip) -> PeerState | None:
         """Keep what a member told."""
-        state = self.of_member(member)
+        state = self.get_by_member(member)
         if state is None:
             return None
         now = self._clock.monotonic()
@@ -106,7 +106,7 @@
         state.heard_at = now
         state.refusals = 0
         state.gossip = gossip
-        state.sent_since = 0
+        state.forwards_since_gossip = 0
         return state
 
     def heard_within(self, seconds: float, availability_zone: str = '') -> tuple[str, ...]:
@@ -120,7 +120,7 @@
 
     async def ask(self, member: str, message: Message, timeout: float) -> Frame:
         """Ask that incarnation of a daemon; raises ``PeerError``."""
-        state = self.of_member(member)
+        state = self.get_by_member(member)
         if state is None:
             raise PeerError('no such peer', Verdict.NOT_RUN)
         return await state.link.ask(message, timeout)
--- a/dandelionreel/peers/_framing.py
+++ b/dandelionreel/peers/_framing.py
@@ -12,14 +12,14 @@
 FRAME_BYTES = 16_777_216
 
 
-class Traffic:
+class TrafficCounter:
     """Bytes to and from peers, by the peer's host and the kind of message."""
 
     def __init__(self) -> None:
         """Start with none."""
         self.bytes_by_peer: dict[tuple[str, str], int] = {}
 
-    def note(self, host: str, kind: str, size: int) -> None:
+    def add(self, host: str, kind: str, size: int) -> None:
         """Count one frame."""
         name = (host, kind)
         self.bytes_by_peer[name] = self.bytes_by_peer.get(name, 0) + size
@@ -28,7 +28,7 @@
 class FrameStream:
     """Reads and writes frames on one socket, counting their bytes."""
 
-    def __init__(self, sock: Any, traffic: Traffic) -> None:
+    def __init__(self, sock: Any, traffic: TrafficCounter) -> None:
         """Use ``sock``; count in ``traffic``, by host once the peer has spoken."""
         self._host = ''
         self._sock = sock
@@ -69,4 +69,4 @@
 
     def _count(self, frame: Frame, length: int) -> None:
         kind = type(frame.message).__name__
-        self._traffic.note(self._host, kind, length + LENGTH.size)
+        self._traffic.add(self._host, kind, length + LENGTH.size)
--- a/dandelionreel/peers/_link.py
+++ b/dandelionreel/peers/_link.py
@@ -4,13 +4,13 @@
 
 import curio
 
-from dandelionreel.http import connect, interrupt
+from dandelionreel.http import connect, shut_down
 from dandelionreel.kernel import Clock, Verdict
 from dandelionreel.peers._codec import FrameError
-from dandelionreel.peers._framing import FrameStream, Traffic
+from dandelionreel.peers._framing import FrameStream, TrafficCounter
 from dandelionreel.peers._messages import Frame, Message
 
-NEVER = -1.0
+NO_CLOCK_READING = -1.0
 #: Seconds for a connection to open. Peers are a few milliseconds away; behind a cut
 #: every request waited as long as it would have for its answer.
 CONNECT_SECONDS = 0.3
@@ -26,7 +26,7 @@
         self.refused = refused
 
 
-class EchoBook:
+class PeerClocks:
     """The last clock reading seen of each peer, to be sent back to it.
 
     A frame can wait in a paused process or in a socket for any time. Its
@@ -37,13 +37,13 @@
         """Start with nothing seen."""
         self._clock_by_peer: dict[str, float] = {}
 
-    def note(self, peer: str, clock: float) -> None:
+    def record(self, peer: str, clock: float) -> None:
         """Keep the clock reading that a frame of ``peer`` carried."""
         self._clock_by_peer[peer] = clock
 
-    def last(self, peer: str) -> float:
+    def get_last(self, peer: str) -> float:
         """Return the last reading, or ``NEVER``."""
-        return self._clock_by_peer.get(peer, NEVER)
+        return self._clock_by_peer.get(peer, NO_CLOCK_READING)
 
 
 class _Waiting:
@@ -61,15 +61,15 @@
         port: int,
         me: str,
         clock: Clock,
-        echoes: EchoBook,
-        traffic: Traffic,
+        peer_clocks: PeerClocks,
+        traffic: TrafficCounter,
     ) -> None:
         """Ask the daemon at ``address`` as ``me``."""
         self._address = address
         self._port = port
         self._me = me
         self._clock = clock
-        self._echoes = echoes
+        self._peer_clocks = peer_clocks
         self._traffic = traffic
         self._sock: Any = None
         self._stream: FrameStream | None = None
@@ -121,7 +121,7 @@
         if reader is not None:
             await reader.cancel(blocking=False)
         if sock is not None:
-            await interrupt(sock)
+            await shut_down(sock)
             await curio.spawn(self._close_unused, sock, daemon=True)
         for waiting in tuple(self._waiting_by_exchange.values()):
             await waiting.event.set()
@@ -135,7 +135,7 @@
             exchange,
             self._me,
             self._clock.monotonic(),
-            self._echoes.last(self.peer),
+            self._peer_clocks.get_last(self.peer),
             message,
         )
 
@@ -158,7 +158,7 @@
                 if frame is None:
                     break
                 self.peer = frame.sender
-                self._echoes.note(frame.sender, frame.clock)
+                self._peer_clocks.record(frame.sender, frame.clock)
                 waiting = self._waiting_by_exchange.get(frame.exchange)
                 if waiting is None:
                     continue
--- a/dandelionreel/peers/_messages.py
+++ b/dandelionreel/peers/_messages.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class ServiceRoom:
+class ServiceSlots:
     """Free slots for one service on the runners that a daemon owns."""
 
     service: str
@@ -43,7 +43,7 @@
 
     view: tuple[int, ...] = ()
     heard: tuple[int, ...] = ()
-    rooms: tuple[ServiceRoom, ...] = ()
+    service_slots: tuple[ServiceSlots, ...] = ()
     leaving: tuple[str, ...] = ()
     contracts: int = 0
     draining: bool = False
@@ -148,10 +148,10 @@
     worker: str
     epoch: int
     reachable: bool
-    room: Resources
+    usable_capacity: Resources
     tasks: tuple[TaskReport, ...]
-    silent: float = 0
-    remembers: float = 0
+    unrenewed_seconds: float = 0
+    history_seconds: float = 0
     as_of: float = 0
     dispatch_epoch: int = 0
 
--- a/dandelionreel/peers/_server.py
+++ b/dandelionreel/peers/_server.py
@@ -6,14 +6,14 @@
 
 import curio
 
-from dandelionreel.http import interrupt, listen
+from dandelionreel.http import listen, shut_down
 from dandelionreel.kernel import Clock, Journal, Part, start_task
 from dandelionreel.peers._codec import FrameError
-from dandelionreel.peers._framing import FrameStream, Traffic
-from dandelionreel.peers._link import EchoBook
+from dandelionreel.peers._framing import FrameStream, TrafficCounter
+from dandelionreel.peers._link import PeerClocks
 from dandelionreel.peers._messages import Frame, Message, Refused
 
-Answerer = Callable[[Frame], Awaitable[Message]]
+MessageHandler = Callable[[Frame], Awaitable[Message]]
 
 
 class PeerServer:
@@ -23,23 +23,23 @@
         self,
         me: str,
         clock: Clock,
-        echoes: EchoBook,
+        peer_clocks: PeerClocks,
         journal: Journal,
-        traffic: Traffic,
+        traffic: TrafficCounter,
     ) -> None:
         """Answer as ``me``."""
         self._me = me
         self._clock = clock
-        self._echoes = echoes
+        self._peer_clocks = peer_clocks
         self._journal = journal
         self._traffic = traffic
-        self._answerer_by_type: dict[type, Answerer] = {}
+        self._handler_by_type: dict[type, MessageHandler] = {}
         self._tasks: set[Any] = set()
         self.port = 0
 
-    def answer(self, kind: type, answerer: Answerer) -> None:
+    def add_handler(self, kind: type, handler: MessageHandler) -> None:
         """Answer messages of that type by ``answerer``."""
-        self._answerer_by_type[kind] = answerer
+        self._handler_by_type[kind] = handler
 
     async def start(self, stack: AsyncExitStack, address: str, port: int) -> None:
         """Bind at once and accept in the background until the stack closes.
@@ -71,7 +71,7 @@
                 frame = await stream.receive()
                 if frame is None:
                     return
-                self._echoes.note(frame.sender, frame.clock)
+                self._peer_clocks.record(frame.sender, frame.clock)
                 await self._spawn_answer(stream, lock, frame)
         except FrameError as error:
             self._journal.tell(Part.PEERS, f'closed a connection; {error}.')
@@ -79,7 +79,7 @@
             return
         finally:
             self._tasks.discard(await curio.current_task())
-            await interrupt(client)
+            await shut_down(client)
             # An answer may wait for room to be sent; it fails now.
             async with lock:
                 await client.close()
@@ -107,7 +107,7 @@
             self._tasks.discard(await curio.current_task())
 
     async def _find_answer(self, frame: Frame) -> Message:
-        answerer = self._answerer_by_type.get(type(frame.message))
-        if answerer is None:
+        handler = self._handler_by_type.get(type(frame.message))
+        if handler is None:
             return Refused('not a question')
-        return await answerer(frame)
+        return await handler(frame)
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -26,7 +26,14 @@
     decode_json,
     runner_id,
 )
-from dandelionreel.http import Answer, BrokenError, Channel, Connection, ExchangeError, Request
+from dandelionreel.http import (
+    Answer,
+    Channel,
+    Connection,
+    ConnectionBrokenError,
+    ExchangeError,
+    Request,
+)
 from dandelionreel.kernel import Verdict
 from dandelionreel.platform._views import decode_view
 
@@ -205,7 +212,7 @@
             return await channel.exchange(self._make_request(path, fields), timeout, check)
         except ExchangeError as error:
             verdict = Verdict.UNKNOWN if error.sent else Verdict.NOT_RUN
-            broken = isinstance(error, BrokenError)
+            broken = isinstance(error, ConnectionBrokenError)
             raise RunnerError(f'{error}', verdict, connection_broken=broken) from error
 
 
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -5,7 +5,7 @@
 import curio
 
 from dandelionreel.backing import HostEntry, HostWatch
-from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, Settings
 from dandelionreel.ownership import (
     RUNNER_PREFIX,
     Authority,
@@ -14,7 +14,7 @@
     ShardUser,
     runner_shard,
 )
-from dandelionreel.peers import ServiceRoom
+from dandelionreel.peers import ServiceSlots
 from dandelionreel.routing._choice import RunnerChoice
 from dandelionreel.routing._runner import Runner
 
@@ -49,12 +49,12 @@
         self.heard_leaving: dict[str, float] = {}
         #: Endpoints that an operator drains; they stay so until they are gone.
         self._closed: set[str] = set()
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
 
     def wanted_shards(self) -> Iterable[str]:
         """Return one shard for each runner of the zone."""
         zone = self._settings.availability_zone
-        for entry in self._hosts.of_kind('endpoint', zone):
+        for entry in self._hosts.zone_hosts_of_kind('endpoint', zone):
             yield runner_shard(entry.name)
 
     async def prepare_release(self, shard: str) -> bool:
@@ -155,7 +155,7 @@
         grant = self._authority.grant(runner_shard(runner.entry.name))
         return runner.in_use <= runner.allowed(grant) and not self.is_leaving(runner.entry)
 
-    def rooms(self) -> tuple[ServiceRoom, ...]:
+    def rooms(self) -> tuple[ServiceSlots, ...]:
         """Return the free slots on owned runners by service."""
         free_by_service: dict[str, int] = {}
         for runner in self._runner_by_name.values():
@@ -165,7 +165,7 @@
             if room:
                 service = runner.entry.service
                 free_by_service[service] = free_by_service.get(service, 0) + room
-        return tuple(ServiceRoom(name, free) for name, free in sorted(free_by_service.items()))
+        return tuple(ServiceSlots(name, free) for name, free in sorted(free_by_service.items()))
 
     def mean_seconds(self, service: str) -> float:
         """Return the mean time of an answer over the service's owned runners."""
@@ -193,7 +193,7 @@
 
     async def _refresh(self) -> None:
         zone = self._settings.availability_zone
-        entries = {entry.name: entry for entry in self._hosts.of_kind('endpoint', zone)}
+        entries = {entry.name: entry for entry in self._hosts.zone_hosts_of_kind('endpoint', zone)}
         for name, entry in entries.items():
             known = self._runner_by_name.get(name)
             if known is None or (known.entry.address, known.entry.port) != (
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -11,9 +11,9 @@
     VERDICT_HEADER,
     Answer,
     ExchangeError,
-    ForbiddenError,
     ProblemDocument,
     Request,
+    SendForbiddenError,
     answer_problem,
 )
 from dandelionreel.kernel import (
@@ -307,7 +307,7 @@
 
     def _judge_failure(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
         """Return when another try is allowed; raises ``RequestError`` otherwise."""
-        if isinstance(error, ForbiddenError):
+        if isinstance(error, SendForbiddenError):
             return
         may_repeat = call.idempotent or not error.sent
         in_time = self._clock.monotonic() + MARGIN_SECONDS < call.deadline
@@ -331,7 +331,7 @@
             # Its key is taken by now: the next daemon must not ask for it again.
             answer = await self._forward(call, state, _last_hop(call))
         except PeerError as error:
-            state.gossip = replace(state.gossip, rooms=())
+            state.gossip = replace(state.gossip, service_slots=())
             if error.verdict is Verdict.NOT_RUN:
                 return None
             trail.may_have_run = True
@@ -344,7 +344,7 @@
                 f'{state.member} had the request and did not answer',
             ) from error
         if answer is None:
-            state.gossip = replace(state.gossip, rooms=())
+            state.gossip = replace(state.gossip, service_slots=())
         return answer
 
     async def _forward(self, call: ServiceCall, state: PeerState, hops: int) -> Answer | None:
@@ -353,7 +353,7 @@
         Raises ``PeerError``.
         """
         remaining = call.deadline - self._clock.monotonic()
-        state.sent_since += 1
+        state.forwards_since_gossip += 1
         self._journal.tell_frequent(
             Part.ROUTING,
             f'handed a request for {call.service} to {state.member}; it has room.',
@@ -388,7 +388,7 @@
         best = None
         best_room = 0
         for state in states:
-            room = _room_of(state, call.service) - state.sent_since
+            room = _room_of(state, call.service) - state.forwards_since_gossip
             if room > best_room and not state.gossip.draining:
                 best, best_room = state, room
         return best
@@ -503,7 +503,7 @@
 
 
 def _room_of(state: PeerState, service: str) -> int:
-    for room in state.gossip.rooms:
+    for room in state.gossip.service_slots:
         if room.service == service:
             return room.free_slots
     return 0
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -11,9 +11,9 @@
     Answer,
     Connection,
     ExchangeError,
-    ForbiddenError,
     RefusedError,
     Request,
+    SendForbiddenError,
 )
 from dandelionreel.kernel import Clock
 from dandelionreel.ownership import Grant, GrantLevel
@@ -231,7 +231,7 @@
 
     def note_failure(self, error: ExchangeError) -> None:
         """Learn from a failure; a refused connection is a sign of leaving."""
-        if isinstance(error, ForbiddenError):
+        if isinstance(error, SendForbiddenError):
             return
         if isinstance(error, RefusedError):
             self.sign_of_leaving_at = self._clock.monotonic()
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -15,7 +15,7 @@
     WorkerError,
     WorkerService,
 )
-from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal, Verdict
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, Settings, Verdict
 from dandelionreel.ownership import NO_GRANT, Authority, Grant, GrantLevel, worker_shard
 from dandelionreel.peers import PlaceAnswer, PlaceOrder, TaskReport, WorkerReport
 from dandelionreel.workers._ledger import HoldState, Ledger
@@ -76,7 +76,7 @@
         self._seen_grant = NO_GRANT
         self.ledger = Ledger(entry.capacity)
         self.shard = worker_shard(entry.name)
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
         self.starts = 0
 
     def grant(self) -> Grant:
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -29,9 +29,9 @@
 )
 from dandelionreel.peers import (
     Done,
-    EchoBook,
     Frame,
     Message,
+    PeerClocks,
     PeerDirectory,
     PeerError,
     PlaceAnswer,
@@ -68,7 +68,7 @@
         reader: StreamReader,
         peer_monitor: PeerMonitor,
         directory: PeerDirectory,
-        echoes: EchoBook,
+        peer_clocks: PeerClocks,
         journal: Journal,
     ) -> None:
         """Act as ``me``."""
@@ -81,7 +81,7 @@
         self._reader = reader
         self._peer_monitor = peer_monitor
         self._directory = directory
-        self._echoes = echoes
+        self._peer_clocks = peer_clocks
         self._journal = journal
         self._stacks: dict[str, AsyncExitStack] = {}
         self._take_report: ReportTaker | None = None
@@ -152,7 +152,7 @@
         return Done() if await self.act(action) else Refused('not done')
 
     def _entries(self) -> tuple[HostEntry, ...]:
-        return self._hosts.of_kind('worker', self._settings.availability_zone)
+        return self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
 
     async def _refresh(self) -> None:
         for entry in self._entries():
@@ -160,7 +160,7 @@
                 await self._add(entry)
         for name in tuple(self.agent_by_worker):
             limit = self._settings.timings.lease * FORGET_LEASES
-            if self._hosts.gone_for(name) > limit:
+            if self._hosts.missing_seconds(name) > limit:
                 await self._remove(name)
 
     async def _add(self, entry: HostEntry) -> None:
@@ -228,7 +228,7 @@
             if self._take_report is not None:
                 await self._take_report(agent.report(silent, self._clock.monotonic(), due.epoch))
             return True
-        report = agent.report(silent, self._echoes.last(dispatcher), due.epoch)
+        report = agent.report(silent, self._peer_clocks.get_last(dispatcher), due.epoch)
         try:
             frame = await self._directory.ask(dispatcher, report, REPORT_TIMEOUT)
         except PeerError:
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -224,7 +224,7 @@
 
     async def send():
         async with AsyncExitStack() as stack:
-            server = Server(answer, leaves=lambda: context.leaves)
+            server = Server(answer, is_draining=lambda: context.leaves)
             await server.start(stack, '127.0.0.1', 0)
             channel = Channel('127.0.0.1', server.port)
             stack.push_async_callback(channel.close)
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -147,7 +147,7 @@
         clock = SystemClock()
         reader = StreamReader(log, 's', clock, Number)
         folded = []
-        reader.add(lambda record, position: folded.append(record.number), folded.clear)
+        reader.add_handler(lambda record, position: folded.append(record.number), folded.clear)
         writer = StreamWriter(log, reader, 'me', clock)
         tasks = [await curio.spawn(reader.run, 0.2), await curio.spawn(writer.run)]
         async with curio.TaskGroup() as group:
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -11,13 +11,13 @@
 from dandelionreel.http import Answer, Channel, ExchangeError, Request
 from dandelionreel.kernel import Journal, SystemClock, Verdict
 from dandelionreel.peers import (
-    EchoBook,
     Forward,
     ForwardAnswer,
+    PeerClocks,
     PeerError,
     PeerLink,
     PeerServer,
-    Traffic,
+    TrafficCounter,
 )
 
 LARGE = 30_000_000
@@ -28,12 +28,12 @@
 
 
 def make_link(port):
-    return PeerLink('127.0.0.1', port, 'me/1', SystemClock(), EchoBook(), Traffic())
+    return PeerLink('127.0.0.1', port, 'me/1', SystemClock(), PeerClocks(), TrafficCounter())
 
 
 def make_server():
     return PeerServer(
-        'peer/1', SystemClock(), EchoBook(), Journal(io.StringIO(), 'test'), Traffic()
+        'peer/1', SystemClock(), PeerClocks(), Journal(io.StringIO(), 'test'), TrafficCounter()
     )
 
 
@@ -77,7 +77,7 @@
         async def answer(frame):
             return ForwardAnswer(Answer(200))
 
-        server.answer(Forward, answer)
+        server.add_handler(Forward, answer)
         await server.start(stack, '127.0.0.1', 0)
         link = make_link(server.port)
         stack.push_async_callback(link.close)
@@ -174,7 +174,7 @@
     async def answer(frame):
         return ForwardAnswer(Answer(200, (), b'x' * ANSWER))
 
-    context.server.answer(Forward, answer)
+    context.server.add_handler(Forward, answer)
 
 
 @when('a peer asks, reads nothing and hangs up')
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -91,7 +91,7 @@
         await log.append('s', [_envelope(int(text)) for text in written.split(', ')])
         reader = StreamReader(log, 's', ManualClock(), Number)
         found = []
-        reader.add(lambda record, position: found.append(str(record.number)), found.clear)
+        reader.add_handler(lambda record, position: found.append(str(record.number)), found.clear)
         await reader.read_once(0)
         return ', '.join(found)
 
@@ -108,11 +108,11 @@
         reader = StreamReader(log, 's', clock, Number)
         for _ in range(2):
             await reader.read_once(0)
-        found = [reader.covers(seconds)]
+        found = [reader.covers_last(seconds)]
         clock.advance(seconds - 0.1)
-        found.append(reader.covers(seconds))
+        found.append(reader.covers_last(seconds))
         clock.advance(0.2)
-        found.append(reader.covers(seconds))
+        found.append(reader.covers_last(seconds))
         return found
 
     assert curio.run(work) == [False, False, True]
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -3,7 +3,7 @@
 import msgspec
 import xxhash
 
-from dandelionreel.backing import HostEntry, HostsDone
+from dandelionreel.backing import HostEntry, HostsResult
 from dandelionreel.http import Answer, Request, answer_json
 from standins._faults import FaultSwitch
 
@@ -25,8 +25,8 @@
         if request.path == FAULTS:
             return self.set(request)
         if request.path == HOSTS:
-            self.hosts = msgspec.json.decode(request.body, type=HostsDone).hosts
-            return answer_json(HostsDone(self.hosts))
+            self.hosts = msgspec.json.decode(request.body, type=HostsResult).hosts
+            return answer_json(HostsResult(self.hosts))
         await self.faults.before()
         return self._list(request)
 
@@ -35,8 +35,8 @@
         shown = tuple(
             one for one in self.hosts if one.kind == 'entry' or zone in {'', one.availability_zone}
         )
-        body = msgspec.json.encode(HostsDone(shown))
+        body = msgspec.json.encode(HostsResult(shown))
         mark = f'"{xxhash.xxh64_hexdigest(body)}"'
         if request.header('if-none-match') == mark:
             return Answer(HTTP_NOT_MODIFIED, (('etag', mark),))
-        return answer_json(HostsDone(shown), headers=(('etag', mark),))
+        return answer_json(HostsResult(shown), headers=(('etag', mark),))
--- a/standins/_log.py
+++ b/standins/_log.py
@@ -4,10 +4,10 @@
 
 from dandelionreel.backing import (
     AppendBody,
-    AppendDone,
+    AppendResult,
     LogTruncatedError,
     MemoryLog,
-    ReadDone,
+    ReadResult,
 )
 from dandelionreel.http import Answer, Request, answer_json
 from standins._faults import FaultSwitch
@@ -59,7 +59,7 @@
         self.counts.appends += 1
         self.counts.records += len(records)
         self.faults.after()
-        return answer_json(AppendDone(offset))
+        return answer_json(AppendResult(offset))
 
     async def _read(self, stream: str, request: Request) -> Answer:
         self.counts.reads += 1
@@ -69,11 +69,11 @@
         try:
             batch = await self.log.read(stream, offset, wait)
         except LogTruncatedError as error:
-            return answer_json(ReadDone(error.first, error.first, error.first, []), HTTP_GONE)
+            return answer_json(ReadResult(error.first, error.first, error.first, []), HTTP_GONE)
         await self.faults.before()
         records = [msgspec.Raw(text) for text in batch.records]
         first = self.log.stream(stream).first
-        return answer_json(ReadDone(first, batch.tail, batch.offset, records))
+        return answer_json(ReadResult(first, batch.tail, batch.offset, records))
 
     def _truncate(self, request: Request) -> Answer:
         query = request.query_by_name
