--- a/dandelionreel/backing/_host_watch.py
+++ b/dandelionreel/backing/_host_watch.py
@@ -18,7 +18,7 @@
         self._hosts = hosts
         self._clock = clock
         self._journal = journal
-        self._gone_at_by_name: dict[str, float] = {}
+        self._missing_since_by_name: dict[str, float] = {}
         self.entry_by_name: dict[str, HostEntry] = {}
         self.read_at = float('-inf')
         self.changed = ChangeNotifier()
@@ -31,7 +31,7 @@
 
     async def refresh(self) -> bool:
         """Read the list once; False when it cannot be read."""
-        asked = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             entries = await self._hosts.fetch()
         except HostListError:
@@ -39,12 +39,12 @@
         entry_by_name = {entry.name: entry for entry in entries}
         for name in self.entry_by_name:
             if name not in entry_by_name:
-                self._gone_at_by_name.setdefault(name, asked)
+                self._missing_since_by_name.setdefault(name, requested_at)
         for name in entry_by_name:
-            self._gone_at_by_name.pop(name, None)
-        self.read_at = asked
+            self._missing_since_by_name.pop(name, None)
+        self.read_at = requested_at
         if entry_by_name != self.entry_by_name:
-            self._tell_changes(entry_by_name)
+            self._log_changes(entry_by_name)
             self.entry_by_name = entry_by_name
             await self.changed.notify()
         return True
@@ -63,15 +63,15 @@
 
     def missing_seconds(self, name: str) -> float:
         """Return how long a host has been missing from the list, in seconds."""
-        gone_at = self._gone_at_by_name.get(name)
-        if gone_at is None:
+        missing_since = self._missing_since_by_name.get(name)
+        if missing_since is None:
             return 0
-        return self._clock.monotonic() - gone_at
+        return self._clock.monotonic() - missing_since
 
-    def _tell_changes(self, entry_by_name: dict[str, HostEntry]) -> None:
+    def _log_changes(self, entry_by_name: dict[str, HostEntry]) -> None:
         for name, entry in entry_by_name.items():
-            former = self.entry_by_name.get(name)
-            if former is not None and former.is_live and not entry.is_live:
+            previous = self.entry_by_name.get(name)
+            if previous is not None and previous.is_live and not entry.is_live:
                 self._journal.tell(Part.LIFE, f'host {name} is leaving.', name=name)
         for name in self.entry_by_name:
             if name not in entry_by_name:
--- a/dandelionreel/backing/_hosts.py
+++ b/dandelionreel/backing/_hosts.py
@@ -75,24 +75,24 @@
         self._channel = Channel(endpoint.address, endpoint.port, 'hosts')
         self._timeout = timeout
         self._target = f'/v1/hosts?availability_zone={availability_zone}'
-        self._mark = ''
-        self._known: tuple[HostEntry, ...] = ()
+        self._etag = ''
+        self._last_hosts: tuple[HostEntry, ...] = ()
 
     async def fetch(self) -> tuple[HostEntry, ...]:
         """Return all hosts; raises ``HostListError``."""
-        headers = (('if-none-match', self._mark),) if self._mark else ()
+        headers = (('if-none-match', self._etag),) if self._etag else ()
         request = Request('GET', self._target, headers)
         try:
             answer = await self._channel.exchange(request, self._timeout)
         except ExchangeError as error:
             raise HostListError(f'{error}') from error
         if answer.status == HTTP_NOT_MODIFIED:
-            return self._known
+            return self._last_hosts
         if answer.status != HTTP_OK:
             raise HostListError(f'the host list answered {answer.status}')
-        self._known = msgspec.json.decode(answer.body, type=HostsResult).hosts
-        self._mark = answer.header('etag')
-        return self._known
+        self._last_hosts = msgspec.json.decode(answer.body, type=HostsResult).hosts
+        self._etag = answer.header('etag')
+        return self._last_hosts
 
     async def close(self) -> None:
         """Close the connection."""
@@ -111,8 +111,8 @@
         availability_zone: str = '',
     ) -> None:
         """Take the entries as the settings hold them."""
-        listed = msgspec.to_builtins(hosts)
-        self._hosts = msgspec.convert(listed, tuple[HostEntry, ...])
+        encoded = msgspec.to_builtins(hosts)
+        self._hosts = msgspec.convert(encoded, tuple[HostEntry, ...])
 
     async def fetch(self) -> tuple[HostEntry, ...]:
         """Return the fixed list."""
--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -52,14 +52,14 @@
         """Reach the log at ``endpoint``; give up after ``timeout`` seconds."""
         self._endpoint = endpoint
         self._timeout = timeout
-        self._append_by_stream: dict[str, Channel] = {}
-        self._read_by_stream: dict[str, Channel] = {}
+        self._append_channel_by_stream: dict[str, Channel] = {}
+        self._read_channel_by_stream: dict[str, Channel] = {}
 
     async def append(self, stream: str, records: Sequence[bytes]) -> int:
         """Append all records together; return the offset of the first."""
         body = msgspec.json.encode(AppendBody([msgspec.Raw(text) for text in records]))
         request = Request('POST', f'/v1/streams/{stream}/records', body=body)
-        answer = await self._exchange(self._append_by_stream, stream, request, 0)
+        answer = await self._exchange(self._append_channel_by_stream, stream, request, 0)
         if answer.status in HTTP_REFUSED:
             raise LogError(f'the log refused ({answer.status})', Verdict.NOT_RUN)
         if answer.status != HTTP_OK:
@@ -70,17 +70,20 @@
         """Return records from ``offset``, waiting up to ``wait`` seconds."""
         target = f'/v1/streams/{stream}/records?offset={offset}&wait_ms={int(wait * MILLISECONDS)}'
         request = Request('GET', target)
-        answer = await self._exchange(self._read_by_stream, stream, request, wait)
+        answer = await self._exchange(self._read_channel_by_stream, stream, request, wait)
         if answer.status not in {HTTP_OK, HTTP_GONE}:
             raise LogError(f'the log answered {answer.status}', Verdict.UNKNOWN)
-        done = msgspec.json.decode(answer.body, type=ReadResult)
+        result = msgspec.json.decode(answer.body, type=ReadResult)
         if answer.status == HTTP_GONE:
-            raise LogTruncatedError(done.first)
-        return LogBatch(done.offset, done.tail, tuple(bytes(raw) for raw in done.records))
+            raise LogTruncatedError(result.first)
+        return LogBatch(result.offset, result.tail, tuple(bytes(raw) for raw in result.records))
 
     async def close(self) -> None:
         """Close all connections."""
-        for channel in (*self._append_by_stream.values(), *self._read_by_stream.values()):
+        for channel in (
+            *self._append_channel_by_stream.values(),
+            *self._read_channel_by_stream.values(),
+        ):
             await channel.close()
 
     async def _exchange(
--- a/dandelionreel/backing/_memory_worker.py
+++ b/dandelionreel/backing/_memory_worker.py
@@ -25,14 +25,14 @@
 from dandelionreel.kernel import ChangeNotifier, Clock, PluginKind, SystemClock, Verdict, plugins
 
 MILLISECONDS = 1000
-STEP_SECONDS = 0.2
+POLL_SECONDS = 0.2
 RUNNING = 'running'
 SUCCEEDED = 'succeeded'
 FAILED = 'failed'
 STOPPED = 'stopped'
 LAPSED = 'lapsed'
-VERBS = frozenset(('run', 'fail', 'grow', 'swell'))
-HUNGRY = frozenset(('grow', 'swell'))
+TIMED_COMMANDS = frozenset(('run', 'fail', 'grow', 'swell'))
+OVERUSING_COMMANDS = frozenset(('grow', 'swell'))
 
 
 @dataclass
@@ -49,15 +49,15 @@
     ended: curio.Event = field(default_factory=curio.Event)
 
     @property
-    def verb(self) -> str:
+    def command_name(self) -> str:
         """Return the command's first word."""
         return self.order.command.partition(' ')[0]
 
     @property
     def seconds(self) -> float:
         """Return how long the command wants to run."""
-        verb, _, rest = self.order.command.partition(' ')
-        if verb not in VERBS:
+        command_name, _, rest = self.order.command.partition(' ')
+        if command_name not in TIMED_COMMANDS:
             return 0
         return float(rest or '0')
 
@@ -73,7 +73,7 @@
         """Stand for the worker ``entry``; nobody waits for ``timeout`` here."""
         self.entry = entry
         self._clock = clock or SystemClock()
-        self._began = self._clock.monotonic()
+        self._started_at = self._clock.monotonic()
         self._task_by_id: dict[str, MemoryTask] = {}
         self._tombstones: set[str] = set()
         self._changed = ChangeNotifier()
@@ -101,28 +101,28 @@
         lease_until = self._clock.monotonic() + order.lease_ms / MILLISECONDS
         task = MemoryTask(task_id, order, lease_until, order.owner)
         self._task_by_id[task_id] = task
-        await self._note_change(task)
+        await self._publish_change(task)
         await curio.spawn(self._run, task, daemon=True)
 
     async def tasks(self, after: int, wait: float) -> TaskList:
         """Return the list, waiting up to ``wait`` seconds for a change."""
         if wait and after == self._revision:
             await self._changed.wait(self._changed.count, wait)
-        age = int((self._clock.monotonic() - self._began) * MILLISECONDS)
+        history_ms = int((self._clock.monotonic() - self._started_at) * MILLISECONDS)
         if after == self._revision:
-            return TaskList(self._revision, (), age, unchanged=True)
+            return TaskList(self._revision, (), history_ms, unchanged=True)
         statuses = tuple(
             TaskStatus(
                 task.id,
                 task.state,
                 task.order,
                 task.outcome,
-                used_by(task),
+                measure_usage(task),
                 task.renewed_by,
             )
             for task in self._task_by_id.values()
         )
-        return TaskList(self._revision, statuses, age)
+        return TaskList(self._revision, statuses, history_ms)
 
     async def renew(self, renewal: LeaseRenewal) -> None:
         """Renew leases; it starts nothing."""
@@ -154,17 +154,17 @@
         """Keep everything: there is no connection."""
 
     async def _run(self, task: MemoryTask) -> None:
-        length = STEP_SECONDS / 4 if self.fails_all else task.seconds
-        outcome = FAILED if self.fails_all or task.verb == 'fail' else SUCCEEDED
-        until = self._clock.monotonic() + length
+        duration = POLL_SECONDS / 4 if self.fails_all else task.seconds
+        outcome = FAILED if self.fails_all or task.command_name == 'fail' else SUCCEEDED
+        end_at = self._clock.monotonic() + duration
         while task.state == RUNNING:
             now = self._clock.monotonic()
             if task.lease_until < now:
                 await self._end(task, LAPSED)
-            elif now >= until:
+            elif now >= end_at:
                 await self._end(task, outcome)
             else:
-                pause = min(STEP_SECONDS, until - now)
+                pause = min(POLL_SECONDS, end_at - now)
                 await curio.ignore_after(pause, task.ended.wait)
 
     async def _end(self, task: MemoryTask, outcome: str) -> None:
@@ -173,21 +173,21 @@
         task.state = ENDED
         task.outcome = outcome
         await task.ended.set()
-        await self._note_change(task)
+        await self._publish_change(task)
 
-    async def _note_change(self, task: MemoryTask) -> None:
+    async def _publish_change(self, task: MemoryTask) -> None:
         self._revision += 1
         for watcher in self._watchers:
             watcher(task)
         await self._changed.notify()
 
 
-def used_by(task: MemoryTask) -> Resources:
+def measure_usage(task: MemoryTask) -> Resources:
     """Return what a task uses, as its worker measures it."""
     if task.state != RUNNING:
         return NOTHING
     demand = task.order.demand
-    tame = task.verb == 'grow' and task.throttled
-    if task.verb not in HUNGRY or tame:
+    within_demand = task.command_name == 'grow' and task.throttled
+    if task.command_name not in OVERUSING_COMMANDS or within_demand:
         return demand
     return Resources(demand.processors, demand.memory_mb * 2, demand.accelerators)
--- a/dandelionreel/backing/_resources.py
+++ b/dandelionreel/backing/_resources.py
@@ -37,12 +37,12 @@
             self.accelerators * factor,
         )
 
-    def fits(self, room: 'Resources') -> bool:
+    def fits(self, capacity: 'Resources') -> bool:
         """Return whether this is within ``room`` in every dimension."""
         return (
-            self.processors <= room.processors + EPSILON
-            and self.memory_mb <= room.memory_mb + EPSILON
-            and self.accelerators <= room.accelerators + EPSILON
+            self.processors <= capacity.processors + EPSILON
+            and self.memory_mb <= capacity.memory_mb + EPSILON
+            and self.accelerators <= capacity.accelerators + EPSILON
         )
 
     def at_most(self, other: 'Resources') -> 'Resources':
@@ -61,18 +61,18 @@
             max(self.accelerators, other.accelerators),
         )
 
-    def dominant_share(self, whole: 'Resources') -> float:
+    def dominant_share(self, total: 'Resources') -> float:
         """Return the largest fraction of ``whole`` over the dimensions."""
         return max(
-            _fraction(self.processors, whole.processors),
-            _fraction(self.memory_mb, whole.memory_mb),
-            _fraction(self.accelerators, whole.accelerators),
+            _fraction(self.processors, total.processors),
+            _fraction(self.memory_mb, total.memory_mb),
+            _fraction(self.accelerators, total.accelerators),
         )
 
 
-def _fraction(part: float, whole: float) -> float:
-    if whole > 0:
-        return part / whole
+def _fraction(amount: float, total: float) -> float:
+    if total > 0:
+        return amount / total
     return 0
 
 
--- a/dandelionreel/backing/_stream.py
+++ b/dandelionreel/backing/_stream.py
@@ -15,8 +15,8 @@
 from dandelionreel.backing._log import LogError, LogService, LogTruncatedError
 from dandelionreel.kernel import ChangeNotifier, Clock, Verdict
 
-RETRY_SECONDS = 0.25
-READ_ERROR_SECONDS = 0.25
+WRITE_RETRY_SECONDS = 0.25
+READ_RETRY_SECONDS = 0.25
 
 
 class Envelope(msgspec.Struct, frozen=True):
@@ -48,7 +48,7 @@
         self._log = log
         self._clock = clock
         self._decoder = msgspec.json.Decoder(records)
-        self._folders: list[RecordHandler] = []
+        self._handlers: list[RecordHandler] = []
         self._resets: list[Callable[[], None]] = []
         self._last_by_writer: dict[str, int] = {}
         self.stream = stream
@@ -65,9 +65,9 @@
         self._first_wall: float | None = None
         self.unreadable = 0
 
-    def add_handler(self, folder: RecordHandler, reset: Callable[[], None]) -> None:
+    def add_handler(self, handler: RecordHandler, reset: Callable[[], None]) -> None:
         """Fold every record with ``folder``; ``reset`` empties what it built."""
-        self._folders.append(folder)
+        self._handlers.append(handler)
         self._resets.append(reset)
 
     def has_seen(self, writer: str, number: int) -> bool:
@@ -92,32 +92,32 @@
             try:
                 await self.read_once(wait if self.caught_up else 0)
             except LogError:
-                self._note_outage()
-                await curio.sleep(READ_ERROR_SECONDS)
+                self._record_outage()
+                await curio.sleep(READ_RETRY_SECONDS)
 
     async def read_once(self, wait: float) -> None:
         """Read and fold one batch; raises ``LogError``."""
         # The evidence counts from before the question was asked: a claim may
         # have been appended at any moment after that.
-        asked = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             batch = await self._log.read(self.stream, self.offset, wait)
         except LogTruncatedError as error:
-            self._start_over(error.first)
+            self._restart_from(error.first)
             return
         if self._first_wall is None and batch.reached_tail and not batch.records:
             self._first_wall = self._clock.wall()
         if batch.tail < self.offset:
-            self._start_over(0)
+            self._restart_from(0)
             return
         for index, text in enumerate(batch.records):
-            self._fold(text, batch.offset + index)
+            self._process(text, batch.offset + index)
         self.offset = batch.next_offset
         if batch.reached_tail:
-            self._note_tail(asked)
+            self._record_caught_up(requested_at)
         await self.changed.notify()
 
-    def _fold(self, text: bytes, offset: int) -> None:
+    def _process(self, text: bytes, offset: int) -> None:
         try:
             envelope = msgspec.json.decode(text, type=Envelope)
         except msgspec.MsgspecError:
@@ -135,10 +135,10 @@
             # A newer daemon may write kinds that this one does not know.
             self.unreadable += 1
             return
-        for folder in self._folders:
-            folder(record, position)
+        for handler in self._handlers:
+            handler(record, position)
 
-    def _start_over(self, first: int) -> None:
+    def _restart_from(self, first: int) -> None:
         # Records that we have not read have expired. Each live fact is
         # written again within a third of the retention, so what is left
         # tells the whole state; what we folded before may be stale.
@@ -151,25 +151,25 @@
         for reset in self._resets:
             reset()
 
-    def _note_tail(self, asked: float) -> None:
+    def _record_caught_up(self, requested_at: float) -> None:
         now = self._clock.monotonic()
-        self.evidence_at = asked
-        self.read_seconds = now - asked
+        self.evidence_at = requested_at
+        self.read_seconds = now - requested_at
         self.caught_up = True
         if self.outage_since is not None:
             self.outage_seconds += now - self.outage_since
             self.outage_since = None
 
-    def _note_outage(self) -> None:
+    def _record_outage(self) -> None:
         if self.outage_since is None:
             self.outage_since = self._clock.monotonic()
 
 
 @dataclass
-class _Pending:
+class _PendingRecord:
     number: int
     text: bytes
-    give_up_at: float
+    deadline: float
     verdict: Verdict = Verdict.NOT_RUN
     done: curio.Event = field(default_factory=curio.Event)
 
@@ -196,13 +196,13 @@
         self._clock = clock
         self._group_records = group_records
         self._next_number = 0
-        self._waiting: list[_Pending] = []
+        self._pending: list[_PendingRecord] = []
         self._changed = ChangeNotifier()
         self.appends = 0
         self.records = 0
         self.append_seconds = 0.0
 
-    async def write(self, body: msgspec.Struct, patience: float) -> None:
+    async def write(self, body: msgspec.Struct, timeout: float) -> None:
         """Return when the record has been read back from the log.
 
         Raises ``LogError`` after ``patience`` seconds; its verdict says
@@ -215,72 +215,72 @@
             round(self._clock.wall(), 3),
             msgspec.Raw(text),
         )
-        entry = _Pending(
+        entry = _PendingRecord(
             self._next_number,
             msgspec.json.encode(envelope),
-            self._clock.monotonic() + patience,
+            self._clock.monotonic() + timeout,
         )
         self._next_number += 1
-        self._waiting.append(entry)
+        self._pending.append(entry)
         await self._changed.notify()
-        await curio.ignore_after(patience, entry.done.wait)
+        await curio.ignore_after(timeout, entry.done.wait)
         if self._reader.has_seen(self._writer, entry.number):
             return
-        if entry in self._waiting:
-            self._waiting.remove(entry)
+        if entry in self._pending:
+            self._pending.remove(entry)
         raise LogError('the record was not read back in time', entry.verdict)
 
     async def run(self) -> None:
         """Append what waits, for ever."""
         while True:
-            seen = self._changed.count
-            if self._waiting:
+            seen_count = self._changed.count
+            if self._pending:
                 await self._append_group()
                 continue
-            await self._changed.wait(seen, 60)
+            await self._changed.wait(seen_count, 60)
 
     async def _append_group(self) -> None:
-        group = self._waiting[: self._group_records]
-        former = [entry.verdict for entry in group]
+        group = self._pending[: self._group_records]
+        earlier_verdicts = [entry.verdict for entry in group]
         for entry in group:
             entry.verdict = Verdict.UNKNOWN
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         try:
             await self._log.append(self._reader.stream, [entry.text for entry in group])
         except LogError as error:
             if error.verdict is Verdict.NOT_RUN:
                 # An earlier try may still land: only a first try is undone.
-                for entry, verdict in zip(group, former, strict=True):
+                for entry, verdict in zip(group, earlier_verdicts, strict=True):
                     entry.verdict = verdict
-            await self._settle_failed(group)
+            await self._wait_after_failure(group)
             return
         self.appends += 1
         self.records += len(group)
-        self.append_seconds = self._clock.monotonic() - began
-        await self._settle(group, began)
+        self.append_seconds = self._clock.monotonic() - started_at
+        await self._wait_for_readback(group, started_at)
 
-    async def _settle_failed(self, group: list[_Pending]) -> None:
+    async def _wait_after_failure(self, group: list[_PendingRecord]) -> None:
         """Wait for a read that began after the failure before writing again.
 
         The answer of the append may have been lost after it took effect.
         """
-        await self._settle(group, self._clock.monotonic())
-        await curio.sleep(RETRY_SECONDS)
+        await self._wait_for_readback(group, self._clock.monotonic())
+        await curio.sleep(WRITE_RETRY_SECONDS)
 
-    async def _settle(self, group: list[_Pending], since: float) -> None:
+    async def _wait_for_readback(self, group: list[_PendingRecord], since: float) -> None:
         while True:
             count = self._reader.changed.count
             for entry in group:
                 if self._reader.has_seen(self._writer, entry.number):
-                    self._drop(entry)
+                    self._remove(entry)
                     await entry.done.set()
-            left = [entry for entry in group if entry in self._waiting]
-            if not left or self._reader.evidence_at > since:
+            remaining = [entry for entry in group if entry in self._pending]
+            if not remaining or self._reader.evidence_at > since:
                 return
-            if all(entry.give_up_at <= self._clock.monotonic() for entry in left):
+            if all(entry.deadline <= self._clock.monotonic() for entry in remaining):
                 return
-            await self._reader.changed.wait(count, RETRY_SECONDS)
+            await self._reader.changed.wait(count, WRITE_RETRY_SECONDS)
 
-    def _drop(self, entry: _Pending) -> None:
-        if entry in self._waiting:
-            self._waiting.remove(entry)
+    def _remove(self, entry: _PendingRecord) -> None:
+        if entry in self._pending:
+            self._pending.remove(entry)
--- a/dandelionreel/backing/_workers.py
+++ b/dandelionreel/backing/_workers.py
@@ -127,8 +127,8 @@
 
     def __init__(self, entry: HostEntry, timeout: float) -> None:
         """Reach the worker that ``entry`` names."""
-        self._watch = Channel(entry.address, entry.port, 'workers')
-        self._orders = Channel(entry.address, entry.port, 'workers')
+        self._watch_channel = Channel(entry.address, entry.port, 'workers')
+        self._order_channel = Channel(entry.address, entry.port, 'workers')
         self._timeout = timeout
 
     async def start(
@@ -140,31 +140,33 @@
     ) -> None:
         """Start a task under a lease; raises ``WorkerError``."""
         request = Request('PUT', f'/v1/tasks/{task_id}', body=msgspec.json.encode(order))
-        answer = await self._exchange(self._orders, request, timeout, check)
+        answer = await self._exchange(self._order_channel, request, timeout, check)
         if answer.status not in {HTTP_OK, HTTP_CREATED}:
             raise WorkerError(f'the worker refused ({answer.status})', Verdict.NOT_RUN)
 
     async def tasks(self, after: int, wait: float) -> TaskList:
         """Return the list, waiting up to ``wait`` seconds for a change."""
         target = f'/v1/tasks?after={after}&wait_ms={int(wait * MILLISECONDS)}'
-        answer = await self._exchange(self._watch, Request('GET', target), self._timeout + wait)
-        self._check(answer)
+        answer = await self._exchange(
+            self._watch_channel, Request('GET', target), self._timeout + wait
+        )
+        self._check_status(answer)
         return msgspec.json.decode(answer.body, type=TaskList)
 
     async def renew(self, renewal: LeaseRenewal) -> None:
         """Renew leases; it starts nothing."""
         request = Request('POST', '/v1/leases', body=msgspec.json.encode(renewal))
-        self._check(await self._exchange(self._orders, request, self._timeout))
+        self._check_status(await self._exchange(self._order_channel, request, self._timeout))
 
     async def act(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task."""
         request = Request('POST', f'/v1/tasks/{task_id}/{action}')
-        self._check(await self._exchange(self._orders, request, self._timeout))
+        self._check_status(await self._exchange(self._order_channel, request, self._timeout))
 
     async def close(self) -> None:
         """Close both connections."""
-        await self._watch.close()
-        await self._orders.close()
+        await self._watch_channel.close()
+        await self._order_channel.close()
 
     async def _exchange(
         self,
@@ -179,6 +181,6 @@
             verdict = Verdict.UNKNOWN if error.sent else Verdict.NOT_RUN
             raise WorkerError(f'{error}', verdict) from error
 
-    def _check(self, answer: Answer) -> None:
+    def _check_status(self, answer: Answer) -> None:
         if answer.status != HTTP_OK:
             raise WorkerError(f'the worker answered {answer.status}', Verdict.UNKNOWN)
--- a/dandelionreel/http/_client.py
+++ b/dandelionreel/http/_client.py
@@ -12,7 +12,9 @@
 READ_SIZE = 65_536
 #: Asked right before bytes leave: may they?
 Check = Callable[[], bool]
-HOP_HEADERS = frozenset(('connection', 'keep-alive', 'transfer-encoding', 'content-length', 'te'))
+HOP_BY_HOP_HEADERS = frozenset(
+    ('connection', 'keep-alive', 'transfer-encoding', 'content-length', 'te')
+)
 
 
 class ExchangeError(OSError):
@@ -117,7 +119,7 @@
         check: Check | None,
     ) -> Answer:
         headers = [('host', f'{self._address}:{self._port}')]
-        headers.extend(_plain_headers(request.headers))
+        headers.extend(_end_to_end_headers(request.headers))
         headers.append(('content-length', str(len(request.body))))
         head = h11.Request(method=request.method, target=request.target, headers=headers)
         payload = self._http.send(head)
@@ -133,8 +135,8 @@
 
     def _count(self, size: int) -> None:
         if self._kind:
-            counted = control_bytes_by_kind.get(self._kind, 0)
-            control_bytes_by_kind[self._kind] = counted + size
+            former_total = control_bytes_by_kind.get(self._kind, 0)
+            control_bytes_by_kind[self._kind] = former_total + size
 
     async def _read_answer(self) -> Answer:
         status = 0
@@ -182,12 +184,12 @@
         self.sent = False
 
 
-def _plain_headers(headers: Headers) -> list[tuple[str, str]]:
-    return [(name, text) for name, text in headers if name not in HOP_HEADERS | {'host'}]
+def _end_to_end_headers(headers: Headers) -> list[tuple[str, str]]:
+    return [(name, value) for name, value in headers if name not in HOP_BY_HOP_HEADERS | {'host'}]
 
 
 def _decode_headers(raw: Any) -> Headers:
-    return tuple((name.decode('latin-1'), text.decode('latin-1')) for name, text in raw)
+    return tuple((name.decode('latin-1'), value.decode('latin-1')) for name, value in raw)
 
 
 async def fetch(
@@ -210,7 +212,7 @@
 CheckPeer = Callable[[Connection], Awaitable[None]]
 
 
-async def _accept_any(connection: Connection) -> None:
+async def _accept_any_peer(connection: Connection) -> None:
     """Use a new connection as it is."""
 
 
@@ -226,7 +228,7 @@
         port: int,
         kind: str = '',
         answer_bytes: int = 16_777_216,
-        check_peer: CheckPeer = _accept_any,
+        check_peer: CheckPeer = _accept_any_peer,
     ) -> None:
         """Remember the server; count traffic under ``kind``.
 
@@ -273,13 +275,13 @@
             await self._connection.close()
 
     async def _exchange(self, request: Request, timeout: float, check: Check | None) -> Answer:
-        idle = self._connection.is_open
-        if not idle:
+        reused = self._connection.is_open
+        if not reused:
             await self._open(timeout)
         try:
             return await self._connection.exchange(request, timeout, check)
         except ExchangeError:
-            if not idle or request.method != 'GET':
+            if not reused or request.method != 'GET':
                 raise
         await self._open(timeout)
         return await self._connection.exchange(request, timeout, check)
--- a/dandelionreel/http/_server.py
+++ b/dandelionreel/http/_server.py
@@ -45,7 +45,7 @@
     """A handler gives no answer: the connection is closed instead."""
 
 
-def _never() -> bool:
+def _never_draining() -> bool:
     return False
 
 
@@ -56,7 +56,7 @@
         self,
         handler: Handler,
         limits: ServerLimits | None = None,
-        is_draining: Callable[[], bool] = _never,
+        is_draining: Callable[[], bool] = _never_draining,
     ) -> None:
         """Serve every request by ``handler``.
 
@@ -116,7 +116,7 @@
             try:
                 request = await self._read_request(client, http)
             except BadMessage as error:
-                await self._refuse(client, http, error.problem)
+                await self._send_problem(client, http, error.problem)
                 return
             except h11.RemoteProtocolError as error:
                 problem = Problem(
@@ -125,7 +125,7 @@
                     'bad-http',
                     f'{error}',
                 )
-                await self._refuse(client, http, problem)
+                await self._send_problem(client, http, problem)
                 return
             if request is None:
                 return
@@ -186,8 +186,8 @@
             event = http.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            allowed = self._limits.read_seconds if started else self._limits.idle_seconds
-            received = await curio.ignore_after(allowed, client.recv, READ_SIZE)
+            seconds_left = self._limits.read_seconds if started else self._limits.idle_seconds
+            received = await curio.ignore_after(seconds_left, client.recv, READ_SIZE)
             if not received:
                 if started and received is None:
                     raise BadMessage(HTTP_TIMEOUT, 'slow-sender', 'the head took too long')
@@ -200,8 +200,8 @@
             event = http.next_event()
             if event is h11.NEED_DATA:
                 if http.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await client.sendall(http.send(go_on))
+                    continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                    await client.sendall(http.send(continue_response))
                 http.receive_data(await client.recv(READ_SIZE))
                 continue
             if isinstance(event, h11.Data):
@@ -216,7 +216,7 @@
             return
 
     def _check_head(self, headers: Headers) -> None:
-        lengths = [text for name, text in headers if name == 'content-length']
+        lengths = [value for name, value in headers if name == 'content-length']
         if lengths and int(lengths[0]) > self._limits.body_bytes:
             raise BadMessage(
                 HTTP_TOO_LARGE,
@@ -224,7 +224,7 @@
                 f'the body is over {self._limits.body_bytes} bytes',
             )
 
-    async def _refuse(self, client: Any, http: Any, problem: Problem) -> None:
+    async def _send_problem(self, client: Any, http: Any, problem: Problem) -> None:
         if http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
         answer = answer_problem(problem)
@@ -239,8 +239,8 @@
         last: bool = False,
     ) -> None:
         headers = [
-            (name, text)
-            for name, text in answer.headers
+            (name, value)
+            for name, value in answer.headers
             if name not in {'connection', 'transfer-encoding', 'content-length'}
         ]
         headers.append(('content-length', str(len(answer.body))))
--- a/dandelionreel/http/_sockets.py
+++ b/dandelionreel/http/_sockets.py
@@ -9,7 +9,7 @@
 MILLISECONDS = 1000
 
 
-class _Source:
+class _OutgoingAddress:
     """The local address of this process's outgoing connections."""
 
     address = ''
@@ -17,7 +17,7 @@
 
 def set_source_address(address: str) -> None:
     """Let all outgoing connections of this process leave from ``address``."""
-    _Source.address = address
+    _OutgoingAddress.address = address
 
 
 async def connect(address: str, port: int, user_timeout: float) -> Any:
@@ -29,8 +29,8 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         _set_options(sock, user_timeout)
-        if _Source.address:
-            sock.bind((_Source.address, 0))
+        if _OutgoingAddress.address:
+            sock.bind((_OutgoingAddress.address, 0))
         await sock.connect((address, port))
     except BaseException:
         await sock.close()
--- a/dandelionreel/kernel/_registry.py
+++ b/dandelionreel/kernel/_registry.py
@@ -31,11 +31,11 @@
     def register(self, kind: PluginKind, name: str) -> Callable[[Factory], Factory]:
         """Return a decorator that registers a factory under ``kind`` and ``name``."""
 
-        def keep(factory: Factory) -> Factory:
+        def register_factory(factory: Factory) -> Factory:
             self._factory_by_name[kind, name] = factory
             return factory
 
-        return keep
+        return register_factory
 
     def names(self, kind: PluginKind) -> tuple[str, ...]:
         """Return the names that are known for a kind, sorted."""
--- a/dandelionreel/kernel/_settings.py
+++ b/dandelionreel/kernel/_settings.py
@@ -151,7 +151,7 @@
 
 
 def _check_addresses(settings: Settings) -> None:
-    named = (
+    named_endpoints = (
         ('callers', settings.callers),
         ('admin', settings.admin),
         ('peers', settings.peers),
@@ -159,7 +159,7 @@
         ('platform.log', settings.platform.log),
         ('platform.hosts', settings.platform.hosts),
     )
-    for field, endpoint in named:
+    for field, endpoint in named_endpoints:
         if endpoint is None:
             continue
         try:
@@ -201,8 +201,8 @@
 
 def _check_platform(platform: Platform) -> None:
     for kind, endpoint in (('log', platform.log), ('hosts', platform.hosts)):
-        chosen = getattr(platform, f'{kind}_plugin')
-        if chosen == 'http' and endpoint is None:
+        plugin = getattr(platform, f'{kind}_plugin')
+        if plugin == 'http' and endpoint is None:
             raise SettingsError(
                 f'platform.{kind}: missing; the http plug-in needs an address and a port',
             )
--- a/dandelionreel/kernel/_signals.py
+++ b/dandelionreel/kernel/_signals.py
@@ -15,7 +15,7 @@
 async def watch_signals(
     stack: AsyncExitStack,
     numbers: Collection[int],
-    take: Callable[[int], Awaitable[None]],
+    handle: Callable[[int], Awaitable[None]],
 ) -> Callable[[], Awaitable[None]]:
     """Return a coroutine function that passes each of these signals to ``take``.
 
@@ -25,20 +25,20 @@
     """
     reader, writer = std_socket.socketpair()
     writer.setblocking(False)
-    reading = socket.socket(fileno=reader.detach())
-    stack.push_async_callback(reading.close)
+    receiver = socket.socket(fileno=reader.detach())
+    stack.push_async_callback(receiver.close)
     stack.callback(writer.close)
     stack.callback(signal.set_wakeup_fd, signal.set_wakeup_fd(writer.fileno()))
     for number in numbers:
         stack.callback(signal.signal, number, signal.signal(number, _ignore))
 
     async def watch() -> None:
-        received = await reading.recv(SIGNAL_BYTES)
+        received = await receiver.recv(SIGNAL_BYTES)
         while received:
             for number in received:
                 if number in numbers:
-                    await take(number)
-            received = await reading.recv(SIGNAL_BYTES)
+                    await handle(number)
+            received = await receiver.recv(SIGNAL_BYTES)
 
     return watch
 
--- a/dandelionreel/kernel/_tasks.py
+++ b/dandelionreel/kernel/_tasks.py
@@ -53,9 +53,9 @@
     async def notify(self) -> None:
         """Wake all waiters."""
         self.count += 1
-        waiting = self._event
+        former_event = self._event
         self._event = curio.Event()
-        await waiting.set()
+        await former_event.set()
 
     async def wait(self, seen: int, seconds: float) -> bool:
         """Wait until the count differs from ``seen``; False after ``seconds``."""
--- a/dandelionreel/kernel/_text.py
+++ b/dandelionreel/kernel/_text.py
@@ -1,8 +1,8 @@
 """Text that goes into messages."""
 
-SHOWN_CHARACTERS = 64
+MAX_CHARACTERS = 64
 
 
 def clip(text: str) -> str:
     """Return the start of a text that a caller sent, short enough for one line."""
-    return text[:SHOWN_CHARACTERS]
+    return text[:MAX_CHARACTERS]
--- a/dandelionreel/peers/_codec.py
+++ b/dandelionreel/peers/_codec.py
@@ -46,7 +46,7 @@
 PROTOCOL_VERSION = 3
 MILLISECONDS = 1000
 #: Packing replaces zeros by their count; bounds what a frame may unfold to.
-PACKED_FACTOR = 64
+MAX_UNPACKING_FACTOR = 64
 
 capnp.remove_import_hook()
 _schema = capnp.load(str(pathlib.Path(__file__).with_name('schema.capnp')))
@@ -78,7 +78,7 @@
 
 
 def _decode(payload: bytes) -> Frame:
-    limit = len(payload) * PACKED_FACTOR
+    limit = len(payload) * MAX_UNPACKING_FACTOR
     root = _schema.Frame.from_bytes_packed(payload, traversal_limit_in_words=limit)
     if root.version != PROTOCOL_VERSION:
         raise FrameError(f'version {root.version}, this daemon speaks {PROTOCOL_VERSION}')
@@ -92,7 +92,7 @@
     )
 
 
-def _resources(amount: Resources) -> dict[str, float]:
+def _encode_resources(amount: Resources) -> dict[str, float]:
     return {
         'processors': amount.processors,
         'memoryMb': amount.memory_mb,
@@ -100,19 +100,19 @@
     }
 
 
-def _read_resources(node: Any) -> Resources:
+def _decode_resources(node: Any) -> Resources:
     return Resources(node.processors, node.memoryMb, node.accelerators)
 
 
-def _headers(headers: Headers) -> list[dict[str, str]]:
+def _encode_headers(headers: Headers) -> list[dict[str, str]]:
     return [{'name': name, 'content': text} for name, text in headers]
 
 
-def _read_headers(nodes: Any) -> Headers:
+def _decode_headers(nodes: Any) -> Headers:
     return tuple((node.name, node.content) for node in nodes)
 
 
-def _gossip(gossip: Gossip) -> dict[str, Any]:
+def _encode_gossip(gossip: Gossip) -> dict[str, Any]:
     return {
         'view': list(gossip.view),
         'heard': list(gossip.heard),
@@ -125,7 +125,7 @@
     }
 
 
-def _read_gossip(node: Any) -> Gossip:
+def _decode_gossip(node: Any) -> Gossip:
     return Gossip(
         tuple(node.view),
         tuple(node.heard),
@@ -140,23 +140,25 @@
     root.init('heartbeat').from_dict(
         {
             'availabilityZone': message.availability_zone,
-            **_gossip(message.gossip),
+            **_encode_gossip(message.gossip),
         }
     )
 
 
-def _read_heartbeat(root: Any) -> Heartbeat:
+def _decode_heartbeat(root: Any) -> Heartbeat:
     node = root.heartbeat
-    return Heartbeat(node.availabilityZone, _read_gossip(node))
+    return Heartbeat(node.availabilityZone, _decode_gossip(node))
 
 
 def _encode_heartbeat_answer(root: Any, message: HeartbeatAnswer) -> None:
-    root.init('heartbeatAnswer').from_dict({'promise': message.promise, **_gossip(message.gossip)})
+    root.init('heartbeatAnswer').from_dict(
+        {'promise': message.promise, **_encode_gossip(message.gossip)}
+    )
 
 
-def _read_heartbeat_answer(root: Any) -> HeartbeatAnswer:
+def _decode_heartbeat_answer(root: Any) -> HeartbeatAnswer:
     node = root.heartbeatAnswer
-    return HeartbeatAnswer(node.promise, _read_gossip(node))
+    return HeartbeatAnswer(node.promise, _decode_gossip(node))
 
 
 def _encode_forward(root: Any, message: Forward) -> None:
@@ -165,7 +167,7 @@
         {
             'method': request.method,
             'target': request.target,
-            'headers': _headers(request.headers),
+            'headers': _encode_headers(request.headers),
             'body': request.body,
             'remainingMs': max(0, int(message.remaining * MILLISECONDS)),
             'hops': message.hops,
@@ -181,13 +183,13 @@
         )
 
 
-def _read_forward(root: Any) -> Forward:
+def _decode_forward(root: Any) -> Forward:
     node = root.forward
-    request = Request(node.method, node.target, _read_headers(node.headers), bytes(node.body))
-    return Forward(request, node.remainingMs / MILLISECONDS, node.hops, _read_caller(node))
+    request = Request(node.method, node.target, _decode_headers(node.headers), bytes(node.body))
+    return Forward(request, node.remainingMs / MILLISECONDS, node.hops, _decode_caller(node))
 
 
-def _read_caller(node: Any) -> Caller | None:
+def _decode_caller(node: Any) -> Caller | None:
     if not node._has('caller'):
         return None
     return Caller(node.caller.account, bytes(node.caller.keyDigest), node.caller.version)
@@ -197,16 +199,16 @@
     root.init('forwardAnswer').from_dict(
         {
             'status': message.answer.status,
-            'headers': _headers(message.answer.headers),
+            'headers': _encode_headers(message.answer.headers),
             'body': message.answer.body,
             'noRoom': message.no_room,
         }
     )
 
 
-def _read_forward_answer(root: Any) -> ForwardAnswer:
+def _decode_forward_answer(root: Any) -> ForwardAnswer:
     node = root.forwardAnswer
-    answer = Answer(node.status, _read_headers(node.headers), bytes(node.body))
+    answer = Answer(node.status, _decode_headers(node.headers), bytes(node.body))
     return ForwardAnswer(answer, node.noRoom)
 
 
@@ -216,7 +218,7 @@
             'dispatchEpoch': message.dispatch_epoch,
             'worker': message.worker,
             'taskId': message.task_id,
-            'demand': _resources(message.demand),
+            'demand': _encode_resources(message.demand),
             'command': message.command,
             'customer': message.customer,
             'job': message.job,
@@ -226,13 +228,13 @@
     )
 
 
-def _read_place(root: Any) -> PlaceOrder:
+def _decode_place(root: Any) -> PlaceOrder:
     node = root.place
     return PlaceOrder(
         node.dispatchEpoch,
         node.worker,
         node.taskId,
-        _read_resources(node.demand),
+        _decode_resources(node.demand),
         node.command,
         node.customer,
         node.job,
@@ -245,7 +247,7 @@
     root.init('placeAnswer').from_dict({'outcome': message.outcome, 'cause': message.cause})
 
 
-def _read_place_answer(root: Any) -> PlaceAnswer:
+def _decode_place_answer(root: Any) -> PlaceAnswer:
     return PlaceAnswer(root.placeAnswer.outcome, root.placeAnswer.cause)
 
 
@@ -260,12 +262,12 @@
     )
 
 
-def _read_action(root: Any) -> TaskAction:
+def _decode_action(root: Any) -> TaskAction:
     node = root.action
     return TaskAction(node.dispatchEpoch, node.worker, node.taskId, node.action)
 
 
-def _task_report(report: TaskReport) -> dict[str, Any]:
+def _encode_task_report(report: TaskReport) -> dict[str, Any]:
     return {
         'id': report.id,
         'job': report.job,
@@ -274,12 +276,12 @@
         'taskClass': report.task_class,
         'running': report.running,
         'outcome': report.outcome,
-        'demand': _resources(report.demand),
-        'used': _resources(report.used),
+        'demand': _encode_resources(report.demand),
+        'used': _encode_resources(report.used),
     }
 
 
-def _read_task_report(node: Any) -> TaskReport:
+def _decode_task_report(node: Any) -> TaskReport:
     return TaskReport(
         node.id,
         node.job,
@@ -288,8 +290,8 @@
         node.taskClass,
         node.running,
         node.outcome,
-        _read_resources(node.demand),
-        _read_resources(node.used),
+        _decode_resources(node.demand),
+        _decode_resources(node.used),
     )
 
 
@@ -299,8 +301,8 @@
             'worker': message.worker,
             'epoch': message.epoch,
             'reachable': message.reachable,
-            'room': _resources(message.usable_capacity),
-            'tasks': [_task_report(task) for task in message.tasks],
+            'room': _encode_resources(message.usable_capacity),
+            'tasks': [_encode_task_report(task) for task in message.tasks],
             'silentMs': int(message.unrenewed_seconds * MILLISECONDS),
             'remembersMs': int(message.history_seconds * MILLISECONDS),
             'asOf': int(message.as_of * MILLISECONDS),
@@ -309,14 +311,14 @@
     )
 
 
-def _read_report(root: Any) -> WorkerReport:
+def _decode_report(root: Any) -> WorkerReport:
     node = root.report
     return WorkerReport(
         node.worker,
         node.epoch,
         node.reachable,
-        _read_resources(node.room),
-        tuple(_read_task_report(task) for task in node.tasks),
+        _decode_resources(node.room),
+        tuple(_decode_task_report(task) for task in node.tasks),
         node.silentMs / MILLISECONDS,
         node.remembersMs / MILLISECONDS,
         node.asOf / MILLISECONDS,
@@ -330,16 +332,16 @@
     )
 
 
-def _read_contracts(root: Any) -> ContractState:
+def _decode_contracts(root: Any) -> ContractState:
     node = root.contracts
     return ContractState(node.offset, tuple(bytes(text) for text in node.documents))
 
 
-def _encode_wanted(root: Any, message: ContractsWanted) -> None:
+def _encode_contracts_wanted(root: Any, message: ContractsWanted) -> None:
     root.contractsWanted = None
 
 
-def _encode_advice(root: Any, message: AdviceWanted) -> None:
+def _encode_advice_wanted(root: Any, message: AdviceWanted) -> None:
     root.init('advice').from_dict(
         {
             'job': message.job,
@@ -351,7 +353,7 @@
     )
 
 
-def _read_advice(root: Any) -> AdviceWanted:
+def _decode_advice_wanted(root: Any) -> AdviceWanted:
     node = root.advice
     return AdviceWanted(
         node.job,
@@ -362,12 +364,12 @@
     )
 
 
-def _encode_advised(root: Any, message: AdviceGiven) -> None:
+def _encode_advice_given(root: Any, message: AdviceGiven) -> None:
     permits = [{'runner': runner, 'ticket': ticket} for runner, ticket in message.permits]
     root.init('advised').from_dict({'answered': message.answered, 'permits': permits})
 
 
-def _read_advised(root: Any) -> AdviceGiven:
+def _decode_advice_given(root: Any) -> AdviceGiven:
     node = root.advised
     return AdviceGiven(
         node.answered,
@@ -387,7 +389,7 @@
     root.init('completionsTold').from_dict({'epoch': message.epoch, 'jobs': list(message.jobs)})
 
 
-def _read_completions_told(root: Any) -> CompletionsTold:
+def _decode_completions_told(root: Any) -> CompletionsTold:
     return CompletionsTold(root.completionsTold.epoch, tuple(root.completionsTold.jobs))
 
 
@@ -409,7 +411,7 @@
     )
 
 
-def _read_configuration(root: Any) -> ConfigurationGiven:
+def _decode_configuration(root: Any) -> ConfigurationGiven:
     node = root.configuration
     return ConfigurationGiven(node.version, bytes(node.document), node.current)
 
@@ -432,9 +434,9 @@
     TaskAction: _encode_action,
     WorkerReport: _encode_report,
     ContractState: _encode_contracts,
-    ContractsWanted: _encode_wanted,
-    AdviceWanted: _encode_advice,
-    AdviceGiven: _encode_advised,
+    ContractsWanted: _encode_contracts_wanted,
+    AdviceWanted: _encode_advice_wanted,
+    AdviceGiven: _encode_advice_given,
     OwnerFailing: _encode_owner_failing,
     OwnerAsked: _encode_owner_asked,
     CompletionsTold: _encode_completions_told,
@@ -447,25 +449,25 @@
 }
 
 _DECODERS: dict[str, Callable[[Any], Message]] = {
-    'heartbeat': _read_heartbeat,
-    'heartbeatAnswer': _read_heartbeat_answer,
-    'forward': _read_forward,
-    'forwardAnswer': _read_forward_answer,
-    'place': _read_place,
-    'placeAnswer': _read_place_answer,
-    'action': _read_action,
-    'report': _read_report,
-    'contracts': _read_contracts,
+    'heartbeat': _decode_heartbeat,
+    'heartbeatAnswer': _decode_heartbeat_answer,
+    'forward': _decode_forward,
+    'forwardAnswer': _decode_forward_answer,
+    'place': _decode_place,
+    'placeAnswer': _decode_place_answer,
+    'action': _decode_action,
+    'report': _decode_report,
+    'contracts': _decode_contracts,
     'contractsWanted': lambda root: ContractsWanted(),
-    'advice': _read_advice,
-    'advised': _read_advised,
+    'advice': _decode_advice_wanted,
+    'advised': _decode_advice_given,
     'ownerFailing': lambda root: OwnerFailing(root.ownerFailing),
     'ownerAsked': lambda root: OwnerAsked(root.ownerAsked),
-    'completionsTold': _read_completions_told,
+    'completionsTold': _decode_completions_told,
     'completionsWanted': lambda root: CompletionsWanted(root.completionsWanted),
     'completionsSeen': lambda root: CompletionsSeen(tuple(root.completionsSeen)),
     'configurationWanted': lambda root: ConfigurationWanted(root.configurationWanted),
-    'configuration': _read_configuration,
+    'configuration': _decode_configuration,
     'done': lambda root: Done(),
     'refused': lambda root: Refused(root.refused),
 }
--- a/dandelionreel/peers/_directory.py
+++ b/dandelionreel/peers/_directory.py
@@ -9,7 +9,7 @@
 
 NEVER_HEARD = float('-inf')
 #: A longer pause between messages counts as silence.
-GAP_SECONDS = 2.5
+MAX_GAP_SECONDS = 2.5
 
 
 @dataclass(frozen=True)
@@ -44,13 +44,13 @@
 
     def __init__(
         self,
-        me: str,
+        sender_name: str,
         clock: Clock,
         peer_clocks: PeerClocks,
         traffic: TrafficCounter,
     ) -> None:
         """Ask peers as ``me``."""
-        self._me = me
+        self._sender_name = sender_name
         self._clock = clock
         self._peer_clocks = peer_clocks
         self._traffic = traffic
@@ -64,7 +64,7 @@
         link = PeerLink(
             address.address,
             address.port,
-            self._me,
+            self._sender_name,
             self._clock,
             self._peer_clocks,
             self._traffic,
@@ -100,7 +100,7 @@
         if state is None:
             return None
         now = self._clock.monotonic()
-        if now - state.heard_at > GAP_SECONDS or state.member != member:
+        if now - state.heard_at > MAX_GAP_SECONDS or state.member != member:
             state.heard_since = now
         state.member = member
         state.heard_at = now
--- a/dandelionreel/peers/_framing.py
+++ b/dandelionreel/peers/_framing.py
@@ -43,13 +43,13 @@
 
     async def receive(self) -> Frame | None:
         """Return the next frame, ``None`` at the end; raises ``FrameError``."""
-        head = await self._take(LENGTH.size)
+        head = await self._read_exactly(LENGTH.size)
         if head is None:
             return None
         length = LENGTH.unpack(head)[0]
         if length > FRAME_BYTES:
             raise FrameError(f'a frame of {length} bytes; at most {FRAME_BYTES} are read')
-        payload = await self._take(length)
+        payload = await self._read_exactly(length)
         if payload is None:
             raise FrameError('the connection ended within a frame')
         frame = decode_frame(payload)
@@ -57,7 +57,7 @@
         self._count(frame, length)
         return frame
 
-    async def _take(self, count: int) -> bytes | None:
+    async def _read_exactly(self, count: int) -> bytes | None:
         while len(self._buffer) < count:
             received = await self._sock.recv(READ_SIZE)
             if not received:
--- a/dandelionreel/peers/_link.py
+++ b/dandelionreel/peers/_link.py
@@ -13,7 +13,7 @@
 NO_CLOCK_READING = -1.0
 #: Seconds for a connection to open. Peers are a few milliseconds away; behind a cut
 #: every request waited as long as it would have for its answer.
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 
 
 class PeerError(Exception):
@@ -46,7 +46,7 @@
         return self._clock_by_peer.get(peer, NO_CLOCK_READING)
 
 
-class _Waiting:
+class _PendingExchange:
     def __init__(self) -> None:
         self.event = curio.Event()
         self.answer: Frame | None = None
@@ -59,7 +59,7 @@
         self,
         address: str,
         port: int,
-        me: str,
+        sender_name: str,
         clock: Clock,
         peer_clocks: PeerClocks,
         traffic: TrafficCounter,
@@ -67,7 +67,7 @@
         """Ask the daemon at ``address`` as ``me``."""
         self._address = address
         self._port = port
-        self._me = me
+        self._sender_name = sender_name
         self._clock = clock
         self._peer_clocks = peer_clocks
         self._traffic = traffic
@@ -75,14 +75,14 @@
         self._stream: FrameStream | None = None
         self._reader: Any = None
         self._next_exchange = 1
-        self._waiting_by_exchange: dict[int, _Waiting] = {}
+        self._pending_by_exchange: dict[int, _PendingExchange] = {}
         self._lock = curio.Lock()
         #: "host/incarnation" of the daemon that answers there, once known.
         self.peer = ''
 
     async def ask(self, message: Message, timeout: float) -> Frame:
         """Send a message and return the answering frame; raises ``PeerError``."""
-        waiting = _Waiting()
+        pending = _PendingExchange()
         exchange = self._next_exchange
         self._next_exchange += 1
         sent = False
@@ -90,11 +90,11 @@
             async with curio.timeout_after(timeout):
                 async with self._lock:
                     stream = await self._open(timeout)
-                    self._waiting_by_exchange[exchange] = waiting
-                    frame = self._frame(exchange, message)
+                    self._pending_by_exchange[exchange] = pending
+                    frame = self._make_frame(exchange, message)
                     sent = True
                     await stream.send(frame)
-                await waiting.event.wait()
+                await pending.event.wait()
         except curio.TaskTimeout as error:
             # A frame cut short would garble all that follow on the connection.
             if self._lock.locked() or not sent:
@@ -106,10 +106,10 @@
             await self.close()
             raise PeerError(f'{error}', _verdict(sent)) from error
         finally:
-            self._waiting_by_exchange.pop(exchange, None)
-        if waiting.answer is None:
+            self._pending_by_exchange.pop(exchange, None)
+        if pending.answer is None:
             raise PeerError('the connection ended', Verdict.UNKNOWN)
-        return waiting.answer
+        return pending.answer
 
     async def close(self) -> None:
         """Close the connection and fail what is under way.
@@ -122,18 +122,18 @@
             await reader.cancel(blocking=False)
         if sock is not None:
             await shut_down(sock)
-            await curio.spawn(self._close_unused, sock, daemon=True)
-        for waiting in tuple(self._waiting_by_exchange.values()):
-            await waiting.event.set()
+            await curio.spawn(self._close_when_unlocked, sock, daemon=True)
+        for pending in tuple(self._pending_by_exchange.values()):
+            await pending.event.set()
 
-    async def _close_unused(self, sock: Any) -> None:
+    async def _close_when_unlocked(self, sock: Any) -> None:
         async with self._lock:
             await sock.close()
 
-    def _frame(self, exchange: int, message: Message) -> Frame:
+    def _make_frame(self, exchange: int, message: Message) -> Frame:
         return Frame(
             exchange,
-            self._me,
+            self._sender_name,
             self._clock.monotonic(),
             self._peer_clocks.get_last(self.peer),
             message,
@@ -142,8 +142,10 @@
     async def _open(self, timeout: float) -> FrameStream:
         if self._stream is not None:
             return self._stream
-        patience = min(timeout, CONNECT_SECONDS)
-        sock = await curio.ignore_after(patience, connect, self._address, self._port, timeout)
+        connect_timeout = min(timeout, CONNECT_TIMEOUT_SECONDS)
+        sock = await curio.ignore_after(
+            connect_timeout, connect, self._address, self._port, timeout
+        )
         if sock is None:
             raise TimeoutError('no connection in time')
         self._sock = sock
@@ -159,11 +161,11 @@
                     break
                 self.peer = frame.sender
                 self._peer_clocks.record(frame.sender, frame.clock)
-                waiting = self._waiting_by_exchange.get(frame.exchange)
-                if waiting is None:
+                pending = self._pending_by_exchange.get(frame.exchange)
+                if pending is None:
                     continue
-                waiting.answer = frame
-                await waiting.event.set()
+                pending.answer = frame
+                await pending.event.set()
         except (OSError, FrameError):
             pass
         if self._stream is stream:
--- a/dandelionreel/peers/_server.py
+++ b/dandelionreel/peers/_server.py
@@ -21,14 +21,14 @@
 
     def __init__(
         self,
-        me: str,
+        sender_name: str,
         clock: Clock,
         peer_clocks: PeerClocks,
         journal: Journal,
         traffic: TrafficCounter,
     ) -> None:
         """Answer as ``me``."""
-        self._me = me
+        self._sender_name = sender_name
         self._clock = clock
         self._peer_clocks = peer_clocks
         self._journal = journal
@@ -91,10 +91,10 @@
 
     async def _answer(self, stream: FrameStream, lock: Any, frame: Frame) -> None:
         try:
-            message = await self._find_answer(frame)
+            message = await self._dispatch(frame)
             answer = Frame(
                 frame.exchange,
-                self._me,
+                self._sender_name,
                 self._clock.monotonic(),
                 frame.clock,
                 message,
@@ -106,7 +106,7 @@
         finally:
             self._tasks.discard(await curio.current_task())
 
-    async def _find_answer(self, frame: Frame) -> Message:
+    async def _dispatch(self, frame: Frame) -> Message:
         handler = self._handler_by_type.get(type(frame.message))
         if handler is None:
             return Refused('not a question')
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -9,9 +9,9 @@
 
 from features.cells import job
 
-NAME = 'ub-east-d0'
+DAEMON_NAME = 'ub-east-d0'
 HEAD = b'POST /v1/jobs HTTP/1.1\r\nhost: x\r\n'
-BROKEN = {
+PAYLOAD_BY_DESCRIPTION = {
     'a truncated head': HEAD,
     'a head of 100000 bytes': HEAD + b'long: ' + b'x' * 100_000,
     'a body above the limit': HEAD + b'content-length: 99999999\r\n\r\n',
@@ -52,8 +52,10 @@
 
 @when("{what} is sent to the callers' port")
 def send_broken(context, what):
-    daemon = context.cell.daemons[NAME]
-    context.received = _send(daemon.address, daemon.callers, BROKEN[what], half_close=False)
+    daemon = context.cell.daemons[DAEMON_NAME]
+    context.received = _send(
+        daemon.address, daemon.callers, PAYLOAD_BY_DESCRIPTION[what], half_close=False
+    )
 
 
 @then('the connection is answered with {status:d} or closed')
@@ -64,34 +66,38 @@
 
 @then('the daemon still answers')
 def check_alive(context):
-    assert context.cell.admin(NAME, 'GET', '/readyz').status == 200
+    assert context.cell.admin(DAEMON_NAME, 'GET', '/readyz').status == 200
 
 
 @when('a request is sent with header {header} set to {text}')
 def send_header(context, header, text):
     headers = {'dandelionreel-customer': 'khangai', header: text}
-    context.reply = context.cell.callers(NAME, 'POST', '/v1/services/booking/echo', b'', headers)
+    context.reply = context.cell.callers(
+        DAEMON_NAME, 'POST', '/v1/services/booking/echo', b'', headers
+    )
 
 
 @when('a request is sent to service {service}')
 def send_service(context, service):
     headers = {'dandelionreel-customer': 'khangai'}
-    context.reply = context.cell.callers(NAME, 'POST', f'/v1/services/{service}/x', b'', headers)
+    context.reply = context.cell.callers(
+        DAEMON_NAME, 'POST', f'/v1/services/{service}/x', b'', headers
+    )
 
 
 @when('a job is submitted with {change}')
 def submit_bad(context, change):
-    context.reply = context.cell.submit(NAME, job(**json.loads(change)))
+    context.reply = context.cell.submit(DAEMON_NAME, job(**json.loads(change)))
 
 
 @when('another job is submitted with that key')
 def submit_other(context):
-    context.reply = context.cell.submit(NAME, job('run 9'), context.key)
+    context.reply = context.cell.submit(DAEMON_NAME, job('run 9'), context.key)
 
 
 @when("{what} is sent to the peers' port")
 def send_frame(context, what):
-    daemon = context.cell.daemons[NAME]
+    daemon = context.cell.daemons[DAEMON_NAME]
     half_close = what == 'half a frame'
     context.received = _send(daemon.address, daemon.peers, _frames()[what], half_close=half_close)
 
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -59,7 +59,7 @@
     context.faults = msgspec.json.decode(fault, type=Faults)
 
 
-def _with_log(context, work):
+def _run_with_log(context, check):
     async def run():
         async with AsyncExitStack() as stack:
             standin = LogStandIn()
@@ -72,49 +72,49 @@
                 standin.faults = context.faults
                 streams = log if context.plugin == 'memory' else standin.log
                 if not context.gone:
-                    return await work(log, streams)
-            return await work(log, streams)
+                    return await check(log, streams)
+            return await check(log, streams)
 
     return curio.run(run)
 
 
 @then('offsets grow by one and a read returns what was appended')
 def check_offsets(context):
-    async def work(log, streams):
+    async def check(log, streams):
         assert [await log.append('s', [b'1']) for _ in range(3)] == [0, 1, 2]
         batch = await log.read('s', 1, 0)
         assert (batch.records, batch.tail) == ((b'1', b'1'), 3)
         assert batch.reached_tail
 
-    _with_log(context, work)
+    _run_with_log(context, check)
 
 
 @then('a read at the tail waits and returns nothing')
 def check_tail(context):
-    async def work(log, streams):
+    async def check(log, streams):
         batch = await log.read('s', 0, 0.05)
         assert batch.records == () and batch.reached_tail
 
-    _with_log(context, work)
+    _run_with_log(context, check)
 
 
 @then('records of one append stay together in order')
 def check_together(context):
-    async def work(log, streams):
+    async def check(log, streams):
         async with curio.TaskGroup() as group:
             for start in (10, 20, 30):
                 await group.spawn(log.append, 's', [b'%d' % (start + index) for index in range(5)])
         records = [int(text) for text in (await log.read('s', 0, 0)).records]
-        for place in range(0, 15, 5):
-            group = records[place : place + 5]
+        for first_index in range(0, 15, 5):
+            group = records[first_index : first_index + 5]
             assert group == list(range(group[0], group[0] + 5)), records
 
-    _with_log(context, work)
+    _run_with_log(context, check)
 
 
 @then('a read before the oldest kept record says where to begin')
 def check_truncated(context):
-    async def work(log, streams):
+    async def check(log, streams):
         await log.append('s', [b'1'] * 5)
         streams.stream('s').truncate(3)
         try:
@@ -124,12 +124,12 @@
         else:
             raise AssertionError('no error')
 
-    _with_log(context, work)
+    _run_with_log(context, check)
 
 
 @then('an append fails with verdict {verdict} and took effect: {effect}')
 def check_append_fails(context, verdict, effect):
-    async def work(log, streams):
+    async def check(log, streams):
         try:
             await log.append('s', [b'1'])
         except LogError as error:
@@ -138,12 +138,12 @@
             raise AssertionError('no error')
         assert streams.stream('s').tail == (1 if effect == 'yes' else 0)
 
-    _with_log(context, work)
+    _run_with_log(context, check)
 
 
 @then('{count:d} records written at once are each folded once and in order')
 def check_folded_once(context, count):
-    async def work(log, streams):
+    async def check(log, streams):
         clock = SystemClock()
         reader = StreamReader(log, 's', clock, Number)
         folded = []
@@ -160,7 +160,7 @@
         assert streams.stream('s').tail == count
         assert context.faults.lose_answers < 3
 
-    _with_log(context, work)
+    _run_with_log(context, check)
 
 
 @given('a worker by the {plugin} plug-in')
@@ -168,7 +168,7 @@
     context.plugin = plugin
 
 
-def _with_worker(context, work):
+def _run_with_worker(context, check):
     async def run():
         async with AsyncExitStack() as stack:
             capacity = Resources(4, 4096, 0)
@@ -179,7 +179,7 @@
                 entry = msgspec.structs.replace(entry, port=server.port)
             worker = plugins.create(PluginKind.WORKERS, context.plugin, entry, TIMEOUT)
             stack.push_async_callback(worker.close)
-            return await work(worker)
+            return await check(worker)
 
     return curio.run(run)
 
@@ -188,7 +188,7 @@
     return TaskOrder(Resources(1, 128, 0), command, lease_ms, 'me', 1, 'c', 'j', 1, 'batch')
 
 
-async def _outcome(worker, task_id, seconds=3.0):
+async def _wait_for_outcome(worker, task_id, seconds=3.0):
     waited = 0.0
     while waited < seconds:
         for status in (await worker.tasks(-1, 0)).tasks:
@@ -199,35 +199,35 @@
     return ''
 
 
-def _always():
+def _always_allowed():
     return True
 
 
 @then('a started task runs, is listed, and ends with its outcome')
 def check_runs(context):
-    async def work(worker):
-        await worker.start('a', _order('run 0.2'), TIMEOUT, _always)
-        await worker.start('b', _order('fail 0.1'), TIMEOUT, _always)
+    async def check(worker):
+        await worker.start('a', _order('run 0.2'), TIMEOUT, _always_allowed)
+        await worker.start('b', _order('fail 0.1'), TIMEOUT, _always_allowed)
         listed = {status.id: status.is_running for status in (await worker.tasks(-1, 0)).tasks}
         assert listed == {'a': True, 'b': True}
-        assert await _outcome(worker, 'a') == 'succeeded'
-        assert await _outcome(worker, 'b') == 'failed'
+        assert await _wait_for_outcome(worker, 'a') == 'succeeded'
+        assert await _wait_for_outcome(worker, 'b') == 'failed'
 
-    _with_worker(context, work)
+    _run_with_worker(context, check)
 
 
 @then('a second start with the same id is refused as not run')
 def check_second(context):
-    async def work(worker):
-        await worker.start('a', _order('run 1'), TIMEOUT, _always)
+    async def check(worker):
+        await worker.start('a', _order('run 1'), TIMEOUT, _always_allowed)
         await _check_refused(worker, 'a')
 
-    _with_worker(context, work)
+    _run_with_worker(context, check)
 
 
 async def _check_refused(worker, task_id):
     try:
-        await worker.start(task_id, _order('run 1'), TIMEOUT, _always)
+        await worker.start(task_id, _order('run 1'), TIMEOUT, _always_allowed)
     except WorkerError as error:
         assert error.verdict is Verdict.NOT_RUN
     else:
@@ -236,32 +236,32 @@
 
 @then('a stop that comes before its start refuses the start')
 def check_tombstone(context):
-    async def work(worker):
+    async def check(worker):
         await worker.act('late', 'stop')
         await _check_refused(worker, 'late')
 
-    _with_worker(context, work)
+    _run_with_worker(context, check)
 
 
 @then('a task whose lease is not renewed lapses')
 def check_lapses(context):
-    async def work(worker):
-        await worker.start('a', _order('run 30', lease_ms=300), TIMEOUT, _always)
-        assert await _outcome(worker, 'a') == 'lapsed'
+    async def check(worker):
+        await worker.start('a', _order('run 30', lease_ms=300), TIMEOUT, _always_allowed)
+        assert await _wait_for_outcome(worker, 'a') == 'lapsed'
 
-    _with_worker(context, work)
+    _run_with_worker(context, check)
 
 
 @then('a renewed task goes on')
 def check_renewed(context):
-    async def work(worker):
-        await worker.start('a', _order('run 0.9', lease_ms=400), TIMEOUT, _always)
+    async def check(worker):
+        await worker.start('a', _order('run 0.9', lease_ms=400), TIMEOUT, _always_allowed)
         for _ in range(6):
             await curio.sleep(0.15)
             await worker.renew(LeaseRenewal('peer', 400, ('a',)))
-        assert await _outcome(worker, 'a') == 'succeeded'
+        assert await _wait_for_outcome(worker, 'a') == 'succeeded'
 
-    _with_worker(context, work)
+    _run_with_worker(context, check)
 
 
 HOSTS = (
@@ -275,7 +275,7 @@
     context.plugin = plugin
 
 
-def _with_hosts(context, work):
+def _run_with_hosts(context, check):
     async def run():
         async with AsyncExitStack() as stack:
             standin = HostsStandIn(HOSTS)
@@ -294,25 +294,25 @@
                 'here',
             )
             stack.push_async_callback(hosts.close)
-            return await work(hosts, standin)
+            return await check(hosts, standin)
 
     return curio.run(run)
 
 
 @then('it returns both, and again when nothing has changed')
 def check_hosts(context):
-    async def work(hosts, standin):
+    async def check(hosts, standin):
         for _ in range(3):
             found = await hosts.fetch()
             assert [one.name for one in found] == ['w1', 'e1'], found
             assert all(one.is_live for one in found)
 
-    _with_hosts(context, work)
+    _run_with_hosts(context, check)
 
 
 @then('a leaving worker is seen, an outage is an error, and the list comes back')
 def check_hosts_change(context):
-    async def work(hosts, standin):
+    async def check(hosts, standin):
         await hosts.fetch()
         standin.hosts = (msgspec.structs.replace(HOSTS[0], state='leaving'), HOSTS[1])
         assert [one.is_live for one in await hosts.fetch()] == [False, True]
@@ -325,4 +325,4 @@
             raise AssertionError('no error')
         assert [one.is_live for one in await hosts.fetch()] == [False, True]
 
-    _with_hosts(context, work)
+    _run_with_hosts(context, check)
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -20,11 +20,11 @@
     TrafficCounter,
 )
 
-LARGE = 30_000_000
-ANSWER = 8_000_000
+LARGE_BODY_BYTES = 30_000_000
+LARGE_ANSWER_BYTES = 8_000_000
 #: Seconds within which something gives up, and that nothing takes on any machine.
-SHORT = 0.1
-LONG = 30
+SHORT_TIMEOUT = 0.1
+LONG_TIMEOUT = 30
 
 
 def make_link(port):
@@ -57,19 +57,19 @@
 def one_gives_up(context):
     async def ask():
         link = make_link(context.port)
-        large = await curio.spawn(send, link, LARGE, 5 * SHORT)
-        await curio.sleep(SHORT)
-        small = await send(link, 1, SHORT)
+        large = await curio.spawn(send, link, LARGE_BODY_BYTES, 5 * SHORT_TIMEOUT)
+        await curio.sleep(SHORT_TIMEOUT)
+        small = await send(link, 1, SHORT_TIMEOUT)
         # Its descriptor gets the number of the one that was just given up.
-        other = await send(make_link(context.port), 1, SHORT)
+        other = await send(make_link(context.port), 1, SHORT_TIMEOUT)
         await large.join()
         await link.close()
-        return large.result, small, other, await ask_living_peer()
+        return large.result, small, other, await query_working_peer()
 
     context.results = curio.run(ask)
 
 
-async def ask_living_peer():
+async def query_working_peer():
     """Return why a peer that works did not answer."""
     async with AsyncExitStack() as stack:
         server = make_server()
@@ -81,16 +81,16 @@
         await server.start(stack, '127.0.0.1', 0)
         link = make_link(server.port)
         stack.push_async_callback(link.close)
-        return await send(link, 1, LONG)
+        return await send(link, 1, LONG_TIMEOUT)
 
 
 @then('both fail, and the process can ask another peer')
 def both_fail(context):
-    large, small, other, living = context.results
+    large, small, other, working_peer_failure = context.results
     assert large, context.results
     assert small, context.results
     assert other, context.results
-    assert not living, living
+    assert not working_peer_failure, working_peer_failure
     context.listener.close()
 
 
@@ -111,7 +111,7 @@
     async def ask():
         link = make_link(context.port)
         try:
-            await link.ask(Forward(Request('POST', '/x'), LONG, 1), LONG)
+            await link.ask(Forward(Request('POST', '/x'), LONG_TIMEOUT, 1), LONG_TIMEOUT)
         except PeerError as error:
             return error
         finally:
@@ -120,7 +120,7 @@
 
     async def ask_in_time():
         # Without a limit of its own a connection would take LONG seconds.
-        return await curio.ignore_after(LONG / 3, ask)
+        return await curio.ignore_after(LONG_TIMEOUT / 3, ask)
 
     context.error = curio.run(ask_in_time)
 
@@ -138,13 +138,13 @@
     async def ask():
         channel = Channel('127.0.0.1', context.port)
         waiting = await curio.spawn(exchange, channel)
-        await curio.sleep(SHORT)
+        await curio.sleep(SHORT_TIMEOUT)
         await channel.close()
         failure = await waiting.join()
         other = Channel('127.0.0.1', context.port)
-        again = await curio.ignore_after(SHORT, exchange, other)
+        again = await curio.ignore_after(SHORT_TIMEOUT, exchange, other)
         await other.close()
-        return failure, again, await ask_living_peer()
+        return failure, again, await query_working_peer()
 
     context.results = curio.run(ask)
 
@@ -152,7 +152,7 @@
 async def exchange(channel):
     """Return why a request failed."""
     try:
-        await channel.exchange(Request('POST', '/x'), LONG)
+        await channel.exchange(Request('POST', '/x'), LONG_TIMEOUT)
     except ExchangeError as error:
         return f'{error}'
     return ''
@@ -160,10 +160,10 @@
 
 @then('the request fails at once, and the process can ask another server')
 def request_fails(context):
-    failure, again, living = context.results
+    failure, again, working_peer_failure = context.results
     assert failure, context.results
     assert again is None, context.results
-    assert not living, living
+    assert not working_peer_failure, working_peer_failure
     context.listener.close()
 
 
@@ -172,29 +172,29 @@
     context.server = make_server()
 
     async def answer(frame):
-        return ForwardAnswer(Answer(200, (), b'x' * ANSWER))
+        return ForwardAnswer(Answer(200, (), b'x' * LARGE_ANSWER_BYTES))
 
     context.server.add_handler(Forward, answer)
 
 
 @when('a peer asks, reads nothing and hangs up')
 def asks_and_hangs_up(context):
-    async def play():
+    async def run_peers():
         async with AsyncExitStack() as stack:
             await context.server.start(stack, '127.0.0.1', 0)
             for _ in range(3):
                 await hang_up(context.server.port)
             link = make_link(context.server.port)
             stack.push_async_callback(link.close)
-            return await send(link, 1, LONG)
+            return await send(link, 1, LONG_TIMEOUT)
 
-    context.failure = curio.run(play)
+    context.failure = curio.run(run_peers)
 
 
 async def hang_up(port):
     """Ask, leave the answer unread and end the connection."""
     link = make_link(port)
-    asking = await curio.spawn(send, link, 1, SHORT)
+    asking = await curio.spawn(send, link, 1, SHORT_TIMEOUT)
     # Nothing is read: the reader of the link is ended before the answer comes.
     while link._reader is None:
         await curio.sleep(0)
@@ -202,7 +202,7 @@
     await asking.join()
     await link._sock.shutdown(socket.SHUT_RDWR)
     await link.close()
-    await curio.sleep(SHORT)
+    await curio.sleep(SHORT_TIMEOUT)
 
 
 @then('the daemon answers the next peer')
