--- a/bench/placement.py
+++ b/bench/placement.py
@@ -17,11 +17,11 @@
 from dandelionreel.backing import Resources
 from dandelionreel.placement import (
     Cell,
+    CustomerTerms,
     FairQueue,
     Planner,
-    Running,
-    RunTimes,
-    Terms,
+    RunningTask,
+    RunTimeEstimator,
     Work,
     task_ids,
 )
@@ -75,9 +75,9 @@
     return replace(work, **changes) if changes else work
 
 
-def no_terms(customer: str) -> Terms:
+def no_terms(customer: str) -> CustomerTerms:
     """Return terms without quota."""
-    return Terms()
+    return CustomerTerms()
 
 
 def finish(planner: Planner, work: Work, workers: tuple[str, ...]) -> None:
@@ -85,7 +85,7 @@
     for task_id, name in zip(task_ids(work.id, work.attempt, work.tasks), workers, strict=True):
         worker = planner.cell.worker_by_name.get(name)
         if worker is not None:
-            planner.cell.release(worker, task_id)
+            planner.cell.remove_task(worker, task_id)
 
 
 class FirstFit:
@@ -118,7 +118,7 @@
 def churn(workers: int, rounds: int) -> dict[str, float]:
     """Return decision times with a full complement of running tasks."""
     source = random.Random(SEED)
-    planner = Planner(make_cell(workers, source), FairQueue(no_terms), RunTimes())
+    planner = Planner(make_cell(workers, source), FairQueue(no_terms), RunTimeEstimator())
     running: list[tuple[Work, tuple[str, ...]]] = []
     index = 0
     while len(running) < workers * TASKS_PER_WORKER:
@@ -186,8 +186,8 @@
 def hold(cell: Cell, name: str, work: Work) -> None:
     """Count one task."""
     worker = cell.worker_by_name[name]
-    running = Running(f'{work.id}.1.0', work.id, work.customer, 'batch', work.demand, 0, 60)
-    cell.hold(worker, running)
+    running = RunningTask(f'{work.id}.1.0', work.id, work.customer, 'batch', work.demand, 0, 60)
+    cell.add_task(worker, running)
 
 
 def packing(workers: int) -> dict[str, float]:
@@ -195,7 +195,7 @@
     source = random.Random(SEED)
     jobs = [make_work(index, source, index) for index in range(int(workers * 14))]
     offline = best_fit_decreasing(workers, jobs)
-    planner = Planner(make_cell(workers, source), FairQueue(no_terms), RunTimes())
+    planner = Planner(make_cell(workers, source), FairQueue(no_terms), RunTimeEstimator())
     for work in jobs:
         planner.queue.add(work)
     ours = 0.0
@@ -220,10 +220,12 @@
 class Day:
     """Virtual time over a planner: arrivals, ends, and what waited how long."""
 
-    def __init__(self, workers: int, terms: Callable[[str], Terms] = no_terms) -> None:
+    def __init__(self, workers: int, terms: Callable[[str], CustomerTerms] = no_terms) -> None:
         """Start with empty workers."""
         self.source = random.Random(SEED)
-        self.planner = Planner(make_cell(workers, self.source), FairQueue(terms), RunTimes())
+        self.planner = Planner(
+            make_cell(workers, self.source), FairQueue(terms), RunTimeEstimator()
+        )
         self.now = 0.0
         self.ends: list[tuple[float, int, Work, tuple[str, ...]]] = []
         self.waits: dict[str, list[float]] = {}
@@ -266,7 +268,7 @@
         for victim in placement.victims:
             for name in placement.workers:
                 worker = self.planner.cell.worker_by_name[name]
-                if self.planner.cell.release(worker, victim.task_id):
+                if self.planner.cell.remove_task(worker, victim.task_id):
                     self.stopped.add(victim.job)
         work = placement.work
         kind = 'gang' if work.tasks > 1 else work.task_class
@@ -306,7 +308,7 @@
 def fairness() -> dict[str, float]:
     """Return the largest deviation of shares from weights while all are backlogged."""
     weights = {'c0': 1.0, 'c1': 1.0, 'c2': 2.0, 'c3': 4.0}
-    day = Day(200, lambda customer: Terms(weight=weights[customer]))
+    day = Day(200, lambda customer: CustomerTerms(weight=weights[customer]))
     for index in range(60_000):
         day.add(customer=f'c{index % 4}', run_seconds=60)
     deviations = []
@@ -390,7 +392,7 @@
     Ends are reported 30 s late: the ledger counts a task until then.
     """
     day = Day(24)
-    times = RunTimes()
+    times = RunTimeEstimator()
     factor_by_kind = {f'k{index}': 10 ** day.source.uniform(-1, 1) for index in range(12)}
     ends: list[tuple[float, int, Work, tuple[str, ...]]] = []
     over_filled = late = starts = 0
--- a/dandelionreel/jobs/_desk.py
+++ b/dandelionreel/jobs/_desk.py
@@ -4,7 +4,14 @@
 from dandelionreel.jobs._tracks import TaskTrack, Tracks
 from dandelionreel.kernel import Settings, Signal
 from dandelionreel.ownership import DISPATCH_SHARD, Authority
-from dandelionreel.placement import Cell, FairQueue, Planner, RunTimes, Terms, WorkerView
+from dandelionreel.placement import (
+    Cell,
+    CustomerTerms,
+    FairQueue,
+    Planner,
+    RunTimeEstimator,
+    WorkerView,
+)
 
 #: Slack beyond a lease before its task counts as ended, in seconds.
 LAPSE_MARGIN = 2.0
@@ -26,10 +33,10 @@
         """Start out of office."""
         self._settings = settings
         self._authority = authority
-        self._terms: dict[str, Terms] = {}
+        self._terms: dict[str, CustomerTerms] = {}
         self.changes = changes
         self.wake = Signal()
-        self.times = RunTimes()
+        self.times = RunTimeEstimator()
         self.epoch = 0
         self.took_over_at = 0.0
         self.clear()
@@ -45,11 +52,11 @@
         self.shelved: set[str] = set()
         self.planner = Planner(Cell(), FairQueue(self.terms), self.times)
 
-    def terms(self, customer: str) -> Terms:
+    def terms(self, customer: str) -> CustomerTerms:
         """Return a customer's terms as of this round."""
-        return self._terms.get(customer, Terms())
+        return self._terms.get(customer, CustomerTerms())
 
-    def replace_terms(self, terms_by_customer: dict[str, Terms]) -> None:
+    def replace_terms(self, terms_by_customer: dict[str, CustomerTerms]) -> None:
         """Replace all customers' terms."""
         self._terms = terms_by_customer
 
@@ -61,7 +68,7 @@
         """Stop counting a task in the cell."""
         worker = self.worker(task.worker)
         if worker is not None:
-            self.planner.cell.release(worker, task.task_id)
+            self.planner.cell.remove_task(worker, task.task_id)
 
     def may_act(self, epoch: int) -> bool:
         """Return whether this daemon is still the dispatcher of that epoch."""
--- a/dandelionreel/jobs/_feeder.py
+++ b/dandelionreel/jobs/_feeder.py
@@ -7,7 +7,7 @@
 from dandelionreel.jobs._shares import ShareKeeper
 from dandelionreel.jobs._tracks import AttemptTrack, TaskTrack
 from dandelionreel.kernel import Clock, Settings
-from dandelionreel.placement import Terms, Work, task_ids
+from dandelionreel.placement import CustomerTerms, Work, task_ids
 
 UNSHELVE_SECONDS = 0.25
 
@@ -73,7 +73,7 @@
             if contract is None:
                 continue
             share = self._shares.usable(customer)
-            terms_by_customer[customer] = Terms(
+            terms_by_customer[customer] = CustomerTerms(
                 contract.weight,
                 contract.quota.resources().times(share),
                 contract.guaranteed.resources().times(share),
@@ -91,7 +91,7 @@
             if entry.name not in self._desk.planner.cell.worker_by_name:
                 worker = self._desk.planner.cell.add(entry.name, entry.rack, entry.capacity)
                 # Nothing is placed there before its owner has reported it.
-                self._desk.planner.cell.set_room(worker, worker.used)
+                self._desk.planner.cell.set_usable_capacity(worker, worker.used)
         cell = self._desk.planner.cell
         for name in tuple(cell.worker_by_name):
             if name not in listed and not self._desk.tracks.on_worker(name):
@@ -100,7 +100,7 @@
     def _close_to_new(self, name: str) -> None:
         worker = self._desk.planner.cell.worker_by_name.get(name)
         if worker is not None:
-            self._desk.planner.cell.set_room(worker, worker.used)
+            self._desk.planner.cell.set_usable_capacity(worker, worker.used)
 
     def _absorb_changes(self) -> None:
         for job_id in self._desk.changes.take():
--- a/dandelionreel/jobs/_intake.py
+++ b/dandelionreel/jobs/_intake.py
@@ -32,7 +32,7 @@
     zones_of,
 )
 from dandelionreel.ownership import choose_owner
-from dandelionreel.placement import copies
+from dandelionreel.placement import count_fitting
 
 KEY_HEADER = 'idempotency-key'
 ID_BYTES = 8
@@ -263,7 +263,9 @@
         workers = self._hosts.of_kind('worker', self._zone)
         if not workers:
             return
-        places = sum(min(spec.tasks, copies(spec.resources, one.capacity)) for one in workers)
+        places = sum(
+            min(spec.tasks, count_fitting(spec.resources, one.capacity)) for one in workers
+        )
         if places >= spec.tasks:
             return
         largest = max(workers, key=_processors).capacity
--- a/dandelionreel/jobs/_observer.py
+++ b/dandelionreel/jobs/_observer.py
@@ -9,7 +9,7 @@
 from dandelionreel.jobs._tracks import AttemptTrack, TaskTrack, reported_outcome
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import TaskReport, WorkerReport
-from dandelionreel.placement import Running
+from dandelionreel.placement import RunningTask
 
 #: Slack when ages on two hosts' wall clocks are compared.
 WALL_MARGIN = 1.0
@@ -54,7 +54,7 @@
             return
         if report.reachable:
             self._desk.reported[report.worker] = report.epoch
-            self._desk.planner.cell.set_room(worker, report.room)
+            self._desk.planner.cell.set_usable_capacity(worker, report.room)
             self._compare(report)
         elif report.silent > self._desk.lapse_seconds:
             self._lapse_all(report.worker)
@@ -109,10 +109,10 @@
             told = report_by_task.get(task_id)
             tracked = self._is_tracked(task_id)
             if not tracked and (told is None or not told.running):
-                self._desk.planner.cell.release(worker, task_id)
+                self._desk.planner.cell.remove_task(worker, task_id)
         for told in report.tasks:
             if told.running and told.id not in worker.running_by_task:
-                self._desk.planner.cell.hold(worker, self._running(told))
+                self._desk.planner.cell.add_task(worker, self._running(told))
             if told.running and not self._desk.tracks.knows(told):
                 self._judge_stranger(report.worker, told)
 
@@ -122,7 +122,7 @@
         task = track.task_by_id.get(task_id) if track else None
         return task is not None and task.outcome is None
 
-    def _running(self, told: TaskReport) -> Running:
+    def _running(self, told: TaskReport) -> RunningTask:
         job = self._jobs.get(told.job)
         customer = job.spec.customer if job else told.customer
         contract = self._contracts.effective(customer)
@@ -132,7 +132,7 @@
         may_stop = bool(job and job.spec.idempotent and job.spec.tasks == 1)
         declared = job.spec.run_seconds if job else 0
         kind = job.spec.kind if job else ''
-        return Running(
+        return RunningTask(
             told.id,
             told.job,
             customer,
--- a/dandelionreel/jobs/_shares.py
+++ b/dandelionreel/jobs/_shares.py
@@ -69,7 +69,7 @@
         if now - self._asked_at.get(customer, float('-inf')) < ASK_SECONDS:
             return
         used = planner.cell.usage.of(customer)
-        for work in planner.queue.by_customer(customer):
+        for work in planner.queue.heads_of_customer(customer):
             quota = contract.quota.resources()
             needed = (used + work.total).dominant_share(quota)
             lack = needed - self.usable(customer)
@@ -106,7 +106,7 @@
         quota = contract.quota.resources()
         used = planner.cell.usage.of(customer)
         usable = quota.times(self.usable(customer))
-        heads = planner.queue.by_customer(customer) if planner.queue.waiting(customer) else []
+        heads = planner.queue.heads_of_customer(customer) if planner.queue.waiting(customer) else []
         for work in heads:
             if (used + work.total).fits(usable):
                 used += work.total
--- a/dandelionreel/jobs/_starter.py
+++ b/dandelionreel/jobs/_starter.py
@@ -13,7 +13,7 @@
 from dandelionreel.jobs._tracks import AttemptTrack, TaskTrack
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import PlaceOrder
-from dandelionreel.placement import Placement, Running, Work, task_ids
+from dandelionreel.placement import Placement, RunningTask, Work, task_ids
 from dandelionreel.workers import REFUSED, STARTED
 
 WRITE_PATIENCE = 10.0
@@ -166,7 +166,7 @@
             worker=task.worker,
         )
 
-    async def _preempt(self, victim: Running, epoch: int) -> None:
+    async def _preempt(self, victim: RunningTask, epoch: int) -> None:
         worker = self._worker_of(victim)
         self._journal.tell(
             Part.PLACEMENT,
@@ -191,11 +191,11 @@
                 return
             await self._desk.wake.wait(seen, VICTIM_ROUND_SECONDS)
 
-    def _running_on(self, name: str) -> dict[str, Running]:
+    def _running_on(self, name: str) -> dict[str, RunningTask]:
         worker = self._desk.worker(name)
         return worker.running_by_task if worker else {}
 
-    def _worker_of(self, victim: Running) -> str:
+    def _worker_of(self, victim: RunningTask) -> str:
         track = self._desk.tracks.attempt_by_job.get(victim.job)
         task = track.task_by_id.get(victim.task_id) if track else None
         return task.worker if task else ''
@@ -206,7 +206,7 @@
         for task_id, name in zip(ids, placement.workers, strict=True):
             worker = self._desk.worker(name)
             if worker is not None:
-                self._desk.planner.cell.release(worker, task_id)
+                self._desk.planner.cell.remove_task(worker, task_id)
 
     def _note_waiting(self, job: Job) -> None:
         if job.attempts:
@@ -230,5 +230,5 @@
             job=work.id,
             customer=work.customer,
             workers=list(placement.workers),
-            considered=self._desk.planner.looked_at,
+            considered=self._desk.planner.considered_count,
         )
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -81,7 +81,7 @@
             self._queue.labels(service).set(length)
         for state in JobState:
             self._jobs.labels(state.value).set(jobs.count(state))
-        self._decisions.set(planner.decisions)
+        self._decisions.set(planner.decision_count)
         self._set_use(planner)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self._processor.set(usage.ru_utime + usage.ru_stime)
--- a/dandelionreel/placement/__init__.py
+++ b/dandelionreel/placement/__init__.py
@@ -1,39 +1,39 @@
 """Placement decisions: cell, queue, policies, planner."""
 
 from dandelionreel.placement._cell import Cell, WorkerView
-from dandelionreel.placement._estimate import RunTimes
+from dandelionreel.placement._estimate import RunTimeEstimator
 from dandelionreel.placement._planner import Planner, task_ids
 from dandelionreel.placement._policy import (
     GangPolicy,
-    Hold,
+    GangReservation,
     PackedPolicy,
     PlacementPolicy,
     SpreadPolicy,
     UrgentPolicy,
-    copies,
+    count_fitting,
 )
-from dandelionreel.placement._queue import FairQueue, Terms
-from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, Running, Work
+from dandelionreel.placement._queue import CustomerTerms, FairQueue
+from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, RunningTask, Work
 
 __all__ = (
     'BATCH',
     'SERVICE',
     'URGENT',
     'Cell',
+    'CustomerTerms',
     'FairQueue',
     'GangPolicy',
-    'Hold',
+    'GangReservation',
     'PackedPolicy',
     'Placement',
     'PlacementPolicy',
     'Planner',
-    'RunTimes',
-    'Running',
+    'RunTimeEstimator',
+    'RunningTask',
     'SpreadPolicy',
-    'Terms',
     'UrgentPolicy',
     'Work',
     'WorkerView',
-    'copies',
+    'count_fitting',
     'task_ids',
 )
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.accounts import Usage
 from dandelionreel.backing import EPSILON, NOTHING, Resources
-from dandelionreel.placement._work import Running
+from dandelionreel.placement._work import RunningTask
 
 #: Consecutive failures of different jobs after which a worker gets no work.
 FAILURES_TO_QUARANTINE = 3
@@ -41,7 +41,7 @@
         self.room = capacity
         self.used = NOTHING
         self.free = capacity
-        self.running_by_task: dict[str, Running] = {}
+        self.running_by_task: dict[str, RunningTask] = {}
         self.failed_jobs: list[str] = []
         self.quarantined_until = 0.0
         self.quarantine = QUARANTINE_SECONDS
@@ -122,7 +122,7 @@
         self._buckets(worker).take(worker)
         self.total -= worker.capacity
 
-    def set_room(self, worker: WorkerView, room: Resources) -> None:
+    def set_usable_capacity(self, worker: WorkerView, room: Resources) -> None:
         """Change how much of the worker may be filled at present."""
         if worker.room == room:
             return
@@ -130,7 +130,7 @@
         self._update(worker)
         self._freed[worker.name] = worker
 
-    def hold(self, worker: WorkerView, running: Running) -> None:
+    def add_task(self, worker: WorkerView, running: RunningTask) -> None:
         """Count a task on a worker."""
         if running.task_id in worker.running_by_task:
             self._drop(worker, running.task_id)
@@ -139,7 +139,7 @@
         self.usage.add(running.customer, running.demand)
         self._update(worker)
 
-    def release(self, worker: WorkerView, task_id: str) -> Running | None:
+    def remove_task(self, worker: WorkerView, task_id: str) -> RunningTask | None:
         """Stop counting a task; return it, or ``None`` when it was not counted."""
         running = self._drop(worker, task_id)
         if running is not None:
@@ -219,7 +219,7 @@
                 yield from bucket[start:]
                 yield from bucket[:start]
 
-    def _drop(self, worker: WorkerView, task_id: str) -> Running | None:
+    def _drop(self, worker: WorkerView, task_id: str) -> RunningTask | None:
         running = worker.running_by_task.pop(task_id, None)
         if running is None:
             return None
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -16,7 +16,7 @@
 UNKNOWN_SECONDS = 3600.0
 
 
-class RunTimes:
+class RunTimeEstimator:
     """The latest run times by customer and kind of job."""
 
     def __init__(self) -> None:
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -5,10 +5,10 @@
 
 from dandelionreel.kernel import PluginKind, plugins
 from dandelionreel.placement._cell import Cell, WorkerView
-from dandelionreel.placement._estimate import RunTimes
-from dandelionreel.placement._policy import GANG, GangPolicy, Hold, PlacementPolicy
+from dandelionreel.placement._estimate import RunTimeEstimator
+from dandelionreel.placement._policy import GANG, GangPolicy, GangReservation, PlacementPolicy
 from dandelionreel.placement._queue import FairQueue
-from dandelionreel.placement._work import URGENT, Placement, Running, Shape, Work
+from dandelionreel.placement._work import URGENT, Placement, RunningTask, Shape, Work
 
 POLICY_NAMES = ('urgent', 'service', 'batch', GANG)
 
@@ -16,7 +16,7 @@
 class Planner:
     """Decides what starts where; it sends and writes nothing itself."""
 
-    def __init__(self, cell: Cell, queue: FairQueue, times: RunTimes) -> None:
+    def __init__(self, cell: Cell, queue: FairQueue, times: RunTimeEstimator) -> None:
         """Place the jobs of ``queue`` on the workers of ``cell``."""
         self.cell = cell
         self.queue = queue
@@ -25,11 +25,11 @@
             name: plugins.create(PluginKind.PLACEMENT, name) for name in POLICY_NAMES
         }
         self._gang = GangPolicy()
-        self.hold: Hold | None = None
+        self.reservation: GangReservation | None = None
         #: Shapes that fitted nowhere when they were last tried.
         self._failed: set[Shape] = set()
-        self.decisions = 0
-        self.looked_at = 0
+        self.decision_count = 0
+        self.considered_count = 0
 
     def decide(self, now: float, limit: int) -> list[Placement]:
         """Return up to ``limit`` placements, each already counted in the cell."""
@@ -51,9 +51,9 @@
         ids = task_ids(work.id, work.attempt, work.tasks)
         for task_id, name in zip(ids, placement.workers, strict=True):
             worker = self.cell.worker_by_name[name]
-            self.cell.hold(
+            self.cell.add_task(
                 worker,
-                Running(
+                RunningTask(
                     task_id,
                     work.id,
                     work.customer,
@@ -66,8 +66,8 @@
                 ),
             )
         self.queue.remove(work.id)
-        if self.hold is not None and self.hold.job == work.id:
-            self.hold = None
+        if self.reservation is not None and self.reservation.job == work.id:
+            self.reservation = None
             self._failed.clear()
 
     def estimate(self, customer: str, kind: str, declared: float) -> float:
@@ -113,7 +113,7 @@
         return self.queue.claim(customer, used, self.cell.total)
 
     def _place_one(self, customer: str, now: float, placed: list[Placement]) -> bool:
-        heads = self.queue.by_customer(customer, self._failed)
+        heads = self.queue.heads_of_customer(customer, self._failed)
         return any(self._try(work, now, placed) for work in heads)
 
     def _try(self, work: Work, now: float, placed: list[Placement]) -> bool:
@@ -122,13 +122,13 @@
         used = self.cell.usage.of(work.customer)
         if not self.queue.within_quota(work, used):
             return False
-        self.looked_at += 1
+        self.considered_count += 1
         name = GANG if work.tasks > 1 else work.task_class
-        placement = self._policy_by_name[name].place(work, self.cell, now, self.hold)
+        placement = self._policy_by_name[name].place(work, self.cell, now, self.reservation)
         if placement is None:
             self._note_failed(work, now)
             return False
-        self.decisions += 1
+        self.decision_count += 1
         self.start(placement, now)
         placed.append(placement)
         return True
@@ -136,14 +136,14 @@
     def _note_failed(self, work: Work, now: float) -> None:
         if not work.avoid:
             self._failed.add(work.shape)
-        if work.tasks > 1 and self.hold is None and work.task_class != URGENT:
-            self.hold = self._gang.plan_hold(work, self.cell, now)
+        if work.tasks > 1 and self.reservation is None and work.task_class != URGENT:
+            self.reservation = self._gang.plan_hold(work, self.cell, now)
 
     def _drop_old_hold(self, now: float) -> None:
-        if self.hold is None:
+        if self.reservation is None:
             return
-        if now >= self.hold.expires_at or self.hold.job not in self.queue:
-            self.hold = None
+        if now >= self.reservation.expires_at or self.reservation.job not in self.queue:
+            self.reservation = None
             self._failed.clear()
 
 
--- a/dandelionreel/placement/_policy.py
+++ b/dandelionreel/placement/_policy.py
@@ -6,7 +6,7 @@
 from dandelionreel.backing import EPSILON, Resources
 from dandelionreel.kernel import PluginKind, plugins
 from dandelionreel.placement._cell import Cell, WorkerView
-from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, Running, Work
+from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, RunningTask, Work
 
 #: Workers that one decision looks at; more hardly pack better (docs/MEASUREMENTS.md).
 CANDIDATES = 12
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Hold:
+class GangReservation:
     """Workers that a gang waits for: work that may outlast ``until`` keeps off."""
 
     job: str
@@ -33,7 +33,9 @@
     """Chooses workers for one kind of work."""
 
     @abc.abstractmethod
-    def place(self, work: Work, cell: Cell, now: float, hold: Hold | None) -> Placement | None:
+    def place(
+        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+    ) -> Placement | None:
         """Return where the job goes, ``None`` when it fits nowhere now."""
 
 
@@ -42,7 +44,7 @@
     worker: WorkerView,
     cell: Cell,
     now: float,
-    hold: Hold | None,
+    hold: GangReservation | None,
     ends_at: float,
 ) -> bool:
     """Return whether the worker may take one task of the job now."""
@@ -71,7 +73,9 @@
 class PackedPolicy(PlacementPolicy):
     """Batch work goes where it leaves the least behind."""
 
-    def place(self, work: Work, cell: Cell, now: float, hold: Hold | None) -> Placement | None:
+    def place(
+        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+    ) -> Placement | None:
         """Return the best fit among the sampled workers."""
         worker = self.best(work, cell, now, hold)
         if worker is None:
@@ -83,7 +87,7 @@
         work: Work,
         cell: Cell,
         now: float,
-        hold: Hold | None,
+        hold: GangReservation | None,
     ) -> WorkerView | None:
         """Return the worker with the smallest leftover."""
         ends_at = now + work.run_seconds
@@ -106,7 +110,9 @@
 class SpreadPolicy(PlacementPolicy):
     """Services go to the racks that run the fewest of the same customer's."""
 
-    def place(self, work: Work, cell: Cell, now: float, hold: Hold | None) -> Placement | None:
+    def place(
+        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+    ) -> Placement | None:
         """Return the worker with the most room in the least used rack."""
         found = None
         found_score = (float('inf'), float('inf'))
@@ -140,7 +146,9 @@
         """Place as batch does where there is room."""
         self._packed = PackedPolicy()
 
-    def place(self, work: Work, cell: Cell, now: float, hold: Hold | None) -> Placement | None:
+    def place(
+        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+    ) -> Placement | None:
         """Return a worker with room, or one where stopping others makes it."""
         # A gang's hold never keeps urgent work out.
         worker = self._packed.best(work, cell, now, None)
@@ -149,7 +157,7 @@
         return self._preempt(work, cell, now)
 
     def _preempt(self, work: Work, cell: Cell, now: float) -> Placement | None:
-        best: tuple[Running, ...] = ()
+        best: tuple[RunningTask, ...] = ()
         best_name = ''
         best_loss = float('inf')
         candidates = tuple(cell.worker_by_name.values())
@@ -169,12 +177,12 @@
         return Placement(work, (best_name,), best, 'stopping lesser work there loses the least')
 
 
-def lost_work(running: Running, now: float) -> float:
+def lost_work(running: RunningTask, now: float) -> float:
     """Return the processor seconds that stopping a task throws away."""
     return (now - running.started_at) * max(running.demand.processors, 0.1)
 
 
-def cheapest_victims(work: Work, worker: WorkerView, now: float) -> tuple[Running, ...]:
+def cheapest_victims(work: Work, worker: WorkerView, now: float) -> tuple[RunningTask, ...]:
     """Return the tasks to stop so that the job fits, empty when that is not allowed."""
     allowed = [
         running
@@ -198,7 +206,9 @@
 class GangPolicy(PlacementPolicy):
     """All tasks of a gang at once, or none."""
 
-    def place(self, work: Work, cell: Cell, now: float, hold: Hold | None) -> Placement | None:
+    def place(
+        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+    ) -> Placement | None:
         """Return a worker for every task, taken in a fixed order."""
         ends_at = now + work.run_seconds
         chosen: list[str] = []
@@ -206,7 +216,7 @@
         for worker in cell.sample(work.demand, tightest=False):
             if not usable(work, worker, cell, now, hold, ends_at):
                 continue
-            count = min(needed, copies(work.demand, worker.free))
+            count = min(needed, count_fitting(work.demand, worker.free))
             if cell.is_quarantined(worker, now) or worker.probing:
                 count = min(count, 1)
             chosen.extend([worker.name] * count)
@@ -215,7 +225,7 @@
                 return Placement(work, tuple(chosen), reason='all tasks fit at once')
         return None
 
-    def plan_hold(self, work: Work, cell: Cell, now: float) -> Hold | None:
+    def plan_hold(self, work: Work, cell: Cell, now: float) -> GangReservation | None:
         """Return the workers that will have room for the gang the soonest.
 
         Each worker offers its rooms in the order in which its tasks end, by
@@ -234,10 +244,10 @@
         # A hold that outlasts its estimate twice over is dropped, so that a
         # wrong declaration cannot keep workers idle for good.
         expires_at = now + max(60.0, 2 * (until - now))
-        return Hold(work.id, frozenset(name for _, name in taken), until, expires_at)
+        return GangReservation(work.id, frozenset(name for _, name in taken), until, expires_at)
 
 
-def copies(demand: Resources, room: Resources) -> int:
+def count_fitting(demand: Resources, room: Resources) -> int:
     """Return how many tasks of that demand fit."""
     counts = [
         int(have / ask + EPSILON)
@@ -253,17 +263,17 @@
 
 def _offers(demand: Resources, worker: WorkerView, now: float) -> list[tuple[float, str]]:
     free = worker.free
-    count = copies(demand, free)
+    count = count_fitting(demand, free)
     offers = [(now, worker.name)] * count
     for running in sorted(worker.running_by_task.values(), key=_ends_at):
         if running.task_class == SERVICE:
             continue
         free += running.demand
-        more = copies(demand, free)
+        more = count_fitting(demand, free)
         offers.extend([(max(now, running.ends_at), worker.name)] * (more - count))
         count = more
     return offers
 
 
-def _ends_at(running: Running) -> float:
+def _ends_at(running: RunningTask) -> float:
     return running.ends_at
--- a/dandelionreel/placement/_queue.py
+++ b/dandelionreel/placement/_queue.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class CustomerTerms:
     """What a customer's contract says for this zone."""
 
     weight: float = 1
@@ -106,7 +106,7 @@
 class FairQueue:
     """All waiting jobs of a zone."""
 
-    def __init__(self, terms_of: Callable[[str], Terms]) -> None:
+    def __init__(self, terms_of: Callable[[str], CustomerTerms]) -> None:
         """Ask ``terms_of`` for each customer's terms."""
         self._terms_of = terms_of
         self._lane_by_customer: dict[str, _Lane] = {}
@@ -164,7 +164,7 @@
         heads.sort(key=_due_at)
         return heads
 
-    def by_customer(self, customer: str, passed_over: Collection[Shape] = ()) -> list[Work]:
+    def heads_of_customer(self, customer: str, passed_over: Collection[Shape] = ()) -> list[Work]:
         """Return the customer's first job of each shape, by priority and age."""
         return self._lane_by_customer[customer].heads(passed_over)
 
--- a/dandelionreel/placement/_work.py
+++ b/dandelionreel/placement/_work.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
+class RunningTask:
     """One task on a worker, as the ledger counts it."""
 
     task_id: str
@@ -72,5 +72,5 @@
 
     work: Work
     workers: tuple[str, ...]
-    victims: tuple[Running, ...] = ()
+    victims: tuple[RunningTask, ...] = ()
     reason: str = ''
