--- a/bench/guards.py
+++ b/bench/guards.py
@@ -46,7 +46,7 @@
     Guard(
         'the ledger refuses what does not fit',
         'workers/_ledger.py',
-        'if not (self.total() + demand).fits(self.room(grant)):',
+        'if not (self.total_demand() + demand).fits(self.usable_capacity(grant)):',
         'if False:',
         'parts.feature:LEDGER',
     ),
--- a/dandelionreel/admin/_front.py
+++ b/dandelionreel/admin/_front.py
@@ -19,7 +19,7 @@
     WorkerView,
 )
 from dandelionreel.backing import StreamReader
-from dandelionreel.callers import CallersFront
+from dandelionreel.callers import CallerApi
 from dandelionreel.contracts import (
     ContractBook,
     ContractError,
@@ -75,7 +75,7 @@
         fleet: WorkerFleet,
         pool: RunnerPool,
         router: Router,
-        callers: CallersFront,
+        callers: CallerApi,
     ) -> None:
         """Answer for the member ``me``."""
         self._me = me
@@ -210,7 +210,7 @@
     def _show_workers(self) -> Answer:
         views = []
         for name, agent in sorted(self._fleet.agent_by_worker.items()):
-            used = agent.ledger.total()
+            used = agent.ledger.total_demand()
             capacity = agent.entry.capacity
             views.append(
                 WorkerView(
@@ -223,7 +223,7 @@
                     used.processors,
                     used.memory_mb,
                     used.accelerators,
-                    len(agent.ledger.holds()),
+                    len(agent.ledger.allocations()),
                     agent.grant().level.value,
                 ),
             )
@@ -237,7 +237,7 @@
                 'leaving' if self._pool.is_leaving(runner.entry) else 'live',
                 runner.entry.slots,
                 runner.in_use,
-                runner.foreign,
+                runner.former_owner_slots,
                 runner.limit,
                 runner.open_connections,
                 self._authority.grant(runner_shard(runner.entry.name)).level.value,
@@ -315,7 +315,7 @@
         known = {runner.entry.name for runner in self._pool.runners()}
         if name not in known:
             raise self._unknown_endpoint(name)
-        self._pool.close_endpoint(name)
+        self._pool.drain_endpoint(name)
         return answer_json(Done(f'{name} gets no new work'), HTTP_ACCEPTED)
 
     def _unknown_endpoint(self, name: str) -> RequestError:
--- a/dandelionreel/callers/__init__.py
+++ b/dandelionreel/callers/__init__.py
@@ -1,6 +1,6 @@
 """The callers' interface over HTTP."""
 
-from dandelionreel.callers._front import CallersFront
+from dandelionreel.callers._caller_api import CallerApi
 from dandelionreel.callers._relay import Relay
 
-__all__ = ('CallersFront', 'Relay')
+__all__ = ('CallerApi', 'Relay')
--- a/dandelionreel/callers/_front.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -22,7 +22,7 @@
 NOT_READY_RETRY = 1.0
 
 
-class CallersFront:
+class CallerApi:
     """Sends each path to the part that serves it, in the zone that must."""
 
     def __init__(
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -26,8 +26,9 @@
 __all__ = (
     'ASK_SECONDS',
     'AUTHORITY_SECONDS',
-    'AdvicePool',
     'BEAT_SECONDS',
+    'SUCCESSORS',
+    'AdvicePool',
     'CompletionAnswers',
     'CompletionReports',
     'Completions',
@@ -37,7 +38,6 @@
     'LocalAdvisor',
     'OwnerWatch',
     'PeerLinks',
-    'SUCCESSORS',
     'Term',
     'find_deputy',
     'keeps_runners',
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -9,7 +9,7 @@
 
 from dandelionreel.admin import AdminFront
 from dandelionreel.backing import HostWatch, LogError, StreamReader, StreamWriter
-from dandelionreel.callers import CallersFront, Relay
+from dandelionreel.callers import CallerApi, Relay
 from dandelionreel.contracts import ContractBook, ContractPublisher, ContractRecord
 from dandelionreel.http import Server, ServerLimits
 from dandelionreel.jobs import (
@@ -71,8 +71,8 @@
     hash_member,
 )
 from dandelionreel.routing import (
-    KeyedSends,
-    KeyFold,
+    IdempotencyGuard,
+    KeyProjection,
     RequestRecord,
     Router,
     RoutingMetrics,
@@ -253,7 +253,7 @@
 
     def _build_requests(self) -> None:
         self._metrics = DaemonMetrics(self._traffic)
-        self._keys = KeyFold()
+        self._keys = KeyProjection()
         self._zone_reader.add(self._keys.fold, self._keys.reset)
         self._pool = RunnerPool(
             self._settings,
@@ -272,7 +272,7 @@
             self._zone_members,
             self._pool,
             self._directory,
-            KeyedSends(self._keys, self._zone_reader, self._zone_writer),
+            IdempotencyGuard(self._keys, self._zone_reader, self._zone_writer),
             RoutingMetrics(self._metrics.registry),
             self._journal,
         )
@@ -339,7 +339,7 @@
             self._zone_writer,
             self._journal,
         )
-        self._fleet.deliver_to(self._dispatcher.take_report)
+        self._fleet.set_report_handler(self._dispatcher.take_report)
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
@@ -366,7 +366,7 @@
             self._zone_writer,
             self._journal,
         )
-        callers = CallersFront(
+        callers = CallerApi(
             settings.availability_zone,
             self._router,
             intake,
@@ -406,7 +406,7 @@
         self._admin_server = Server(admin.handle, server_limits)
         self._answer_peers(callers)
 
-    def _answer_peers(self, callers: CallersFront) -> None:
+    def _answer_peers(self, callers: CallerApi) -> None:
         self._neighbourhood.speak(self._gossip, self._hear, self._publisher.hear)
         server = self._peer_server
         server.answer(Heartbeat, self._neighbourhood.answer)
@@ -552,14 +552,14 @@
         return Gossip(
             view=self._promises.view() if near else (),
             heard=tuple(map(hash_member, heard)) if near else (),
-            rooms=self._pool.rooms(),
-            leaving=self._pool.own_signs() if near else (),
+            rooms=self._pool.free_slots_by_service(),
+            leaving=self._pool.observed_leaving() if near else (),
             contracts=self._contracts.digest(),
             draining=self._claimer.draining,
         )
 
     async def _hear(self, state: PeerState) -> None:
-        self._pool.hear_leaving(state.gossip.leaving)
+        self._pool.note_leaving(state.gossip.leaving)
         if state.gossip.contracts == self._contracts.digest():
             self._life.heard_contracts = True
         if state.gossip.rooms:
--- a/dandelionreel/peers/__init__.py
+++ b/dandelionreel/peers/__init__.py
@@ -48,12 +48,12 @@
 from dandelionreel.peers._server import PeerServer
 
 __all__ = (
-    'AdviceGiven',
-    'AdviceWanted',
     'FRAME_BYTES',
     'NEVER',
     'NEVER_HEARD',
     'PROTOCOL_VERSION',
+    'AdviceGiven',
+    'AdviceWanted',
     'CompletionsSeen',
     'CompletionsTold',
     'CompletionsWanted',
--- a/dandelionreel/routing/__init__.py
+++ b/dandelionreel/routing/__init__.py
@@ -1,17 +1,17 @@
 """Requests to services: slots, queues, forwarding and retries."""
 
 from dandelionreel.routing._budget import (
-    CustomerUse,
+    CustomerUsage,
     RetryBudget,
     TokenBucket,
-    part_of_count,
-    part_of_rate,
+    share_of_count,
+    share_of_rate,
 )
 from dandelionreel.routing._call import ServiceCall, read_call
 from dandelionreel.routing._choice import LeastLoaded, RoundRobin, RunnerChoice, TwoChoices
 from dandelionreel.routing._keys import (
-    KeyedSends,
-    KeyFold,
+    IdempotencyGuard,
+    KeyProjection,
     RequestEnded,
     RequestIntent,
     RequestRecord,
@@ -23,9 +23,9 @@
 from dandelionreel.routing._runner import Runner
 
 __all__ = (
-    'CustomerUse',
-    'KeyFold',
-    'KeyedSends',
+    'CustomerUsage',
+    'IdempotencyGuard',
+    'KeyProjection',
     'LeastLoaded',
     'RequestEnded',
     'RequestIntent',
@@ -42,7 +42,7 @@
     'TokenBucket',
     'TwoChoices',
     'Waiter',
-    'part_of_count',
-    'part_of_rate',
     'read_call',
+    'share_of_count',
+    'share_of_rate',
 )
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -3,7 +3,7 @@
 from dandelionreel.contracts import Contract, ContractBook, require_contract
 from dandelionreel.kernel import Clock, Settings, not_run
 from dandelionreel.ownership import Membership, member_keys
-from dandelionreel.routing._budget import CustomerUse, part_of_count, part_of_rate
+from dandelionreel.routing._budget import CustomerUsage, share_of_count, share_of_rate
 from dandelionreel.routing._call import ServiceCall
 
 CONCURRENCY_RETRY = 1.0
@@ -28,9 +28,9 @@
         self._me = me
         self._book = book
         self._membership = membership
-        self._use_by_customer: dict[str, CustomerUse] = {}
+        self._use_by_customer: dict[str, CustomerUsage] = {}
 
-    def enter(self, call: ServiceCall) -> CustomerUse:
+    def enter(self, call: ServiceCall) -> CustomerUsage:
         """Return the customer's use, to be counted; raises ``RequestError``."""
         contract = require_contract(self._book, call.customer, call.task_class)
         if call.service not in contract.services:
@@ -48,16 +48,16 @@
         """Return whether one more retry is within the customer's budget."""
         return self._use(call.customer).retries.spend()
 
-    def _use(self, customer: str) -> CustomerUse:
-        return self._use_by_customer.setdefault(customer, CustomerUse(self._clock))
+    def _use(self, customer: str) -> CustomerUsage:
+        return self._use_by_customer.setdefault(customer, CustomerUsage(self._clock))
 
-    def _check_limits(self, use: CustomerUse, contract: Contract) -> None:
+    def _check_limits(self, use: CustomerUsage, contract: Contract) -> None:
         terms = contract.requests
         share = self._book.share(contract.customer, self._zone)
         keys = member_keys(self._membership.live(self._zone))
         rank = keys.index(self._me) if self._me in keys else len(keys)
         members = max(1, len(keys))
-        allowed = part_of_count(terms.concurrency, share, rank, members)
+        allowed = share_of_count(terms.concurrency, share, rank, members)
         if use.in_flight >= allowed:
             raise not_run(
                 HTTP_TOO_MANY,
@@ -66,7 +66,7 @@
                 f'its contract allows this host {allowed}',
                 CONCURRENCY_RETRY,
             )
-        rate, burst = part_of_rate(terms, share, members)
+        rate, burst = share_of_rate(terms, share, members)
         wait = use.bucket.take(rate, burst)
         if wait:
             raise not_run(
--- a/dandelionreel/routing/_budget.py
+++ b/dandelionreel/routing/_budget.py
@@ -54,7 +54,7 @@
         return True
 
 
-class CustomerUse:
+class CustomerUsage:
     """Requests of one customer that this daemon has let in."""
 
     def __init__(self, clock: Clock) -> None:
@@ -64,7 +64,7 @@
         self.in_flight = 0
 
 
-def part_of_count(count: int, share: float, rank: int, members: int) -> int:
+def share_of_count(count: int, share: float, rank: int, members: int) -> int:
     """Return one daemon's part of a cell-wide count.
 
     The zone's part is rounded down; within the zone the rest goes one each to
@@ -75,7 +75,7 @@
     return whole + (1 if rank < rest else 0)
 
 
-def part_of_rate(terms: RequestTerms, share: float, members: int) -> tuple[float, float]:
+def share_of_rate(terms: RequestTerms, share: float, members: int) -> tuple[float, float]:
     """Return one daemon's part of the rate and of the burst."""
     part = share / max(1, members)
     return max(terms.rate * part, LEAST_RATE), max(terms.burst * part, 1.0)
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -56,7 +56,7 @@
     status: int | None = None
 
 
-class KeyFold:
+class KeyProjection:
     """Keys of one zone's stream."""
 
     def __init__(self) -> None:
@@ -93,10 +93,10 @@
         self._state_by_key[name] = replace(state, status=record.status)
 
 
-class KeyedSends:
+class IdempotencyGuard:
     """Writes intents and ends, and refuses what has been sent before."""
 
-    def __init__(self, fold: KeyFold, reader: StreamReader, writer: StreamWriter) -> None:
+    def __init__(self, fold: KeyProjection, reader: StreamReader, writer: StreamWriter) -> None:
         """Decide by ``fold``, which ``reader`` feeds; write by ``writer``."""
         self._fold = fold
         self._reader = reader
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -46,7 +46,7 @@
         self._watched: set[str] = set()
         self._told_leaving: set[str] = set()
         #: Names of leaving endpoints that peers or operators have told.
-        self.heard_leaving: dict[str, float] = {}
+        self._leaving_told_at: dict[str, float] = {}
         #: Endpoints that an operator drains; they stay so until they are gone.
         self._closed: set[str] = set()
         self.changed = Signal()
@@ -90,7 +90,7 @@
             return True
         runner = self._runner_by_name.get(entry.name)
         own_sign = runner.sign_of_leaving_at if runner else float('-inf')
-        sign_at = max(own_sign, self.heard_leaving.get(entry.name, float('-inf')))
+        sign_at = max(own_sign, self._leaving_told_at.get(entry.name, float('-inf')))
         return sign_at > self._hosts.read_at - self._settings.timings.hosts_poll * 2
 
     def leaving(self) -> tuple[str, ...]:
@@ -101,7 +101,7 @@
             if self.is_leaving(runner.entry)
         )
 
-    def own_signs(self) -> tuple[str, ...]:
+    def observed_leaving(self) -> tuple[str, ...]:
         """Return leaving endpoints by what this daemon has seen itself.
 
         What peers told is not passed on: two daemons would keep telling each
@@ -116,14 +116,14 @@
             or runner.sign_of_leaving_at > recent
         )
 
-    def close_endpoint(self, name: str) -> None:
+    def drain_endpoint(self, name: str) -> None:
         """Send nothing more to an endpoint; an operator says so."""
         self._closed.add(name)
 
-    def hear_leaving(self, names: Iterable[str]) -> None:
+    def note_leaving(self, names: Iterable[str]) -> None:
         """Keep what a peer or an operator told about leaving endpoints."""
         for name in names:
-            self.heard_leaving[name] = self._clock.monotonic()
+            self._leaving_told_at[name] = self._clock.monotonic()
 
     def knows(self, service: str) -> bool:
         """Return whether the zone has a runner of that service."""
@@ -155,7 +155,7 @@
         grant = self._authority.grant(runner_shard(runner.entry.name))
         return runner.in_use <= runner.allowed(grant) and not self.is_leaving(runner.entry)
 
-    def rooms(self) -> tuple[ServiceRoom, ...]:
+    def free_slots_by_service(self) -> tuple[ServiceRoom, ...]:
         """Return the free slots on owned runners by service."""
         free_by_service: dict[str, int] = {}
         for runner in self._runner_by_name.values():
@@ -233,7 +233,7 @@
             return
         self._watched.add(mark)
         runner.take_over(grant, clean=claim.clean and not claim.former)
-        if runner.foreign:
+        if runner.former_owner_slots:
             await curio.spawn(self._watch_foreign, runner, daemon=True)
         await self.changed.notify()
 
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -41,7 +41,7 @@
 )
 from dandelionreel.routing._admission import Admission
 from dandelionreel.routing._call import ServiceCall, read_call
-from dandelionreel.routing._keys import NOT_SENT, KeyedSends
+from dandelionreel.routing._keys import NOT_SENT, IdempotencyGuard
 from dandelionreel.routing._metrics import RoutingMetrics
 from dandelionreel.routing._pool import RunnerPool
 from dandelionreel.routing._queue import RequestQueue
@@ -93,7 +93,7 @@
         membership: Membership,
         pool: RunnerPool,
         directory: PeerDirectory,
-        keyed: KeyedSends,
+        keyed: IdempotencyGuard,
         metrics: RoutingMetrics,
         journal: Journal,
     ) -> None:
@@ -155,7 +155,9 @@
         """Wake waiting requests whenever room may have come up, for ever."""
         while True:
             seen = self._pool.changed.count
-            free_by_service = {room.service: room.free_slots for room in self._pool.rooms()}
+            free_by_service = {
+                room.service: room.free_slots for room in self._pool.free_slots_by_service()
+            }
             for service, queue in self._queue_by_service.items():
                 await queue.wake(free_by_service.get(service, 0))
             waiting = any(queue.waiting for queue in self._queue_by_service.values())
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -91,7 +91,7 @@
         self.in_use = 0
         self.open_connections = 0
         #: Slots that requests of a former owner may still hold.
-        self.foreign = 0
+        self.former_owner_slots = 0
         self.foreign_until = 0.0
         self.sign_of_leaving_at = float('-inf')
 
@@ -117,10 +117,10 @@
         slots = self.entry.slots
         half = slots // 2
         if grant.level is Level.WHOLE:
-            return slots - self.foreign
+            return slots - self.former_owner_slots
         if grant.level is Level.OWN_HALF:
             return half
-        return min(half, slots - max(self.foreign, half))
+        return min(half, slots - max(self.former_owner_slots, half))
 
     def is_quarantined(self) -> bool:
         """Return whether recent failures keep work away from it."""
@@ -130,7 +130,7 @@
         """Count all slots as held by the former owner until they are known free."""
         self._epoch = grant.epoch
         if not clean:
-            self.foreign = self.entry.slots
+            self.former_owner_slots = self.entry.slots
             self.foreign_until = self._clock.monotonic() + self._longest_run
 
     async def watch_foreign(self) -> None:
@@ -139,19 +139,19 @@
         A runner that does not tell frees the slots after the longest run.
         """
         idle_seen = 0
-        while self.foreign:
+        while self.former_owner_slots:
             await curio.sleep(PROBE_SECONDS)
             busy = await self._ask_busy()
             if busy is None:
                 if self._clock.monotonic() >= self.foreign_until:
-                    self.foreign = 0
+                    self.former_owner_slots = 0
                 continue
-            self.foreign = max(0, busy - self.in_use)
+            self.former_owner_slots = max(0, busy - self.in_use)
             # A request of the former owner may have been on its way when the
             # runner was asked; one quiet answer is not enough.
-            idle_seen = 0 if self.foreign else idle_seen + 1
+            idle_seen = 0 if self.former_owner_slots else idle_seen + 1
             if idle_seen == 1:
-                self.foreign = 1
+                self.former_owner_slots = 1
 
     async def send(
         self,
--- a/dandelionreel/workers/__init__.py
+++ b/dandelionreel/workers/__init__.py
@@ -2,14 +2,14 @@
 
 from dandelionreel.workers._agent import REFUSED, STARTED, UNKNOWN, WorkerAgent
 from dandelionreel.workers._fleet import WorkerFleet
-from dandelionreel.workers._ledger import Hold, HoldState, Ledger
+from dandelionreel.workers._ledger import Allocation, AllocationState, Ledger
 
 __all__ = (
     'REFUSED',
     'STARTED',
     'UNKNOWN',
-    'Hold',
-    'HoldState',
+    'Allocation',
+    'AllocationState',
     'Ledger',
     'WorkerAgent',
     'WorkerFleet',
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -18,7 +18,7 @@
 from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal, Verdict
 from dandelionreel.ownership import NO_GRANT, Authority, Grant, Level, worker_shard
 from dandelionreel.peers import PlaceAnswer, PlaceOrder, TaskReport, WorkerReport
-from dandelionreel.workers._ledger import HoldState, Ledger
+from dandelionreel.workers._ledger import AllocationState, Ledger
 
 STARTED = 'started'
 REFUSED = 'refused'
@@ -101,7 +101,7 @@
             await curio.sleep(self._settings.timings.lease / RENEWALS)
             if self.grant().level is Level.NONE:
                 continue
-            await self.renew([hold.task_id for hold in self.ledger.holds()])
+            await self.renew([hold.task_id for hold in self.ledger.allocations()])
 
     async def renew(self, task_ids: list[str]) -> None:
         """Renew some leases; a failure shows as a worker that cannot be reached."""
@@ -129,20 +129,20 @@
         """Start a task if the ledger and the authority allow it."""
         now = self._clock.monotonic()
         known = self.ledger.get(order.task_id)
-        if known is not None and known.state is HoldState.RUNNING:
+        if known is not None and known.state is AllocationState.RUNNING:
             return PlaceAnswer(STARTED, 'it runs already')
         if known is not None:
             return PlaceAnswer(UNKNOWN, 'its start is under way or in doubt')
         grant = self.grant()
-        cause = self.ledger.refusal(order.demand, grant)
+        cause = self.ledger.refusal_reason(order.demand, grant)
         if cause:
             return PlaceAnswer(REFUSED, cause)
-        self.ledger.hold(order.task_id, order.demand, grant, now)
+        self.ledger.add_start(order.task_id, order.demand, grant, now)
         try:
             return await self._send_start(order, grant)
         except BaseException:
             # Cancelled between the hold and the answer: nobody knows.
-            self.ledger.change(order.task_id, HoldState.DOUBTFUL, now)
+            self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, now)
             raise
 
     async def act(self, task_id: str, action: str) -> bool:
@@ -162,14 +162,14 @@
         listed = {status.id for status in statuses}
         reports.extend(
             _held_report(hold.task_id, hold.demand)
-            for hold in self.ledger.holds()
+            for hold in self.ledger.allocations()
             if hold.task_id not in listed
         )
         return WorkerReport(
             self.entry.name,
             grant.epoch,
             self._reached.reachable and listing is not None,
-            self.ledger.room(grant),
+            self.ledger.usable_capacity(grant),
             tuple(reports),
             silent,
             self._remembers(),
@@ -291,7 +291,7 @@
         except WorkerError as error:
             return await self._note_failed_start(order, error)
         self.starts += 1
-        self.ledger.change(order.task_id, HoldState.RUNNING, self._clock.monotonic())
+        self.ledger.set_state(order.task_id, AllocationState.RUNNING, self._clock.monotonic())
         return PlaceAnswer(STARTED)
 
     def _still_allowed(self, grant: Grant) -> bool:
@@ -299,13 +299,13 @@
         current = self.grant()
         if current.level is Level.NONE or current.epoch != grant.epoch:
             return False
-        return self.ledger.total().fits(self.ledger.room(current))
+        return self.ledger.total_demand().fits(self.ledger.usable_capacity(current))
 
     async def _note_failed_start(self, order: PlaceOrder, error: WorkerError) -> PlaceAnswer:
         if error.verdict is Verdict.NOT_RUN:
             self.ledger.release(order.task_id)
             return PlaceAnswer(REFUSED, f'{error}')
-        self.ledger.change(order.task_id, HoldState.DOUBTFUL, self._clock.monotonic())
+        self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, self._clock.monotonic())
         self._journal.tell(
             Part.WORKERS,
             f'does not know whether {order.task_id} started on {self.entry.name}; {error}.',
@@ -320,8 +320,8 @@
         The stop is kept by the worker: should the lost start still arrive, it
         is refused. Only then is the room free again.
         """
-        for hold in self.ledger.holds():
-            if hold.state is not HoldState.DOUBTFUL:
+        for hold in self.ledger.allocations():
+            if hold.state is not AllocationState.DOUBTFUL:
                 continue
             if await self.act(hold.task_id, STOP):
                 self.ledger.release(hold.task_id)
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -87,7 +87,7 @@
         self._take_report: ReportTaker | None = None
         self.agent_by_worker: dict[str, WorkerAgent] = {}
 
-    def deliver_to(self, taker: ReportTaker) -> None:
+    def set_report_handler(self, taker: ReportTaker) -> None:
         """Hand reports to this daemon's own dispatcher while it is the one."""
         self._take_report = taker
 
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -12,7 +12,7 @@
 HALF = 0.5
 
 
-class HoldState(enum.Enum):
+class AllocationState(enum.Enum):
     """How sure it is that the task is on the worker."""
 
     STARTING = 'starting'
@@ -21,13 +21,13 @@
 
 
 @dataclass(frozen=True)
-class Hold:
+class Allocation:
     """One counted task; ``since`` is when its state became so, in own seconds."""
 
     task_id: str
     demand: Resources
     epoch: int
-    state: HoldState
+    state: AllocationState
     since: float
 
 
@@ -37,19 +37,19 @@
     def __init__(self, capacity: Resources) -> None:
         """Count against ``capacity``."""
         self.capacity = capacity
-        self._hold_by_task: dict[str, Hold] = {}
+        self._hold_by_task: dict[str, Allocation] = {}
         #: When the newest listing was asked for, on this daemon's clock.
         self.listed_at = float('-inf')
 
-    def holds(self) -> tuple[Hold, ...]:
+    def allocations(self) -> tuple[Allocation, ...]:
         """Return all counted tasks."""
         return tuple(self._hold_by_task.values())
 
-    def get(self, task_id: str) -> Hold | None:
+    def get(self, task_id: str) -> Allocation | None:
         """Return the hold of a task."""
         return self._hold_by_task.get(task_id)
 
-    def total(self) -> Resources:
+    def total_demand(self) -> Resources:
         """Return what all counted tasks were promised."""
         total = NOTHING
         for hold in self._hold_by_task.values():
@@ -58,9 +58,9 @@
 
     def is_settled(self) -> bool:
         """Return whether no start is under way or in doubt."""
-        return all(hold.state is HoldState.RUNNING for hold in self._hold_by_task.values())
+        return all(hold.state is AllocationState.RUNNING for hold in self._hold_by_task.values())
 
-    def room(self, grant: Grant) -> Resources:
+    def usable_capacity(self, grant: Grant) -> Resources:
         """Return how much may be filled in all, of what is counted already too."""
         if grant.level is Level.NONE or self.listed_at < grant.since:
             return NOTHING
@@ -74,27 +74,27 @@
         theirs = self._sum(grant.epoch, mine=False).at_least(half)
         return (self.capacity - theirs).at_most(half) + self._sum(grant.epoch, mine=False)
 
-    def refusal(self, demand: Resources, grant: Grant) -> str:
+    def refusal_reason(self, demand: Resources, grant: Grant) -> str:
         """Return why a task may not be started now, or an empty text."""
         if grant.level is Level.NONE:
             return 'not the owner'
         if self.listed_at < grant.since:
             return 'the worker has not been listed since the claim'
-        if not (self.total() + demand).fits(self.room(grant)):
+        if not (self.total_demand() + demand).fits(self.usable_capacity(grant)):
             return f'no room under {grant.level.value}'
         return ''
 
-    def hold(self, task_id: str, demand: Resources, grant: Grant, now: float) -> None:
+    def add_start(self, task_id: str, demand: Resources, grant: Grant, now: float) -> None:
         """Count a start before it is sent."""
-        self._hold_by_task[task_id] = Hold(
+        self._hold_by_task[task_id] = Allocation(
             task_id,
             demand,
             grant.epoch,
-            HoldState.STARTING,
+            AllocationState.STARTING,
             now,
         )
 
-    def change(self, task_id: str, state: HoldState, now: float) -> None:
+    def set_state(self, task_id: str, state: AllocationState, now: float) -> None:
         """Note what became of a start."""
         hold = self._hold_by_task.get(task_id)
         if hold is not None:
@@ -121,23 +121,23 @@
         for status in listing.tasks:
             if not status.is_running:
                 self.release(status.id)
-        for hold in self.holds():
-            is_old = hold.state is HoldState.RUNNING and hold.since < asked_at
+        for hold in self.allocations():
+            is_old = hold.state is AllocationState.RUNNING and hold.since < asked_at
             if is_old and hold.task_id not in listed:
                 self.release(hold.task_id)
 
     def _adopt(self, status: TaskStatus, asked_at: float) -> None:
         known = self._hold_by_task.get(status.id)
         if known is None:
-            known = Hold(
+            known = Allocation(
                 status.id,
                 status.order.demand,
                 status.order.epoch,
-                HoldState.STARTING,
+                AllocationState.STARTING,
                 asked_at,
             )
-        if known.state is not HoldState.RUNNING:
-            known = replace(known, state=HoldState.RUNNING, since=asked_at)
+        if known.state is not AllocationState.RUNNING:
+            known = replace(known, state=AllocationState.RUNNING, since=asked_at)
         self._hold_by_task[status.id] = known
 
     def _sum(self, epoch: int, *, mine: bool) -> Resources:
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -29,8 +29,8 @@
     ShardFold,
 )
 from dandelionreel.peers import hash_member
-from dandelionreel.routing import part_of_count
-from dandelionreel.workers import HoldState, Ledger
+from dandelionreel.routing import share_of_count
+from dandelionreel.workers import AllocationState, Ledger
 from features.steps.interface_steps import Number
 
 EPOCH = 7
@@ -57,20 +57,20 @@
 @when('{asked:d} processors are asked for at level {level}')
 def ask_ledger(context, asked, level):
     grant = Grant(Level(level), EPOCH, 5)
-    context.refusal = context.ledger.refusal(Resources(asked, 0, 0), grant)
+    context.refusal = context.ledger.refusal_reason(Resources(asked, 0, 0), grant)
 
 
 @when('{asked:d} processors are asked for under a grant later than the listing')
 def ask_late(context, asked):
     grant = Grant(Level.WHOLE, EPOCH, 11)
-    context.refusal = context.ledger.refusal(Resources(asked, 0, 0), grant)
+    context.refusal = context.ledger.refusal_reason(Resources(asked, 0, 0), grant)
 
 
 @when('a start of {processors:d} processors is in doubt and a listing lacks it')
 def doubt(context, processors):
     grant = Grant(Level.WHOLE, EPOCH, 5)
-    context.ledger.hold('j.2.0', Resources(processors, 0, 0), grant, 11)
-    context.ledger.change('j.2.0', HoldState.DOUBTFUL, 12)
+    context.ledger.add_start('j.2.0', Resources(processors, 0, 0), grant, 11)
+    context.ledger.set_state('j.2.0', AllocationState.DOUBTFUL, 12)
     context.ledger.note_listing(TaskList(2, ()), 13)
 
 
@@ -162,7 +162,7 @@
 @then('the parts of {count:d} over zones with {daemons:d} daemons add up to at most {most:d}')
 def check_parts(context, count, daemons, most):
     parts = [
-        part_of_count(count, 1 / 3, rank, daemons) for _ in range(3) for rank in range(daemons)
+        share_of_count(count, 1 / 3, rank, daemons) for _ in range(3) for rank in range(daemons)
     ]
     assert sum(parts) <= most
     assert sum(parts) > most - 3
