--- a/bench/guards.py
+++ b/bench/guards.py
@@ -61,8 +61,8 @@
     Guard(
         'not_run only when no byte left',
         'routing/_runner.py',
-        'self.sent = self._check()\n        return self.sent',
-        'return self._check()',
+        'self.sent = self._may_send()\n        return self.sent',
+        'return self._may_send()',
         'requests.feature:LATE',
     ),
     Guard(
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -10,16 +10,16 @@
 from dandelionreel.peers import Forward, ForwardAnswer, Frame, Message, Refused
 from dandelionreel.routing import Router
 
-SERVICES = '/v1/services/'
-JOBS = '/v1/jobs'
-CANCEL = '/v1/jobs/cancel'
-MOVE = '/v1/jobs/move'
-RESOLVE = '/resolve'
+SERVICES_PREFIX = '/v1/services/'
+JOBS_PATH = '/v1/jobs'
+CANCEL_PATH = '/v1/jobs/cancel'
+MOVE_PATH = '/v1/jobs/move'
+RESOLVE_SUFFIX = '/resolve'
 HTTP_BAD_REQUEST = 400
 HTTP_NOT_FOUND = 404
-HTTP_METHOD = 405
+HTTP_METHOD_NOT_ALLOWED = 405
 HTTP_UNAVAILABLE = 503
-NOT_READY_RETRY = 1.0
+NOT_READY_RETRY_SECONDS = 1.0
 
 
 class CallerApi:
@@ -53,36 +53,36 @@
                 HTTP_UNAVAILABLE,
                 'not-ready',
                 'this daemon does not know the contracts in force yet',
-                NOT_READY_RETRY,
+                NOT_READY_RETRY_SECONDS,
             )
-        if request.path.startswith(SERVICES):
+        if request.path.startswith(SERVICES_PREFIX):
             return await self._router.serve(request)
-        return await self._handle_job(request, hops=0)
+        return await self._handle_job_request(request, hops=0)
 
     async def answer_forward(self, frame: Frame) -> Message:
         """Answer a request that a peer handed on."""
         message = frame.message
         if not isinstance(message, Forward):
             return Refused('not a forward')
-        if message.request.path.startswith(SERVICES):
+        if message.request.path.startswith(SERVICES_PREFIX):
             return await self._router.answer_forward(frame)
         try:
-            return ForwardAnswer(await self._handle_job(message.request, message.hops))
+            return ForwardAnswer(await self._handle_job_request(message.request, message.hops))
         except RequestError as error:
             return ForwardAnswer(answer_problem(error.problem))
 
-    async def _handle_job(self, request: Request, hops: int) -> Answer:
+    async def _handle_job_request(self, request: Request, hops: int) -> Answer:
         path = request.path
-        if path == JOBS and request.method == 'POST':
+        if path == JOBS_PATH and request.method == 'POST':
             return await self._submit(request, hops)
-        if path == JOBS and request.method == 'GET':
+        if path == JOBS_PATH and request.method == 'GET':
             return await self._list(request, hops)
-        if path == CANCEL and request.method == 'POST':
+        if path == CANCEL_PATH and request.method == 'POST':
             return await self._cancel(request, hops)
-        if path == MOVE and request.method == 'POST':
+        if path == MOVE_PATH and request.method == 'POST':
             return await self._move(request)
-        if path.startswith(f'{JOBS}/'):
-            return await self._handle_one(request, hops)
+        if path.startswith(f'{JOBS_PATH}/'):
+            return await self._handle_job_by_id(request, hops)
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served here')
 
     async def _submit(self, request: Request, hops: int) -> Answer:
@@ -107,9 +107,9 @@
         cancelled = 0
         missing: list[str] = []
         for zone, jobs in sorted(jobs_by_zone.items()):
-            done = await self._cancel_in(zone, tuple(jobs))
-            cancelled += done.cancelled
-            missing.extend(done.unknown)
+            result = await self._cancel_in_zone(zone, tuple(jobs))
+            cancelled += result.cancelled
+            missing.extend(result.unknown)
         return answer_json(CancelDone(cancelled, tuple(missing)))
 
     async def _move(self, request: Request) -> Answer:
@@ -124,22 +124,24 @@
             return await self._relay.send(body.to_zone, request)
         return answer_json(await self._mover.move_from(body.from_zone))
 
-    async def _cancel_in(self, zone: str, jobs: tuple[str, ...]) -> CancelDone:
+    async def _cancel_in_zone(self, zone: str, jobs: tuple[str, ...]) -> CancelDone:
         if zone == self._zone:
             return await self._intake.cancel(jobs)
         return await self._relay.cancel(zone, jobs)
 
-    async def _handle_one(self, request: Request, hops: int) -> Answer:
-        rest = request.path.removeprefix(f'{JOBS}/')
-        job_id = rest.removesuffix(RESOLVE)
+    async def _handle_job_by_id(self, request: Request, hops: int) -> Answer:
+        job_path = request.path.removeprefix(f'{JOBS_PATH}/')
+        job_id = job_path.removesuffix(RESOLVE_SUFFIX)
         zone = zone_of_job(job_id)
         if zone != self._zone and not hops:
             return await self._relay.send(zone, request)
-        if rest.endswith(RESOLVE) and request.method == 'POST':
+        if job_path.endswith(RESOLVE_SUFFIX) and request.method == 'POST':
             return await self._intake.resolve(job_id, request)
         if request.method == 'GET':
             moved_to = self._intake.moved_to(job_id)
             if moved_to:
                 return await self._relay.send(moved_to, request)
             return self._intake.show(job_id)
-        raise not_run(HTTP_METHOD, 'method', f'{request.method} is not served on {JOBS}/ID')
+        raise not_run(
+            HTTP_METHOD_NOT_ALLOWED, 'method', f'{request.method} is not served on {JOBS_PATH}/ID'
+        )
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -7,8 +7,8 @@
 from dandelionreel.kernel import Clock, Verdict, clip, not_run, unknown
 from dandelionreel.peers import Forward, ForwardAnswer, PeerDirectory, PeerError, PeerState
 
-RELAY_SECONDS = 8.0
-RETRY_AFTER = 5.0
+RELAY_TIMEOUT_SECONDS = 8.0
+RETRY_AFTER_SECONDS = 5.0
 HTTP_NOT_FOUND = 404
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
@@ -26,9 +26,11 @@
     async def send(self, zone: str, request: Request) -> Answer:
         """Return the answer of the zone; raises ``RequestError``."""
         self.check_zone(zone)
-        for state in sorted(self._directory.states(zone), key=_silence):
+        for state in sorted(self._directory.states(zone), key=_by_last_heard):
             try:
-                frame = await state.link.ask(Forward(request, RELAY_SECONDS, 1), RELAY_SECONDS)
+                frame = await state.link.ask(
+                    Forward(request, RELAY_TIMEOUT_SECONDS, 1), RELAY_TIMEOUT_SECONDS
+                )
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN or request.method == 'GET':
                     continue
@@ -44,7 +46,7 @@
             HTTP_UNAVAILABLE,
             'zone-unreachable',
             f'zone {zone}, which keeps this job, is out of reach',
-            RETRY_AFTER,
+            RETRY_AFTER_SECONDS,
         )
 
     def check_zone(self, zone: str) -> None:
@@ -68,5 +70,5 @@
             ) from error
 
 
-def _silence(state: PeerState) -> float:
+def _by_last_heard(state: PeerState) -> float:
     return -state.heard_at
--- a/dandelionreel/jobs/_settler.py
+++ b/dandelionreel/jobs/_settler.py
@@ -122,6 +122,6 @@
         failures = job.failures if job else 0
         longest = min(BACKOFF_LIMIT, BACKOFF_BASE * 2 ** min(failures + 1, BACKOFF_DOUBLINGS))
         pause = self._random.uniform(0, longest)
-        if not self._budgets.of(track.customer).spend():
+        if not self._budgets.of(track.customer).use_retry():
             pause += BUDGET_PAUSE
         self._desk.not_before[track.job] = self._clock.wall() + pause
--- a/dandelionreel/jobs/_starter.py
+++ b/dandelionreel/jobs/_starter.py
@@ -216,7 +216,7 @@
         self._metrics.waited(customer, job.spec.task_class, waited)
         contract = self._contracts.effective(customer)
         if contract is not None:
-            self._budgets.of(customer).earn(contract.requests.retry_budget)
+            self._budgets.of(customer).add_attempt(contract.requests.retry_budget)
 
     def _command(self, job_id: str) -> str:
         job = self._jobs.get(job_id)
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -8,9 +8,9 @@
 from dandelionreel.placement._work import RunningTask
 
 #: Consecutive failures of different jobs after which a worker gets no work.
-FAILURES_TO_QUARANTINE = 3
+FAILED_JOBS_TO_QUARANTINE = 3
 QUARANTINE_SECONDS = 30.0
-QUARANTINE_LIMIT = 600.0
+MAX_QUARANTINE_SECONDS = 600.0
 
 
 class WorkerView:
@@ -23,12 +23,12 @@
         'failed_jobs',
         'free',
         'name',
-        'place',
+        'bucket_index',
         'probing',
         'quarantine',
         'quarantined_until',
         'rack',
-        'room',
+        'usable_capacity',
         'running_by_task',
         'used',
     )
@@ -38,7 +38,7 @@
         self.name = name
         self.rack = rack
         self.capacity = capacity
-        self.room = capacity
+        self.usable_capacity = capacity
         self.used = NOTHING
         self.free = capacity
         self.running_by_task: dict[str, RunningTask] = {}
@@ -47,7 +47,7 @@
         self.quarantine = QUARANTINE_SECONDS
         self.probing = False
         self.bucket = -1
-        self.place = -1
+        self.bucket_index = -1
         self.accelerators = capacity.accelerators > 0
 
 
@@ -57,26 +57,26 @@
     def __init__(self) -> None:
         self.lists: list[list[WorkerView]] = []
 
-    def put(self, worker: WorkerView) -> None:
-        wanted = max(0, int(worker.free.processors + EPSILON))
-        if worker.bucket == wanted:
+    def insert(self, worker: WorkerView) -> None:
+        bucket_number = max(0, int(worker.free.processors + EPSILON))
+        if worker.bucket == bucket_number:
             return
-        self.take(worker)
-        while len(self.lists) <= wanted:
+        self.remove(worker)
+        while len(self.lists) <= bucket_number:
             self.lists.append([])
-        bucket = self.lists[wanted]
-        worker.bucket = wanted
-        worker.place = len(bucket)
+        bucket = self.lists[bucket_number]
+        worker.bucket = bucket_number
+        worker.bucket_index = len(bucket)
         bucket.append(worker)
 
-    def take(self, worker: WorkerView) -> None:
+    def remove(self, worker: WorkerView) -> None:
         if worker.bucket < 0:
             return
         bucket = self.lists[worker.bucket]
         last = bucket.pop()
         if last is not worker:
-            bucket[worker.place] = last
-            last.place = worker.place
+            bucket[worker.bucket_index] = last
+            last.bucket_index = worker.bucket_index
         worker.bucket = -1
 
 
@@ -86,16 +86,16 @@
     The dispatcher's picture: the owner of each worker has the last word.
     """
 
-    def __init__(self, source: random.Random | None = None) -> None:
+    def __init__(self, random_source: random.Random | None = None) -> None:
         """Draw samples from ``source``."""
-        self.source = source or random.Random()
+        self.random_source = random_source or random.Random()
         self.worker_by_name: dict[str, WorkerView] = {}
         #: What each customer uses, all workers together.
         self.usage: Usage[Resources] = Usage(NOTHING)
         self.total = NOTHING
-        self._freed: dict[str, WorkerView] = {}
-        self._plain = _Buckets()
-        self._accelerated = _Buckets()
+        self._freed_by_name: dict[str, WorkerView] = {}
+        self._without_accelerators = _Buckets()
+        self._with_accelerators = _Buckets()
 
     def add(self, name: str, rack: str, capacity: Resources) -> WorkerView:
         """Add a worker, or change what it has."""
@@ -108,8 +108,8 @@
         worker = WorkerView(name, rack, capacity)
         self.worker_by_name[name] = worker
         self.total += capacity
-        self._index(worker)
-        self._freed[name] = worker
+        self._update_index(worker)
+        self._freed_by_name[name] = worker
         return worker
 
     def remove(self, name: str) -> None:
@@ -118,39 +118,39 @@
         if worker is None:
             return
         for task_id in tuple(worker.running_by_task):
-            self._drop(worker, task_id)
-        self._buckets(worker).take(worker)
+            self._remove_task(worker, task_id)
+        self._buckets_for(worker).remove(worker)
         self.total -= worker.capacity
 
-    def set_usable_capacity(self, worker: WorkerView, room: Resources) -> None:
+    def set_usable_capacity(self, worker: WorkerView, capacity: Resources) -> None:
         """Change how much of the worker may be filled at present."""
-        if worker.room == room:
+        if worker.usable_capacity == capacity:
             return
-        worker.room = room
-        self._update(worker)
-        self._freed[worker.name] = worker
+        worker.usable_capacity = capacity
+        self._update_free(worker)
+        self._freed_by_name[worker.name] = worker
 
     def add_task(self, worker: WorkerView, running: RunningTask) -> None:
         """Count a task on a worker."""
         if running.task_id in worker.running_by_task:
-            self._drop(worker, running.task_id)
+            self._remove_task(worker, running.task_id)
         worker.running_by_task[running.task_id] = running
         worker.used += running.demand
         self.usage.add(running.customer, running.demand)
-        self._update(worker)
+        self._update_free(worker)
 
     def remove_task(self, worker: WorkerView, task_id: str) -> RunningTask | None:
         """Stop counting a task; return it, or ``None`` when it was not counted."""
-        running = self._drop(worker, task_id)
+        running = self._remove_task(worker, task_id)
         if running is not None:
-            self._update(worker)
-            self._freed[worker.name] = worker
+            self._update_free(worker)
+            self._freed_by_name[worker.name] = worker
         return running
 
-    def take_freed(self) -> tuple[WorkerView, ...]:
+    def take_freed_workers(self) -> tuple[WorkerView, ...]:
         """Return the workers that may have made room since the last question."""
-        freed = tuple(self._freed.values())
-        self._freed.clear()
+        freed = tuple(self._freed_by_name.values())
+        self._freed_by_name.clear()
         return freed
 
     def fits(self, worker: WorkerView, demand: Resources) -> bool:
@@ -176,7 +176,7 @@
         worker.failed_jobs.clear()
         worker.probing = False
         worker.quarantine = QUARANTINE_SECONDS
-        self._freed[worker.name] = worker
+        self._freed_by_name[worker.name] = worker
 
     def note_failure(self, worker: WorkerView, job: str, now: float) -> bool:
         """A task failed there; return whether the worker is quarantined for it.
@@ -186,10 +186,10 @@
         """
         if job not in worker.failed_jobs:
             worker.failed_jobs.append(job)
-        if len(worker.failed_jobs) < FAILURES_TO_QUARANTINE and not worker.probing:
+        if len(worker.failed_jobs) < FAILED_JOBS_TO_QUARANTINE and not worker.probing:
             return False
         worker.quarantined_until = now + worker.quarantine
-        worker.quarantine = min(worker.quarantine * 2, QUARANTINE_LIMIT)
+        worker.quarantine = min(worker.quarantine * 2, MAX_QUARANTINE_SECONDS)
         worker.failed_jobs.clear()
         worker.probing = True
         return True
@@ -206,20 +206,20 @@
         among equals the order starts at a random place. Workers with
         accelerators come last for work that needs none.
         """
-        groups: tuple[_Buckets, ...] = (self._accelerated,)
+        bucket_groups: tuple[_Buckets, ...] = (self._with_accelerators,)
         if not demand.accelerators:
-            groups = (self._plain, self._accelerated)
-        lowest = max(0, int(demand.processors + EPSILON))
-        for buckets in groups:
-            lists = buckets.lists[lowest:]
+            bucket_groups = (self._without_accelerators, self._with_accelerators)
+        first_bucket = max(0, int(demand.processors + EPSILON))
+        for buckets in bucket_groups:
+            lists = buckets.lists[first_bucket:]
             for bucket in lists if tightest else reversed(lists):
                 if not bucket:
                     continue
-                start = self.source.randrange(len(bucket))
+                start = self.random_source.randrange(len(bucket))
                 yield from bucket[start:]
                 yield from bucket[:start]
 
-    def _drop(self, worker: WorkerView, task_id: str) -> RunningTask | None:
+    def _remove_task(self, worker: WorkerView, task_id: str) -> RunningTask | None:
         running = worker.running_by_task.pop(task_id, None)
         if running is None:
             return None
@@ -227,12 +227,12 @@
         self.usage.remove(running.customer, running.demand)
         return running
 
-    def _update(self, worker: WorkerView) -> None:
-        worker.free = worker.room - worker.used
-        self._index(worker)
+    def _update_free(self, worker: WorkerView) -> None:
+        worker.free = worker.usable_capacity - worker.used
+        self._update_index(worker)
 
-    def _index(self, worker: WorkerView) -> None:
-        self._buckets(worker).put(worker)
+    def _update_index(self, worker: WorkerView) -> None:
+        self._buckets_for(worker).insert(worker)
 
-    def _buckets(self, worker: WorkerView) -> _Buckets:
-        return self._accelerated if worker.accelerators else self._plain
+    def _buckets_for(self, worker: WorkerView) -> _Buckets:
+        return self._with_accelerators if worker.accelerators else self._without_accelerators
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -6,14 +6,14 @@
 
 from collections import OrderedDict, deque
 
-KEPT_RUNS = 32
-KEPT_KINDS = 4096
-FEW_RUNS = 5
+RUNS_PER_KIND = 32
+MAX_KINDS = 4096
+MIN_RUNS = 5
 #: Pessimistic: nine runs in ten ended within it.
 QUANTILE = 0.9
 #: Without enough runs, the declared time may be this many times too short.
 DECLARED_FACTOR = 3.0
-UNKNOWN_SECONDS = 3600.0
+DEFAULT_RUN_SECONDS = 3600.0
 
 
 class RunTimeEstimator:
@@ -28,17 +28,17 @@
         key = (customer, kind)
         runs = self._runs_by_kind.get(key)
         if runs is None:
-            runs = deque(maxlen=KEPT_RUNS)
+            runs = deque(maxlen=RUNS_PER_KIND)
             self._runs_by_kind[key] = runs
         self._runs_by_kind.move_to_end(key)
         runs.append(seconds)
-        if len(self._runs_by_kind) > KEPT_KINDS:
+        if len(self._runs_by_kind) > MAX_KINDS:
             self._runs_by_kind.popitem(last=False)
 
     def estimate(self, customer: str, kind: str, declared: float) -> float:
         """Return seconds that a run will hardly exceed."""
         runs = self._runs_by_kind.get((customer, kind))
-        if runs is None or len(runs) < FEW_RUNS:
-            return declared * DECLARED_FACTOR if declared else UNKNOWN_SECONDS
+        if runs is None or len(runs) < MIN_RUNS:
+            return declared * DECLARED_FACTOR if declared else DEFAULT_RUN_SECONDS
         ordered = sorted(runs)
         return ordered[min(len(ordered) - 1, int(len(ordered) * QUANTILE))]
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -16,35 +16,35 @@
 class Planner:
     """Decides what starts where; it sends and writes nothing itself."""
 
-    def __init__(self, cell: Cell, queue: FairQueue, times: RunTimeEstimator) -> None:
+    def __init__(self, cell: Cell, queue: FairQueue, estimator: RunTimeEstimator) -> None:
         """Place the jobs of ``queue`` on the workers of ``cell``."""
         self.cell = cell
         self.queue = queue
-        self._times = times
+        self._estimator = estimator
         self._policy_by_name: dict[str, PlacementPolicy] = {
             name: plugins.create(PluginKind.PLACEMENT, name) for name in POLICY_NAMES
         }
-        self._gang = GangPolicy()
+        self._gang_policy = GangPolicy()
         self.reservation: GangReservation | None = None
         #: Shapes that fitted nowhere when they were last tried.
-        self._failed: set[Shape] = set()
+        self._failed_shapes: set[Shape] = set()
         self.decision_count = 0
         self.considered_count = 0
 
     def decide(self, now: float, limit: int) -> list[Placement]:
         """Return up to ``limit`` placements, each already counted in the cell."""
-        self._drop_old_hold(now)
-        self._reconsider()
+        self._drop_expired_reservation(now)
+        self._retry_freed_shapes()
         placed: list[Placement] = []
         self._place_urgent(now, limit, placed)
-        for work in self.queue.nearly_due(now):
+        for work in self.queue.get_nearly_due(now):
             if len(placed) >= limit:
                 return placed
-            self._try(work, now, placed)
+            self._try_place(work, now, placed)
         self._place_fairly(now, limit, placed)
         return placed
 
-    def start(self, placement: Placement, now: float) -> None:
+    def apply_placement(self, placement: Placement, now: float) -> None:
         """Count the tasks of a placement in the cell and take the job off the queue."""
         work = placement.work
         ends_at = now + work.run_seconds
@@ -68,20 +68,20 @@
         self.queue.remove(work.id)
         if self.reservation is not None and self.reservation.job == work.id:
             self.reservation = None
-            self._failed.clear()
+            self._failed_shapes.clear()
 
     def estimate(self, customer: str, kind: str, declared: float) -> float:
         """Return a pessimistic run time in seconds."""
-        return self._times.estimate(customer, kind, declared)
+        return self._estimator.estimate(customer, kind, declared)
 
-    def _reconsider(self) -> None:
+    def _retry_freed_shapes(self) -> None:
         """Try shapes again for which a worker has made room since they failed."""
-        freed = self.cell.take_freed()
-        if not self._failed:
+        freed = self.cell.take_freed_workers()
+        if not self._failed_shapes:
             return
         for worker in freed:
-            fitting = [shape for shape in self._failed if self._may_fit(shape, worker)]
-            self._failed.difference_update(fitting)
+            may_fit_now = [shape for shape in self._failed_shapes if self._may_fit(shape, worker)]
+            self._failed_shapes.difference_update(may_fit_now)
 
     def _may_fit(self, shape: Shape, worker: WorkerView) -> bool:
         task_class, demand, tasks = shape
@@ -91,33 +91,35 @@
     def _place_urgent(self, now: float, limit: int, placed: list[Placement]) -> None:
         blocked: set[str] = set()
         while len(placed) < limit:
-            heads = self.queue.urgent(self._failed)
-            ready = [work for work in heads if work.id not in blocked]
+            candidates = self.queue.list_urgent(self._failed_shapes)
+            ready = [work for work in candidates if work.id not in blocked]
             if not ready:
                 return
             for work in ready:
-                if len(placed) < limit and not self._try(work, now, placed):
+                if len(placed) < limit and not self._try_place(work, now, placed):
                     blocked.add(work.id)
 
     def _place_fairly(self, now: float, limit: int, placed: list[Placement]) -> None:
         """Let the most entitled customer place one job, again and again."""
-        claims = [(self._claim(customer), customer) for customer in self.queue.customers()]
-        heapq.heapify(claims)
-        while claims and len(placed) < limit:
-            _, customer = heapq.heappop(claims)
-            if self._place_one(customer, now, placed):
-                heapq.heappush(claims, (self._claim(customer), customer))
-
-    def _claim(self, customer: str) -> tuple[bool, float]:
+        entitlements = [
+            (self._entitlement(customer), customer) for customer in self.queue.customers()
+        ]
+        heapq.heapify(entitlements)
+        while entitlements and len(placed) < limit:
+            _, customer = heapq.heappop(entitlements)
+            if self._place_next_of(customer, now, placed):
+                heapq.heappush(entitlements, (self._entitlement(customer), customer))
+
+    def _entitlement(self, customer: str) -> tuple[bool, float]:
         used = self.cell.usage.of(customer)
-        return self.queue.claim(customer, used, self.cell.total)
+        return self.queue.entitlement(customer, used, self.cell.total)
 
-    def _place_one(self, customer: str, now: float, placed: list[Placement]) -> bool:
-        heads = self.queue.heads_of_customer(customer, self._failed)
-        return any(self._try(work, now, placed) for work in heads)
+    def _place_next_of(self, customer: str, now: float, placed: list[Placement]) -> bool:
+        candidates = self.queue.heads_of_customer(customer, self._failed_shapes)
+        return any(self._try_place(work, now, placed) for work in candidates)
 
-    def _try(self, work: Work, now: float, placed: list[Placement]) -> bool:
-        if work.shape in self._failed and not work.avoid:
+    def _try_place(self, work: Work, now: float, placed: list[Placement]) -> bool:
+        if work.shape in self._failed_shapes and not work.avoid:
             return False
         used = self.cell.usage.of(work.customer)
         if not self.queue.within_quota(work, used):
@@ -129,22 +131,22 @@
             self._note_failed(work, now)
             return False
         self.decision_count += 1
-        self.start(placement, now)
+        self.apply_placement(placement, now)
         placed.append(placement)
         return True
 
     def _note_failed(self, work: Work, now: float) -> None:
         if not work.avoid:
-            self._failed.add(work.shape)
+            self._failed_shapes.add(work.shape)
         if work.tasks > 1 and self.reservation is None and work.task_class != URGENT:
-            self.reservation = self._gang.plan_hold(work, self.cell, now)
+            self.reservation = self._gang_policy.plan_reservation(work, self.cell, now)
 
-    def _drop_old_hold(self, now: float) -> None:
+    def _drop_expired_reservation(self, now: float) -> None:
         if self.reservation is None:
             return
         if now >= self.reservation.expires_at or self.reservation.job not in self.queue:
             self.reservation = None
-            self._failed.clear()
+            self._failed_shapes.clear()
 
 
 def task_ids(job: str, attempt: int, count: int) -> Iterator[str]:
--- a/dandelionreel/placement/_policy.py
+++ b/dandelionreel/placement/_policy.py
@@ -9,14 +9,14 @@
 from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, RunningTask, Work
 
 #: Workers that one decision looks at; more hardly pack better (docs/MEASUREMENTS.md).
-CANDIDATES = 12
+MAX_CANDIDATES = 12
 #: Workers that are searched for tasks to preempt.
-VICTIM_CANDIDATES = 32
+MAX_PREEMPTION_WORKERS = 32
 #: How much the size of the rest counts against its evenness.
 SIZE_WEIGHT = 0.05
 GANG = 'gang'
 #: How often nothing fits into anything.
-MANY_COPIES = 1_000_000
+UNLIMITED_TASKS = 1_000_000
 
 
 @dataclass(frozen=True)
@@ -34,17 +34,17 @@
 
     @abc.abstractmethod
     def place(
-        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+        self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
         """Return where the job goes, ``None`` when it fits nowhere now."""
 
 
-def usable(
+def is_usable(
     work: Work,
     worker: WorkerView,
     cell: Cell,
     now: float,
-    hold: GangReservation | None,
+    reservation: GangReservation | None,
     ends_at: float,
 ) -> bool:
     """Return whether the worker may take one task of the job now."""
@@ -52,12 +52,12 @@
         return False
     if cell.is_quarantined(worker, now):
         return False
-    if hold is None or work.id == hold.job or worker.name not in hold.workers:
+    if reservation is None or work.id == reservation.job or worker.name not in reservation.workers:
         return True
-    return ends_at <= hold.until
+    return ends_at <= reservation.until
 
 
-def leftover(worker: WorkerView, demand: Resources) -> float:
+def score_leftover(worker: WorkerView, demand: Resources) -> float:
     """Return how uneven the rest would be, and a little how large; less packs better.
 
     Evenness decides: a worker with processors but no memory left is lost to
@@ -74,34 +74,34 @@
     """Batch work goes where it leaves the least behind."""
 
     def place(
-        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+        self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
         """Return the best fit among the sampled workers."""
-        worker = self.best(work, cell, now, hold)
+        worker = self.choose_worker(work, cell, now, reservation)
         if worker is None:
             return None
         return Placement(work, (worker.name,), reason='it leaves the least behind')
 
-    def best(
+    def choose_worker(
         self,
         work: Work,
         cell: Cell,
         now: float,
-        hold: GangReservation | None,
+        reservation: GangReservation | None,
     ) -> WorkerView | None:
         """Return the worker with the smallest leftover."""
         ends_at = now + work.run_seconds
         found = None
         found_score = float('inf')
-        seen = 0
+        usable_count = 0
         for worker in cell.sample(work.demand, tightest=True):
-            if not usable(work, worker, cell, now, hold, ends_at):
+            if not is_usable(work, worker, cell, now, reservation, ends_at):
                 continue
-            seen += 1
-            score = leftover(worker, work.demand)
+            usable_count += 1
+            score = score_leftover(worker, work.demand)
             if score < found_score:
                 found, found_score = worker, score
-            if seen >= CANDIDATES:
+            if usable_count >= MAX_CANDIDATES:
                 break
         return found
 
@@ -111,26 +111,26 @@
     """Services go to the racks that run the fewest of the same customer's."""
 
     def place(
-        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+        self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
         """Return the worker with the most room in the least used rack."""
         found = None
         found_score = (float('inf'), float('inf'))
-        seen = 0
+        usable_count = 0
         for worker in cell.sample(work.demand, tightest=False):
-            if not usable(work, worker, cell, now, hold, float('inf')):
+            if not is_usable(work, worker, cell, now, reservation, float('inf')):
                 continue
-            seen += 1
-            score = (self._neighbours(worker, work), -worker.free.processors)
+            usable_count += 1
+            score = (self._count_same_service(worker, work), -worker.free.processors)
             if score < found_score:
                 found, found_score = worker, score
-            if seen >= CANDIDATES:
+            if usable_count >= MAX_CANDIDATES:
                 break
         if found is None:
             return None
         return Placement(work, (found.name,), reason='it runs the fewest of the same kind')
 
-    def _neighbours(self, worker: WorkerView, work: Work) -> float:
+    def _count_same_service(self, worker: WorkerView, work: Work) -> float:
         return sum(
             1
             for running in worker.running_by_task.values()
@@ -144,55 +144,57 @@
 
     def __init__(self) -> None:
         """Place as batch does where there is room."""
-        self._packed = PackedPolicy()
+        self._batch_policy = PackedPolicy()
 
     def place(
-        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+        self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
         """Return a worker with room, or one where stopping others makes it."""
         # A gang's hold never keeps urgent work out.
-        worker = self._packed.best(work, cell, now, None)
+        worker = self._batch_policy.choose_worker(work, cell, now, None)
         if worker is not None:
             return Placement(work, (worker.name,), reason='it has room')
         return self._preempt(work, cell, now)
 
     def _preempt(self, work: Work, cell: Cell, now: float) -> Placement | None:
-        best: tuple[RunningTask, ...] = ()
+        best_victims: tuple[RunningTask, ...] = ()
         best_name = ''
-        best_loss = float('inf')
+        least_lost = float('inf')
         candidates = tuple(cell.worker_by_name.values())
-        if len(candidates) > VICTIM_CANDIDATES:
-            candidates = tuple(cell.source.sample(candidates, VICTIM_CANDIDATES))
+        if len(candidates) > MAX_PREEMPTION_WORKERS:
+            candidates = tuple(cell.random_source.sample(candidates, MAX_PREEMPTION_WORKERS))
         for worker in candidates:
             if worker.name in work.avoid or cell.is_quarantined(worker, now):
                 continue
-            victims = cheapest_victims(work, worker, now)
+            victims = choose_victims(work, worker, now)
             if not victims:
                 continue
-            loss = sum(lost_work(victim, now) for victim in victims)
-            if loss < best_loss:
-                best, best_name, best_loss = victims, worker.name, loss
-        if not best:
+            lost = sum(lost_processor_seconds(victim, now) for victim in victims)
+            if lost < least_lost:
+                best_victims, best_name, least_lost = victims, worker.name, lost
+        if not best_victims:
             return None
-        return Placement(work, (best_name,), best, 'stopping lesser work there loses the least')
+        return Placement(
+            work, (best_name,), best_victims, 'stopping lesser work there loses the least'
+        )
 
 
-def lost_work(running: RunningTask, now: float) -> float:
+def lost_processor_seconds(running: RunningTask, now: float) -> float:
     """Return the processor seconds that stopping a task throws away."""
     return (now - running.started_at) * max(running.demand.processors, 0.1)
 
 
-def cheapest_victims(work: Work, worker: WorkerView, now: float) -> tuple[RunningTask, ...]:
+def choose_victims(work: Work, worker: WorkerView, now: float) -> tuple[RunningTask, ...]:
     """Return the tasks to stop so that the job fits, empty when that is not allowed."""
-    allowed = [
+    preemptible_tasks = [
         running
         for running in worker.running_by_task.values()
         if running.preemptible and running.priority < work.priority
     ]
-    allowed.sort(key=lambda running: lost_work(running, now))
+    preemptible_tasks.sort(key=lambda running: lost_processor_seconds(running, now))
     free = worker.free
     chosen = []
-    for running in allowed:
+    for running in preemptible_tasks:
         if work.demand.fits(free):
             break
         chosen.append(running)
@@ -207,14 +209,14 @@
     """All tasks of a gang at once, or none."""
 
     def place(
-        self, work: Work, cell: Cell, now: float, hold: GangReservation | None
+        self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
         """Return a worker for every task, taken in a fixed order."""
         ends_at = now + work.run_seconds
         chosen: list[str] = []
         needed = work.tasks
         for worker in cell.sample(work.demand, tightest=False):
-            if not usable(work, worker, cell, now, hold, ends_at):
+            if not is_usable(work, worker, cell, now, reservation, ends_at):
                 continue
             count = min(needed, count_fitting(work.demand, worker.free))
             if cell.is_quarantined(worker, now) or worker.probing:
@@ -225,7 +227,7 @@
                 return Placement(work, tuple(chosen), reason='all tasks fit at once')
         return None
 
-    def plan_hold(self, work: Work, cell: Cell, now: float) -> GangReservation | None:
+    def plan_reservation(self, work: Work, cell: Cell, now: float) -> GangReservation | None:
         """Return the workers that will have room for the gang the soonest.
 
         Each worker offers its rooms in the order in which its tasks end, by
@@ -235,45 +237,47 @@
         for worker in cell.worker_by_name.values():
             if cell.is_quarantined(worker, now):
                 continue
-            offers.extend(_offers(work.demand, worker, now))
+            offers.extend(_list_offers(work.demand, worker, now))
         offers.sort()
         if len(offers) < work.tasks:
             return None
-        taken = offers[: work.tasks]
-        until = taken[-1][0]
+        chosen_offers = offers[: work.tasks]
+        until = chosen_offers[-1][0]
         # A hold that outlasts its estimate twice over is dropped, so that a
         # wrong declaration cannot keep workers idle for good.
         expires_at = now + max(60.0, 2 * (until - now))
-        return GangReservation(work.id, frozenset(name for _, name in taken), until, expires_at)
+        return GangReservation(
+            work.id, frozenset(name for _, name in chosen_offers), until, expires_at
+        )
 
 
 def count_fitting(demand: Resources, room: Resources) -> int:
     """Return how many tasks of that demand fit."""
     counts = [
-        int(have / ask + EPSILON)
-        for ask, have in (
+        int(have / wanted + EPSILON)
+        for wanted, have in (
             (demand.processors, room.processors),
             (demand.memory_mb, room.memory_mb),
             (demand.accelerators, room.accelerators),
         )
-        if ask > 0
+        if wanted > 0
     ]
-    return min(counts) if counts else MANY_COPIES
+    return min(counts) if counts else UNLIMITED_TASKS
 
 
-def _offers(demand: Resources, worker: WorkerView, now: float) -> list[tuple[float, str]]:
+def _list_offers(demand: Resources, worker: WorkerView, now: float) -> list[tuple[float, str]]:
     free = worker.free
     count = count_fitting(demand, free)
     offers = [(now, worker.name)] * count
-    for running in sorted(worker.running_by_task.values(), key=_ends_at):
+    for running in sorted(worker.running_by_task.values(), key=_by_end):
         if running.task_class == SERVICE:
             continue
         free += running.demand
-        more = count_fitting(demand, free)
-        offers.extend([(max(now, running.ends_at), worker.name)] * (more - count))
-        count = more
+        total = count_fitting(demand, free)
+        offers.extend([(max(now, running.ends_at), worker.name)] * (total - count))
+        count = total
     return offers
 
 
-def _ends_at(running: RunningTask) -> float:
+def _by_end(running: RunningTask) -> float:
     return running.ends_at
--- a/dandelionreel/routing/__init__.py
+++ b/dandelionreel/routing/__init__.py
@@ -7,7 +7,7 @@
     share_of_count,
     share_of_rate,
 )
-from dandelionreel.routing._call import ServiceCall, read_call
+from dandelionreel.routing._call import ServiceCall, parse_call
 from dandelionreel.routing._choice import LeastLoaded, RoundRobin, RunnerChoice, TwoChoices
 from dandelionreel.routing._keys import (
     IdempotencyGuard,
@@ -42,7 +42,7 @@
     'TokenBucket',
     'TwoChoices',
     'Waiter',
-    'read_call',
+    'parse_call',
     'share_of_count',
     'share_of_rate',
 )
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -6,9 +6,9 @@
 from dandelionreel.routing._budget import CustomerUsage, share_of_count, share_of_rate
 from dandelionreel.routing._call import ServiceCall
 
-CONCURRENCY_RETRY = 1.0
+CONCURRENCY_RETRY_SECONDS = 1.0
 HTTP_FORBIDDEN = 403
-HTTP_TOO_MANY = 429
+HTTP_TOO_MANY_REQUESTS = 429
 
 
 class Admission:
@@ -28,9 +28,9 @@
         self._me = me
         self._book = book
         self._membership = membership
-        self._use_by_customer: dict[str, CustomerUsage] = {}
+        self._usage_by_customer: dict[str, CustomerUsage] = {}
 
-    def enter(self, call: ServiceCall) -> CustomerUsage:
+    def admit(self, call: ServiceCall) -> CustomerUsage:
         """Return the customer's use, to be counted; raises ``RequestError``."""
         contract = require_contract(self._book, call.customer, call.task_class)
         if call.service not in contract.services:
@@ -39,38 +39,38 @@
                 'service-not-in-contract',
                 f'the contract of {call.customer} does not name service {call.service!r}',
             )
-        use = self._use(call.customer)
-        self._check_limits(use, contract)
-        use.retries.earn(contract.requests.retry_budget)
-        return use
+        usage = self._get_usage(call.customer)
+        self._check_limits(usage, contract)
+        usage.retry_budget.add_attempt(contract.requests.retry_budget)
+        return usage
 
-    def spend_retry(self, call: ServiceCall) -> bool:
+    def use_retry(self, call: ServiceCall) -> bool:
         """Return whether one more retry is within the customer's budget."""
-        return self._use(call.customer).retries.spend()
+        return self._get_usage(call.customer).retry_budget.use_retry()
 
-    def _use(self, customer: str) -> CustomerUsage:
-        return self._use_by_customer.setdefault(customer, CustomerUsage(self._clock))
+    def _get_usage(self, customer: str) -> CustomerUsage:
+        return self._usage_by_customer.setdefault(customer, CustomerUsage(self._clock))
 
-    def _check_limits(self, use: CustomerUsage, contract: Contract) -> None:
+    def _check_limits(self, usage: CustomerUsage, contract: Contract) -> None:
         terms = contract.requests
         share = self._book.share(contract.customer, self._zone)
         keys = member_keys(self._membership.live(self._zone))
         rank = keys.index(self._me) if self._me in keys else len(keys)
         members = max(1, len(keys))
         allowed = share_of_count(terms.concurrency, share, rank, members)
-        if use.in_flight >= allowed:
+        if usage.in_flight >= allowed:
             raise not_run(
-                HTTP_TOO_MANY,
+                HTTP_TOO_MANY_REQUESTS,
                 'concurrency-limit',
-                f'{use.in_flight} requests of {contract.customer} are under way here; '
+                f'{usage.in_flight} requests of {contract.customer} are under way here; '
                 f'its contract allows this host {allowed}',
-                CONCURRENCY_RETRY,
+                CONCURRENCY_RETRY_SECONDS,
             )
         rate, burst = share_of_rate(terms, share, members)
-        wait = use.bucket.take(rate, burst)
+        wait = usage.bucket.take(rate, burst)
         if wait:
             raise not_run(
-                HTTP_TOO_MANY,
+                HTTP_TOO_MANY_REQUESTS,
                 'rate-limit',
                 f'{contract.customer} is above its rate of {terms.rate} a second',
                 wait,
--- a/dandelionreel/routing/_budget.py
+++ b/dandelionreel/routing/_budget.py
@@ -4,11 +4,11 @@
 from dandelionreel.kernel import Clock
 
 #: Retries that may follow each other before first attempts have earned them.
-RETRY_BURST = 10.0
+MAX_SAVED_RETRIES = 10.0
 #: Three thirds of a count are the whole of it.
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 #: A daemon without any part of a rate lets one pass in this many seconds.
-LEAST_RATE = 1e-3
+MIN_RATE = 1e-3
 
 
 class TokenBucket:
@@ -42,11 +42,11 @@
         """Start with a small allowance, so that one early failure can be retried."""
         self._tokens = 1.0
 
-    def earn(self, fraction: float) -> None:
+    def add_attempt(self, fraction: float) -> None:
         """Note a first attempt."""
-        self._tokens = min(RETRY_BURST, self._tokens + fraction)
+        self._tokens = min(MAX_SAVED_RETRIES, self._tokens + fraction)
 
-    def spend(self) -> bool:
+    def use_retry(self) -> bool:
         """Return whether one more retry is within the budget, and count it."""
         if self._tokens < 1:
             return False
@@ -60,7 +60,7 @@
     def __init__(self, clock: Clock) -> None:
         """Start with none."""
         self.bucket = TokenBucket(clock)
-        self.retries = RetryBudget()
+        self.retry_budget = RetryBudget()
         self.in_flight = 0
 
 
@@ -70,12 +70,12 @@
     The zone's part is rounded down; within the zone the rest goes one each to
     the first ranks. The parts of all daemons never exceed the count.
     """
-    zone_count = int(count * share + ROUNDING)
-    whole, rest = divmod(zone_count, max(1, members))
-    return whole + (1 if rank < rest else 0)
+    zone_count = int(count * share + ROUNDING_TOLERANCE)
+    per_member, rest = divmod(zone_count, max(1, members))
+    return per_member + (1 if rank < rest else 0)
 
 
 def share_of_rate(terms: RequestTerms, share: float, members: int) -> tuple[float, float]:
     """Return one daemon's part of the rate and of the burst."""
-    part = share / max(1, members)
-    return max(terms.rate * part, LEAST_RATE), max(terms.burst * part, 1.0)
+    fraction = share / max(1, members)
+    return max(terms.rate * fraction, MIN_RATE), max(terms.burst * fraction, 1.0)
--- a/dandelionreel/routing/_call.py
+++ b/dandelionreel/routing/_call.py
@@ -6,16 +6,16 @@
 from dandelionreel.http import Headers, Request
 from dandelionreel.kernel import clip, not_run
 
-PREFIX = '/v1/services/'
+SERVICES_PREFIX = '/v1/services/'
 HEADER_PREFIX = 'dandelionreel-'
-CUSTOMER = 'dandelionreel-customer'
-CLASS = 'dandelionreel-class'
-DEADLINE = 'dandelionreel-deadline-ms'
-IDEMPOTENT = 'dandelionreel-idempotent'
-KEY = 'idempotency-key'
+CUSTOMER_HEADER = 'dandelionreel-customer'
+CLASS_HEADER = 'dandelionreel-class'
+DEADLINE_HEADER = 'dandelionreel-deadline-ms'
+IDEMPOTENT_HEADER = 'dandelionreel-idempotent'
+KEY_HEADER = 'idempotency-key'
 DEFAULT_DEADLINE_MS = 5000
-MILLISECONDS = 1000
-ID_BYTES = 8
+MILLISECONDS_PER_SECOND = 1000
+REQUEST_ID_BYTES = 8
 HTTP_BAD_REQUEST = 400
 HTTP_NOT_FOUND = 404
 #: Methods that HTTP itself calls idempotent.
@@ -41,9 +41,9 @@
         """Return whether the log must decide who may send it, once."""
         return bool(self.key) and not self.idempotent
 
-    def outgoing(self) -> Request:
+    def make_runner_request(self) -> Request:
         """Return the request as the runner gets it."""
-        _, _, rest = self.request.target.removeprefix(PREFIX).partition('/')
+        _, _, rest = self.request.target.removeprefix(SERVICES_PREFIX).partition('/')
         return Request(
             self.request.method,
             f'/{rest}',
@@ -52,56 +52,56 @@
         )
 
 
-def read_call(request: Request, now: float, longest: float) -> ServiceCall:
+def parse_call(request: Request, now: float, max_seconds: float) -> ServiceCall:
     """Check and read a request; raises ``RequestError`` with verdict not run."""
-    service, _, _ = request.path.removeprefix(PREFIX).partition('/')
-    if not request.path.startswith(PREFIX) or not service:
+    service, _, _ = request.path.removeprefix(SERVICES_PREFIX).partition('/')
+    if not request.path.startswith(SERVICES_PREFIX) or not service:
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: name a service')
-    customer = request.header(CUSTOMER)
+    customer = request.header(CUSTOMER_HEADER)
     if not customer:
         raise not_run(
             HTTP_BAD_REQUEST,
             'missing-header',
-            f'header {CUSTOMER} is missing; name the customer',
+            f'header {CUSTOMER_HEADER} is missing; name the customer',
         )
     return ServiceCall(
-        id=request.header('dandelionreel-request-id') or os.urandom(ID_BYTES).hex(),
+        id=request.header('dandelionreel-request-id') or os.urandom(REQUEST_ID_BYTES).hex(),
         service=service,
         customer=customer,
-        task_class=request.header(CLASS, 'urgent'),
-        deadline=now + _read_deadline(request, longest),
-        idempotent=_read_idempotent(request),
-        key=request.header(KEY),
+        task_class=request.header(CLASS_HEADER, 'urgent'),
+        deadline=now + _parse_deadline(request, max_seconds),
+        idempotent=_parse_idempotent(request),
+        key=request.header(KEY_HEADER),
         request=request,
     )
 
 
-def _read_deadline(request: Request, longest: float) -> float:
-    text = request.header(DEADLINE, str(DEFAULT_DEADLINE_MS))
-    limit = int(longest * MILLISECONDS)
+def _parse_deadline(request: Request, max_seconds: float) -> float:
+    text = request.header(DEADLINE_HEADER, str(DEFAULT_DEADLINE_MS))
+    limit = int(max_seconds * MILLISECONDS_PER_SECOND)
     if not text.isdecimal() or not 1 <= int(clip(text)) <= limit:
         raise not_run(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {DEADLINE}: {clip(text)!r} is not allowed; give 1 to {limit} milliseconds',
+            f'header {DEADLINE_HEADER}: {clip(text)!r} is not allowed; give 1 to {limit} milliseconds',
         )
-    return int(text) / MILLISECONDS
+    return int(text) / MILLISECONDS_PER_SECOND
 
 
-def _read_idempotent(request: Request) -> bool:
-    text = request.header(IDEMPOTENT)
+def _parse_idempotent(request: Request) -> bool:
+    text = request.header(IDEMPOTENT_HEADER)
     if not text:
         return request.method in IDEMPOTENT_METHODS
     if text not in {'true', 'false'}:
         raise not_run(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {IDEMPOTENT}: {clip(text)!r} is not allowed; give true or false',
+            f'header {IDEMPOTENT_HEADER}: {clip(text)!r} is not allowed; give true or false',
         )
     return text == 'true'
 
 
 def _runner_headers(headers: Headers, call_id: str) -> Headers:
-    kept = [(name, text) for name, text in headers if not name.startswith(HEADER_PREFIX)]
-    kept.append(('dandelionreel-request-id', call_id))
-    return tuple(kept)
+    runner_headers = [(name, text) for name, text in headers if not name.startswith(HEADER_PREFIX)]
+    runner_headers.append(('dandelionreel-request-id', call_id))
+    return tuple(runner_headers)
--- a/dandelionreel/routing/_choice.py
+++ b/dandelionreel/routing/_choice.py
@@ -20,16 +20,16 @@
 class TwoChoices(RunnerChoice):
     """The better of two drawn at random: fewer slots in use, then faster answers."""
 
-    def __init__(self, source: random.Random | None = None) -> None:
+    def __init__(self, random_source: random.Random | None = None) -> None:
         """Draw from ``source``."""
-        self._source = source or random.Random()
+        self._random = random_source or random.Random()
 
     def choose(self, runners: Sequence[Runner]) -> Runner:
         """Return the better of two."""
         if len(runners) == 1:
             return runners[0]
-        first, second = self._source.sample(runners, 2)
-        if _burden(first) <= _burden(second):
+        first, second = self._random.sample(runners, 2)
+        if _load_of(first) <= _load_of(second):
             return first
         return second
 
@@ -40,7 +40,7 @@
 
     def choose(self, runners: Sequence[Runner]) -> Runner:
         """Return the least burdened."""
-        return min(runners, key=_burden)
+        return min(runners, key=_load_of)
 
 
 @plugins.register(PluginKind.ROUTING, 'round_robin')
@@ -57,5 +57,5 @@
         return runners[self._next % len(runners)]
 
 
-def _burden(runner: Runner) -> tuple[float, float]:
+def _load_of(runner: Runner) -> tuple[float, float]:
     return (runner.in_use / max(1, runner.limit), runner.latency.mean)
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -16,14 +16,14 @@
 from dandelionreel.kernel import Problem, RequestError, Verdict, not_run, unknown
 
 NONCE_BYTES = 8
-KEYS_KEPT = 50_000
+MAX_KEYS = 50_000
 #: In place of a runner's status: nothing was sent.
 NOT_SENT = 0
-BACKGROUND_PATIENCE = 600.0
+BACKGROUND_WRITE_SECONDS = 600.0
 HTTP_CONFLICT = 409
-HTTP_MISMATCH = 422
+HTTP_UNPROCESSABLE = 422
 HTTP_UNAVAILABLE = 503
-RETRY_AFTER = 5.0
+RETRY_AFTER_SECONDS = 5.0
 
 
 class RequestIntent(msgspec.Struct, frozen=True, tag='request_intent'):
@@ -76,12 +76,12 @@
         if isinstance(record, RequestIntent):
             state = KeyState(record.digest, record.nonce)
             self._state_by_key.setdefault((record.customer, record.key), state)
-            while len(self._state_by_key) > KEYS_KEPT:
+            while len(self._state_by_key) > MAX_KEYS:
                 self._state_by_key.pop(next(iter(self._state_by_key)))
         elif isinstance(record, RequestEnded):
-            self._end(record)
+            self._record_end(record)
 
-    def _end(self, record: RequestEnded) -> None:
+    def _record_end(self, record: RequestEnded) -> None:
         name = (record.customer, record.key)
         state = self._state_by_key.get(name)
         if state is None or state.nonce != record.nonce:
@@ -98,11 +98,11 @@
 
     def __init__(self, fold: KeyProjection, reader: StreamReader, writer: StreamWriter) -> None:
         """Decide by ``fold``, which ``reader`` feeds; write by ``writer``."""
-        self._fold = fold
+        self._projection = fold
         self._reader = reader
         self._writer = writer
 
-    async def begin(self, customer: str, key: str, request: Request, patience: float) -> str:
+    async def begin(self, customer: str, key: str, request: Request, timeout: float) -> str:
         """Return the nonce under which the request may be sent once.
 
         Raises ``RequestError`` when it was sent before, or the log is silent.
@@ -110,18 +110,18 @@
         digest = xxhash.xxh64_hexdigest(
             b'|'.join((request.method.encode(), request.target.encode(), request.body)),
         )
-        self._check(customer, key, digest, '')
+        self._raise_if_used(customer, key, digest, '')
         if self._reader.outage_since is not None:
-            raise _log_is_out()
+            raise _make_log_unavailable()
         nonce = os.urandom(NONCE_BYTES).hex()
         try:
-            await self._writer.write(RequestIntent(customer, key, digest, nonce), patience)
+            await self._writer.write(RequestIntent(customer, key, digest, nonce), timeout)
         except LogError as error:
             # The request has not been sent and will not be. The intent may
             # land late; this sets the key free again.
             await curio.spawn(self.end, customer, key, nonce, NOT_SENT, daemon=True)
-            raise _log_is_out() from error
-        self._check(customer, key, digest, nonce)
+            raise _make_log_unavailable() from error
+        self._raise_if_used(customer, key, digest, nonce)
         return nonce
 
     async def end(self, customer: str, key: str, nonce: str, status: int) -> None:
@@ -129,23 +129,23 @@
         try:
             await self._writer.write(
                 RequestEnded(customer, key, nonce, status),
-                BACKGROUND_PATIENCE,
+                BACKGROUND_WRITE_SECONDS,
             )
         except LogError:
             return
 
-    def _check(self, customer: str, key: str, digest: str, nonce: str) -> None:
-        state = self._fold.get(customer, key)
+    def _raise_if_used(self, customer: str, key: str, digest: str, nonce: str) -> None:
+        state = self._projection.get(customer, key)
         if state is None or state.nonce == nonce:
             return
-        raise refusal(state, digest)
+        raise make_refusal(state, digest)
 
 
-def refusal(state: KeyState, digest: str) -> RequestError:
+def make_refusal(state: KeyState, digest: str) -> RequestError:
     """Return why a used key cannot be used again."""
     if state.digest != digest:
         return not_run(
-            HTTP_MISMATCH,
+            HTTP_UNPROCESSABLE,
             'key-reused',
             'this idempotency key belongs to another request; use a new one',
         )
@@ -165,10 +165,10 @@
     )
 
 
-def _log_is_out() -> RequestError:
+def _make_log_unavailable() -> RequestError:
     return not_run(
         HTTP_UNAVAILABLE,
         'log-unavailable',
         'the log did not take the intent; nothing was sent',
-        RETRY_AFTER,
+        RETRY_AFTER_SECONDS,
     )
--- a/dandelionreel/routing/_metrics.py
+++ b/dandelionreel/routing/_metrics.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.routing._call import ServiceCall
 
-SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2.5, 5, 10)
+LATENCY_BUCKETS_SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2.5, 5, 10)
 
 
 class RoutingMetrics:
@@ -17,7 +17,7 @@
             'Time from a request to its answer.',
             ('customer', 'task_class'),
             registry=registry,
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS_SECONDS,
         )
         self._refusals = Counter(
             'dandelionreel_refusals',
@@ -32,14 +32,14 @@
             registry=registry,
         )
 
-    def answered(self, call: ServiceCall, seconds: float) -> None:
+    def count_answer(self, call: ServiceCall, seconds: float) -> None:
         """Count an answer."""
         self._answer_seconds.labels(call.customer, call.task_class).observe(seconds)
 
-    def refused(self, call: ServiceCall, verdict: str, cause: str) -> None:
+    def count_refusal(self, call: ServiceCall, verdict: str, cause: str) -> None:
         """Count a refusal."""
         self._refusals.labels(verdict, cause).inc()
 
-    def retried(self, call: ServiceCall) -> None:
+    def count_retry(self, call: ServiceCall) -> None:
         """Count a retry."""
         self._retries.labels(call.customer).inc()
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -18,7 +18,7 @@
 from dandelionreel.routing._choice import RunnerChoice
 from dandelionreel.routing._runner import Runner
 
-ROUND_SECONDS = 0.5
+REFRESH_SECONDS = 0.5
 
 
 class RunnerPool(ShardUser):
@@ -43,12 +43,12 @@
         self._choice = choice
         self._journal = journal
         self._runner_by_name: dict[str, Runner] = {}
-        self._watched: set[str] = set()
-        self._told_leaving: set[str] = set()
+        self._seen_grants: set[str] = set()
+        self._logged_leaving: set[str] = set()
         #: Names of leaving endpoints that peers or operators have told.
         self._leaving_told_at: dict[str, float] = {}
         #: Endpoints that an operator drains; they stay so until they are gone.
-        self._closed: set[str] = set()
+        self._draining: set[str] = set()
         self.changed = Signal()
 
     def wanted_shards(self) -> Iterable[str]:
@@ -74,7 +74,7 @@
         while True:
             await self._refresh()
             seen = self._hosts.changed.count
-            await self._hosts.changed.wait(seen, ROUND_SECONDS)
+            await self._hosts.changed.wait(seen, REFRESH_SECONDS)
 
     def runners(self) -> tuple[Runner, ...]:
         """Return all runners of the zone."""
@@ -86,12 +86,12 @@
         A sign that is older than the last reading of the host list, which
         still calls the host live, was a false alarm.
         """
-        if not entry.is_live or entry.name in self._closed:
+        if not entry.is_live or entry.name in self._draining:
             return True
         runner = self._runner_by_name.get(entry.name)
-        own_sign = runner.sign_of_leaving_at if runner else float('-inf')
-        sign_at = max(own_sign, self._leaving_told_at.get(entry.name, float('-inf')))
-        return sign_at > self._hosts.read_at - self._settings.timings.hosts_poll * 2
+        seen_at = runner.leaving_seen_at if runner else float('-inf')
+        last_sign_at = max(seen_at, self._leaving_told_at.get(entry.name, float('-inf')))
+        return last_sign_at > self._hosts.read_at - self._settings.timings.hosts_poll * 2
 
     def leaving(self) -> tuple[str, ...]:
         """Return the names of leaving endpoints of this zone."""
@@ -112,48 +112,48 @@
             runner.entry.name
             for runner in self._runner_by_name.values()
             if not runner.entry.is_live
-            or runner.entry.name in self._closed
-            or runner.sign_of_leaving_at > recent
+            or runner.entry.name in self._draining
+            or runner.leaving_seen_at > recent
         )
 
     def drain_endpoint(self, name: str) -> None:
         """Send nothing more to an endpoint; an operator says so."""
-        self._closed.add(name)
+        self._draining.add(name)
 
     def note_leaving(self, names: Iterable[str]) -> None:
         """Keep what a peer or an operator told about leaving endpoints."""
         for name in names:
             self._leaving_told_at[name] = self._clock.monotonic()
 
-    def knows(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Return whether the zone has a runner of that service."""
         return any(
             runner.entry.service == service and not self.is_leaving(runner.entry)
             for runner in self._runner_by_name.values()
         )
 
-    def take(self, service: str, *, headroom: bool) -> Runner | None:
+    def acquire_slot(self, service: str, *, headroom: bool) -> Runner | None:
         """Return an owned runner with a free slot, counted in use; else ``None``.
 
         With ``headroom``, a part of the slots is left for urgent requests.
         """
-        ready = []
+        candidates = []
         for runner in self._runner_by_name.values():
             if runner.entry.service != service or self.is_leaving(runner.entry):
                 continue
-            kept = self._kept_back(runner) if headroom else 0
-            if self._room(runner) > kept:
-                ready.append(runner)
-        if not ready:
+            reserved = self._slots_reserved_for_urgent(runner) if headroom else 0
+            if self._free_slots(runner) > reserved:
+                candidates.append(runner)
+        if not candidates:
             return None
-        runner = self._choice.choose(ready)
+        runner = self._choice.choose(candidates)
         runner.in_use += 1
         return runner
 
     def may_send(self, runner: Runner) -> bool:
         """Return whether a counted request may leave for the runner now."""
         grant = self._authority.grant(runner_shard(runner.entry.name))
-        return runner.in_use <= runner.allowed(grant) and not self.is_leaving(runner.entry)
+        return runner.in_use <= runner.slot_limit(grant) and not self.is_leaving(runner.entry)
 
     def free_slots_by_service(self) -> tuple[ServiceRoom, ...]:
         """Return the free slots on owned runners by service."""
@@ -161,10 +161,10 @@
         for runner in self._runner_by_name.values():
             if self.is_leaving(runner.entry):
                 continue
-            room = self._room(runner)
-            if room:
+            free = self._free_slots(runner)
+            if free:
                 service = runner.entry.service
-                free_by_service[service] = free_by_service.get(service, 0) + room
+                free_by_service[service] = free_by_service.get(service, 0) + free
         return tuple(ServiceRoom(name, free) for name, free in sorted(free_by_service.items()))
 
     def mean_seconds(self, service: str) -> float:
@@ -182,13 +182,13 @@
         for runner in self._runner_by_name.values():
             if runner.entry.service == service:
                 grant = self._authority.grant(runner_shard(runner.entry.name))
-                total += runner.allowed(grant)
+                total += runner.slot_limit(grant)
         return total
 
-    def _room(self, runner: Runner) -> int:
-        return runner.room(self._authority.grant(runner_shard(runner.entry.name)))
+    def _free_slots(self, runner: Runner) -> int:
+        return runner.free(self._authority.grant(runner_shard(runner.entry.name)))
 
-    def _kept_back(self, runner: Runner) -> int:
+    def _slots_reserved_for_urgent(self, runner: Runner) -> int:
         return round(runner.entry.slots * self._settings.limits.urgent_headroom)
 
     async def _refresh(self) -> None:
@@ -200,18 +200,18 @@
                 entry.address,
                 entry.port,
             ):
-                self._runner_by_name[name] = self._make(entry)
+                self._runner_by_name[name] = self._make_runner(entry)
             else:
                 known.entry = entry
         for name in tuple(self._runner_by_name):
             if name not in entries and not self._runner_by_name[name].in_use:
-                self._closed.discard(name)
+                self._draining.discard(name)
                 await self._runner_by_name.pop(name).close_idle()
         for runner in self._runner_by_name.values():
             await self._note_ownership(runner)
-        await self._tell_leaving()
+        await self._log_leaving()
 
-    def _make(self, entry: HostEntry) -> Runner:
+    def _make_runner(self, entry: HostEntry) -> Runner:
         timings = self._settings.timings
         return Runner(
             entry,
@@ -226,19 +226,19 @@
         claim = self._shards.get(runner_shard(name))
         grant = self._authority.grant(runner_shard(name))
         if claim is None or grant.level is Level.NONE:
-            self._watched.discard(name)
+            self._seen_grants.discard(name)
             return
-        mark = f'{name}|{grant.epoch}'
-        if mark in self._watched:
+        grant_key = f'{name}|{grant.epoch}'
+        if grant_key in self._seen_grants:
             return
-        self._watched.add(mark)
-        runner.take_over(grant, clean=claim.clean and not claim.former)
+        self._seen_grants.add(grant_key)
+        runner.start_ownership(grant, clean_handover=claim.clean and not claim.former)
         if runner.former_owner_slots:
-            await curio.spawn(self._watch_foreign, runner, daemon=True)
+            await curio.spawn(self._await_former_owner, runner, daemon=True)
         await self.changed.notify()
 
-    async def _watch_foreign(self, runner: Runner) -> None:
-        await runner.watch_foreign()
+    async def _await_former_owner(self, runner: Runner) -> None:
+        await runner.await_former_owner()
         self._journal.tell(
             Part.ROUTING,
             f'took all slots of {runner.entry.name}; its former owner holds none.',
@@ -246,8 +246,8 @@
         )
         await self.changed.notify()
 
-    async def _tell_leaving(self) -> None:
+    async def _log_leaving(self) -> None:
         leaving = set(self.leaving())
-        for name in leaving - self._told_leaving:
+        for name in leaving - self._logged_leaving:
             self._journal.tell(Part.ROUTING, f'sends nothing more to {name}; it leaves.')
-        self._told_leaving = leaving
+        self._logged_leaving = leaving
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -40,7 +40,7 @@
     Refused,
 )
 from dandelionreel.routing._admission import Admission
-from dandelionreel.routing._call import ServiceCall, read_call
+from dandelionreel.routing._call import ServiceCall, parse_call
 from dandelionreel.routing._keys import NOT_SENT, IdempotencyGuard
 from dandelionreel.routing._metrics import RoutingMetrics
 from dandelionreel.routing._pool import RunnerPool
@@ -52,32 +52,32 @@
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
 #: What crossing to another zone and back may cost at least, in seconds.
-FAR_SECONDS = 0.05
+CROSS_ZONE_MIN_SECONDS = 0.05
 #: Time kept back so that an answer still reaches the caller.
-MARGIN_SECONDS = 0.01
+ANSWER_MARGIN_SECONDS = 0.01
 #: How much of the time that is left an intent may take to be read back.
-INTENT_PART = 0.8
+INTENT_TIME_FRACTION = 0.8
 #: A waiting request looks again this often for room at peers.
-LOOK_SECONDS = 0.1
+PEER_CHECK_SECONDS = 0.1
 #: With nothing waiting, the router looks this often only.
 IDLE_SECONDS = 1.0
 #: One hop to a peer with room, one more to the zone of an idempotency key.
-HOPS = 1
+MAX_HOPS = 1
 #: Asks the receiver to admit the request as if its caller had come there.
-ADMIT = 0
-KEYED_HOPS = 2
-CONCURRENCY_RETRY = 1.0
-NO_ROUTE_RETRY = 5.0
+ADMIT_HOPS = 0
+MAX_KEYED_HOPS = 2
+RETRY_AFTER_SECONDS = 1.0
+NO_ROUTE_RETRY_SECONDS = 5.0
 
 
 @dataclass
-class _Trail:
+class _AttemptHistory:
     """What the tries of one request have come to so far."""
 
     may_have_run: bool = False
 
 
-class _NoRoom(Exception):
+class _NoFreeSlotError(Exception):
     """This daemon has no free slot and the request may not travel further."""
 
 
@@ -115,13 +115,13 @@
 
     async def serve(self, request: Request) -> Answer:
         """Serve a caller's request; raises ``RequestError``."""
-        call = read_call(request, self._clock.monotonic(), self._settings.timings.longest_run)
+        call = parse_call(request, self._clock.monotonic(), self._settings.timings.longest_run)
         if self._membership.is_live(self._me):
             return await self._admit(call)
         # Started in an outage of the log: this daemon has no part of any
         # limit, for nobody can have made room for it. A member admits.
         zone = self._settings.availability_zone
-        return await self._hand_on(call, self._directory.states(zone), ADMIT)
+        return await self._forward_to_any(call, self._directory.states(zone), ADMIT_HOPS)
 
     async def answer_forward(self, frame: Frame) -> Message:
         """Serve a request that a peer handed on."""
@@ -129,7 +129,7 @@
         if not isinstance(message, Forward):
             return Refused('not a forward')
         try:
-            call = read_call(
+            call = parse_call(
                 message.request,
                 self._clock.monotonic(),
                 self._settings.timings.longest_run,
@@ -139,10 +139,10 @@
                 deadline=self._clock.monotonic() + message.remaining,
                 hops=message.hops,
             )
-            if call.hops == ADMIT:
+            if call.hops == ADMIT_HOPS:
                 return ForwardAnswer(await self._admit(call))
-            return ForwardAnswer(await self._deliver_counted(call))
-        except _NoRoom:
+            return ForwardAnswer(await self._deliver_and_count(call))
+        except _NoFreeSlotError:
             return ForwardAnswer(Answer(HTTP_UNAVAILABLE), no_room=True)
         except RequestError as error:
             return ForwardAnswer(answer_problem(error.problem))
@@ -156,37 +156,37 @@
         while True:
             seen = self._pool.changed.count
             free_by_service = {
-                room.service: room.free_slots for room in self._pool.free_slots_by_service()
+                free.service: free.free_slots for free in self._pool.free_slots_by_service()
             }
             for service, queue in self._queue_by_service.items():
                 await queue.wake(free_by_service.get(service, 0))
             waiting = any(queue.waiting for queue in self._queue_by_service.values())
-            await self._pool.changed.wait(seen, LOOK_SECONDS if waiting else IDLE_SECONDS)
+            await self._pool.changed.wait(seen, PEER_CHECK_SECONDS if waiting else IDLE_SECONDS)
 
     async def _admit(self, call: ServiceCall) -> Answer:
-        use = self._admission.enter(call)
-        use.in_flight += 1
+        usage = self._admission.admit(call)
+        usage.in_flight += 1
         try:
-            return await self._deliver_counted(call)
+            return await self._deliver_and_count(call)
         finally:
-            use.in_flight -= 1
+            usage.in_flight -= 1
 
-    async def _deliver_counted(self, call: ServiceCall) -> Answer:
+    async def _deliver_and_count(self, call: ServiceCall) -> Answer:
         self.in_flight += 1
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         try:
             answer = await self._deliver(call)
         except RequestError as error:
-            self._note_refusal(call, error)
+            self._report_refusal(call, error)
             raise
         finally:
             self.in_flight -= 1
-        self._metrics.answered(call, self._clock.monotonic() - began)
+        self._metrics.count_answer(call, self._clock.monotonic() - started_at)
         return answer
 
-    def _note_refusal(self, call: ServiceCall, error: RequestError) -> None:
+    def _report_refusal(self, call: ServiceCall, error: RequestError) -> None:
         problem = error.problem
-        self._metrics.refused(call, problem.verdict.value, problem.cause)
+        self._metrics.count_refusal(call, problem.verdict.value, problem.cause)
         self._journal.tell_frequent(
             Part.ROUTING,
             f'gave up on a request for {call.service}; {problem.detail}.',
@@ -197,21 +197,21 @@
         )
 
     async def _deliver(self, call: ServiceCall) -> Answer:
-        if not call.is_keyed or call.hops >= KEYED_HOPS:
-            return await self._attempt_all(call)
+        if not call.is_keyed or call.hops >= MAX_KEYED_HOPS:
+            return await self._try_all(call)
         zones = zones_of(self._settings)
-        home = choose_owner(f'key|{call.customer}|{call.key}', zones)
-        if home != self._settings.availability_zone:
-            return await self._deliver_to_zone(call, home)
+        key_zone = choose_owner(f'key|{call.customer}|{call.key}', zones)
+        if key_zone != self._settings.availability_zone:
+            return await self._deliver_to_zone(call, key_zone)
         return await self._deliver_keyed(call)
 
     async def _deliver_keyed(self, call: ServiceCall) -> Answer:
         remaining = call.deadline - self._clock.monotonic()
         # A peer may wait for this answer: it must still get there in time.
-        patience = max(MARGIN_SECONDS, remaining * INTENT_PART)
-        nonce = await self._keyed.begin(call.customer, call.key, call.request, patience)
+        timeout = max(ANSWER_MARGIN_SECONDS, remaining * INTENT_TIME_FRACTION)
+        nonce = await self._keyed.begin(call.customer, call.key, call.request, timeout)
         try:
-            answer = await self._attempt_all(call)
+            answer = await self._try_all(call)
         except RequestError as error:
             if error.problem.verdict is not Verdict.NOT_RUN:
                 raise
@@ -231,11 +231,11 @@
                 HTTP_UNAVAILABLE,
                 'zones-differ',
                 f"zone {zone} keeps this key by our settings, not by the asking daemon's",
-                NO_ROUTE_RETRY,
+                NO_ROUTE_RETRY_SECONDS,
             )
-        return await self._hand_on(call, self._directory.states(zone), HOPS)
+        return await self._forward_to_any(call, self._directory.states(zone), MAX_HOPS)
 
-    async def _hand_on(
+    async def _forward_to_any(
         self,
         call: ServiceCall,
         states: tuple[PeerState, ...],
@@ -261,84 +261,86 @@
             HTTP_UNAVAILABLE,
             'peers-unreachable',
             'no daemon that could take the request is in reach',
-            NO_ROUTE_RETRY,
+            NO_ROUTE_RETRY_SECONDS,
         )
 
-    async def _attempt_all(self, call: ServiceCall) -> Answer:
+    async def _try_all(self, call: ServiceCall) -> Answer:
         """Try runners and peers until one answers; raises ``RequestError``."""
-        trail = _Trail()
+        history = _AttemptHistory()
         try:
-            return await self._try_until_answered(call, trail)
+            return await self._try_until_answered(call, history)
         except RequestError as error:
             problem = error.problem
-            if not trail.may_have_run or problem.verdict is not Verdict.NOT_RUN:
+            if not history.may_have_run or problem.verdict is not Verdict.NOT_RUN:
                 raise
             # The last try did not run, but an earlier one may have.
             raise unknown(problem.status, problem.cause, problem.detail) from error
 
-    async def _try_until_answered(self, call: ServiceCall, trail: '_Trail') -> Answer:
+    async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Answer:
         while True:
             self._check_deadline(call)
-            runner = self._pool.take(call.service, headroom=call.task_class != 'urgent')
+            runner = self._pool.acquire_slot(call.service, headroom=call.task_class != 'urgent')
             if runner is None:
-                answer = await self._try_elsewhere(call, trail)
+                answer = await self._try_peers(call, history)
             else:
-                answer = await self._send(call, runner, trail)
+                answer = await self._send(call, runner, history)
             if answer is not None:
                 return answer
 
-    async def _send(self, call: ServiceCall, runner: Runner, trail: '_Trail') -> Answer | None:
+    async def _send(
+        self, call: ServiceCall, runner: Runner, history: '_AttemptHistory'
+    ) -> Answer | None:
         """Send to a runner; ``None`` when the request may be tried again."""
-        self._tell_choice(call, runner)
+        self._log_choice(call, runner)
         remaining = call.deadline - self._clock.monotonic()
         try:
             answer = await runner.send(
-                call.outgoing(),
+                call.make_runner_request(),
                 remaining,
                 self._pool.changed.notify,
                 # A connection that idled may be closed by the runner just as
                 # the request leaves; nobody could tell whether it had run.
-                fresh=not call.idempotent,
-                check=lambda: self._pool.may_send(runner),
+                new_connection=not call.idempotent,
+                may_send=lambda: self._pool.may_send(runner),
             )
         except ExchangeError as error:
-            trail.may_have_run = trail.may_have_run or error.sent
-            self._judge_failure(call, runner, error)
+            history.may_have_run = history.may_have_run or error.sent
+            self._check_retry(call, runner, error)
             return None
         return with_verdict(answer, Verdict.RAN)
 
-    def _judge_failure(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
+    def _check_retry(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
         """Return when another try is allowed; raises ``RequestError`` otherwise."""
         if isinstance(error, ForbiddenError):
             return
         may_repeat = call.idempotent or not error.sent
-        in_time = self._clock.monotonic() + MARGIN_SECONDS < call.deadline
-        if may_repeat and in_time and self._admission.spend_retry(call):
-            self._metrics.retried(call)
+        in_time = self._clock.monotonic() + ANSWER_MARGIN_SECONDS < call.deadline
+        if may_repeat and in_time and self._admission.use_retry(call):
+            self._metrics.count_retry(call)
             return
         detail = f'runner {runner.entry.name}: {error}'
         if error.sent:
             status = HTTP_BAD_GATEWAY if in_time else HTTP_TIMEOUT
             raise unknown(status, 'runner-failed', detail)
-        raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, CONCURRENCY_RETRY)
+        raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
 
-    async def _try_elsewhere(self, call: ServiceCall, trail: '_Trail') -> Answer | None:
-        state = self._peer_with_room(call)
+    async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Answer | None:
+        state = self._find_peer(call)
         if state is None:
-            if call.hops >= _last_hop(call):
-                raise _NoRoom
-            await self._wait_for_room(call)
+            if call.hops >= _max_hops(call):
+                raise _NoFreeSlotError
+            await self._wait_for_slot(call)
             return None
         try:
             # Its key is taken by now: the next daemon must not ask for it again.
-            answer = await self._forward(call, state, _last_hop(call))
+            answer = await self._forward(call, state, _max_hops(call))
         except PeerError as error:
             state.gossip = replace(state.gossip, rooms=())
             if error.verdict is Verdict.NOT_RUN:
                 return None
-            trail.may_have_run = True
-            if call.idempotent and self._admission.spend_retry(call):
-                self._metrics.retried(call)
+            history.may_have_run = True
+            if call.idempotent and self._admission.use_retry(call):
+                self._metrics.count_retry(call)
                 return None
             raise unknown(
                 HTTP_TIMEOUT,
@@ -363,7 +365,7 @@
             peer=state.member,
         )
         message = Forward(call.request, remaining, hops)
-        frame = await state.link.ask(message, max(remaining, MARGIN_SECONDS))
+        frame = await state.link.ask(message, max(remaining, ANSWER_MARGIN_SECONDS))
         answer = frame.message
         if not isinstance(answer, ForwardAnswer):
             raise PeerError('not an answer', Verdict.UNKNOWN)
@@ -372,30 +374,30 @@
         raise_problem(answer.answer)
         return answer.answer
 
-    def _peer_with_room(self, call: ServiceCall) -> PeerState | None:
-        if call.hops >= _last_hop(call):
+    def _find_peer(self, call: ServiceCall) -> PeerState | None:
+        if call.hops >= _max_hops(call):
             return None
         zone = self._settings.availability_zone
-        best = self._roomiest(call, self._directory.states(zone))
+        best = self._find_most_free(call, self._directory.states(zone))
         if best is not None:
             return best
-        if call.deadline - self._clock.monotonic() < FAR_SECONDS:
+        if call.deadline - self._clock.monotonic() < CROSS_ZONE_MIN_SECONDS:
             return None
         others = tuple(
             state for state in self._directory.states() if state.address.availability_zone != zone
         )
-        return self._roomiest(call, others)
+        return self._find_most_free(call, others)
 
-    def _roomiest(self, call: ServiceCall, states: tuple[PeerState, ...]) -> PeerState | None:
+    def _find_most_free(self, call: ServiceCall, states: tuple[PeerState, ...]) -> PeerState | None:
         best = None
-        best_room = 0
+        most_free = 0
         for state in states:
-            room = _room_of(state, call.service) - state.sent_since
-            if room > best_room and not state.gossip.draining:
-                best, best_room = state, room
+            free = _free_slots_of(state, call.service) - state.sent_since
+            if free > most_free and not state.gossip.draining:
+                best, most_free = state, free
         return best
 
-    async def _wait_for_room(self, call: ServiceCall) -> None:
+    async def _wait_for_slot(self, call: ServiceCall) -> None:
         """Queue until a slot may be free; raises ``RequestError`` when it is no use."""
         queue = self._queue_by_service.get(call.service)
         if queue is None:
@@ -409,45 +411,45 @@
         )
         remaining = call.deadline - self._clock.monotonic()
         try:
-            await curio.ignore_after(min(remaining, LOOK_SECONDS), waiter.woken.wait)
+            await curio.ignore_after(min(remaining, PEER_CHECK_SECONDS), waiter.wakeup.wait)
         finally:
             queue.remove(waiter)
 
     def _check_queue(self, call: ServiceCall, queue: RequestQueue) -> None:
-        if not self._pool.knows(call.service) and not self._service_is_anywhere(call.service):
+        if not self._pool.has_service(call.service) and not self._is_service_known(call.service):
             raise not_run(
                 HTTP_NOT_FOUND,
                 'unknown-service',
                 f'no runner of service {call.service!r} is known',
-                NO_ROUTE_RETRY,
+                NO_ROUTE_RETRY_SECONDS,
             )
         if queue.is_full:
             raise not_run(
                 HTTP_UNAVAILABLE,
                 'queue-full',
                 f'{queue.waiting} requests for {call.service} are waiting',
-                CONCURRENCY_RETRY,
+                RETRY_AFTER_SECONDS,
             )
-        expected = self._expected_wait(call, queue)
-        if self._clock.monotonic() + expected > call.deadline:
+        expected_wait = self._estimate_wait(call, queue)
+        if self._clock.monotonic() + expected_wait > call.deadline:
             raise not_run(
                 HTTP_UNAVAILABLE,
                 'deadline-out-of-reach',
-                f'the wait is about {expected:.2f} s, past the deadline',
-                expected,
+                f'the wait is about {expected_wait:.2f} s, past the deadline',
+                expected_wait,
             )
 
-    def _expected_wait(self, call: ServiceCall, queue: RequestQueue) -> float:
+    def _estimate_wait(self, call: ServiceCall, queue: RequestQueue) -> float:
         """Return seconds until an answer, from the queue ahead and the mean run."""
         slots = self._pool.slots(call.service)
-        mean = self._pool.mean_seconds(call.service)
-        if not slots or not mean:
+        mean_seconds = self._pool.mean_seconds(call.service)
+        if not slots or not mean_seconds:
             return 0
-        ahead = queue.ahead(self._priority(call), call.deadline)
-        return (ahead / slots + 1) * mean
+        requests_ahead = queue.count_ahead(self._priority(call), call.deadline)
+        return (requests_ahead / slots + 1) * mean_seconds
 
-    def _service_is_anywhere(self, service: str) -> bool:
-        return any(_room_of(state, service) for state in self._directory.states())
+    def _is_service_known(self, service: str) -> bool:
+        return any(_free_slots_of(state, service) for state in self._directory.states())
 
     def _priority(self, call: ServiceCall) -> int:
         contract = self._book.effective(call.customer)
@@ -455,15 +457,15 @@
         return terms.priority if terms else 0
 
     def _check_deadline(self, call: ServiceCall) -> None:
-        if self._clock.monotonic() + MARGIN_SECONDS >= call.deadline:
+        if self._clock.monotonic() + ANSWER_MARGIN_SECONDS >= call.deadline:
             raise not_run(
                 HTTP_TIMEOUT,
                 'deadline',
                 'no slot came free before the deadline; nothing was sent',
-                CONCURRENCY_RETRY,
+                RETRY_AFTER_SECONDS,
             )
 
-    def _tell_choice(self, call: ServiceCall, runner: Runner) -> None:
+    def _log_choice(self, call: ServiceCall, runner: Runner) -> None:
         self._journal.tell_frequent(
             Part.ROUTING,
             f'sends a request for {call.service} to {runner.entry.name}; '
@@ -476,8 +478,8 @@
 
 def with_verdict(answer: Answer, verdict: Verdict) -> Answer:
     """Return the answer with this verdict, whatever the runner wrote there."""
-    kept = tuple(header for header in answer.headers if header[0] != VERDICT_HEADER)
-    return replace(answer, headers=(*kept, (VERDICT_HEADER, verdict.value)))
+    headers = tuple(header for header in answer.headers if header[0] != VERDICT_HEADER)
+    return replace(answer, headers=(*headers, (VERDICT_HEADER, verdict.value)))
 
 
 def raise_problem(answer: Answer) -> None:
@@ -499,13 +501,13 @@
     )
 
 
-def _last_hop(call: ServiceCall) -> int:
+def _max_hops(call: ServiceCall) -> int:
     """Return the number of the hop behind which a request travels no further."""
-    return KEYED_HOPS if call.is_keyed else HOPS
+    return MAX_KEYED_HOPS if call.is_keyed else MAX_HOPS
 
 
-def _room_of(state: PeerState, service: str) -> int:
-    for room in state.gossip.rooms:
-        if room.service == service:
-            return room.free_slots
+def _free_slots_of(state: PeerState, service: str) -> int:
+    for free in state.gossip.rooms:
+        if free.service == service:
+            return free.free_slots
     return 0
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -21,19 +21,19 @@
 SLOTS_PATH = '/.runner/slots'
 HTTP_OK = 200
 #: Weight of the newest latency in the moving average.
-NEWEST = 0.1
+LATENCY_WEIGHT = 0.1
 #: A runner whose latency is this many times its best takes fewer at a time.
 SLOW_FACTOR = 3.0
-DECREASE = 0.9
-DRIFT = 1.01
-LEAST_LIMIT = 1.0
+LIMIT_DECREASE_FACTOR = 0.9
+BEST_DRIFT_FACTOR = 1.01
+MIN_LIMIT = 1.0
 QUARANTINE_SECONDS = 1.0
-QUARANTINE_LIMIT = 30.0
+MAX_QUARANTINE_SECONDS = 30.0
 FAILURES_TO_QUARANTINE = 3
-PROBE_SECONDS = 0.5
+SLOT_QUERY_SECONDS = 0.5
 
 
-class SlotUse(msgspec.Struct, frozen=True):
+class SlotUsage(msgspec.Struct, frozen=True):
     """What a runner tells about its slots."""
 
     busy: int
@@ -47,15 +47,15 @@
         self.mean = 0.0
         self.best = 0.0
 
-    def note(self, seconds: float) -> None:
+    def add(self, seconds: float) -> None:
         """Add one answer's time."""
         if not self.mean:
             self.mean = self.best = seconds
             return
-        self.mean += (seconds - self.mean) * NEWEST
+        self.mean += (seconds - self.mean) * LATENCY_WEIGHT
         # The best drifts up, so that one very short answer long ago does not
         # make every later one look slow.
-        self.best = min(seconds, self.best * DRIFT)
+        self.best = min(seconds, self.best * BEST_DRIFT_FACTOR)
 
     @property
     def is_slow(self) -> bool:
@@ -92,24 +92,24 @@
         self.open_connections = 0
         #: Slots that requests of a former owner may still hold.
         self.former_owner_slots = 0
-        self.foreign_until = 0.0
-        self.sign_of_leaving_at = float('-inf')
+        self.former_owner_until = 0.0
+        self.leaving_seen_at = float('-inf')
 
     @property
     def limit(self) -> int:
         """Return how many requests the runner takes well at present."""
         return int(self._limit)
 
-    def room(self, grant: Grant) -> int:
+    def free_slots(self, grant: Grant) -> int:
         """Return how many more requests may be sent under that grant."""
         if self.is_quarantined():
             return 0
-        free = min(self.allowed(grant), self.limit) - self.in_use
+        free = min(self.slot_limit(grant), self.limit) - self.in_use
         # Idle connections can be closed to make room for a new one.
         busy_connections = self.open_connections - len(self._idle)
         return max(0, min(free, self.entry.connections - busy_connections))
 
-    def allowed(self, grant: Grant) -> int:
+    def slot_limit(self, grant: Grant) -> int:
         """Return how many slots this daemon may hold at all under that grant."""
         if grant.level is Level.NONE or grant.epoch != self._epoch:
             # What a former owner may still have there has to be judged first.
@@ -126,41 +126,41 @@
         """Return whether recent failures keep work away from it."""
         return self._clock.monotonic() < self._quarantined_until
 
-    def take_over(self, grant: Grant, *, clean: bool) -> None:
+    def start_ownership(self, grant: Grant, *, clean_handover: bool) -> None:
         """Count all slots as held by the former owner until they are known free."""
         self._epoch = grant.epoch
-        if not clean:
+        if not clean_handover:
             self.former_owner_slots = self.entry.slots
-            self.foreign_until = self._clock.monotonic() + self._longest_run
+            self.former_owner_until = self._clock.monotonic() + self._longest_run
 
-    async def watch_foreign(self) -> None:
+    async def await_former_owner(self) -> None:
         """Ask the runner what is busy until nothing of a former owner is left.
 
         A runner that does not tell frees the slots after the longest run.
         """
-        idle_seen = 0
+        idle_answers = 0
         while self.former_owner_slots:
-            await curio.sleep(PROBE_SECONDS)
-            busy = await self._ask_busy()
+            await curio.sleep(SLOT_QUERY_SECONDS)
+            busy = await self._query_busy_slots()
             if busy is None:
-                if self._clock.monotonic() >= self.foreign_until:
+                if self._clock.monotonic() >= self.former_owner_until:
                     self.former_owner_slots = 0
                 continue
             self.former_owner_slots = max(0, busy - self.in_use)
             # A request of the former owner may have been on its way when the
             # runner was asked; one quiet answer is not enough.
-            idle_seen = 0 if self.former_owner_slots else idle_seen + 1
-            if idle_seen == 1:
+            idle_answers = 0 if self.former_owner_slots else idle_answers + 1
+            if idle_answers == 1:
                 self.former_owner_slots = 1
 
     async def send(
         self,
         request: Request,
         timeout: float,
-        when_free: Callable[[], Any],
+        on_release: Callable[[], Any],
         *,
-        fresh: bool,
-        check: Callable[[], bool],
+        new_connection: bool,
+        may_send: Callable[[], bool],
     ) -> Answer:
         """Send a request and return its whole answer; raises ``ExchangeError``.
 
@@ -169,7 +169,9 @@
         time-out that is when the late answer arrives, not when the caller
         stops waiting.
         """
-        exchange = _Exchange(self, request, when_free, fresh=fresh, check=check)
+        exchange = _Exchange(
+            self, request, on_release, new_connection=new_connection, may_send=may_send
+        )
         task = await curio.spawn(exchange.run, self._longest_run, daemon=True)
         await curio.ignore_after(timeout, exchange.done.wait)
         if exchange.answer is not None:
@@ -188,9 +190,9 @@
             self.open_connections -= 1
             await connection.close()
 
-    async def open_connection(self, *, fresh: bool) -> Connection:
+    async def open_connection(self, *, new_connection: bool) -> Connection:
         """Return an idle connection, or a new one; raises ``ExchangeError``."""
-        while self._idle and not fresh:
+        while self._idle and not new_connection:
             connection = self._idle.pop()
             if connection.is_open:
                 return connection
@@ -209,7 +211,7 @@
             raise
         return connection
 
-    async def give_back(self, connection: Connection, *, reusable: bool) -> None:
+    async def return_connection(self, connection: Connection, *, reusable: bool) -> None:
         """Keep a connection that ended its exchange well; close any other."""
         if reusable and connection.is_open:
             self._idle.append(connection)
@@ -217,37 +219,37 @@
         self.open_connections -= 1
         await connection.close()
 
-    def note_answer(self, seconds: float, answer: Answer) -> None:
+    def record_answer(self, seconds: float, answer: Answer) -> None:
         """Learn from an answer."""
-        self.latency.note(seconds)
+        self.latency.add(seconds)
         self._failures = 0
         self._quarantine = QUARANTINE_SECONDS
         if self.latency.is_slow:
-            self._limit = max(LEAST_LIMIT, self._limit * DECREASE)
+            self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
         else:
             self._limit = min(float(self.entry.slots), self._limit + 1 / self._limit)
         if answer.header('connection').lower() == 'close':
-            self.sign_of_leaving_at = self._clock.monotonic()
+            self.leaving_seen_at = self._clock.monotonic()
 
-    def note_failure(self, error: ExchangeError) -> None:
+    def record_failure(self, error: ExchangeError) -> None:
         """Learn from a failure; a refused connection is a sign of leaving."""
         if isinstance(error, ForbiddenError):
             return
         if isinstance(error, RefusedError):
-            self.sign_of_leaving_at = self._clock.monotonic()
+            self.leaving_seen_at = self._clock.monotonic()
         self._failures += 1
         if self._failures >= FAILURES_TO_QUARANTINE or isinstance(error, RefusedError):
             self._quarantined_until = self._clock.monotonic() + self._quarantine
-            self._quarantine = min(self._quarantine * 2, QUARANTINE_LIMIT)
+            self._quarantine = min(self._quarantine * 2, MAX_QUARANTINE_SECONDS)
 
-    async def _ask_busy(self) -> int | None:
+    async def _query_busy_slots(self) -> int | None:
         connection = Connection(self.entry.address, self.entry.port, self._answer_bytes)
         try:
-            await connection.open(PROBE_SECONDS, PROBE_SECONDS)
-            answer = await connection.exchange(Request('GET', SLOTS_PATH), PROBE_SECONDS)
+            await connection.open(SLOT_QUERY_SECONDS, SLOT_QUERY_SECONDS)
+            answer = await connection.exchange(Request('GET', SLOTS_PATH), SLOT_QUERY_SECONDS)
             if answer.status != HTTP_OK:
                 return None
-            return msgspec.json.decode(answer.body, type=SlotUse).busy
+            return msgspec.json.decode(answer.body, type=SlotUsage).busy
         except RefusedError:
             return 0
         except (ExchangeError, msgspec.MsgspecError):
@@ -263,16 +265,16 @@
         self,
         runner: Runner,
         request: Request,
-        when_free: Callable[[], Any],
+        on_release: Callable[[], Any],
         *,
-        fresh: bool,
-        check: Callable[[], bool],
+        new_connection: bool,
+        may_send: Callable[[], bool],
     ) -> None:
         self._runner = runner
         self._request = request
-        self._when_free = when_free
-        self._fresh = fresh
-        self._check = check
+        self._on_release = on_release
+        self._new_connection = new_connection
+        self._may_send = may_send
         self.done = curio.Event()
         self.answer: Answer | None = None
         self.error: ExchangeError | None = None
@@ -284,38 +286,40 @@
             await self._run(longest_run)
         except ExchangeError as error:
             self.error = error
-            runner.note_failure(error)
+            runner.record_failure(error)
             await self.done.set()
             if error.sent and not isinstance(error, RefusedError):
                 # The runner may still be at work although the connection is
                 # gone; the slot stays held until no run can last any longer.
-                await self._wait_until_idle(longest_run)
+                await self._wait_for_release(longest_run)
         finally:
             runner.in_use -= 1
             await self.done.set()
-            await self._when_free()
+            await self._on_release()
 
     async def _run(self, longest_run: float) -> None:
         runner = self._runner
-        began = runner._clock.monotonic()
-        connection = await runner.open_connection(fresh=self._fresh)
+        started_at = runner._clock.monotonic()
+        connection = await runner.open_connection(new_connection=self._new_connection)
         finished = False
         try:
-            self.answer = await connection.exchange(self._request, longest_run, self._may_leave)
+            self.answer = await connection.exchange(
+                self._request, longest_run, self._check_may_send
+            )
             finished = True
         finally:
-            await runner.give_back(connection, reusable=finished)
-        runner.note_answer(runner._clock.monotonic() - began, self.answer)
+            await runner.return_connection(connection, reusable=finished)
+        runner.record_answer(runner._clock.monotonic() - started_at, self.answer)
         await self.done.set()
 
-    def _may_leave(self) -> bool:
-        self.sent = self._check()
+    def _check_may_send(self) -> bool:
+        self.sent = self._may_send()
         return self.sent
 
-    async def _wait_until_idle(self, longest_run: float) -> None:
+    async def _wait_for_release(self, longest_run: float) -> None:
         until = self._runner._clock.monotonic() + longest_run
         while self._runner._clock.monotonic() < until:
-            busy = await self._runner._ask_busy()
+            busy = await self._runner._query_busy_slots()
             if busy is not None and busy < self._runner.in_use:
                 return
-            await curio.sleep(PROBE_SECONDS)
+            await curio.sleep(SLOT_QUERY_SECONDS)
