--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -186,7 +186,7 @@
         return total
 
     def _free_slots(self, runner: Runner) -> int:
-        return runner.free(self._authority.grant(runner_shard(runner.entry.name)))
+        return runner.free_slots(self._authority.grant(runner_shard(runner.entry.name)))
 
     def _slots_reserved_for_urgent(self, runner: Runner) -> int:
         return round(runner.entry.slots * self._settings.limits.urgent_headroom)
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -24,16 +24,16 @@
 REFUSED = 'refused'
 UNKNOWN = 'unknown'
 #: A watch waits this part of a lease at the worker for news.
-WATCH_PART = 2 / 3
+WATCH_LEASE_FRACTION = 2 / 3
 UNSETTLED_WATCH_SECONDS = 1.0
-RETRY_SECONDS = 0.5
+RETRY_DELAY_SECONDS = 0.5
 #: Without ownership the agent waits to be told of a new grant.
-IDLE_SECONDS = 10.0
-MILLISECONDS = 1000
+IDLE_WAIT_SECONDS = 10.0
+MILLISECONDS_PER_SECOND = 1000
 #: Renewed this many times within a lease.
-RENEWALS = 3
+RENEWALS_PER_LEASE = 3
 #: A task that uses more than this times its declaration is held back.
-OUTGROWN = 1.1
+OVERUSE_FACTOR = 1.1
 THROTTLE = 'throttle'
 CHECKPOINT = 'checkpoint'
 STOP = 'stop'
@@ -42,10 +42,10 @@
 
 
 @dataclass
-class _Reached:
+class _LastContact:
     """When the worker last answered, on this daemon's clock."""
 
-    at: float
+    answered_at: float
     reachable: bool = True
 
 
@@ -70,14 +70,14 @@
         self._settings = settings
         self._clock = clock
         self._journal = journal
-        self._reached = _Reached(clock.monotonic())
-        self._listing: TaskList | None = None
-        self._outgrown_by_task: dict[str, str] = {}
-        self._seen_grant = NO_GRANT
+        self._last_contact = _LastContact(clock.monotonic())
+        self._task_list: TaskList | None = None
+        self._last_action_by_task: dict[str, str] = {}
+        self._last_grant = NO_GRANT
         self.ledger = Ledger(entry.capacity)
         self.shard = worker_shard(entry.name)
         self.changed = Signal()
-        self.starts = 0
+        self.start_count = 0
 
     def grant(self) -> Grant:
         """Return what this daemon may do on the worker now."""
@@ -85,29 +85,29 @@
 
     async def run(self) -> None:
         """Watch the worker while this daemon owns it, for ever."""
-        revision = -1
+        last_revision = -1
         while True:
             seen = self.changed.count
             if self.grant().level is Level.NONE:
-                revision = -1
-                self._listing = None
-                await self.changed.wait(seen, IDLE_SECONDS)
+                last_revision = -1
+                self._task_list = None
+                await self.changed.wait(seen, IDLE_WAIT_SECONDS)
                 continue
-            revision = await self._watch(revision)
+            last_revision = await self._watch(last_revision)
 
     async def run_renewals(self) -> None:
         """Renew the leases of all that runs while this daemon owns the worker."""
         while True:
-            await curio.sleep(self._settings.timings.lease / RENEWALS)
+            await curio.sleep(self._settings.timings.lease / RENEWALS_PER_LEASE)
             if self.grant().level is Level.NONE:
                 continue
-            await self.renew([hold.task_id for hold in self.ledger.allocations()])
+            await self.renew([allocation.task_id for allocation in self.ledger.allocations()])
 
     async def renew(self, task_ids: list[str]) -> None:
         """Renew some leases; a failure shows as a worker that cannot be reached."""
         if not task_ids:
             return
-        lease_ms = int(self._settings.timings.lease * MILLISECONDS)
+        lease_ms = int(self._settings.timings.lease * MILLISECONDS_PER_SECOND)
         try:
             await self._service.renew(LeaseRenewal(self._me, lease_ms, tuple(task_ids)))
         except WorkerError:
@@ -120,18 +120,18 @@
         tasks of an owner that died in a log outage would lapse.
         """
         try:
-            listing = await self._service.tasks(-1, 0)
+            task_list = await self._service.tasks(-1, 0)
         except WorkerError:
             return
-        await self.renew([status.id for status in listing.tasks if status.is_running])
+        await self.renew([status.id for status in task_list.tasks if status.is_running])
 
     async def start(self, order: PlaceOrder) -> PlaceAnswer:
         """Start a task if the ledger and the authority allow it."""
         now = self._clock.monotonic()
-        known = self.ledger.get(order.task_id)
-        if known is not None and known.state is AllocationState.RUNNING:
+        allocation = self.ledger.get(order.task_id)
+        if allocation is not None and allocation.state is AllocationState.RUNNING:
             return PlaceAnswer(STARTED, 'it runs already')
-        if known is not None:
+        if allocation is not None:
             return PlaceAnswer(UNKNOWN, 'its start is under way or in doubt')
         grant = self.grant()
         cause = self.ledger.refusal_reason(order.demand, grant)
@@ -153,26 +153,26 @@
             return False
         return True
 
-    def report(self, silent: float, as_of: float, dispatch_epoch: int) -> WorkerReport:
+    def report(self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int) -> WorkerReport:
         """Return what is known of the worker now."""
         grant = self.grant()
-        listing = self._listing
-        statuses = listing.tasks if listing else ()
+        task_list = self._task_list
+        statuses = task_list.tasks if task_list else ()
         reports = [self._task_report(status) for status in statuses]
-        listed = {status.id for status in statuses}
+        listed_ids = {status.id for status in statuses}
         reports.extend(
-            _held_report(hold.task_id, hold.demand)
-            for hold in self.ledger.allocations()
-            if hold.task_id not in listed
+            _pending_start_report(allocation.task_id, allocation.demand)
+            for allocation in self.ledger.allocations()
+            if allocation.task_id not in listed_ids
         )
         return WorkerReport(
             self.entry.name,
             grant.epoch,
-            self._reached.reachable and listing is not None,
+            self._last_contact.reachable and task_list is not None,
             self.ledger.usable_capacity(grant),
             tuple(reports),
-            silent,
-            self._remembers(),
+            unrenewed_seconds,
+            self._start_history_seconds(),
             as_of,
             dispatch_epoch,
         )
@@ -180,99 +180,99 @@
     async def note_grant(self) -> None:
         """Wake what waits for news when the grant has changed."""
         grant = self.grant()
-        if grant != self._seen_grant:
-            self._seen_grant = grant
+        if grant != self._last_grant:
+            self._last_grant = grant
             await self.changed.notify()
 
     @property
     def reached_at(self) -> float:
         """Return when the worker last answered."""
-        return self._reached.at
+        return self._last_contact.answered_at
 
     async def close(self) -> None:
         """Give up connections."""
         await self._service.close()
 
-    def _remembers(self) -> float:
+    def _start_history_seconds(self) -> float:
         """Return how far back from now the newest listing knows every start.
 
         It was made some time ago, at the end of a long watch perhaps, and
         reaches back from there.
         """
-        if self._listing is None:
+        if self._task_list is None:
             return 0
-        since_listed = max(0.0, self._clock.monotonic() - self.ledger.listed_at)
-        return self._listing.remembers_ms / MILLISECONDS + since_listed
+        list_age = max(0.0, self._clock.monotonic() - self.ledger.listed_at)
+        return self._task_list.remembers_ms / MILLISECONDS_PER_SECOND + list_age
 
-    async def _watch(self, revision: int) -> int:
-        asked_at = self._clock.monotonic()
-        stale = self.ledger.listed_at < self.grant().since
-        wait = 0.0 if revision < 0 or stale else self._watch_seconds()
+    async def _watch(self, last_revision: int) -> int:
+        requested_at = self._clock.monotonic()
+        list_is_stale = self.ledger.listed_at < self.grant().since
+        wait = 0.0 if last_revision < 0 or list_is_stale else self._watch_seconds()
         try:
-            listing = await self._service.tasks(revision if wait else -1, wait)
+            task_list = await self._service.tasks(last_revision if wait else -1, wait)
         except WorkerError as error:
             await self._note_unreachable(error)
             return -1
-        if listing.unchanged and self._has_restarted(listing):
+        if task_list.unchanged and self._has_restarted(task_list):
             self._journal.tell(
                 Part.WORKERS,
                 f'{self.entry.name} has restarted.',
                 worker=self.entry.name,
-                revision=revision,
-                remembers_ms=listing.remembers_ms,
+                revision=last_revision,
+                remembers_ms=task_list.remembers_ms,
             )
             return -1
         # A listing that waited tells the state at its end, but one that was
         # asked before a start must not release it.
-        self._reached = _Reached(self._clock.monotonic())
-        listing = self._complete(listing)
-        self.ledger.note_listing(listing, asked_at)
-        news = self._listing is None or listing.revision != self._listing.revision
-        self._listing = listing
-        await self._check_use(listing)
-        await self._resolve_doubtful()
-        if news:
+        self._last_contact = _LastContact(self._clock.monotonic())
+        task_list = self._fill_unchanged(task_list)
+        self.ledger.note_listing(task_list, requested_at)
+        list_changed = self._task_list is None or task_list.revision != self._task_list.revision
+        self._task_list = task_list
+        await self._enforce_declared_use(task_list)
+        await self._stop_doubtful()
+        if list_changed:
             await self.changed.notify()
-        return listing.revision
+        return task_list.revision
 
-    def _has_restarted(self, listing: TaskList) -> bool:
+    def _has_restarted(self, task_list: TaskList) -> bool:
         """Return whether a worker's memory does not reach back to the list before this one.
 
         A worker that has restarted counts its revisions anew, and may reach the one known.
         """
-        since_listed = self._clock.monotonic() - self.ledger.listed_at
-        return listing.remembers_ms / MILLISECONDS < since_listed
+        list_age = self._clock.monotonic() - self.ledger.listed_at
+        return task_list.remembers_ms / MILLISECONDS_PER_SECOND < list_age
 
-    def _complete(self, listing: TaskList) -> TaskList:
+    def _fill_unchanged(self, task_list: TaskList) -> TaskList:
         """Return an unchanged list with the tasks that are known of its revision."""
-        known = self._listing
-        if not listing.unchanged or known is None:
-            return listing
-        return TaskList(known.revision, known.tasks, listing.remembers_ms)
+        known = self._task_list
+        if not task_list.unchanged or known is None:
+            return task_list
+        return TaskList(known.revision, known.tasks, task_list.remembers_ms)
 
     def _watch_seconds(self) -> float:
         # Once the former owner is settled the worker must be listed again
         # before its other half may be filled; a long wait would delay that.
         if self.grant().level is Level.OTHER_HALF:
             return UNSETTLED_WATCH_SECONDS
-        return self._settings.timings.lease * WATCH_PART
+        return self._settings.timings.lease * WATCH_LEASE_FRACTION
 
     async def _note_unreachable(self, error: WorkerError) -> None:
-        if self._reached.reachable:
+        if self._last_contact.reachable:
             self._journal.tell(
                 Part.WORKERS,
                 f'cannot reach {self.entry.name}; {error}.',
                 worker=self.entry.name,
             )
-        self._reached = _Reached(self._reached.at, reachable=False)
+        self._last_contact = _LastContact(self._last_contact.answered_at, reachable=False)
         await self.changed.notify()
-        await curio.sleep(RETRY_SECONDS)
+        await curio.sleep(RETRY_DELAY_SECONDS)
 
     async def _send_start(self, order: PlaceOrder, grant: Grant) -> PlaceAnswer:
-        told = TaskOrder(
+        task_order = TaskOrder(
             order.demand,
             order.command,
-            int(self._settings.timings.lease * MILLISECONDS),
+            int(self._settings.timings.lease * MILLISECONDS_PER_SECOND),
             self._me,
             grant.epoch,
             order.customer,
@@ -284,13 +284,13 @@
         try:
             await self._service.start(
                 order.task_id,
-                told,
+                task_order,
                 timeout,
                 lambda: self._still_allowed(grant),
             )
         except WorkerError as error:
             return await self._note_failed_start(order, error)
-        self.starts += 1
+        self.start_count += 1
         self.ledger.set_state(order.task_id, AllocationState.RUNNING, self._clock.monotonic())
         return PlaceAnswer(STARTED)
 
@@ -314,33 +314,33 @@
         )
         return PlaceAnswer(UNKNOWN, f'{error}')
 
-    async def _resolve_doubtful(self) -> None:
+    async def _stop_doubtful(self) -> None:
         """Stop what may or may not have started.
 
         The stop is kept by the worker: should the lost start still arrive, it
         is refused. Only then is the room free again.
         """
-        for hold in self.ledger.allocations():
-            if hold.state is not AllocationState.DOUBTFUL:
+        for allocation in self.ledger.allocations():
+            if allocation.state is not AllocationState.DOUBTFUL:
                 continue
-            if await self.act(hold.task_id, STOP):
-                self.ledger.release(hold.task_id)
+            if await self.act(allocation.task_id, STOP):
+                self.ledger.release(allocation.task_id)
                 await self.changed.notify()
 
-    async def _check_use(self, listing: TaskList) -> None:
+    async def _enforce_declared_use(self, task_list: TaskList) -> None:
         """Hold back a task that has outgrown its declaration: throttle, then stop."""
-        running = {status.id for status in listing.tasks if status.is_running}
-        for task_id in tuple(self._outgrown_by_task):
+        running = {status.id for status in task_list.tasks if status.is_running}
+        for task_id in tuple(self._last_action_by_task):
             if task_id not in running:
-                self._outgrown_by_task.pop(task_id)
-        for status in listing.tasks:
-            if not status.is_running or not _has_outgrown(status):
+                self._last_action_by_task.pop(task_id)
+        for status in task_list.tasks:
+            if not status.is_running or not _exceeds_declaration(status):
                 continue
-            await self._hold_back(status)
+            await self._escalate(status)
 
-    async def _hold_back(self, status: TaskStatus) -> None:
-        last = self._outgrown_by_task.get(status.id, '')
-        action = {'': THROTTLE, THROTTLE: CHECKPOINT, CHECKPOINT: STOP}.get(last)
+    async def _escalate(self, status: TaskStatus) -> None:
+        last_action = self._last_action_by_task.get(status.id, '')
+        action = {'': THROTTLE, THROTTLE: CHECKPOINT, CHECKPOINT: STOP}.get(last_action)
         if action is None:
             return
         self._journal.tell(
@@ -349,7 +349,7 @@
             task=status.id,
         )
         if await self.act(status.id, action):
-            self._outgrown_by_task[status.id] = action
+            self._last_action_by_task[status.id] = action
 
     def _task_report(self, status: TaskStatus) -> TaskReport:
         order = status.order
@@ -366,12 +366,12 @@
         )
 
 
-def _held_report(task_id: str, demand: Resources) -> TaskReport:
+def _pending_start_report(task_id: str, demand: Resources) -> TaskReport:
     """Return the report of a start that is under way or in doubt."""
     job, attempt, _ = task_id.rsplit('.', 2)
     return TaskReport(task_id, job, int(attempt), '', '', True, '', demand)
 
 
-def _has_outgrown(status: TaskStatus) -> bool:
-    limit = status.order.demand.times(OUTGROWN)
+def _exceeds_declaration(status: TaskStatus) -> bool:
+    limit = status.order.demand.times(OVERUSE_FACTOR)
     return bool(limit.memory_mb) and status.used.memory_mb > limit.memory_mb
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -42,16 +42,16 @@
 )
 from dandelionreel.workers._agent import REFUSED, WorkerAgent
 
-ROUND_SECONDS = 0.25
+POLL_SECONDS = 0.25
 #: A worker without news is looked at this often.
-LOOK_SECONDS = 5.0
-REPORT_TIMEOUT = 2.0
+IDLE_CHECK_SECONDS = 5.0
+REPORT_TIMEOUT_SECONDS = 2.0
 #: Without news a worker's state is reported again this often.
-REFRESH_SECONDS = 30.0
+REPORT_REFRESH_SECONDS = 30.0
 #: A worker that is gone from the list is forgotten after this many leases.
-FORGET_LEASES = 3
+FORGET_AFTER_LEASES = 3
 
-ReportTaker = Callable[[WorkerReport], Awaitable[None]]
+ReportHandler = Callable[[WorkerReport], Awaitable[None]]
 
 
 class WorkerFleet(ShardUser):
@@ -83,13 +83,13 @@
         self._directory = directory
         self._echoes = echoes
         self._journal = journal
-        self._stacks: dict[str, AsyncExitStack] = {}
-        self._take_report: ReportTaker | None = None
+        self._stack_by_worker: dict[str, AsyncExitStack] = {}
+        self._report_handler: ReportHandler | None = None
         self.agent_by_worker: dict[str, WorkerAgent] = {}
 
-    def set_report_handler(self, taker: ReportTaker) -> None:
+    def set_report_handler(self, handler: ReportHandler) -> None:
         """Hand reports to this daemon's own dispatcher while it is the one."""
-        self._take_report = taker
+        self._report_handler = handler
 
     def wanted_shards(self) -> Iterable[str]:
         """Return one shard for each worker of the zone."""
@@ -110,7 +110,7 @@
             await self._refresh()
             for agent in tuple(self.agent_by_worker.values()):
                 await agent.note_grant()
-            await self._hosts.changed.wait(self._hosts.changed.count, ROUND_SECONDS)
+            await self._hosts.changed.wait(self._hosts.changed.count, POLL_SECONDS)
 
     async def place(self, order: PlaceOrder) -> PlaceAnswer:
         """Start a task on an owned worker."""
@@ -159,7 +159,7 @@
             if entry.name not in self.agent_by_worker:
                 await self._add(entry)
         for name in tuple(self.agent_by_worker):
-            limit = self._settings.timings.lease * FORGET_LEASES
+            limit = self._settings.timings.lease * FORGET_AFTER_LEASES
             if self._hosts.gone_for(name) > limit:
                 await self._remove(name)
 
@@ -181,61 +181,63 @@
         )
         self.agent_by_worker[entry.name] = agent
         stack = AsyncExitStack()
-        self._stacks[entry.name] = stack
+        self._stack_by_worker[entry.name] = stack
         stack.push_async_callback(agent.close)
         await start_task(stack, agent.run)
         await start_task(stack, agent.run_renewals)
-        await start_task(stack, self._report, agent)
+        await start_task(stack, self._send_reports, agent)
         await start_task(stack, self._renew_for_others, agent)
 
     async def _remove(self, name: str) -> None:
         self.agent_by_worker.pop(name)
-        await self._stacks.pop(name).aclose()
+        await self._stack_by_worker.pop(name).aclose()
 
     async def _close_all(self) -> None:
         for name in tuple(self.agent_by_worker):
             await self._remove(name)
 
-    async def _report(self, agent: WorkerAgent) -> None:
+    async def _send_reports(self, agent: WorkerAgent) -> None:
         """Tell the zone's dispatcher what the worker runs, after every change."""
-        told = _Told()
+        last_sent = _SentReport()
         while True:
-            due = self._due_report(agent)
-            if not due.dispatcher:
-                await agent.changed.wait(agent.changed.count, LOOK_SECONDS)
+            target = self._find_report_target(agent)
+            if not target.dispatcher:
+                await agent.changed.wait(agent.changed.count, IDLE_CHECK_SECONDS)
                 continue
-            is_late = self._clock.monotonic() - told.at > REFRESH_SECONDS
-            if due == told.report and not is_late:
-                await agent.changed.wait(due.changes, LOOK_SECONDS)
+            refresh_due = self._clock.monotonic() - last_sent.at > REPORT_REFRESH_SECONDS
+            if target == last_sent.target and not refresh_due:
+                await agent.changed.wait(target.change_count, IDLE_CHECK_SECONDS)
                 continue
-            if await self._tell(agent, due):
-                told = _Told(due, self._clock.monotonic())
+            if await self._send_report(agent, target):
+                last_sent = _SentReport(target, self._clock.monotonic())
                 continue
-            await curio.sleep(ROUND_SECONDS)
+            await curio.sleep(POLL_SECONDS)
 
-    def _due_report(self, agent: WorkerAgent) -> '_DueReport':
+    def _find_report_target(self, agent: WorkerAgent) -> '_ReportTarget':
         """Return what a report made now would be for; no dispatcher, no report."""
         claim = self._shards.get(DISPATCH_SHARD)
         grant = agent.grant()
         if claim is None or grant.level is Level.NONE:
-            return _DueReport()
-        return _DueReport(claim.owner, claim.epoch, grant, agent.changed.count)
+            return _ReportTarget()
+        return _ReportTarget(claim.owner, claim.epoch, grant, agent.changed.count)
 
-    async def _tell(self, agent: WorkerAgent, due: '_DueReport') -> bool:
-        silent = self._unrenewed_for(agent)
-        dispatcher = due.dispatcher
+    async def _send_report(self, agent: WorkerAgent, target: '_ReportTarget') -> bool:
+        unrenewed_seconds = self._unrenewed_seconds(agent)
+        dispatcher = target.dispatcher
         if dispatcher == self._me:
-            if self._take_report is not None:
-                await self._take_report(agent.report(silent, self._clock.monotonic(), due.epoch))
+            if self._report_handler is not None:
+                await self._report_handler(
+                    agent.report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
+                )
             return True
-        report = agent.report(silent, self._echoes.last(dispatcher), due.epoch)
+        report = agent.report(unrenewed_seconds, self._echoes.last(dispatcher), target.epoch)
         try:
-            frame = await self._directory.ask(dispatcher, report, REPORT_TIMEOUT)
+            frame = await self._directory.ask(dispatcher, report, REPORT_TIMEOUT_SECONDS)
         except PeerError:
             return False
         return isinstance(frame.message, Done)
 
-    def _unrenewed_for(self, agent: WorkerAgent) -> float:
+    def _unrenewed_seconds(self, agent: WorkerAgent) -> float:
         """Return for how long nobody can have renewed the worker's leases.
 
         A neighbour renews only for an owner that it does not hear; so the
@@ -253,24 +255,24 @@
             claim = self._shards.get(agent.shard)
             if claim is None or claim.owner == self._me:
                 continue
-            log_is_out = self._reader.outage_since is not None
-            if log_is_out and self._neighbourhood.is_silent(claim.owner):
+            log_is_unavailable = self._reader.outage_since is not None
+            if log_is_unavailable and self._neighbourhood.is_silent(claim.owner):
                 await agent.renew_for_silent_owner()
 
 
 @dataclass(frozen=True)
-class _DueReport:
+class _ReportTarget:
     """Whom to tell, under which epochs, and after how many changes of the worker."""
 
     dispatcher: str = ''
     epoch: int = 0
     grant: Grant = NO_GRANT
-    changes: int = -1
+    change_count: int = -1
 
 
 @dataclass(frozen=True)
-class _Told:
+class _SentReport:
     """The last report that its receiver has taken, and when."""
 
-    report: _DueReport = _DueReport()
+    target: _ReportTarget = _ReportTarget()
     at: float = float('-inf')
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -9,7 +9,7 @@
 from dandelionreel.backing import NOTHING, Resources, TaskList, TaskStatus
 from dandelionreel.ownership import Grant, Level
 
-HALF = 0.5
+HALF_SHARE = 0.5
 
 
 class AllocationState(enum.Enum):
@@ -37,28 +37,31 @@
     def __init__(self, capacity: Resources) -> None:
         """Count against ``capacity``."""
         self.capacity = capacity
-        self._hold_by_task: dict[str, Allocation] = {}
+        self._allocation_by_task: dict[str, Allocation] = {}
         #: When the newest listing was asked for, on this daemon's clock.
         self.listed_at = float('-inf')
 
     def allocations(self) -> tuple[Allocation, ...]:
         """Return all counted tasks."""
-        return tuple(self._hold_by_task.values())
+        return tuple(self._allocation_by_task.values())
 
     def get(self, task_id: str) -> Allocation | None:
         """Return the hold of a task."""
-        return self._hold_by_task.get(task_id)
+        return self._allocation_by_task.get(task_id)
 
     def total_demand(self) -> Resources:
         """Return what all counted tasks were promised."""
         total = NOTHING
-        for hold in self._hold_by_task.values():
-            total += hold.demand
+        for allocation in self._allocation_by_task.values():
+            total += allocation.demand
         return total
 
     def is_settled(self) -> bool:
         """Return whether no start is under way or in doubt."""
-        return all(hold.state is AllocationState.RUNNING for hold in self._hold_by_task.values())
+        return all(
+            allocation.state is AllocationState.RUNNING
+            for allocation in self._allocation_by_task.values()
+        )
 
     def usable_capacity(self, grant: Grant) -> Resources:
         """Return how much may be filled in all, of what is counted already too."""
@@ -66,13 +69,15 @@
             return NOTHING
         if grant.level is Level.WHOLE:
             return self.capacity
-        half = self.capacity.times(HALF)
+        half = self.capacity.times(HALF_SHARE)
         if grant.level is Level.OWN_HALF:
             return half
         # The former owner may still fill up to its half, or hold what it had
         # beyond that; this claimant gets what is surely left, half at most.
-        theirs = self._sum(grant.epoch, mine=False).at_least(half)
-        return (self.capacity - theirs).at_most(half) + self._sum(grant.epoch, mine=False)
+        former_owner_demand = self._sum_demand(grant.epoch, is_own=False).at_least(half)
+        return (self.capacity - former_owner_demand).at_most(half) + self._sum_demand(
+            grant.epoch, is_own=False
+        )
 
     def refusal_reason(self, demand: Resources, grant: Grant) -> str:
         """Return why a task may not be started now, or an empty text."""
@@ -86,7 +91,7 @@
 
     def add_start(self, task_id: str, demand: Resources, grant: Grant, now: float) -> None:
         """Count a start before it is sent."""
-        self._hold_by_task[task_id] = Allocation(
+        self._allocation_by_task[task_id] = Allocation(
             task_id,
             demand,
             grant.epoch,
@@ -96,53 +101,55 @@
 
     def set_state(self, task_id: str, state: AllocationState, now: float) -> None:
         """Note what became of a start."""
-        hold = self._hold_by_task.get(task_id)
-        if hold is not None:
-            self._hold_by_task[task_id] = replace(hold, state=state, since=now)
+        allocation = self._allocation_by_task.get(task_id)
+        if allocation is not None:
+            self._allocation_by_task[task_id] = replace(allocation, state=state, since=now)
 
     def release(self, task_id: str) -> None:
         """Stop counting a task that is known not to run."""
-        self._hold_by_task.pop(task_id, None)
+        self._allocation_by_task.pop(task_id, None)
 
-    def note_listing(self, listing: TaskList, asked_at: float) -> None:
+    def note_listing(self, task_list: TaskList, requested_at: float) -> None:
         """Adopt what runs, release what has ended.
 
         A start that is under way or in doubt is not released because a
         listing lacks it: its bytes may still be on their way to the worker.
         """
-        self._release_ended(listing, asked_at)
-        for status in listing.tasks:
+        self._release_missing(task_list, requested_at)
+        for status in task_list.tasks:
             if status.is_running:
-                self._adopt(status, asked_at)
-        self.listed_at = asked_at
+                self._adopt_running(status, requested_at)
+        self.listed_at = requested_at
 
-    def _release_ended(self, listing: TaskList, asked_at: float) -> None:
-        listed = {status.id for status in listing.tasks}
-        for status in listing.tasks:
+    def _release_missing(self, task_list: TaskList, requested_at: float) -> None:
+        listed_ids = {status.id for status in task_list.tasks}
+        for status in task_list.tasks:
             if not status.is_running:
                 self.release(status.id)
-        for hold in self.allocations():
-            is_old = hold.state is AllocationState.RUNNING and hold.since < asked_at
-            if is_old and hold.task_id not in listed:
-                self.release(hold.task_id)
-
-    def _adopt(self, status: TaskStatus, asked_at: float) -> None:
-        known = self._hold_by_task.get(status.id)
-        if known is None:
-            known = Allocation(
+        for allocation in self.allocations():
+            was_running = (
+                allocation.state is AllocationState.RUNNING and allocation.since < requested_at
+            )
+            if was_running and allocation.task_id not in listed_ids:
+                self.release(allocation.task_id)
+
+    def _adopt_running(self, status: TaskStatus, requested_at: float) -> None:
+        allocation = self._allocation_by_task.get(status.id)
+        if allocation is None:
+            allocation = Allocation(
                 status.id,
                 status.order.demand,
                 status.order.epoch,
                 AllocationState.STARTING,
-                asked_at,
+                requested_at,
             )
-        if known.state is not AllocationState.RUNNING:
-            known = replace(known, state=AllocationState.RUNNING, since=asked_at)
-        self._hold_by_task[status.id] = known
+        if allocation.state is not AllocationState.RUNNING:
+            allocation = replace(allocation, state=AllocationState.RUNNING, since=requested_at)
+        self._allocation_by_task[status.id] = allocation
 
-    def _sum(self, epoch: int, *, mine: bool) -> Resources:
+    def _sum_demand(self, epoch: int, *, is_own: bool) -> Resources:
         total = NOTHING
-        for hold in self._hold_by_task.values():
-            if (hold.epoch >= epoch) is mine:
-                total += hold.demand
+        for allocation in self._allocation_by_task.values():
+            if (allocation.epoch >= epoch) is is_own:
+                total += allocation.demand
         return total
