--- a/dandelionreel/callers/__init__.py
+++ b/dandelionreel/callers/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP."""
+"""HTTP API for callers: requests to services, and jobs."""
 
 from dandelionreel.callers._caller_api import CallerApi
 from dandelionreel.callers._relay import Relay
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -1,4 +1,4 @@
-"""The callers' interface: requests to services, and jobs."""
+"""HTTP API for callers: requests to services, and jobs."""
 
 import msgspec
 
@@ -23,7 +23,7 @@
 
 
 class CallerApi:
-    """Sends each path to the part that serves it, in the zone that must."""
+    """Dispatches each path to its handler, in the availability zone responsible for it."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         relay: Relay,
         life: Life,
     ) -> None:
-        """Serve callers in ``zone``."""
+        """Serve callers of the availability zone ``zone``."""
         self._mover = mover
         self._life = life
         self._zone = zone
@@ -45,14 +45,14 @@
     async def handle(self, request: Request) -> Answer:
         """Answer a caller; raises ``RequestError``.
 
-        Until the contracts in force are known, the balancer sends nothing
-        here; who comes all the same is told to come back.
+        Until this daemon knows the contracts in force, the load balancer sends
+        it no requests; any that arrive are refused with a retry delay.
         """
         if not self._life.knows_contracts():
             raise not_run(
                 HTTP_UNAVAILABLE,
                 'not-ready',
-                'this daemon does not know the contracts in force yet',
+                'this daemon has not loaded the contracts in force yet',
                 NOT_READY_RETRY_SECONDS,
             )
         if request.path.startswith(SERVICES_PREFIX):
@@ -60,10 +60,10 @@
         return await self._handle_job_request(request, hops=0)
 
     async def answer_forward(self, frame: Frame) -> Message:
-        """Answer a request that a peer handed on."""
+        """Answer a request that a peer forwarded."""
         message = frame.message
         if not isinstance(message, Forward):
-            return Refused('not a forward')
+            return Refused('not a forwarded request')
         if message.request.path.startswith(SERVICES_PREFIX):
             return await self._router.answer_forward(frame)
         try:
@@ -118,7 +118,7 @@
         except msgspec.MsgspecError as error:
             raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if body.from_zone == body.to_zone:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-body', 'to_zone: is from_zone; name another')
+            raise not_run(HTTP_BAD_REQUEST, 'bad-body', 'to_zone: must differ from from_zone')
         self._relay.check_zone(body.from_zone)
         if body.to_zone != self._zone:
             return await self._relay.send(body.to_zone, request)
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -1,4 +1,4 @@
-"""Hands job requests to a daemon of the zone that keeps the job."""
+"""Forwards job requests to a daemon of the zone that stores the job."""
 
 import msgspec
 
@@ -15,16 +15,16 @@
 
 
 class Relay:
-    """Tries the daemons of a zone, those heard most lately first."""
+    """Tries the daemons of a zone, the most recently heard ones first."""
 
     def __init__(self, zones: tuple[str, ...], directory: PeerDirectory, clock: Clock) -> None:
-        """Reach daemons by ``directory``."""
+        """Look up the daemons of each zone in ``directory``."""
         self._zones = zones
         self._directory = directory
         self._clock = clock
 
     async def send(self, zone: str, request: Request) -> Answer:
-        """Return the answer of the zone; raises ``RequestError``."""
+        """Return the first answer from the zone; raises ``RequestError``."""
         self.check_zone(zone)
         for state in sorted(self._directory.states(zone), key=_by_last_heard):
             try:
@@ -37,22 +37,24 @@
                 raise unknown(
                     HTTP_TIMEOUT,
                     'peer-silent',
-                    f'{state.address.host} had the request and did not answer; '
-                    'ask again with the same idempotency key',
+                    f'{state.address.host} received the request and did not answer; '
+                    'retry with the same idempotency key',
                 ) from error
             if isinstance(frame.message, ForwardAnswer):
                 return frame.message.answer
         raise not_run(
             HTTP_UNAVAILABLE,
             'zone-unreachable',
-            f'zone {zone}, which keeps this job, is out of reach',
+            f'zone {zone}, which stores this job, is unreachable',
             RETRY_AFTER_SECONDS,
         )
 
     def check_zone(self, zone: str) -> None:
-        """Raise ``RequestError`` for a zone that the settings do not list."""
+        """Raise ``RequestError`` for a zone that is not in the settings."""
         if zone not in self._zones:
-            raise not_run(HTTP_NOT_FOUND, 'unknown-zone', f'no zone {clip(zone)!r} is known')
+            raise not_run(
+                HTTP_NOT_FOUND, 'unknown-zone', f'zone {clip(zone)!r} is not in the settings'
+            )
 
     async def cancel(self, zone: str, jobs: tuple[str, ...]) -> CancelDone:
         """Cancel jobs of another zone; raises ``RequestError``."""
--- a/dandelionreel/placement/__init__.py
+++ b/dandelionreel/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement decisions: cell, queue, policies, planner."""
+"""Decides which worker runs which job: cell, queue, policies and planner."""
 
 from dandelionreel.placement._cell import Cell, WorkerView
 from dandelionreel.placement._estimate import RunTimeEstimator
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -1,4 +1,4 @@
-"""The workers of a zone as placement sees them, indexed by free processors."""
+"""Workers of a zone and their free resources, indexed by free processors."""
 
 import random
 from collections.abc import Iterable
@@ -7,14 +7,14 @@
 from dandelionreel.backing import EPSILON, NOTHING, Resources
 from dandelionreel.placement._work import RunningTask
 
-#: Consecutive failures of different jobs after which a worker gets no work.
+#: Different jobs that fail in a row before their worker is quarantined.
 FAILED_JOBS_TO_QUARANTINE = 3
 QUARANTINE_SECONDS = 30.0
 MAX_QUARANTINE_SECONDS = 600.0
 
 
 class WorkerView:
-    """One worker: what it has, what is taken, and how it has behaved."""
+    """One worker: its capacity, its tasks and its recent failures."""
 
     __slots__ = (
         'accelerators',
@@ -34,7 +34,7 @@
     )
 
     def __init__(self, name: str, rack: str, capacity: Resources) -> None:
-        """Start empty."""
+        """Start without tasks."""
         self.name = name
         self.rack = rack
         self.capacity = capacity
@@ -52,7 +52,7 @@
 
 
 class _Buckets:
-    """Workers in lists by whole free processors, so that a sample costs the same at any size."""
+    """Workers grouped by whole free processors, so that sampling costs the same at any size."""
 
     def __init__(self) -> None:
         self.lists: list[list[WorkerView]] = []
@@ -81,16 +81,17 @@
 
 
 class Cell:
-    """All workers of a zone, and what each customer uses there.
+    """All workers of a zone, and the resources that each customer uses there.
 
-    The dispatcher's picture: the owner of each worker has the last word.
+    This is the dispatcher's view, which may be outdated; the owner of each
+    worker may still refuse a start.
     """
 
     def __init__(self, random_source: random.Random | None = None) -> None:
-        """Draw samples from ``source``."""
+        """Draw samples from ``random_source``."""
         self.random_source = random_source or random.Random()
         self.worker_by_name: dict[str, WorkerView] = {}
-        #: What each customer uses, all workers together.
+        #: Resources in use by customer, over all workers.
         self.usage: Usage[Resources] = Usage(NOTHING)
         self.total = NOTHING
         self._freed_by_name: dict[str, WorkerView] = {}
@@ -98,7 +99,7 @@
         self._with_accelerators = _Buckets()
 
     def add(self, name: str, rack: str, capacity: Resources) -> WorkerView:
-        """Add a worker, or change what it has."""
+        """Add a worker, or update its rack and capacity."""
         worker = self.worker_by_name.get(name)
         if worker is not None and worker.capacity == capacity:
             worker.rack = rack
@@ -113,7 +114,7 @@
         return worker
 
     def remove(self, name: str) -> None:
-        """Forget a worker and what ran there."""
+        """Remove a worker and its tasks."""
         worker = self.worker_by_name.pop(name, None)
         if worker is None:
             return
@@ -123,7 +124,7 @@
         self.total -= worker.capacity
 
     def set_usable_capacity(self, worker: WorkerView, capacity: Resources) -> None:
-        """Change how much of the worker may be filled at present."""
+        """Set how much of the worker's capacity may be used at present."""
         if worker.usable_capacity == capacity:
             return
         worker.usable_capacity = capacity
@@ -131,7 +132,7 @@
         self._freed_by_name[worker.name] = worker
 
     def add_task(self, worker: WorkerView, running: RunningTask) -> None:
-        """Count a task on a worker."""
+        """Add a task to a worker, replacing an entry with the same id."""
         if running.task_id in worker.running_by_task:
             self._remove_task(worker, running.task_id)
         worker.running_by_task[running.task_id] = running
@@ -140,7 +141,7 @@
         self._update_free(worker)
 
     def remove_task(self, worker: WorkerView, task_id: str) -> RunningTask | None:
-        """Stop counting a task; return it, or ``None`` when it was not counted."""
+        """Remove a task from a worker; return it, or ``None`` when it was not there."""
         running = self._remove_task(worker, task_id)
         if running is not None:
             self._update_free(worker)
@@ -148,13 +149,13 @@
         return running
 
     def take_freed_workers(self) -> tuple[WorkerView, ...]:
-        """Return the workers that may have made room since the last question."""
+        """Return the workers that may have gained free resources since the last call."""
         freed = tuple(self._freed_by_name.values())
         self._freed_by_name.clear()
         return freed
 
     def fits(self, worker: WorkerView, demand: Resources) -> bool:
-        """Return whether the demand fits what is free on the worker."""
+        """Return whether the demand fits the free resources of the worker."""
         free = worker.free
         return (
             demand.processors <= free.processors + EPSILON
@@ -163,26 +164,26 @@
         )
 
     def is_quarantined(self, worker: WorkerView, now: float) -> bool:
-        """Return whether its failures keep new work away.
+        """Return whether recent failures exclude the worker from placement.
 
-        After a quarantine one task at a time is tried until one succeeds.
+        After a quarantine the worker gets one task at a time until one succeeds.
         """
         if now < worker.quarantined_until:
             return True
         return worker.probing and bool(worker.running_by_task)
 
     def note_success(self, worker: WorkerView) -> None:
-        """A task ended well: the worker is trusted again."""
+        """Clear the failures of a worker after a successful task."""
         worker.failed_jobs.clear()
         worker.probing = False
         worker.quarantine = QUARANTINE_SECONDS
         self._freed_by_name[worker.name] = worker
 
     def note_failure(self, worker: WorkerView, job: str, now: float) -> bool:
-        """A task failed there; return whether the worker is quarantined for it.
+        """Record a failed task; return whether the worker is quarantined for it.
 
-        One job that fails again and again says nothing about the worker;
-        several different ones in a row do.
+        Repeated failures of one job may be the job's fault; failures of
+        several different jobs in a row point to the worker.
         """
         if job not in worker.failed_jobs:
             worker.failed_jobs.append(job)
@@ -200,11 +201,11 @@
         *,
         tightest: bool,
     ) -> Iterable[WorkerView]:
-        """Yield workers that may have room for the demand.
+        """Yield workers that may have enough free processors for the demand.
 
-        ``tightest`` starts with those that have the fewest free processors;
-        among equals the order starts at a random place. Workers with
-        accelerators come last for work that needs none.
+        ``tightest`` starts with the workers that have the fewest free
+        processors; among equals the order starts at a random position.
+        Workers with accelerators come last for work that needs none.
         """
         bucket_groups: tuple[_Buckets, ...] = (self._with_accelerators,)
         if not demand.accelerators:
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -1,7 +1,7 @@
-"""Run times learned from what ended, since declared ones are often far off.
+"""Run times estimated from finished runs, since declared ones are often far off.
 
-Used for order and for backfill only; the ledger always counts what is
-declared, so a wrong estimate never over-fills a worker.
+Only used for a gang's reservation and for the backfill around it. The ledger always
+counts the declared resources, so a wrong estimate never overcommits a worker.
 """
 
 from collections import OrderedDict, deque
@@ -9,22 +9,22 @@
 RUNS_PER_KIND = 32
 MAX_KINDS = 4096
 MIN_RUNS = 5
-#: Pessimistic: nine runs in ten ended within it.
+#: A pessimistic estimate: nine in ten runs ended sooner.
 QUANTILE = 0.9
-#: Without enough runs, the declared time may be this many times too short.
+#: Multiplies the declared time while there are too few runs.
 DECLARED_FACTOR = 3.0
 DEFAULT_RUN_SECONDS = 3600.0
 
 
 class RunTimeEstimator:
-    """The latest run times by customer and kind of job."""
+    """Estimates run times from the latest runs by customer and kind of job."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without any runs."""
         self._runs_by_kind: OrderedDict[tuple[str, str], deque[float]] = OrderedDict()
 
     def note(self, customer: str, kind: str, seconds: float) -> None:
-        """Add one run that ended well."""
+        """Add the run time of a successful run."""
         key = (customer, kind)
         runs = self._runs_by_kind.get(key)
         if runs is None:
@@ -36,7 +36,7 @@
             self._runs_by_kind.popitem(last=False)
 
     def estimate(self, customer: str, kind: str, declared: float) -> float:
-        """Return seconds that a run will hardly exceed."""
+        """Return a pessimistic run time in seconds."""
         runs = self._runs_by_kind.get((customer, kind))
         if runs is None or len(runs) < MIN_RUNS:
             return declared * DECLARED_FACTOR if declared else DEFAULT_RUN_SECONDS
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -1,4 +1,4 @@
-"""Rounds of placement decisions over the queue and the cell."""
+"""Plans the placement of queued jobs on the workers of the cell."""
 
 import heapq
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 
 class Planner:
-    """Decides what starts where; it sends and writes nothing itself."""
+    """Decides which jobs start on which workers, without sending or writing anything."""
 
     def __init__(self, cell: Cell, queue: FairQueue, estimator: RunTimeEstimator) -> None:
         """Place the jobs of ``queue`` on the workers of ``cell``."""
@@ -26,7 +26,7 @@
         }
         self._gang_policy = GangPolicy()
         self.reservation: GangReservation | None = None
-        #: Shapes that fitted nowhere when they were last tried.
+        #: Shapes that did not fit on any worker when last tried.
         self._failed_shapes: set[Shape] = set()
         self.decision_count = 0
         self.considered_count = 0
@@ -45,7 +45,7 @@
         return placed
 
     def apply_placement(self, placement: Placement, now: float) -> None:
-        """Count the tasks of a placement in the cell and take the job off the queue."""
+        """Add the tasks of a placement to the cell and remove the job from the queue."""
         work = placement.work
         ends_at = now + work.run_seconds
         ids = task_ids(work.id, work.attempt, work.tasks)
@@ -75,7 +75,7 @@
         return self._estimator.estimate(customer, kind, declared)
 
     def _retry_freed_shapes(self) -> None:
-        """Try shapes again for which a worker has made room since they failed."""
+        """Allow the shapes again that may fit a worker with newly freed resources."""
         freed = self.cell.take_freed_workers()
         if not self._failed_shapes:
             return
@@ -85,7 +85,7 @@
 
     def _may_fit(self, shape: Shape, worker: WorkerView) -> bool:
         task_class, demand, tasks = shape
-        # A gang needs several workers, an urgent job may stop others.
+        # A gang may need several workers, and an urgent job may preempt others.
         return tasks > 1 or task_class == URGENT or self.cell.fits(worker, demand)
 
     def _place_urgent(self, now: float, limit: int, placed: list[Placement]) -> None:
@@ -100,7 +100,7 @@
                     blocked.add(work.id)
 
     def _place_fairly(self, now: float, limit: int, placed: list[Placement]) -> None:
-        """Let the most entitled customer place one job, again and again."""
+        """Place one job at a time, always for the customer with the lowest fair share."""
         entitlements = [
             (self._entitlement(customer), customer) for customer in self.queue.customers()
         ]
@@ -150,6 +150,6 @@
 
 
 def task_ids(job: str, attempt: int, count: int) -> Iterator[str]:
-    """Yield the ids of an attempt's tasks."""
+    """Yield the task ids of an attempt."""
     for index in range(count):
         yield f'{job}.{attempt}.{index}'
--- a/dandelionreel/placement/_policy.py
+++ b/dandelionreel/placement/_policy.py
@@ -1,4 +1,4 @@
-"""How each kind of work chooses its workers; every policy is a plug-in."""
+"""Placement policies, one for each class of work; every policy is a plug-in."""
 
 import abc
 from dataclasses import dataclass
@@ -8,20 +8,20 @@
 from dandelionreel.placement._cell import Cell, WorkerView
 from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, RunningTask, Work
 
-#: Workers that one decision looks at; more hardly pack better (docs/MEASUREMENTS.md).
+#: Usable workers scored per decision; more hardly pack better (docs/MEASUREMENTS.md).
 MAX_CANDIDATES = 12
-#: Workers that are searched for tasks to preempt.
+#: Workers searched for tasks to preempt, drawn at random from all.
 MAX_PREEMPTION_WORKERS = 32
-#: How much the size of the rest counts against its evenness.
+#: Weight of the amount of leftover resources relative to their imbalance.
 SIZE_WEIGHT = 0.05
 GANG = 'gang'
-#: How often nothing fits into anything.
+#: Number of tasks that fit when a task demands no resources.
 UNLIMITED_TASKS = 1_000_000
 
 
 @dataclass(frozen=True)
 class GangReservation:
-    """Workers that a gang waits for: work that may outlast ``until`` keeps off."""
+    """Workers reserved for a gang: only work that ends by ``until`` may use them."""
 
     job: str
     workers: frozenset[str]
@@ -30,13 +30,13 @@
 
 
 class PlacementPolicy(abc.ABC):
-    """Chooses workers for one kind of work."""
+    """Chooses workers for one class of work."""
 
     @abc.abstractmethod
     def place(
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
-        """Return where the job goes, ``None`` when it fits nowhere now."""
+        """Return the placement of the job, ``None`` when it does not fit now."""
 
 
 def is_usable(
@@ -47,7 +47,7 @@
     reservation: GangReservation | None,
     ends_at: float,
 ) -> bool:
-    """Return whether the worker may take one task of the job now."""
+    """Return whether one task of the job may start on the worker now."""
     if not cell.fits(worker, work.demand) or worker.name in work.avoid:
         return False
     if cell.is_quarantined(worker, now):
@@ -58,10 +58,11 @@
 
 
 def score_leftover(worker: WorkerView, demand: Resources) -> float:
-    """Return how uneven the rest would be, and a little how large; less packs better.
+    """Return a score of the leftover resources after a start; a lower one packs better.
 
-    Evenness decides: a worker with processors but no memory left is lost to
-    all. The sample starts with the fullest workers, which packs tightly.
+    It is mostly their imbalance, because a worker with free processors but no
+    free memory can run nothing. Tight packing already comes from sampling
+    the fullest workers first.
     """
     capacity = worker.capacity
     processors = (worker.free.processors - demand.processors) / max(capacity.processors, EPSILON)
@@ -71,7 +72,7 @@
 
 @plugins.register(PluginKind.PLACEMENT, BATCH)
 class PackedPolicy(PlacementPolicy):
-    """Batch work goes where it leaves the least behind."""
+    """Places batch work on the worker with the best leftover score."""
 
     def place(
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
@@ -80,7 +81,7 @@
         worker = self.choose_worker(work, cell, now, reservation)
         if worker is None:
             return None
-        return Placement(work, (worker.name,), reason='it leaves the least behind')
+        return Placement(work, (worker.name,), reason='it has the best leftover score')
 
     def choose_worker(
         self,
@@ -89,7 +90,7 @@
         now: float,
         reservation: GangReservation | None,
     ) -> WorkerView | None:
-        """Return the worker with the smallest leftover."""
+        """Return the sampled worker with the lowest leftover score."""
         ends_at = now + work.run_seconds
         found = None
         found_score = float('inf')
@@ -108,12 +109,12 @@
 
 @plugins.register(PluginKind.PLACEMENT, SERVICE)
 class SpreadPolicy(PlacementPolicy):
-    """Services go to the racks that run the fewest of the same customer's."""
+    """Spreads a customer's services over the workers."""
 
     def place(
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
-        """Return the worker with the most room in the least used rack."""
+        """Return the sampled worker with the fewest services of the customer."""
         found = None
         found_score = (float('inf'), float('inf'))
         usable_count = 0
@@ -128,7 +129,7 @@
                 break
         if found is None:
             return None
-        return Placement(work, (found.name,), reason='it runs the fewest of the same kind')
+        return Placement(work, (found.name,), reason='it runs the fewest services of the customer')
 
     def _count_same_service(self, worker: WorkerView, work: Work) -> float:
         return sum(
@@ -140,20 +141,20 @@
 
 @plugins.register(PluginKind.PLACEMENT, URGENT)
 class UrgentPolicy(PlacementPolicy):
-    """Urgent work takes the first good fit, and stops lesser work if it must."""
+    """Places urgent work like batch work, and preempts other tasks if necessary."""
 
     def __init__(self) -> None:
-        """Place as batch does where there is room."""
+        """Use the batch policy where no preemption is needed."""
         self._batch_policy = PackedPolicy()
 
     def place(
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
-        """Return a worker with room, or one where stopping others makes it."""
-        # A gang's hold never keeps urgent work out.
+        """Return a worker with enough free resources, or one with tasks to preempt."""
+        # A gang's reservation does not apply to urgent work.
         worker = self._batch_policy.choose_worker(work, cell, now, None)
         if worker is not None:
-            return Placement(work, (worker.name,), reason='it has room')
+            return Placement(work, (worker.name,), reason='it has enough free resources')
         return self._preempt(work, cell, now)
 
     def _preempt(self, work: Work, cell: Cell, now: float) -> Placement | None:
@@ -174,18 +175,16 @@
                 best_victims, best_name, least_lost = victims, worker.name, lost
         if not best_victims:
             return None
-        return Placement(
-            work, (best_name,), best_victims, 'stopping lesser work there loses the least'
-        )
+        return Placement(work, (best_name,), best_victims, 'preemption there loses the least work')
 
 
 def lost_processor_seconds(running: RunningTask, now: float) -> float:
-    """Return the processor seconds that stopping a task throws away."""
+    """Return the processor seconds that are lost when a task is stopped."""
     return (now - running.started_at) * max(running.demand.processors, 0.1)
 
 
 def choose_victims(work: Work, worker: WorkerView, now: float) -> tuple[RunningTask, ...]:
-    """Return the tasks to stop so that the job fits, empty when that is not allowed."""
+    """Return the tasks to preempt so that the job fits, empty if that is impossible."""
     preemptible_tasks = [
         running
         for running in worker.running_by_task.values()
@@ -206,12 +205,12 @@
 
 @plugins.register(PluginKind.PLACEMENT, GANG)
 class GangPolicy(PlacementPolicy):
-    """All tasks of a gang at once, or none."""
+    """Places all tasks of a gang at once, or none."""
 
     def place(
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
-        """Return a worker for every task, taken in a fixed order."""
+        """Return a worker for every task, in the order of the sample."""
         ends_at = now + work.run_seconds
         chosen: list[str] = []
         needed = work.tasks
@@ -228,10 +227,10 @@
         return None
 
     def plan_reservation(self, work: Work, cell: Cell, now: float) -> GangReservation | None:
-        """Return the workers that will have room for the gang the soonest.
+        """Reserve the workers that can run the gang the soonest.
 
-        Each worker offers its rooms in the order in which its tasks end, by
-        pessimistic estimates; the earliest offers are taken.
+        For each worker, lists when each further task of the gang would fit as
+        its current tasks end, by pessimistic estimates; the earliest are taken.
         """
         offers: list[tuple[float, str]] = []
         for worker in cell.worker_by_name.values():
@@ -243,8 +242,8 @@
             return None
         chosen_offers = offers[: work.tasks]
         until = chosen_offers[-1][0]
-        # A hold that outlasts its estimate twice over is dropped, so that a
-        # wrong declaration cannot keep workers idle for good.
+        # A reservation expires after twice its estimate, so that a wrong
+        # declaration cannot keep workers idle forever.
         expires_at = now + max(60.0, 2 * (until - now))
         return GangReservation(
             work.id, frozenset(name for _, name in chosen_offers), until, expires_at
@@ -252,7 +251,7 @@
 
 
 def count_fitting(demand: Resources, room: Resources) -> int:
-    """Return how many tasks of that demand fit."""
+    """Return how many tasks of the demand fit into ``room``."""
     counts = [
         int(have / wanted + EPSILON)
         for wanted, have in (
--- a/dandelionreel/placement/_queue.py
+++ b/dandelionreel/placement/_queue.py
@@ -1,8 +1,9 @@
-"""Jobs that wait, by customer; which customer and which job comes next.
+"""The queue of waiting jobs, ordered fairly between customers.
 
-Between customers: weighted dominant resource fairness, those below their
-guarantee first. Within one: priority, then age.
-A job whose longest wait is nearly over goes before all fairness.
+Between customers: weighted dominant resource fairness, with customers below
+their guaranteed quota first. Within a customer: priority, then age.
+A job that is close to the longest wait of its contract goes before all others
+except urgent ones.
 """
 
 import heapq
@@ -13,9 +14,9 @@
 from dandelionreel.backing import NOTHING, Resources
 from dandelionreel.placement._work import URGENT, Shape, Work
 
-#: A job goes first once this part of its longest wait is over.
+#: Fraction of its longest wait after which a job goes first.
 NEARLY_DUE_FRACTION = 0.8
-#: Late jobs of one customer that are looked at in a round.
+#: Nearly due jobs of one customer that are considered per round.
 MAX_NEARLY_DUE = 8
 
 #: Priority (negative), time and id.
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerTerms:
-    """What a customer's contract says for this zone."""
+    """The terms of a customer's contract in this zone."""
 
     weight: float = 1
     quota: Resources | None = None
@@ -34,9 +35,9 @@
 class _CustomerQueue:
     """One customer's waiting jobs, in one heap for each shape of demand.
 
-    Whether a job fits anywhere depends on its shape alone; with a long queue
-    and a full cell, all jobs of a shape that does not fit are passed over at
-    once. Removed jobs stay in the heaps until they come up.
+    Whether a job fits depends on its shape alone, so with a long queue and a
+    full cell all jobs of a shape that does not fit are skipped at once.
+    Removed jobs stay in the heaps until they reach the top.
     """
 
     def __init__(self) -> None:
@@ -60,15 +61,15 @@
         return self.work_by_id.pop(job, None)
 
     def list_heads(self, skipped_shapes: Collection[Shape]) -> list[Work]:
-        """Return the first job of each shape, the most important first."""
+        """Return the first job of each shape, ordered by priority and age."""
         return self._heads_of(self._heap_by_shape, skipped_shapes)
 
     def list_urgent_heads(self, skipped_shapes: Collection[Shape]) -> list[Work]:
-        """Return the first urgent job of each shape, the earliest due first."""
+        """Return the first urgent job of each shape, ordered by priority and due time."""
         return self._heads_of(self._urgent_by_shape, skipped_shapes)
 
     def get_nearly_due(self, now: float) -> list[Work]:
-        """Return some jobs whose longest wait is nearly over."""
+        """Return up to ``MAX_NEARLY_DUE`` jobs that are close to their longest wait."""
         found: list[Work] = []
         taken = []
         while self._due_heap and self._due_heap[0][0] <= now and len(found) < MAX_NEARLY_DUE:
@@ -107,21 +108,21 @@
     """All waiting jobs of a zone."""
 
     def __init__(self, get_terms: Callable[[str], CustomerTerms]) -> None:
-        """Ask ``terms_of`` for each customer's terms."""
+        """Look up each customer's terms with ``get_terms``."""
         self._get_terms = get_terms
         self._queue_by_customer: dict[str, _CustomerQueue] = {}
         self._customer_by_job: dict[str, str] = {}
 
     def __len__(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of waiting jobs."""
         return len(self._customer_by_job)
 
     def __contains__(self, job: str) -> bool:
-        """Return whether that job waits."""
+        """Return whether the job is in the queue."""
         return job in self._customer_by_job
 
     def add(self, work: Work) -> None:
-        """Let a job wait; one that waits already stays as it is."""
+        """Add a job; one that is already in the queue stays unchanged."""
         if work.id in self._customer_by_job:
             return
         customer_queue = self._queue_by_customer.get(work.customer)
@@ -132,19 +133,19 @@
         self._customer_by_job[work.id] = work.customer
 
     def remove(self, job: str) -> Work | None:
-        """Take a job out; ``None`` when it does not wait."""
+        """Remove a job; return ``None`` when it is not in the queue."""
         customer = self._customer_by_job.pop(job, None)
         if customer is None:
             return None
         return self._queue_by_customer[customer].remove(job)
 
     def waiting(self, customer: str) -> int:
-        """Return how many jobs of a customer wait."""
+        """Return the number of waiting jobs of a customer."""
         customer_queue = self._queue_by_customer.get(customer)
         return len(customer_queue.work_by_id) if customer_queue else 0
 
     def clear(self) -> None:
-        """Forget all jobs."""
+        """Remove all jobs."""
         self._queue_by_customer.clear()
         self._customer_by_job.clear()
 
@@ -157,7 +158,7 @@
         return heads
 
     def get_nearly_due(self, now: float) -> list[Work]:
-        """Return jobs whose longest wait is nearly over, the earliest due first."""
+        """Return jobs that are close to their longest wait, the earliest due first."""
         heads = []
         for customer_queue in self._queue_by_customer.values():
             heads.extend(customer_queue.get_nearly_due(now))
@@ -179,13 +180,13 @@
         )
 
     def entitlement(self, customer: str, used: Resources, total: Resources) -> tuple[bool, float]:
-        """Return the sort key of fairness; lower is more entitled."""
+        """Return the customer's fair share sort key; the lowest goes first."""
         terms = self._get_terms(customer)
         below_guarantee = terms.guaranteed != NOTHING and used.fits(terms.guaranteed)
         return (not below_guarantee, weighted_share(used, total, terms.weight))
 
     def within_quota(self, work: Work, used: Resources) -> bool:
-        """Return whether the customer's part of its quota has room for the job."""
+        """Return whether the job fits the customer's quota in this zone."""
         return within_quota(used, work.total, self._get_terms(work.customer).quota)
 
 
--- a/dandelionreel/placement/_work.py
+++ b/dandelionreel/placement/_work.py
@@ -1,4 +1,4 @@
-"""What is to be placed, and what a policy decides."""
+"""Queued jobs, running tasks and placements."""
 
 from dataclasses import dataclass
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One job that waits; times are in seconds on one clock.
+    """A waiting job; all times are in seconds on the same clock.
 
     ``tasks`` is above one for a gang, whose tasks start together or not at
-    all. ``run_seconds`` is the declared run time, 0 when none was declared.
+    all. ``run_seconds`` is the estimated run time.
     """
 
     id: str
@@ -37,23 +37,23 @@
 
     @property
     def due_at(self) -> float:
-        """Return when the longest wait of the contract is over."""
+        """Return when the longest wait that the contract allows ends."""
         return self.accepted_at + self.longest_wait
 
     @property
     def shape(self) -> 'Shape':
-        """Return what decides where the job can go."""
+        """Return the properties that decide where the job fits."""
         return (self.task_class, self.demand, self.tasks)
 
     @property
     def total(self) -> Resources:
-        """Return what all its tasks ask for together."""
+        """Return the demand of all its tasks together."""
         return self.demand if self.tasks == 1 else self.demand.times(self.tasks)
 
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """One task on a worker, as the ledger counts it."""
+    """A task on a worker, as the dispatcher counts it."""
 
     task_id: str
     job: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where the tasks of a job go, and which running tasks must stop first."""
+    """The workers of a job's tasks, and the running tasks to preempt first."""
 
     work: Work
     workers: tuple[str, ...]
--- a/dandelionreel/routing/__init__.py
+++ b/dandelionreel/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Requests to services: slots, queues, forwarding and retries."""
+"""Routes requests to services: admission, queues, slots, forwarding and retries."""
 
 from dandelionreel.routing._budget import (
     CustomerUsage,
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may come in: its customer's contract and this daemon's part of it."""
+"""Admission control: the limits of a customer's contract, divided among the daemons."""
 
 from dandelionreel.contracts import Contract, ContractBook, require_contract
 from dandelionreel.kernel import Clock, Settings, not_run
@@ -12,7 +12,7 @@
 
 
 class Admission:
-    """Requests of each customer that this daemon has let in."""
+    """Checks requests against contracts and counts those in flight by customer."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         book: ContractBook,
         membership: Membership,
     ) -> None:
-        """Admit as the member ``me``; its part depends on the zone's members."""
+        """Admit as the member ``me``, whose share depends on the zone's live members."""
         self._zone = settings.availability_zone
         self._clock = clock
         self._me = me
@@ -31,13 +31,13 @@
         self._usage_by_customer: dict[str, CustomerUsage] = {}
 
     def admit(self, call: ServiceCall) -> CustomerUsage:
-        """Return the customer's use, to be counted; raises ``RequestError``."""
+        """Return the customer's usage, for the caller to count in; raises ``RequestError``."""
         contract = require_contract(self._book, call.customer, call.task_class)
         if call.service not in contract.services:
             raise not_run(
                 HTTP_FORBIDDEN,
                 'service-not-in-contract',
-                f'the contract of {call.customer} does not name service {call.service!r}',
+                f'the contract of {call.customer} does not include service {call.service!r}',
             )
         usage = self._get_usage(call.customer)
         self._check_limits(usage, contract)
@@ -45,7 +45,7 @@
         return usage
 
     def use_retry(self, call: ServiceCall) -> bool:
-        """Return whether one more retry is within the customer's budget."""
+        """Count a retry if the customer's budget allows it; return whether it does."""
         return self._get_usage(call.customer).retry_budget.use_retry()
 
     def _get_usage(self, customer: str) -> CustomerUsage:
@@ -62,8 +62,8 @@
             raise not_run(
                 HTTP_TOO_MANY_REQUESTS,
                 'concurrency-limit',
-                f'{usage.in_flight} requests of {contract.customer} are under way here; '
-                f'its contract allows this host {allowed}',
+                f'{usage.in_flight} requests of {contract.customer} are in flight here; '
+                f'its contract allows {allowed} on this host',
                 CONCURRENCY_RETRY_SECONDS,
             )
         rate, burst = share_of_rate(terms, share, members)
@@ -72,6 +72,6 @@
             raise not_run(
                 HTTP_TOO_MANY_REQUESTS,
                 'rate-limit',
-                f'{contract.customer} is above its rate of {terms.rate} a second',
+                f'{contract.customer} exceeds its rate of {terms.rate} requests per second',
                 wait,
             )
--- a/dandelionreel/routing/_budget.py
+++ b/dandelionreel/routing/_budget.py
@@ -1,27 +1,27 @@
-"""Limits that a customer's contract sets on requests and on their retries."""
+"""Rate, concurrency and retry limits of a customer's contract."""
 
 from dandelionreel.contracts import RequestTerms
 from dandelionreel.kernel import Clock
 
-#: Retries that may follow each other before first attempts have earned them.
+#: Upper bound of the retry tokens that first attempts can accumulate.
 MAX_SAVED_RETRIES = 10.0
-#: Three thirds of a count are the whole of it.
+#: Compensates float error, so that three thirds of a count make the whole.
 ROUNDING_TOLERANCE = 1e-9
-#: A daemon without any part of a rate lets one pass in this many seconds.
+#: Requests per second where the share of the rate is lower or zero.
 MIN_RATE = 1e-3
 
 
 class TokenBucket:
-    """Lets ``rate`` a second pass, and up to ``burst`` at once."""
+    """Token bucket: ``rate`` requests per second, and up to ``burst`` at once."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start full at the first question."""
+        """Fill the bucket at the first call of ``take``."""
         self._clock = clock
         self._tokens = -1.0
         self._filled_at = 0.0
 
     def take(self, rate: float, burst: float) -> float:
-        """Take a token and return 0, or the seconds until there is one."""
+        """Take a token and return 0, or return the seconds until one is available."""
         now = self._clock.monotonic()
         if self._tokens < 0:
             self._tokens = burst
@@ -36,18 +36,18 @@
 
 
 class RetryBudget:
-    """Keeps retries under a fixed fraction of first attempts."""
+    """Limits retries to a fixed fraction of first attempts."""
 
     def __init__(self) -> None:
-        """Start with a small allowance, so that one early failure can be retried."""
+        """Start with one token, so that an early failure can be retried."""
         self._tokens = 1.0
 
     def add_attempt(self, fraction: float) -> None:
-        """Note a first attempt."""
+        """Add the fraction of a retry that a first attempt allows."""
         self._tokens = min(MAX_SAVED_RETRIES, self._tokens + fraction)
 
     def use_retry(self) -> bool:
-        """Return whether one more retry is within the budget, and count it."""
+        """Count a retry if the budget allows it; return whether it does."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -55,20 +55,20 @@
 
 
 class CustomerUsage:
-    """Requests of one customer that this daemon has let in."""
+    """Rate, retries and requests in flight of one customer on this daemon."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with none."""
+        """Start with no requests."""
         self.bucket = TokenBucket(clock)
         self.retry_budget = RetryBudget()
         self.in_flight = 0
 
 
 def share_of_count(count: int, share: float, rank: int, members: int) -> int:
-    """Return one daemon's part of a cell-wide count.
+    """Return one daemon's share of a limit that holds for all zones together.
 
-    The zone's part is rounded down; within the zone the rest goes one each to
-    the first ranks. The parts of all daemons never exceed the count.
+    The zone's share is rounded down; within the zone the remainder goes one
+    each to the lowest ranks. All shares together never exceed ``count``.
     """
     zone_count = int(count * share + ROUNDING_TOLERANCE)
     per_member, rest = divmod(zone_count, max(1, members))
@@ -76,6 +76,6 @@
 
 
 def share_of_rate(terms: RequestTerms, share: float, members: int) -> tuple[float, float]:
-    """Return one daemon's part of the rate and of the burst."""
+    """Return one daemon's share of the rate and of the burst."""
     fraction = share / max(1, members)
     return max(terms.rate * fraction, MIN_RATE), max(terms.burst * fraction, 1.0)
--- a/dandelionreel/routing/_call.py
+++ b/dandelionreel/routing/_call.py
@@ -1,4 +1,4 @@
-"""A caller's request to a service, read from its path and headers."""
+"""A caller's request to a service, parsed from its path and headers."""
 
 import os
 from dataclasses import dataclass
@@ -18,13 +18,13 @@
 REQUEST_ID_BYTES = 8
 HTTP_BAD_REQUEST = 400
 HTTP_NOT_FOUND = 404
-#: Methods that HTTP itself calls idempotent.
+#: Methods that are idempotent by the HTTP specification.
 IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'))
 
 
 @dataclass(frozen=True)
 class ServiceCall:
-    """What the router needs to know; ``deadline`` is on the monotonic clock."""
+    """A parsed request to a service; ``deadline`` is on the monotonic clock."""
 
     id: str
     service: str
@@ -38,11 +38,11 @@
 
     @property
     def is_keyed(self) -> bool:
-        """Return whether the log must decide who may send it, once."""
+        """Return whether its idempotency key must be claimed in the log before sending."""
         return bool(self.key) and not self.idempotent
 
     def make_runner_request(self) -> Request:
-        """Return the request as the runner gets it."""
+        """Return the request as it is sent to the runner."""
         _, _, rest = self.request.target.removeprefix(SERVICES_PREFIX).partition('/')
         return Request(
             self.request.method,
@@ -53,16 +53,16 @@
 
 
 def parse_call(request: Request, now: float, max_seconds: float) -> ServiceCall:
-    """Check and read a request; raises ``RequestError`` with verdict not run."""
+    """Validate and parse a request; raises ``RequestError`` with verdict not run."""
     service, _, _ = request.path.removeprefix(SERVICES_PREFIX).partition('/')
     if not request.path.startswith(SERVICES_PREFIX) or not service:
-        raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: name a service')
+        raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: the path names no service')
     customer = request.header(CUSTOMER_HEADER)
     if not customer:
         raise not_run(
             HTTP_BAD_REQUEST,
             'missing-header',
-            f'header {CUSTOMER_HEADER} is missing; name the customer',
+            f'header {CUSTOMER_HEADER} is missing',
         )
     return ServiceCall(
         id=request.header('dandelionreel-request-id') or os.urandom(REQUEST_ID_BYTES).hex(),
@@ -83,7 +83,7 @@
         raise not_run(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {DEADLINE_HEADER}: {clip(text)!r} is not allowed; give 1 to {limit} milliseconds',
+            f'header {DEADLINE_HEADER}: {clip(text)!r} must be 1 to {limit} milliseconds',
         )
     return int(text) / MILLISECONDS_PER_SECOND
 
@@ -96,7 +96,7 @@
         raise not_run(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {IDEMPOTENT_HEADER}: {clip(text)!r} is not allowed; give true or false',
+            f'header {IDEMPOTENT_HEADER}: {clip(text)!r} must be true or false',
         )
     return text == 'true'
 
--- a/dandelionreel/routing/_choice.py
+++ b/dandelionreel/routing/_choice.py
@@ -1,4 +1,4 @@
-"""Which of the runners with room gets the next request; each way is a plug-in."""
+"""Plug-ins that choose among runners with free slots."""
 
 import abc
 import random
@@ -9,7 +9,7 @@
 
 
 class RunnerChoice(abc.ABC):
-    """Picks one of several runners that all have room."""
+    """Chooses one of several runners that all have a free slot."""
 
     @abc.abstractmethod
     def choose(self, runners: Sequence[Runner]) -> Runner:
@@ -18,14 +18,14 @@
 
 @plugins.register(PluginKind.ROUTING, 'two_choices')
 class TwoChoices(RunnerChoice):
-    """The better of two drawn at random: fewer slots in use, then faster answers."""
+    """The less loaded of two random runners: fewer slots in use, then faster answers."""
 
     def __init__(self, random_source: random.Random | None = None) -> None:
-        """Draw from ``source``."""
+        """Draw from ``random_source``."""
         self._random = random_source or random.Random()
 
     def choose(self, runners: Sequence[Runner]) -> Runner:
-        """Return the better of two."""
+        """Return the less loaded of two random runners."""
         if len(runners) == 1:
             return runners[0]
         first, second = self._random.sample(runners, 2)
@@ -36,23 +36,23 @@
 
 @plugins.register(PluginKind.ROUTING, 'least_loaded')
 class LeastLoaded(RunnerChoice):
-    """The one with the fewest slots in use; its owner counts them exactly."""
+    """The runner with the fewest slots in use, which its owner counts exactly."""
 
     def choose(self, runners: Sequence[Runner]) -> Runner:
-        """Return the least burdened."""
+        """Return the least loaded runner."""
         return min(runners, key=_load_of)
 
 
 @plugins.register(PluginKind.ROUTING, 'round_robin')
 class RoundRobin(RunnerChoice):
-    """One after the other, whatever their load: a baseline."""
+    """Runners in turn, whatever their load; a baseline for measurements."""
 
     def __init__(self) -> None:
-        """Start at the first."""
+        """Start at the beginning of the list."""
         self._next = 0
 
     def choose(self, runners: Sequence[Runner]) -> Runner:
-        """Return the next in turn."""
+        """Return the next runner in turn."""
         self._next += 1
         return runners[self._next % len(runners)]
 
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -1,7 +1,7 @@
-"""At most one send for each idempotency key of a non-idempotent request.
+"""Sends a non-idempotent request at most once for each idempotency key.
 
-The key's record in the zone's stream decides: the first intent in log order
-may send, whatever the clocks say.
+The log stream of the key's zone decides: only the first intent in log order
+may be sent, whatever the clocks of the daemons say.
 """
 
 import os
@@ -17,7 +17,7 @@
 
 NONCE_BYTES = 8
 MAX_KEYS = 50_000
-#: In place of a runner's status: nothing was sent.
+#: Stands for a runner's status when nothing was sent.
 NOT_SENT = 0
 BACKGROUND_WRITE_SECONDS = 600.0
 HTTP_CONFLICT = 409
@@ -36,7 +36,7 @@
 
 
 class RequestEnded(msgspec.Struct, frozen=True, tag='request_ended'):
-    """What became of it: the runner's status, or 0 when nothing was sent."""
+    """The result of an intent: the runner's status, or 0 when nothing was sent."""
 
     customer: str
     key: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class KeyState:
-    """A key that has been used; ``status`` is ``None`` until the end is known."""
+    """A used key; ``status`` is ``None`` until the result is known."""
 
     digest: str
     nonce: str
@@ -57,10 +57,10 @@
 
 
 class KeyProjection:
-    """Keys of one zone's stream."""
+    """Used idempotency keys, as one zone's stream records them."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without any keys."""
         self._state_by_key: dict[tuple[str, str], KeyState] = {}
 
     def reset(self) -> None:
@@ -68,11 +68,11 @@
         self._state_by_key.clear()
 
     def get(self, customer: str, key: str) -> KeyState | None:
-        """Return what is known of a key."""
+        """Return the state of a key, ``None`` if it is unused."""
         return self._state_by_key.get((customer, key))
 
     def fold(self, record: msgspec.Struct, position: Position) -> None:
-        """Apply one record."""
+        """Apply one record of the stream."""
         if isinstance(record, RequestIntent):
             state = KeyState(record.digest, record.nonce)
             self._state_by_key.setdefault((record.customer, record.key), state)
@@ -87,25 +87,27 @@
         if state is None or state.nonce != record.nonce:
             return
         if record.status == NOT_SENT:
-            # Nothing was sent: the key may be used again.
+            # Nothing was sent, so the key is free again.
             self._state_by_key.pop(name)
             return
         self._state_by_key[name] = replace(state, status=record.status)
 
 
 class IdempotencyGuard:
-    """Writes intents and ends, and refuses what has been sent before."""
+    """Records intents and results, and refuses keys that are in use."""
 
-    def __init__(self, fold: KeyProjection, reader: StreamReader, writer: StreamWriter) -> None:
-        """Decide by ``fold``, which ``reader`` feeds; write by ``writer``."""
-        self._projection = fold
+    def __init__(
+        self, projection: KeyProjection, reader: StreamReader, writer: StreamWriter
+    ) -> None:
+        """Read keys from ``projection``, which ``reader`` updates; write with ``writer``."""
+        self._projection = projection
         self._reader = reader
         self._writer = writer
 
     async def begin(self, customer: str, key: str, request: Request, timeout: float) -> str:
         """Return the nonce under which the request may be sent once.
 
-        Raises ``RequestError`` when it was sent before, or the log is silent.
+        Raises ``RequestError`` when the key is in use or the log is unavailable.
         """
         digest = xxhash.xxh64_hexdigest(
             b'|'.join((request.method.encode(), request.target.encode(), request.body)),
@@ -117,15 +119,15 @@
         try:
             await self._writer.write(RequestIntent(customer, key, digest, nonce), timeout)
         except LogError as error:
-            # The request has not been sent and will not be. The intent may
-            # land late; this sets the key free again.
+            # The request won't be sent, but the log may still append the
+            # intent later; this record releases the key in that case.
             await curio.spawn(self.end, customer, key, nonce, NOT_SENT, daemon=True)
             raise _make_log_unavailable() from error
         self._raise_if_used(customer, key, digest, nonce)
         return nonce
 
     async def end(self, customer: str, key: str, nonce: str, status: int) -> None:
-        """Keep what became of the request; the log may take its time."""
+        """Record the result of a request, with a long timeout for a slow log."""
         try:
             await self._writer.write(
                 RequestEnded(customer, key, nonce, status),
@@ -142,25 +144,25 @@
 
 
 def make_refusal(state: KeyState, digest: str) -> RequestError:
-    """Return why a used key cannot be used again."""
+    """Return the error for a key that is already in use."""
     if state.digest != digest:
         return not_run(
             HTTP_UNPROCESSABLE,
             'key-reused',
-            'this idempotency key belongs to another request; use a new one',
+            'this idempotency key was used for a different request; use a new one',
         )
     if state.status is None:
         return unknown(
             HTTP_CONFLICT,
             'already-sent',
-            'a request with this key was sent before; what became of it is not known here',
+            'a request with this key was already sent; its result is unknown here',
         )
     return RequestError(
         Problem(
             Verdict.RAN,
             HTTP_CONFLICT,
             'already-ran',
-            f'a request with this key ran before; the runner answered {state.status}',
+            f'a request with this key already ran; the runner answered {state.status}',
         ),
     )
 
@@ -169,6 +171,6 @@
     return not_run(
         HTTP_UNAVAILABLE,
         'log-unavailable',
-        'the log did not take the intent; nothing was sent',
+        'the log did not accept the intent; nothing was sent',
         RETRY_AFTER_SECONDS,
     )
--- a/dandelionreel/routing/_metrics.py
+++ b/dandelionreel/routing/_metrics.py
@@ -1,4 +1,4 @@
-"""What the router counts."""
+"""Prometheus metrics of the router."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
@@ -8,10 +8,10 @@
 
 
 class RoutingMetrics:
-    """Answers, refusals and retries of requests."""
+    """Metrics of answers, refusals and retries."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        """Register with ``registry``."""
+        """Register the metrics with ``registry``."""
         self._answer_seconds = Histogram(
             'dandelionreel_request_seconds',
             'Time from a request to its answer.',
@@ -33,7 +33,7 @@
         )
 
     def count_answer(self, call: ServiceCall, seconds: float) -> None:
-        """Count an answer."""
+        """Observe the time that an answer took."""
         self._answer_seconds.labels(call.customer, call.task_class).observe(seconds)
 
     def count_refusal(self, call: ServiceCall, verdict: str, cause: str) -> None:
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -1,4 +1,4 @@
-"""All runners of this zone, and the ones among them that this daemon owns."""
+"""The runners of this zone, and the slots of those that this daemon owns."""
 
 from collections.abc import Iterable
 
@@ -22,7 +22,7 @@
 
 
 class RunnerPool(ShardUser):
-    """Runners by name, kept in step with the host list and with ownership."""
+    """The runners of the zone, updated from the host list and from shard ownership."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         choice: RunnerChoice,
         journal: Journal,
     ) -> None:
-        """Choose among owned runners by ``choice``."""
+        """Choose among owned runners with ``choice``."""
         self._settings = settings
         self._clock = clock
         self._hosts = hosts
@@ -45,9 +45,9 @@
         self._runner_by_name: dict[str, Runner] = {}
         self._seen_grants: set[str] = set()
         self._logged_leaving: set[str] = set()
-        #: Names of leaving endpoints that peers or operators have told.
+        #: When a peer last reported each leaving endpoint, on the monotonic clock.
         self._leaving_told_at: dict[str, float] = {}
-        #: Endpoints that an operator drains; they stay so until they are gone.
+        #: Endpoints that an operator drains, until the host list drops them.
         self._draining: set[str] = set()
         self.changed = Signal()
 
@@ -58,7 +58,7 @@
             yield runner_shard(entry.name)
 
     async def let_go(self, shard: str) -> bool:
-        """Return whether no request is under way on a runner's shard."""
+        """Return whether no request is in flight on a runner's shard."""
         if not shard.startswith(RUNNER_PREFIX):
             return True
         runner = self._runner_by_name.get(shard.removeprefix(RUNNER_PREFIX))
@@ -70,7 +70,7 @@
         return True
 
     async def run(self) -> None:
-        """Follow the host list and ownership, for ever."""
+        """Follow the host list and shard ownership until cancelled."""
         while True:
             await self._refresh()
             seen = self._hosts.changed.count
@@ -81,10 +81,11 @@
         return tuple(self._runner_by_name.values())
 
     def is_leaving(self, entry: HostEntry) -> bool:
-        """Return whether any sign says that the endpoint leaves.
+        """Return whether the endpoint is draining or shutting down.
 
-        A sign that is older than the last reading of the host list, which
-        still calls the host live, was a false alarm.
+        The sources are the host list, an operator, peers, and this daemon's
+        own connections. A report from peers or connections that is two polls
+        older than a host list with the endpoint still live is a false alarm.
         """
         if not entry.is_live or entry.name in self._draining:
             return True
@@ -94,7 +95,7 @@
         return last_sign_at > self._hosts.read_at - self._settings.timings.hosts_poll * 2
 
     def leaving(self) -> tuple[str, ...]:
-        """Return the names of leaving endpoints of this zone."""
+        """Return the names of this zone's endpoints that are leaving."""
         return tuple(
             runner.entry.name
             for runner in self._runner_by_name.values()
@@ -102,10 +103,10 @@
         )
 
     def observed_leaving(self) -> tuple[str, ...]:
-        """Return leaving endpoints by what this daemon has seen itself.
+        """Return the leaving endpoints that this daemon has observed itself.
 
-        What peers told is not passed on: two daemons would keep telling each
-        other of a sign that was a false alarm.
+        Reports of peers are not passed on: two daemons would keep repeating
+        a false alarm to each other.
         """
         recent = self._hosts.read_at - self._settings.timings.hosts_poll * 2
         return tuple(
@@ -117,25 +118,25 @@
         )
 
     def drain_endpoint(self, name: str) -> None:
-        """Send nothing more to an endpoint; an operator says so."""
+        """Send no more requests to an endpoint, on an operator's command."""
         self._draining.add(name)
 
     def note_leaving(self, names: Iterable[str]) -> None:
-        """Keep what a peer or an operator told about leaving endpoints."""
+        """Record a peer's report of leaving endpoints."""
         for name in names:
             self._leaving_told_at[name] = self._clock.monotonic()
 
     def has_service(self, service: str) -> bool:
-        """Return whether the zone has a runner of that service."""
+        """Return whether the zone has a runner of the service that is not leaving."""
         return any(
             runner.entry.service == service and not self.is_leaving(runner.entry)
             for runner in self._runner_by_name.values()
         )
 
     def acquire_slot(self, service: str, *, headroom: bool) -> Runner | None:
-        """Return an owned runner with a free slot, counted in use; else ``None``.
+        """Acquire a slot of an owned runner; return ``None`` when none is free.
 
-        With ``headroom``, a part of the slots is left for urgent requests.
+        With ``headroom``, some slots are reserved for urgent requests.
         """
         candidates = []
         for runner in self._runner_by_name.values():
@@ -151,7 +152,7 @@
         return runner
 
     def may_send(self, runner: Runner) -> bool:
-        """Return whether a counted request may leave for the runner now."""
+        """Return whether a request with an acquired slot may be sent now."""
         grant = self._authority.grant(runner_shard(runner.entry.name))
         return runner.in_use <= runner.slot_limit(grant) and not self.is_leaving(runner.entry)
 
@@ -161,14 +162,14 @@
         for runner in self._runner_by_name.values():
             if self.is_leaving(runner.entry):
                 continue
-            free = self._free_slots(runner)
-            if free:
+            free_slots = self._free_slots(runner)
+            if free_slots:
                 service = runner.entry.service
-                free_by_service[service] = free_by_service.get(service, 0) + free
+                free_by_service[service] = free_by_service.get(service, 0) + free_slots
         return tuple(ServiceRoom(name, free) for name, free in sorted(free_by_service.items()))
 
     def mean_seconds(self, service: str) -> float:
-        """Return the mean time of an answer over the service's owned runners."""
+        """Return the mean answer time of the service's runners, 0 if none is known."""
         means = [
             runner.latency.mean
             for runner in self._runner_by_name.values()
@@ -241,7 +242,7 @@
         await runner.await_former_owner()
         self._journal.tell(
             Part.ROUTING,
-            f'took all slots of {runner.entry.name}; its former owner holds none.',
+            f'has all slots of {runner.entry.name}; its former owner holds none.',
             runner=runner.entry.name,
         )
         await self.changed.notify()
@@ -249,5 +250,7 @@
     async def _log_leaving(self) -> None:
         leaving = set(self.leaving())
         for name in leaving - self._logged_leaving:
-            self._journal.tell(Part.ROUTING, f'sends nothing more to {name}; it leaves.')
+            self._journal.tell(
+                Part.ROUTING, f'sends no more requests to {name}; the endpoint is leaving.'
+            )
         self._logged_leaving = leaving
--- a/dandelionreel/routing/_queue.py
+++ b/dandelionreel/routing/_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot, by class and then by deadline."""
+"""Requests that wait for a slot, by priority and then by deadline."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass
 class Waiter:
-    """One waiting request; lower ``rank`` goes first."""
+    """A waiting request; the lowest ``sort_key`` goes first."""
 
     sort_key: tuple[int, float, int]
     headroom: bool
@@ -16,12 +16,12 @@
     removed: bool = False
 
     def __lt__(self, other: 'Waiter') -> bool:
-        """Order by class, deadline and arrival."""
+        """Order by priority, deadline and arrival."""
         return self.sort_key < other.sort_key
 
 
 class RequestQueue:
-    """A bounded queue; whoever is woken tries for a slot again."""
+    """A bounded priority queue; a woken request tries again to acquire a slot."""
 
     def __init__(self, max_length: int) -> None:
         """Hold at most ``length`` requests."""
@@ -32,11 +32,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether no further request may wait."""
+        """Return whether the queue is at its limit."""
         return self.waiting >= self._max_length
 
     def add(self, priority: int, deadline: float, *, headroom: bool) -> Waiter:
-        """Queue a request; higher priorities go first, then earlier deadlines."""
+        """Add a request; higher priorities go first, then earlier deadlines."""
         self._arrivals += 1
         waiter = Waiter((-priority, deadline, self._arrivals), headroom)
         heapq.heappush(self._heap, waiter)
@@ -44,18 +44,18 @@
         return waiter
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a request out, wherever it stands."""
+        """Remove a request; its heap entry is dropped once it reaches the top."""
         if not waiter.removed:
             waiter.removed = True
             self.waiting -= 1
 
     def count_ahead(self, priority: int, deadline: float) -> int:
-        """Return about how many waiting requests would go first."""
+        """Return about how many waiting requests would go before a new one."""
         sort_key = (-priority, deadline, self._arrivals)
         return sum(1 for waiter in self._heap if not waiter.removed and waiter.sort_key < sort_key)
 
     async def wake(self, count: int) -> None:
-        """Let the first ``count`` try for a slot; they leave the queue."""
+        """Remove the first ``count`` requests and wake them to try for a slot."""
         while count > 0 and self._heap:
             waiter = heapq.heappop(self._heap)
             if waiter.removed:
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -1,4 +1,4 @@
-"""From a caller's request to a runner's whole answer, or a true verdict."""
+"""Routes a caller's request to a runner, and reports whether it may have run."""
 
 from dataclasses import dataclass, replace
 
@@ -51,20 +51,21 @@
 HTTP_BAD_GATEWAY = 502
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
-#: What crossing to another zone and back may cost at least, in seconds.
+#: Minimum remaining time for a request to be forwarded to another zone.
 CROSS_ZONE_MIN_SECONDS = 0.05
-#: Time kept back so that an answer still reaches the caller.
+#: Time reserved for the answer to reach the caller.
 ANSWER_MARGIN_SECONDS = 0.01
-#: How much of the time that is left an intent may take to be read back.
+#: Fraction of the remaining time for writing an intent and reading it back.
 INTENT_TIME_FRACTION = 0.8
-#: A waiting request looks again this often for room at peers.
+#: A queued request checks the peers for free slots this often.
 PEER_CHECK_SECONDS = 0.1
-#: With nothing waiting, the router looks this often only.
+#: Poll interval of the router while no request is queued.
 IDLE_SECONDS = 1.0
-#: One hop to a peer with room, one more to the zone of an idempotency key.
+#: One hop to a peer with free slots.
 MAX_HOPS = 1
-#: Asks the receiver to admit the request as if its caller had come there.
+#: Hop count with which the receiver admits the request as if it came from a caller.
 ADMIT_HOPS = 0
+#: One more hop, to the zone that keeps the idempotency key.
 MAX_KEYED_HOPS = 2
 RETRY_AFTER_SECONDS = 1.0
 NO_ROUTE_RETRY_SECONDS = 5.0
@@ -72,13 +73,13 @@
 
 @dataclass
 class _AttemptHistory:
-    """What the tries of one request have come to so far."""
+    """Outcome of all previous attempts of one request."""
 
     may_have_run: bool = False
 
 
 class _NoFreeSlotError(Exception):
-    """This daemon has no free slot and the request may not travel further."""
+    """This daemon has no free slot and the request is at its last hop."""
 
 
 class Router:
@@ -110,7 +111,7 @@
         self._journal = journal
         self._admission = Admission(settings, clock, me, book, membership)
         self._queue_by_service: dict[str, RequestQueue] = {}
-        #: Requests under way, forwarded ones included.
+        #: Requests in flight, including those that peers forwarded.
         self.in_flight = 0
 
     async def serve(self, request: Request) -> Answer:
@@ -118,16 +119,16 @@
         call = parse_call(request, self._clock.monotonic(), self._settings.timings.longest_run)
         if self._membership.is_live(self._me):
             return await self._admit(call)
-        # Started in an outage of the log: this daemon has no part of any
-        # limit, for nobody can have made room for it. A member admits.
+        # A daemon that started while the log was unavailable isn't a member,
+        # so it has no share of any limit. A peer that is a member admits.
         zone = self._settings.availability_zone
         return await self._forward_to_any(call, self._directory.states(zone), ADMIT_HOPS)
 
     async def answer_forward(self, frame: Frame) -> Message:
-        """Serve a request that a peer handed on."""
+        """Serve a request that a peer forwarded."""
         message = frame.message
         if not isinstance(message, Forward):
-            return Refused('not a forward')
+            return Refused('not a forwarded request')
         try:
             call = parse_call(
                 message.request,
@@ -148,11 +149,11 @@
             return ForwardAnswer(answer_problem(error.problem))
 
     def queue_lengths(self) -> dict[str, int]:
-        """Return how many requests wait, by service."""
+        """Return the number of queued requests by service."""
         return {name: queue.waiting for name, queue in self._queue_by_service.items()}
 
     async def run(self) -> None:
-        """Wake waiting requests whenever room may have come up, for ever."""
+        """Wake queued requests when slots may be free, until cancelled."""
         while True:
             seen = self._pool.changed.count
             free_by_service = {
@@ -189,7 +190,7 @@
         self._metrics.count_refusal(call, problem.verdict.value, problem.cause)
         self._journal.tell_frequent(
             Part.ROUTING,
-            f'gave up on a request for {call.service}; {problem.detail}.',
+            f'refuses a request for {call.service}; {problem.detail}.',
             request=call.id,
             customer=call.customer,
             verdict=problem.verdict.value,
@@ -207,7 +208,7 @@
 
     async def _deliver_keyed(self, call: ServiceCall) -> Answer:
         remaining = call.deadline - self._clock.monotonic()
-        # A peer may wait for this answer: it must still get there in time.
+        # The answer may have to reach a peer before the deadline.
         timeout = max(ANSWER_MARGIN_SECONDS, remaining * INTENT_TIME_FRACTION)
         nonce = await self._keyed.begin(call.customer, call.key, call.request, timeout)
         try:
@@ -221,16 +222,16 @@
         return answer
 
     async def _end_keyed(self, call: ServiceCall, nonce: str, status: int) -> None:
-        # The caller need not wait for the log to take it.
+        # In the background, so that the caller does not wait for the log.
         await curio.spawn(self._keyed.end, call.customer, call.key, nonce, status, daemon=True)
 
     async def _deliver_to_zone(self, call: ServiceCall, zone: str) -> Answer:
-        """Hand a keyed request to the one zone that keeps its key."""
+        """Forward a request to the zone that keeps its idempotency key."""
         if call.hops:
             raise not_run(
                 HTTP_UNAVAILABLE,
                 'zones-differ',
-                f"zone {zone} keeps this key by our settings, not by the asking daemon's",
+                f"zone {zone} keeps this key by our settings, not by the forwarding daemon's",
                 NO_ROUTE_RETRY_SECONDS,
             )
         return await self._forward_to_any(call, self._directory.states(zone), MAX_HOPS)
@@ -241,7 +242,7 @@
         states: tuple[PeerState, ...],
         hops: int,
     ) -> Answer:
-        """Have one of several peers answer, the first that takes the request."""
+        """Return the answer of the first peer that accepts the request."""
         for state in states:
             if not state.member:
                 continue
@@ -253,14 +254,14 @@
                 raise unknown(
                     HTTP_TIMEOUT,
                     'peer-silent',
-                    'the daemon that had the request did not answer',
+                    'the daemon that received the request did not answer',
                 ) from error
             if answer is not None:
                 return answer
         raise not_run(
             HTTP_UNAVAILABLE,
             'peers-unreachable',
-            'no daemon that could take the request is in reach',
+            'no daemon that could accept the request is reachable',
             NO_ROUTE_RETRY_SECONDS,
         )
 
@@ -273,7 +274,7 @@
             problem = error.problem
             if not history.may_have_run or problem.verdict is not Verdict.NOT_RUN:
                 raise
-            # The last try did not run, but an earlier one may have.
+            # The last attempt did not run, but an earlier one may have.
             raise unknown(problem.status, problem.cause, problem.detail) from error
 
     async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Answer:
@@ -290,7 +291,7 @@
     async def _send(
         self, call: ServiceCall, runner: Runner, history: '_AttemptHistory'
     ) -> Answer | None:
-        """Send to a runner; ``None`` when the request may be tried again."""
+        """Send to a runner; return ``None`` when the request may be retried."""
         self._log_choice(call, runner)
         remaining = call.deadline - self._clock.monotonic()
         try:
@@ -298,8 +299,8 @@
                 call.make_runner_request(),
                 remaining,
                 self._pool.changed.notify,
-                # A connection that idled may be closed by the runner just as
-                # the request leaves; nobody could tell whether it had run.
+                # The runner may close an idle connection just as the request
+                # is sent; whether it ran would then be unknown.
                 new_connection=not call.idempotent,
                 may_send=lambda: self._pool.may_send(runner),
             )
@@ -310,7 +311,7 @@
         return with_verdict(answer, Verdict.RAN)
 
     def _check_retry(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
-        """Return when another try is allowed; raises ``RequestError`` otherwise."""
+        """Return if another attempt is allowed; raises ``RequestError`` otherwise."""
         if isinstance(error, ForbiddenError):
             return
         may_repeat = call.idempotent or not error.sent
@@ -332,7 +333,8 @@
             await self._wait_for_slot(call)
             return None
         try:
-            # Its key is taken by now: the next daemon must not ask for it again.
+            # Sent as the last hop: the key is already claimed, and the next
+            # daemon must not claim it again.
             answer = await self._forward(call, state, _max_hops(call))
         except PeerError as error:
             state.gossip = replace(state.gossip, rooms=())
@@ -345,14 +347,14 @@
             raise unknown(
                 HTTP_TIMEOUT,
                 'peer-silent',
-                f'{state.member} had the request and did not answer',
+                f'{state.member} received the request and did not answer',
             ) from error
         if answer is None:
             state.gossip = replace(state.gossip, rooms=())
         return answer
 
     async def _forward(self, call: ServiceCall, state: PeerState, hops: int) -> Answer | None:
-        """Hand a request to a peer; ``None`` when it has no room.
+        """Forward a request to a peer; return ``None`` when it has no free slot.
 
         Raises ``PeerError``.
         """
@@ -360,7 +362,7 @@
         state.sent_since += 1
         self._journal.tell_frequent(
             Part.ROUTING,
-            f'handed a request for {call.service} to {state.member}; it has room.',
+            f'forwards a request for {call.service} to {state.member}; it has free slots.',
             request=call.id,
             peer=state.member,
         )
@@ -398,7 +400,7 @@
         return best
 
     async def _wait_for_slot(self, call: ServiceCall) -> None:
-        """Queue until a slot may be free; raises ``RequestError`` when it is no use."""
+        """Queue until a slot may be free; raises ``RequestError`` if waiting cannot help."""
         queue = self._queue_by_service.get(call.service)
         if queue is None:
             queue = RequestQueue(self._settings.limits.queue_length)
@@ -420,7 +422,7 @@
             raise not_run(
                 HTTP_NOT_FOUND,
                 'unknown-service',
-                f'no runner of service {call.service!r} is known',
+                f'service {call.service!r} has no known runner',
                 NO_ROUTE_RETRY_SECONDS,
             )
         if queue.is_full:
@@ -440,7 +442,7 @@
             )
 
     def _estimate_wait(self, call: ServiceCall, queue: RequestQueue) -> float:
-        """Return seconds until an answer, from the queue ahead and the mean run."""
+        """Estimate the seconds until an answer, from the queue and the mean answer time."""
         slots = self._pool.slots(call.service)
         mean_seconds = self._pool.mean_seconds(call.service)
         if not slots or not mean_seconds:
@@ -461,7 +463,7 @@
             raise not_run(
                 HTTP_TIMEOUT,
                 'deadline',
-                'no slot came free before the deadline; nothing was sent',
+                'no slot was free before the deadline; nothing was sent',
                 RETRY_AFTER_SECONDS,
             )
 
@@ -477,15 +479,15 @@
 
 
 def with_verdict(answer: Answer, verdict: Verdict) -> Answer:
-    """Return the answer with this verdict, whatever the runner wrote there."""
+    """Return the answer with this verdict, replacing any that the runner set."""
     headers = tuple(header for header in answer.headers if header[0] != VERDICT_HEADER)
     return replace(answer, headers=(*headers, (VERDICT_HEADER, verdict.value)))
 
 
 def raise_problem(answer: Answer) -> None:
-    """Raise the ``RequestError`` that a peer answered with, if it is one.
+    """Raise the ``RequestError`` that a peer's answer stands for, if any.
 
-    A runner's own answer always carries the verdict ``ran``.
+    An answer of a runner always has the verdict ``ran``.
     """
     if answer.header(VERDICT_HEADER) in {'', Verdict.RAN.value}:
         return
@@ -502,7 +504,7 @@
 
 
 def _max_hops(call: ServiceCall) -> int:
-    """Return the number of the hop behind which a request travels no further."""
+    """Return the number of hops after which a request is not forwarded."""
     return MAX_KEYED_HOPS if call.is_keyed else MAX_HOPS
 
 
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -1,4 +1,4 @@
-"""One runner as its owner sees it: slots, connections, latency, health."""
+"""A runner as its owner tracks it: slots, connections, latency and health."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,9 +20,9 @@
 
 SLOTS_PATH = '/.runner/slots'
 HTTP_OK = 200
-#: Weight of the newest latency in the moving average.
+#: Weight of the newest answer time in the moving average.
 LATENCY_WEIGHT = 0.1
-#: A runner whose latency is this many times its best takes fewer at a time.
+#: A runner whose mean latency exceeds its best by this factor gets a lower limit.
 SLOW_FACTOR = 3.0
 LIMIT_DECREASE_FACTOR = 0.9
 BEST_DRIFT_FACTOR = 1.01
@@ -34,37 +34,37 @@
 
 
 class SlotUsage(msgspec.Struct, frozen=True):
-    """What a runner tells about its slots."""
+    """A runner's report of its busy slots."""
 
     busy: int
 
 
 class Latency:
-    """Moving average and slowly rising best of a runner's answer times, in seconds."""
+    """Moving average and best of a runner's answer times, in seconds."""
 
     def __init__(self) -> None:
-        """Start with nothing measured."""
+        """Start without a measurement."""
         self.mean = 0.0
         self.best = 0.0
 
     def add(self, seconds: float) -> None:
-        """Add one answer's time."""
+        """Add the time of one answer."""
         if not self.mean:
             self.mean = self.best = seconds
             return
         self.mean += (seconds - self.mean) * LATENCY_WEIGHT
-        # The best drifts up, so that one very short answer long ago does not
-        # make every later one look slow.
+        # The best rises slowly, so that a single very short answer does not
+        # make all later ones count as slow.
         self.best = min(seconds, self.best * BEST_DRIFT_FACTOR)
 
     @property
     def is_slow(self) -> bool:
-        """Return whether answers take much longer than at best."""
+        """Return whether answers take much longer than the best."""
         return self.mean > self.best * SLOW_FACTOR
 
 
 class Runner:
-    """Slots and connections of one runner; this daemon is the only one to use them."""
+    """Slots and connections of one runner; only the daemon that owns it uses them."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         longest_run: float,
         user_timeout: float,
     ) -> None:
-        """Use the runner that ``entry`` names."""
+        """Track the runner of the host list entry ``entry``."""
         self.entry = entry
         self._clock = clock
         self._answer_bytes = answer_bytes
@@ -87,32 +87,32 @@
         self._quarantined_until = 0.0
         self._quarantine = QUARANTINE_SECONDS
         self.latency = Latency()
-        #: Slots that requests of this daemon hold, abandoned ones included.
+        #: Slots of this daemon's requests, including those whose caller gave up.
         self.in_use = 0
         self.open_connections = 0
-        #: Slots that requests of a former owner may still hold.
+        #: Slots that requests of a former owner may still occupy.
         self.former_owner_slots = 0
         self.former_owner_until = 0.0
         self.leaving_seen_at = float('-inf')
 
     @property
     def limit(self) -> int:
-        """Return how many requests the runner takes well at present."""
+        """Return the current adaptive concurrency limit."""
         return int(self._limit)
 
     def free_slots(self, grant: Grant) -> int:
-        """Return how many more requests may be sent under that grant."""
+        """Return how many more requests may be sent under the grant."""
         if self.is_quarantined():
             return 0
         free = min(self.slot_limit(grant), self.limit) - self.in_use
-        # Idle connections can be closed to make room for a new one.
+        # An idle connection can be closed in favour of a new one.
         busy_connections = self.open_connections - len(self._idle)
         return max(0, min(free, self.entry.connections - busy_connections))
 
     def slot_limit(self, grant: Grant) -> int:
-        """Return how many slots this daemon may hold at all under that grant."""
+        """Return how many slots this daemon may occupy under the grant."""
         if grant.level is Level.NONE or grant.epoch != self._epoch:
-            # What a former owner may still have there has to be judged first.
+            # ``start_ownership`` has not yet counted the former owner's slots.
             return 0
         slots = self.entry.slots
         half = slots // 2
@@ -123,20 +123,21 @@
         return min(half, slots - max(self.former_owner_slots, half))
 
     def is_quarantined(self) -> bool:
-        """Return whether recent failures keep work away from it."""
+        """Return whether recent failures exclude the runner for now."""
         return self._clock.monotonic() < self._quarantined_until
 
     def start_ownership(self, grant: Grant, *, clean_handover: bool) -> None:
-        """Count all slots as held by the former owner until they are known free."""
+        """Begin a grant; after an unclean handover all slots count as the former owner's."""
         self._epoch = grant.epoch
         if not clean_handover:
             self.former_owner_slots = self.entry.slots
             self.former_owner_until = self._clock.monotonic() + self._longest_run
 
     async def await_former_owner(self) -> None:
-        """Ask the runner what is busy until nothing of a former owner is left.
+        """Poll the runner until the former owner occupies no more slots.
 
-        A runner that does not tell frees the slots after the longest run.
+        A runner that does not report its slots is waited for as long as the
+        longest run.
         """
         idle_answers = 0
         while self.former_owner_slots:
@@ -147,8 +148,8 @@
                     self.former_owner_slots = 0
                 continue
             self.former_owner_slots = max(0, busy - self.in_use)
-            # A request of the former owner may have been on its way when the
-            # runner was asked; one quiet answer is not enough.
+            # A request of the former owner may have been in transit at the
+            # first idle answer, so two in a row are required.
             idle_answers = 0 if self.former_owner_slots else idle_answers + 1
             if idle_answers == 1:
                 self.former_owner_slots = 1
@@ -164,9 +165,9 @@
     ) -> Answer:
         """Send a request and return its whole answer; raises ``ExchangeError``.
 
-        The caller has counted the slot in ``in_use``. It is given back, and
-        ``when_free`` awaited, once the runner is known to be done: after a
-        time-out that is when the late answer arrives, not when the caller
+        The caller has counted the slot in ``in_use``. The slot is released,
+        and ``on_release`` awaited, once the runner is known to be done: after
+        a timeout that is when the late answer arrives, not when the caller
         stops waiting.
         """
         exchange = _Exchange(
@@ -183,7 +184,7 @@
         raise ExchangeError('no answer in time', sent=exchange.sent)
 
     async def close_idle(self) -> None:
-        """Close connections that carry nothing."""
+        """Close all idle connections."""
         idle = self._idle
         self._idle = []
         for connection in idle:
@@ -212,7 +213,7 @@
         return connection
 
     async def return_connection(self, connection: Connection, *, reusable: bool) -> None:
-        """Keep a connection that ended its exchange well; close any other."""
+        """Keep a reusable connection for later requests; close any other."""
         if reusable and connection.is_open:
             self._idle.append(connection)
             return
@@ -220,7 +221,7 @@
         await connection.close()
 
     def record_answer(self, seconds: float, answer: Answer) -> None:
-        """Learn from an answer."""
+        """Update latency, health and the concurrency limit from an answer."""
         self.latency.add(seconds)
         self._failures = 0
         self._quarantine = QUARANTINE_SECONDS
@@ -232,7 +233,7 @@
             self.leaving_seen_at = self._clock.monotonic()
 
     def record_failure(self, error: ExchangeError) -> None:
-        """Learn from a failure; a refused connection is a sign of leaving."""
+        """Update health from a failure; a refused connection means the endpoint may leave."""
         if isinstance(error, ForbiddenError):
             return
         if isinstance(error, RefusedError):
@@ -259,7 +260,7 @@
 
 
 class _Exchange:
-    """One request on one connection, carried through even if the caller has gone."""
+    """One request on one connection, completed even if the caller gives up."""
 
     def __init__(
         self,
@@ -289,8 +290,9 @@
             runner.record_failure(error)
             await self.done.set()
             if error.sent and not isinstance(error, RefusedError):
-                # The runner may still be at work although the connection is
-                # gone; the slot stays held until no run can last any longer.
+                # The runner may still be working although the connection is
+                # closed; the slot stays occupied until it reports fewer busy
+                # slots, or for the longest run.
                 await self._wait_for_release(longest_run)
         finally:
             runner.in_use -= 1
--- a/dandelionreel/workers/__init__.py
+++ b/dandelionreel/workers/__init__.py
@@ -1,4 +1,4 @@
-"""Workers: the ledger of each, and the agents that watch and command them."""
+"""Watches and commands the workers of a zone, and counts their allocations."""
 
 from dandelionreel.workers._agent import REFUSED, STARTED, UNKNOWN, WorkerAgent
 from dandelionreel.workers._fleet import WorkerFleet
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -1,4 +1,4 @@
-"""One task per worker: watches it, starts and stops on it, keeps its leases."""
+"""The agent of one worker: watches it, starts and stops tasks, renews leases."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -23,16 +23,16 @@
 STARTED = 'started'
 REFUSED = 'refused'
 UNKNOWN = 'unknown'
-#: A watch waits this part of a lease at the worker for news.
+#: A long poll for changes waits this fraction of a lease at the worker.
 WATCH_LEASE_FRACTION = 2 / 3
 UNSETTLED_WATCH_SECONDS = 1.0
 RETRY_DELAY_SECONDS = 0.5
-#: Without ownership the agent waits to be told of a new grant.
+#: Without ownership the agent checks this often, or when its grant changes.
 IDLE_WAIT_SECONDS = 10.0
 MILLISECONDS_PER_SECOND = 1000
-#: Renewed this many times within a lease.
+#: Renewals within one lease period.
 RENEWALS_PER_LEASE = 3
-#: A task that uses more than this times its declaration is held back.
+#: A task that uses more than this multiple of its declared memory is restricted.
 OVERUSE_FACTOR = 1.1
 THROTTLE = 'throttle'
 CHECKPOINT = 'checkpoint'
@@ -43,14 +43,14 @@
 
 @dataclass
 class _LastContact:
-    """When the worker last answered, on this daemon's clock."""
+    """When the worker last answered, on this daemon's monotonic clock."""
 
     answered_at: float
     reachable: bool = True
 
 
 class WorkerAgent:
-    """This daemon's part for one worker; only its owner starts anything."""
+    """Manages one worker for this daemon; only the owner of the worker starts tasks."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Act as ``me`` on the worker that ``entry`` names."""
+        """Act as the member ``me`` on the worker of the host list entry ``entry``."""
         self._me = me
         self.entry = entry
         self._service = service
@@ -80,11 +80,11 @@
         self.start_count = 0
 
     def grant(self) -> Grant:
-        """Return what this daemon may do on the worker now."""
+        """Return this daemon's current grant for the worker."""
         return self._authority.grant(self.shard)
 
     async def run(self) -> None:
-        """Watch the worker while this daemon owns it, for ever."""
+        """Watch the worker whenever this daemon owns it, until cancelled."""
         last_revision = -1
         while True:
             seen = self.changed.count
@@ -96,7 +96,7 @@
             last_revision = await self._watch(last_revision)
 
     async def run_renewals(self) -> None:
-        """Renew the leases of all that runs while this daemon owns the worker."""
+        """Renew the leases of all allocated tasks while this daemon owns the worker."""
         while True:
             await curio.sleep(self._settings.timings.lease / RENEWALS_PER_LEASE)
             if self.grant().level is Level.NONE:
@@ -104,7 +104,7 @@
             await self.renew([allocation.task_id for allocation in self.ledger.allocations()])
 
     async def renew(self, task_ids: list[str]) -> None:
-        """Renew some leases; a failure shows as a worker that cannot be reached."""
+        """Renew leases; errors are ignored, as the watch notices an unreachable worker."""
         if not task_ids:
             return
         lease_ms = int(self._settings.timings.lease * MILLISECONDS_PER_SECOND)
@@ -114,10 +114,10 @@
             return
 
     async def renew_for_silent_owner(self) -> None:
-        """Renew all that runs there although another daemon owns the worker.
+        """Renew the leases of all running tasks although another daemon owns the worker.
 
-        Renewing starts nothing, so it needs no authority; without it the
-        tasks of an owner that died in a log outage would lapse.
+        A renewal starts nothing, so it needs no authority. Without it, the
+        leases of an owner that died while the log was unavailable would expire.
         """
         try:
             task_list = await self._service.tasks(-1, 0)
@@ -126,13 +126,13 @@
         await self.renew([status.id for status in task_list.tasks if status.is_running])
 
     async def start(self, order: PlaceOrder) -> PlaceAnswer:
-        """Start a task if the ledger and the authority allow it."""
+        """Start a task if the ledger and the grant allow it."""
         now = self._clock.monotonic()
         allocation = self.ledger.get(order.task_id)
         if allocation is not None and allocation.state is AllocationState.RUNNING:
-            return PlaceAnswer(STARTED, 'it runs already')
+            return PlaceAnswer(STARTED, 'the task already runs')
         if allocation is not None:
-            return PlaceAnswer(UNKNOWN, 'its start is under way or in doubt')
+            return PlaceAnswer(UNKNOWN, 'a start of the task is pending or its outcome is unknown')
         grant = self.grant()
         cause = self.ledger.refusal_reason(order.demand, grant)
         if cause:
@@ -141,12 +141,12 @@
         try:
             return await self._send_start(order, grant)
         except BaseException:
-            # Cancelled between the hold and the answer: nobody knows.
+            # Cancelled before the answer: whether the task started is unknown.
             self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, now)
             raise
 
     async def act(self, task_id: str, action: str) -> bool:
-        """Stop, checkpoint or throttle a task; False when the worker did not answer."""
+        """Stop, checkpoint or throttle a task; return whether the worker confirmed it."""
         try:
             await self._service.act(task_id, action)
         except WorkerError:
@@ -154,7 +154,7 @@
         return True
 
     def report(self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int) -> WorkerReport:
-        """Return what is known of the worker now."""
+        """Return a report of the worker's current state."""
         grant = self.grant()
         task_list = self._task_list
         statuses = task_list.tasks if task_list else ()
@@ -178,7 +178,7 @@
         )
 
     async def note_grant(self) -> None:
-        """Wake what waits for news when the grant has changed."""
+        """Notify the waiting tasks of this agent if the grant has changed."""
         grant = self.grant()
         if grant != self._last_grant:
             self._last_grant = grant
@@ -190,14 +190,14 @@
         return self._last_contact.answered_at
 
     async def close(self) -> None:
-        """Give up connections."""
+        """Close the connections to the worker."""
         await self._service.close()
 
     def _start_history_seconds(self) -> float:
-        """Return how far back from now the newest listing knows every start.
+        """Return for how many seconds back from now the task list has every start.
 
-        It was made some time ago, at the end of a long watch perhaps, and
-        reaches back from there.
+        The list may be as old as a long poll, and its history counts back
+        from when it was requested.
         """
         if self._task_list is None:
             return 0
@@ -222,8 +222,8 @@
                 remembers_ms=task_list.remembers_ms,
             )
             return -1
-        # A listing that waited tells the state at its end, but one that was
-        # asked before a start must not release it.
+        # A long poll returns the state at its end. It still counts from when
+        # it was requested, so that it cannot release a start made since then.
         self._last_contact = _LastContact(self._clock.monotonic())
         task_list = self._fill_unchanged(task_list)
         self.ledger.note_listing(task_list, requested_at)
@@ -236,23 +236,24 @@
         return task_list.revision
 
     def _has_restarted(self, task_list: TaskList) -> bool:
-        """Return whether a worker's memory does not reach back to the list before this one.
+        """Return whether the worker's history does not reach back to the previous list.
 
-        A worker that has restarted counts its revisions anew, and may reach the one known.
+        A restarted worker counts revisions from the beginning, and may arrive at
+        the last known revision with other tasks.
         """
         list_age = self._clock.monotonic() - self.ledger.listed_at
         return task_list.remembers_ms / MILLISECONDS_PER_SECOND < list_age
 
     def _fill_unchanged(self, task_list: TaskList) -> TaskList:
-        """Return an unchanged list with the tasks that are known of its revision."""
+        """Return the list; if it is unchanged, with the tasks of the last known list."""
         known = self._task_list
         if not task_list.unchanged or known is None:
             return task_list
         return TaskList(known.revision, known.tasks, task_list.remembers_ms)
 
     def _watch_seconds(self) -> float:
-        # Once the former owner is settled the worker must be listed again
-        # before its other half may be filled; a long wait would delay that.
+        # Once the former owner's state is settled, the worker must be listed
+        # again before its other half may be used; a long poll would delay that.
         if self.grant().level is Level.OTHER_HALF:
             return UNSETTLED_WATCH_SECONDS
         return self._settings.timings.lease * WATCH_LEASE_FRACTION
@@ -295,7 +296,7 @@
         return PlaceAnswer(STARTED)
 
     def _still_allowed(self, grant: Grant) -> bool:
-        """Return whether the counted start may leave: asked right before it does."""
+        """Return whether a start that the ledger counts may be sent now."""
         current = self.grant()
         if current.level is Level.NONE or current.epoch != grant.epoch:
             return False
@@ -315,10 +316,10 @@
         return PlaceAnswer(UNKNOWN, f'{error}')
 
     async def _stop_doubtful(self) -> None:
-        """Stop what may or may not have started.
+        """Stop the tasks whose start has an unknown outcome.
 
-        The stop is kept by the worker: should the lost start still arrive, it
-        is refused. Only then is the room free again.
+        The worker remembers the stop and refuses the start if it still
+        arrives, so the allocation is released only after the stop succeeds.
         """
         for allocation in self.ledger.allocations():
             if allocation.state is not AllocationState.DOUBTFUL:
@@ -328,7 +329,7 @@
                 await self.changed.notify()
 
     async def _enforce_declared_use(self, task_list: TaskList) -> None:
-        """Hold back a task that has outgrown its declaration: throttle, then stop."""
+        """Restrict tasks that exceed their declared memory: throttle, checkpoint, then stop."""
         running = {status.id for status in task_list.tasks if status.is_running}
         for task_id in tuple(self._last_action_by_task):
             if task_id not in running:
@@ -367,7 +368,7 @@
 
 
 def _pending_start_report(task_id: str, demand: Resources) -> TaskReport:
-    """Return the report of a start that is under way or in doubt."""
+    """Return the report of a start that is pending or has an unknown outcome."""
     job, attempt, _ = task_id.rsplit('.', 2)
     return TaskReport(task_id, job, int(attempt), '', '', True, '', demand)
 
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -1,4 +1,4 @@
-"""All workers of the zone: agents, reports to the dispatcher, orders from it."""
+"""All workers of the zone: their agents, reports to the dispatcher and its orders."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from contextlib import AsyncExitStack
@@ -43,19 +43,19 @@
 from dandelionreel.workers._agent import REFUSED, WorkerAgent
 
 POLL_SECONDS = 0.25
-#: A worker without news is looked at this often.
+#: A worker without changes is checked this often.
 IDLE_CHECK_SECONDS = 5.0
 REPORT_TIMEOUT_SECONDS = 2.0
-#: Without news a worker's state is reported again this often.
+#: A worker's unchanged state is reported again this often.
 REPORT_REFRESH_SECONDS = 30.0
-#: A worker that is gone from the list is forgotten after this many leases.
+#: A worker that left the host list is removed after this many lease periods.
 FORGET_AFTER_LEASES = 3
 
 ReportHandler = Callable[[WorkerReport], Awaitable[None]]
 
 
 class WorkerFleet(ShardUser):
-    """Agents by worker; every daemon has all of its zone, and acts on those it owns."""
+    """The agents of all workers of the zone; a daemon acts only on workers it owns."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         echoes: EchoBook,
         journal: Journal,
     ) -> None:
-        """Act as ``me``."""
+        """Act as the member ``me``."""
         self._me = me
         self._settings = settings
         self._clock = clock
@@ -88,7 +88,7 @@
         self.agent_by_worker: dict[str, WorkerAgent] = {}
 
     def set_report_handler(self, handler: ReportHandler) -> None:
-        """Hand reports to this daemon's own dispatcher while it is the one."""
+        """Set the handler of reports for when this daemon is the dispatcher itself."""
         self._report_handler = handler
 
     def wanted_shards(self) -> Iterable[str]:
@@ -97,14 +97,14 @@
             yield worker_shard(entry.name)
 
     async def let_go(self, shard: str) -> bool:
-        """Return whether no start is under way or in doubt on a worker's shard."""
+        """Return whether no start is pending or unresolved on a worker's shard."""
         if not shard.startswith(WORKER_PREFIX):
             return True
         agent = self.agent_by_worker.get(shard.removeprefix(WORKER_PREFIX))
         return agent is None or agent.ledger.is_settled()
 
     async def run(self, stack: AsyncExitStack) -> None:
-        """Follow the host list, for ever."""
+        """Follow the host list until cancelled."""
         stack.push_async_callback(self._close_all)
         while True:
             await self._refresh()
@@ -134,22 +134,22 @@
         """Start a task for the dispatcher, unless its order is too old.
 
         The order may have waited in a paused process or in a socket while
-        another dispatcher took over; its age is bounded by our own clock.
+        another dispatcher took over, so its age is checked on our own clock.
         """
         order = frame.message
         if not isinstance(order, PlaceOrder):
-            return Refused('not an order')
+            return Refused('not a start order')
         age = self._clock.monotonic() - frame.echo
         if age > self._settings.timings.start_deadline + self._settings.timings.heartbeat * 2:
             return PlaceAnswer(REFUSED, 'the order is too old')
         return await self.place(order)
 
     async def answer_action(self, frame: Frame) -> Message:
-        """Act on a task for the dispatcher."""
+        """Carry out the dispatcher's action on a task."""
         action = frame.message
         if not isinstance(action, TaskAction):
-            return Refused('not an action')
-        return Done() if await self.act(action) else Refused('not done')
+            return Refused('not a task action')
+        return Done() if await self.act(action) else Refused('the action was not carried out')
 
     def _entries(self) -> tuple[HostEntry, ...]:
         return self._hosts.of_kind('worker', self._settings.availability_zone)
@@ -197,7 +197,7 @@
             await self._remove(name)
 
     async def _send_reports(self, agent: WorkerAgent) -> None:
-        """Tell the zone's dispatcher what the worker runs, after every change."""
+        """Send a report to the zone's dispatcher after every change of the worker."""
         last_sent = _SentReport()
         while True:
             target = self._find_report_target(agent)
@@ -214,7 +214,7 @@
             await curio.sleep(POLL_SECONDS)
 
     def _find_report_target(self, agent: WorkerAgent) -> '_ReportTarget':
-        """Return what a report made now would be for; no dispatcher, no report."""
+        """Return the target of a report made now, empty if none is due."""
         claim = self._shards.get(DISPATCH_SHARD)
         grant = agent.grant()
         if claim is None or grant.level is Level.NONE:
@@ -238,12 +238,12 @@
         return isinstance(frame.message, Done)
 
     def _unrenewed_seconds(self, agent: WorkerAgent) -> float:
-        """Return for how long nobody can have renewed the worker's leases.
+        """Return for how many seconds nobody can have renewed the worker's leases.
 
-        A neighbour renews only for an owner that it does not hear; so the
-        time counts from when all neighbours last began to hear us, and from
-        when we became the owner: the former one may have renewed until then,
-        and a worker that we have not asked yet is not a silent one.
+        A peer renews only for an owner that it does not hear. So the time
+        counts from when the last peer began to hear us, and not from before we
+        became the owner: the former owner may have renewed until then, and a
+        worker that we have not polled yet does not count as silent.
         """
         heard_since = self._neighbourhood.all_heard_since()
         since = max(agent.reached_at, heard_since, agent.grant().since)
@@ -262,7 +262,7 @@
 
 @dataclass(frozen=True)
 class _ReportTarget:
-    """Whom to tell, under which epochs, and after how many changes of the worker."""
+    """The receiver of a report, with the epochs and the change count it applies to."""
 
     dispatcher: str = ''
     epoch: int = 0
@@ -272,7 +272,7 @@
 
 @dataclass(frozen=True)
 class _SentReport:
-    """The last report that its receiver has taken, and when."""
+    """The target of the last report that was accepted, and when it was sent."""
 
     target: _ReportTarget = _ReportTarget()
     at: float = float('-inf')
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -1,6 +1,6 @@
-"""What is counted as held on one worker; the only guard against over-filling it.
+"""Allocations on one worker; the only protection against overcommitting it.
 
-Workers start what they are given, whether it fits or not.
+Workers start every task that they are sent, whether it fits or not.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class AllocationState(enum.Enum):
-    """How sure it is that the task is on the worker."""
+    """How certain it is that the task is on the worker."""
 
     STARTING = 'starting'
     RUNNING = 'running'
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Allocation:
-    """One counted task; ``since`` is when its state became so, in own seconds."""
+    """An allocated task; ``since`` is when it got its state, on this daemon's clock."""
 
     task_id: str
     demand: Resources
@@ -32,39 +32,39 @@
 
 
 class Ledger:
-    """Counts the tasks of one worker, unresolved starts included."""
+    """Allocations of one worker, including starts whose outcome is unknown."""
 
     def __init__(self, capacity: Resources) -> None:
-        """Count against ``capacity``."""
+        """Allocate at most ``capacity``."""
         self.capacity = capacity
         self._allocation_by_task: dict[str, Allocation] = {}
-        #: When the newest listing was asked for, on this daemon's clock.
+        #: When the newest task list was requested, on this daemon's clock.
         self.listed_at = float('-inf')
 
     def allocations(self) -> tuple[Allocation, ...]:
-        """Return all counted tasks."""
+        """Return all allocations."""
         return tuple(self._allocation_by_task.values())
 
     def get(self, task_id: str) -> Allocation | None:
-        """Return the hold of a task."""
+        """Return the allocation of a task, ``None`` if there is none."""
         return self._allocation_by_task.get(task_id)
 
     def total_demand(self) -> Resources:
-        """Return what all counted tasks were promised."""
+        """Return the demand of all allocations."""
         total = NOTHING
         for allocation in self._allocation_by_task.values():
             total += allocation.demand
         return total
 
     def is_settled(self) -> bool:
-        """Return whether no start is under way or in doubt."""
+        """Return whether no start is pending or has an unknown outcome."""
         return all(
             allocation.state is AllocationState.RUNNING
             for allocation in self._allocation_by_task.values()
         )
 
     def usable_capacity(self, grant: Grant) -> Resources:
-        """Return how much may be filled in all, of what is counted already too."""
+        """Return how much may be allocated in total, including what already is."""
         if grant.level is Level.NONE or self.listed_at < grant.since:
             return NOTHING
         if grant.level is Level.WHOLE:
@@ -72,25 +72,26 @@
         half = self.capacity.times(HALF_SHARE)
         if grant.level is Level.OWN_HALF:
             return half
-        # The former owner may still fill up to its half, or hold what it had
-        # beyond that; this claimant gets what is surely left, half at most.
+        # The former owner may still allocate up to its half, or already have
+        # more than that. This owner may use what is certainly left, at most
+        # half.
         former_owner_demand = self._sum_demand(grant.epoch, is_own=False).at_least(half)
         return (self.capacity - former_owner_demand).at_most(half) + self._sum_demand(
             grant.epoch, is_own=False
         )
 
     def refusal_reason(self, demand: Resources, grant: Grant) -> str:
-        """Return why a task may not be started now, or an empty text."""
+        """Return why a task may not start now, empty if it may."""
         if grant.level is Level.NONE:
-            return 'not the owner'
+            return 'this daemon does not own the worker'
         if self.listed_at < grant.since:
-            return 'the worker has not been listed since the claim'
+            return 'the tasks of the worker have not been listed since the claim'
         if not (self.total_demand() + demand).fits(self.usable_capacity(grant)):
-            return f'no room under {grant.level.value}'
+            return f'the demand exceeds the capacity at level {grant.level.value}'
         return ''
 
     def add_start(self, task_id: str, demand: Resources, grant: Grant, now: float) -> None:
-        """Count a start before it is sent."""
+        """Allocate the resources of a start before it is sent."""
         self._allocation_by_task[task_id] = Allocation(
             task_id,
             demand,
@@ -100,20 +101,20 @@
         )
 
     def set_state(self, task_id: str, state: AllocationState, now: float) -> None:
-        """Note what became of a start."""
+        """Set the state of an allocation."""
         allocation = self._allocation_by_task.get(task_id)
         if allocation is not None:
             self._allocation_by_task[task_id] = replace(allocation, state=state, since=now)
 
     def release(self, task_id: str) -> None:
-        """Stop counting a task that is known not to run."""
+        """Release the allocation of a task that is known not to run."""
         self._allocation_by_task.pop(task_id, None)
 
     def note_listing(self, task_list: TaskList, requested_at: float) -> None:
-        """Adopt what runs, release what has ended.
+        """Allocate what the list shows as running, and release what has ended.
 
-        A start that is under way or in doubt is not released because a
-        listing lacks it: its bytes may still be on their way to the worker.
+        A pending or unresolved start stays allocated although the list lacks
+        it: it may still be in transit to the worker.
         """
         self._release_missing(task_list, requested_at)
         for status in task_list.tasks:
