--- a/features/parts.feature
+++ b/features/parts.feature
@@ -1,68 +1,70 @@
-Feature: Parts that guard a promise, one at a time
+Feature: Single components that protect a guarantee
 
-  # Guards against overfilling a worker by a dispatcher's old picture.
+  # A dispatcher with an outdated view may overcommit a worker; the ledger must refuse.
   Scenario Outline: A ledger of 8 processors at level <level>
-    Given a ledger of 8 processors that holds <theirs> of a former owner and <mine> of its own
-    When <asked> processors are asked for at level <level>
-    Then the ledger answers <answer>
+    Given a ledger of 8 processors with <former> allocated by a former owner and <own> by its owner
+    When <demand> processors are requested at level <level>
+    Then the ledger allows it: <allowed>
 
     Examples:
-      | level      | theirs | mine | asked | answer |
-      | whole      | 0      | 4    | 4     | yes    |
-      | whole      | 0      | 4    | 5     | no     |
-      | whole      | 6      | 1    | 2     | no     |
-      | own_half   | 0      | 2    | 2     | yes    |
-      | own_half   | 0      | 2    | 3     | no     |
-      | other_half | 0      | 0    | 4     | yes    |
-      | other_half | 0      | 0    | 5     | no     |
-      | other_half | 6      | 0    | 2     | yes    |
-      | other_half | 6      | 0    | 3     | no     |
-      | other_half | 2      | 3    | 2     | no     |
-      | none       | 0      | 0    | 1     | no     |
+      | level      | former | own | demand | allowed |
+      | whole      | 0      | 4   | 4      | yes     |
+      | whole      | 0      | 4   | 5      | no      |
+      | whole      | 6      | 1   | 2      | no      |
+      | own_half   | 0      | 2   | 2      | yes     |
+      | own_half   | 0      | 2   | 3      | no      |
+      | other_half | 0      | 0   | 4      | yes     |
+      | other_half | 0      | 0   | 5      | no      |
+      | other_half | 6      | 0   | 2      | yes     |
+      | other_half | 6      | 0   | 3      | no      |
+      | other_half | 2      | 3   | 2      | no      |
+      | none       | 0      | 0   | 1      | no      |
 
-  # A claimant may use a worker only as it was listed after the claim took effect.
+  # A new owner must list the tasks of a worker before it allocates anything there.
   Scenario: A worker that was not listed since the claim
-    Given a ledger of 8 processors that holds 0 of a former owner and 0 of its own
-    When 1 processors are asked for under a grant later than the listing
-    Then the ledger answers no
+    Given a ledger of 8 processors with 0 allocated by a former owner and 0 by its owner
+    When 1 processors are requested under a grant that is newer than the task list
+    Then the ledger allows it: no
 
-  # A start whose answer was lost stays counted although a listing lacks it.
+  # A start whose answer was lost may still reach the worker, so a task list without it
+  # must not release its resources.
   Scenario: A start in doubt is not released by a listing
-    Given a ledger of 8 processors that holds 0 of a former owner and 0 of its own
-    When a start of 6 processors is in doubt and a listing lacks it
-    And 4 processors are asked for at level whole
-    Then the ledger answers no
+    Given a ledger of 8 processors with 0 allocated by a former owner and 0 by its owner
+    When a start of 6 processors has an unknown outcome and the task list lacks it
+    And 4 processors are requested at level whole
+    Then the ledger allows it: no
 
-  # Guards against an intent that lands after it was given up.
+  # An intent whose write timed out may still be appended to the log after its
+  # replacement; only the first of one attempt counts.
   Scenario: An intent that was given up has landed after all
     Given a job and a dispatcher of epoch 1
-    When its intent for w1 lands, and then one for w2 with the same attempt
-    Then the job runs by the intent for w1 and not by the one for w2
+    When its intent for w1 is appended, and then one for w2 with the same attempt
+    Then the job matches the intent for w1 and not the one for w2
 
-  # A dispatcher that has been replaced writes late.
+  # A dispatcher that was replaced may still write; its intent has an old epoch.
   Scenario: An intent of a former dispatcher lands after its successor's claim
     Given a job and a dispatcher of epoch 1
-    When another dispatcher claims, and then its intent for w1 lands
-    Then the job still waits
+    When another dispatcher claims the shard, and then an intent of the former one for w1 is appended
+    Then the job is still waiting
 
-  # An append whose answer was lost and that was written again stands twice.
+  # An append that was repeated because its answer was lost leaves two copies in the log.
   Scenario: A record that stands twice in the log is folded once
-    Then a reader of a log with records 0, 1, 1, 0, 2 folds 0, 1, 2
+    Then a reader of a log with records 0, 1, 1, 0, 2 handles 0, 1, 2
 
-  # A log that was truncated just now may lack claims whose owners live.
+  # A log that was truncated recently may lack claims whose owners are alive.
   Scenario: A reader that begins in the middle covers only what it has read
-    Then a reader of a truncated log covers 10 seconds only after as long
+    Then a reader of a truncated log covers the last 10 seconds only after that time
 
-  # Guards against views that grow with what peers pass on.
+  # A view must hold only members that this one knows itself, not those that peers report.
   Scenario: A view names only members known at first hand
     Given a member that knows of one other
-    When the other's view names a third that it does not know
+    When the other's view names a third member that it does not know
     Then it has no evidence, and its own view names two members
-    When it learns of the third and is promised by both
+    When it learns of the third and both send a promise
     Then it has evidence, and its own view names three members
 
-  Scenario Outline: <count> requests at a time divided over the daemons of 3 zones
-    Then the parts of <count> over zones with <daemons> daemons add up to at most <count>
+  Scenario Outline: A limit of <count> concurrent requests is divided among the daemons of 3 zones
+    Then the shares of <count> over zones with <daemons> daemons add up to at most <count>
 
     Examples:
       | count | daemons |
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -1,6 +1,6 @@
-Feature: Requests get their whole answer or a true verdict
+Feature: Requests get a complete answer or a correct verdict
 
-  # A planned stop in the evening rush: no request in flight is cut off.
+  # A planned stop under load must not cut off requests in flight.
   Scenario: A daemon is stopped in order with requests in flight
     Given a cell of 1 zones with 2 daemons, 2 workers and 4 endpoints
     And version 1 of the contract is in force
@@ -10,7 +10,7 @@
     And ub-east-d0 ends with status 0
     And every shard has a live owner within 10 seconds
 
-  # The host list calls an endpoint leaving while desks keep asking.
+  # An endpoint that the host list shows as leaving must get no further requests.
   Scenario: An endpoint leaves
     Given a cell of 1 zones with 2 daemons, 1 workers and 2 endpoints
     And version 1 of the contract is in force
@@ -19,7 +19,7 @@
     And 30 requests are sent to all daemons
     Then ub-east-e0 has worked on none of them
 
-  # Guards against a late answer that meets another request.
+  # An answer that arrives after its deadline must not be taken for that of a later request.
   Scenario: Answers come late
     Given a cell of 1 zones with 2 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -28,7 +28,7 @@
     Then each is answered with its own body or a problem with a true verdict
     And no promise is broken
 
-  # A family stands at the desk and every runner is gone.
+  # With no working runner, a request that is refused as not_run must not have run.
   Scenario: All runners fail
     Given a cell of 1 zones with 2 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
@@ -36,7 +36,7 @@
     And 10 requests are sent to all daemons
     Then each refusal as not_run is true by the runners' records
 
-  # Guards against sending a non-idempotent request twice.
+  # A non-idempotent request that reaches several daemons at once must not be sent twice.
   Scenario: A non-idempotent request with a key is sent once, whoever is asked
     Given a cell of 2 zones with 2 daemons, 1 workers and 2 endpoints
     And version 1 of the contract is in force
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive one part directly, with a clock that tests move."""
+"""Steps for single components, with a manual clock where time matters."""
 
 import curio
 import msgspec
@@ -36,47 +36,47 @@
 EPOCH = 7
 
 
-def _running(task_id, processors, epoch):
+def _make_running(task_id, processors, epoch):
     order = TaskOrder(Resources(processors, 0, 0), 'run 1', 1000, 'x', epoch)
     return TaskStatus(task_id, 'running', order)
 
 
 @given(
-    'a ledger of {capacity:d} processors that holds {theirs:d} of a former owner and {mine:d} of its own'
+    'a ledger of {capacity:d} processors with {former:d} allocated by a former owner and {own:d} by its owner'
 )
-def make_ledger(context, capacity, theirs, mine):
+def make_ledger(context, capacity, former, own):
     context.ledger = Ledger(Resources(capacity, 0, 0))
     tasks = []
-    if theirs:
-        tasks.append(_running('j.1.0', theirs, EPOCH - 1))
-    if mine:
-        tasks.append(_running('j.1.1', mine, EPOCH))
+    if former:
+        tasks.append(_make_running('j.1.0', former, EPOCH - 1))
+    if own:
+        tasks.append(_make_running('j.1.1', own, EPOCH))
     context.ledger.note_listing(TaskList(1, tuple(tasks)), 10)
 
 
-@when('{asked:d} processors are asked for at level {level}')
-def ask_ledger(context, asked, level):
+@when('{demand:d} processors are requested at level {level}')
+def request_at_level(context, demand, level):
     grant = Grant(Level(level), EPOCH, 5)
-    context.refusal = context.ledger.refusal_reason(Resources(asked, 0, 0), grant)
+    context.refusal = context.ledger.refusal_reason(Resources(demand, 0, 0), grant)
 
 
-@when('{asked:d} processors are asked for under a grant later than the listing')
-def ask_late(context, asked):
+@when('{demand:d} processors are requested under a grant that is newer than the task list')
+def request_under_newer_grant(context, demand):
     grant = Grant(Level.WHOLE, EPOCH, 11)
-    context.refusal = context.ledger.refusal_reason(Resources(asked, 0, 0), grant)
+    context.refusal = context.ledger.refusal_reason(Resources(demand, 0, 0), grant)
 
 
-@when('a start of {processors:d} processors is in doubt and a listing lacks it')
-def doubt(context, processors):
+@when('a start of {processors:d} processors has an unknown outcome and the task list lacks it')
+def make_doubtful_start(context, processors):
     grant = Grant(Level.WHOLE, EPOCH, 5)
     context.ledger.add_start('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.set_state('j.2.0', AllocationState.DOUBTFUL, 12)
     context.ledger.note_listing(TaskList(2, ()), 13)
 
 
-@then('the ledger answers {answer}')
-def check_ledger(context, answer):
-    assert (answer == 'yes') is (not context.refusal), context.refusal
+@then('the ledger allows it: {allowed}')
+def check_ledger(context, allowed):
+    assert (allowed == 'yes') is (not context.refusal), context.refusal
 
 
 def _envelope(number):
@@ -84,8 +84,8 @@
     return msgspec.json.encode(Envelope('me', number, 1.0, body))
 
 
-@then('a reader of a log with records {written} folds {folded}')
-def check_folds(context, written, folded):
+@then('a reader of a log with records {written} handles {handled}')
+def check_handled(context, written, handled):
     async def work():
         log = MemoryLog()
         await log.append('s', [_envelope(int(text)) for text in written.split(', ')])
@@ -95,10 +95,10 @@
         await reader.read_once(0)
         return ', '.join(found)
 
-    assert curio.run(work) == folded
+    assert curio.run(work) == handled
 
 
-@then('a reader of a truncated log covers {seconds:d} seconds only after as long')
+@then('a reader of a truncated log covers the last {seconds:d} seconds only after that time')
 def check_covers(context, seconds):
     async def work():
         log = MemoryLog()
@@ -133,13 +133,13 @@
     _join(context, 'b/1')
 
 
-@when("the other's view names a third that it does not know")
+@when("the other's view names a third member that it does not know")
 def name_third(context):
     context.view = tuple(map(hash_member, ('a/1', 'b/1', 'c/1')))
     context.book.receive('b/1', context.clock.monotonic(), True, context.view)
 
 
-@when('it learns of the third and is promised by both')
+@when('it learns of the third and both send a promise')
 def learn_third(context):
     _join(context, 'c/1')
     for member in ('b/1', 'c/1'):
@@ -159,13 +159,13 @@
     assert len(context.book.view()) == {'two': 2, 'three': 3}[words]
 
 
-@then('the parts of {count:d} over zones with {daemons:d} daemons add up to at most {most:d}')
-def check_parts(context, count, daemons, most):
-    parts = [
+@then('the shares of {count:d} over zones with {daemons:d} daemons add up to at most {limit:d}')
+def check_shares(context, count, daemons, limit):
+    shares = [
         share_of_count(count, 1 / 3, rank, daemons) for _ in range(3) for rank in range(daemons)
     ]
-    assert sum(parts) <= most
-    assert sum(parts) > most - 3
+    assert sum(shares) <= limit
+    assert sum(shares) > limit - 3
 
 
 SPEC = b'{"customer": "c", "command": "run 1", "demand": {"processors": 1}}'
@@ -190,28 +190,30 @@
     return AttemptIntent('z.1', 1, 1, 'a/1', (worker,))
 
 
-@when('its intent for w1 lands, and then one for w2 with the same attempt')
-def land_both(context):
+@when('its intent for w1 is appended, and then one for w2 with the same attempt')
+def append_both_intents(context):
     for offset, worker in enumerate(('w1', 'w2'), 2):
         context.book.fold(_intent(worker), Position(offset, 'a/1', 0))
 
 
-@then('the job runs by the intent for w1 and not by the one for w2')
-def check_runs_by(context):
+@then('the job matches the intent for w1 and not the one for w2')
+def check_matching_intent(context):
     job = context.book.get('z.1')
     assert job.runs(_intent('w1'))
     assert not job.runs(_intent('w2'))
 
 
-@when('another dispatcher claims, and then its intent for w1 lands')
-def land_late(context):
-    given = Released('a/1', (ShardEpoch(DISPATCH_SHARD, 1),))
-    context.shards.fold(given, Position(2, 'a/1', 0))
+@when(
+    'another dispatcher claims the shard, and then an intent of the former one for w1 is appended'
+)
+def append_late_intent(context):
+    released = Released('a/1', (ShardEpoch(DISPATCH_SHARD, 1),))
+    context.shards.fold(released, Position(2, 'a/1', 0))
     _claim(context, 'b/1', 1, 3)
     assert context.shards.epoch(DISPATCH_SHARD) == 4
     context.book.fold(_intent('w1'), Position(4, 'a/1', 0))
 
 
-@then('the job still waits')
-def check_waits(context):
+@then('the job is still waiting')
+def check_waiting(context):
     assert context.book.get('z.1').state is JobState.WAITING
