--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -107,9 +107,9 @@
         cancelled = 0
         missing: list[str] = []
         for zone, jobs in sorted(jobs_by_zone.items()):
-            result = await self._cancel_in_zone(zone, tuple(jobs))
-            cancelled += result.cancelled
-            missing.extend(result.unknown)
+            cancel_result = await self._cancel_in_zone(zone, tuple(jobs))
+            cancelled += cancel_result.cancelled
+            missing.extend(cancel_result.unknown)
         return answer_json(CancelDone(cancelled, tuple(missing)))
 
     async def _move(self, request: Request) -> Answer:
--- a/features/parts.feature
+++ b/features/parts.feature
@@ -45,7 +45,7 @@
   Scenario: An intent of a former dispatcher lands after its successor's claim
     Given a job and a dispatcher of epoch 1
     When another dispatcher claims the shard, and then an intent of the former one for w1 is appended
-    Then the job is still waiting
+    Then the job still waits
 
   # An append that was repeated because its answer was lost leaves two copies in the log.
   Scenario: A record that stands twice in the log is folded once
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -214,6 +214,6 @@
     context.book.fold(_intent('w1'), Position(4, 'a/1', 0))
 
 
-@then('the job is still waiting')
+@then('the job still waits')
 def check_waiting(context):
     assert context.book.get('z.1').state is JobState.WAITING
