--- a/bench/replay.py
+++ b/bench/replay.py
@@ -20,7 +20,7 @@
 from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
 from dandelionreel.cell.decisions._reservations import Rank
 from dandelionreel.cell.decisions._waiting import RankInputs, WaitingOrder, WithinRateFirst
-from dandelionreel.cell.membership._advisors import PATIENT_SHARE
+from dandelionreel.cell.membership._advisors import NON_URGENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
     Configuration,
@@ -40,7 +40,7 @@
     Submission,
 )
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
-from dandelionreel.cell.owner._predecessors import longest_lease
+from dandelionreel.cell.owner._predecessor_leases import lease_upper_bound
 from dandelionreel.cell.store import StoredJob
 
 #: Seconds: an order's way, a stop, a restart from a checkpoint, and between plans.
@@ -389,7 +389,7 @@
                 state.suspect = True
                 self._unseen_by_runner[state.id] = []
         self._later(LEASE_SECONDS - LEASE_AGE, self._lapse)
-        self._later(longest_lease(LEASE_SECONDS), self._expire_leases)
+        self._later(lease_upper_bound(LEASE_SECONDS), self._expire_leases)
         self._later(cut.seconds, self._reconnect)
 
     def _lapse(self) -> None:
@@ -483,7 +483,7 @@
             return
         began = time.perf_counter()
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
-        free = int(PATIENT_SHARE * self.load.hosts) - self._busy[False] - waiting
+        free = int(NON_URGENT_SHARE * self.load.hosts) - self._busy[False] - waiting
         made = self.planner.plan(self._now, self._now, free)
         self.plan_seconds.append(time.perf_counter() - began)
         for allocation in self.cell.take_stops():
@@ -499,7 +499,7 @@
     def _ask(self) -> None:
         while self._waiting:
             urgent = self._waiting[0][0] == 0
-            most = int(PATIENT_SHARE * self.load.hosts)
+            most = int(NON_URGENT_SHARE * self.load.hosts)
             if sum(self._busy.values()) >= self.load.hosts or (
                 not urgent and self._busy[False] >= most
             ):
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.callers._relay import Relay
 from dandelionreel.http import Answer, Request, answer_json, answer_problem
-from dandelionreel.jobs import CancelDone, Intake, JobMover, MoveBody, zone_of_job
+from dandelionreel.jobs import CancelResult, JobApi, JobMover, MoveBody, zone_of_job
 from dandelionreel.kernel import RequestError, clip, not_run
 from dandelionreel.life import Life
 from dandelionreel.peers import Forward, ForwardAnswer, Frame, Message, Refused
@@ -29,7 +29,7 @@
         self,
         zone: str,
         router: Router,
-        intake: Intake,
+        job_api: JobApi,
         mover: JobMover,
         relay: Relay,
         life: Life,
@@ -39,7 +39,7 @@
         self._life = life
         self._zone = zone
         self._router = router
-        self._intake = intake
+        self._job_api = job_api
         self._relay = relay
 
     async def handle(self, request: Request) -> Answer:
@@ -86,21 +86,21 @@
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served here')
 
     async def _submit(self, request: Request, hops: int) -> Answer:
-        zone = self._intake.home_zone(request)
+        zone = self._job_api.home_zone(request)
         if zone != self._zone and not hops:
             return await self._relay.send(zone, request)
-        return await self._intake.submit(request)
+        return await self._job_api.submit(request)
 
     async def _list(self, request: Request, hops: int) -> Answer:
         zone = request.query_by_name.get('zone', self._zone)
         if zone != self._zone and not hops:
             return await self._relay.send(zone, request)
-        return self._intake.list_page(request)
+        return self._job_api.list_page(request)
 
     async def _cancel(self, request: Request, hops: int) -> Answer:
-        body = self._intake.read_cancel(request)
+        body = self._job_api.decode_cancel(request)
         if hops:
-            return answer_json(await self._intake.cancel(body.jobs))
+            return answer_json(await self._job_api.cancel(body.jobs))
         jobs_by_zone: dict[str, list[str]] = {}
         for job in body.jobs:
             jobs_by_zone.setdefault(zone_of_job(job), []).append(job)
@@ -110,7 +110,7 @@
             cancel_result = await self._cancel_in_zone(zone, tuple(jobs))
             cancelled += cancel_result.cancelled
             missing.extend(cancel_result.unknown)
-        return answer_json(CancelDone(cancelled, tuple(missing)))
+        return answer_json(CancelResult(cancelled, tuple(missing)))
 
     async def _move(self, request: Request) -> Answer:
         try:
@@ -124,9 +124,9 @@
             return await self._relay.send(body.to_zone, request)
         return answer_json(await self._mover.move_from(body.from_zone))
 
-    async def _cancel_in_zone(self, zone: str, jobs: tuple[str, ...]) -> CancelDone:
+    async def _cancel_in_zone(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
         if zone == self._zone:
-            return await self._intake.cancel(jobs)
+            return await self._job_api.cancel(jobs)
         return await self._relay.cancel(zone, jobs)
 
     async def _handle_job_by_id(self, request: Request, hops: int) -> Answer:
@@ -136,12 +136,12 @@
         if zone != self._zone and not hops:
             return await self._relay.send(zone, request)
         if job_path.endswith(RESOLVE_SUFFIX) and request.method == 'POST':
-            return await self._intake.resolve(job_id, request)
+            return await self._job_api.resolve(job_id, request)
         if request.method == 'GET':
-            moved_to = self._intake.moved_to(job_id)
+            moved_to = self._job_api.moved_to(job_id)
             if moved_to:
                 return await self._relay.send(moved_to, request)
-            return self._intake.show(job_id)
+            return self._job_api.show(job_id)
         raise not_run(
             HTTP_METHOD_NOT_ALLOWED, 'method', f'{request.method} is not served on {JOBS_PATH}/ID'
         )
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -1,7 +1,7 @@
-"""Passes clients' requests on to a peer.
+"""Forwards clients' requests to peers.
 
-The owner starts a job that it stores itself without reading it first. Where the store turns single
-hosts away, peers that it serves store for them.
+The owner can start a job that it stores itself without reading it back first. When the store
+refuses single hosts, peers that it serves append for them.
 """
 
 import random
@@ -10,170 +10,180 @@
 
 from dandelionreel.accounts import AUTHORIZATION
 from dandelionreel.cell.clients._client_call import ClientCall
-from dandelionreel.cell.membership import ASK_SECONDS, PeerLinks, find_deputy
+from dandelionreel.cell.membership import OWNER_QUERY_TIMEOUT, PeerLinks, find_zone_writer
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.store import CellState
 from dandelionreel.http import Answer, Request
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, OwnerAsked, PeerError
 
-#: Seconds for one peer's answer: its append takes some milliseconds, and while
-#: the store is slow as long as two of them, one under way and its own.
-PEER_PATIENCE = 1.0
-#: Peers that are tried for one request, in random order.
-PEERS_TRIED = 3
-#: Methods of requests that may be handed to any number of peers.
-REPEATABLE = frozenset(('GET',))
+#: Seconds for one peer's reply: its append takes some milliseconds, and while the store is slow as
+#: long as two appends, one in progress and its own.
+PEER_TIMEOUT = 1.0
+#: Peers that are tried for one request.
+MAX_PEERS_TRIED = 3
+#: Methods of requests that may be sent to any number of peers.
+IDEMPOTENT_METHODS = frozenset(('GET',))
 HTTP_TIMEOUT = 504
-#: Answers that hold whoever gives them: done, bad input, an unknown key, no such job.
+#: Statuses that are valid from any host: done, bad input, an unknown key, no such job.
 FINAL_STATUSES = frozenset((200, 400, 401, 409, 410, 413))
-#: Seconds for which a peer that did not answer, or that the store does not serve either, is not
-#: asked; twice as long after each miss that follows, up to the longest.
-PEER_QUIET = 1.5
-LONGEST_QUIET = 4.0
+#: Seconds for which a peer is skipped that did not reply or that the store does not serve either;
+#: doubled with each further missing reply up to the maximum.
+PEER_BACKOFF_SECONDS = 1.5
+MAX_PEER_BACKOFF_SECONDS = 4.0
 
 
 @dataclass(frozen=True)
 class Relayed:
-    """A peer's answer; without one, whether a peer may have acted."""
+    """A peer's answer, and whether a peer without an answer may have acted."""
 
     answer: Answer | None
-    maybe: bool = False
+    in_doubt: bool = False
 
 
-def _pass_over(term: str) -> None:
-    """Nobody wants to know that the owner of a term did not answer."""
+def _ignore_unanswered(term: str) -> None:
+    """Ignore that the owner of a term did not answer."""
 
 
 class Relay:
-    """Finds a peer that the store serves."""
+    """Forwards requests to the owner, the zone's writer or any peer that the store serves."""
 
     def __init__(
         self,
         me: str,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
         clock: Clock,
         journal: Journal,
-        note_unanswered: Callable[[str], None] = _pass_over,
+        note_query_unanswered: Callable[[str], None] = _ignore_unanswered,
     ) -> None:
-        """Pass requests on as the host ``me``; report owners that do not answer, by term."""
+        """Forward requests as the host ``me``; report owners that do not answer, by term."""
         self._me = me
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
         self._clock = clock
         self._journal = journal
-        self._note_unanswered = note_unanswered
-        self._quiet_until_by_host: dict[str, float] = {}
-        self._quiet_seconds_by_host: dict[str, float] = {}
+        self._note_unanswered = note_query_unanswered
+        self._backoff_until_by_host: dict[str, float] = {}
+        self._backoff_seconds_by_host: dict[str, float] = {}
 
-    async def forward_to_owner(self, call: ClientCall, patience: float) -> Relayed:
+    async def forward_to_owner(self, call: ClientCall, timeout: float) -> Relayed:
         """Return the answer of the cell's owner."""
-        owner = self._book.owner
+        owner = self._cell_state.owner
         if owner is None or owner.host == self._me or owner.released:
             return Relayed(None)
-        return await self._forward([owner.host], call, patience)
-
-    async def forward_to_deputy(self, call: ClientCall, patience: float) -> Relayed:
-        """Return the answer of the host that writes for this one, if there is one."""
-        deputy = self.find_deputy()
-        return Relayed(None) if deputy is None else await self._forward([deputy], call, patience)
-
-    def find_deputy(self) -> str | None:
-        """Return the host that writes for this one; ``None`` where it does so itself."""
+        return await self._forward([owner.host], call, timeout)
+
+    async def forward_to_zone_writer(self, call: ClientCall, timeout: float) -> Relayed:
+        """Return the answer of the host that writes for this one, if another host does."""
+        zone_writer = self.find_zone_writer()
+        return (
+            Relayed(None)
+            if zone_writer is None
+            else await self._forward([zone_writer], call, timeout)
+        )
+
+    def find_zone_writer(self) -> str | None:
+        """Return the host that writes for this one, or ``None`` if it writes itself."""
         now = self._clock.monotonic()
-        avoided = {host for host, until in self._quiet_until_by_host.items() if until > now}
-        return find_deputy(self._book.member_by_host, self._me, avoided)
+        excluded = {host for host, until in self._backoff_until_by_host.items() if until > now}
+        return find_zone_writer(self._cell_state.member_by_host, self._me, excluded)
 
-    async def forward(self, call: ClientCall, patience: float) -> Relayed:
-        """Return the first answer of a peer that could act on the request."""
-        hosts = [host for host in self._book.member_by_host if host != self._me]
+    async def forward(self, call: ClientCall, timeout: float) -> Relayed:
+        """Return the first final answer of any peer, tried in random order."""
+        hosts = [host for host in self._cell_state.member_by_host if host != self._me]
         random.shuffle(hosts)
-        return await self._forward(hosts, call, patience)
-
-    async def _forward(self, hosts: list[str], call: ClientCall, patience: float) -> Relayed:
-        until = self._clock.monotonic() + patience
-        maybe = False
-        for host, member in self._usable(hosts):
-            if call.request.method not in REPEATABLE and not await self._can_act(host, member):
+        return await self._forward(hosts, call, timeout)
+
+    async def _forward(self, hosts: list[str], call: ClientCall, timeout: float) -> Relayed:
+        deadline = self._clock.monotonic() + timeout
+        in_doubt = False
+        for host, member in self._eligible_peers(hosts):
+            if call.request.method not in IDEMPOTENT_METHODS and not await self._can_act(
+                host, member
+            ):
                 continue
-            left = min(PEER_PATIENCE, until - self._clock.monotonic())
-            if left <= 0:
+            remaining = min(PEER_TIMEOUT, deadline - self._clock.monotonic())
+            if remaining <= 0:
                 break
-            handed = await self._hand_over(host, member, call, left)
-            maybe = maybe or handed.maybe
-            if handed.answer is not None:
-                return Relayed(handed.answer, maybe)
-        return Relayed(None, maybe)
+            relayed = await self._forward_to_peer(host, member, call, remaining)
+            in_doubt = in_doubt or relayed.in_doubt
+            if relayed.answer is not None:
+                return Relayed(relayed.answer, in_doubt)
+        return Relayed(None, in_doubt)
 
-    async def _hand_over(
+    async def _forward_to_peer(
         self,
         host: str,
         member: Member,
         call: ClientCall,
-        patience: float,
+        timeout: float,
     ) -> Relayed:
-        forward = Forward(_strip_key(call.request), patience, 1, call.caller)
+        forward = Forward(_strip_key(call.request), timeout, 1, call.caller)
         try:
-            frame = await self._links.ask(member, forward, patience)
+            frame = await self._links.ask(member, forward, timeout)
         except PeerError as error:
-            # A host that asks for a state waits so short a time that a busy owner
-            # misses it now and then; that is no reason to take jobs elsewhere.
-            if patience > ASK_SECONDS:
-                self._avoid(host, f'{error}', self._lengthen_quiet(host))
+            # A read of a job's state has so short a timeout that a busy owner misses it now and
+            # then, which is no reason to send submissions elsewhere.
+            if timeout > OWNER_QUERY_TIMEOUT:
+                self._avoid(host, f'{error}', self._increase_backoff(host))
             return Relayed(None, error.verdict is not Verdict.NOT_RUN)
-        self._quiet_seconds_by_host.pop(host, None)
-        given = frame.message
-        if not isinstance(given, ForwardAnswer) or given.no_room:
-            self._avoid(host, 'the store does not serve it either', PEER_QUIET)
+        self._backoff_seconds_by_host.pop(host, None)
+        reply = frame.message
+        if not isinstance(reply, ForwardAnswer) or reply.no_room:
+            self._avoid(host, 'the store does not serve it either', PEER_BACKOFF_SECONDS)
             return Relayed(None)
-        if given.answer.status in FINAL_STATUSES:
-            return Relayed(given.answer)
-        # Its configuration may be older than ours, or it does not know
-        # what became of its append: neither is an answer for the client.
-        return Relayed(None, given.answer.status == HTTP_TIMEOUT)
+        if reply.answer.status in FINAL_STATUSES:
+            return Relayed(reply.answer)
+        # The peer's configuration may be older, or the outcome of its append may be unknown:
+        # neither is an answer for the client.
+        return Relayed(None, reply.answer.status == HTTP_TIMEOUT)
 
     async def _can_act(self, host: str, member: Member) -> bool:
-        """Ask a peer whether it can act before it is handed what must not be done in doubt.
+        """Query whether a peer can act before sending it a request that is not idempotent.
 
-        A job that is handed to a silent peer is in doubt, and its client cannot ask elsewhere.
+        A job that is sent to an unresponsive peer is in doubt, and its client cannot submit it
+        elsewhere.
         """
-        owner = self._book.owner
+        owner = self._cell_state.owner
         term = owner.term if owner is not None and owner.host == host else ''
         try:
-            frame = await self._links.ask(member, OwnerAsked(term), ASK_SECONDS)
+            frame = await self._links.ask(member, OwnerAsked(term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
-            self._avoid(host, f'{error}', self._lengthen_quiet(host))
+            self._avoid(host, f'{error}', self._increase_backoff(host))
             if term:
                 self._note_unanswered(term)
             return False
         if isinstance(frame.message, Done):
             return True
-        self._avoid(host, 'it cannot act', PEER_QUIET)
+        self._avoid(host, 'it cannot act', PEER_BACKOFF_SECONDS)
         return False
 
-    def _usable(self, hosts: list[str]) -> Iterator[tuple[str, Member]]:
+    def _eligible_peers(self, hosts: list[str]) -> Iterator[tuple[str, Member]]:
         now = self._clock.monotonic()
-        usable = [
+        eligible = [
             host
             for host in hosts
-            if self._quiet_until_by_host.get(host, 0) <= now and host in self._book.member_by_host
+            if self._backoff_until_by_host.get(host, 0) <= now
+            and host in self._cell_state.member_by_host
         ]
-        for host in usable[:PEERS_TRIED]:
-            yield host, self._book.member_by_host[host]
+        for host in eligible[:MAX_PEERS_TRIED]:
+            yield host, self._cell_state.member_by_host[host]
 
-    def _lengthen_quiet(self, host: str) -> float:
-        """Return for how long a host is left out after one more miss, in seconds."""
-        former = self._quiet_seconds_by_host.get(host, PEER_QUIET / 2)
-        self._quiet_seconds_by_host[host] = min(LONGEST_QUIET, 2 * former)
-        return self._quiet_seconds_by_host[host]
+    def _increase_backoff(self, host: str) -> float:
+        """Return for how many seconds a host is skipped after one more missing reply."""
+        previous = self._backoff_seconds_by_host.get(host, PEER_BACKOFF_SECONDS / 2)
+        self._backoff_seconds_by_host[host] = min(MAX_PEER_BACKOFF_SECONDS, 2 * previous)
+        return self._backoff_seconds_by_host[host]
 
     def _avoid(self, host: str, cause: str, seconds: float) -> None:
-        self._quiet_until_by_host[host] = self._clock.monotonic() + seconds
-        self._journal.tell_frequent(Part.PEERS, f'{host} takes no request: {cause}.', peer=host)
+        self._backoff_until_by_host[host] = self._clock.monotonic() + seconds
+        self._journal.tell_frequent(
+            Part.PEERS, f'no requests are forwarded to {host} for now: {cause}.', peer=host
+        )
 
 
 def _strip_key(request: Request) -> Request:
-    """Return a request without its API key: the peer is told whose it is."""
+    """Return a request without its API key; the peer gets the caller instead."""
     kept = tuple(header for header in request.headers if header[0] != AUTHORIZATION)
     return replace(request, headers=kept)
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -1,4 +1,4 @@
-"""Tells peers which jobs are complete while the store is away or slow, and asks what they know."""
+"""Exchanges completed jobs with peers while the store is unavailable or slow."""
 
 from collections.abc import Iterable
 from functools import partial
@@ -12,98 +12,101 @@
 from dandelionreel.kernel import Part
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, PeerError
 
-#: Seconds that the store may take to learn of an end before peers are told: several times
-#: what it usually takes.
-STORE_SECONDS = 0.04
-#: Seconds for a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
-ANSWER_SECONDS = 0.25
-#: Jobs that one line names: at 20 bytes each it stays within 2 KB.
-MOST_NAMED = 80
+#: Seconds to wait for the store before a completion is sent to peers: several times its usual
+#: delay.
+STORE_DELAY_SECONDS = 0.04
+#: Timeout in seconds of a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
+ANSWER_TIMEOUT = 0.25
+#: Maximum number of jobs in one log line: at 20 bytes each it stays within 2 KB.
+MAX_LOGGED = 80
+#: Maximum seconds between two checks for unstored completions.
 IDLE_SECONDS = 1.0
 
 
 class CompletionGossip:
-    """What an owner and its peers tell each other of complete jobs during one term."""
+    """Sends completed jobs to peers and queries theirs, during one term."""
 
     def __init__(
         self,
         context: OwnerContext,
-        book: CellState,
+        cell_state: CellState,
         links: PeerLinks,
         completions: Completions,
         host: str,
     ) -> None:
-        """Speak for ``host``; keep in ``completions`` what clients may be told."""
+        """Act for ``host``; ``completions`` collects the jobs that may be shown as complete."""
         self._owner_context = context
-        self._book = book
+        self._cell_state = cell_state
         self._links = links
         self._completions = completions
         self._host = host
-        self._told: set[str] = set()
+        self._announced: set[str] = set()
 
     async def run(self) -> None:
-        """Tell peers of each job that the store is too slow to learn of, for ever."""
+        """Send peers each completed job that the store is slow to record; runs until cancelled."""
         while True:
-            seen = self._owner_context.completed.count
-            await curio.sleep(STORE_SECONDS)
-            unstored = set(self._owner_context.unstored_complete)
-            self._told &= unstored
-            fresh = tuple(sorted(unstored - self._told))
-            if fresh:
-                self._told.update(fresh)
-                await self._tell(fresh)
-            await self._owner_context.completed.wait(seen, IDLE_SECONDS)
-
-    def begin(self) -> None:
-        """Leave jobs that had begun alone until peers have been asked."""
+            seen = self._owner_context.completions_changed.count
+            await curio.sleep(STORE_DELAY_SECONDS)
+            unstored = set(self._owner_context.unstored_completions)
+            self._announced &= unstored
+            new_jobs = tuple(sorted(unstored - self._announced))
+            if new_jobs:
+                self._announced.update(new_jobs)
+                await self._announce(new_jobs)
+            await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
+
+    def block_started_jobs(self) -> None:
+        """Hold back jobs that have already begun until the peers have been queried."""
         self._owner_context.cell.awaits_completions = True
 
-    async def ask(self) -> None:
-        """Take what peers were told by the owners before."""
+    async def query_successors(self) -> None:
+        """Fetch the completions that earlier owners have sent to peers, then release held jobs."""
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
         self._owner_context.cell.mark_complete(known)
-        await self.ask_all(self._peers())
+        await self.query_peers(self._successors())
         self._owner_context.cell.awaits_completions = False
-        await self._owner_context.wake.notify()
-
-    async def ask_all(self, peers: Iterable[tuple[str, Member]]) -> bool:
-        """Take what peers know, asked at the same time; return whether any has answered."""
-        asks = [await curio.spawn(self._ask, host, member, daemon=True) for host, member in peers]
-        for task in asks:
+        await self._owner_context.plan_needed.notify()
+
+    async def query_peers(self, peers: Iterable[tuple[str, Member]]) -> bool:
+        """Query peers concurrently and apply their completions; return whether any answered."""
+        queries = [
+            await curio.spawn(self._query_peer, host, member, daemon=True) for host, member in peers
+        ]
+        for task in queries:
             await task.wait()
-        return any(task.result for task in asks)
+        return any(task.result for task in queries)
 
-    def _peers(self) -> list[tuple[str, Member]]:
-        """Return the hosts that would own the cell next."""
-        members = self._book.member_by_host
+    def _successors(self) -> list[tuple[str, Member]]:
+        """Return the hosts that are next in line to own the cell."""
+        members = self._cell_state.member_by_host
         first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSORS]
         return [(host, members[host]) for host in first]
 
-    async def _tell(self, jobs: tuple[str, ...]) -> None:
-        """Tell all peers at once; clients may be told as soon as one has taken the word."""
+    async def _announce(self, jobs: tuple[str, ...]) -> None:
+        """Send completions to all successors; one acknowledgement allows clients to be told."""
         message = CompletionsTold(self._owner_context.term.epoch, jobs)
-        for host, member in self._peers():
-            await curio.spawn(partial(self._tell_one, host, member, message), daemon=True)
+        for host, member in self._successors():
+            await curio.spawn(partial(self._announce_to, host, member, message), daemon=True)
 
-    async def _tell_one(self, host: str, member: Member, message: CompletionsTold) -> None:
+    async def _announce_to(self, host: str, member: Member, message: CompletionsTold) -> None:
         try:
-            frame = await self._links.ask(member, message, ANSWER_SECONDS)
+            frame = await self._links.ask(member, message, ANSWER_TIMEOUT)
         except PeerError:
-            # The store's answer shows the jobs at last; a silent peer has lines of its own.
+            # The jobs are shown once the store answers; silent peers are logged elsewhere.
             return
         if isinstance(frame.message, Done):
-            self._show(host, message.jobs)
+            self._publish(host, message.jobs)
 
-    def _show(self, host: str, jobs: Iterable[str]) -> None:
-        fresh = [job for job in jobs if not self._completions.holds(job)]
-        self._completions.note(fresh)
-        if fresh:
+    def _publish(self, host: str, jobs: Iterable[str]) -> None:
+        new_jobs = [job for job in jobs if not self._completions.contains(job)]
+        self._completions.note(new_jobs)
+        if new_jobs:
             self._owner_context.journal.tell_frequent(
                 Part.JOBS,
                 'shown as complete before the store knows it.',
-                jobs=fresh[:MOST_NAMED],
-                count=len(fresh),
+                jobs=new_jobs[:MAX_LOGGED],
+                count=len(new_jobs),
                 peer=host,
                 epoch=self._owner_context.term.epoch,
                 store_age=round(
@@ -111,26 +114,26 @@
                 ),
             )
 
-    async def _ask(self, host: str, member: Member) -> bool:
-        wanted = CompletionsWanted(self._owner_context.term.epoch)
+    async def _query_peer(self, host: str, member: Member) -> bool:
+        query = CompletionsWanted(self._owner_context.term.epoch)
         try:
-            frame = await self._links.ask(member, wanted, ANSWER_SECONDS)
+            frame = await self._links.ask(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
             self._owner_context.journal.tell(
-                Part.OWNERSHIP, f'{host} does not tell which jobs are complete: {error}.'
+                Part.OWNERSHIP, f'{host} has not reported its completed jobs: {error}.'
             )
             return False
-        told = frame.message
-        if not isinstance(told, CompletionsTold):
+        reply = frame.message
+        if not isinstance(reply, CompletionsTold):
             return False
-        self._completions.note(told.jobs)
-        taken = self._owner_context.cell.mark_complete(told.jobs)
-        if taken:
+        self._completions.note(reply.jobs)
+        completed = self._owner_context.cell.mark_complete(reply.jobs)
+        if completed:
             self._owner_context.journal.tell(
                 Part.JOBS,
-                f'{host} knows jobs to be complete that the store does not.',
-                jobs=taken[:MOST_NAMED],
-                count=len(taken),
+                f'{host} reports completed jobs that are not completed in the store.',
+                jobs=completed[:MAX_LOGGED],
+                count=len(completed),
                 epoch=self._owner_context.term.epoch,
             )
         return True
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -1,11 +1,11 @@
-"""The owner's work for one term, around the decisions of ``Cell`` and ``Planner``."""
+"""Runs a cell during one term and carries out the decisions of ``Cell`` and ``Planner``."""
 
 from contextlib import AsyncExitStack
 
 import curio
 
 from dandelionreel.cell.decisions import ANY_RUNNER, AdviceRequest, Cell, JobRun, Plan, Planner
-from dandelionreel.cell.membership import BEAT_SECONDS, AdvicePool, Term
+from dandelionreel.cell.membership import HEARTBEAT_SECONDS, AdvicePool, Term
 from dandelionreel.cell.model import (
     CANCELLATION_PREFIX,
     OWNER_KEY,
@@ -21,36 +21,36 @@
 )
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
 from dandelionreel.cell.owner._load_report import LoadReport
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.owner._parts import DispatcherParts
-from dandelionreel.cell.owner._rounds import Rounds
+from dandelionreel.cell.owner._periodic_checks import PeriodicChecks
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
 from dandelionreel.cell.store import StoredJob, WriteOutcome
 from dandelionreel.kernel import Part, start_task
 
-#: Typical seconds of an append above which the store counts as slow.
-SLOW_SECONDS = 0.05
-#: Seconds of failed appends after which new work is refused at once.
-REFUSE_SECONDS = 0.25
-#: Seconds in which news is gathered for one plan.
-PLAN_PAUSE = 0.004
-#: A plan is followed by a pause of this many times its duration, so that plans with a long backlog
-#: leave processor time for orders.
-PLAN_REST = 1.5
-#: Seconds in which a released cell's last record must be stored.
-RELEASE_PATIENCE = 1.0
-#: Jobs that one line names.
+#: Typical append latency in seconds above which the store counts as slow.
+SLOW_APPEND_SECONDS = 0.05
+#: Seconds of failed appends after which a new job or a cancellation is refused.
+CLIENT_WRITE_TIMEOUT = 0.25
+#: Minimum seconds between plans, in which changes are collected for the next one.
+MIN_PLAN_PAUSE_SECONDS = 0.004
+#: Each plan is followed by a pause of this many times its duration, so that plans over a long
+#: backlog leave processor time for orders.
+PLAN_PAUSE_FACTOR = 1.5
+#: Timeout in seconds for storing the record that releases the cell.
+RELEASE_TIMEOUT = 1.0
+#: Maximum number of jobs in one log line.
 MAX_LOGGED = 80
-#: Seconds before a question that failed is put again.
-REQUEST_PAUSE = 0.1
+#: Seconds before a failed advice request is repeated.
+ADVICE_RETRY_SECONDS = 0.1
 
 
 class Dispatcher:
-    """Dispatches for one term and ends with it."""
+    """Dispatches the jobs of a cell during one term."""
 
     def __init__(self, parts: DispatcherParts, term: Term) -> None:
-        """Work under ``term``."""
+        """Create the dispatcher of ``term``."""
         self._parts = parts
         self._clock = parts.clock
         self._journal = parts.journal
@@ -63,9 +63,9 @@
             parts.longest_lease,
             parts.clock,
             parts.journal,
-            parts.list_age,
+            parts.get_runner_list_age,
         )
-        self._orders = Orders(self._owner_context)
+        self._order_sender = OrderSender(self._owner_context)
         self._planner = Planner(self.cell)
         self._pool = AdvicePool(
             parts.host,
@@ -74,8 +74,8 @@
             parts.advisor,
             parts.clock,
             parts.journal,
-            self._take_advice,
-            self._miss_advice,
+            self._accept_advice,
+            self._handle_advice_failure,
         )
         self._completion_gossip = CompletionGossip(
             self._owner_context,
@@ -84,285 +84,303 @@
             parts.completions,
             parts.host,
         )
-        self._owner_context.confirms = ZoneConfirmation(
+        self._owner_context.confirm_zone = ZoneConfirmation(
             self._owner_context,
             parts.jobs.state,
             self._completion_gossip,
             parts.host,
         ).is_confirmed
-        self._load = LoadReport(self.cell, self._pool, parts.journal)
-        self._rounds = Rounds(parts, self._owner_context, self._load)
+        self._load_report = LoadReport(self.cell, self._pool, parts.journal)
+        self._periodic_checks = PeriodicChecks(parts, self._owner_context, self._load_report)
 
     @property
-    def acting(self) -> bool:
-        """Return whether this host still has the right to act as the owner."""
+    def may_act(self) -> bool:
+        """Return whether this host may still send orders as the owner."""
         return self._owner_context.may_act()
 
     @property
     def store_is_failing(self) -> bool:
-        """Return whether nothing could be stored for a while."""
+        """Return whether appends to the store have been failing for a while."""
         return self._owner_context.writer.store_is_failing(self._clock.monotonic())
 
     @property
     def stored_at(self) -> float:
-        """Return when the latest append that was answered had been sent."""
+        """Return when the latest answered append was sent, in monotonic seconds."""
         return self._owner_context.writer.stored_at
 
     async def run(self) -> None:
         """Dispatch until the term is lost or ended by ``end``."""
-        self._begin()
-        self._completion_gossip.begin()
+        self._load_state()
+        self._completion_gossip.block_started_jobs()
         async with AsyncExitStack() as stack:
             stack.push_async_callback(self._owner_context.close_runners)
             for work in (
                 self._owner_context.writer.run,
-                self._beat,
-                self._feed,
-                self._plan,
-                self._completion_gossip.ask,
+                self._store_heartbeats,
+                self._follow_jobs,
+                self._run_planner,
+                self._completion_gossip.query_successors,
                 self._completion_gossip.run,
             ):
                 await start_task(stack, work)
-            await start_task(stack, self._rounds.run, stack)
+            await start_task(stack, self._periodic_checks.run, stack)
             await self._owner_context.ended.wait()
-            if not self._owner_context.lost and not await self._rounds.leave():
+            if (
+                not self._owner_context.end_reason
+                and not await self._periodic_checks.request_takeover()
+            ):
                 await self._release()
         self._journal.tell(
             Part.OWNERSHIP,
-            f'does not own the cell any more: {self._owner_context.lost}.',
+            f'does not own the cell any more: {self._owner_context.end_reason}.',
             epoch=self._owner_context.term.epoch,
         )
 
     async def end(self) -> None:
-        """Give the cell up for another host."""
+        """End the term so that another host can own the cell."""
         await self._owner_context.ended.set()
 
-    async def accept(self, job_id: str, submission: Submission, patience: float) -> WriteOutcome:
-        """Store a job; its advice is asked for meanwhile.
+    async def accept(self, job_id: str, submission: Submission, timeout: float) -> WriteOutcome:
+        """Store a job; planning and advice requests for it begin meanwhile.
 
-        While the store is slow, its runners are not stored one by one: the job
-        is marked as running anywhere, and its starts need no append of theirs.
+        While the store is slow, the job is stored as possibly running on any runner. Its starts
+        then need no append for each new runner.
         """
         known = self.cell.job_by_id.get(job_id)
         if known is not None and known.stored:
             return WriteOutcome.STORED
-        booked = StoredJob(job_id, submission, cancelled=False, progress=None)
-        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
+        stored_job = StoredJob(job_id, submission, cancelled=False, progress=None)
+        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
         job = self.cell.job_by_id[job_id]
-        self._log_rate(job)
+        self._log_rate_exceeded(job)
         job.stored = False
         record = make_record(SUBMISSION_PREFIX + job_id, submission)
-        slow = self._owner_context.writer.typical_latency > SLOW_SECONDS
-        if slow:
+        store_is_slow = self._owner_context.writer.typical_latency > SLOW_APPEND_SECONDS
+        if store_is_slow:
             job.runners.add(ANY_RUNNER)
-        await self._owner_context.wake.notify()
-        writing = await curio.spawn(self._finish_accept, job, record, slow, daemon=True)
-        outcome = await curio.ignore_after(patience, writing.join)
+        await self._owner_context.plan_needed.notify()
+        write_task = await curio.spawn(self._finish_accept, job, record, store_is_slow, daemon=True)
+        outcome = await curio.ignore_after(timeout, write_task.join)
         return outcome or WriteOutcome.UNKNOWN
 
-    async def cancel(self, job_id: str, patience: float) -> WriteOutcome:
-        """Store that a client has cancelled a job, and have it stopped."""
+    async def cancel(self, job_id: str, timeout: float) -> WriteOutcome:
+        """Store a client's cancellation of a job, then stop its tasks."""
         record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
-        writing = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
-        return await curio.ignore_after(patience, writing.join) or WriteOutcome.UNKNOWN
+        write_task = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
+        return await curio.ignore_after(timeout, write_task.join) or WriteOutcome.UNKNOWN
 
     async def mark_complete(self, jobs: tuple[str, ...]) -> None:
-        """Take jobs as complete that hosts have shown so behind a cut, and have that stored."""
-        taken = self.cell.mark_complete(jobs)
-        if not taken:
+        """Mark jobs complete that partitioned hosts have shown to clients as complete."""
+        completed = self.cell.mark_complete(jobs)
+        if not completed:
             return
         self._journal.tell(
             Part.JOBS,
-            'takes jobs as complete that were shown so behind a cut.',
-            jobs=taken[:MAX_LOGGED],
-            count=len(taken),
+            'marked jobs complete that were shown to clients during a partition.',
+            jobs=completed[:MAX_LOGGED],
+            count=len(completed),
             epoch=self._owner_context.term.epoch,
         )
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
 
     def state_of(self, job_id: str) -> JobState | None:
-        """Return what clients are told about a job, ``None`` if it is not known."""
+        """Return the state of a job that clients are shown, ``None`` if it is unknown."""
         job = self.cell.job_by_id.get(job_id)
         return None if job is None or not job.stored else job.reported_state
 
     def account_of(self, job_id: str) -> str:
-        """Return the client account of a job that is known here, empty for none."""
+        """Return the client account of a job, empty if the job is unknown or has none."""
         job = self.cell.job_by_id.get(job_id)
         return '' if job is None else job.account
 
-    def _log_rate(self, job: JobRun) -> None:
+    def _log_rate_exceeded(self, job: JobRun) -> None:
         if job.exceeds_account_rate:
             self._journal.tell_frequent(
                 Part.JOBS,
-                f"job {job.id} is beyond its account's share: it waits behind others.",
+                f"job {job.id} is beyond its account's share: it is queued behind other jobs.",
                 job=job.id,
                 account=job.account,
                 epoch=self._owner_context.term.epoch,
             )
 
-    async def _finish_accept(self, job: JobRun, record: KeyedRecord, slow: bool) -> WriteOutcome:
-        noted = [job] if slow else []
-        outcome = await self._owner_context.store_progress(noted, record, patience=REFUSE_SECONDS)
+    async def _finish_accept(
+        self, job: JobRun, record: KeyedRecord, store_is_slow: bool
+    ) -> WriteOutcome:
+        jobs_to_store = [job] if store_is_slow else []
+        outcome = await self._owner_context.store_progress(
+            jobs_to_store, record, timeout=CLIENT_WRITE_TIMEOUT
+        )
         if outcome is WriteOutcome.STORED:
             job.stored = True
         elif outcome is WriteOutcome.REFUSED and not job.stored:
             self.cell.forget_job(job.id, self._clock.wall())
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
         return outcome
 
     async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> WriteOutcome:
-        outcome = await self._owner_context.writer.write([record], REFUSE_SECONDS)
+        outcome = await self._owner_context.writer.write([record], CLIENT_WRITE_TIMEOUT)
         if outcome is WriteOutcome.STORED:
             self.cell.cancel(job_id)
-            await self._owner_context.wake.notify()
+            await self._owner_context.plan_needed.notify()
         return outcome
 
     async def _release(self) -> None:
-        """Store that this owner has stopped for good, having stopped before.
+        """Stop acting as the owner, then store the release of the cell.
 
-        A successor waits for the leases that were granted before it read the release, so nothing
-        may be started or renewed while the answer is out.
+        A successor waits only for leases that were granted before it read the release, so nothing
+        may be started or renewed while the append is pending.
         """
         await self._owner_context.flush()
-        self._owner_context.lost = 'released'
-        owner = self._owner_context.term.record(
-            unsettled=self._unsettled(),
+        self._owner_context.end_reason = 'released'
+        owner_record = self._owner_context.term.owner_record(
+            unsettled=self._unsettled_seconds(),
             released=True,
             version=self._parts.configuration.version,
         )
-        await self._owner_context.writer.write([make_record(OWNER_KEY, owner)], RELEASE_PATIENCE)
+        await self._owner_context.writer.write(
+            [make_record(OWNER_KEY, owner_record)], RELEASE_TIMEOUT
+        )
 
-    def _begin(self) -> None:
-        """Take what the store knows; wait for the runners that may hold more."""
+    def _load_state(self) -> None:
+        """Load jobs and quota leftovers from the store, and the runners still to be polled."""
         parts = self._parts
-        self._rounds.begin(self._clock.monotonic())
-        book = parts.jobs.state
-        book.take_changed()
-        # In the order in which they came: an account may expect its first ones to be served.
-        for job_id in sorted(book.submission_by_id, key=book.accepted_at):
-            self._see_job(job_id)
+        self._periodic_checks.load_predecessor_state(self._clock.monotonic())
+        cell_state = parts.jobs.state
+        cell_state.take_changed()
+        # In order of acceptance, since an account expects its earlier jobs to be served first.
+        for job_id in sorted(cell_state.submission_by_id, key=cell_state.accepted_at):
+            self._update_job(job_id)
         wall = self._clock.wall()
-        for job_id, progress in book.progress_by_id.items():
+        for job_id, progress in cell_state.progress_by_id.items():
             self.cell.quotas.expect_leftovers(job_id, progress, wall)
 
-    def _unsettled(self) -> float:
-        """Return for how many seconds more earlier owners may renew leases unseen.
+    def _unsettled_seconds(self) -> float:
+        """Return for how many more seconds leases of earlier owners may last on unseen runners.
 
-        Each word of this owner says so, the last one too: its successor would else
-        wait for one lease of this owner while an earlier one renews on.
+        Every owner record carries it, including the release. Otherwise a successor would only wait
+        for this owner's last lease while an earlier owner still renews others.
         """
         if not self.cell.unseen_runners:
             return 0.0
-        left = self._rounds.predecessors.until - self._clock.monotonic()
-        return round(max(0.0, left), 2)
+        remaining = self._periodic_checks.predecessor_leases.end_at - self._clock.monotonic()
+        return round(max(0.0, remaining), 2)
 
-    async def _beat(self) -> None:
-        """Store heartbeats until the term ends; one behind the release would undo it."""
-        beat = 0
+    async def _store_heartbeats(self) -> None:
+        """Store heartbeats until the term ends; one stored after the release would undo it."""
+        heartbeat = 0
         stored: frozenset[str] = frozenset()
-        while not self._owner_context.lost:
-            beat += 1
+        while not self._owner_context.end_reason:
+            heartbeat += 1
             version = self._parts.configuration.version
-            owner = self._owner_context.term.record(beat, self._unsettled(), version=version)
-            records = [make_record(OWNER_KEY, owner)]
-            # Runners that only a former owner has seen are kept for the next one: it
-            # has to wait for them too, should this owner be killed meanwhile.
-            attended = frozenset(self.cell.runner_by_id) | self.cell.unseen_runners
-            if attended != stored:
-                fact = RunnersInUse(self._owner_context.term.epoch, tuple(sorted(attended)))
-                records.append(make_record(RUNNERS_IN_USE_KEY, fact))
+            owner_record = self._owner_context.term.owner_record(
+                heartbeat, self._unsettled_seconds(), version=version
+            )
+            records = [make_record(OWNER_KEY, owner_record)]
+            # Includes runners that only a previous owner has seen: if this owner is killed, its
+            # successor has to wait for them as well.
+            runners_in_use = frozenset(self.cell.runner_by_id) | self.cell.unseen_runners
+            if runners_in_use != stored:
+                runners_record = RunnersInUse(
+                    self._owner_context.term.epoch, tuple(sorted(runners_in_use))
+                )
+                records.append(make_record(RUNNERS_IN_USE_KEY, runners_record))
             outcome = await self._owner_context.store_progress(
                 self.cell.take_dirty_jobs(), *records
             )
             if outcome is WriteOutcome.FENCED:
-                await self._owner_context.lose('another host has written with a higher epoch')
+                await self._owner_context.end_term(
+                    'another host has written to the store with a higher epoch'
+                )
                 return
             if outcome is WriteOutcome.STORED:
-                stored = attended
-                await self._use_runners(stored)
-            await curio.sleep(BEAT_SECONDS)
+                stored = runners_in_use
+                await self._enable_recorded_runners(stored)
+            await curio.sleep(HEARTBEAT_SECONDS)
 
-    async def _use_runners(self, stored: frozenset[str]) -> None:
-        """Let tasks be placed on the runners that the store now names."""
+    async def _enable_recorded_runners(self, stored: frozenset[str]) -> None:
+        """Allow tasks on the runners that are now recorded in the store."""
         for runner_id, state in self.cell.runner_by_id.items():
             if runner_id in stored and not state.recorded:
                 state.recorded = True
-                await self._owner_context.wake.notify()
+                await self._owner_context.plan_needed.notify()
 
-    async def _feed(self) -> None:
-        """Take news of jobs as the log tells them."""
+    async def _follow_jobs(self) -> None:
+        """Apply changes of jobs and of the owner as they are read from the store."""
         follower = self._parts.follower
-        book = self._parts.jobs.state
+        cell_state = self._parts.jobs.state
         while True:
             seen = follower.changed.count
             if not self._parts.election.still_owner(self._owner_context.term):
-                await self._owner_context.lose('the store names another owner')
+                await self._owner_context.end_term('the store names another owner')
                 return
-            changed = book.take_changed()
+            changed = cell_state.take_changed()
             for job_id in changed:
-                self._see_job(job_id)
+                self._update_job(job_id)
             if changed:
-                await self._owner_context.wake.notify()
+                await self._owner_context.plan_needed.notify()
             await follower.changed.wait(seen, 1.0)
 
-    def _see_job(self, job_id: str) -> None:
-        booked = self._parts.jobs.state.find(job_id)
-        if booked is not None and booked.unreadable:
-            self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
+    def _update_job(self, job_id: str) -> None:
+        stored_job = self._parts.jobs.state.find(job_id)
+        if stored_job is not None and stored_job.unreadable:
+            self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
             return
-        if booked is None or booked.submission is None:
-            self._forget_job(job_id, booked)
+        if stored_job is None or stored_job.submission is None:
+            self._forget_job(job_id, stored_job)
             return
-        self.cell.update_job(booked, self._clock.monotonic(), self._clock.wall())
+        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
         self.cell.job_by_id[job_id].stored = True
 
-    def _forget_job(self, job_id: str, booked: StoredJob | None) -> None:
+    def _forget_job(self, job_id: str, stored_job: StoredJob | None) -> None:
         job = self.cell.job_by_id.get(job_id)
         if job is not None and not job.is_over:
             self._journal.tell(
                 Part.JOBS,
-                f'job {job_id} is under way here and over in the store.',
+                f'job {job_id} is unfinished here but over in the store.',
                 job=job_id,
                 state=job.state.value,
-                stored=booked.state.value if booked else None,
+                stored=stored_job.state.value if stored_job else None,
             )
         self.cell.forget_job(job_id, self._clock.wall())
 
-    async def _plan(self) -> None:
+    async def _run_planner(self) -> None:
         while True:
-            seen = self._owner_context.wake.count
+            seen = self._owner_context.plan_needed.count
             if self._owner_context.may_start():
                 await self._plan_once()
             else:
                 await self._send_stops()
-            await self._owner_context.wake.wait(seen, 1.0)
+            await self._owner_context.plan_needed.wait(seen, 1.0)
 
     async def _plan_once(self) -> None:
-        """Plan, and send all that was decided, though the right to start may end meanwhile.
+        """Make a plan and send all its orders, even if the right to start ends meanwhile.
 
-        Each start checks that right itself before it is sent, and is withdrawn without it. A plan
-        that is dropped would leave starts counted, and requests open, that nobody has sent.
+        Each start checks that right before it is sent and is withdrawn without it. Dropping a plan
+        would leave starts and advice requests recorded as pending although they were never sent.
         """
-        began = self._clock.monotonic()
-        made = self._planner.plan(
-            began, self._clock.wall(), self._pool.free_for_patient, self._orders.free
+        started_at = self._clock.monotonic()
+        plan = self._planner.plan(
+            started_at,
+            self._clock.wall(),
+            self._pool.free_for_non_urgent,
+            self._order_sender.free_starts,
         )
-        self._load.note_plan(made, self._clock.monotonic() - began)
+        self._load_report.add_plan(plan, self._clock.monotonic() - started_at)
         await self._send_stops()
-        self._tell_preempted(made)
-        self._log_held(made)
-        await self._orders.send_starts(made.starts)
-        for question in made.advice_requests:
-            await self._pool.ask(question)
-        spent = self._clock.monotonic() - began
-        await curio.sleep(max(PLAN_PAUSE, PLAN_REST * spent))
+        self._log_preempted(plan)
+        self._log_quota_blocked(plan)
+        await self._order_sender.send_starts(plan.starts)
+        for request in plan.advice_requests:
+            await self._pool.ask(request)
+        elapsed = self._clock.monotonic() - started_at
+        await curio.sleep(max(MIN_PLAN_PAUSE_SECONDS, PLAN_PAUSE_FACTOR * elapsed))
 
     async def _send_stops(self) -> None:
         for allocation in self.cell.take_stops():
-            await curio.spawn(self._orders.send_stop, allocation, daemon=True)
+            await curio.spawn(self._order_sender.send_stop, allocation, daemon=True)
 
-    def _tell_preempted(self, made: Plan) -> None:
-        for allocation in made.preempted:
+    def _log_preempted(self, plan: Plan) -> None:
+        for allocation in plan.preempted:
             self._journal.tell_frequent(
                 Part.PLACEMENT,
                 f'stops a task on {allocation.runner} to make room for a gang.',
@@ -371,8 +389,8 @@
                 runner=allocation.runner,
             )
 
-    def _log_held(self, made: Plan) -> None:
-        for job in made.quota_blocked:
+    def _log_quota_blocked(self, plan: Plan) -> None:
+        for job in plan.quota_blocked:
             used, quota = self.cell.quotas.used(job.account), self.cell.quota_of(job)
             self._journal.tell_frequent(
                 Part.PLACEMENT,
@@ -387,22 +405,22 @@
                 epoch=self._owner_context.term.epoch,
             )
 
-    async def _take_advice(
+    async def _accept_advice(
         self,
-        question: AdviceRequest,
+        request: AdviceRequest,
         permits: tuple[Permit, ...],
         until: float,
     ) -> None:
-        self.cell.tickets.note_answer(question.step, question.runners, permits, until)
+        self.cell.tickets.note_answer(request.step, request.runners, permits, until)
         self._journal.tell_frequent(
             Part.PLACEMENT,
-            f'{len(permits)} of {len(question.runners)} runners are allowed.',
-            job=question.step.job,
-            step=question.step.step,
+            f'{len(permits)} of {len(request.runners)} runners are allowed.',
+            job=request.step.job,
+            step=request.step.step,
             valid=round(until - self._clock.monotonic(), 3),
         )
-        await self._owner_context.wake.notify()
+        await self._owner_context.plan_needed.notify()
 
-    async def _miss_advice(self, question: AdviceRequest) -> None:
-        not_before = self._clock.monotonic() + REQUEST_PAUSE
-        self.cell.tickets.note_failure(question.step, not_before)
+    async def _handle_advice_failure(self, request: AdviceRequest) -> None:
+        not_before = self._clock.monotonic() + ADVICE_RETRY_SECONDS
+        self.cell.tickets.note_failure(request.step, not_before)
--- /dev/null
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -0,0 +1,222 @@
+"""Checks that the owner makes ten times a second because no event triggers them."""
+
+from contextlib import AsyncExitStack
+
+import curio
+
+from dandelionreel.cell.decisions import (
+    ActiveRunners,
+    apply_last_registrations,
+    stop_incomplete_gangs,
+    stop_on_draining_runners,
+)
+from dandelionreel.cell.membership import AUTHORITY_SECONDS
+from dandelionreel.cell.model import (
+    CANCELLATION_PREFIX,
+    PROGRESS_PREFIX,
+    SUBMISSION_PREFIX,
+    KeyedRecord,
+    make_tombstone,
+)
+from dandelionreel.cell.owner._load_report import LoadReport
+from dandelionreel.cell.owner._owner_context import OwnerContext
+from dandelionreel.cell.owner._parts import DispatcherParts
+from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases
+from dandelionreel.cell.owner._runner_poller import RunnerPoller
+from dandelionreel.cell.owner._succession import Succession
+from dandelionreel.kernel import Part, seconds_or_none, start_task
+
+#: Seconds between checks of the runner list, gangs and unseen runners.
+CHECK_SECONDS = 0.1
+#: Seconds between searches for jobs that ended long ago, as each search goes through all jobs.
+DROP_CHECK_SECONDS = 5.0
+
+
+class PeriodicChecks:
+    """Checks runners, gangs, tasks of earlier owners and old jobs during one term."""
+
+    def __init__(
+        self, parts: DispatcherParts, context: OwnerContext, load_report: LoadReport
+    ) -> None:
+        """Check the cell of ``context``."""
+        self._parts = parts
+        self._owner_context = context
+        self._cell = context.cell
+        self._load_report = load_report
+        self._clock = parts.clock
+        self._journal = parts.journal
+        self._runner_poller = RunnerPoller(context)
+        self._active = ActiveRunners(context.cell)
+        self._succession = Succession(
+            context,
+            parts.jobs.state,
+            parts.links,
+            parts.election,
+            parts.host,
+        )
+        self.predecessor_leases = PredecessorLeases(
+            context.term, context.lease, parts.clock.monotonic()
+        )
+        self._term_began_at = parts.clock.monotonic()
+        self._last_drop_at = float('-inf')
+        self._runner_list_was_fresh = True
+
+    async def request_takeover(self) -> bool:
+        """Ask peers to take the cell over; return whether one has."""
+        return await self._succession.request_takeover()
+
+    def load_predecessor_state(self, now: float) -> None:
+        """Load the configuration, and the runners on which earlier owners may have tasks."""
+        self._cell.configuration = self._parts.configuration.current
+        if self._owner_context.term.silent_since is not None:
+            self._block_unseen_runners(now)
+
+    async def run(self, stack: AsyncExitStack) -> None:
+        """Run the checks until the term ends; polling of new runners ends with ``stack``."""
+        while True:
+            if not self._owner_context.may_act():
+                await self._owner_context.end_term('the store has not answered for too long')
+                return
+            await self._run_checks(stack, self._clock.monotonic())
+            await self._owner_context.plan_needed.notify()
+            await curio.sleep(CHECK_SECONDS)
+
+    async def _run_checks(self, stack: AsyncExitStack, now: float) -> None:
+        await self._succession.check(now)
+        self._cell.configuration = self._parts.configuration.current
+        self._log_runner_list_age()
+        await self._update_runners(stack)
+        await self._drop_unseen_runners(now)
+        self._apply_preventive_stops(now)
+        self._load_report.report(now, self._clock.wall(), self._owner_context.term.epoch)
+        await self._drop_old_jobs()
+
+    def _log_runner_list_age(self) -> None:
+        is_fresh = self._owner_context.runner_list_is_fresh()
+        if is_fresh is self._runner_list_was_fresh:
+            return
+        self._runner_list_was_fresh = is_fresh
+        outcome = 'starts tasks again' if is_fresh else 'starts nothing'
+        self._journal.tell(
+            Part.PLACEMENT,
+            f'{outcome}, by the age of the list of runners.',
+            epoch=self._owner_context.term.epoch,
+            list_age=seconds_or_none(self._owner_context.get_runner_list_age()),
+        )
+
+    def _block_unseen_runners(self, now: float) -> None:
+        """Block the jobs that may have tasks of an earlier owner on runners not polled yet.
+
+        A job stays blocked until each runner that is stored with it has listed its tasks, or all
+        leases there must have expired.
+        """
+        self._cell.unseen_runners.update(self._parts.jobs.state.earlier_runners())
+        self._log_unseen('blocks the jobs that may run on runners that have not answered yet.', now)
+
+    async def _drop_unseen_runners(self, now: float) -> None:
+        """Treat tasks on unseen runners as ended once their leases must have expired."""
+        if not self._cell.unseen_runners:
+            return
+        await self._drop_replaced_runners()
+        if self.predecessor_leases.shorten_if_ended(self._parts.jobs.state, now):
+            self._log_unseen('the previous owner has ended.', now)
+        if now > self.predecessor_leases.end_at:
+            unseen = tuple(self._cell.unseen_runners)
+            confirmed = [runner for runner in unseen if await self._zone_is_confirmed(runner)]
+            if confirmed:
+                self._log_unseen('takes the leases on unseen runners for run out.', now)
+                self._owner_context.log_crashes(self._cell.drop_unseen_runners(confirmed))
+
+    async def _drop_replaced_runners(self) -> None:
+        """Treat tasks on runner incarnations as ended that a later incarnation has replaced."""
+        replaced = []
+        for incarnation, later in self._cell.find_replaced_runners().items():
+            if await self._owner_context.confirm_zone(later.registration.zone, self._term_began_at):
+                replaced.append(incarnation)
+        if not replaced:
+            return
+        self._journal.tell(
+            Part.OWNERSHIP,
+            'runners have restarted since the previous owner used them.',
+            epoch=self._owner_context.term.epoch,
+            runners=replaced,
+        )
+        self._owner_context.log_crashes(self._cell.drop_unseen_runners(replaced))
+
+    async def _zone_is_confirmed(self, runner: str) -> bool:
+        """Return whether the zone of an unseen runner has reported the completions it has shown."""
+        registration = self._parts.runners.find(runner)
+        if registration is None:
+            return True
+        return await self._owner_context.confirm_zone(registration.zone, self._term_began_at)
+
+    def _log_unseen(self, sentence: str, now: float) -> None:
+        self._journal.tell(
+            Part.OWNERSHIP,
+            sentence,
+            epoch=self._owner_context.term.epoch,
+            runners=sorted(self._cell.unseen_runners),
+            seconds=round(self.predecessor_leases.end_at - now, 3),
+            former_silent=round(self.predecessor_leases.silent_seconds, 3),
+            former_ended=self.predecessor_leases.ended,
+            unsettled=self._owner_context.term.unsettled,
+        )
+
+    def _apply_preventive_stops(self, now: float) -> None:
+        """Stop gangs that stay incomplete, and tasks on runners that are draining."""
+        for step in stop_incomplete_gangs(self._cell, now, self._clock.wall()):
+            self._journal.tell_frequent(
+                Part.PLACEMENT,
+                'stopped a gang that was not completely started in time.',
+                job=step.name.job,
+                step=step.name.step,
+            )
+        for allocation in stop_on_draining_runners(self._cell, now):
+            self._journal.tell_frequent(
+                Part.PLACEMENT,
+                f'moves a task off the draining runner {allocation.runner}.',
+                job=allocation.task.job,
+                run=allocation.run,
+                runner=allocation.runner,
+            )
+
+    async def _update_runners(self, stack: AsyncExitStack) -> None:
+        """Start to poll new runners, and unlisted ones that may still have tasks.
+
+        A list entry of another runner at the same address does not prove that a runner was
+        replaced: a heartbeat of an earlier incarnation can arrive seconds late, and the tasks of
+        the live runner would be started twice. Only a poll that another runner answers is proof.
+        """
+        runner_list = self._parts.runners
+        now = self._clock.monotonic()
+        for idle in self._active.release_idle(runner_list.registration_by_id):
+            self._cell.forget_runner(idle.id)
+        active = self._active.choose(runner_list.registration_by_id, now)
+        new_states = self._cell.update_runners(active, now)
+        apply_last_registrations(self._cell.runner_by_id.values(), runner_list.find, now)
+        for runner_id in self._cell.unseen_runners - self._cell.runner_by_id.keys():
+            # It is no longer listed but may still be alive and have tasks.
+            registration = runner_list.find(runner_id)
+            if registration is not None:
+                new_states.append(self._cell.add_unlisted(registration))
+        for state in new_states:
+            runner = self._owner_context.add_runner(state)
+            await start_task(stack, self._runner_poller.poll, state, runner)
+
+    async def _drop_old_jobs(self) -> None:
+        """Delete the stored records of jobs that ended long ago."""
+        now = self._clock.monotonic()
+        if now < self._last_drop_at + DROP_CHECK_SECONDS:
+            return
+        self._last_drop_at = now
+        oldest = self._clock.wall() - self._parts.status_kept * 2
+        records: list[KeyedRecord] = []
+        for job_id in self._parts.jobs.state.jobs_ended_before(oldest):
+            records.extend(
+                make_tombstone(key + job_id)
+                for key in (SUBMISSION_PREFIX, CANCELLATION_PREFIX, PROGRESS_PREFIX)
+            )
+        if records:
+            await curio.spawn(
+                self._owner_context.writer.write, records, AUTHORITY_SECONDS, daemon=True
+            )
--- a/dandelionreel/contracts/_document.py
+++ b/dandelionreel/contracts/_document.py
@@ -1,4 +1,4 @@
-"""A customer's contract: one JSON document from which every limit follows."""
+"""A customer's contract: one JSON document that sets all limits of the customer."""
 
 from typing import Annotated
 
@@ -8,44 +8,47 @@
 from dandelionreel.backing import Resources
 
 Name = Annotated[str, Meta(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
-Positive = Annotated[float, Meta(gt=0, le=1e9)]
-NotNegative = Annotated[float, Meta(ge=0, le=1e9)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=1e9)]
+NonNegativeNumber = Annotated[float, Meta(ge=0, le=1e9)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 Version = Annotated[int, Meta(ge=1, le=2**53)]
 Priority = Annotated[int, Meta(ge=0, le=1000)]
-Whole = Annotated[int, Meta(ge=0, le=1_000_000)]
+Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 
-#: The kinds of work, each with a placement policy of its own.
+#: Classes of work, each with its own placement policy.
 TASK_CLASSES = ('urgent', 'service', 'batch')
 
 
 class Amounts(Struct, frozen=True, forbid_unknown_fields=True):
-    """Processors (cores), memory (megabytes) and accelerators (devices)."""
+    """Amounts of processors (cores), memory (megabytes) and accelerators (devices)."""
 
-    processors: NotNegative = 0
-    memory_mb: NotNegative = 0
-    accelerators: NotNegative = 0
+    processors: NonNegativeNumber = 0
+    memory_mb: NonNegativeNumber = 0
+    accelerators: NonNegativeNumber = 0
 
     def resources(self) -> Resources:
-        """Return the same amounts as the ledger counts them."""
+        """Return the amounts as ``Resources``, the type used for accounting."""
         return Resources(self.processors, self.memory_mb, self.accelerators)
 
 
 class ClassTerms(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is agreed for one class of work; ``longest_wait`` is in seconds."""
+    """Terms for one class of work; ``longest_wait`` is in seconds."""
 
     name: Name
     priority: Priority
-    longest_wait: Positive
+    longest_wait: PositiveNumber
     preemptible: bool = False
 
 
 class RequestTerms(Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests to services: a second, at a time, and the retries on top."""
+    """Limits on requests to services.
 
-    rate: Positive = 100
-    burst: Positive = 100
-    concurrency: Whole = 64
+    ``rate`` is per second; ``retry_budget`` is the share of retries on top.
+    """
+
+    rate: PositiveNumber = 100
+    burst: PositiveNumber = 100
+    concurrency: Count = 64
     retry_budget: Fraction = 0.1
 
 
@@ -57,13 +60,13 @@
     classes: tuple[ClassTerms, ...]
     quota: Amounts
     guaranteed: Amounts = Amounts()
-    weight: Positive = 1
+    weight: PositiveNumber = 1
     requests: RequestTerms = RequestTerms()
     services: tuple[Name, ...] = ()
-    jobs_waiting: Whole = 10_000
+    jobs_waiting: Count = 10_000
 
     def terms(self, name: str) -> ClassTerms | None:
-        """Return what is agreed for a class, ``None`` when it is not allowed."""
+        """Return the terms for a class, ``None`` if the contract doesn't include it."""
         for terms in self.classes:
             if terms.name == name:
                 return terms
@@ -71,11 +74,11 @@
 
 
 class ContractError(ValueError):
-    """A contract is not usable; the message names field, value and what is allowed."""
+    """An invalid contract; the message names the field, its value and what is allowed."""
 
 
 def load_contract(text: bytes) -> Contract:
-    """Decode and check a contract; raises ``ContractError``."""
+    """Decode and validate a contract; raises ``ContractError``."""
     try:
         contract = msgspec.json.decode(text, type=Contract)
     except msgspec.MsgspecError as error:
@@ -107,13 +110,16 @@
         )
 
 
-def stricter(old: Contract, new: Contract) -> Contract:
-    """Return a contract that breaks neither; in force between staging and outcome."""
+def intersect_contracts(old: Contract, new: Contract) -> Contract:
+    """Return a contract within the limits of both versions.
+
+    It is enforced from staging until the outcome of the proposal is known.
+    """
     return msgspec.structs.replace(
         old,
-        classes=_stricter_classes(old, new),
-        quota=_smaller(old.quota, new.quota),
-        guaranteed=_smaller(old.guaranteed, new.guaranteed),
+        classes=_intersect_classes(old, new),
+        quota=_minimum(old.quota, new.quota),
+        guaranteed=_minimum(old.guaranteed, new.guaranteed),
         requests=RequestTerms(
             rate=min(old.requests.rate, new.requests.rate),
             burst=min(old.requests.burst, new.requests.burst),
@@ -125,15 +131,15 @@
     )
 
 
-def _smaller(one: Amounts, other: Amounts) -> Amounts:
+def _minimum(first: Amounts, second: Amounts) -> Amounts:
     return Amounts(
-        min(one.processors, other.processors),
-        min(one.memory_mb, other.memory_mb),
-        min(one.accelerators, other.accelerators),
+        min(first.processors, second.processors),
+        min(first.memory_mb, second.memory_mb),
+        min(first.accelerators, second.accelerators),
     )
 
 
-def _stricter_classes(old: Contract, new: Contract) -> tuple[ClassTerms, ...]:
+def _intersect_classes(old: Contract, new: Contract) -> tuple[ClassTerms, ...]:
     both = []
     for terms in old.classes:
         other = new.terms(terms.name)
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -1,8 +1,8 @@
-"""Takes over jobs of a zone that is out of reach.
+"""Moves jobs out of a zone that is unreachable.
 
-Only jobs without an intent can be moved. The move and an intent of the zone's
-own dispatcher race in that zone's stream; whichever stands first in the log
-wins, so a job never runs in both zones (spec/attempts.py).
+Only jobs without an intent can be moved. The move and an intent of that zone's
+own dispatcher compete in the zone's log stream; whichever comes first in the
+log wins, so a job never runs in both zones (spec/attempts.py).
 """
 
 from contextlib import AsyncExitStack
@@ -11,7 +11,7 @@
 import msgspec
 
 from dandelionreel.backing import LogError, LogService, StreamReader, StreamWriter
-from dandelionreel.jobs._book import Job, JobBook, JobState
+from dandelionreel.jobs._job_projection import Job, JobProjection, JobState
 from dandelionreel.jobs._records import JobAccepted, JobArrived, JobMoved
 from dandelionreel.kernel import (
     Clock,
@@ -23,42 +23,44 @@
     start_task,
     unknown,
 )
-from dandelionreel.ownership import Membership, ShardFold
+from dandelionreel.ownership import Membership, ShardProjection
 
-WRITE_PATIENCE = 10.0
+WRITE_TIMEOUT_SECONDS = 10.0
 ROUND_SECONDS = 0.2
-CATCH_UP_ROUNDS = 50
-MOVED_AT_ONCE = 500
-RETRY_AFTER = 5.0
+MAX_CATCH_UP_WAITS = 50
+MOVE_BATCH_SIZE = 500
+RETRY_AFTER_SECONDS = 5.0
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
 
 
 class MoveBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which zone's waiting jobs go to which."""
+    """A request to move the waiting jobs of one zone to another."""
 
     from_zone: str
     to_zone: str
 
 
-class MoveDone(msgspec.Struct, frozen=True):
-    """How many jobs have moved; ask again while it is not 0."""
+class MoveResult(msgspec.Struct, frozen=True):
+    """How many jobs were moved; repeat the request until it is 0."""
 
     moved: int
 
 
-class _ForeignZone:
-    """Another zone's stream, folded for one move."""
+class _RemoteZone:
+    """Another zone's log stream and its jobs, read for one move."""
 
-    def __init__(self, log: LogService, stream: str, clock: Clock, records: Any, me: str) -> None:
+    def __init__(
+        self, log: LogService, stream: str, clock: Clock, records: Any, member: str
+    ) -> None:
         self.reader = StreamReader(log, stream, clock, records)
         members = Membership(clock)
-        shards = ShardFold(members, clock)
-        self.jobs = JobBook(shards, 0, 0)
+        shards = ShardProjection(members, clock)
+        self.jobs = JobProjection(shards, 0, 0)
         for part in (members, shards, self.jobs):
             self.reader.add(part.fold, part.reset)
-        # The daemon's name there is new for each move: its numbers start over.
-        writer = f'{me}+{clock.wall():.6f}'
+        # Each move needs a new writer name, because its record numbers start over.
+        writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
 
 
@@ -67,7 +69,7 @@
 
     def __init__(
         self,
-        me: str,
+        member: str,
         settings: Settings,
         clock: Clock,
         log: LogService,
@@ -76,8 +78,8 @@
         own_writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Move jobs to the zone of ``settings``; ``stream_name`` has a place for a zone."""
-        self._me = me
+        """Move jobs to the zone of ``settings``; ``stream_name`` is a format string for a zone."""
+        self._member = member
         self._zone = settings.availability_zone
         self._clock = clock
         self._log = log
@@ -86,61 +88,61 @@
         self._own_writer = own_writer
         self._journal = journal
 
-    async def move_from(self, zone: str) -> MoveDone:
-        """Move up to ``MOVED_AT_ONCE`` jobs here; raises ``RequestError``.
+    async def move_from(self, zone: str) -> MoveResult:
+        """Move up to ``MOVE_BATCH_SIZE`` jobs to this zone; raises ``RequestError``.
 
-        Safe to repeat: what a move that was cut short has left is finished.
+        Can be repeated: it also completes a move that was interrupted.
         """
         async with AsyncExitStack() as stack:
-            foreign = _ForeignZone(
+            remote = _RemoteZone(
                 self._log,
                 self._stream_name.format(zone),
                 self._clock,
                 self._records,
-                self._me,
+                self._member,
             )
-            await start_task(stack, foreign.reader.run, ROUND_SECONDS)
-            await start_task(stack, foreign.writer.run)
-            await self._catch_up(foreign)
+            await start_task(stack, remote.reader.run, ROUND_SECONDS)
+            await start_task(stack, remote.writer.run)
+            await self._catch_up(remote)
             try:
-                return await self._move(foreign, zone)
+                return await self._move(remote, zone)
             except LogError as error:
                 raise unknown(
                     HTTP_TIMEOUT,
                     'log-outcome-unknown',
-                    f'{error}; move again, nothing is lost or doubled',
+                    f'{error}; repeat the move, no job is lost or duplicated',
                 ) from error
 
-    async def _catch_up(self, foreign: _ForeignZone) -> None:
-        for _ in range(CATCH_UP_ROUNDS):
-            if foreign.reader.caught_up:
+    async def _catch_up(self, remote: _RemoteZone) -> None:
+        for _ in range(MAX_CATCH_UP_WAITS):
+            if remote.reader.caught_up:
                 return
-            await foreign.reader.changed.wait(foreign.reader.changed.count, ROUND_SECONDS)
-        raise _log_is_out()
+            await remote.reader.changed.wait(remote.reader.changed.count, ROUND_SECONDS)
+        raise _log_unavailable()
 
-    async def _move(self, foreign: _ForeignZone, zone: str) -> MoveDone:
-        waiting = foreign.jobs.in_state(JobState.WAITING)[:MOVED_AT_ONCE]
+    async def _move(self, remote: _RemoteZone, zone: str) -> MoveResult:
+        waiting = remote.jobs.in_state(JobState.WAITING)[:MOVE_BATCH_SIZE]
         for job in waiting:
-            await foreign.writer.write(JobMoved(job.id, self._zone), WRITE_PATIENCE)
-        arrived = 0
-        for job in foreign.jobs.in_state(JobState.MOVED):
+            await remote.writer.write(JobMoved(job.id, self._zone), WRITE_TIMEOUT_SECONDS)
+        moved = 0
+        for job in remote.jobs.in_state(JobState.MOVED):
             if job.moved_to == self._zone and not job.ended_at:
-                await self._arrive(foreign, job)
-                arrived += 1
-        self._journal.tell(Part.JOBS, f'moved {arrived} jobs here from {zone}.')
-        return MoveDone(arrived)
+                await self._complete_move(remote, job)
+                moved += 1
+        self._journal.tell(Part.JOBS, f'moved {moved} jobs from {zone} to this zone.')
+        return MoveResult(moved)
 
-    async def _arrive(self, foreign: _ForeignZone, job: Job) -> None:
-        # Accepted here first: the other stream must not forget it before.
+    async def _complete_move(self, remote: _RemoteZone, job: Job) -> None:
+        # Accept the job here first: the other stream must not drop it before.
         accepted = JobAccepted(job.id, job.key, job.digest, job.spec)
-        await self._own_writer.write(accepted, WRITE_PATIENCE)
-        await foreign.writer.write(JobArrived(job.id), WRITE_PATIENCE)
+        await self._own_writer.write(accepted, WRITE_TIMEOUT_SECONDS)
+        await remote.writer.write(JobArrived(job.id), WRITE_TIMEOUT_SECONDS)
 
 
-def _log_is_out() -> RequestError:
+def _log_unavailable() -> RequestError:
     return not_run(
         HTTP_UNAVAILABLE,
         'log-unavailable',
-        'the log is out of reach; nothing was moved',
-        RETRY_AFTER,
+        'the log is unreachable; no job was moved',
+        RETRY_AFTER_SECONDS,
     )
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -9,8 +9,8 @@
 
 from dandelionreel.backing import StreamReader, StreamWriter
 from dandelionreel.http import control_bytes_by_kind
-from dandelionreel.jobs import JobBook, JobState
-from dandelionreel.ownership import Claimer
+from dandelionreel.jobs import JobProjection, JobState
+from dandelionreel.ownership import ShardClaimer
 from dandelionreel.peers import Traffic
 from dandelionreel.placement import Planner
 
@@ -65,9 +65,9 @@
         reader: StreamReader,
         writer: StreamWriter,
         queue_by_service: dict[str, int],
-        jobs: JobBook,
+        jobs: JobProjection,
         planner: Planner,
-        claimer: Claimer,
+        claimer: ShardClaimer,
     ) -> None:
         """Set all gauges."""
         self._log_outage.set(reader.outage_seconds)
@@ -75,7 +75,7 @@
         self._log_append.set(writer.append_seconds)
         self._appends.set(writer.appends)
         self._records.set(writer.records)
-        self._owned.set(len(claimer.owned()))
+        self._owned.set(len(claimer.owned_claims()))
         self._takeovers.set(claimer.takeovers)
         for service, length in queue_by_service.items():
             self._queue.labels(service).set(length)
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -1,6 +1,6 @@
 """Admission control: the limits of a customer's contract, divided among the daemons."""
 
-from dandelionreel.contracts import Contract, ContractBook, require_contract
+from dandelionreel.contracts import Contract, ContractProjection, require_contract
 from dandelionreel.kernel import Clock, Settings, not_run
 from dandelionreel.ownership import Membership, member_keys
 from dandelionreel.routing._budget import CustomerUsage, share_of_count, share_of_rate
@@ -19,7 +19,7 @@
         settings: Settings,
         clock: Clock,
         me: str,
-        book: ContractBook,
+        book: ContractProjection,
         membership: Membership,
     ) -> None:
         """Admit as the member ``me``, whose share depends on the zone's live members."""
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -9,8 +9,8 @@
 from dandelionreel.ownership import (
     RUNNER_PREFIX,
     Authority,
-    Level,
-    ShardFold,
+    GrantLevel,
+    ShardProjection,
     ShardUser,
     runner_shard,
 )
@@ -30,7 +30,7 @@
         clock: Clock,
         hosts: HostWatch,
         authority: Authority,
-        shards: ShardFold,
+        shards: ShardProjection,
         choice: RunnerChoice,
         journal: Journal,
     ) -> None:
@@ -57,7 +57,7 @@
         for entry in self._hosts.of_kind('endpoint', zone):
             yield runner_shard(entry.name)
 
-    async def let_go(self, shard: str) -> bool:
+    async def prepare_release(self, shard: str) -> bool:
         """Return whether no request is in flight on a runner's shard."""
         if not shard.startswith(RUNNER_PREFIX):
             return True
@@ -226,14 +226,16 @@
         name = runner.entry.name
         claim = self._shards.get(runner_shard(name))
         grant = self._authority.grant(runner_shard(name))
-        if claim is None or grant.level is Level.NONE:
+        if claim is None or grant.level is GrantLevel.NONE:
             self._seen_grants.discard(name)
             return
         grant_key = f'{name}|{grant.epoch}'
         if grant_key in self._seen_grants:
             return
         self._seen_grants.add(grant_key)
-        runner.start_ownership(grant, clean_handover=claim.clean and not claim.former)
+        runner.start_ownership(
+            grant, clean_handover=claim.clean_handover and not claim.former_owner
+        )
         if runner.former_owner_slots:
             await curio.spawn(self._await_former_owner, runner, daemon=True)
         await self.changed.notify()
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -16,7 +16,7 @@
     WorkerService,
 )
 from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal, Verdict
-from dandelionreel.ownership import NO_GRANT, Authority, Grant, Level, worker_shard
+from dandelionreel.ownership import NO_GRANT, Authority, Grant, GrantLevel, worker_shard
 from dandelionreel.peers import PlaceAnswer, PlaceOrder, TaskReport, WorkerReport
 from dandelionreel.workers._ledger import AllocationState, Ledger
 
@@ -88,7 +88,7 @@
         last_revision = -1
         while True:
             seen = self.changed.count
-            if self.grant().level is Level.NONE:
+            if self.grant().level is GrantLevel.NONE:
                 last_revision = -1
                 self._task_list = None
                 await self.changed.wait(seen, IDLE_WAIT_SECONDS)
@@ -99,7 +99,7 @@
         """Renew the leases of all allocated tasks while this daemon owns the worker."""
         while True:
             await curio.sleep(self._settings.timings.lease / RENEWALS_PER_LEASE)
-            if self.grant().level is Level.NONE:
+            if self.grant().level is GrantLevel.NONE:
                 continue
             await self.renew([allocation.task_id for allocation in self.ledger.allocations()])
 
@@ -254,7 +254,7 @@
     def _watch_seconds(self) -> float:
         # Once the former owner's state is settled, the worker must be listed
         # again before its other half may be used; a long poll would delay that.
-        if self.grant().level is Level.OTHER_HALF:
+        if self.grant().level is GrantLevel.OTHER_HALF:
             return UNSETTLED_WATCH_SECONDS
         return self._settings.timings.lease * WATCH_LEASE_FRACTION
 
@@ -298,7 +298,7 @@
     def _still_allowed(self, grant: Grant) -> bool:
         """Return whether a start that the ledger counts may be sent now."""
         current = self.grant()
-        if current.level is Level.NONE or current.epoch != grant.epoch:
+        if current.level is GrantLevel.NONE or current.epoch != grant.epoch:
             return False
         return self.ledger.total_demand().fits(self.ledger.usable_capacity(current))
 
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 from dandelionreel.backing import NOTHING, Resources, TaskList, TaskStatus
-from dandelionreel.ownership import Grant, Level
+from dandelionreel.ownership import Grant, GrantLevel
 
 HALF_SHARE = 0.5
 
@@ -65,12 +65,12 @@
 
     def usable_capacity(self, grant: Grant) -> Resources:
         """Return how much may be allocated in total, including what already is."""
-        if grant.level is Level.NONE or self.listed_at < grant.since:
+        if grant.level is GrantLevel.NONE or self.listed_at < grant.since:
             return NOTHING
-        if grant.level is Level.WHOLE:
+        if grant.level is GrantLevel.WHOLE:
             return self.capacity
         half = self.capacity.times(HALF_SHARE)
-        if grant.level is Level.OWN_HALF:
+        if grant.level is GrantLevel.OWN_HALF:
             return half
         # The former owner may still allocate up to its half, or already have
         # more than that. This owner may use what is certainly left, at most
@@ -82,7 +82,7 @@
 
     def refusal_reason(self, demand: Resources, grant: Grant) -> str:
         """Return why a task may not start now, empty if it may."""
-        if grant.level is Level.NONE:
+        if grant.level is GrantLevel.NONE:
             return 'this daemon does not own the worker'
         if self.listed_at < grant.since:
             return 'the tasks of the worker have not been listed since the claim'
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -5,7 +5,7 @@
 from dandelionreel.cell.model import Demand
 from dandelionreel.kernel import ManualClock
 from features.cell_parts import SmallCell, make_queue, make_registration, step, task
-from features.steps.report_steps import Lines
+from features.steps.report_steps import RecordingJournal
 from features.store_parts import Host, make_dispatcher, make_owner_context
 from standins import MemoryTopic
 
@@ -114,7 +114,7 @@
 def old_list(context, age):
     context.small = SmallCell(('w1',))
     context.owner = make_owner_context(
-        context.small.cell, ManualClock(context.small.now), list_age=lambda: age
+        context.small.cell, ManualClock(context.small.now), get_runner_list_age=lambda: age
     )
 
 
@@ -127,14 +127,14 @@
 def may_not(context):
     assert not context.owner.may_start()
     assert context.owner.may_act(), 'the owner must still renew leases'
-    lines = Lines()
+    lines = RecordingJournal()
     host = Host('me', MemoryTopic())
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
-    rounds = dispatcher._rounds
+    rounds = dispatcher._periodic_checks
     rounds._owner_context, rounds._journal = context.owner, lines
-    rounds._tell_list_age()
-    rounds._tell_list_age()
-    assert lines.told == [
+    rounds._log_runner_list_age()
+    rounds._log_runner_list_age()
+    assert lines.entries == [
         ('starts nothing, by the age of the list of runners.', {'epoch': 1, 'list_age': 2.6})
     ]
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -1,10 +1,10 @@
-"""Steps on who owns the cell."""
+"""Steps on the election of the owner of a cell."""
 
 import curio
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import Cell
-from dandelionreel.cell.membership._claim_order import claim_delay, find_deputy
+from dandelionreel.cell.membership._claim_order import claim_delay, find_zone_writer
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
@@ -20,7 +20,7 @@
 from dandelionreel.kernel import ManualClock
 from dandelionreel.peers import Done, Refused
 from features.cell_parts import make_registration
-from features.store_parts import LONG, Host, journal, make_dispatcher, until
+from features.store_parts import LONG_TIMEOUT, Host, journal, make_dispatcher, until
 from standins import MemoryTopic
 
 
@@ -35,12 +35,12 @@
         hosts = [Host(name, context.topic) for name in ('a', 'b')]
         for host in hosts:
             await curio.spawn(host.follower.run, daemon=True)
-        tasks = [await curio.spawn(host.claim, LONG, daemon=True) for host in hosts]
+        tasks = [await curio.spawn(host.claim, LONG_TIMEOUT, daemon=True) for host in hosts]
         while not any(task.terminated for task in tasks):
             await curio.sleep(0.01)
         await curio.sleep(0.3)
         context.terms = [task.result if task.terminated else None for task in tasks]
-        context.books = [host.folder.state for host in hosts]
+        context.books = [host.projection.state for host in hosts]
 
     curio.run(claim)
 
@@ -49,7 +49,7 @@
 def one_owner(context):
     won = [term for term in context.terms if term is not None]
     assert len(won) == 1, context.terms
-    assert {book.owner.term for book in context.books} == {won[0].term}
+    assert {cell_state.owner.term for cell_state in context.books} == {won[0].term}
 
 
 def _topic_with_owner():
@@ -97,18 +97,18 @@
         await curio.spawn(context.host.follower.run, daemon=True)
         await until(lambda: context.host.follower.started)
         context.host.election.suspect('other/1')
-        context.term = await context.host.claim(LONG)
+        context.term = await context.host.claim(LONG_TIMEOUT)
 
     curio.run(claim)
 
 
-class LateReads(MemoryTopic):
-    """A topic whose reads are answered late while told so."""
+class DelayedReadTopic(MemoryTopic):
+    """A topic whose reads are blocked while ``late`` is set."""
 
     late = False
 
     async def read(self, offset, wait, max_bytes):
-        """Read once nothing is late any more."""
+        """Read once ``late`` is cleared."""
         while self.late:
             await curio.sleep(0.01)
         return await super().read(offset, wait, max_bytes)
@@ -116,7 +116,7 @@
 
 @given('a host that follows an owner that has left the cell')
 def following_left(context):
-    context.topic = LateReads()
+    context.topic = DelayedReadTopic()
     left = make_record(OWNER_KEY, Owner(1, 'other', 'other/1', released=True))
     curio.run(context.topic.append, [left], 0.1, WriterFence(1, 4))
     context.host = Host('a', context.topic)
@@ -140,13 +140,15 @@
         await until(lambda: context.host.follower.complete)
         if context.late:
             context.topic.late = True
-            # A read that is under way ends first.
+            # Let a read that is in progress end first.
             await curio.sleep(0.1)
             winner = make_record(OWNER_KEY, Owner(2, 'b', 'b/1'))
             await context.topic.append([winner], 0.1, WriterFence(2, 7))
             context.appends = context.topic.appends
             await curio.spawn(read_late, daemon=True)
-        context.term = await context.host.claim(context.late + 0.4 if context.late else LONG)
+        context.term = await context.host.claim(
+            context.late + 0.4 if context.late else LONG_TIMEOUT
+        )
 
     curio.run(claim)
 
@@ -154,7 +156,7 @@
 @then('the other host owns the cell, and {count:d} appends were made')
 def other_owns(context, count):
     assert context.term is None, context.term
-    assert context.host.folder.state.owner.term == 'b/1'
+    assert context.host.projection.state.owner.term == 'b/1'
     assert context.topic.appends - context.appends == count, context.topic.appends
 
 
@@ -174,7 +176,7 @@
 
 @when('the owner answers that it {word}')
 def owner_answers(context, word):
-    context.host.word = Done() if word == 'acts' else Refused('does not own the cell')
+    context.host.owner_reply = Done() if word == 'acts' else Refused('does not own the cell')
 
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
@@ -204,14 +206,14 @@
 def small_owner(context, cores):
     context.clock = ManualClock(1000)
     context.host = Host('a', MemoryTopic(), context.clock)
-    context.member_by_host = context.host.folder.state.member_by_host
+    context.member_by_host = context.host.projection.state.member_by_host
     context.member_by_host['a'] = Member('north', '10.0.0.1', 7, cores=cores)
     term = Term(1, 'a/1', WriterFence(1, 1), None, False, False)
     context.owner = OwnerContext(
         term, Cell(1, 3.0), MemoryTopic(), make_registration, 10.0, context.clock, journal()
     )
     context.succession = Succession(
-        context.owner, context.host.folder.state, context.host, context.host.election, 'a'
+        context.owner, context.host.projection.state, context.host, context.host.election, 'a'
     )
 
 
@@ -219,15 +221,15 @@
 def other_host(context, cores, answers):
     context.member_by_host['b'] = Member('north', '10.0.0.2', 7, cores=cores)
     if answers == 'is ready':
-        context.host.word = Done()
+        context.host.owner_reply = Done()
     elif answers == 'is not ready':
-        context.host.word = Refused('has not read the list of runners')
+        context.host.owner_reply = Refused('has not read the list of runners')
 
 
 @when('{seconds:d} s have passed since its claim')
 def passed_since_claim(context, seconds):
     context.clock.advance(seconds)
-    curio.run(context.succession.look, context.clock.monotonic())
+    curio.run(context.succession.check, context.clock.monotonic())
 
 
 @then('it {acts} the cell')
@@ -252,7 +254,7 @@
 
 @then("{me} has its clients' jobs written by {deputy}, with {avoided} out of reach")
 def written_by(context, me, deputy, avoided):
-    found = find_deputy(context.member_by_host, me, {avoided})
+    found = find_zone_writer(context.member_by_host, me, {avoided})
     assert (found or 'itself') == deputy, found
 
 
@@ -264,14 +266,14 @@
 
 @given('the claims of the epochs 1 and 2, and a late heartbeat of epoch 1')
 def claims(context):
-    context.book = CellState()
+    context.cell_state = CellState()
     for epoch, beat in ((1, 0), (2, 0), (1, 5)):
-        context.book.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
+        context.cell_state.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
 
 
 @then('the owner is that of epoch 2')
 def owner_of_epoch(context):
-    assert context.book.owner.epoch == 2
+    assert context.cell_state.owner.epoch == 2
 
 
 @given('a former owner that was killed when earlier owners might act for {unsettled:g} s')
@@ -284,9 +286,9 @@
     clock = ManualClock(1000)
     host = Host('me', MemoryTopic(), clock)
     context.dispatcher = make_dispatcher(host, context.term, MemoryTopic(), clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
 @then('it leaves jobs on unseen runners alone for {wait:g} s')
 def leaves_alone(context, wait):
-    assert abs(context.dispatcher._rounds.predecessors.until - 1000 - wait) < 0.01
+    assert abs(context.dispatcher._periodic_checks.predecessor_leases.end_at - 1000 - wait) < 0.01
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -14,19 +14,19 @@
     TaskOrder,
     TaskStatus,
 )
-from dandelionreel.jobs import AttemptIntent, JobAccepted, JobBook, JobState, load_spec
+from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
 from dandelionreel.kernel import ManualClock
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
     Claimed,
     Grant,
+    GrantLevel,
     Joined,
-    Level,
     Membership,
-    PromiseBook,
+    PromiseTracker,
     Released,
     ShardEpoch,
-    ShardFold,
+    ShardProjection,
 )
 from dandelionreel.peers import hash_member
 from dandelionreel.routing import share_of_count
@@ -56,19 +56,19 @@
 
 @when('{demand:d} processors are requested at level {level}')
 def request_at_level(context, demand, level):
-    grant = Grant(Level(level), EPOCH, 5)
+    grant = Grant(GrantLevel(level), EPOCH, 5)
     context.refusal = context.ledger.refusal_reason(Resources(demand, 0, 0), grant)
 
 
 @when('{demand:d} processors are requested under a grant that is newer than the task list')
 def request_under_newer_grant(context, demand):
-    grant = Grant(Level.WHOLE, EPOCH, 11)
+    grant = Grant(GrantLevel.WHOLE, EPOCH, 11)
     context.refusal = context.ledger.refusal_reason(Resources(demand, 0, 0), grant)
 
 
 @when('a start of {processors:d} processors has an unknown outcome and the task list lacks it')
 def make_doubtful_start(context, processors):
-    grant = Grant(Level.WHOLE, EPOCH, 5)
+    grant = Grant(GrantLevel.WHOLE, EPOCH, 5)
     context.ledger.add_start('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.set_state('j.2.0', AllocationState.DOUBTFUL, 12)
     context.ledger.note_listing(TaskList(2, ()), 13)
@@ -128,7 +128,7 @@
 def make_book(context):
     context.clock = ManualClock()
     context.members = Membership(context.clock)
-    context.book = PromiseBook('a/1', 'z', context.clock, context.members)
+    context.book = PromiseTracker('a/1', 'z', context.clock, context.members)
     _join(context, 'a/1')
     _join(context, 'b/1')
 
@@ -179,8 +179,8 @@
 @given('a job and a dispatcher of epoch 1')
 def make_job(context):
     clock = ManualClock()
-    context.shards = ShardFold(Membership(clock), clock)
-    context.book = JobBook(context.shards, 10, 10)
+    context.shards = ShardProjection(Membership(clock), clock)
+    context.book = JobProjection(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
     accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
     context.book.fold(accepted, Position(1, 'a/1', 0))
@@ -199,8 +199,8 @@
 @then('the job matches the intent for w1 and not the one for w2')
 def check_matching_intent(context):
     job = context.book.get('z.1')
-    assert job.runs(_intent('w1'))
-    assert not job.runs(_intent('w2'))
+    assert job.matches_intent(_intent('w1'))
+    assert not job.matches_intent(_intent('w2'))
 
 
 @when(
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -29,14 +29,14 @@
     make_progress_records,
     make_record,
 )
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._projections import CellProjection
 from dandelionreel.cell.store._writer import AppendLatency, GroupWriter, WriteOutcome
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from features.cell_parts import SmallCell, make_registration, step
-from features.store_parts import LONG, Host, journal, make_owner_context, until
+from features.store_parts import LONG_TIMEOUT, Host, journal, make_owner_context, until
 from standins import MemoryTopic
 
 WRITE_TIMEOUT = 0.35
@@ -104,7 +104,9 @@
     context.topic = topic
     submission = Submission('q', 'desk', 0.0, JobSpec('payload', (step(),)))
     for job in jobs:
-        curio.run(topic.append, [make_record(f'{SUBMISSION_PREFIX}{job}', submission)], LONG)
+        curio.run(
+            topic.append, [make_record(f'{SUBMISSION_PREFIX}{job}', submission)], LONG_TIMEOUT
+        )
     context.folder = CellProjection(SystemClock(), journal())
     context.follower = Follower(
         'cell',
@@ -138,7 +140,7 @@
         await curio.sleep(0)
         context.is_wanted = True
         await context.follower.read_now()
-        await context.follower.wait_fresh(SystemClock().monotonic(), LONG)
+        await context.follower.wait_fresh(SystemClock().monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
@@ -192,11 +194,11 @@
 
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal(), WriterFence(1, 1))
-        tasks = [await curio.spawn(writer.write, [KeyedRecord('j/x', b'{}')], LONG)]
+        tasks = [await curio.spawn(writer.write, [KeyedRecord('j/x', b'{}')], LONG_TIMEOUT)]
         await curio.spawn(writer.run, daemon=True)
         for number in range(count):
             record = KeyedRecord('e/x', f'{number}'.encode())
-            tasks.append(await curio.spawn(writer.write, [record], LONG))
+            tasks.append(await curio.spawn(writer.write, [record], LONG_TIMEOUT))
         context.outcomes = [await task.join() for task in tasks]
 
     curio.run(write)
@@ -224,12 +226,12 @@
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal(), WriterFence(1, 1))
         await curio.spawn(writer.run, daemon=True)
-        heartbeat = await curio.spawn(writer.write, [KeyedRecord(OWNER_KEY, b'{}')], LONG)
+        heartbeat = await curio.spawn(writer.write, [KeyedRecord(OWNER_KEY, b'{}')], LONG_TIMEOUT)
         await curio.sleep(0.05)
         job = [KeyedRecord(f'{SUBMISSION_PREFIX}x', b'{}')]
         context.outcome = await curio.ignore_after(1, writer.write, job, 0.3)
         await heartbeat.join()
-        await writer.write([], LONG)
+        await writer.write([], LONG_TIMEOUT)
 
     curio.run(write)
 
@@ -305,14 +307,14 @@
 
     async def follow():
         await curio.spawn(context.host.follower.run, daemon=True)
-        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG)
+        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
 
 @then('the host knows the job')
 def knows_job(context):
-    assert context.host.folder.state.find('j2')
+    assert context.host.projection.state.find('j2')
 
 
 @given('a job of which the store has {records}')
@@ -365,14 +367,14 @@
     async def follow():
         context.host.follower._offset = 1
         await curio.spawn(context.host.follower.run, daemon=True)
-        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG)
+        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
 
 @then('it knows the content of the newest records')
 def knows_newest(context):
-    assert context.host.folder.state.owner.epoch == 3
+    assert context.host.projection.state.owner.epoch == 3
 
 
 @given('a runner whose leases expired 5 s after its last answer')
@@ -418,7 +420,7 @@
     plan = context.small.plan(start=False)
 
     async def send():
-        await Orders(context.owner).send_starts(plan.starts)
+        await OrderSender(context.owner).send_starts(plan.starts)
         await until(lambda: context.small.cell.runner_by_id['w1'].suspect)
 
     curio.run(send)
@@ -441,7 +443,7 @@
 @then('7 s after it its tasks count as {fate}, and new starts are {starts}')
 def judged_tasks(context, fate, starts):
     context.clock.now = 1007.0
-    assert context.owner.leases_ran_out(context.state) is (fate == 'gone')
+    assert context.owner.leases_expired(context.state) is (fate == 'gone')
     assert context.owner.may_start() is (starts == 'allowed')
 
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what one owner leaves to the next."""
+"""Steps for what one owner passes on to its successor."""
 
 import curio
 from behave import given, then, when
@@ -14,7 +14,7 @@
     RunnersInUse,
     make_record,
 )
-from dandelionreel.cell.owner._orders import Orders
+from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
 from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.kernel import ManualClock
@@ -38,66 +38,66 @@
     assert term.epoch == 5
     host = context.host
     context.dispatcher = make_dispatcher(host, term, context.topic, host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
 
 
-@then('it leaves tasks on unseen runners alone until all leases of that owner are over')
-def waits_for_all(context):
-    # The owner's last append was answered before the host read the store at all.
+@then('it does not restart tasks of unseen runners until all leases of that owner have expired')
+def waits_for_all_leases(context):
+    # The owner's last append was answered before the host first read the store.
     last_lease = context.began + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
-    assert context.dispatcher._rounds.predecessors.until >= last_lease
+    assert context.dispatcher._periodic_checks.predecessor_leases.end_at >= last_lease
 
 
 @given('a successor that waits for the runner w9, whose entry it has never seen')
 def waiting_successor(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
-    context.host.folder.state.runners_in_use = RunnersInUse(1, ('w9',))
+    context.host.projection.state.runners_in_use = RunnersInUse(1, ('w9',))
     heard_at = context.host.clock.monotonic()
     term = Term(2, 'me/1', WriterFence(2, 1), heard_at, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
-    context.dispatcher._begin()
+    context.dispatcher._load_state()
     context.dispatcher.cell.update_runners({'w1': make_registration('w1')}, heard_at)
 
 
-@when('the successor stores on which runners tasks may run')
-def stores_attended(context):
+@when('the successor stores the runners on which tasks may run')
+def stores_runners(context):
     async def beat():
         owner = context.dispatcher._owner_context
         await curio.spawn(owner.writer.run, daemon=True)
-        await curio.spawn(context.dispatcher._beat, daemon=True)
+        await curio.spawn(context.dispatcher._store_heartbeats, daemon=True)
         await until(lambda: context.topic.records)
         return await context.topic.snapshot()
 
-    context.book = CellState()
-    context.book.fold(curio.run(beat).records)
+    context.cell_state = CellState()
+    context.cell_state.fold(curio.run(beat).records)
 
 
 @then('w9 is among them')
-def w9_attended(context):
-    assert context.book.runners_in_use is not None, 'no runners were stored'
-    assert 'w9' in context.book.runners_in_use.runners, context.book.runners_in_use
+def w9_listed(context):
+    assert context.cell_state.runners_in_use is not None, 'no runners were stored'
+    assert 'w9' in context.cell_state.runners_in_use.runners, context.cell_state.runners_in_use
 
 
-class WatchedTopic(MemoryTopic):
-    """Notes what ``ask()`` says whenever an append is on its way."""
+class ProbedTopic(MemoryTopic):
+    """Records the result of ``probe()`` while each append is pending."""
 
-    def __init__(self, ask):
+    def __init__(self, probe):
         super().__init__()
-        self.ask = ask
-        self.said = []
+        self.probe = probe
+        self.probe_results = []
 
     async def append(self, records, timeout, fence=None, expected_end=None):
-        """Append, and ask while the answer is still out."""
+        """Append, and call the probe before answering."""
         offset = await super().append(records, timeout, fence, expected_end)
         await curio.sleep(0)
-        self.said.append(self.ask())
+        self.probe_results.append(self.probe())
         return offset
 
 
 @given('an owner whose release is answered late')
 def releasing_owner(context):
-    context.topic = WatchedTopic(lambda: context.dispatcher.acting)
+    context.topic = ProbedTopic(lambda: context.dispatcher.may_act)
     host = Host('me', context.topic)
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(host, term, context.topic, host.clock)
@@ -112,29 +112,35 @@
     curio.run(release)
 
 
-@then('it has no right to act while the release is on its way')
-def no_right(context):
+@then('it may not act while the release is pending')
+def may_not_act(context):
     assert context.topic.records[-1].key == OWNER_KEY
-    assert context.topic.said[-1] is False, context.topic.said
+    assert context.topic.probe_results[-1] is False, context.topic.probe_results
 
 
-@given('an owner whose life first read the store at offset {offset:d}')
-def owner_life(context, offset):
-    context.book = CellState()
-    owner = Term(3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset).record()
+@given('an owner incarnation that first read the store at offset {offset:d}')
+def owner_incarnation(context, offset):
+    context.cell_state = CellState()
+    owner = Term(
+        3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset
+    ).owner_record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)])
+    context.cell_state.fold(
+        [make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)]
+    )
 
 
-@when('word lands of a life on its host that first read it at offset {offset:d}')
-def word_of_life(context, offset):
+@when(
+    'a member record arrives of an incarnation on its host that first read it at offset {offset:d}'
+)
+def member_record(context, offset):
     member = Member('north', '10.0.0.9', 7, 'other/1', read_from=offset)
-    context.book.fold([make_record(f'{MEMBER_PREFIX}other', member)])
+    context.cell_state.fold([make_record(f'{MEMBER_PREFIX}other', member)])
 
 
-@then('the owner is taken for {fate}')
-def taken_for(context, fate):
-    assert context.book.owner_has_ended() == (fate == 'over')
+@then('the owner is considered {fate}')
+def considered(context, fate):
+    assert context.cell_state.owner_has_ended() == (fate == 'ended')
 
 
 @given("an owner that is about to store the runner of a job's second task")
@@ -153,8 +159,8 @@
     )
 
 
-@when('the first task ends {outcome} right then')
-def ends_right_then(context, outcome):
+@when('the first task ends meanwhile, with outcome {outcome}')
+def ends_meanwhile(context, outcome):
     async def note_end():
         name, run = context.first.task, context.first.run
         context.small.poll(context.first.runner, ended=[(1, name, run, outcome)])
@@ -164,29 +170,29 @@
         submission = make_record(f'{SUBMISSION_PREFIX}j1', context.job.submission)
         await context.topic.append([submission], 0.1)
         await curio.spawn(context.owner.writer.run, daemon=True)
-        await Orders(context.owner).send_starts([context.second])
+        await OrderSender(context.owner).send_starts([context.second])
         ending = await curio.spawn(note_end)
         await ending.join()
-        # Nobody leads to the runner: its start is taken back once its record was answered.
+        # There is no client of the runner, so the start is withdrawn once its record is stored.
         run = (context.second.task, context.second.run)
         await until(lambda: run not in context.small.runs_on(context.second.runner))
         return await context.topic.snapshot()
 
-    context.book = CellState()
-    context.book.fold(curio.run(race).records)
+    context.cell_state = CellState()
+    context.cell_state.fold(curio.run(race).records)
 
 
 @then('the store says that the job is {state} with {done:d} tasks done')
 def stored_progress(context, state, done):
-    booked = context.book.find('j1')
-    assert booked is not None, 'no host knows the job any more'
-    assert booked.state.value == state, booked
-    masks = [int(entry.mask, 16) for entry in booked.progress.done]
-    assert sum(mask.bit_count() for mask in masks) == done, booked
+    stored_job = context.cell_state.find('j1')
+    assert stored_job is not None, 'the job is no longer in the store'
+    assert stored_job.state.value == state, stored_job
+    masks = [int(entry.mask, 16) for entry in stored_job.progress.done]
+    assert sum(mask.bit_count() for mask in masks) == done, stored_job
 
 
 @then('the store names the runner of the second task')
 def stored_runner(context):
-    progress = context.book.find('j1').progress
+    progress = context.cell_state.find('j1').progress
     over = progress.ended_at > 0
     assert over or context.second.runner in progress.runners, progress
