--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -19,17 +19,17 @@
     __slots__ = (
         'accelerators',
         'bucket',
+        'bucket_index',
         'capacity',
         'failed_jobs',
         'free',
         'name',
-        'bucket_index',
         'probing',
-        'quarantine',
+        'quarantine_seconds',
         'quarantined_until',
         'rack',
-        'usable_capacity',
         'running_by_task',
+        'usable_capacity',
         'used',
     )
 
@@ -44,7 +44,7 @@
         self.running_by_task: dict[str, RunningTask] = {}
         self.failed_jobs: list[str] = []
         self.quarantined_until = 0.0
-        self.quarantine = QUARANTINE_SECONDS
+        self.quarantine_seconds = QUARANTINE_SECONDS
         self.probing = False
         self.bucket = -1
         self.bucket_index = -1
@@ -176,7 +176,7 @@
         """Clear the failures of a worker after a successful task."""
         worker.failed_jobs.clear()
         worker.probing = False
-        worker.quarantine = QUARANTINE_SECONDS
+        worker.quarantine_seconds = QUARANTINE_SECONDS
         self._freed_by_name[worker.name] = worker
 
     def note_failure(self, worker: WorkerView, job: str, now: float) -> bool:
@@ -189,8 +189,8 @@
             worker.failed_jobs.append(job)
         if len(worker.failed_jobs) < FAILED_JOBS_TO_QUARANTINE and not worker.probing:
             return False
-        worker.quarantined_until = now + worker.quarantine
-        worker.quarantine = min(worker.quarantine * 2, MAX_QUARANTINE_SECONDS)
+        worker.quarantined_until = now + worker.quarantine_seconds
+        worker.quarantine_seconds = min(worker.quarantine_seconds * 2, MAX_QUARANTINE_SECONDS)
         worker.failed_jobs.clear()
         worker.probing = True
         return True
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -100,21 +100,21 @@
                     blocked.add(work.id)
 
     def _place_fairly(self, now: float, limit: int, placed: list[Placement]) -> None:
-        """Place one job at a time, always for the customer with the lowest fair share."""
+        """Place one job at a time, always for the customer with the lowest fair share key."""
         entitlements = [
             (self._entitlement(customer), customer) for customer in self.queue.customers()
         ]
         heapq.heapify(entitlements)
         while entitlements and len(placed) < limit:
             _, customer = heapq.heappop(entitlements)
-            if self._place_next_of(customer, now, placed):
+            if self._place_next_job(customer, now, placed):
                 heapq.heappush(entitlements, (self._entitlement(customer), customer))
 
     def _entitlement(self, customer: str) -> tuple[bool, float]:
         used = self.cell.usage.of(customer)
         return self.queue.entitlement(customer, used, self.cell.total)
 
-    def _place_next_of(self, customer: str, now: float, placed: list[Placement]) -> bool:
+    def _place_next_job(self, customer: str, now: float, placed: list[Placement]) -> bool:
         candidates = self.queue.heads_of_customer(customer, self._failed_shapes)
         return any(self._try_place(work, now, placed) for work in candidates)
 
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -19,20 +19,20 @@
         settings: Settings,
         clock: Clock,
         me: str,
-        book: ContractProjection,
+        contracts: ContractProjection,
         membership: Membership,
     ) -> None:
         """Admit as the member ``me``, whose share depends on the zone's live members."""
         self._zone = settings.availability_zone
         self._clock = clock
         self._me = me
-        self._book = book
+        self._contracts = contracts
         self._membership = membership
         self._usage_by_customer: dict[str, CustomerUsage] = {}
 
     def admit(self, call: ServiceCall) -> CustomerUsage:
         """Return the customer's usage, for the caller to count in; raises ``RequestError``."""
-        contract = require_contract(self._book, call.customer, call.task_class)
+        contract = require_contract(self._contracts, call.customer, call.task_class)
         if call.service not in contract.services:
             raise not_run(
                 HTTP_FORBIDDEN,
@@ -53,7 +53,7 @@
 
     def _check_limits(self, usage: CustomerUsage, contract: Contract) -> None:
         terms = contract.requests
-        share = self._book.share(contract.customer, self._zone)
+        share = self._contracts.share(contract.customer, self._zone)
         keys = member_keys(self._membership.live(self._zone))
         rank = keys.index(self._me) if self._me in keys else len(keys)
         members = max(1, len(keys))
@@ -67,7 +67,7 @@
                 CONCURRENCY_RETRY_SECONDS,
             )
         rate, burst = share_of_rate(terms, share, members)
-        wait = usage.bucket.take(rate, burst)
+        wait = usage.token_bucket.take(rate, burst)
         if wait:
             raise not_run(
                 HTTP_TOO_MANY_REQUESTS,
--- a/dandelionreel/routing/_budget.py
+++ b/dandelionreel/routing/_budget.py
@@ -59,7 +59,7 @@
 
     def __init__(self, clock: Clock) -> None:
         """Start with no requests."""
-        self.bucket = TokenBucket(clock)
+        self.token_bucket = TokenBucket(clock)
         self.retry_budget = RetryBudget()
         self.in_flight = 0
 
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -104,7 +104,7 @@
         self._reader = reader
         self._writer = writer
 
-    async def begin(self, customer: str, key: str, request: Request, timeout: float) -> str:
+    async def claim_key(self, customer: str, key: str, request: Request, timeout: float) -> str:
         """Return the nonce under which the request may be sent once.
 
         Raises ``RequestError`` when the key is in use or the log is unavailable.
@@ -121,12 +121,12 @@
         except LogError as error:
             # The request won't be sent, but the log may still append the
             # intent later; this record releases the key in that case.
-            await curio.spawn(self.end, customer, key, nonce, NOT_SENT, daemon=True)
+            await curio.spawn(self.record_result, customer, key, nonce, NOT_SENT, daemon=True)
             raise _make_log_unavailable() from error
         self._raise_if_used(customer, key, digest, nonce)
         return nonce
 
-    async def end(self, customer: str, key: str, nonce: str, status: int) -> None:
+    async def record_result(self, customer: str, key: str, nonce: str, status: int) -> None:
         """Record the result of a request, with a long timeout for a slow log."""
         try:
             await self._writer.write(
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -46,7 +46,7 @@
         self._seen_grants: set[str] = set()
         self._logged_leaving: set[str] = set()
         #: When a peer last reported each leaving endpoint, on the monotonic clock.
-        self._leaving_told_at: dict[str, float] = {}
+        self._reported_leaving_at: dict[str, float] = {}
         #: Endpoints that an operator drains, until the host list drops them.
         self._draining: set[str] = set()
         self.changed = Signal()
@@ -90,9 +90,9 @@
         if not entry.is_live or entry.name in self._draining:
             return True
         runner = self._runner_by_name.get(entry.name)
-        seen_at = runner.leaving_seen_at if runner else float('-inf')
-        last_sign_at = max(seen_at, self._leaving_told_at.get(entry.name, float('-inf')))
-        return last_sign_at > self._hosts.read_at - self._settings.timings.hosts_poll * 2
+        observed_at = runner.leaving_seen_at if runner else float('-inf')
+        last_report_at = max(observed_at, self._reported_leaving_at.get(entry.name, float('-inf')))
+        return last_report_at > self._hosts.read_at - self._settings.timings.hosts_poll * 2
 
     def leaving(self) -> tuple[str, ...]:
         """Return the names of this zone's endpoints that are leaving."""
@@ -124,7 +124,7 @@
     def note_leaving(self, names: Iterable[str]) -> None:
         """Record a peer's report of leaving endpoints."""
         for name in names:
-            self._leaving_told_at[name] = self._clock.monotonic()
+            self._reported_leaving_at[name] = self._clock.monotonic()
 
     def has_service(self, service: str) -> bool:
         """Return whether the zone has a runner of the service that is not leaving."""
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -90,11 +90,11 @@
         settings: Settings,
         clock: Clock,
         me: str,
-        book: ContractProjection,
+        contracts: ContractProjection,
         membership: Membership,
         pool: RunnerPool,
         directory: PeerDirectory,
-        keyed: IdempotencyGuard,
+        idempotency_guard: IdempotencyGuard,
         metrics: RoutingMetrics,
         journal: Journal,
     ) -> None:
@@ -102,14 +102,14 @@
         self._settings = settings
         self._clock = clock
         self._me = me
-        self._book = book
+        self._contracts = contracts
         self._membership = membership
         self._pool = pool
         self._directory = directory
-        self._keyed = keyed
+        self._idempotency_guard = idempotency_guard
         self._metrics = metrics
         self._journal = journal
-        self._admission = Admission(settings, clock, me, book, membership)
+        self._admission = Admission(settings, clock, me, contracts, membership)
         self._queue_by_service: dict[str, RequestQueue] = {}
         #: Requests in flight, including those that peers forwarded.
         self.in_flight = 0
@@ -157,7 +157,8 @@
         while True:
             seen = self._pool.changed.count
             free_by_service = {
-                free.service: free.free_slots for free in self._pool.free_slots_by_service()
+                service_slots.service: service_slots.free_slots
+                for service_slots in self._pool.free_slots_by_service()
             }
             for service, queue in self._queue_by_service.items():
                 await queue.wake(free_by_service.get(service, 0))
@@ -210,7 +211,9 @@
         remaining = call.deadline - self._clock.monotonic()
         # The answer may have to reach a peer before the deadline.
         timeout = max(ANSWER_MARGIN_SECONDS, remaining * INTENT_TIME_FRACTION)
-        nonce = await self._keyed.begin(call.customer, call.key, call.request, timeout)
+        nonce = await self._idempotency_guard.claim_key(
+            call.customer, call.key, call.request, timeout
+        )
         try:
             answer = await self._try_all(call)
         except RequestError as error:
@@ -223,7 +226,14 @@
 
     async def _end_keyed(self, call: ServiceCall, nonce: str, status: int) -> None:
         # In the background, so that the caller does not wait for the log.
-        await curio.spawn(self._keyed.end, call.customer, call.key, nonce, status, daemon=True)
+        await curio.spawn(
+            self._idempotency_guard.record_result,
+            call.customer,
+            call.key,
+            nonce,
+            status,
+            daemon=True,
+        )
 
     async def _deliver_to_zone(self, call: ServiceCall, zone: str) -> Answer:
         """Forward a request to the zone that keeps its idempotency key."""
@@ -394,9 +404,9 @@
         best = None
         most_free = 0
         for state in states:
-            free = _free_slots_of(state, call.service) - state.sent_since
-            if free > most_free and not state.gossip.draining:
-                best, most_free = state, free
+            free_slots = _free_slots_of(state, call.service) - state.sent_since
+            if free_slots > most_free and not state.gossip.draining:
+                best, most_free = state, free_slots
         return best
 
     async def _wait_for_slot(self, call: ServiceCall) -> None:
@@ -454,7 +464,7 @@
         return any(_free_slots_of(state, service) for state in self._directory.states())
 
     def _priority(self, call: ServiceCall) -> int:
-        contract = self._book.effective(call.customer)
+        contract = self._contracts.effective(call.customer)
         terms = contract.terms(call.task_class) if contract else None
         return terms.priority if terms else 0
 
@@ -509,7 +519,7 @@
 
 
 def _free_slots_of(state: PeerState, service: str) -> int:
-    for free in state.gossip.rooms:
-        if free.service == service:
-            return free.free_slots
+    for service_slots in state.gossip.rooms:
+        if service_slots.service == service:
+            return service_slots.free_slots
     return 0
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -85,7 +85,7 @@
         self._limit = float(entry.slots)
         self._failures = 0
         self._quarantined_until = 0.0
-        self._quarantine = QUARANTINE_SECONDS
+        self._quarantine_seconds = QUARANTINE_SECONDS
         self.latency = Latency()
         #: Slots of this daemon's requests, including those whose caller gave up.
         self.in_use = 0
@@ -224,7 +224,7 @@
         """Update latency, health and the concurrency limit from an answer."""
         self.latency.add(seconds)
         self._failures = 0
-        self._quarantine = QUARANTINE_SECONDS
+        self._quarantine_seconds = QUARANTINE_SECONDS
         if self.latency.is_slow:
             self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
         else:
@@ -240,8 +240,8 @@
             self.leaving_seen_at = self._clock.monotonic()
         self._failures += 1
         if self._failures >= FAILURES_TO_QUARANTINE or isinstance(error, RefusedError):
-            self._quarantined_until = self._clock.monotonic() + self._quarantine
-            self._quarantine = min(self._quarantine * 2, MAX_QUARANTINE_SECONDS)
+            self._quarantined_until = self._clock.monotonic() + self._quarantine_seconds
+            self._quarantine_seconds = min(self._quarantine_seconds * 2, MAX_QUARANTINE_SECONDS)
 
     async def _query_busy_slots(self) -> int | None:
         connection = Connection(self.entry.address, self.entry.port, self._answer_bytes)
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -185,7 +185,7 @@
             await self.changed.notify()
 
     @property
-    def reached_at(self) -> float:
+    def last_answer_at(self) -> float:
         """Return when the worker last answered."""
         return self._last_contact.answered_at
 
@@ -226,11 +226,11 @@
         # it was requested, so that it cannot release a start made since then.
         self._last_contact = _LastContact(self._clock.monotonic())
         task_list = self._fill_unchanged(task_list)
-        self.ledger.note_listing(task_list, requested_at)
+        self.ledger.apply_task_list(task_list, requested_at)
         list_changed = self._task_list is None or task_list.revision != self._task_list.revision
         self._task_list = task_list
         await self._enforce_declared_use(task_list)
-        await self._stop_doubtful()
+        await self._stop_unresolved_starts()
         if list_changed:
             await self.changed.notify()
         return task_list.revision
@@ -287,7 +287,7 @@
                 order.task_id,
                 task_order,
                 timeout,
-                lambda: self._still_allowed(grant),
+                lambda: self._may_send_start(grant),
             )
         except WorkerError as error:
             return await self._note_failed_start(order, error)
@@ -295,7 +295,7 @@
         self.ledger.set_state(order.task_id, AllocationState.RUNNING, self._clock.monotonic())
         return PlaceAnswer(STARTED)
 
-    def _still_allowed(self, grant: Grant) -> bool:
+    def _may_send_start(self, grant: Grant) -> bool:
         """Return whether a start that the ledger counts may be sent now."""
         current = self.grant()
         if current.level is GrantLevel.NONE or current.epoch != grant.epoch:
@@ -315,7 +315,7 @@
         )
         return PlaceAnswer(UNKNOWN, f'{error}')
 
-    async def _stop_doubtful(self) -> None:
+    async def _stop_unresolved_starts(self) -> None:
         """Stop the tasks whose start has an unknown outcome.
 
         The worker remembers the stop and refuses the start if it still
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -246,7 +246,7 @@
         worker that we have not polled yet does not count as silent.
         """
         heard_since = self._peer_monitor.all_heard_since()
-        since = max(agent.reached_at, heard_since, agent.grant().since)
+        since = max(agent.last_answer_at, heard_since, agent.grant().since)
         return max(0.0, self._clock.monotonic() - since)
 
     async def _renew_for_others(self, agent: WorkerAgent) -> None:
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -13,7 +13,7 @@
 
 
 class AllocationState(enum.Enum):
-    """How certain it is that the task is on the worker."""
+    """Whether a task is on the worker; ``DOUBTFUL`` when the outcome of its start is unknown."""
 
     STARTING = 'starting'
     RUNNING = 'running'
@@ -110,7 +110,7 @@
         """Release the allocation of a task that is known not to run."""
         self._allocation_by_task.pop(task_id, None)
 
-    def note_listing(self, task_list: TaskList, requested_at: float) -> None:
+    def apply_task_list(self, task_list: TaskList, requested_at: float) -> None:
         """Allocate what the list shows as running, and release what has ended.
 
         A pending or unresolved start stays allocated although the list lacks
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -51,7 +51,7 @@
         tasks.append(_make_running('j.1.0', former, EPOCH - 1))
     if own:
         tasks.append(_make_running('j.1.1', own, EPOCH))
-    context.ledger.note_listing(TaskList(1, tuple(tasks)), 10)
+    context.ledger.apply_task_list(TaskList(1, tuple(tasks)), 10)
 
 
 @when('{demand:d} processors are requested at level {level}')
@@ -71,7 +71,7 @@
     grant = Grant(GrantLevel.WHOLE, EPOCH, 5)
     context.ledger.add_start('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.set_state('j.2.0', AllocationState.DOUBTFUL, 12)
-    context.ledger.note_listing(TaskList(2, ()), 13)
+    context.ledger.apply_task_list(TaskList(2, ()), 13)
 
 
 @then('the ledger allows it: {allowed}')
