--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -32,7 +32,7 @@
     zones_of,
 )
 from dandelionreel.ownership import choose_owner
-from dandelionreel.placement import copies
+from dandelionreel.placement import count_fitting
 
 IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 RANDOM_ID_BYTES = 8
@@ -268,7 +268,7 @@
         if not workers:
             return
         capacity_in_tasks = sum(
-            min(spec.tasks, copies(spec.resources, worker.capacity)) for worker in workers
+            min(spec.tasks, count_fitting(spec.resources, worker.capacity)) for worker in workers
         )
         if capacity_in_tasks >= spec.tasks:
             return
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -7,7 +7,7 @@
 from dandelionreel.jobs._quota_shares import QuotaShareBalancer
 from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask
 from dandelionreel.kernel import Clock, Settings
-from dandelionreel.placement import Terms, Work, task_ids
+from dandelionreel.placement import CustomerTerms, Work, task_ids
 
 DEFERRED_RETRY_SECONDS = 0.25
 
@@ -73,7 +73,7 @@
             if contract is None:
                 continue
             share = self._shares.usable_share(customer)
-            terms_by_customer[customer] = Terms(
+            terms_by_customer[customer] = CustomerTerms(
                 contract.weight,
                 contract.quota.resources().times(share),
                 contract.guaranteed.resources().times(share),
@@ -91,7 +91,7 @@
             if entry.name not in self._state.planner.cell.worker_by_name:
                 worker = self._state.planner.cell.add(entry.name, entry.rack, entry.capacity)
                 # No task is placed there until its owner has sent a report.
-                self._state.planner.cell.set_room(worker, worker.used)
+                self._state.planner.cell.set_usable_capacity(worker, worker.used)
         cell = self._state.planner.cell
         for name in tuple(cell.worker_by_name):
             if name not in listed and not self._state.tracker.tasks_on_worker(name):
@@ -100,7 +100,7 @@
     def _block_new_tasks(self, name: str) -> None:
         worker = self._state.planner.cell.worker_by_name.get(name)
         if worker is not None:
-            self._state.planner.cell.set_room(worker, worker.used)
+            self._state.planner.cell.set_usable_capacity(worker, worker.used)
 
     def _apply_changes(self) -> None:
         for job_id in self._state.changes.pop_all():
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -72,7 +72,7 @@
         if now - self._requested_at.get(customer, float('-inf')) < REQUEST_INTERVAL_SECONDS:
             return
         used = planner.cell.usage.of(customer)
-        for work in planner.queue.by_customer(customer):
+        for work in planner.queue.heads_of_customer(customer):
             quota = contract.quota.resources()
             needed = (used + work.total).dominant_share(quota)
             shortfall = needed - self.usable_share(customer)
@@ -109,7 +109,9 @@
         quota = contract.quota.resources()
         used = planner.cell.usage.of(customer)
         usable = quota.times(self.usable_share(customer))
-        candidates = planner.queue.by_customer(customer) if planner.queue.waiting(customer) else []
+        candidates = (
+            planner.queue.heads_of_customer(customer) if planner.queue.waiting(customer) else []
+        )
         for work in candidates:
             if (used + work.total).fits(usable):
                 used += work.total
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -1,44 +1,44 @@
-"""Run times learned from what ended, since declared ones are often far off.
+"""Run times estimated from finished runs, since declared ones are often far off.
 
-Used for order and for backfill only; the ledger always counts what is
-declared, so a wrong estimate never over-fills a worker.
+Only used for a gang's reservation and for the backfill around it. The ledger always
+counts the declared resources, so a wrong estimate never overcommits a worker.
 """
 
 from collections import OrderedDict, deque
 
-KEPT_RUNS = 32
-KEPT_KINDS = 4096
-FEW_RUNS = 5
-#: Pessimistic: nine runs in ten ended within it.
+RUNS_PER_KIND = 32
+MAX_KINDS = 4096
+MIN_RUNS = 5
+#: A pessimistic estimate: nine in ten runs ended sooner.
 QUANTILE = 0.9
-#: Without enough runs, the declared time may be this many times too short.
+#: Multiplies the declared time while there are too few runs.
 DECLARED_FACTOR = 3.0
-UNKNOWN_SECONDS = 3600.0
+DEFAULT_RUN_SECONDS = 3600.0
 
 
-class RunTimes:
-    """The latest run times by customer and kind of job."""
+class RunTimeEstimator:
+    """Estimates run times from the latest runs by customer and kind of job."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without any runs."""
         self._runs_by_kind: OrderedDict[tuple[str, str], deque[float]] = OrderedDict()
 
     def note(self, customer: str, kind: str, seconds: float) -> None:
-        """Add one run that ended well."""
+        """Add the run time of a successful run."""
         key = (customer, kind)
         runs = self._runs_by_kind.get(key)
         if runs is None:
-            runs = deque(maxlen=KEPT_RUNS)
+            runs = deque(maxlen=RUNS_PER_KIND)
             self._runs_by_kind[key] = runs
         self._runs_by_kind.move_to_end(key)
         runs.append(seconds)
-        if len(self._runs_by_kind) > KEPT_KINDS:
+        if len(self._runs_by_kind) > MAX_KINDS:
             self._runs_by_kind.popitem(last=False)
 
     def estimate(self, customer: str, kind: str, declared: float) -> float:
-        """Return seconds that a run will hardly exceed."""
+        """Return a pessimistic run time in seconds."""
         runs = self._runs_by_kind.get((customer, kind))
-        if runs is None or len(runs) < FEW_RUNS:
-            return declared * DECLARED_FACTOR if declared else UNKNOWN_SECONDS
+        if runs is None or len(runs) < MIN_RUNS:
+            return declared * DECLARED_FACTOR if declared else DEFAULT_RUN_SECONDS
         ordered = sorted(runs)
         return ordered[min(len(ordered) - 1, int(len(ordered) * QUANTILE))]
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -1,4 +1,4 @@
-"""One task per worker: watches it, starts and stops on it, keeps its leases."""
+"""The agent of one worker: watches it, starts and stops tasks, renews leases."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -18,22 +18,22 @@
 from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, Settings, Verdict
 from dandelionreel.ownership import NO_GRANT, Authority, Grant, GrantLevel, worker_shard
 from dandelionreel.peers import PlaceAnswer, PlaceOrder, TaskReport, WorkerReport
-from dandelionreel.workers._ledger import HoldState, Ledger
+from dandelionreel.workers._ledger import AllocationState, Ledger
 
 STARTED = 'started'
 REFUSED = 'refused'
 UNKNOWN = 'unknown'
-#: A watch waits this part of a lease at the worker for news.
-WATCH_PART = 2 / 3
+#: A long poll for changes waits this fraction of a lease at the worker.
+WATCH_LEASE_FRACTION = 2 / 3
 UNSETTLED_WATCH_SECONDS = 1.0
-RETRY_SECONDS = 0.5
-#: Without ownership the agent waits to be told of a new grant.
-IDLE_SECONDS = 10.0
-MILLISECONDS = 1000
-#: Renewed this many times within a lease.
-RENEWALS = 3
-#: A task that uses more than this times its declaration is held back.
-OUTGROWN = 1.1
+RETRY_DELAY_SECONDS = 0.5
+#: Without ownership the agent checks this often, or when its grant changes.
+IDLE_WAIT_SECONDS = 10.0
+MILLISECONDS_PER_SECOND = 1000
+#: Renewals within one lease period.
+RENEWALS_PER_LEASE = 3
+#: A task that uses more than this multiple of its declared memory is restricted.
+OVERUSE_FACTOR = 1.1
 THROTTLE = 'throttle'
 CHECKPOINT = 'checkpoint'
 STOP = 'stop'
@@ -42,15 +42,15 @@
 
 
 @dataclass
-class _Reached:
-    """When the worker last answered, on this daemon's clock."""
+class _LastContact:
+    """When the worker last answered, on this daemon's monotonic clock."""
 
-    at: float
+    answered_at: float
     reachable: bool = True
 
 
 class WorkerAgent:
-    """This daemon's part for one worker; only its owner starts anything."""
+    """Manages one worker for this daemon; only the owner of the worker starts tasks."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Act as ``me`` on the worker that ``entry`` names."""
+        """Act as the member ``me`` on the worker of the host list entry ``entry``."""
         self._me = me
         self.entry = entry
         self._service = service
@@ -70,209 +70,210 @@
         self._settings = settings
         self._clock = clock
         self._journal = journal
-        self._reached = _Reached(clock.monotonic())
-        self._listing: TaskList | None = None
-        self._outgrown_by_task: dict[str, str] = {}
-        self._seen_grant = NO_GRANT
+        self._last_contact = _LastContact(clock.monotonic())
+        self._task_list: TaskList | None = None
+        self._last_action_by_task: dict[str, str] = {}
+        self._last_grant = NO_GRANT
         self.ledger = Ledger(entry.capacity)
         self.shard = worker_shard(entry.name)
         self.changed = ChangeNotifier()
-        self.starts = 0
+        self.start_count = 0
 
     def grant(self) -> Grant:
-        """Return what this daemon may do on the worker now."""
+        """Return this daemon's current grant for the worker."""
         return self._authority.grant(self.shard)
 
     async def run(self) -> None:
-        """Watch the worker while this daemon owns it, for ever."""
-        revision = -1
+        """Watch the worker whenever this daemon owns it, until cancelled."""
+        last_revision = -1
         while True:
             seen = self.changed.count
             if self.grant().level is GrantLevel.NONE:
-                revision = -1
-                self._listing = None
-                await self.changed.wait(seen, IDLE_SECONDS)
+                last_revision = -1
+                self._task_list = None
+                await self.changed.wait(seen, IDLE_WAIT_SECONDS)
                 continue
-            revision = await self._watch(revision)
+            last_revision = await self._watch(last_revision)
 
     async def run_renewals(self) -> None:
-        """Renew the leases of all that runs while this daemon owns the worker."""
+        """Renew the leases of all allocated tasks while this daemon owns the worker."""
         while True:
-            await curio.sleep(self._settings.timings.lease / RENEWALS)
+            await curio.sleep(self._settings.timings.lease / RENEWALS_PER_LEASE)
             if self.grant().level is GrantLevel.NONE:
                 continue
-            await self.renew([hold.task_id for hold in self.ledger.holds()])
+            await self.renew([allocation.task_id for allocation in self.ledger.allocations()])
 
     async def renew(self, task_ids: list[str]) -> None:
-        """Renew some leases; a failure shows as a worker that cannot be reached."""
+        """Renew leases; errors are ignored, as the watch notices an unreachable worker."""
         if not task_ids:
             return
-        lease_ms = int(self._settings.timings.lease * MILLISECONDS)
+        lease_ms = int(self._settings.timings.lease * MILLISECONDS_PER_SECOND)
         try:
             await self._service.renew(LeaseRenewal(self._me, lease_ms, tuple(task_ids)))
         except WorkerError:
             return
 
     async def renew_for_silent_owner(self) -> None:
-        """Renew all that runs there although another daemon owns the worker.
+        """Renew the leases of all running tasks although another daemon owns the worker.
 
-        Renewing starts nothing, so it needs no authority; without it the
-        tasks of an owner that died in a log outage would lapse.
+        A renewal starts nothing, so it needs no authority. Without it, the
+        leases of an owner that died while the log was unavailable would expire.
         """
         try:
-            listing = await self._service.tasks(-1, 0)
+            task_list = await self._service.tasks(-1, 0)
         except WorkerError:
             return
-        await self.renew([status.id for status in listing.tasks if status.is_running])
+        await self.renew([status.id for status in task_list.tasks if status.is_running])
 
     async def start(self, order: PlaceOrder) -> PlaceAnswer:
-        """Start a task if the ledger and the authority allow it."""
+        """Start a task if the ledger and the grant allow it."""
         now = self._clock.monotonic()
-        known = self.ledger.get(order.task_id)
-        if known is not None and known.state is HoldState.RUNNING:
-            return PlaceAnswer(STARTED, 'it runs already')
-        if known is not None:
-            return PlaceAnswer(UNKNOWN, 'its start is under way or in doubt')
+        allocation = self.ledger.get(order.task_id)
+        if allocation is not None and allocation.state is AllocationState.RUNNING:
+            return PlaceAnswer(STARTED, 'the task already runs')
+        if allocation is not None:
+            return PlaceAnswer(UNKNOWN, 'a start of the task is pending or its outcome is unknown')
         grant = self.grant()
-        cause = self.ledger.refusal(order.demand, grant)
+        cause = self.ledger.refusal_reason(order.demand, grant)
         if cause:
             return PlaceAnswer(REFUSED, cause)
-        self.ledger.hold(order.task_id, order.demand, grant, now)
+        self.ledger.add_start(order.task_id, order.demand, grant, now)
         try:
             return await self._send_start(order, grant)
         except BaseException:
-            # Cancelled between the hold and the answer: nobody knows.
-            self.ledger.change(order.task_id, HoldState.DOUBTFUL, now)
+            # Cancelled before the answer: whether the task started is unknown.
+            self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, now)
             raise
 
     async def act(self, task_id: str, action: str) -> bool:
-        """Stop, checkpoint or throttle a task; False when the worker did not answer."""
+        """Stop, checkpoint or throttle a task; return whether the worker confirmed it."""
         try:
             await self._service.act(task_id, action)
         except WorkerError:
             return False
         return True
 
-    def report(self, silent: float, as_of: float, dispatch_epoch: int) -> WorkerReport:
-        """Return what is known of the worker now."""
+    def report(self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int) -> WorkerReport:
+        """Return a report of the worker's current state."""
         grant = self.grant()
-        listing = self._listing
-        statuses = listing.tasks if listing else ()
+        task_list = self._task_list
+        statuses = task_list.tasks if task_list else ()
         reports = [self._task_report(status) for status in statuses]
-        listed = {status.id for status in statuses}
+        listed_ids = {status.id for status in statuses}
         reports.extend(
-            _held_report(hold.task_id, hold.demand)
-            for hold in self.ledger.holds()
-            if hold.task_id not in listed
+            _pending_start_report(allocation.task_id, allocation.demand)
+            for allocation in self.ledger.allocations()
+            if allocation.task_id not in listed_ids
         )
         return WorkerReport(
             self.entry.name,
             grant.epoch,
-            self._reached.reachable and listing is not None,
-            self.ledger.room(grant),
+            self._last_contact.reachable and task_list is not None,
+            self.ledger.usable_capacity(grant),
             tuple(reports),
-            silent,
-            self._remembers(),
+            unrenewed_seconds,
+            self._start_history_seconds(),
             as_of,
             dispatch_epoch,
         )
 
     async def note_grant(self) -> None:
-        """Wake what waits for news when the grant has changed."""
+        """Notify the waiting tasks of this agent if the grant has changed."""
         grant = self.grant()
-        if grant != self._seen_grant:
-            self._seen_grant = grant
+        if grant != self._last_grant:
+            self._last_grant = grant
             await self.changed.notify()
 
     @property
-    def reached_at(self) -> float:
+    def last_answer_at(self) -> float:
         """Return when the worker last answered."""
-        return self._reached.at
+        return self._last_contact.answered_at
 
     async def close(self) -> None:
-        """Give up connections."""
+        """Close the connections to the worker."""
         await self._service.close()
 
-    def _remembers(self) -> float:
-        """Return how far back from now the newest listing knows every start.
+    def _start_history_seconds(self) -> float:
+        """Return for how many seconds back from now the task list has every start.
 
-        It was made some time ago, at the end of a long watch perhaps, and
-        reaches back from there.
+        The list may be as old as a long poll, and its history counts back
+        from when it was requested.
         """
-        if self._listing is None:
+        if self._task_list is None:
             return 0
-        since_listed = max(0.0, self._clock.monotonic() - self.ledger.listed_at)
-        return self._listing.remembers_ms / MILLISECONDS + since_listed
+        list_age = max(0.0, self._clock.monotonic() - self.ledger.listed_at)
+        return self._task_list.remembers_ms / MILLISECONDS_PER_SECOND + list_age
 
-    async def _watch(self, revision: int) -> int:
-        asked_at = self._clock.monotonic()
-        stale = self.ledger.listed_at < self.grant().since
-        wait = 0.0 if revision < 0 or stale else self._watch_seconds()
+    async def _watch(self, last_revision: int) -> int:
+        requested_at = self._clock.monotonic()
+        list_is_stale = self.ledger.listed_at < self.grant().since
+        wait = 0.0 if last_revision < 0 or list_is_stale else self._watch_seconds()
         try:
-            listing = await self._service.tasks(revision if wait else -1, wait)
+            task_list = await self._service.tasks(last_revision if wait else -1, wait)
         except WorkerError as error:
             await self._note_unreachable(error)
             return -1
-        if listing.unchanged and self._has_restarted(listing):
+        if task_list.unchanged and self._has_restarted(task_list):
             self._journal.tell(
                 Part.WORKERS,
                 f'{self.entry.name} has restarted.',
                 worker=self.entry.name,
-                revision=revision,
-                remembers_ms=listing.remembers_ms,
+                revision=last_revision,
+                remembers_ms=task_list.remembers_ms,
             )
             return -1
-        # A listing that waited tells the state at its end, but one that was
-        # asked before a start must not release it.
-        self._reached = _Reached(self._clock.monotonic())
-        listing = self._complete(listing)
-        self.ledger.note_listing(listing, asked_at)
-        news = self._listing is None or listing.revision != self._listing.revision
-        self._listing = listing
-        await self._check_use(listing)
-        await self._resolve_doubtful()
-        if news:
+        # A long poll returns the state at its end. It still counts from when
+        # it was requested, so that it cannot release a start made since then.
+        self._last_contact = _LastContact(self._clock.monotonic())
+        task_list = self._fill_unchanged(task_list)
+        self.ledger.apply_task_list(task_list, requested_at)
+        list_changed = self._task_list is None or task_list.revision != self._task_list.revision
+        self._task_list = task_list
+        await self._enforce_declared_use(task_list)
+        await self._stop_unresolved_starts()
+        if list_changed:
             await self.changed.notify()
-        return listing.revision
+        return task_list.revision
 
-    def _has_restarted(self, listing: TaskList) -> bool:
-        """Return whether a worker's memory does not reach back to the list before this one.
+    def _has_restarted(self, task_list: TaskList) -> bool:
+        """Return whether the worker's history does not reach back to the previous list.
 
-        A worker that has restarted counts its revisions anew, and may reach the one known.
+        A restarted worker counts revisions from the beginning, and may arrive at
+        the last known revision with other tasks.
         """
-        since_listed = self._clock.monotonic() - self.ledger.listed_at
-        return listing.remembers_ms / MILLISECONDS < since_listed
+        list_age = self._clock.monotonic() - self.ledger.listed_at
+        return task_list.remembers_ms / MILLISECONDS_PER_SECOND < list_age
 
-    def _complete(self, listing: TaskList) -> TaskList:
-        """Return an unchanged list with the tasks that are known of its revision."""
-        known = self._listing
-        if not listing.unchanged or known is None:
-            return listing
-        return TaskList(known.revision, known.tasks, listing.remembers_ms)
+    def _fill_unchanged(self, task_list: TaskList) -> TaskList:
+        """Return the list; if it is unchanged, with the tasks of the last known list."""
+        known = self._task_list
+        if not task_list.unchanged or known is None:
+            return task_list
+        return TaskList(known.revision, known.tasks, task_list.remembers_ms)
 
     def _watch_seconds(self) -> float:
-        # Once the former owner is settled the worker must be listed again
-        # before its other half may be filled; a long wait would delay that.
+        # Once the former owner's state is settled, the worker must be listed
+        # again before its other half may be used; a long poll would delay that.
         if self.grant().level is GrantLevel.OTHER_HALF:
             return UNSETTLED_WATCH_SECONDS
-        return self._settings.timings.lease * WATCH_PART
+        return self._settings.timings.lease * WATCH_LEASE_FRACTION
 
     async def _note_unreachable(self, error: WorkerError) -> None:
-        if self._reached.reachable:
+        if self._last_contact.reachable:
             self._journal.tell(
                 Part.WORKERS,
                 f'cannot reach {self.entry.name}; {error}.',
                 worker=self.entry.name,
             )
-        self._reached = _Reached(self._reached.at, reachable=False)
+        self._last_contact = _LastContact(self._last_contact.answered_at, reachable=False)
         await self.changed.notify()
-        await curio.sleep(RETRY_SECONDS)
+        await curio.sleep(RETRY_DELAY_SECONDS)
 
     async def _send_start(self, order: PlaceOrder, grant: Grant) -> PlaceAnswer:
-        told = TaskOrder(
+        task_order = TaskOrder(
             order.demand,
             order.command,
-            int(self._settings.timings.lease * MILLISECONDS),
+            int(self._settings.timings.lease * MILLISECONDS_PER_SECOND),
             self._me,
             grant.epoch,
             order.customer,
@@ -284,28 +285,28 @@
         try:
             await self._service.start(
                 order.task_id,
-                told,
+                task_order,
                 timeout,
-                lambda: self._still_allowed(grant),
+                lambda: self._may_send_start(grant),
             )
         except WorkerError as error:
             return await self._note_failed_start(order, error)
-        self.starts += 1
-        self.ledger.change(order.task_id, HoldState.RUNNING, self._clock.monotonic())
+        self.start_count += 1
+        self.ledger.set_state(order.task_id, AllocationState.RUNNING, self._clock.monotonic())
         return PlaceAnswer(STARTED)
 
-    def _still_allowed(self, grant: Grant) -> bool:
-        """Return whether the counted start may leave: asked right before it does."""
+    def _may_send_start(self, grant: Grant) -> bool:
+        """Return whether a start that the ledger counts may be sent now."""
         current = self.grant()
         if current.level is GrantLevel.NONE or current.epoch != grant.epoch:
             return False
-        return self.ledger.total().fits(self.ledger.room(current))
+        return self.ledger.total_demand().fits(self.ledger.usable_capacity(current))
 
     async def _note_failed_start(self, order: PlaceOrder, error: WorkerError) -> PlaceAnswer:
         if error.verdict is Verdict.NOT_RUN:
             self.ledger.release(order.task_id)
             return PlaceAnswer(REFUSED, f'{error}')
-        self.ledger.change(order.task_id, HoldState.DOUBTFUL, self._clock.monotonic())
+        self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, self._clock.monotonic())
         self._journal.tell(
             Part.WORKERS,
             f'does not know whether {order.task_id} started on {self.entry.name}; {error}.',
@@ -314,33 +315,33 @@
         )
         return PlaceAnswer(UNKNOWN, f'{error}')
 
-    async def _resolve_doubtful(self) -> None:
-        """Stop what may or may not have started.
+    async def _stop_unresolved_starts(self) -> None:
+        """Stop the tasks whose start has an unknown outcome.
 
-        The stop is kept by the worker: should the lost start still arrive, it
-        is refused. Only then is the room free again.
+        The worker remembers the stop and refuses the start if it still
+        arrives, so the allocation is released only after the stop succeeds.
         """
-        for hold in self.ledger.holds():
-            if hold.state is not HoldState.DOUBTFUL:
+        for allocation in self.ledger.allocations():
+            if allocation.state is not AllocationState.DOUBTFUL:
                 continue
-            if await self.act(hold.task_id, STOP):
-                self.ledger.release(hold.task_id)
+            if await self.act(allocation.task_id, STOP):
+                self.ledger.release(allocation.task_id)
                 await self.changed.notify()
 
-    async def _check_use(self, listing: TaskList) -> None:
-        """Hold back a task that has outgrown its declaration: throttle, then stop."""
-        running = {status.id for status in listing.tasks if status.is_running}
-        for task_id in tuple(self._outgrown_by_task):
+    async def _enforce_declared_use(self, task_list: TaskList) -> None:
+        """Restrict tasks that exceed their declared memory: throttle, checkpoint, then stop."""
+        running = {status.id for status in task_list.tasks if status.is_running}
+        for task_id in tuple(self._last_action_by_task):
             if task_id not in running:
-                self._outgrown_by_task.pop(task_id)
-        for status in listing.tasks:
-            if not status.is_running or not _has_outgrown(status):
+                self._last_action_by_task.pop(task_id)
+        for status in task_list.tasks:
+            if not status.is_running or not _exceeds_declaration(status):
                 continue
-            await self._hold_back(status)
+            await self._escalate(status)
 
-    async def _hold_back(self, status: TaskStatus) -> None:
-        last = self._outgrown_by_task.get(status.id, '')
-        action = {'': THROTTLE, THROTTLE: CHECKPOINT, CHECKPOINT: STOP}.get(last)
+    async def _escalate(self, status: TaskStatus) -> None:
+        last_action = self._last_action_by_task.get(status.id, '')
+        action = {'': THROTTLE, THROTTLE: CHECKPOINT, CHECKPOINT: STOP}.get(last_action)
         if action is None:
             return
         self._journal.tell(
@@ -349,7 +350,7 @@
             task=status.id,
         )
         if await self.act(status.id, action):
-            self._outgrown_by_task[status.id] = action
+            self._last_action_by_task[status.id] = action
 
     def _task_report(self, status: TaskStatus) -> TaskReport:
         order = status.order
@@ -366,12 +367,12 @@
         )
 
 
-def _held_report(task_id: str, demand: Resources) -> TaskReport:
-    """Return the report of a start that is under way or in doubt."""
+def _pending_start_report(task_id: str, demand: Resources) -> TaskReport:
+    """Return the report of a start that is pending or has an unknown outcome."""
     job, attempt, _ = task_id.rsplit('.', 2)
     return TaskReport(task_id, job, int(attempt), '', '', True, '', demand)
 
 
-def _has_outgrown(status: TaskStatus) -> bool:
-    limit = status.order.demand.times(OUTGROWN)
+def _exceeds_declaration(status: TaskStatus) -> bool:
+    limit = status.order.demand.times(OVERUSE_FACTOR)
     return bool(limit.memory_mb) and status.used.memory_mb > limit.memory_mb
