--- a/dandelionreel/backing/_host_watch.py
+++ b/dandelionreel/backing/_host_watch.py
@@ -1,37 +1,37 @@
-"""Follows the host list and tells apart new, leaving and vanished hosts."""
+"""Polls the host list and detects leaving and removed hosts."""
 
 import curio
 
 from dandelionreel.backing._hosts import HostEntry, HostList, HostListError
-from dandelionreel.kernel import Clock, Journal, Part, Signal
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part
 
 
 class HostWatch:
-    """The last list that was read.
+    """The host list as last read.
 
-    The list lags: a host that is not in it may just be new. Only one that was
-    listed before and is not any more counts as gone.
+    The list lags behind reality, so an unlisted host may just be new. Only a host
+    that was listed before counts as missing.
     """
 
     def __init__(self, hosts: HostList, clock: Clock, journal: Journal) -> None:
-        """Read ``hosts``."""
+        """Follow the list ``hosts``."""
         self._hosts = hosts
         self._clock = clock
         self._journal = journal
-        self._gone_at_by_name: dict[str, float] = {}
+        self._missing_since_by_name: dict[str, float] = {}
         self.entry_by_name: dict[str, HostEntry] = {}
         self.read_at = float('-inf')
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
 
     async def run(self, interval: float) -> None:
-        """Read the list every ``interval`` seconds, for ever."""
+        """Read the list every ``interval`` seconds, forever."""
         while True:
             await self.refresh()
             await curio.sleep(interval)
 
     async def refresh(self) -> bool:
-        """Read the list once; False when it cannot be read."""
-        asked = self._clock.monotonic()
+        """Read the list once; return False if that fails."""
+        requested_at = self._clock.monotonic()
         try:
             entries = await self._hosts.fetch()
         except HostListError:
@@ -39,40 +39,42 @@
         entry_by_name = {entry.name: entry for entry in entries}
         for name in self.entry_by_name:
             if name not in entry_by_name:
-                self._gone_at_by_name.setdefault(name, asked)
+                self._missing_since_by_name.setdefault(name, requested_at)
         for name in entry_by_name:
-            self._gone_at_by_name.pop(name, None)
-        self.read_at = asked
+            self._missing_since_by_name.pop(name, None)
+        self.read_at = requested_at
         if entry_by_name != self.entry_by_name:
-            self._tell_changes(entry_by_name)
+            self._log_changes(entry_by_name)
             self.entry_by_name = entry_by_name
             await self.changed.notify()
         return True
 
-    def of_kind(self, kind: str, availability_zone: str) -> tuple[HostEntry, ...]:
-        """Return hosts of a kind in one zone, by name."""
+    def zone_hosts_of_kind(self, kind: str, availability_zone: str) -> tuple[HostEntry, ...]:
+        """Return the hosts of a kind in one zone, sorted by name."""
         return tuple(
             entry
             for name, entry in sorted(self.entry_by_name.items())
             if entry.kind == kind and entry.availability_zone == availability_zone
         )
 
-    def all_of_kind(self, kind: str) -> tuple[HostEntry, ...]:
-        """Return hosts of a kind in all zones, by name."""
+    def all_hosts_of_kind(self, kind: str) -> tuple[HostEntry, ...]:
+        """Return the hosts of a kind in all zones, sorted by name."""
         return tuple(entry for _, entry in sorted(self.entry_by_name.items()) if entry.kind == kind)
 
-    def gone_for(self, name: str) -> float:
-        """Return how long a host has been missing from the list, in seconds."""
-        gone_at = self._gone_at_by_name.get(name)
-        if gone_at is None:
+    def missing_seconds(self, name: str) -> float:
+        """Return for how many seconds a host has been missing from the list, 0 if it is not."""
+        missing_since = self._missing_since_by_name.get(name)
+        if missing_since is None:
             return 0
-        return self._clock.monotonic() - gone_at
+        return self._clock.monotonic() - missing_since
 
-    def _tell_changes(self, entry_by_name: dict[str, HostEntry]) -> None:
+    def _log_changes(self, entry_by_name: dict[str, HostEntry]) -> None:
         for name, entry in entry_by_name.items():
-            former = self.entry_by_name.get(name)
-            if former is not None and former.is_live and not entry.is_live:
+            previous = self.entry_by_name.get(name)
+            if previous is not None and previous.is_live and not entry.is_live:
                 self._journal.tell(Part.LIFE, f'host {name} is leaving.', name=name)
         for name in self.entry_by_name:
             if name not in entry_by_name:
-                self._journal.tell(Part.LIFE, f'host {name} is gone from the list.', name=name)
+                self._journal.tell(
+                    Part.LIFE, f'host {name} was removed from the host list.', name=name
+                )
--- a/dandelionreel/backing/_memory_worker.py
+++ b/dandelionreel/backing/_memory_worker.py
@@ -1,9 +1,9 @@
-"""A worker in this process: for one daemon alone, and the core of the tests' stand-in.
+"""An in-process worker that simulates tasks, for a single daemon and for tests.
 
-It starts what it is given, whether it fits or not, as real workers do. The
-commands that it knows are ``run SECONDS``, ``fail SECONDS``, and two that use
-twice the memory they declared: ``grow SECONDS`` until throttled, ``swell
-SECONDS`` whatever it is told. Any other command ends well at once.
+Like a real worker, it starts every task it is given without checking its capacity.
+Its commands are ``run SECONDS``, which succeeds, ``fail SECONDS``, which fails, and two
+that use twice the declared memory: ``grow SECONDS`` does so until it is throttled,
+``swell SECONDS`` even when throttled. Any other command succeeds at once.
 """
 
 from collections.abc import Callable
@@ -22,22 +22,22 @@
     WorkerError,
     WorkerService,
 )
-from dandelionreel.kernel import Clock, PluginKind, Signal, SystemClock, Verdict, plugins
+from dandelionreel.kernel import ChangeNotifier, Clock, PluginKind, SystemClock, Verdict, plugins
 
 MILLISECONDS = 1000
-STEP_SECONDS = 0.2
+POLL_SECONDS = 0.2
 RUNNING = 'running'
 SUCCEEDED = 'succeeded'
 FAILED = 'failed'
 STOPPED = 'stopped'
 LAPSED = 'lapsed'
-VERBS = frozenset(('run', 'fail', 'grow', 'swell'))
-HUNGRY = frozenset(('grow', 'swell'))
+TIMED_COMMANDS = frozenset(('run', 'fail', 'grow', 'swell'))
+OVERUSING_COMMANDS = frozenset(('grow', 'swell'))
 
 
 @dataclass
 class MemoryTask:
-    """One task; times are on the worker's clock."""
+    """One simulated task; times are on the worker's clock."""
 
     id: str
     order: TaskOrder
@@ -49,15 +49,15 @@
     ended: curio.Event = field(default_factory=curio.Event)
 
     @property
-    def verb(self) -> str:
+    def command_name(self) -> str:
         """Return the command's first word."""
         return self.order.command.partition(' ')[0]
 
     @property
     def seconds(self) -> float:
-        """Return how long the command wants to run."""
-        verb, _, rest = self.order.command.partition(' ')
-        if verb not in VERBS:
+        """Return for how many seconds the command runs."""
+        command_name, _, rest = self.order.command.partition(' ')
+        if command_name not in TIMED_COMMANDS:
             return 0
         return float(rest or '0')
 
@@ -67,23 +67,23 @@
 
 @plugins.register(PluginKind.WORKERS, 'memory')
 class MemoryWorker(WorkerService):
-    """Runs tasks by waiting; they lapse with their leases."""
+    """Simulates tasks by waiting; a task ends as lapsed when its lease expires."""
 
     def __init__(self, entry: HostEntry, timeout: float = 0, clock: Clock | None = None) -> None:
-        """Stand for the worker ``entry``; nobody waits for ``timeout`` here."""
+        """Act as the worker ``entry``; ``timeout`` is unused."""
         self.entry = entry
         self._clock = clock or SystemClock()
-        self._began = self._clock.monotonic()
+        self._started_at = self._clock.monotonic()
         self._task_by_id: dict[str, MemoryTask] = {}
         self._tombstones: set[str] = set()
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
         self._revision = 0
         self._watchers: list[TaskWatcher] = []
         #: While set, every task fails shortly after its start.
         self.fails_all = False
 
     def watch(self, watcher: TaskWatcher) -> None:
-        """Tell ``watcher`` of every start and every end."""
+        """Call ``watcher`` at every start and end of a task."""
         self._watchers.append(watcher)
 
     async def start(
@@ -95,37 +95,37 @@
     ) -> None:
         """Start a task under a lease; raises ``WorkerError``."""
         if task_id in self._task_by_id or task_id in self._tombstones:
-            raise WorkerError(f'{task_id} is known already', Verdict.NOT_RUN)
+            raise WorkerError(f'task {task_id} was started or stopped before', Verdict.NOT_RUN)
         if not check():
-            raise WorkerError('no authority any more', Verdict.NOT_RUN)
+            raise WorkerError('the authority to start tasks has expired', Verdict.NOT_RUN)
         lease_until = self._clock.monotonic() + order.lease_ms / MILLISECONDS
         task = MemoryTask(task_id, order, lease_until, order.owner)
         self._task_by_id[task_id] = task
-        await self._note_change(task)
+        await self._publish_change(task)
         await curio.spawn(self._run, task, daemon=True)
 
     async def tasks(self, after: int, wait: float) -> TaskList:
-        """Return the list, waiting up to ``wait`` seconds for a change."""
+        """Return the task list, waiting up to ``wait`` seconds for a change."""
         if wait and after == self._revision:
             await self._changed.wait(self._changed.count, wait)
-        age = int((self._clock.monotonic() - self._began) * MILLISECONDS)
+        history_ms = int((self._clock.monotonic() - self._started_at) * MILLISECONDS)
         if after == self._revision:
-            return TaskList(self._revision, (), age, unchanged=True)
+            return TaskList(self._revision, (), history_ms, unchanged=True)
         statuses = tuple(
             TaskStatus(
                 task.id,
                 task.state,
                 task.order,
                 task.outcome,
-                used_by(task),
+                measure_usage(task),
                 task.renewed_by,
             )
             for task in self._task_by_id.values()
         )
-        return TaskList(self._revision, statuses, age)
+        return TaskList(self._revision, statuses, history_ms)
 
     async def renew(self, renewal: LeaseRenewal) -> None:
-        """Renew leases; it starts nothing."""
+        """Renew the leases of running tasks; unknown tasks are ignored."""
         for task_id in renewal.task_ids:
             task = self._task_by_id.get(task_id)
             if task is not None and task.state == RUNNING:
@@ -136,8 +136,8 @@
     async def act(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task; raises ``WorkerError``.
 
-        A stop is kept even for a task that is not known: its start may still
-        be on the way, and must then be refused.
+        A stop is remembered even for an unknown task: its start may arrive later
+        and must then be refused.
         """
         task = self._task_by_id.get(task_id)
         if action == 'stop':
@@ -151,20 +151,20 @@
             task.throttled = True
 
     async def close(self) -> None:
-        """Keep everything: there is no connection."""
+        """Do nothing, as there is no connection."""
 
     async def _run(self, task: MemoryTask) -> None:
-        length = STEP_SECONDS / 4 if self.fails_all else task.seconds
-        outcome = FAILED if self.fails_all or task.verb == 'fail' else SUCCEEDED
-        until = self._clock.monotonic() + length
+        duration = POLL_SECONDS / 4 if self.fails_all else task.seconds
+        outcome = FAILED if self.fails_all or task.command_name == 'fail' else SUCCEEDED
+        end_at = self._clock.monotonic() + duration
         while task.state == RUNNING:
             now = self._clock.monotonic()
             if task.lease_until < now:
                 await self._end(task, LAPSED)
-            elif now >= until:
+            elif now >= end_at:
                 await self._end(task, outcome)
             else:
-                pause = min(STEP_SECONDS, until - now)
+                pause = min(POLL_SECONDS, end_at - now)
                 await curio.ignore_after(pause, task.ended.wait)
 
     async def _end(self, task: MemoryTask, outcome: str) -> None:
@@ -173,21 +173,21 @@
         task.state = ENDED
         task.outcome = outcome
         await task.ended.set()
-        await self._note_change(task)
+        await self._publish_change(task)
 
-    async def _note_change(self, task: MemoryTask) -> None:
+    async def _publish_change(self, task: MemoryTask) -> None:
         self._revision += 1
         for watcher in self._watchers:
             watcher(task)
         await self._changed.notify()
 
 
-def used_by(task: MemoryTask) -> Resources:
-    """Return what a task uses, as its worker measures it."""
+def measure_usage(task: MemoryTask) -> Resources:
+    """Return the simulated usage of a task."""
     if task.state != RUNNING:
         return NOTHING
     demand = task.order.demand
-    tame = task.verb == 'grow' and task.throttled
-    if task.verb not in HUNGRY or tame:
+    within_demand = task.command_name == 'grow' and task.throttled
+    if task.command_name not in OVERUSING_COMMANDS or within_demand:
         return demand
     return Resources(demand.processors, demand.memory_mb * 2, demand.accelerators)
--- a/dandelionreel/backing/_stream.py
+++ b/dandelionreel/backing/_stream.py
@@ -1,8 +1,9 @@
-"""Reading one stream to its tail, and writing to it in groups.
+"""Reading a stream of the log up to its tail, and group commits to it.
 
-The writer's records carry ids of the form ``writer/number``; the reader drops
-every number that is not above the last one seen of its writer. A record that
-is appended twice because the first answer was lost is thus folded once.
+Each record has the id of its writer and a number that grows with each record of that
+writer. The reader drops a record whose number is not above the last one of its writer,
+so a record that was appended twice because the first response was lost is processed
+only once.
 """
 
 from collections.abc import Callable
@@ -13,14 +14,14 @@
 import msgspec
 
 from dandelionreel.backing._log import LogError, LogService, LogTruncatedError
-from dandelionreel.kernel import Clock, Signal, Verdict
+from dandelionreel.kernel import ChangeNotifier, Clock, Verdict
 
-RETRY_SECONDS = 0.25
-READ_ERROR_SECONDS = 0.25
+WRITE_RETRY_SECONDS = 0.25
+READ_RETRY_SECONDS = 0.25
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """One record of any stream: who wrote it, its number, when, and what."""
+    """A record as stored: writer, number, time of writing (wall clock) and content."""
 
     writer: str
     number: int
@@ -30,55 +31,58 @@
 
 @dataclass(frozen=True)
 class Position:
-    """Where a record stands: its offset, its writer and when it was written."""
+    """Offset of a record, its writer and the wall-clock time of writing."""
 
     offset: int
     writer: str
     wall: float
 
 
-Folder = Callable[[msgspec.Struct, Position], None]
+RecordHandler = Callable[[msgspec.Struct, Position], None]
 
 
 class StreamReader:
-    """Folds one stream in log order and knows how fresh its view is."""
+    """Passes the records of one stream to handlers in log order and tracks its freshness.
+
+    ``evidence_at`` is the monotonic time up to which all records are known to be read.
+    """
 
     def __init__(self, log: LogService, stream: str, clock: Clock, records: Any) -> None:
-        """Read ``stream`` from its oldest record; ``records`` is the union of its types."""
+        """Read ``stream`` from its oldest record; ``records`` is the union of its record types."""
         self._log = log
         self._clock = clock
         self._decoder = msgspec.json.Decoder(records)
-        self._folders: list[Folder] = []
+        self._handlers: list[RecordHandler] = []
         self._resets: list[Callable[[], None]] = []
         self._last_by_writer: dict[str, int] = {}
         self.stream = stream
         self.offset = 0
         self.evidence_at = float('-inf')
         self.caught_up = False
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
         self.outage_since: float | None = None
         self.outage_seconds = 0.0
         self.read_seconds = 0.0
         self.truncations = 0
-        #: Where reading began, and when the first record read was written.
+        #: Offset at which reading began, and when the first record read was written.
         self._first_offset = 0
         self._first_wall: float | None = None
         self.unreadable = 0
 
-    def add(self, folder: Folder, reset: Callable[[], None]) -> None:
-        """Fold every record with ``folder``; ``reset`` empties what it built."""
-        self._folders.append(folder)
+    def add_handler(self, handler: RecordHandler, reset: Callable[[], None]) -> None:
+        """Call ``handler`` for every record, and ``reset`` before the stream is read anew."""
+        self._handlers.append(handler)
         self._resets.append(reset)
 
     def has_seen(self, writer: str, number: int) -> bool:
-        """Return whether a record of that writer has been folded."""
+        """Return whether this record of that writer has been processed."""
         return self._last_by_writer.get(writer, -1) >= number
 
-    def covers(self, seconds: float) -> bool:
-        """Return whether all that was written in the last ``seconds`` has been read.
+    def covers_last(self, seconds: float) -> bool:
+        """Return whether all records of the last ``seconds`` have been read.
 
-        Facts are written again at fixed intervals; one that is not found in
-        a longer stretch of the log does not exist.
+        Current facts are rewritten at fixed intervals, so a fact that is missing
+        from a longer section of the log is not in force.
         """
         if self._first_offset == 0:
             return True
@@ -87,37 +91,37 @@
         return self._clock.wall() - self._first_wall >= seconds
 
     async def run(self, wait: float) -> None:
-        """Follow the stream for ever; ``wait`` bounds each read in seconds."""
+        """Follow the stream forever; each read waits up to ``wait`` seconds for records."""
         while True:
             try:
                 await self.read_once(wait if self.caught_up else 0)
             except LogError:
-                self._note_outage()
-                await curio.sleep(READ_ERROR_SECONDS)
+                self._record_outage()
+                await curio.sleep(READ_RETRY_SECONDS)
 
     async def read_once(self, wait: float) -> None:
-        """Read and fold one batch; raises ``LogError``."""
-        # The evidence counts from before the question was asked: a claim may
-        # have been appended at any moment after that.
-        asked = self._clock.monotonic()
+        """Read and process one batch; raises ``LogError``."""
+        # The batch is only known to be complete up to the time of the request:
+        # a claim may have been appended at any moment after that.
+        requested_at = self._clock.monotonic()
         try:
             batch = await self._log.read(self.stream, self.offset, wait)
         except LogTruncatedError as error:
-            self._start_over(error.first)
+            self._restart_from(error.first)
             return
         if self._first_wall is None and batch.reached_tail and not batch.records:
             self._first_wall = self._clock.wall()
         if batch.tail < self.offset:
-            self._start_over(0)
+            self._restart_from(0)
             return
         for index, text in enumerate(batch.records):
-            self._fold(text, batch.offset + index)
+            self._process(text, batch.offset + index)
         self.offset = batch.next_offset
         if batch.reached_tail:
-            self._note_tail(asked)
+            self._record_caught_up(requested_at)
         await self.changed.notify()
 
-    def _fold(self, text: bytes, offset: int) -> None:
+    def _process(self, text: bytes, offset: int) -> None:
         try:
             envelope = msgspec.json.decode(text, type=Envelope)
         except msgspec.MsgspecError:
@@ -132,16 +136,16 @@
         try:
             record = self._decoder.decode(envelope.body)
         except msgspec.MsgspecError:
-            # A newer daemon may write kinds that this one does not know.
+            # A newer version of the daemon may write record types that this one does not know.
             self.unreadable += 1
             return
-        for folder in self._folders:
-            folder(record, position)
+        for handler in self._handlers:
+            handler(record, position)
 
-    def _start_over(self, first: int) -> None:
-        # Records that we have not read have expired. Each live fact is
-        # written again within a third of the retention, so what is left
-        # tells the whole state; what we folded before may be stale.
+    def _restart_from(self, first: int) -> None:
+        # Unread records have expired, so the state built so far may be stale. Each
+        # current fact is rewritten within a third of the retention period, so the
+        # remaining records hold the whole state.
         self.truncations += 1
         self.offset = first
         self._first_offset = first
@@ -151,25 +155,25 @@
         for reset in self._resets:
             reset()
 
-    def _note_tail(self, asked: float) -> None:
+    def _record_caught_up(self, requested_at: float) -> None:
         now = self._clock.monotonic()
-        self.evidence_at = asked
-        self.read_seconds = now - asked
+        self.evidence_at = requested_at
+        self.read_seconds = now - requested_at
         self.caught_up = True
         if self.outage_since is not None:
             self.outage_seconds += now - self.outage_since
             self.outage_since = None
 
-    def _note_outage(self) -> None:
+    def _record_outage(self) -> None:
         if self.outage_since is None:
             self.outage_since = self._clock.monotonic()
 
 
 @dataclass
-class _Pending:
+class _PendingRecord:
     number: int
     text: bytes
-    give_up_at: float
+    deadline: float
     verdict: Verdict = Verdict.NOT_RUN
     done: curio.Event = field(default_factory=curio.Event)
 
@@ -177,8 +181,9 @@
 class StreamWriter:
     """Appends records in groups and waits until they are read back.
 
-    One append is under way at a time, and the next group goes out only when
-    the former is seen or given up; so numbers reach the log in order.
+    Only one append is in progress at a time. The next group is sent once all records
+    of the previous one were read back, known to be missing or timed out, so numbers
+    reach the log in order.
     """
 
     def __init__(
@@ -196,17 +201,17 @@
         self._clock = clock
         self._group_records = group_records
         self._next_number = 0
-        self._waiting: list[_Pending] = []
-        self._changed = Signal()
+        self._pending: list[_PendingRecord] = []
+        self._changed = ChangeNotifier()
         self.appends = 0
         self.records = 0
         self.append_seconds = 0.0
 
-    async def write(self, body: msgspec.Struct, patience: float) -> None:
-        """Return when the record has been read back from the log.
+    async def write(self, body: msgspec.Struct, timeout: float) -> None:
+        """Append a record and wait until it has been read back from the log.
 
-        Raises ``LogError`` after ``patience`` seconds; its verdict says
-        whether the record may be, or come to be, in the log.
+        Raises ``LogError`` after ``timeout`` seconds; its verdict says whether the
+        record may be in the log, or still reach it.
         """
         text = msgspec.json.encode(body)
         envelope = Envelope(
@@ -215,72 +220,73 @@
             round(self._clock.wall(), 3),
             msgspec.Raw(text),
         )
-        entry = _Pending(
+        entry = _PendingRecord(
             self._next_number,
             msgspec.json.encode(envelope),
-            self._clock.monotonic() + patience,
+            self._clock.monotonic() + timeout,
         )
         self._next_number += 1
-        self._waiting.append(entry)
+        self._pending.append(entry)
         await self._changed.notify()
-        await curio.ignore_after(patience, entry.done.wait)
+        await curio.ignore_after(timeout, entry.done.wait)
         if self._reader.has_seen(self._writer, entry.number):
             return
-        if entry in self._waiting:
-            self._waiting.remove(entry)
+        if entry in self._pending:
+            self._pending.remove(entry)
         raise LogError('the record was not read back in time', entry.verdict)
 
     async def run(self) -> None:
-        """Append what waits, for ever."""
+        """Append pending records, forever."""
         while True:
-            seen = self._changed.count
-            if self._waiting:
+            seen_count = self._changed.count
+            if self._pending:
                 await self._append_group()
                 continue
-            await self._changed.wait(seen, 60)
+            await self._changed.wait(seen_count, 60)
 
     async def _append_group(self) -> None:
-        group = self._waiting[: self._group_records]
-        former = [entry.verdict for entry in group]
+        group = self._pending[: self._group_records]
+        earlier_verdicts = [entry.verdict for entry in group]
         for entry in group:
             entry.verdict = Verdict.UNKNOWN
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         try:
             await self._log.append(self._reader.stream, [entry.text for entry in group])
         except LogError as error:
             if error.verdict is Verdict.NOT_RUN:
-                # An earlier try may still land: only a first try is undone.
-                for entry, verdict in zip(group, former, strict=True):
+                # An earlier append of a record may still take effect, so that its verdict
+                # stays UNKNOWN; only a first attempt is known not to be in the log.
+                for entry, verdict in zip(group, earlier_verdicts, strict=True):
                     entry.verdict = verdict
-            await self._settle_failed(group)
+            await self._wait_after_failure(group)
             return
         self.appends += 1
         self.records += len(group)
-        self.append_seconds = self._clock.monotonic() - began
-        await self._settle(group, began)
+        self.append_seconds = self._clock.monotonic() - started_at
+        await self._wait_for_readback(group, started_at)
 
-    async def _settle_failed(self, group: list[_Pending]) -> None:
-        """Wait for a read that began after the failure before writing again.
+    async def _wait_after_failure(self, group: list[_PendingRecord]) -> None:
+        """Wait for a read that began after the failure before the next append.
 
-        The answer of the append may have been lost after it took effect.
+        The append may have taken effect with only its response lost.
         """
-        await self._settle(group, self._clock.monotonic())
-        await curio.sleep(RETRY_SECONDS)
+        await self._wait_for_readback(group, self._clock.monotonic())
+        await curio.sleep(WRITE_RETRY_SECONDS)
 
-    async def _settle(self, group: list[_Pending], since: float) -> None:
+    async def _wait_for_readback(self, group: list[_PendingRecord], since: float) -> None:
         while True:
             count = self._reader.changed.count
             for entry in group:
                 if self._reader.has_seen(self._writer, entry.number):
-                    self._drop(entry)
+                    self._remove(entry)
                     await entry.done.set()
-            left = [entry for entry in group if entry in self._waiting]
-            if not left or self._reader.evidence_at > since:
+            remaining = [entry for entry in group if entry in self._pending]
+            if not remaining or self._reader.evidence_at > since:
                 return
-            if all(entry.give_up_at <= self._clock.monotonic() for entry in left):
+            if all(entry.deadline <= self._clock.monotonic() for entry in remaining):
                 return
-            await self._reader.changed.wait(count, RETRY_SECONDS)
+            await self._reader.changed.wait(count, WRITE_RETRY_SECONDS)
 
-    def _drop(self, entry: _Pending) -> None:
-        if entry in self._waiting:
-            self._waiting.remove(entry)
+    def _remove(self, entry: _PendingRecord) -> None:
+        if entry in self._pending:
+            self._pending.remove(entry)
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -13,7 +13,7 @@
 from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import PlaceOrder
-from dandelionreel.placement import Placement, Running, Work, task_ids
+from dandelionreel.placement import Placement, RunningTask, Work, task_ids
 from dandelionreel.workers import REFUSED, STARTED
 
 WRITE_TIMEOUT_SECONDS = 10.0
@@ -168,7 +168,7 @@
             worker=task.worker,
         )
 
-    async def _preempt(self, victim: Running, epoch: int) -> None:
+    async def _preempt(self, victim: RunningTask, epoch: int) -> None:
         worker = self._worker_of(victim)
         self._journal.tell(
             Part.PLACEMENT,
@@ -193,11 +193,11 @@
                 return
             await self._state.wake.wait(seen, PREEMPTION_POLL_SECONDS)
 
-    def _running_on(self, name: str) -> dict[str, Running]:
+    def _running_on(self, name: str) -> dict[str, RunningTask]:
         worker = self._state.worker(name)
         return worker.running_by_task if worker else {}
 
-    def _worker_of(self, victim: Running) -> str:
+    def _worker_of(self, victim: RunningTask) -> str:
         tracked = self._state.tracker.attempt_by_job.get(victim.job)
         task = tracked.task_by_id.get(victim.task_id) if tracked else None
         return task.worker if task else ''
@@ -208,7 +208,7 @@
         for task_id, name in zip(ids, placement.workers, strict=True):
             worker = self._state.worker(name)
             if worker is not None:
-                self._state.planner.cell.release(worker, task_id)
+                self._state.planner.cell.remove_task(worker, task_id)
 
     def _record_wait(self, job: Job) -> None:
         if job.attempts:
@@ -218,7 +218,7 @@
         self._metrics.observe_wait(customer, job.spec.task_class, waited)
         contract = self._contracts.effective(customer)
         if contract is not None:
-            self._budgets.for_customer(customer).earn(contract.requests.retry_budget)
+            self._budgets.for_customer(customer).add_attempt(contract.requests.retry_budget)
 
     def _command(self, job_id: str) -> str:
         job = self._jobs.get(job_id)
@@ -232,5 +232,5 @@
             job=work.id,
             customer=work.customer,
             workers=list(placement.workers),
-            considered=self._state.planner.looked_at,
+            considered=self._state.planner.considered_count,
         )
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -32,7 +32,7 @@
     zones_of,
 )
 from dandelionreel.ownership import choose_owner
-from dandelionreel.placement import copies
+from dandelionreel.placement import count_fitting
 
 IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 RANDOM_ID_BYTES = 8
@@ -264,11 +264,11 @@
 
     def _check_fits_workers(self, spec: JobSpec) -> None:
         """Reject a job that does not fit on the zone's workers even if they are empty."""
-        workers = self._hosts.of_kind('worker', self._zone)
+        workers = self._hosts.zone_hosts_of_kind('worker', self._zone)
         if not workers:
             return
         capacity_in_tasks = sum(
-            min(spec.tasks, copies(spec.resources, worker.capacity)) for worker in workers
+            min(spec.tasks, count_fitting(spec.resources, worker.capacity)) for worker in workers
         )
         if capacity_in_tasks >= spec.tasks:
             return
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -6,7 +6,7 @@
 
 from dandelionreel.backing import LogError, StreamWriter
 from dandelionreel.contracts import ContractProjection, ShareMoved, ShareWanted
-from dandelionreel.kernel import Clock, Journal, Part, Settings, Signal
+from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, Settings
 from dandelionreel.placement import Planner
 
 #: Minimum interval between requests for the same customer.
@@ -39,7 +39,7 @@
         self._requested_at: dict[str, float] = {}
         self._pending_requests: dict[str, float] = {}
         self._pending_transfers: dict[str, tuple[str, float]] = {}
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
 
     def usable_share(self, customer: str) -> float:
         """Return the share of the quota that this zone may currently use."""
@@ -72,7 +72,7 @@
         if now - self._requested_at.get(customer, float('-inf')) < REQUEST_INTERVAL_SECONDS:
             return
         used = planner.cell.usage.of(customer)
-        for work in planner.queue.by_customer(customer):
+        for work in planner.queue.heads_of_customer(customer):
             quota = contract.quota.resources()
             needed = (used + work.total).dominant_share(quota)
             shortfall = needed - self.usable_share(customer)
@@ -109,7 +109,9 @@
         quota = contract.quota.resources()
         used = planner.cell.usage.of(customer)
         usable = quota.times(self.usable_share(customer))
-        candidates = planner.queue.by_customer(customer) if planner.queue.waiting(customer) else []
+        candidates = (
+            planner.queue.heads_of_customer(customer) if planner.queue.waiting(customer) else []
+        )
         for work in candidates:
             if (used + work.total).fits(usable):
                 used += work.total
--- a/dandelionreel/kernel/__init__.py
+++ b/dandelionreel/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The kernel: settings, life cycle, registry, verdicts, clock and journal."""
+"""Shared basics: settings, clock, tasks, plug-in registry, logging and request errors."""
 
 from dandelionreel.kernel._clock import Clock, ManualClock, SystemClock
 from dandelionreel.kernel._environment import Environment
@@ -19,7 +19,7 @@
     zones_of,
 )
 from dandelionreel.kernel._signals import watch_signals
-from dandelionreel.kernel._tasks import Signal, start_task
+from dandelionreel.kernel._tasks import ChangeNotifier, start_task
 from dandelionreel.kernel._text import clip
 from dandelionreel.kernel._verdict import (
     Problem,
@@ -30,6 +30,7 @@
 )
 
 __all__ = (
+    'ChangeNotifier',
     'Clock',
     'Endpoint',
     'Environment',
@@ -47,7 +48,6 @@
     'RequestError',
     'Settings',
     'SettingsError',
-    'Signal',
     'StaticHost',
     'SystemClock',
     'Timings',
--- a/dandelionreel/kernel/_signals.py
+++ b/dandelionreel/kernel/_signals.py
@@ -1,4 +1,4 @@
-"""Signals of the operating system, passed on within curio."""
+"""Delivery of operating system signals to a curio task."""
 
 import signal
 import socket as std_socket
@@ -8,40 +8,40 @@
 
 from curio import socket
 
-#: Bytes read at once; each is the number of one signal.
+#: Bytes per read of the wake-up socket; each byte is one signal number.
 SIGNAL_BYTES = 64
 
 
 async def watch_signals(
     stack: AsyncExitStack,
     numbers: Collection[int],
-    take: Callable[[int], Awaitable[None]],
+    handle: Callable[[int], Awaitable[None]],
 ) -> Callable[[], Awaitable[None]]:
-    """Return a coroutine function that passes each of these signals to ``take``.
+    """Return a coroutine function that calls ``handle`` for each of these signals.
 
-    Python's own handlers run between two bytecodes of whatever task is at work;
-    here a signal is a byte on a socket, taken by a task of its own. ``stack`` puts
-    everything back as it was.
+    A Python signal handler can interrupt any task between two bytecodes. Here a signal
+    arrives as a byte on a socket (``signal.set_wakeup_fd``) and is handled by a task of
+    its own. Closing ``stack`` restores the previous handlers and wake-up descriptor.
     """
     reader, writer = std_socket.socketpair()
     writer.setblocking(False)
-    reading = socket.socket(fileno=reader.detach())
-    stack.push_async_callback(reading.close)
+    receiver = socket.socket(fileno=reader.detach())
+    stack.push_async_callback(receiver.close)
     stack.callback(writer.close)
     stack.callback(signal.set_wakeup_fd, signal.set_wakeup_fd(writer.fileno()))
     for number in numbers:
         stack.callback(signal.signal, number, signal.signal(number, _ignore))
 
     async def watch() -> None:
-        received = await reading.recv(SIGNAL_BYTES)
+        received = await receiver.recv(SIGNAL_BYTES)
         while received:
             for number in received:
                 if number in numbers:
-                    await take(number)
-            received = await reading.recv(SIGNAL_BYTES)
+                    await handle(number)
+            received = await receiver.recv(SIGNAL_BYTES)
 
     return watch
 
 
 def _ignore(number: int, frame: Any) -> None:
-    """Take the signal's default action away; the wake-up descriptor tells of it."""
+    """Override the default action; the signal is reported by the wake-up descriptor."""
--- a/dandelionreel/workers/__init__.py
+++ b/dandelionreel/workers/__init__.py
@@ -1,15 +1,15 @@
-"""Workers: the ledger of each, and the agents that watch and command them."""
+"""Watches and commands the workers of a zone, and counts their allocations."""
 
 from dandelionreel.workers._agent import REFUSED, STARTED, UNKNOWN, WorkerAgent
 from dandelionreel.workers._fleet import WorkerFleet
-from dandelionreel.workers._ledger import Hold, HoldState, Ledger
+from dandelionreel.workers._ledger import Allocation, AllocationState, Ledger
 
 __all__ = (
     'REFUSED',
     'STARTED',
     'UNKNOWN',
-    'Hold',
-    'HoldState',
+    'Allocation',
+    'AllocationState',
     'Ledger',
     'WorkerAgent',
     'WorkerFleet',
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -1,4 +1,4 @@
-"""All workers of the zone: agents, reports to the dispatcher, orders from it."""
+"""All workers of the zone: their agents, reports to the dispatcher and its orders."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from contextlib import AsyncExitStack
@@ -29,9 +29,9 @@
 )
 from dandelionreel.peers import (
     Done,
-    EchoBook,
     Frame,
     Message,
+    PeerClocks,
     PeerDirectory,
     PeerError,
     PlaceAnswer,
@@ -42,20 +42,20 @@
 )
 from dandelionreel.workers._agent import REFUSED, WorkerAgent
 
-ROUND_SECONDS = 0.25
-#: A worker without news is looked at this often.
-LOOK_SECONDS = 5.0
-REPORT_TIMEOUT = 2.0
-#: Without news a worker's state is reported again this often.
-REFRESH_SECONDS = 30.0
-#: A worker that is gone from the list is forgotten after this many leases.
-FORGET_LEASES = 3
+POLL_SECONDS = 0.25
+#: A worker without changes is checked this often.
+IDLE_CHECK_SECONDS = 5.0
+REPORT_TIMEOUT_SECONDS = 2.0
+#: A worker's unchanged state is reported again this often.
+REPORT_REFRESH_SECONDS = 30.0
+#: A worker that left the host list is removed after this many lease periods.
+FORGET_AFTER_LEASES = 3
 
-ReportTaker = Callable[[WorkerReport], Awaitable[None]]
+ReportHandler = Callable[[WorkerReport], Awaitable[None]]
 
 
 class WorkerFleet(ShardUser):
-    """Agents by worker; every daemon has all of its zone, and acts on those it owns."""
+    """The agents of all workers of the zone; a daemon acts only on workers it owns."""
 
     def __init__(
         self,
@@ -68,10 +68,10 @@
         reader: StreamReader,
         peer_monitor: PeerMonitor,
         directory: PeerDirectory,
-        echoes: EchoBook,
+        peer_clocks: PeerClocks,
         journal: Journal,
     ) -> None:
-        """Act as ``me``."""
+        """Act as the member ``me``."""
         self._me = me
         self._settings = settings
         self._clock = clock
@@ -81,15 +81,15 @@
         self._reader = reader
         self._peer_monitor = peer_monitor
         self._directory = directory
-        self._echoes = echoes
+        self._peer_clocks = peer_clocks
         self._journal = journal
-        self._stacks: dict[str, AsyncExitStack] = {}
-        self._take_report: ReportTaker | None = None
+        self._stack_by_worker: dict[str, AsyncExitStack] = {}
+        self._report_handler: ReportHandler | None = None
         self.agent_by_worker: dict[str, WorkerAgent] = {}
 
-    def deliver_to(self, taker: ReportTaker) -> None:
-        """Hand reports to this daemon's own dispatcher while it is the one."""
-        self._take_report = taker
+    def use_report_handler(self, handler: ReportHandler) -> None:
+        """Set the handler of reports for when this daemon is the dispatcher itself."""
+        self._report_handler = handler
 
     def wanted_shards(self) -> Iterable[str]:
         """Return one shard for each worker of the zone."""
@@ -97,20 +97,20 @@
             yield worker_shard(entry.name)
 
     async def prepare_release(self, shard: str) -> bool:
-        """Return whether no start is under way or in doubt on a worker's shard."""
+        """Return whether no start is pending or unresolved on a worker's shard."""
         if not shard.startswith(WORKER_PREFIX):
             return True
         agent = self.agent_by_worker.get(shard.removeprefix(WORKER_PREFIX))
         return agent is None or agent.ledger.is_settled()
 
     async def run(self, stack: AsyncExitStack) -> None:
-        """Follow the host list, for ever."""
+        """Follow the host list until cancelled."""
         stack.push_async_callback(self._close_all)
         while True:
             await self._refresh()
             for agent in tuple(self.agent_by_worker.values()):
                 await agent.note_grant()
-            await self._hosts.changed.wait(self._hosts.changed.count, ROUND_SECONDS)
+            await self._hosts.changed.wait(self._hosts.changed.count, POLL_SECONDS)
 
     async def place(self, order: PlaceOrder) -> PlaceAnswer:
         """Start a task on an owned worker."""
@@ -134,33 +134,33 @@
         """Start a task for the dispatcher, unless its order is too old.
 
         The order may have waited in a paused process or in a socket while
-        another dispatcher took over; its age is bounded by our own clock.
+        another dispatcher took over, so its age is checked on our own clock.
         """
         order = frame.message
         if not isinstance(order, PlaceOrder):
-            return Refused('not an order')
+            return Refused('not a start order')
         age = self._clock.monotonic() - frame.echo
         if age > self._settings.timings.start_deadline + self._settings.timings.heartbeat * 2:
             return PlaceAnswer(REFUSED, 'the order is too old')
         return await self.place(order)
 
     async def answer_action(self, frame: Frame) -> Message:
-        """Act on a task for the dispatcher."""
+        """Carry out the dispatcher's action on a task."""
         action = frame.message
         if not isinstance(action, TaskAction):
-            return Refused('not an action')
-        return Done() if await self.act(action) else Refused('not done')
+            return Refused('not a task action')
+        return Done() if await self.act(action) else Refused('the action was not carried out')
 
     def _entries(self) -> tuple[HostEntry, ...]:
-        return self._hosts.of_kind('worker', self._settings.availability_zone)
+        return self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
 
     async def _refresh(self) -> None:
         for entry in self._entries():
             if entry.name not in self.agent_by_worker:
                 await self._add(entry)
         for name in tuple(self.agent_by_worker):
-            limit = self._settings.timings.lease * FORGET_LEASES
-            if self._hosts.gone_for(name) > limit:
+            limit = self._settings.timings.lease * FORGET_AFTER_LEASES
+            if self._hosts.missing_seconds(name) > limit:
                 await self._remove(name)
 
     async def _add(self, entry: HostEntry) -> None:
@@ -181,70 +181,74 @@
         )
         self.agent_by_worker[entry.name] = agent
         stack = AsyncExitStack()
-        self._stacks[entry.name] = stack
+        self._stack_by_worker[entry.name] = stack
         stack.push_async_callback(agent.close)
         await start_task(stack, agent.run)
         await start_task(stack, agent.run_renewals)
-        await start_task(stack, self._report, agent)
+        await start_task(stack, self._send_reports, agent)
         await start_task(stack, self._renew_for_others, agent)
 
     async def _remove(self, name: str) -> None:
         self.agent_by_worker.pop(name)
-        await self._stacks.pop(name).aclose()
+        await self._stack_by_worker.pop(name).aclose()
 
     async def _close_all(self) -> None:
         for name in tuple(self.agent_by_worker):
             await self._remove(name)
 
-    async def _report(self, agent: WorkerAgent) -> None:
-        """Tell the zone's dispatcher what the worker runs, after every change."""
-        told = _Told()
+    async def _send_reports(self, agent: WorkerAgent) -> None:
+        """Send a report to the zone's dispatcher after every change of the worker."""
+        last_sent = _SentReport()
         while True:
-            due = self._due_report(agent)
-            if not due.dispatcher:
-                await agent.changed.wait(agent.changed.count, LOOK_SECONDS)
+            target = self._find_report_target(agent)
+            if not target.dispatcher:
+                await agent.changed.wait(agent.changed.count, IDLE_CHECK_SECONDS)
                 continue
-            is_late = self._clock.monotonic() - told.at > REFRESH_SECONDS
-            if due == told.report and not is_late:
-                await agent.changed.wait(due.changes, LOOK_SECONDS)
+            refresh_due = self._clock.monotonic() - last_sent.at > REPORT_REFRESH_SECONDS
+            if target == last_sent.target and not refresh_due:
+                await agent.changed.wait(target.change_count, IDLE_CHECK_SECONDS)
                 continue
-            if await self._tell(agent, due):
-                told = _Told(due, self._clock.monotonic())
+            if await self._send_report(agent, target):
+                last_sent = _SentReport(target, self._clock.monotonic())
                 continue
-            await curio.sleep(ROUND_SECONDS)
+            await curio.sleep(POLL_SECONDS)
 
-    def _due_report(self, agent: WorkerAgent) -> '_DueReport':
-        """Return what a report made now would be for; no dispatcher, no report."""
+    def _find_report_target(self, agent: WorkerAgent) -> '_ReportTarget':
+        """Return the target of a report made now, empty if none is due."""
         claim = self._shards.get(DISPATCH_SHARD)
         grant = agent.grant()
         if claim is None or grant.level is GrantLevel.NONE:
-            return _DueReport()
-        return _DueReport(claim.owner, claim.epoch, grant, agent.changed.count)
+            return _ReportTarget()
+        return _ReportTarget(claim.owner, claim.epoch, grant, agent.changed.count)
 
-    async def _tell(self, agent: WorkerAgent, due: '_DueReport') -> bool:
-        silent = self._unrenewed_for(agent)
-        dispatcher = due.dispatcher
+    async def _send_report(self, agent: WorkerAgent, target: '_ReportTarget') -> bool:
+        unrenewed_seconds = self._unrenewed_seconds(agent)
+        dispatcher = target.dispatcher
         if dispatcher == self._me:
-            if self._take_report is not None:
-                await self._take_report(agent.report(silent, self._clock.monotonic(), due.epoch))
+            if self._report_handler is not None:
+                await self._report_handler(
+                    agent.report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
+                )
             return True
-        report = agent.report(silent, self._echoes.last(dispatcher), due.epoch)
+        report = agent.report(
+            unrenewed_seconds, self._peer_clocks.get_last(dispatcher), target.epoch
+        )
         try:
-            frame = await self._directory.ask(dispatcher, report, REPORT_TIMEOUT)
+            frame = await self._directory.ask(dispatcher, report, REPORT_TIMEOUT_SECONDS)
         except PeerError:
             return False
         return isinstance(frame.message, Done)
 
-    def _unrenewed_for(self, agent: WorkerAgent) -> float:
-        """Return for how long nobody can have renewed the worker's leases.
+    def _unrenewed_seconds(self, agent: WorkerAgent) -> float:
+        """Return for how many seconds nobody can have renewed the worker's leases.
 
-        A neighbour renews only for an owner that it does not hear; so the
-        time counts from when all neighbours last began to hear us, and from
-        when we became the owner: the former one may have renewed until then,
-        and a worker that we have not asked yet is not a silent one.
+        A peer renews only for an owner that it does not hear. So the time
+        counts from when the last peer began to hear us, and not from before we
+        became the owner: the former owner may have renewed until then, and a
+        worker that we have not polled yet does not count as silent.
         """
         heard_since = self._peer_monitor.all_heard_since()
-        since = max(agent.reached_at, heard_since, agent.grant().since)
+        since = max(agent.last_answer_at, heard_since, agent.grant().since)
         return max(0.0, self._clock.monotonic() - since)
 
     async def _renew_for_others(self, agent: WorkerAgent) -> None:
@@ -253,24 +257,24 @@
             claim = self._shards.get(agent.shard)
             if claim is None or claim.owner == self._me:
                 continue
-            log_is_out = self._reader.outage_since is not None
-            if log_is_out and self._peer_monitor.is_silent(claim.owner):
+            log_is_unavailable = self._reader.outage_since is not None
+            if log_is_unavailable and self._peer_monitor.is_silent(claim.owner):
                 await agent.renew_for_silent_owner()
 
 
 @dataclass(frozen=True)
-class _DueReport:
-    """Whom to tell, under which epochs, and after how many changes of the worker."""
+class _ReportTarget:
+    """The receiver of a report, with the epochs and the change count it applies to."""
 
     dispatcher: str = ''
     epoch: int = 0
     grant: Grant = NO_GRANT
-    changes: int = -1
+    change_count: int = -1
 
 
 @dataclass(frozen=True)
-class _Told:
-    """The last report that its receiver has taken, and when."""
+class _SentReport:
+    """The target of the last report that was accepted, and when it was sent."""
 
-    report: _DueReport = _DueReport()
+    target: _ReportTarget = _ReportTarget()
     at: float = float('-inf')
