--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -89,7 +89,9 @@
     context.runner.revive()
 
 
-@when('it restarts, runs another task to its end, and {call} intended for the former process is sent')
+@when(
+    'it restarts, runs another task to its end, and {call} intended for the former process is sent'
+)
 def call_former_process(context, call):
     async def call_all():
         if 'opened before' in call:
@@ -370,8 +372,8 @@
 
 
 @then("only the task of the new process is in the worker's ledger")
-def check_only_other_held(context):
-    assert [hold.task_id for hold in context.agent.ledger.holds()] == ['j2.1.0']
+def check_only_new_task_held(context):
+    assert [allocation.task_id for allocation in context.agent.ledger.allocations()] == ['j2.1.0']
 
 
 @then('its tasks were listed in full only once')
