--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -125,6 +125,6 @@
             BACKOFF_BASE_SECONDS * 2 ** min(failures + 1, MAX_BACKOFF_DOUBLINGS),
         )
         delay = self._random.uniform(0, max_delay)
-        if not self._budgets.for_customer(tracked.customer).spend():
+        if not self._budgets.for_customer(tracked.customer).use_retry():
             delay += OVER_BUDGET_DELAY_SECONDS
         self._state.not_before[tracked.job] = self._clock.wall() + delay
--- a/dandelionreel/peers/_link.py
+++ b/dandelionreel/peers/_link.py
@@ -1,88 +1,91 @@
-"""The asking side of a connection to one peer."""
+"""The client side of a connection to one peer."""
 
 from typing import Any
 
 import curio
 
-from dandelionreel.http import connect, interrupt
+from dandelionreel.http import connect, shut_down
 from dandelionreel.kernel import Clock, Verdict
 from dandelionreel.peers._codec import FrameError
-from dandelionreel.peers._framing import FrameStream, Traffic
+from dandelionreel.peers._framing import FrameStream, TrafficCounter
 from dandelionreel.peers._messages import Frame, Message
 
-NEVER = -1.0
-#: Seconds for a connection to open. Peers are a few milliseconds away; behind a cut
-#: every request waited as long as it would have for its answer.
-CONNECT_SECONDS = 0.3
+NO_CLOCK_READING = -1.0
+#: Peers are a few milliseconds away. Without this limit, each request across a network
+#: partition would spend its whole timeout on connecting.
+CONNECT_TIMEOUT_SECONDS = 0.3
 
 
 class PeerError(Exception):
-    """A peer gave no answer; the verdict says whether it may have acted."""
+    """A peer gave no answer; ``verdict`` says whether it may have acted on the message."""
 
     def __init__(self, message: str, verdict: Verdict, *, refused: bool = False) -> None:
-        """Keep the verdict, and whether the peer's host refused the connection."""
+        """Set the verdict; ``refused`` says that the peer's host refused the connection."""
         super().__init__(message)
         self.verdict = verdict
         self.refused = refused
 
 
-class EchoBook:
-    """The last clock reading seen of each peer, to be sent back to it.
+class PeerClocks:
+    """The last clock reading received from each peer, echoed in each frame sent to it.
 
-    A frame can wait in a paused process or in a socket for any time. Its
-    receiver tells its age by its own clock alone: it is at most ``now - echo``.
+    A frame can be delayed for any time in a suspended process or a socket buffer. The
+    echo bounds its age by the receiver's own clock: at most ``now - echo``.
     """
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start without clock readings."""
         self._clock_by_peer: dict[str, float] = {}
 
-    def note(self, peer: str, clock: float) -> None:
-        """Keep the clock reading that a frame of ``peer`` carried."""
+    def record(self, peer: str, clock: float) -> None:
+        """Store the clock reading of a frame from ``peer``."""
         self._clock_by_peer[peer] = clock
 
-    def last(self, peer: str) -> float:
-        """Return the last reading, or ``NEVER``."""
-        return self._clock_by_peer.get(peer, NEVER)
+    def get_last(self, peer: str) -> float:
+        """Return the last clock reading of ``peer``, or ``NO_CLOCK_READING``."""
+        return self._clock_by_peer.get(peer, NO_CLOCK_READING)
 
 
-class _Waiting:
+class _PendingExchange:
     def __init__(self) -> None:
         self.event = curio.Event()
         self.answer: Frame | None = None
 
 
 class PeerLink:
-    """One connection to one peer, on which many exchanges may be under way."""
+    """A connection to one peer that carries concurrent exchanges.
+
+    It is opened by the first message and reopened after a failure.
+    """
 
     def __init__(
         self,
         address: str,
         port: int,
-        me: str,
+        sender_name: str,
         clock: Clock,
-        echoes: EchoBook,
-        traffic: Traffic,
+        peer_clocks: PeerClocks,
+        traffic: TrafficCounter,
     ) -> None:
-        """Ask the daemon at ``address`` as ``me``."""
+        """Send messages to the daemon at ``address`` as ``sender_name``."""
         self._address = address
         self._port = port
-        self._me = me
+        self._sender_name = sender_name
         self._clock = clock
-        self._echoes = echoes
+        self._peer_clocks = peer_clocks
         self._traffic = traffic
         self._sock: Any = None
         self._stream: FrameStream | None = None
         self._reader: Any = None
         self._next_exchange = 1
-        self._waiting_by_exchange: dict[int, _Waiting] = {}
+        self._pending_by_exchange: dict[int, _PendingExchange] = {}
         self._lock = curio.Lock()
-        #: "host/incarnation" of the daemon that answers there, once known.
+        #: "host/incarnation" of the daemon that answers at the address, once known.
         self.peer = ''
 
     async def ask(self, message: Message, timeout: float) -> Frame:
         """Send a message and return the answering frame; raises ``PeerError``."""
-        waiting = _Waiting()
+        pending = _PendingExchange()
         exchange = self._next_exchange
         self._next_exchange += 1
         sent = False
@@ -90,60 +93,62 @@
             async with curio.timeout_after(timeout):
                 async with self._lock:
                     stream = await self._open(timeout)
-                    self._waiting_by_exchange[exchange] = waiting
-                    frame = self._frame(exchange, message)
+                    self._pending_by_exchange[exchange] = pending
+                    frame = self._make_frame(exchange, message)
                     sent = True
                     await stream.send(frame)
-                await waiting.event.wait()
+                await pending.event.wait()
         except curio.TaskTimeout as error:
-            # A frame cut short would garble all that follow on the connection.
+            # After a partly sent frame, later frames on the connection could not be parsed.
             if self._lock.locked() or not sent:
                 await self.close()
             raise PeerError('no answer in time', _verdict(sent)) from error
         except ConnectionRefusedError as error:
-            raise PeerError('refused', Verdict.NOT_RUN, refused=True) from error
+            raise PeerError('connection refused', Verdict.NOT_RUN, refused=True) from error
         except OSError as error:
             await self.close()
             raise PeerError(f'{error}', _verdict(sent)) from error
         finally:
-            self._waiting_by_exchange.pop(exchange, None)
-        if waiting.answer is None:
-            raise PeerError('the connection ended', Verdict.UNKNOWN)
-        return waiting.answer
+            self._pending_by_exchange.pop(exchange, None)
+        if pending.answer is None:
+            raise PeerError('connection closed before the answer', Verdict.UNKNOWN)
+        return pending.answer
 
     async def close(self) -> None:
-        """Close the connection and fail what is under way.
+        """Close the connection and fail all pending exchanges.
 
-        Another task may wait for room to send on it; that one fails first.
+        Another task may be blocked in sending; the socket is closed after that has failed.
         """
         sock, reader = self._sock, self._reader
         self._sock = self._stream = self._reader = None
         if reader is not None:
             await reader.cancel(blocking=False)
         if sock is not None:
-            await interrupt(sock)
-            await curio.spawn(self._close_unused, sock, daemon=True)
-        for waiting in tuple(self._waiting_by_exchange.values()):
-            await waiting.event.set()
+            await shut_down(sock)
+            await curio.spawn(self._close_when_unlocked, sock, daemon=True)
+        for pending in tuple(self._pending_by_exchange.values()):
+            await pending.event.set()
 
-    async def _close_unused(self, sock: Any) -> None:
+    async def _close_when_unlocked(self, sock: Any) -> None:
         async with self._lock:
             await sock.close()
 
-    def _frame(self, exchange: int, message: Message) -> Frame:
+    def _make_frame(self, exchange: int, message: Message) -> Frame:
         return Frame(
             exchange,
-            self._me,
+            self._sender_name,
             self._clock.monotonic(),
-            self._echoes.last(self.peer),
+            self._peer_clocks.get_last(self.peer),
             message,
         )
 
     async def _open(self, timeout: float) -> FrameStream:
         if self._stream is not None:
             return self._stream
-        patience = min(timeout, CONNECT_SECONDS)
-        sock = await curio.ignore_after(patience, connect, self._address, self._port, timeout)
+        connect_timeout = min(timeout, CONNECT_TIMEOUT_SECONDS)
+        sock = await curio.ignore_after(
+            connect_timeout, connect, self._address, self._port, timeout
+        )
         if sock is None:
             raise TimeoutError('no connection in time')
         self._sock = sock
@@ -158,12 +163,12 @@
                 if frame is None:
                     break
                 self.peer = frame.sender
-                self._echoes.note(frame.sender, frame.clock)
-                waiting = self._waiting_by_exchange.get(frame.exchange)
-                if waiting is None:
+                self._peer_clocks.record(frame.sender, frame.clock)
+                pending = self._pending_by_exchange.get(frame.exchange)
+                if pending is None:
                     continue
-                waiting.answer = frame
-                await waiting.event.set()
+                pending.answer = frame
+                await pending.event.set()
         except (OSError, FrameError):
             pass
         if self._stream is stream:
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -1,4 +1,4 @@
-"""What clients hand in, and how they are told about it."""
+"""Decodes job submissions and encodes answers to clients."""
 
 import msgspec
 
@@ -17,7 +17,7 @@
 
 MILLISECONDS = 1000
 HTTP_GONE = 410
-PAYLOAD_BYTES = 4000
+MAX_PAYLOAD_BYTES = 4000
 
 
 class _Step(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
     max_unavailable: int = 0
 
 
-class _Job(msgspec.Struct, frozen=True):
+class _Submission(msgspec.Struct, frozen=True):
     spec: str
     steps: tuple[_Step, ...]
     repeat_count: int = 0
@@ -49,23 +49,23 @@
     interval_ms: float = 0
 
 
-_DECODER = msgspec.json.Decoder(_Job)
+_DECODER = msgspec.json.Decoder(_Submission)
 
 
 def decode_submission(body: bytes) -> JobSpec:
-    """Return the job that a body describes; raises ``SubmissionError``."""
+    """Decode a job from a request body; raises ``SubmissionError``."""
     try:
-        job = decode_json(_DECODER, body)
+        submission = decode_json(_DECODER, body)
     except UnreadableError as error:
         raise SubmissionError(f'{error}') from error
-    if len(job.spec.encode()) > PAYLOAD_BYTES:
-        raise SubmissionError(f'spec is over {PAYLOAD_BYTES} bytes')
+    if len(submission.spec.encode()) > MAX_PAYLOAD_BYTES:
+        raise SubmissionError(f'spec is longer than {MAX_PAYLOAD_BYTES} bytes')
     spec = JobSpec(
-        payload=job.spec,
-        steps=tuple(_step(step) for step in job.steps),
-        repeat_count=job.repeat_count,
-        first_run=job.first_run_ms / MILLISECONDS,
-        interval=job.interval_ms / MILLISECONDS,
+        payload=submission.spec,
+        steps=tuple(_to_step(step) for step in submission.steps),
+        repeat_count=submission.repeat_count,
+        first_run=submission.first_run_ms / MILLISECONDS,
+        interval=submission.interval_ms / MILLISECONDS,
     )
     try:
         check_spec(spec)
@@ -74,7 +74,7 @@
     return spec
 
 
-def _step(step: _Step) -> Step:
+def _to_step(step: _Step) -> Step:
     return Step(
         count=step.count,
         demand=Demand(step.cpu, step.mem_mb, step.gpu),
@@ -96,24 +96,24 @@
 
 
 class JsonClientCodec(ClientCodec):
-    """Jobs and answers as JSON."""
+    """JSON codec of submissions and answers."""
 
     def decode_submission(self, body: bytes) -> JobSpec:
-        """Return the job that a body describes; raises ``SubmissionError``."""
+        """Decode a job from a request body; raises ``SubmissionError``."""
         return decode_submission(body)
 
     def answer_accepted(self) -> Answer:
-        """Tell that the request stands in the store."""
+        """Answer that the request has been stored."""
         return answer_json({})
 
     def answer_state(self, state: JobState) -> Answer:
-        """Tell a job's state; the states have the same names on the wire."""
+        """Answer with a job's state; states have the same names on the wire."""
         return answer_json({'state': state.value})
 
     def answer_pending(self, count: int) -> Answer:
-        """Tell how many jobs of a queue have not begun."""
+        """Answer with the number of jobs of a queue that have not started."""
         return answer_json({'pending': count})
 
     def answer_unknown_job(self) -> Answer:
-        """Tell that no such job exists."""
+        """Answer that the job does not exist."""
         return answer_json({}, HTTP_GONE)
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -1,4 +1,4 @@
-"""One runner as its owner sees it: slots, connections, latency, health."""
+"""A runner as its owner tracks it: slots, connections, latency and health."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,60 +11,60 @@
     Answer,
     Connection,
     ExchangeError,
-    ForbiddenError,
     RefusedError,
     Request,
+    SendForbiddenError,
 )
 from dandelionreel.kernel import Clock
 from dandelionreel.ownership import Grant, GrantLevel
 
 SLOTS_PATH = '/.runner/slots'
 HTTP_OK = 200
-#: Weight of the newest latency in the moving average.
-NEWEST = 0.1
-#: A runner whose latency is this many times its best takes fewer at a time.
+#: Weight of the newest answer time in the moving average.
+LATENCY_WEIGHT = 0.1
+#: A runner whose mean latency exceeds its best by this factor gets a lower limit.
 SLOW_FACTOR = 3.0
-DECREASE = 0.9
-DRIFT = 1.01
-LEAST_LIMIT = 1.0
+LIMIT_DECREASE_FACTOR = 0.9
+BEST_DRIFT_FACTOR = 1.01
+MIN_LIMIT = 1.0
 QUARANTINE_SECONDS = 1.0
-QUARANTINE_LIMIT = 30.0
+MAX_QUARANTINE_SECONDS = 30.0
 FAILURES_TO_QUARANTINE = 3
-PROBE_SECONDS = 0.5
+SLOT_QUERY_SECONDS = 0.5
 
 
-class SlotUse(msgspec.Struct, frozen=True):
-    """What a runner tells about its slots."""
+class SlotUsage(msgspec.Struct, frozen=True):
+    """A runner's report of its busy slots."""
 
     busy: int
 
 
 class Latency:
-    """Moving average and slowly rising best of a runner's answer times, in seconds."""
+    """Moving average and best of a runner's answer times, in seconds."""
 
     def __init__(self) -> None:
-        """Start with nothing measured."""
+        """Start without a measurement."""
         self.mean = 0.0
         self.best = 0.0
 
-    def note(self, seconds: float) -> None:
-        """Add one answer's time."""
+    def add(self, seconds: float) -> None:
+        """Add the time of one answer."""
         if not self.mean:
             self.mean = self.best = seconds
             return
-        self.mean += (seconds - self.mean) * NEWEST
-        # The best drifts up, so that one very short answer long ago does not
-        # make every later one look slow.
-        self.best = min(seconds, self.best * DRIFT)
+        self.mean += (seconds - self.mean) * LATENCY_WEIGHT
+        # The best rises slowly, so that a single very short answer does not
+        # make all later ones count as slow.
+        self.best = min(seconds, self.best * BEST_DRIFT_FACTOR)
 
     @property
     def is_slow(self) -> bool:
-        """Return whether answers take much longer than at best."""
+        """Return whether answers take much longer than the best."""
         return self.mean > self.best * SLOW_FACTOR
 
 
 class Runner:
-    """Slots and connections of one runner; this daemon is the only one to use them."""
+    """Slots and connections of one runner; only the daemon that owns it uses them."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         longest_run: float,
         user_timeout: float,
     ) -> None:
-        """Use the runner that ``entry`` names."""
+        """Track the runner of the host list entry ``entry``."""
         self.entry = entry
         self._clock = clock
         self._answer_bytes = answer_bytes
@@ -85,91 +85,94 @@
         self._limit = float(entry.slots)
         self._failures = 0
         self._quarantined_until = 0.0
-        self._quarantine = QUARANTINE_SECONDS
+        self._quarantine_seconds = QUARANTINE_SECONDS
         self.latency = Latency()
-        #: Slots that requests of this daemon hold, abandoned ones included.
+        #: Slots of this daemon's requests, including those whose caller gave up.
         self.in_use = 0
         self.open_connections = 0
-        #: Slots that requests of a former owner may still hold.
-        self.foreign = 0
-        self.foreign_until = 0.0
-        self.sign_of_leaving_at = float('-inf')
+        #: Slots that requests of a former owner may still occupy.
+        self.former_owner_slots = 0
+        self.former_owner_until = 0.0
+        self.leaving_seen_at = float('-inf')
 
     @property
     def limit(self) -> int:
-        """Return how many requests the runner takes well at present."""
+        """Return the current adaptive concurrency limit."""
         return int(self._limit)
 
-    def room(self, grant: Grant) -> int:
-        """Return how many more requests may be sent under that grant."""
+    def free_slots(self, grant: Grant) -> int:
+        """Return how many more requests may be sent under the grant."""
         if self.is_quarantined():
             return 0
-        free = min(self.allowed(grant), self.limit) - self.in_use
-        # Idle connections can be closed to make room for a new one.
+        free = min(self.slot_limit(grant), self.limit) - self.in_use
+        # An idle connection can be closed in favour of a new one.
         busy_connections = self.open_connections - len(self._idle)
         return max(0, min(free, self.entry.connections - busy_connections))
 
-    def allowed(self, grant: Grant) -> int:
-        """Return how many slots this daemon may hold at all under that grant."""
+    def slot_limit(self, grant: Grant) -> int:
+        """Return how many slots this daemon may occupy under the grant."""
         if grant.level is GrantLevel.NONE or grant.epoch != self._epoch:
-            # What a former owner may still have there has to be judged first.
+            # ``start_ownership`` has not yet counted the former owner's slots.
             return 0
         slots = self.entry.slots
         half = slots // 2
         if grant.level is GrantLevel.WHOLE:
-            return slots - self.foreign
+            return slots - self.former_owner_slots
         if grant.level is GrantLevel.OWN_HALF:
             return half
-        return min(half, slots - max(self.foreign, half))
+        return min(half, slots - max(self.former_owner_slots, half))
 
     def is_quarantined(self) -> bool:
-        """Return whether recent failures keep work away from it."""
+        """Return whether recent failures exclude the runner for now."""
         return self._clock.monotonic() < self._quarantined_until
 
-    def take_over(self, grant: Grant, *, clean: bool) -> None:
-        """Count all slots as held by the former owner until they are known free."""
+    def start_ownership(self, grant: Grant, *, clean_handover: bool) -> None:
+        """Begin a grant; after an unclean handover all slots count as the former owner's."""
         self._epoch = grant.epoch
-        if not clean:
-            self.foreign = self.entry.slots
-            self.foreign_until = self._clock.monotonic() + self._longest_run
+        if not clean_handover:
+            self.former_owner_slots = self.entry.slots
+            self.former_owner_until = self._clock.monotonic() + self._longest_run
 
-    async def watch_foreign(self) -> None:
-        """Ask the runner what is busy until nothing of a former owner is left.
+    async def await_former_owner(self) -> None:
+        """Poll the runner until the former owner occupies no more slots.
 
-        A runner that does not tell frees the slots after the longest run.
+        A runner that does not report its slots is waited for as long as the
+        longest run.
         """
-        idle_seen = 0
-        while self.foreign:
-            await curio.sleep(PROBE_SECONDS)
-            busy = await self._ask_busy()
+        idle_answers = 0
+        while self.former_owner_slots:
+            await curio.sleep(SLOT_QUERY_SECONDS)
+            busy = await self._query_busy_slots()
             if busy is None:
-                if self._clock.monotonic() >= self.foreign_until:
-                    self.foreign = 0
+                if self._clock.monotonic() >= self.former_owner_until:
+                    self.former_owner_slots = 0
                 continue
-            self.foreign = max(0, busy - self.in_use)
-            # A request of the former owner may have been on its way when the
-            # runner was asked; one quiet answer is not enough.
-            idle_seen = 0 if self.foreign else idle_seen + 1
-            if idle_seen == 1:
-                self.foreign = 1
+            self.former_owner_slots = max(0, busy - self.in_use)
+            # A request of the former owner may have been in transit at the
+            # first idle answer, so two in a row are required.
+            idle_answers = 0 if self.former_owner_slots else idle_answers + 1
+            if idle_answers == 1:
+                self.former_owner_slots = 1
 
     async def send(
         self,
         request: Request,
         timeout: float,
-        when_free: Callable[[], Any],
+        on_release: Callable[[], Any],
         *,
-        fresh: bool,
-        check: Callable[[], bool],
+        new_connection: bool,
+        may_send: Callable[[], bool],
     ) -> Answer:
         """Send a request and return its whole answer; raises ``ExchangeError``.
 
-        The caller has counted the slot in ``in_use``. It is given back, and
-        ``when_free`` awaited, once the runner is known to be done: after a
-        time-out that is when the late answer arrives, not when the caller
+        The caller has counted the slot in ``in_use``. The slot is released,
+        and ``on_release`` awaited, once the runner is known to be done: after
+        a timeout that is when the late answer arrives, not when the caller
         stops waiting.
         """
-        exchange = _Exchange(self, request, when_free, fresh=fresh, check=check)
+        exchange = _Exchange(
+            self, request, on_release, new_connection=new_connection, may_send=may_send
+        )
         task = await curio.spawn(exchange.run, self._longest_run, daemon=True)
         await curio.ignore_after(timeout, exchange.done.wait)
         if exchange.answer is not None:
@@ -181,16 +184,16 @@
         raise ExchangeError('no answer in time', sent=exchange.sent)
 
     async def close_idle(self) -> None:
-        """Close connections that carry nothing."""
+        """Close all idle connections."""
         idle = self._idle
         self._idle = []
         for connection in idle:
             self.open_connections -= 1
             await connection.close()
 
-    async def open_connection(self, *, fresh: bool) -> Connection:
+    async def open_connection(self, *, new_connection: bool) -> Connection:
         """Return an idle connection, or a new one; raises ``ExchangeError``."""
-        while self._idle and not fresh:
+        while self._idle and not new_connection:
             connection = self._idle.pop()
             if connection.is_open:
                 return connection
@@ -209,45 +212,45 @@
             raise
         return connection
 
-    async def give_back(self, connection: Connection, *, reusable: bool) -> None:
-        """Keep a connection that ended its exchange well; close any other."""
+    async def return_connection(self, connection: Connection, *, reusable: bool) -> None:
+        """Keep a reusable connection for later requests; close any other."""
         if reusable and connection.is_open:
             self._idle.append(connection)
             return
         self.open_connections -= 1
         await connection.close()
 
-    def note_answer(self, seconds: float, answer: Answer) -> None:
-        """Learn from an answer."""
-        self.latency.note(seconds)
+    def record_answer(self, seconds: float, answer: Answer) -> None:
+        """Update latency, health and the concurrency limit from an answer."""
+        self.latency.add(seconds)
         self._failures = 0
-        self._quarantine = QUARANTINE_SECONDS
+        self._quarantine_seconds = QUARANTINE_SECONDS
         if self.latency.is_slow:
-            self._limit = max(LEAST_LIMIT, self._limit * DECREASE)
+            self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
         else:
             self._limit = min(float(self.entry.slots), self._limit + 1 / self._limit)
         if answer.header('connection').lower() == 'close':
-            self.sign_of_leaving_at = self._clock.monotonic()
+            self.leaving_seen_at = self._clock.monotonic()
 
-    def note_failure(self, error: ExchangeError) -> None:
-        """Learn from a failure; a refused connection is a sign of leaving."""
-        if isinstance(error, ForbiddenError):
+    def record_failure(self, error: ExchangeError) -> None:
+        """Update health from a failure; a refused connection means the endpoint may leave."""
+        if isinstance(error, SendForbiddenError):
             return
         if isinstance(error, RefusedError):
-            self.sign_of_leaving_at = self._clock.monotonic()
+            self.leaving_seen_at = self._clock.monotonic()
         self._failures += 1
         if self._failures >= FAILURES_TO_QUARANTINE or isinstance(error, RefusedError):
-            self._quarantined_until = self._clock.monotonic() + self._quarantine
-            self._quarantine = min(self._quarantine * 2, QUARANTINE_LIMIT)
+            self._quarantined_until = self._clock.monotonic() + self._quarantine_seconds
+            self._quarantine_seconds = min(self._quarantine_seconds * 2, MAX_QUARANTINE_SECONDS)
 
-    async def _ask_busy(self) -> int | None:
+    async def _query_busy_slots(self) -> int | None:
         connection = Connection(self.entry.address, self.entry.port, self._answer_bytes)
         try:
-            await connection.open(PROBE_SECONDS, PROBE_SECONDS)
-            answer = await connection.exchange(Request('GET', SLOTS_PATH), PROBE_SECONDS)
+            await connection.open(SLOT_QUERY_SECONDS, SLOT_QUERY_SECONDS)
+            answer = await connection.exchange(Request('GET', SLOTS_PATH), SLOT_QUERY_SECONDS)
             if answer.status != HTTP_OK:
                 return None
-            return msgspec.json.decode(answer.body, type=SlotUse).busy
+            return msgspec.json.decode(answer.body, type=SlotUsage).busy
         except RefusedError:
             return 0
         except (ExchangeError, msgspec.MsgspecError):
@@ -257,22 +260,22 @@
 
 
 class _Exchange:
-    """One request on one connection, carried through even if the caller has gone."""
+    """One request on one connection, completed even if the caller gives up."""
 
     def __init__(
         self,
         runner: Runner,
         request: Request,
-        when_free: Callable[[], Any],
+        on_release: Callable[[], Any],
         *,
-        fresh: bool,
-        check: Callable[[], bool],
+        new_connection: bool,
+        may_send: Callable[[], bool],
     ) -> None:
         self._runner = runner
         self._request = request
-        self._when_free = when_free
-        self._fresh = fresh
-        self._check = check
+        self._on_release = on_release
+        self._new_connection = new_connection
+        self._may_send = may_send
         self.done = curio.Event()
         self.answer: Answer | None = None
         self.error: ExchangeError | None = None
@@ -284,38 +287,41 @@
             await self._run(longest_run)
         except ExchangeError as error:
             self.error = error
-            runner.note_failure(error)
+            runner.record_failure(error)
             await self.done.set()
             if error.sent and not isinstance(error, RefusedError):
-                # The runner may still be at work although the connection is
-                # gone; the slot stays held until no run can last any longer.
-                await self._wait_until_idle(longest_run)
+                # The runner may still be working although the connection is
+                # closed; the slot stays occupied until it reports fewer busy
+                # slots, or for the longest run.
+                await self._wait_for_release(longest_run)
         finally:
             runner.in_use -= 1
             await self.done.set()
-            await self._when_free()
+            await self._on_release()
 
     async def _run(self, longest_run: float) -> None:
         runner = self._runner
-        began = runner._clock.monotonic()
-        connection = await runner.open_connection(fresh=self._fresh)
+        started_at = runner._clock.monotonic()
+        connection = await runner.open_connection(new_connection=self._new_connection)
         finished = False
         try:
-            self.answer = await connection.exchange(self._request, longest_run, self._may_leave)
+            self.answer = await connection.exchange(
+                self._request, longest_run, self._check_may_send
+            )
             finished = True
         finally:
-            await runner.give_back(connection, reusable=finished)
-        runner.note_answer(runner._clock.monotonic() - began, self.answer)
+            await runner.return_connection(connection, reusable=finished)
+        runner.record_answer(runner._clock.monotonic() - started_at, self.answer)
         await self.done.set()
 
-    def _may_leave(self) -> bool:
-        self.sent = self._check()
+    def _check_may_send(self) -> bool:
+        self.sent = self._may_send()
         return self.sent
 
-    async def _wait_until_idle(self, longest_run: float) -> None:
+    async def _wait_for_release(self, longest_run: float) -> None:
         until = self._runner._clock.monotonic() + longest_run
         while self._runner._clock.monotonic() < until:
-            busy = await self._runner._ask_busy()
+            busy = await self._runner._query_busy_slots()
             if busy is not None and busy < self._runner.in_use:
                 return
-            await curio.sleep(PROBE_SECONDS)
+            await curio.sleep(SLOT_QUERY_SECONDS)
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -1,6 +1,6 @@
-"""What is counted as held on one worker; the only guard against over-filling it.
+"""Allocations on one worker; the only protection against overcommitting it.
 
-Workers start what they are given, whether it fits or not.
+Workers start every task that they are sent, whether it fits or not.
 """
 
 import enum
@@ -9,11 +9,11 @@
 from dandelionreel.backing import NOTHING, Resources, TaskList, TaskStatus
 from dandelionreel.ownership import Grant, GrantLevel
 
-HALF = 0.5
+HALF_SHARE = 0.5
 
 
-class HoldState(enum.Enum):
-    """How sure it is that the task is on the worker."""
+class AllocationState(enum.Enum):
+    """Whether a task is on the worker; ``DOUBTFUL`` when the outcome of its start is unknown."""
 
     STARTING = 'starting'
     RUNNING = 'running'
@@ -21,128 +21,136 @@
 
 
 @dataclass(frozen=True)
-class Hold:
-    """One counted task; ``since`` is when its state became so, in own seconds."""
+class Allocation:
+    """An allocated task; ``since`` is when it got its state, on this daemon's clock."""
 
     task_id: str
     demand: Resources
     epoch: int
-    state: HoldState
+    state: AllocationState
     since: float
 
 
 class Ledger:
-    """Counts the tasks of one worker, unresolved starts included."""
+    """Allocations of one worker, including starts whose outcome is unknown."""
 
     def __init__(self, capacity: Resources) -> None:
-        """Count against ``capacity``."""
+        """Allocate at most ``capacity``."""
         self.capacity = capacity
-        self._hold_by_task: dict[str, Hold] = {}
-        #: When the newest listing was asked for, on this daemon's clock.
+        self._allocation_by_task: dict[str, Allocation] = {}
+        #: When the newest task list was requested, on this daemon's clock.
         self.listed_at = float('-inf')
 
-    def holds(self) -> tuple[Hold, ...]:
-        """Return all counted tasks."""
-        return tuple(self._hold_by_task.values())
+    def allocations(self) -> tuple[Allocation, ...]:
+        """Return all allocations."""
+        return tuple(self._allocation_by_task.values())
 
-    def get(self, task_id: str) -> Hold | None:
-        """Return the hold of a task."""
-        return self._hold_by_task.get(task_id)
+    def get(self, task_id: str) -> Allocation | None:
+        """Return the allocation of a task, ``None`` if there is none."""
+        return self._allocation_by_task.get(task_id)
 
-    def total(self) -> Resources:
-        """Return what all counted tasks were promised."""
+    def total_demand(self) -> Resources:
+        """Return the demand of all allocations."""
         total = NOTHING
-        for hold in self._hold_by_task.values():
-            total += hold.demand
+        for allocation in self._allocation_by_task.values():
+            total += allocation.demand
         return total
 
     def is_settled(self) -> bool:
-        """Return whether no start is under way or in doubt."""
-        return all(hold.state is HoldState.RUNNING for hold in self._hold_by_task.values())
+        """Return whether no start is pending or has an unknown outcome."""
+        return all(
+            allocation.state is AllocationState.RUNNING
+            for allocation in self._allocation_by_task.values()
+        )
 
-    def room(self, grant: Grant) -> Resources:
-        """Return how much may be filled in all, of what is counted already too."""
+    def usable_capacity(self, grant: Grant) -> Resources:
+        """Return how much may be allocated in total, including what already is."""
         if grant.level is GrantLevel.NONE or self.listed_at < grant.since:
             return NOTHING
         if grant.level is GrantLevel.WHOLE:
             return self.capacity
-        half = self.capacity.times(HALF)
+        half = self.capacity.times(HALF_SHARE)
         if grant.level is GrantLevel.OWN_HALF:
             return half
-        # The former owner may still fill up to its half, or hold what it had
-        # beyond that; this claimant gets what is surely left, half at most.
-        theirs = self._sum(grant.epoch, mine=False).at_least(half)
-        return (self.capacity - theirs).at_most(half) + self._sum(grant.epoch, mine=False)
+        # The former owner may still allocate up to its half, or already have
+        # more than that. This owner may use what is certainly left, at most
+        # half.
+        former_owner_demand = self._sum_demand(grant.epoch, is_own=False).at_least(half)
+        return (self.capacity - former_owner_demand).at_most(half) + self._sum_demand(
+            grant.epoch, is_own=False
+        )
 
-    def refusal(self, demand: Resources, grant: Grant) -> str:
-        """Return why a task may not be started now, or an empty text."""
+    def refusal_reason(self, demand: Resources, grant: Grant) -> str:
+        """Return why a task may not start now, empty if it may."""
         if grant.level is GrantLevel.NONE:
-            return 'not the owner'
+            return 'this daemon does not own the worker'
         if self.listed_at < grant.since:
-            return 'the worker has not been listed since the claim'
-        if not (self.total() + demand).fits(self.room(grant)):
-            return f'no room under {grant.level.value}'
+            return 'the tasks of the worker have not been listed since the claim'
+        if not (self.total_demand() + demand).fits(self.usable_capacity(grant)):
+            return f'the demand exceeds the capacity at level {grant.level.value}'
         return ''
 
-    def hold(self, task_id: str, demand: Resources, grant: Grant, now: float) -> None:
-        """Count a start before it is sent."""
-        self._hold_by_task[task_id] = Hold(
+    def add_start(self, task_id: str, demand: Resources, grant: Grant, now: float) -> None:
+        """Allocate the resources of a start before it is sent."""
+        self._allocation_by_task[task_id] = Allocation(
             task_id,
             demand,
             grant.epoch,
-            HoldState.STARTING,
+            AllocationState.STARTING,
             now,
         )
 
-    def change(self, task_id: str, state: HoldState, now: float) -> None:
-        """Note what became of a start."""
-        hold = self._hold_by_task.get(task_id)
-        if hold is not None:
-            self._hold_by_task[task_id] = replace(hold, state=state, since=now)
+    def set_state(self, task_id: str, state: AllocationState, now: float) -> None:
+        """Set the state of an allocation."""
+        allocation = self._allocation_by_task.get(task_id)
+        if allocation is not None:
+            self._allocation_by_task[task_id] = replace(allocation, state=state, since=now)
 
     def release(self, task_id: str) -> None:
-        """Stop counting a task that is known not to run."""
-        self._hold_by_task.pop(task_id, None)
+        """Release the allocation of a task that is known not to run."""
+        self._allocation_by_task.pop(task_id, None)
 
-    def note_listing(self, listing: TaskList, asked_at: float) -> None:
-        """Adopt what runs, release what has ended.
+    def apply_task_list(self, task_list: TaskList, requested_at: float) -> None:
+        """Allocate what the list shows as running, and release what has ended.
 
-        A start that is under way or in doubt is not released because a
-        listing lacks it: its bytes may still be on their way to the worker.
+        A pending or unresolved start stays allocated although the list lacks
+        it: it may still be in transit to the worker.
         """
-        self._release_ended(listing, asked_at)
-        for status in listing.tasks:
+        self._release_missing(task_list, requested_at)
+        for status in task_list.tasks:
             if status.is_running:
-                self._adopt(status, asked_at)
-        self.listed_at = asked_at
+                self._adopt_running(status, requested_at)
+        self.listed_at = requested_at
 
-    def _release_ended(self, listing: TaskList, asked_at: float) -> None:
-        listed = {status.id for status in listing.tasks}
-        for status in listing.tasks:
+    def _release_missing(self, task_list: TaskList, requested_at: float) -> None:
+        listed_ids = {status.id for status in task_list.tasks}
+        for status in task_list.tasks:
             if not status.is_running:
                 self.release(status.id)
-        for hold in self.holds():
-            is_old = hold.state is HoldState.RUNNING and hold.since < asked_at
-            if is_old and hold.task_id not in listed:
-                self.release(hold.task_id)
-
-    def _adopt(self, status: TaskStatus, asked_at: float) -> None:
-        known = self._hold_by_task.get(status.id)
-        if known is None:
-            known = Hold(
+        for allocation in self.allocations():
+            was_running = (
+                allocation.state is AllocationState.RUNNING and allocation.since < requested_at
+            )
+            if was_running and allocation.task_id not in listed_ids:
+                self.release(allocation.task_id)
+
+    def _adopt_running(self, status: TaskStatus, requested_at: float) -> None:
+        allocation = self._allocation_by_task.get(status.id)
+        if allocation is None:
+            allocation = Allocation(
                 status.id,
                 status.order.demand,
                 status.order.epoch,
-                HoldState.STARTING,
-                asked_at,
+                AllocationState.STARTING,
+                requested_at,
             )
-        if known.state is not HoldState.RUNNING:
-            known = replace(known, state=HoldState.RUNNING, since=asked_at)
-        self._hold_by_task[status.id] = known
+        if allocation.state is not AllocationState.RUNNING:
+            allocation = replace(allocation, state=AllocationState.RUNNING, since=requested_at)
+        self._allocation_by_task[status.id] = allocation
 
-    def _sum(self, epoch: int, *, mine: bool) -> Resources:
+    def _sum_demand(self, epoch: int, *, is_own: bool) -> Resources:
         total = NOTHING
-        for hold in self._hold_by_task.values():
-            if (hold.epoch >= epoch) is mine:
-                total += hold.demand
+        for allocation in self._allocation_by_task.values():
+            if (allocation.epoch >= epoch) is is_own:
+                total += allocation.demand
         return total
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -3,7 +3,7 @@
 import msgspec
 import xxhash
 
-from dandelionreel.backing import HostEntry, HostsDone
+from dandelionreel.backing import HostEntry, HostsResult
 from dandelionreel.http import Answer, Request, answer_json
 from standins._faults import FaultSwitch
 
@@ -25,8 +25,8 @@
         if request.path == FAULTS:
             return self.set(request)
         if request.path == HOSTS:
-            self.hosts = msgspec.json.decode(request.body, type=HostsDone).hosts
-            return answer_json(HostsDone(self.hosts))
+            self.hosts = msgspec.json.decode(request.body, type=HostsResult).hosts
+            return answer_json(HostsResult(self.hosts))
         await self.faults.apply_before()
         return self._list(request)
 
@@ -37,8 +37,8 @@
             for host in self.hosts
             if host.kind == 'entry' or zone in {'', host.availability_zone}
         )
-        body = msgspec.json.encode(HostsDone(listed))
+        body = msgspec.json.encode(HostsResult(listed))
         entity_tag = f'"{xxhash.xxh64_hexdigest(body)}"'
         if request.header('if-none-match') == entity_tag:
             return Answer(HTTP_NOT_MODIFIED, (('etag', entity_tag),))
-        return answer_json(HostsDone(listed), headers=(('etag', entity_tag),))
+        return answer_json(HostsResult(listed), headers=(('etag', entity_tag),))
