--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -28,7 +28,7 @@
         self.check_zone(zone)
         for state in sorted(self._directory.states(zone), key=_by_last_heard):
             try:
-                frame = await state.link.ask(
+                frame = await state.link.request(
                     Forward(request, RELAY_TIMEOUT_SECONDS, 1), RELAY_TIMEOUT_SECONDS
                 )
             except PeerError as error:
--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -28,7 +28,7 @@
         self,
         configuration: ConfigurationProjection,
         exchange: ConfigurationExchange,
-        longest_age: float | None,
+        max_age: float | None,
     ) -> None:
         """Accept keys by a configuration that is at most ``longest_age`` seconds old.
 
@@ -36,7 +36,7 @@
         """
         self._configuration = configuration
         self._exchange = exchange
-        self._longest_age = longest_age
+        self._max_age = max_age
 
     async def identify(
         self,
@@ -58,7 +58,7 @@
         digest = read_bearer(request.headers) if forwarded is None else forwarded.key_digest
         if not digest:
             return Denied.UNKNOWN_KEY
-        if self._longest_age is not None and self._exchange.age() > self._longest_age:
+        if self._max_age is not None and self._exchange.age() > self._max_age:
             return Denied.UNDECIDED
         known_caller = self._find_caller(digest)
         if known_caller is not None:
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -11,7 +11,7 @@
     STORE_UNAVAILABLE_CAUSE,
     ClientCall,
     answer_not_run,
-    refuse,
+    answer_unavailable,
 )
 from dandelionreel.cell.clients._client_writes import (
     RETRYABLE_STATUSES,
@@ -62,7 +62,7 @@
 HTTP_TOO_LARGE = 413
 HTTP_TOO_MANY = 429
 #: Header of the answer to a call without a known API key (RFC 6750).
-CHALLENGE = ('www-authenticate', 'Bearer')
+CHALLENGE_HEADER = ('www-authenticate', 'Bearer')
 
 
 class ClientApi:
@@ -111,9 +111,9 @@
 
     async def handle(self, request: Request) -> Answer:
         """Answer one request of a client."""
-        began = self._clock.monotonic()
-        answer = await self._answer(request, began, self._zone)
-        self._note_answer(request.method, answer.status, self._clock.monotonic() - began)
+        received_at = self._clock.monotonic()
+        answer = await self._answer(request, received_at, self._zone)
+        self._note_answer(request.method, answer.status, self._clock.monotonic() - received_at)
         return answer
 
     async def handle_relayed(self, frame: Frame) -> Message:
@@ -132,13 +132,13 @@
     async def _answer(
         self,
         request: Request,
-        began: float,
+        received_at: float,
         zone: str,
         forward: Any = None,
     ) -> Answer:
         configuration = self._configuration.current
         if configuration is None:
-            return refuse('no-configuration', 'no configuration is known yet')
+            return answer_unavailable('no-configuration', 'no configuration is known yet')
         path = request.path
         host = request.header('host').partition(':')[0]
         queue = configuration.find_queue(host, path)
@@ -149,7 +149,7 @@
         caller = await self._access.identify(request, queue, forwarded)
         if isinstance(caller, Denied):
             return self._answer_denied(request, path, caller)
-        call = ClientCall(request, caller, zone, began, forward is not None)
+        call = ClientCall(request, caller, zone, received_at, forward is not None)
         answer = await self._serve(call, configuration, queue, path[len(queue.path_prefix) :])
         if answer.status in RETRYABLE_STATUSES:
             self._note_refusal(caller.account)
@@ -164,7 +164,7 @@
     ) -> Answer:
         request = call.request
         if not job_id and request.method == 'GET':
-            return await self._answer_waiting_count(queue, call.began)
+            return await self._answer_waiting_count(queue, call.received_at)
         if not JOB_ID.fullmatch(job_id):
             return answer_not_run(HTTP_BAD_REQUEST, 'bad-id', 'a job id has 16 hexadecimal digits')
         if request.method == 'POST':
@@ -179,9 +179,11 @@
         """Refuse a call; the answer is the same for all unknown keys and reveals nothing."""
         self._log(request, path, denied.value, version=self._configuration.version)
         if denied is Denied.UNDECIDED:
-            return refuse('key-unchecked', 'whether the key is known cannot be told just now')
+            return answer_unavailable(
+                'key-unchecked', 'whether the key is known cannot be told just now'
+            )
         answer = answer_not_run(HTTP_UNAUTHORIZED, 'unknown-key', 'a known API key is needed')
-        return Answer(answer.status, (*answer.headers, CHALLENGE), answer.body)
+        return Answer(answer.status, (*answer.headers, CHALLENGE_HEADER), answer.body)
 
     async def _submit_job(
         self,
@@ -195,7 +197,9 @@
             # The end of a finished job may not have been read yet; the job would run again.
             now = self._clock.monotonic()
             if not await self._follower.wait_fresh(now, LOOKUP_TIMEOUT_SECONDS):
-                return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
+                return answer_unavailable(
+                    STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now'
+                )
         if not self._may_see(call, job_id):
             self._log(request, job_id, 'its id is taken by another account')
             return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
@@ -267,7 +271,7 @@
             answer = await self._get_state_from_peers(call, timeout)
             if answer is not None:
                 return answer
-        await self._follower.wait_fresh(call.began - MAX_STATE_AGE_SECONDS, timeout)
+        await self._follower.wait_fresh(call.received_at - MAX_STATE_AGE_SECONDS, timeout)
         stored_job = self._find(call, job_id)
         if stored_job is not None:
             return self._codec.answer_state(stored_job.state)
@@ -276,14 +280,14 @@
     async def _get_state_from_peers(self, call: ClientCall, timeout: float) -> Answer | None:
         """Return the owner's answer, or that of any peer if this host cannot read the store."""
         forwarded = await self._relay.forward_to_owner(call, timeout)
-        if forwarded.answer is None and self._follower.age(call.began) > STALE_READ_SECONDS:
-            forwarded = await self._relay.forward(call, timeout)
+        if forwarded.answer is None and self._follower.age(call.received_at) > STALE_READ_SECONDS:
+            forwarded = await self._relay.forward_to_any_peer(call, timeout)
         return forwarded.answer
 
     async def _cancel_job(self, call: ClientCall, job_id: str) -> Answer:
         stored_job = self._find(call, job_id)
         if stored_job is None:
-            await self._follower.wait_fresh(call.began, LOOKUP_TIMEOUT_SECONDS)
+            await self._follower.wait_fresh(call.received_at, LOOKUP_TIMEOUT_SECONDS)
             stored_job = self._find(call, job_id)
         if stored_job is None:
             return self._answer_unknown_job(call, job_id)
@@ -319,10 +323,10 @@
 
         The job of another account does not exist for a caller.
         """
-        if self._follower.fresh_at < call.began - MAX_STATE_AGE_SECONDS and self._may_see(
+        if self._follower.fresh_at < call.received_at - MAX_STATE_AGE_SECONDS and self._may_see(
             call, job_id
         ):
-            return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
+            return answer_unavailable(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         self._journal.tell_frequent(
             Part.JOBS,
             f'a client asked for unknown job {job_id}.',
@@ -332,12 +336,12 @@
         )
         return self._codec.answer_unknown_job()
 
-    async def _answer_waiting_count(self, queue: Queue, began: float) -> Answer:
+    async def _answer_waiting_count(self, queue: Queue, received_at: float) -> Answer:
         """Answer with the number of waiting jobs, unless the latest read is too old."""
         if not await self._follower.wait_fresh(
-            began - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
+            received_at - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
         ):
-            return refuse(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
+            return answer_unavailable(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
         return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
 
     def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
--- a/dandelionreel/cell/clients/_client_call.py
+++ b/dandelionreel/cell/clients/_client_call.py
@@ -33,7 +33,7 @@
     request: Request
     caller: Caller
     zone: str
-    began: float
+    received_at: float
     relayed: bool
 
     @property
@@ -54,7 +54,7 @@
     return answer_problem(Problem(Verdict.NOT_RUN, status, cause, detail, retry_after))
 
 
-def refuse(cause: str, detail: str, retry_after: float = RETRY_AFTER_SECONDS) -> Answer:
+def answer_unavailable(cause: str, detail: str, retry_after: float = RETRY_AFTER_SECONDS) -> Answer:
     """Return the answer that asks a client to retry; a forwarding peer may try another host."""
     answer = answer_not_run(HTTP_UNAVAILABLE, cause, detail, retry_after)
     return Answer(answer.status, (*answer.headers, (CAUSE_HEADER, cause)), answer.body)
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -9,10 +9,10 @@
     RETRY_AFTER_SECONDS,
     STORE_UNAVAILABLE_CAUSE,
     ClientCall,
-    refuse,
+    answer_unavailable,
 )
 from dandelionreel.cell.clients._readiness import Rotation
-from dandelionreel.cell.clients._relay import Relay, Relayed
+from dandelionreel.cell.clients._relay import Relay, RelayResult
 from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.model import ClientCodec, KeyedRecord
 from dandelionreel.cell.owner import Dispatcher
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class _Progress:
+class _WriteAttempts:
     """The attempts so far to store a record."""
 
     attempted_by: str = ''
@@ -43,9 +43,9 @@
     outcomes: list[str] = field(default_factory=list)
 
 
-Attempt = Callable[[float, _Progress], Awaitable[Answer | None]]
+Attempt = Callable[[float, _WriteAttempts], Awaitable[Answer | None]]
 StoreAtOwner = Callable[[Dispatcher, float], Awaitable[WriteOutcome]]
-Forwarder = Callable[[ClientCall, float], Awaitable[Relayed]]
+Forwarder = Callable[[ClientCall, float], Awaitable[RelayResult]]
 #: Logs the outcome of a call, with further fields.
 LogOutcome = Callable[..., None]
 
@@ -87,47 +87,47 @@
         A client may rely on the answer that its request was not accepted. So it is given only when
         no append can have taken place, neither at this host nor at a peer.
         """
-        began = self._clock.monotonic()
-        deadline = began + call.timeout
-        progress = _Progress()
+        started_at = self._clock.monotonic()
+        deadline = started_at + call.timeout
+        attempts = _WriteAttempts()
         for attempt in self._attempts(call, record, store_at_owner):
             remaining = deadline - self._clock.monotonic()
-            if remaining <= 0 or await self._is_host_cut_off(progress):
+            if remaining <= 0 or await self._is_host_cut_off(attempts):
                 break
-            answer = await attempt(remaining, progress)
+            answer = await attempt(remaining, attempts)
             if answer is not None and (
-                answer.status not in RETRYABLE_STATUSES or not progress.in_doubt
+                answer.status not in RETRYABLE_STATUSES or not attempts.in_doubt
             ):
                 log(
-                    f'{answer.status} by {progress.attempted_by}',
+                    f'{answer.status} by {attempts.attempted_by}',
                     **fields,
-                    seconds=round(self._clock.monotonic() - began, 3),
+                    seconds=round(self._clock.monotonic() - started_at, 3),
                 )
                 return answer
         log(
-            'may be stored' if progress.in_doubt else 'not stored',
+            'may be stored' if attempts.in_doubt else 'not stored',
             **fields,
-            seconds=round(self._clock.monotonic() - began, 3),
+            seconds=round(self._clock.monotonic() - started_at, 3),
             store_failing=round(max(0.0, deadline - self._writer.failing_since), 3),
-            tried=progress.outcomes,
+            tried=attempts.outcomes,
         )
-        return self._answer_failed(progress)
+        return self._answer_failed(attempts)
 
-    async def _is_host_cut_off(self, progress: _Progress) -> bool:
+    async def _is_host_cut_off(self, attempts: _WriteAttempts) -> bool:
         """Return whether this host is cut off, so that further attempts are pointless.
 
         The client's few retries are better spent on hosts of another zone.
         """
         if self._partition_detector.cut_off:
             return True
-        return bool(progress.outcomes) and await self._partition_detector.check()
+        return bool(attempts.outcomes) and await self._partition_detector.check()
 
-    def _answer_failed(self, progress: _Progress) -> Answer:
-        if progress.in_doubt:
+    def _answer_failed(self, attempts: _WriteAttempts) -> Answer:
+        if attempts.in_doubt:
             detail = 'what was asked for may have been stored'
             return answer_problem(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
         detail = 'the store takes nothing just now; it was not accepted'
-        return refuse(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
+        return answer_unavailable(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
 
     def _retry_after(self) -> float:
         """Return the seconds after which another host is likely to accept a request.
@@ -157,47 +157,47 @@
         if not store_unreachable and (call.relayed or self._relay.find_zone_writer() is None):
             yield self._by_this_host(record)
         if store_unreachable and not call.relayed:
-            yield self._by_peer(call, self._relay.forward)
+            yield self._by_peer(call, self._relay.forward_to_any_peer)
 
     def _by_owner(self, dispatcher: Dispatcher, store_at_owner: StoreAtOwner) -> Attempt:
-        async def by_owner(remaining: float, progress: _Progress) -> Answer | None:
-            progress.attempted_by = 'the owner'
+        async def by_owner(remaining: float, attempts: _WriteAttempts) -> Answer | None:
+            attempts.attempted_by = 'the owner'
             if dispatcher.store_is_failing:
-                progress.outcomes.append('the owner: its store is failing')
+                attempts.outcomes.append('the owner: its store is failing')
                 return None
             return self._note_outcome(
-                await store_at_owner(dispatcher, min(remaining, APPEND_TIMEOUT_SECONDS)), progress
+                await store_at_owner(dispatcher, min(remaining, APPEND_TIMEOUT_SECONDS)), attempts
             )
 
         return by_owner
 
     def _by_this_host(self, record: KeyedRecord) -> Attempt:
-        async def by_this_host(remaining: float, progress: _Progress) -> Answer | None:
-            progress.attempted_by = 'this host'
+        async def by_this_host(remaining: float, attempts: _WriteAttempts) -> Answer | None:
+            attempts.attempted_by = 'this host'
             outcome = await self._writer.write([record], min(remaining, APPEND_TIMEOUT_SECONDS))
-            return self._note_outcome(outcome, progress)
+            return self._note_outcome(outcome, attempts)
 
         return by_this_host
 
     def _by_peer(self, call: ClientCall, forward: Forwarder) -> Attempt:
-        async def by_peer(remaining: float, progress: _Progress) -> Answer | None:
-            progress.attempted_by = 'a peer'
+        async def by_peer(remaining: float, attempts: _WriteAttempts) -> Answer | None:
+            attempts.attempted_by = 'a peer'
             forwarded = await forward(call, remaining)
-            progress.in_doubt = progress.in_doubt or forwarded.in_doubt
+            attempts.in_doubt = attempts.in_doubt or forwarded.in_doubt
             status: Any = forwarded.answer.status if forwarded.answer else 'none could act'
-            progress.outcomes.append(
+            attempts.outcomes.append(
                 f'a peer: {"may have acted" if forwarded.in_doubt else status}'
             )
             return forwarded.answer
 
         return by_peer
 
-    def _note_outcome(self, outcome: WriteOutcome, progress: _Progress) -> Answer | None:
+    def _note_outcome(self, outcome: WriteOutcome, attempts: _WriteAttempts) -> Answer | None:
         """Return the answer if the record was stored, else record the outcome."""
         if outcome is WriteOutcome.STORED:
             return self._codec.answer_accepted()
-        progress.in_doubt = progress.in_doubt or outcome is not WriteOutcome.REFUSED
-        progress.outcomes.append(f'{progress.attempted_by}: {outcome.value}')
+        attempts.in_doubt = attempts.in_doubt or outcome is not WriteOutcome.REFUSED
+        attempts.outcomes.append(f'{attempts.attempted_by}: {outcome.value}')
         return None
 
     def _is_store_unreachable(self, now: float) -> bool:
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -86,7 +86,7 @@
             or not self._partition_detector.may_serve_reads
         ):
             return False
-        self._completions.note_zone_completions([job])
+        self._completions.add_zone_completions([job])
         self._journal.tell_frequent(
             Part.JOBS,
             'shown as complete inside a partition.',
@@ -150,7 +150,7 @@
         for host in self._zone_hosts()[:MAX_PEERS_TOLD]:
             member = self._cell_state.member_by_host[host]
             try:
-                frame = await self._links.ask(member, CompletionsSeen((job,)), ANSWER_TIMEOUT)
+                frame = await self._links.request(member, CompletionsSeen((job,)), ANSWER_TIMEOUT)
             except PeerError:
                 continue
             if isinstance(frame.message, Done):
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Relayed:
+class RelayResult:
     """A peer's answer, and whether a peer without an answer may have acted."""
 
     answer: Answer | None
@@ -67,20 +67,20 @@
         self._backoff_until_by_host: dict[str, float] = {}
         self._backoff_seconds_by_host: dict[str, float] = {}
 
-    async def forward_to_owner(self, call: ClientCall, timeout: float) -> Relayed:
+    async def forward_to_owner(self, call: ClientCall, timeout: float) -> RelayResult:
         """Return the answer of the cell's owner."""
         owner = self._cell_state.owner
         if owner is None or owner.host == self._me or owner.released:
-            return Relayed(None)
-        return await self._forward([owner.host], call, timeout)
+            return RelayResult(None)
+        return await self._forward_to_first([owner.host], call, timeout)
 
-    async def forward_to_zone_writer(self, call: ClientCall, timeout: float) -> Relayed:
+    async def forward_to_zone_writer(self, call: ClientCall, timeout: float) -> RelayResult:
         """Return the answer of the host that writes for this one, if another host does."""
         zone_writer = self.find_zone_writer()
         return (
-            Relayed(None)
+            RelayResult(None)
             if zone_writer is None
-            else await self._forward([zone_writer], call, timeout)
+            else await self._forward_to_first([zone_writer], call, timeout)
         )
 
     def find_zone_writer(self) -> str | None:
@@ -89,13 +89,15 @@
         excluded = {host for host, until in self._backoff_until_by_host.items() if until > now}
         return find_zone_writer(self._cell_state.member_by_host, self._me, excluded)
 
-    async def forward(self, call: ClientCall, timeout: float) -> Relayed:
+    async def forward_to_any_peer(self, call: ClientCall, timeout: float) -> RelayResult:
         """Return the first final answer of any peer, tried in random order."""
         hosts = [host for host in self._cell_state.member_by_host if host != self._me]
         random.shuffle(hosts)
-        return await self._forward(hosts, call, timeout)
+        return await self._forward_to_first(hosts, call, timeout)
 
-    async def _forward(self, hosts: list[str], call: ClientCall, timeout: float) -> Relayed:
+    async def _forward_to_first(
+        self, hosts: list[str], call: ClientCall, timeout: float
+    ) -> RelayResult:
         deadline = self._clock.monotonic() + timeout
         in_doubt = False
         for host, member in self._eligible_peers(hosts):
@@ -109,8 +111,8 @@
             relayed = await self._forward_to_peer(host, member, call, remaining)
             in_doubt = in_doubt or relayed.in_doubt
             if relayed.answer is not None:
-                return Relayed(relayed.answer, in_doubt)
-        return Relayed(None, in_doubt)
+                return RelayResult(relayed.answer, in_doubt)
+        return RelayResult(None, in_doubt)
 
     async def _forward_to_peer(
         self,
@@ -118,26 +120,26 @@
         member: Member,
         call: ClientCall,
         timeout: float,
-    ) -> Relayed:
+    ) -> RelayResult:
         forward = Forward(_strip_key(call.request), timeout, 1, call.caller)
         try:
-            frame = await self._links.ask(member, forward, timeout)
+            frame = await self._links.request(member, forward, timeout)
         except PeerError as error:
             # A read of a job's state has so short a timeout that a busy owner misses it now and
             # then, which is no reason to send submissions elsewhere.
             if timeout > OWNER_QUERY_TIMEOUT:
                 self._avoid(host, f'{error}', self._increase_backoff(host))
-            return Relayed(None, error.verdict is not Verdict.NOT_RUN)
+            return RelayResult(None, error.verdict is not Verdict.NOT_RUN)
         self._backoff_seconds_by_host.pop(host, None)
         reply = frame.message
         if not isinstance(reply, ForwardAnswer) or reply.no_room:
             self._avoid(host, 'the store does not serve it either', PEER_BACKOFF_SECONDS)
-            return Relayed(None)
+            return RelayResult(None)
         if reply.answer.status in FINAL_STATUSES:
-            return Relayed(reply.answer)
+            return RelayResult(reply.answer)
         # The peer's configuration may be older, or the outcome of its append may be unknown:
         # neither is an answer for the client.
-        return Relayed(None, reply.answer.status == HTTP_TIMEOUT)
+        return RelayResult(None, reply.answer.status == HTTP_TIMEOUT)
 
     async def _can_act(self, host: str, member: Member) -> bool:
         """Query whether a peer can act before sending it a request that is not idempotent.
@@ -148,7 +150,7 @@
         owner = self._cell_state.owner
         term = owner.term if owner is not None and owner.host == host else ''
         try:
-            frame = await self._links.ask(member, OwnerAsked(term), OWNER_QUERY_TIMEOUT)
+            frame = await self._links.request(member, OwnerAsked(term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
             self._avoid(host, f'{error}', self._increase_backoff(host))
             if term:
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -2,13 +2,13 @@
 
 from dandelionreel.cell.membership._advisors import AdvicePool, LocalAdvisor, PeerLinks
 from dandelionreel.cell.membership._claim_order import (
-    SUCCESSORS,
+    SUCCESSOR_COUNT,
     find_zone_writer,
     follows_runner_list,
     larger_hosts,
     rank_hosts,
 )
-from dandelionreel.cell.membership._completion_answers import CompletionAnswers
+from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
 from dandelionreel.cell.membership._completion_reports import CompletionReports
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._configuration_exchange import ConfigurationExchange
@@ -28,7 +28,7 @@
     'AUTHORITY_SECONDS',
     'AdvicePool',
     'HEARTBEAT_SECONDS',
-    'CompletionAnswers',
+    'CompletionMessageHandler',
     'CompletionReports',
     'Completions',
     'ConfigurationExchange',
@@ -37,7 +37,7 @@
     'LocalAdvisor',
     'OwnerWatch',
     'PeerLinks',
-    'SUCCESSORS',
+    'SUCCESSOR_COUNT',
     'Term',
     'find_zone_writer',
     'follows_runner_list',
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -50,14 +50,14 @@
         self._traffic = TrafficCounter()
         self._link_by_address: dict[tuple[str, int], PeerLink] = {}
 
-    async def ask(self, member: Member, message: Message, timeout: float) -> Frame:
+    async def request(self, member: Member, message: Message, timeout: float) -> Frame:
         """Send a message to a member and return its reply; raises ``PeerError``."""
         address = (member.address, member.port)
         link = self._link_by_address.get(address)
         if link is None:
             link = PeerLink(*address, self._me, self._clock, self._peer_clocks, self._traffic)
             self._link_by_address[address] = link
-        return await link.ask(message, timeout)
+        return await link.request(message, timeout)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -77,12 +77,12 @@
         message: Any = frame.message
         step = StepName(message.job, message.occurrence, message.step)
         try:
-            permits = await self.ask(step, message.runners, message.patience)
+            permits = await self.request(step, message.runners, message.patience)
         except AdviceError:
             return AdviceGiven(answered=False)
         return AdviceGiven(True, tuple((permit.runner, permit.ticket) for permit in permits))
 
-    async def ask(
+    async def request(
         self,
         step: StepName,
         runners: tuple[str, ...],
@@ -91,7 +91,7 @@
         """Return the permits for a step on some of ``runners``; raises ``AdviceError``."""
         if self._service is None:
             raise AdviceError('no policy service is configured')
-        return await self._service.ask(step, runners, timeout)
+        return await self._service.request_permits(step, runners, timeout)
 
 
 class AdvicePool:
@@ -135,7 +135,7 @@
         waiting = sum(priority > 0 for priority, _, _ in self._waiting)
         return self._max_non_urgent() - len(self._non_urgent_hosts) - waiting
 
-    async def ask(self, request: AdviceRequest) -> None:
+    async def submit(self, request: AdviceRequest) -> None:
         """Queue a request; it is sent as soon as a host is free."""
         heapq.heappush(self._waiting, (request.priority, next(self._sequence), request))
         await self._send_waiting()
@@ -198,12 +198,12 @@
     ) -> tuple[Permit, ...]:
         step = request.step
         if host == self._me:
-            return await self._local.ask(step, request.runners, timeout)
+            return await self._local.request(step, request.runners, timeout)
         query = AdviceWanted(step.job, step.occurrence, step.step, request.runners, timeout)
         member = self._members().get(host)
         if member is None:
             raise AdviceError('the host is no longer a member')
-        frame = await self._links.ask(member, query, timeout + TIMEOUT_MARGIN_SECONDS)
+        frame = await self._links.request(member, query, timeout + TIMEOUT_MARGIN_SECONDS)
         reply = frame.message
         if not isinstance(reply, AdviceGiven) or not reply.answered:
             raise AdviceError('the peer got no advice')
--- a/dandelionreel/cell/membership/_claim_order.py
+++ b/dandelionreel/cell/membership/_claim_order.py
@@ -20,9 +20,9 @@
 SMALL_HOST_DELAY_SECONDS = 0.5
 #: The first hosts in the claim order, which follow the runner list to be ready to take over. If
 #: every host read the runners' heartbeats, they would use much of the store's read capacity.
-SUCCESSORS = 9
+SUCCESSOR_COUNT = 9
 #: Hosts of each zone that follow the runner list, to answer for its runners during a partition.
-REPLICAS_PER_ZONE = 2
+FOLLOWERS_PER_ZONE = 2
 
 
 def rank_hosts(member_by_host: Mapping[str, Member]) -> list[str]:
@@ -40,7 +40,7 @@
 
 def is_successor(member_by_host: Mapping[str, Member], me: str) -> bool:
     """Return whether ``me`` is one of the first hosts to claim, or is not a member yet."""
-    return me not in member_by_host or me in rank_hosts(member_by_host)[:SUCCESSORS]
+    return me not in member_by_host or me in rank_hosts(member_by_host)[:SUCCESSOR_COUNT]
 
 
 def follows_runner_list(member_by_host: Mapping[str, Member], me: str) -> bool:
@@ -51,7 +51,7 @@
     same_zone = [
         host for host in rank_hosts(member_by_host) if _is_same_zone(member_by_host, host, own)
     ]
-    return me in same_zone[:REPLICAS_PER_ZONE]
+    return me in same_zone[:FOLLOWERS_PER_ZONE]
 
 
 def _is_same_zone(member_by_host: Mapping[str, Member], host: str, own: Member) -> bool:
--- a/dandelionreel/cell/membership/_completion_answers.py
+++ b/dandelionreel/cell/membership/_completion_handler.py
@@ -11,7 +11,7 @@
 CompleteAtOwner = Callable[[tuple[str, ...]], Awaitable[bool]]
 
 
-class CompletionAnswers:
+class CompletionMessageHandler:
     """Accepts reports of completed jobs from peers that are entitled to make them."""
 
     def __init__(
@@ -27,8 +27,8 @@
 
     async def merge_completions(self, frame: Frame) -> Message:
         """Add jobs that an owner reports as complete, unless a later owner has sent a query."""
-        told: Any = frame.message
-        if self._completions.merge(told.epoch, told.jobs):
+        report: Any = frame.message
+        if self._completions.merge(report.epoch, report.jobs):
             return Done()
         return Refused('a later owner has asked')
 
@@ -39,10 +39,10 @@
         queried any other host and would not learn of them. An owner inside the same partition
         keeps them as well, since a later owner will query it.
         """
-        seen: Any = frame.message
-        completed = await self._complete_at_owner(seen.jobs)
+        report: Any = frame.message
+        completed = await self._complete_at_owner(report.jobs)
         if self._partition_detector.may_serve_reads:
-            self._completions.note_zone_completions(seen.jobs)
+            self._completions.add_zone_completions(report.jobs)
             return Done()
         return Done() if completed else Refused('is not cut off')
 
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -59,9 +59,9 @@
         owner = self._find_owner()
         if not jobs or owner is None:
             return
-        self._completions.note_reports(jobs)
+        self._completions.mark_reported(jobs)
         try:
-            frame = await self._links.ask(owner, CompletionsSeen(jobs), ANSWER_TIMEOUT)
+            frame = await self._links.request(owner, CompletionsSeen(jobs), ANSWER_TIMEOUT)
         except PeerError:
             # The partition may persist, which the partition detector logs.
             return
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -12,7 +12,7 @@
 
 #: Number of jobs that are kept, and for how many seconds: several times the longest time for
 #: which an owner keeps acting without the store.
-MAX_KEPT = 20_000
+MAX_KEPT_JOBS = 20_000
 KEPT_SECONDS = 60.0
 
 
@@ -22,7 +22,7 @@
     def __init__(self, clock: Clock) -> None:
         """Start with no jobs."""
         self._clock = clock
-        self._noted_at_by_job: dict[str, float] = {}
+        self._added_at_by_job: dict[str, float] = {}
         #: Jobs that were found complete inside a partition and have to be reported to the owner,
         #: with the time of the latest report.
         self._reported_at_by_job: dict[str, float] = {}
@@ -33,23 +33,23 @@
 
     def contains(self, job: str) -> bool:
         """Return whether the job is known to be complete."""
-        return job in self._noted_at_by_job
+        return job in self._added_at_by_job
 
-    def note(self, jobs: Iterable[str]) -> None:
+    def add(self, jobs: Iterable[str]) -> None:
         """Add completed jobs, and drop old ones, which must be in the store by now."""
         now = self._clock.monotonic()
         for job in jobs:
-            self._noted_at_by_job.setdefault(job, now)
-        excess = len(self._noted_at_by_job) - MAX_KEPT
-        for position, (job, noted_at) in enumerate(tuple(self._noted_at_by_job.items())):
-            if position >= excess and now - noted_at < KEPT_SECONDS:
+            self._added_at_by_job.setdefault(job, now)
+        excess = len(self._added_at_by_job) - MAX_KEPT_JOBS
+        for position, (job, added_at) in enumerate(tuple(self._added_at_by_job.items())):
+            if position >= excess and now - added_at < KEPT_SECONDS:
                 break
-            self._noted_at_by_job.pop(job)
+            self._added_at_by_job.pop(job)
 
-    def note_zone_completions(self, jobs: Iterable[str]) -> None:
+    def add_zone_completions(self, jobs: Iterable[str]) -> None:
         """Add jobs that the runners of this zone list as done while it is partitioned."""
         seen = tuple(jobs)
-        self.note(seen)
+        self.add(seen)
         for job in seen:
             self._reported_at_by_job.setdefault(job, float('-inf'))
 
@@ -58,14 +58,14 @@
         """Return the jobs that the owner may not know to be complete."""
         return tuple(self._reported_at_by_job)
 
-    def due_reports(self, repeat: float) -> tuple[str, ...]:
+    def due_reports(self, interval: float) -> tuple[str, ...]:
         """Return the jobs that have not been reported for ``repeat`` seconds."""
-        latest = self._clock.monotonic() - repeat
+        latest = self._clock.monotonic() - interval
         return tuple(
             job for job, reported_at in self._reported_at_by_job.items() if reported_at <= latest
         )
 
-    def note_reports(self, jobs: Iterable[str]) -> None:
+    def mark_reported(self, jobs: Iterable[str]) -> None:
         """Note that jobs are being reported now."""
         for job in jobs:
             self._reported_at_by_job[job] = self._clock.monotonic()
@@ -83,7 +83,7 @@
         """
         if epoch < self._min_epoch:
             return False
-        self.note(jobs)
+        self.add(jobs)
         return True
 
     def answer(self, epoch: int) -> tuple[str, ...]:
@@ -91,4 +91,4 @@
         self._min_epoch = max(self._min_epoch, epoch)
         self.query_count += 1
         self.queried_at = self._clock.monotonic()
-        return tuple(self._noted_at_by_job)
+        return tuple(self._added_at_by_job)
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -129,7 +129,7 @@
         queried_at = self._clock.monotonic()
         query = ConfigurationWanted(self._projection.version)
         try:
-            frame = await self._links.ask(member, query, ANSWER_TIMEOUT)
+            frame = await self._links.request(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
             self._journal.tell_frequent(
                 Part.PEERS,
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -68,7 +68,7 @@
 #: for the same append.
 SEQUENCE_RANGE = 1_000_000_000
 
-AskPeer = Callable[[Member, Message, float], Awaitable[Frame]]
+QueryPeer = Callable[[Member, Message, float], Awaitable[Frame]]
 
 
 class Vacancy(enum.Enum):
@@ -130,14 +130,14 @@
         follower: Follower,
         projection: CellProjection,
         incarnation: str,
-        ask_peer: AskPeer,
+        query_peer: QueryPeer,
         clock: Clock,
         journal: Journal,
     ) -> None:
         """Claim as ``incarnation``; query owners without heartbeats by ``ask_peer``."""
         self.incarnation = incarnation
         self._host = incarnation.partition('/')[0]
-        self._ask_peer = ask_peer
+        self._query_peer = query_peer
         self._topic = topic
         self._follower = follower
         self._projection = projection
@@ -177,7 +177,7 @@
         owner = self._projection.state.owner
         return owner is not None and owner.term == term.term
 
-    def suspect(self, term: str) -> None:
+    def suspect_owner(self, term: str) -> None:
         """Treat the owner with that term as dead before its heartbeats are missing."""
         self._suspected_term = term
         self._suspected_until = self._clock.monotonic() + SUSPECTED_SECONDS
@@ -202,7 +202,7 @@
         """Handle an owner's request for a successor because the store does not serve it."""
         failing: Any = frame.message
         self._journal.tell(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
-        self.suspect(failing.term)
+        self.suspect_owner(failing.term)
         return Done()
 
     def may_hand_over(self) -> bool:
@@ -305,7 +305,7 @@
         if owner is None or member is None or silent > MAX_EXCUSED_SILENCE_SECONDS:
             return False
         try:
-            frame = await self._ask_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
+            frame = await self._query_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
             self._journal.tell(
                 Part.OWNERSHIP, f'{owner.host} did not reply to an ownership query: {error}.'
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -106,7 +106,7 @@
     async def _query_host(self, member: Member, queried_at: float) -> None:
         try:
             # Any reply shows that the zone is reachable; what it says does not matter.
-            await self._links.ask(member, OwnerAsked(''), ANSWER_TIMEOUT)
+            await self._links.request(member, OwnerAsked(''), ANSWER_TIMEOUT)
         except PeerError:
             self._zone_contact.note_miss(member.zone, queried_at)
             return
--- a/dandelionreel/cell/membership/_zone_contact.py
+++ b/dandelionreel/cell/membership/_zone_contact.py
@@ -29,9 +29,9 @@
         """Record that a host of a zone has replied."""
         self._answered_at_by_zone[zone] = now
 
-    def note_miss(self, zone: str, asked_at: float) -> None:
+    def note_miss(self, zone: str, queried_at: float) -> None:
         """Record that a query to a host of a zone, sent at ``asked_at``, got no reply."""
-        self._missed_at_by_zone[zone] = asked_at
+        self._missed_at_by_zone[zone] = queried_at
 
     def is_silent(self, zone: str, now: float) -> bool:
         """Return whether no host of a zone has replied since the latest unanswered query."""
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -269,7 +269,7 @@
     """Client of the policy service, which decides which runners may run a step."""
 
     @abc.abstractmethod
-    async def ask(
+    async def request_permits(
         self,
         step: StepName,
         runners: Sequence[str],
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from dandelionreel.cell.membership import SUCCESSORS, Completions, PeerLinks, rank_hosts
+from dandelionreel.cell.membership import SUCCESSOR_COUNT, Completions, PeerLinks, rank_hosts
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.store import CellState
@@ -80,7 +80,7 @@
     def _successors(self) -> list[tuple[str, Member]]:
         """Return the hosts that are next in line to own the cell."""
         members = self._cell_state.member_by_host
-        first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSORS]
+        first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSOR_COUNT]
         return [(host, members[host]) for host in first]
 
     async def _announce(self, jobs: tuple[str, ...]) -> None:
@@ -91,7 +91,7 @@
 
     async def _announce_to(self, host: str, member: Member, message: CompletionsTold) -> None:
         try:
-            frame = await self._links.ask(member, message, ANSWER_TIMEOUT)
+            frame = await self._links.request(member, message, ANSWER_TIMEOUT)
         except PeerError:
             # The jobs are shown once the store answers; silent peers are logged elsewhere.
             return
@@ -100,7 +100,7 @@
 
     def _publish(self, host: str, jobs: Iterable[str]) -> None:
         new_jobs = [job for job in jobs if not self._completions.contains(job)]
-        self._completions.note(new_jobs)
+        self._completions.add(new_jobs)
         if new_jobs:
             self._owner_context.journal.tell_frequent(
                 Part.JOBS,
@@ -117,7 +117,7 @@
     async def _query_peer(self, host: str, member: Member) -> bool:
         query = CompletionsWanted(self._owner_context.term.epoch)
         try:
-            frame = await self._links.ask(member, query, ANSWER_TIMEOUT)
+            frame = await self._links.request(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
             self._owner_context.journal.tell(
                 Part.OWNERSHIP, f'{host} has not reported its completed jobs: {error}.'
@@ -126,7 +126,7 @@
         reply = frame.message
         if not isinstance(reply, CompletionsTold):
             return False
-        self._completions.note(reply.jobs)
+        self._completions.add(reply.jobs)
         completed = self._owner_context.cell.mark_complete(reply.jobs)
         if completed:
             self._owner_context.journal.tell(
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -60,7 +60,7 @@
             self.cell,
             parts.topic,
             parts.make_runner,
-            parts.longest_lease,
+            parts.max_lease,
             parts.clock,
             parts.journal,
             parts.get_runner_list_age,
@@ -371,7 +371,7 @@
         self._log_quota_blocked(plan)
         await self._order_sender.send_starts(plan.starts)
         for request in plan.advice_requests:
-            await self._pool.ask(request)
+            await self._pool.submit(request)
         elapsed = self._clock.monotonic() - started_at
         await curio.sleep(max(MIN_PLAN_PAUSE_SECONDS, PLAN_PAUSE_FACTOR * elapsed))
 
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -58,7 +58,7 @@
         cell: Cell,
         topic: Topic,
         make_runner: MakeRunner,
-        longest_lease: float,
+        max_lease: float,
         clock: Clock,
         journal: Journal,
         get_runner_list_age: GetRunnerListAge = always_fresh,
@@ -71,7 +71,7 @@
         self.cell = cell
         self.clock = clock
         self.journal = journal
-        self.lease = min(LEASE_SECONDS, longest_lease)
+        self.lease = min(LEASE_SECONDS, max_lease)
         self.writer = GroupWriter(topic, clock, journal, term.fence)
         claimed_at = term.claimed_at
         self.writer.stored_at = clock.monotonic() if claimed_at is None else claimed_at
--- a/dandelionreel/cell/owner/_parts.py
+++ b/dandelionreel/cell/owner/_parts.py
@@ -32,7 +32,7 @@
     journal: Journal
     host: str
     gang_timeout: float
-    longest_lease: float
-    status_kept: float
+    max_lease: float
+    status_retention: float
     #: Returns the age of the local copy of the runner list, in seconds.
     get_runner_list_age: GetRunnerListAge = always_fresh
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -209,7 +209,7 @@
         if now < self._last_drop_at + DROP_CHECK_SECONDS:
             return
         self._last_drop_at = now
-        oldest = self._clock.wall() - self._parts.status_kept * 2
+        oldest = self._clock.wall() - self._parts.status_retention * 2
         records: list[KeyedRecord] = []
         for job_id in self._parts.jobs.state.jobs_ended_before(oldest):
             records.extend(
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -126,7 +126,7 @@
         Right after a partition it has not read the runner list yet and could start no tasks.
         """
         try:
-            frame = await self._links.ask(member, OwnerAsked(''), READY_TIMEOUT)
+            frame = await self._links.request(member, OwnerAsked(''), READY_TIMEOUT)
         except PeerError as error:
             cause = f'{error}'
         else:
@@ -141,7 +141,7 @@
     async def _send_takeover_request(self, member: Member) -> bool:
         """Ask a host to take over; return whether it acknowledged. A claim shows in the store."""
         try:
-            frame = await self._links.ask(
+            frame = await self._links.request(
                 member, OwnerFailing(self._owner_context.term.term), REQUEST_RETRY_SECONDS
             )
         except PeerError:
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -131,7 +131,7 @@
 
     async def _query_contracts(self, state: PeerState) -> None:
         try:
-            frame = await state.link.ask(ContractsWanted(), QUERY_TIMEOUT_SECONDS)
+            frame = await state.link.request(ContractsWanted(), QUERY_TIMEOUT_SECONDS)
         except PeerError:
             return
         if not isinstance(frame.message, ContractState):
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -10,7 +10,7 @@
 
 from dandelionreel.cell.clients import PartitionReads, Relay
 from dandelionreel.cell.membership import (
-    CompletionAnswers,
+    CompletionMessageHandler,
     CompletionReports,
     Completions,
     ConfigurationExchange,
@@ -100,7 +100,7 @@
             self._reads.cell_follower,
             self._cell_projection,
             incarnation,
-            self._peer_links.ask,
+            self._peer_links.request,
             self._clock,
             self._journal,
         )
@@ -243,7 +243,7 @@
             self._client_api,
             self._election,
             self._advisor,
-            CompletionAnswers(
+            CompletionMessageHandler(
                 self._completions, self._partition_detector, self._accept_completions
             ),
             self._configuration_exchange,
@@ -306,8 +306,8 @@
             journal=self._journal,
             host=settings.host,
             gang_timeout=settings.gang_timeout,
-            longest_lease=settings.max_lease,
-            status_kept=settings.status_retention,
+            max_lease=settings.max_lease,
+            status_retention=settings.status_retention,
             get_runner_list_age=lambda: self._reads.runners_follower.age(self._clock.monotonic()),
         )
         while True:
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.cell.clients import ClientApi
 from dandelionreel.cell.membership import (
-    CompletionAnswers,
+    CompletionMessageHandler,
     ConfigurationExchange,
     Election,
     LocalAdvisor,
@@ -37,7 +37,7 @@
     front: ClientApi,
     election: Election,
     advisor: LocalAdvisor,
-    completions: CompletionAnswers,
+    completions: CompletionMessageHandler,
     exchange: ConfigurationExchange,
     answer_owner_query: OwnerQueryHandler,
     clock: Clock,
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -64,7 +64,7 @@
             return await self._fleet.place(order)
         timeout = self._settings.timings.start_deadline * 2
         try:
-            frame = await self._directory.ask(owner, order, timeout)
+            frame = await self._directory.request(owner, order, timeout)
         except PeerError as error:
             outcome = REFUSED if error.verdict is Verdict.NOT_RUN else UNKNOWN
             return PlaceAnswer(outcome, f'{owner}: {error}')
@@ -81,7 +81,7 @@
         if owner == self._member:
             return await self._fleet.act(order)
         try:
-            frame = await self._directory.ask(
+            frame = await self._directory.request(
                 owner,
                 order,
                 self._settings.timings.start_deadline * 2,
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -214,7 +214,7 @@
         asked_at = self._clock.monotonic()
         request = Heartbeat(self._zone, self._gossip_source(same_zone))
         try:
-            frame = await state.link.ask(request, self._settings.timings.authority / 2)
+            frame = await state.link.request(request, self._settings.timings.authority / 2)
         except PeerError as error:
             if error.refused:
                 self._note_refused(state, live_before)
--- a/dandelionreel/peers/_directory.py
+++ b/dandelionreel/peers/_directory.py
@@ -118,9 +118,9 @@
             if state.member and state.heard_at >= since
         )
 
-    async def ask(self, member: str, message: Message, timeout: float) -> Frame:
+    async def request(self, member: str, message: Message, timeout: float) -> Frame:
         """Send a message to the host of ``member``; return its answer or raise ``PeerError``."""
         state = self.get_by_member(member)
         if state is None:
             raise PeerError('unknown peer', Verdict.NOT_RUN)
-        return await state.link.ask(message, timeout)
+        return await state.link.request(message, timeout)
--- a/dandelionreel/peers/_link.py
+++ b/dandelionreel/peers/_link.py
@@ -83,7 +83,7 @@
         #: "host/incarnation" of the daemon that answers at the address, once known.
         self.peer = ''
 
-    async def ask(self, message: Message, timeout: float) -> Frame:
+    async def request(self, message: Message, timeout: float) -> Frame:
         """Send a message and return the answering frame; raises ``PeerError``."""
         pending = _PendingExchange()
         exchange = self._next_exchange
--- a/dandelionreel/platform/_advice.py
+++ b/dandelionreel/platform/_advice.py
@@ -35,7 +35,7 @@
         """Create a client of the service at this address."""
         self._channel = Channel(service.host, service.port, 'advice')
 
-    async def ask(
+    async def request_permits(
         self,
         step: StepName,
         runners: Sequence[str],
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -377,7 +377,7 @@
             peer=state.member,
         )
         message = Forward(call.request, remaining, hops)
-        frame = await state.link.ask(message, max(remaining, ANSWER_MARGIN_SECONDS))
+        frame = await state.link.request(message, max(remaining, ANSWER_MARGIN_SECONDS))
         answer = frame.message
         if not isinstance(answer, ForwardAnswer):
             raise PeerError('not an answer', Verdict.UNKNOWN)
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -234,7 +234,7 @@
             unrenewed_seconds, self._peer_clocks.get_last(dispatcher), target.epoch
         )
         try:
-            frame = await self._directory.ask(dispatcher, report, REPORT_TIMEOUT_SECONDS)
+            frame = await self._directory.request(dispatcher, report, REPORT_TIMEOUT_SECONDS)
         except PeerError:
             return False
         return isinstance(frame.message, Done)
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -51,7 +51,7 @@
     partition_detector=None,
     rotation=None,
     clock=None,
-    longest_age=None,
+    max_age=None,
 ):
     """Return the client API of a host in the zone north."""
     clock = clock or SystemClock()
@@ -62,7 +62,7 @@
         'north',
         codec,
         configuration,
-        AccessControl(configuration, exchange or SureExchange(), longest_age),
+        AccessControl(configuration, exchange or SureExchange(), max_age),
         jobs,
         follower,
         ClientWrites(
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -88,7 +88,7 @@
         self.given = given
         self.query_count = 0
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         assert isinstance(message, ConfigurationWanted), message
         self.query_count += 1
         if self.given is None:
@@ -125,7 +125,7 @@
     return projection
 
 
-def build_api(context, accounts, version=5, longest_age=None):
+def build_api(context, accounts, version=5, max_age=None):
     context.lines = LogCapture()
     context.journal = Journal(context.lines, 'me')
     context.journal.open()
@@ -136,10 +136,10 @@
     context.exchange = make_exchange(
         context, context.projection, ConfigurationGiven(version, b'', True), 0.1
     )
-    rebuild_api(context, longest_age)
+    rebuild_api(context, max_age)
 
 
-def rebuild_api(context, longest_age=None):
+def rebuild_api(context, max_age=None):
     clock = ManualClock(NOW)
     relay = Relay('me', context.jobs.state, context.links, clock, context.journal)
     context.front = make_client_api(
@@ -150,7 +150,7 @@
         relay,
         exchange=context.exchange,
         clock=clock,
-        longest_age=longest_age,
+        max_age=max_age,
     )
 
 
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -100,8 +100,8 @@
         )
         policy = AdvicePolicy(0.2, 0.0, 2.0)
         for number in range(10):
-            await pool.ask(AdviceRequest(StepName(f'p{number}', 0, 0), ('r1',), 1, policy))
-        await pool.ask(AdviceRequest(StepName('last', 0, 0), ('r1',), priority, policy))
+            await pool.submit(AdviceRequest(StepName(f'p{number}', 0, 0), ('r1',), 1, policy))
+        await pool.submit(AdviceRequest(StepName('last', 0, 0), ('r1',), priority, policy))
         # Each request that has a free host has reached it once all tasks have run.
         await curio.sleep(0)
         await curio.sleep(0)
@@ -125,7 +125,7 @@
     def __init__(self):
         self.jobs = []
 
-    async def ask(self, step_or_host, request_message, timeout):
+    async def request(self, step_or_host, request_message, timeout):
         self.jobs.append(
             step_or_host.job if isinstance(step_or_host, StepName) else request_message.job
         )
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -6,7 +6,7 @@
 from dandelionreel.cell.clients._partition_reads import PartitionReads
 from dandelionreel.cell.decisions._completeness import is_complete
 from dandelionreel.cell.membership._claim_order import follows_runner_list
-from dandelionreel.cell.membership._completion_answers import CompletionAnswers
+from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
 from dandelionreel.cell.membership._completion_reports import CompletionReports
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, RunnerView, Submission
@@ -109,7 +109,7 @@
         self._accepts = cut_off
         self._meanwhile = meanwhile
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Accept the report if the other host is cut off as well."""
         assert message == CompletionsSeen((JOB,)), message
         self._meanwhile()
@@ -170,11 +170,11 @@
 
 @when('{count:d} clients ask for the job within 0.1 s')
 def many_ask(context, count):
-    async def ask():
+    async def ask_many():
         tasks = [await curio.spawn(context.partition_reads.is_complete, JOB) for _ in range(count)]
-        return [await asked.join() for asked in tasks]
+        return [await asking.join() for asking in tasks]
 
-    assert curio.run(ask) == [True] * count
+    assert curio.run(ask_many) == [True] * count
 
 
 @then('inside the partition it is told {state}')
@@ -198,11 +198,11 @@
 
     def __init__(self, known):
         self._known = known
-        self.asked = 0
+        self.request_count = 0
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Reply for the first host, if it knows something."""
-        self.asked += 1
+        self.request_count += 1
         if self._known is None or member.port != 0:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
         return Frame(1, 'peer', 0, 0, CompletionsTold(message.epoch, self._known))
@@ -275,8 +275,8 @@
 
 
 @then('{count:d} queries were sent to the zone')
-def zone_questions(context, count):
-    assert context.zone.asked == count, context.zone.asked
+def zone_query_count(context, count):
+    assert context.zone.request_count == count, context.zone.request_count
 
 
 @given('{count:d} hosts in north and {smaller:d} smaller ones in south')
@@ -299,7 +299,7 @@
         self._answers = answers
         self.reports = 0
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Accept the report or time out."""
         assert message == CompletionsSeen((JOB,)), message
         assert member.port == 9, member
@@ -312,12 +312,12 @@
 @when("the partition heals, the owner {answers}, and the store {shows} the job's end")
 def cut_heals(context, answers, shows):
     owner = {'is not known': None, 'is the host itself': 'me'}.get(answers, 'owner')
-    facts = [make_record(f'{MEMBER_PREFIX}owner', Member('north', '127.0.0.1', 9))]
+    records = [make_record(f'{MEMBER_PREFIX}owner', Member('north', '127.0.0.1', 9))]
     if owner is not None:
-        facts.append(make_record(OWNER_KEY, Owner(2, owner, f'{owner}/1')))
+        records.append(make_record(OWNER_KEY, Owner(2, owner, f'{owner}/1')))
     if shows == 'already shows':
-        facts.append(make_record(PROGRESS_PREFIX + JOB, Progress(2, JobState.COMPLETED)))
-    context.cell_state.fold(facts)
+        records.append(make_record(PROGRESS_PREFIX + JOB, Progress(2, JobState.COMPLETED)))
+    context.cell_state.fold(records)
     clock = context.completions._clock
     context.links = OwnerLinks(answers == 'accepts the report')
     reports = CompletionReports(
@@ -351,12 +351,14 @@
 
 @when('a peer reports the job as complete inside a partition')
 def peer_reports(context):
-    async def take_at_owner(jobs):
+    async def complete_at_owner(jobs):
         if context.owns:
             context.small.cell.mark_complete(jobs)
         return context.owns
 
-    answers = CompletionAnswers(context.completions, FixedDetector(context.cut_off), take_at_owner)
+    answers = CompletionMessageHandler(
+        context.completions, FixedDetector(context.cut_off), complete_at_owner
+    )
     frame = Frame(1, 'peer', 0, 0, CompletionsSeen((JOB,)))
     context.answer = curio.run(answers.merge_zone_completions, frame)
 
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -214,12 +214,12 @@
     assert not small.runs_on('w1')
 
 
-@given('a runner that runs a task of a cancelled job, {reached}')
-def earlier_run(context, reached):
+@given('a runner that runs a task of a cancelled job, {condition}')
+def earlier_run(context, condition):
     context.owner = OneRunnerOwner(MemoryTopic())
     context.owner.runner.running[EARLIER_RUN] = FOREVER
-    context.owner.runner.reachable = not reached.startswith('unreachable')
-    if reached == 'no longer listed':
+    context.owner.runner.reachable = not condition.startswith('unreachable')
+    if condition == 'no longer listed':
         context.owner.remove_entry()
 
 
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -3,7 +3,7 @@
 import curio
 from behave import given, then, when
 
-from dandelionreel.cell.membership._completions import KEPT_SECONDS, MAX_KEPT, Completions
+from dandelionreel.cell.membership._completions import KEPT_SECONDS, MAX_KEPT_JOBS, Completions
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import JobSpec, Submission, WriterFence
 from dandelionreel.cell.model._model import JobState
@@ -41,18 +41,18 @@
 
     def __init__(self, completions):
         self.completions = completions
-        self.asked = 0
+        self.request_count = 0
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Reply as a host does."""
-        self.asked += 1
+        self.request_count += 1
         if self.completions is None:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
         if isinstance(message, CompletionsWanted):
             known = self.completions.answer(message.epoch)
             return Frame(1, 'peer/1', 0, 0, CompletionsTold(message.epoch, known))
-        taken = self.completions.merge(message.epoch, message.jobs)
-        return Frame(1, 'peer/1', 0, 0, Done() if taken else Refused('later'))
+        accepted = self.completions.merge(message.epoch, message.jobs)
+        return Frame(1, 'peer/1', 0, 0, Done() if accepted else Refused('later'))
 
 
 @given('an owner whose store {works}, and a peer that {answers}')
@@ -80,13 +80,13 @@
     (start,) = context.small.allocations
     context.small.poll(start.runner, ended=[(1, task(JOB), start.run, 'done')])
 
-    async def play():
+    async def list_end_of_run():
         await curio.spawn(context.owner.writer.run, daemon=True)
         await curio.spawn(context.gossip.run, daemon=True)
         await curio.spawn(context.owner.flush, daemon=True)
         await curio.ignore_after(1, until, lambda: context.completions.contains(JOB))
 
-    curio.run(play)
+    curio.run(list_end_of_run)
 
 
 @then('clients are told {state} within a second')
@@ -96,7 +96,7 @@
 
 @then('the peer is told nothing')
 def told_nothing(context):
-    assert context.peer.asked == 0, context.peer.asked
+    assert context.peer.request_count == 0, context.peer.request_count
 
 
 @given('a store in which a job runs on w1')
@@ -114,7 +114,7 @@
 @given('a peer that was told that the job is complete and that {answers}')
 def told_peer(context, answers):
     completions = Completions(SystemClock())
-    completions.note([JOB])
+    completions.add([JOB])
     context.peer = PeerLinks(completions if answers == 'replies' else None)
 
 
@@ -123,7 +123,7 @@
     host = Host('me', context.topic)
     term = Term(2, 'me/1', WriterFence(2, 1), None, False, True)
 
-    async def play():
+    async def take_over():
         await curio.spawn(host.follower.run, daemon=True)
         await until(lambda: host.follower.complete)
         dispatcher = make_dispatcher(host, term, context.topic, host.clock, links=context.peer)
@@ -136,7 +136,7 @@
         await dispatcher._completion_gossip.query_successors()
         return cell
 
-    context.cell = curio.run(play)
+    context.cell = curio.run(take_over)
 
 
 @then("the job's task is {outcome}")
@@ -158,17 +158,17 @@
 
 @when('the owner of epoch {epoch:d} tells it that a job is complete')
 def tell(context, epoch):
-    context.taken = context.completions.merge(epoch, [JOB])
+    context.accepted = context.completions.merge(epoch, [JOB])
 
 
 @then('its report is refused, and clients are not told')
 def report_refused(context):
-    assert not context.taken and not context.completions.contains(JOB)
+    assert not context.accepted and not context.completions.contains(JOB)
 
 
 @then('clients are told that it is completed')
 def clients_told(context):
-    assert context.taken and context.completions.contains(JOB)
+    assert context.accepted and context.completions.contains(JOB)
 
 
 @given('a host that is told of {count:d} complete jobs over an hour')
@@ -177,7 +177,7 @@
     context.completions = Completions(context.clock)
     context.jobs = [f'{number:016x}' for number in range(count)]
     for job in context.jobs:
-        context.completions.note([job])
+        context.completions.add([job])
         context.clock.advance(3600 / count)
     context.count = count
 
@@ -187,5 +187,5 @@
     kept = [job for job in context.jobs if context.completions.contains(job)]
     lasting = int(KEPT_SECONDS / 3600 * context.count)
     assert kept == context.jobs[-len(kept) :] and abs(len(kept) - lasting) <= 1, len(kept)
-    context.completions.note(f'{number:016x}' for number in range(100_000, 100_000 + 2 * most))
-    assert len(context.completions.answer(1)) <= most == MAX_KEPT
+    context.completions.add(f'{number:016x}' for number in range(100_000, 100_000 + 2 * most))
+    assert len(context.completions.answer(1)) <= most == MAX_KEPT_JOBS
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -27,27 +27,27 @@
 
 @given('a host in north that got replies of {others} 0.1 s ago and of the store {age:g} s ago')
 def listening_host(context, others, age):
-    context.contact = ZoneContact()
+    context.zone_contact = ZoneContact()
     context.zones = ZONES
     context.store_answered_at = NOW - age
     for zone in ZONES if others == 'both zones' else ():
-        context.contact.note_answer(zone, NOW - 0.1)
+        context.zone_contact.note_answer(zone, NOW - 0.1)
 
 
 @when('it queries hosts of south and west, of which {answer}')
-def ask_both(context, answer):
+def query_both(context, answer):
     answering = {'none replies': (), 'both reply': ZONES, 'only west replies': ('west',)}[answer]
     for zone in ZONES:
         if zone in answering:
-            context.contact.note_answer(zone, NOW + 0.01)
+            context.zone_contact.note_answer(zone, NOW + 0.01)
         else:
-            context.contact.note_miss(zone, NOW)
+            context.zone_contact.note_miss(zone, NOW)
     context.now = NOW + 0.2
 
 
 @given('a host in north of a cell {cell}')
 def lone_host(context, cell):
-    context.contact = ZoneContact()
+    context.zone_contact = ZoneContact()
     context.zones = ()
     context.store_answered_at = NOW - 9
 
@@ -55,31 +55,31 @@
 @when('the store has been silent for 9 s and no host replies')
 def all_silent(context):
     for zone in ('north', ''):
-        context.contact.note_miss(zone, NOW)
+        context.zone_contact.note_miss(zone, NOW)
     context.now = NOW + 0.2
 
 
 @then('the host counts as {verdict}')
 def check_verdict(context, verdict):
-    found = context.contact.is_cut_off(context.zones, context.store_answered_at, context.now)
+    found = context.zone_contact.is_cut_off(context.zones, context.store_answered_at, context.now)
     assert found is (verdict == 'cut off'), found
 
 
 @given('a host in north that is cut off')
 def cut_off_host(context):
     listening_host(context, 'nobody', 9.0)
-    ask_both(context, 'none replies')
+    query_both(context, 'none replies')
     check_verdict(context, 'cut off')
 
 
 @when('a host of west replies')
 def west_answers(context):
-    context.contact.note_answer('west', context.now + 1)
+    context.zone_contact.note_answer('west', context.now + 1)
     context.now += 1
 
 
 @when('{seconds:g} s have passed without a query')
-def no_question(context, seconds):
+def no_query(context, seconds):
     assert seconds > MISS_VALID_SECONDS
     context.now += seconds
 
@@ -88,16 +88,16 @@
     """Links to peers that do not reply; ``asked`` counts the queries."""
 
     def __init__(self):
-        self.asked = 0
+        self.request_count = 0
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Time out."""
-        self.asked += 1
+        self.request_count += 1
         await curio.sleep(timeout)
         raise PeerError('no answer in time', Verdict.UNKNOWN)
 
 
-def make_watch(clock, links, store_answered_at):
+def make_detector(clock, links, store_answered_at):
     cell_state = CellState()
     for host, zone in (('me', 'north'), ('s-1', 'south'), ('s-2', 'south'), ('w-1', 'west')):
         cell_state.fold([make_record(f'{MEMBER_PREFIX}{host}', Member(zone, '127.0.0.1', 1))])
@@ -110,13 +110,13 @@
 def silent_all_round(context):
     context.links = SilentLinks()
     clock = SystemClock()
-    context.watch = make_watch(clock, context.links, clock.monotonic() - 9)
+    context.detector = make_detector(clock, context.links, clock.monotonic() - 9)
 
 
 @when('{count:d} requests check whether it is cut off')
 def check_concurrently(context, count):
     async def check_many():
-        tasks = [await curio.spawn(context.watch.check) for _ in range(count)]
+        tasks = [await curio.spawn(context.detector.check) for _ in range(count)]
         return [await task.join() for task in tasks]
 
     async def check_in_time():
@@ -132,7 +132,7 @@
 
 @then('{count:d} queries were sent')
 def queries_sent(context, count):
-    assert context.links.asked == count, context.links.asked
+    assert context.links.request_count == count, context.links.request_count
 
 
 class UnusedWriter:
@@ -142,25 +142,25 @@
 
 
 @given('a host that is cut off, which the load balancer checked 0.3 s ago')
-def cut_off_entry(context):
+def cut_off_client_host(context):
     clock = ManualClock(NOW)
     links = context.links = SilentLinks()
-    watch = make_watch(clock, links, NOW - 9)
+    detector = make_detector(clock, links, NOW - 9)
     for zone in ZONES:
-        watch._zone_contact.note_miss(zone, NOW)
+        detector._zone_contact.note_miss(zone, NOW)
     rotation = Rotation()
     for ago in (2.3, 1.3, 0.3):
         rotation.note_readiness_check(NOW - ago, ready=True)
     configuration = ConfigurationProjection(None, journal())
     configuration.current = Configuration(1, QUEUES, (Service('desk', False, False),), 9999)
     jobs = CellProjection(clock, journal())
-    context.front = make_client_api(
+    context.client_api = make_client_api(
         configuration,
         jobs,
         StaleFollower(),
         UnusedWriter(),
         Relay('me', jobs.state, links, clock, journal()),
-        partition_detector=watch,
+        partition_detector=detector,
         rotation=rotation,
         clock=clock,
     )
@@ -177,10 +177,10 @@
 
 
 @when('a client submits a job there')
-def client_hands_in(context):
+def client_submits(context):
     body = msgspec.json.encode({'spec': 'x', 'steps': [{'count': 1, 'cpu': 1000}]})
     request = Request('POST', '/urgent/0123456789abcdef', (('host', 'h'),), body)
-    context.answer = curio.run(context.front.handle, request)
+    context.answer = curio.run(context.client_api.handle, request)
 
 
 @then('the job is refused at once, to be retried in {seconds:d} s')
@@ -191,12 +191,12 @@
 
 @then('the answer says that the job was not run, and no peer was queried')
 def nothing_tried(context):
-    assert context.links.asked == 0, 'a peer was queried'
+    assert context.links.request_count == 0, 'a peer was queried'
     assert msgspec.json.decode(context.answer.body)['verdict'] == 'not_run', context.answer
 
 
 @given('a load balancer that checks a host every second, the last time 0.3 s ago')
-def asking_balancer(context):
+def checking_balancer(context):
     context.rotation = Rotation()
 
 
@@ -214,7 +214,7 @@
 
 @given('a server that is {ready}')
 def some_server(context, ready):
-    context.leaves = ready == 'not ready'
+    context.is_draining = ready == 'not ready'
 
 
 @when('a client sends it a request')
@@ -224,7 +224,7 @@
 
     async def send():
         async with AsyncExitStack() as stack:
-            server = Server(answer, is_draining=lambda: context.leaves)
+            server = Server(answer, is_draining=lambda: context.is_draining)
             await server.start(stack, '127.0.0.1', 0)
             channel = Channel('127.0.0.1', server.port)
             stack.push_async_callback(channel.close)
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -40,7 +40,7 @@
             await curio.sleep(0.01)
         await curio.sleep(0.3)
         context.terms = [task.result if task.terminated else None for task in tasks]
-        context.books = [host.projection.state for host in hosts]
+        context.cell_states = [host.projection.state for host in hosts]
 
     curio.run(claim)
 
@@ -49,7 +49,7 @@
 def one_owner(context):
     won = [term for term in context.terms if term is not None]
     assert len(won) == 1, context.terms
-    assert {cell_state.owner.term for cell_state in context.books} == {won[0].term}
+    assert {cell_state.owner.term for cell_state in context.cell_states} == {won[0].term}
 
 
 def _topic_with_owner():
@@ -96,7 +96,7 @@
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
         await until(lambda: context.host.follower.started)
-        context.host.election.suspect('other/1')
+        context.host.election.suspect_owner('other/1')
         context.term = await context.host.claim(LONG_TIMEOUT)
 
     curio.run(claim)
@@ -115,7 +115,7 @@
 
 
 @given('a host that follows an owner that has left the cell')
-def following_left(context):
+def following_released(context):
     context.topic = DelayedReadTopic()
     left = make_record(OWNER_KEY, Owner(1, 'other', 'other/1', released=True))
     curio.run(context.topic.append, [left], 0.1, WriterFence(1, 4))
@@ -174,9 +174,9 @@
     context.host = Host('a', context.topic)
 
 
-@when('the owner answers that it {word}')
-def owner_answers(context, word):
-    context.host.owner_reply = Done() if word == 'acts' else Refused('does not own the cell')
+@when('the owner answers that it {answer}')
+def owner_answers(context, answer):
+    context.host.owner_reply = Done() if answer == 'acts' else Refused('does not own the cell')
 
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
@@ -252,10 +252,10 @@
     assert hosts == order.split(', '), hosts
 
 
-@then("{me} has its clients' jobs written by {deputy}, with {avoided} out of reach")
-def written_by(context, me, deputy, avoided):
-    found = find_zone_writer(context.member_by_host, me, {avoided})
-    assert (found or 'itself') == deputy, found
+@then("{me} has its clients' jobs written by {writer}, with {excluded} out of reach")
+def written_by(context, me, writer, excluded):
+    found = find_zone_writer(context.member_by_host, me, {excluded})
+    assert (found or 'itself') == writer, found
 
 
 @then('the host owns the cell with epoch {epoch:d}')
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -443,7 +443,7 @@
             server = Server(answer)
             await server.start(stack, '127.0.0.1', 0)
             advice = HttpAdvice(Address('127.0.0.1', server.port))
-            permits = await advice.ask(StepName(JOB, 0, 0), ('i-1@7', 'i-2'), 1.0)
+            permits = await advice.request_permits(StepName(JOB, 0, 0), ('i-1@7', 'i-2'), 1.0)
             await advice.close()
             return permits
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -41,7 +41,7 @@
 async def send(link, size, timeout):
     """Send a request of ``size`` bytes; return its error, empty if it was answered."""
     try:
-        await link.ask(Forward(Request('POST', '/x', body=b'x' * size), timeout, 1), timeout)
+        await link.request(Forward(Request('POST', '/x', body=b'x' * size), timeout, 1), timeout)
     except PeerError as error:
         return f'{error}'
     return ''
@@ -112,7 +112,7 @@
     async def ask():
         link = make_link(context.port)
         try:
-            await link.ask(Forward(Request('POST', '/x'), LONG_TIMEOUT, 1), LONG_TIMEOUT)
+            await link.request(Forward(Request('POST', '/x'), LONG_TIMEOUT, 1), LONG_TIMEOUT)
         except PeerError as error:
             return error
         finally:
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -58,7 +58,7 @@
 
 
 @when('a batch job is submitted that is not stored yet')
-def slow_job(context):
+def unstored_job(context):
     context.small.add_job('j1', [step(count=2)], queue='batch').stored = False
     context.plan = context.small.plan()
     assert len(context.plan.advice_requests) == 1
@@ -97,8 +97,8 @@
 def urgent_asks(context):
     small = context.small
     small.add_job('now', [step()])
-    made = small.planner.plan(small.now, small.now, 0)
-    assert [request.step.job for request in made.advice_requests] == ['now']
+    plan = small.planner.plan(small.now, small.now, 0)
+    assert [request.step.job for request in plan.advice_requests] == ['now']
 
 
 class SlowPlanner:
@@ -109,9 +109,9 @@
         self.clock = clock
 
     def plan(self, *asked):
-        made = self.planner.plan(*asked)
+        plan = self.planner.plan(*asked)
         self.clock.advance(2)
-        return made
+        return plan
 
 
 class UnreachableRunner:
@@ -160,8 +160,8 @@
     assert not small.runs_on('w1'), 'its start counts although it was never sent'
     small.now = context.dispatcher._clock.monotonic() + 1
     small.poll('w1')
-    made = small.planner.plan(small.now, small.now)
-    assert made.starts or made.advice_requests, (
+    plan = small.planner.plan(small.now, small.now)
+    assert plan.starts or plan.advice_requests, (
         'it waits for a reply to a request that was never sent'
     )
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -25,11 +25,11 @@
     def __init__(self, status):
         self._status = status
         #: Whether the next message gets no reply.
-        self.deaf = False
+        self.ignores_next = False
 
-    async def ask(self, member, message, timeout):
-        if self.deaf:
-            self.deaf = False
+    async def request(self, member, message, timeout):
+        if self.ignores_next:
+            self.ignores_next = False
             raise PeerError('no answer in time', Verdict.UNKNOWN)
         if isinstance(message, OwnerAsked):
             return Frame(1, 'peer/1', 0, 0, Done())
@@ -56,7 +56,7 @@
         self._reply = reply
         self.forwards = 0
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         self.forwards += isinstance(message, Forward)
         if self._reply is None or self.forwards:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
@@ -73,48 +73,48 @@
 
 
 @when('a host asks it for a state and gets no answer in {seconds:g} s')
-def miss_state(context, seconds):
+def unanswered_read(context, seconds):
     call = make_call('GET', '/new/0123456789abcdef')
     curio.run(context.relay.forward_to_owner, call, seconds)
 
 
 @given('it is deaf to the next question')
-def deaf_once(context):
-    context.relay._links.deaf = True
+def ignoring_once(context):
+    context.relay._links.ignores_next = True
 
 
 @then('no job was handed to it')
-def nothing_handed(context):
+def nothing_forwarded(context):
     assert context.links.forwards == 0
 
 
 @given('a peer that has not answered {misses:d} requests in a row')
-def deaf_peer(context, misses):
+def unresponsive_peer(context, misses):
     answering_peer(context, 200)
     context.clock = ManualClock(1000)
     context.links = SilentPeerLinks()
     context.relay = Relay('me', context.relay._cell_state, context.links, context.clock, journal())
     for _ in range(misses):
         context.clock.advance(100)
-        pass_on(context)
-    assert context.links.asked == misses
+        forward_request(context)
+    assert context.links.request_count == misses
 
 
 @when('{seconds:g} s later a request comes')
 def request_comes(context, seconds):
-    asked = context.links.asked
+    earlier_count = context.links.request_count
     context.clock.advance(seconds)
-    pass_on(context)
-    context.asked_again = context.links.asked > asked
+    forward_request(context)
+    context.was_asked_again = context.links.request_count > earlier_count
 
 
 @then('the peer {fate}')
 def peer_fate(context, fate):
-    assert context.asked_again is (fate == 'is asked')
+    assert context.was_asked_again is (fate == 'is asked')
 
 
 @when('a request is passed on to it')
-def pass_on(context):
+def forward_request(context):
     call = make_call('POST', '/new/0123456789abcdef')
     context.relayed = curio.run(context.relay.forward_to_owner, call, 1.0)
 
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -110,7 +110,7 @@
         self._silent = answers.startswith('does not')
         self.claimed_at = None
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Acknowledge a request to take over, and claim the cell if told to."""
         if self._silent or not isinstance(message, OwnerFailing):
             raise PeerError('no answer in time', Verdict.UNKNOWN)
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -44,13 +44,13 @@
 
 
 @when('the job is submitted again, and then the owner reads its end')
-def handed_in_again(context):
-    async def play():
+def submitted_again(context):
+    async def submit_again():
         dispatcher = context.dispatcher
         await curio.spawn(dispatcher._owner_context.writer.run, daemon=True)
         return await dispatcher.accept('j1', JOB, 1.0)
 
-    assert curio.run(play) is WriteOutcome.STORED
+    assert curio.run(submit_again) is WriteOutcome.STORED
     cell_state = context.host.projection.state
     cell_state.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     cell_state.fold(context.topic.records)
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -29,7 +29,7 @@
     claim = make_record(OWNER_KEY, Owner(4, 'other', 'other/1'))
     curio.run(context.topic.append, [claim], 0.1, WriterFence(4, 3))
     context.host = Host('me', context.topic)
-    context.began = context.host.clock.monotonic()
+    context.started_at = context.host.clock.monotonic()
 
 
 @when('it owns the cell')
@@ -44,7 +44,7 @@
 @then('it does not restart tasks of unseen runners until all leases of that owner have expired')
 def waits_for_all_leases(context):
     # The owner's last append was answered before the host first read the store.
-    last_lease = context.began + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
+    last_lease = context.started_at + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
     assert context.dispatcher._periodic_checks.predecessor_leases.end_at >= last_lease
 
 
@@ -62,7 +62,7 @@
 
 @when('the successor stores the runners on which tasks may run')
 def stores_runners(context):
-    async def beat():
+    async def store_heartbeats():
         owner = context.dispatcher._owner_context
         await curio.spawn(owner.writer.run, daemon=True)
         await curio.spawn(context.dispatcher._store_heartbeats, daemon=True)
@@ -70,7 +70,7 @@
         return await context.topic.snapshot()
 
     context.cell_state = CellState()
-    context.cell_state.fold(curio.run(beat).records)
+    context.cell_state.fold(curio.run(store_heartbeats).records)
 
 
 @then('w9 is among them')
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -43,7 +43,7 @@
     ]
     curio.run(context.topic.append, records, 0.1, WriterFence(4, 3))
     context.host = Host('me', context.topic)
-    context.began = context.host.clock.monotonic()
+    context.started_at = context.host.clock.monotonic()
 
 
 @when('that host owns the cell')
@@ -58,9 +58,9 @@
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
     drop_unseen_runners = context.dispatcher._periodic_checks._drop_unseen_runners
-    curio.run(drop_unseen_runners, context.began + MAX_WAIT_SECONDS)
+    curio.run(drop_unseen_runners, context.started_at + MAX_WAIT_SECONDS)
     assert cell.is_blocked(job)
-    curio.run(drop_unseen_runners, context.began + MAX_WAIT_SECONDS + LEASE_SECONDS)
+    curio.run(drop_unseen_runners, context.started_at + MAX_WAIT_SECONDS + LEASE_SECONDS)
     assert not cell.is_blocked(job)
 
 
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -46,10 +46,10 @@
         #: The owner's reply when a peer queries whether it acts; ``None`` for no reply.
         self.owner_reply = None
         self.election = Election(
-            topic, self.follower, self.projection, f'{name}/1', self.ask, self.clock, journal()
+            topic, self.follower, self.projection, f'{name}/1', self.request, self.clock, journal()
         )
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Answer in place of a peer."""
         if self.owner_reply is None:
             raise PeerError('no answer', Verdict.UNKNOWN)
@@ -100,8 +100,8 @@
         journal=journal(),
         host='me',
         gang_timeout=3.0,
-        longest_lease=10.0,
-        status_kept=120,
+        max_lease=10.0,
+        status_retention=120,
     )
     return Dispatcher(parts, term)
 
@@ -110,8 +110,8 @@
     """Peer links on which no peer answers; ``asked`` counts the requests."""
 
     def __init__(self):
-        self.asked = 0
+        self.request_count = 0
 
-    async def ask(self, member, message, timeout):
-        self.asked += 1
+    async def request(self, member, message, timeout):
+        self.request_count += 1
         raise PeerError('no answer in time', Verdict.NOT_RUN)
