--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -1,7 +1,7 @@
 """Authenticates client calls by API key before any other work is done for them.
 
-Load pattern: any number of calls with unknown keys. Each costs a digest and a lookup, and all of
-them share one round of queries to peers.
+Load pattern: any number of calls with unknown keys. Each costs a digest and a lookup; together they
+cause only one round of queries to peers at a time.
 """
 
 import enum
@@ -30,7 +30,7 @@
         exchange: ConfigurationExchange,
         max_age: float | None,
     ) -> None:
-        """Accept keys by a configuration that is at most ``longest_age`` seconds old.
+        """Accept keys by a configuration that is at most ``max_age`` seconds old.
 
         With ``None`` any age is accepted, so that a zone that is cut off keeps serving.
         """
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -176,7 +176,11 @@
         return answer_not_run(HTTP_NOT_ALLOWED, 'bad-method', 'use POST, GET or DELETE')
 
     def _answer_denied(self, request: Request, path: str, denied: Denied) -> Answer:
-        """Refuse a call; the answer is the same for all unknown keys and reveals nothing."""
+        """Refuse a call.
+
+        The answer to an unknown key does not say what is wrong with the key. A key that cannot be
+        checked now gets an answer that asks the client to retry.
+        """
         self._log(request, path, denied.value, version=self._configuration.version)
         if denied is Denied.UNDECIDED:
             return answer_unavailable(
--- a/dandelionreel/cell/clients/_client_call.py
+++ b/dandelionreel/cell/clients/_client_call.py
@@ -26,8 +26,8 @@
 class ClientCall:
     """A call with its caller, and where and when it arrived.
 
-    ``zone`` is that of the host that received it from the client, ``began`` is in monotonic
-    seconds. ``relayed`` says that a peer has forwarded it.
+    ``zone`` is that of the host that received it from the client, ``received_at`` is in
+    monotonic seconds. ``relayed`` says that a peer has forwarded it.
     """
 
     request: Request
@@ -38,7 +38,7 @@
 
     @property
     def timeout(self) -> float:
-        """Return the seconds from ``began`` within which the call must be answered."""
+        """Return the seconds from ``received_at`` within which the call must be answered."""
         text = self.request.header(DEADLINE_HEADER)
         timeout = float(text) / MILLISECONDS if text.isdigit() else DEFAULT_TIMEOUT_SECONDS
         return min(timeout, DEFAULT_TIMEOUT_SECONDS) * TIMEOUT_SHARE
--- a/dandelionreel/cell/clients/_readiness.py
+++ b/dandelionreel/cell/clients/_readiness.py
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True)
 class ReadinessInputs:
-    """The state of a host that decides its readiness; ``store_age`` is that of its latest read."""
+    """The state of a host that decides its readiness.
+
+    ``store_age`` is the age in seconds of its latest read of the store.
+    """
 
     stopping: bool
     configured: bool
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class RelayResult:
-    """A peer's answer, and whether a peer without an answer may have acted."""
+    """The answer of a peer, if any, and whether a peer that gave none may have acted."""
 
     answer: Answer | None
     in_doubt: bool = False
--- a/dandelionreel/cell/membership/_completion_handler.py
+++ b/dandelionreel/cell/membership/_completion_handler.py
@@ -12,7 +12,7 @@
 
 
 class CompletionMessageHandler:
-    """Accepts reports of completed jobs from peers that are entitled to make them."""
+    """Adds completed jobs from peers that may report them, and answers queries of owners."""
 
     def __init__(
         self,
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -13,7 +13,7 @@
 #: Number of jobs that are kept, and for how many seconds: several times the longest time for
 #: which an owner keeps acting without the store.
 MAX_KEPT_JOBS = 20_000
-KEPT_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 
 
 class Completions:
@@ -42,7 +42,7 @@
             self._added_at_by_job.setdefault(job, now)
         excess = len(self._added_at_by_job) - MAX_KEPT_JOBS
         for position, (job, added_at) in enumerate(tuple(self._added_at_by_job.items())):
-            if position >= excess and now - added_at < KEPT_SECONDS:
+            if position >= excess and now - added_at < RETENTION_SECONDS:
                 break
             self._added_at_by_job.pop(job)
 
@@ -59,14 +59,14 @@
         return tuple(self._reported_at_by_job)
 
     def due_reports(self, interval: float) -> tuple[str, ...]:
-        """Return the jobs that have not been reported for ``repeat`` seconds."""
+        """Return the jobs that have not been reported for ``interval`` seconds."""
         latest = self._clock.monotonic() - interval
         return tuple(
             job for job, reported_at in self._reported_at_by_job.items() if reported_at <= latest
         )
 
     def mark_reported(self, jobs: Iterable[str]) -> None:
-        """Note that jobs are being reported now."""
+        """Record that jobs are being reported to the owner now."""
         for job in jobs:
             self._reported_at_by_job[job] = self._clock.monotonic()
 
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -75,6 +75,7 @@
     """Whether the cell may be claimed."""
 
     HELD = 'held'
+    #: Heartbeats are missing; the owner is queried before the cell is claimed.
     SILENT = 'silent'
     VACANT = 'vacant'
 
@@ -96,8 +97,8 @@
     released: bool
     #: Whether the former owner's process is known to have ended.
     former_ended: bool
-    #: Seconds after the former owner's last heartbeat for which owners before it may still renew
-    #: leases.
+    #: Seconds after the former owner's last heartbeat for which leases that were granted by owners
+    #: before it may last.
     unsettled: float = 0
     former: Owner | None = None
     #: The offset at which this incarnation of the host first read the topic.
@@ -134,7 +135,7 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Claim as ``incarnation``; query owners without heartbeats by ``ask_peer``."""
+        """Claim as ``incarnation``; query owners without heartbeats by ``query_peer``."""
         self.incarnation = incarnation
         self._host = incarnation.partition('/')[0]
         self._query_peer = query_peer
@@ -172,7 +173,7 @@
                 return term
             await curio.sleep(self._random.random() * MAX_CLAIM_BACKOFF_SECONDS)
 
-    def still_owner(self, term: Term) -> bool:
+    def is_current_owner(self, term: Term) -> bool:
         """Return whether the newest known owner is that of this term."""
         owner = self._projection.state.owner
         return owner is not None and owner.term == term.term
@@ -401,7 +402,8 @@
 
         Raises ``ConflictError`` if the topic does not end at ``expected_end``.
         """
-        # The former owner may still renew leases; the first heartbeat stores the exact time.
+        # The former owner may still renew leases; the first heartbeat stores the exact
+        # remaining time.
         owner = Owner(
             fence.epoch,
             self._host,
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -1,7 +1,7 @@
 """Detects at once that the owner's process has died, by keeping a connection to it.
 
 The kernel closes the connections of a process that is killed. A host that loses power closes none;
-that shows only in the missing heartbeats in the store.
+its loss shows in unanswered queries and in missing heartbeats in the store.
 """
 
 from typing import Any
@@ -59,7 +59,7 @@
         """Keep a connection open; once it closes, return whether new ones are refused."""
         refusals = 0
         while refusals < REFUSALS_BEFORE_DEAD:
-            if not self._still_owner(owner):
+            if not self._is_current_owner(owner):
                 return False
             try:
                 async with curio.timeout_after(CONNECT_TIMEOUT):
@@ -74,13 +74,13 @@
             await self._wait_until_closed(sock, owner)
         return True
 
-    def _still_owner(self, owner: Owner) -> bool:
+    def _is_current_owner(self, owner: Owner) -> bool:
         newest = self._cell_state.owner
         return newest is not None and newest.term == owner.term and not newest.released
 
     async def _wait_until_closed(self, sock: Any, owner: Owner) -> None:
         try:
-            while self._still_owner(owner):
+            while self._is_current_owner(owner):
                 if await curio.ignore_after(READ_TIMEOUT, sock.recv, READ_SIZE) is not None:
                     return
         except OSError:
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -24,7 +24,8 @@
 class PartitionDetector:
     """Tells whether this host is cut off from the store and all other zones.
 
-    Peers are queried only while the store is silent.
+    Peers are queried only while the store is silent or after a failed attempt to store something,
+    and at most once in ``QUERY_INTERVAL_SECONDS``.
     """
 
     def __init__(
--- a/dandelionreel/cell/membership/_zone_contact.py
+++ b/dandelionreel/cell/membership/_zone_contact.py
@@ -30,7 +30,7 @@
         self._answered_at_by_zone[zone] = now
 
     def note_miss(self, zone: str, queried_at: float) -> None:
-        """Record that a query to a host of a zone, sent at ``asked_at``, got no reply."""
+        """Record that a query to a host of a zone, sent at ``queried_at``, got no reply."""
         self._missed_at_by_zone[zone] = queried_at
 
     def is_silent(self, zone: str, now: float) -> bool:
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -56,11 +56,11 @@
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def block_started_jobs(self) -> None:
-        """Hold back jobs that have already begun until the peers have been queried."""
+        """Block started jobs until the peers, which may know them as complete, were queried."""
         self._owner_context.cell.awaits_completions = True
 
     async def query_successors(self) -> None:
-        """Fetch the completions that earlier owners have sent to peers, then release held jobs."""
+        """Fetch the completions that earlier owners sent to peers, then unblock started jobs."""
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
         self._owner_context.cell.mark_complete(known)
--- a/dandelionreel/cell/owner/_parts.py
+++ b/dandelionreel/cell/owner/_dependencies.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class DispatcherParts:
+class DispatcherDependencies:
     """Dependencies and settings of a dispatcher; built once per process, reused in every term."""
 
     topic: Topic
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -20,10 +20,10 @@
     make_record,
 )
 from dandelionreel.cell.owner._completion_gossip import CompletionGossip
+from dandelionreel.cell.owner._dependencies import DispatcherDependencies
 from dandelionreel.cell.owner._load_report import LoadReport
 from dandelionreel.cell.owner._orders import OrderSender
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.owner._periodic_checks import PeriodicChecks
 from dandelionreel.cell.owner._zone_confirmation import ZoneConfirmation
 from dandelionreel.cell.store import StoredJob, WriteOutcome
@@ -49,49 +49,49 @@
 class Dispatcher:
     """Dispatches the jobs of a cell during one term."""
 
-    def __init__(self, parts: DispatcherParts, term: Term) -> None:
+    def __init__(self, dependencies: DispatcherDependencies, term: Term) -> None:
         """Create the dispatcher of ``term``."""
-        self._parts = parts
-        self._clock = parts.clock
-        self._journal = parts.journal
-        self.cell = Cell(term.epoch, parts.gang_timeout)
+        self._dependencies = dependencies
+        self._clock = dependencies.clock
+        self._journal = dependencies.journal
+        self.cell = Cell(term.epoch, dependencies.gang_timeout)
         self._owner_context = OwnerContext(
             term,
             self.cell,
-            parts.topic,
-            parts.make_runner,
-            parts.max_lease,
-            parts.clock,
-            parts.journal,
-            parts.get_runner_list_age,
+            dependencies.topic,
+            dependencies.make_runner,
+            dependencies.max_lease,
+            dependencies.clock,
+            dependencies.journal,
+            dependencies.get_runner_list_age,
         )
         self._order_sender = OrderSender(self._owner_context)
         self._planner = Planner(self.cell)
         self._pool = AdvicePool(
-            parts.host,
-            lambda: parts.jobs.state.member_by_host,
-            parts.links,
-            parts.advisor,
-            parts.clock,
-            parts.journal,
+            dependencies.host,
+            lambda: dependencies.jobs.state.member_by_host,
+            dependencies.links,
+            dependencies.advisor,
+            dependencies.clock,
+            dependencies.journal,
             self._accept_advice,
             self._handle_advice_failure,
         )
         self._completion_gossip = CompletionGossip(
             self._owner_context,
-            parts.jobs.state,
-            parts.links,
-            parts.completions,
-            parts.host,
+            dependencies.jobs.state,
+            dependencies.links,
+            dependencies.completions,
+            dependencies.host,
         )
         self._owner_context.confirm_zone = ZoneConfirmation(
             self._owner_context,
-            parts.jobs.state,
+            dependencies.jobs.state,
             self._completion_gossip,
-            parts.host,
+            dependencies.host,
         ).is_confirmed
-        self._load_report = LoadReport(self.cell, self._pool, parts.journal)
-        self._periodic_checks = PeriodicChecks(parts, self._owner_context, self._load_report)
+        self._load_report = LoadReport(self.cell, self._pool, dependencies.journal)
+        self._periodic_checks = PeriodicChecks(dependencies, self._owner_context, self._load_report)
 
     @property
     def may_act(self) -> bool:
@@ -235,7 +235,7 @@
         owner_record = self._owner_context.term.owner_record(
             unsettled=self._unsettled_seconds(),
             released=True,
-            version=self._parts.configuration.version,
+            version=self._dependencies.configuration.version,
         )
         await self._owner_context.writer.write(
             [make_record(OWNER_KEY, owner_record)], RELEASE_TIMEOUT
@@ -243,9 +243,9 @@
 
     def _load_state(self) -> None:
         """Load jobs and quota leftovers from the store, and the runners still to be polled."""
-        parts = self._parts
+        dependencies = self._dependencies
         self._periodic_checks.load_predecessor_state(self._clock.monotonic())
-        cell_state = parts.jobs.state
+        cell_state = dependencies.jobs.state
         cell_state.take_changed()
         # In order of acceptance, since an account expects its earlier jobs to be served first.
         for job_id in sorted(cell_state.submission_by_id, key=cell_state.accepted_at):
@@ -271,7 +271,7 @@
         stored: frozenset[str] = frozenset()
         while not self._owner_context.end_reason:
             heartbeat += 1
-            version = self._parts.configuration.version
+            version = self._dependencies.configuration.version
             owner_record = self._owner_context.term.owner_record(
                 heartbeat, self._unsettled_seconds(), version=version
             )
@@ -306,11 +306,11 @@
 
     async def _follow_jobs(self) -> None:
         """Apply changes of jobs and of the owner as they are read from the store."""
-        follower = self._parts.follower
-        cell_state = self._parts.jobs.state
+        follower = self._dependencies.follower
+        cell_state = self._dependencies.jobs.state
         while True:
             seen = follower.changed.count
-            if not self._parts.election.still_owner(self._owner_context.term):
+            if not self._dependencies.election.is_current_owner(self._owner_context.term):
                 await self._owner_context.end_term('the store names another owner')
                 return
             changed = cell_state.take_changed()
@@ -321,7 +321,7 @@
             await follower.changed.wait(seen, 1.0)
 
     def _update_job(self, job_id: str) -> None:
-        stored_job = self._parts.jobs.state.find(job_id)
+        stored_job = self._dependencies.jobs.state.find(job_id)
         if stored_job is not None and stored_job.unreadable:
             self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
             return
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -63,7 +63,7 @@
         journal: Journal,
         get_runner_list_age: GetRunnerListAge = always_fresh,
     ) -> None:
-        """Create the context of ``term``; leases last at most ``longest_lease`` seconds.
+        """Create the context of ``term``; leases last at most ``max_lease`` seconds.
 
         ``get_runner_list_age`` returns the age of the runner list in seconds.
         """
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -18,9 +18,9 @@
     KeyedRecord,
     make_tombstone,
 )
+from dandelionreel.cell.owner._dependencies import DispatcherDependencies
 from dandelionreel.cell.owner._load_report import LoadReport
 from dandelionreel.cell.owner._owner_context import OwnerContext
-from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.owner._predecessor_leases import PredecessorLeases
 from dandelionreel.cell.owner._runner_poller import RunnerPoller
 from dandelionreel.cell.owner._succession import Succession
@@ -36,28 +36,28 @@
     """Checks runners, gangs, tasks of earlier owners and old jobs during one term."""
 
     def __init__(
-        self, parts: DispatcherParts, context: OwnerContext, load_report: LoadReport
+        self, dependencies: DispatcherDependencies, context: OwnerContext, load_report: LoadReport
     ) -> None:
         """Check the cell of ``context``."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._owner_context = context
         self._cell = context.cell
         self._load_report = load_report
-        self._clock = parts.clock
-        self._journal = parts.journal
+        self._clock = dependencies.clock
+        self._journal = dependencies.journal
         self._runner_poller = RunnerPoller(context)
         self._active = ActiveRunners(context.cell)
         self._succession = Succession(
             context,
-            parts.jobs.state,
-            parts.links,
-            parts.election,
-            parts.host,
+            dependencies.jobs.state,
+            dependencies.links,
+            dependencies.election,
+            dependencies.host,
         )
         self.predecessor_leases = PredecessorLeases(
-            context.term, context.lease, parts.clock.monotonic()
+            context.term, context.lease, dependencies.clock.monotonic()
         )
-        self._term_began_at = parts.clock.monotonic()
+        self._term_began_at = dependencies.clock.monotonic()
         self._last_drop_at = float('-inf')
         self._runner_list_was_fresh = True
 
@@ -67,7 +67,7 @@
 
     def load_predecessor_state(self, now: float) -> None:
         """Load the configuration, and the runners on which earlier owners may have tasks."""
-        self._cell.configuration = self._parts.configuration.current
+        self._cell.configuration = self._dependencies.configuration.current
         if self._owner_context.term.silent_since is not None:
             self._block_unseen_runners(now)
 
@@ -83,7 +83,7 @@
 
     async def _run_checks(self, stack: AsyncExitStack, now: float) -> None:
         await self._succession.check(now)
-        self._cell.configuration = self._parts.configuration.current
+        self._cell.configuration = self._dependencies.configuration.current
         self._log_runner_list_age()
         await self._update_runners(stack)
         await self._drop_unseen_runners(now)
@@ -110,7 +110,7 @@
         A job stays blocked until each runner that is stored with it has listed its tasks, or all
         leases there must have expired.
         """
-        self._cell.unseen_runners.update(self._parts.jobs.state.earlier_runners())
+        self._cell.unseen_runners.update(self._dependencies.jobs.state.earlier_runners())
         self._log_unseen('blocks the jobs that may run on runners that have not answered yet.', now)
 
     async def _drop_unseen_runners(self, now: float) -> None:
@@ -118,7 +118,7 @@
         if not self._cell.unseen_runners:
             return
         await self._drop_replaced_runners()
-        if self.predecessor_leases.shorten_if_ended(self._parts.jobs.state, now):
+        if self.predecessor_leases.shorten_if_ended(self._dependencies.jobs.state, now):
             self._log_unseen('the previous owner has ended.', now)
         if now > self.predecessor_leases.end_at:
             unseen = tuple(self._cell.unseen_runners)
@@ -145,7 +145,7 @@
 
     async def _zone_is_confirmed(self, runner: str) -> bool:
         """Return whether the zone of an unseen runner has reported the completions it has shown."""
-        registration = self._parts.runners.find(runner)
+        registration = self._dependencies.runners.find(runner)
         if registration is None:
             return True
         return await self._owner_context.confirm_zone(registration.zone, self._term_began_at)
@@ -187,7 +187,7 @@
         replaced: a heartbeat of an earlier incarnation can arrive seconds late, and the tasks of
         the live runner would be started twice. Only a poll that another runner answers is proof.
         """
-        runner_list = self._parts.runners
+        runner_list = self._dependencies.runners
         now = self._clock.monotonic()
         for idle in self._active.release_idle(runner_list.registration_by_id):
             self._cell.forget_runner(idle.id)
@@ -209,9 +209,9 @@
         if now < self._last_drop_at + DROP_CHECK_SECONDS:
             return
         self._last_drop_at = now
-        oldest = self._clock.wall() - self._parts.status_retention * 2
+        oldest = self._clock.wall() - self._dependencies.status_retention * 2
         records: list[KeyedRecord] = []
-        for job_id in self._parts.jobs.state.jobs_ended_before(oldest):
+        for job_id in self._dependencies.jobs.state.jobs_ended_before(oldest):
             records.extend(
                 make_tombstone(key + job_id)
                 for key in (SUBMISSION_PREFIX, CANCELLATION_PREFIX, PROGRESS_PREFIX)
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -40,7 +40,7 @@
         self.end_at = max(now + remaining_authority + self._lease, self._earlier_leases_end_at)
 
     def shorten_if_ended(self, cell_state: CellState, now: float) -> bool:
-        """Move the end forward if the previous owner has ended; return whether that is news.
+        """Set an earlier end once the previous owner has ended; return whether that is newly found.
 
         If its host is back with a new process, the old process renews no more leases, and only the
         last lease that it granted is left to wait for.
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -119,7 +119,7 @@
         """Acknowledge ends up to ``number`` once their effect is in the store.
 
         During a store outage this is retried several times a second for each runner. Only new
-        ends are logged then, and ends that are stored in the end.
+        ends are logged then, and earlier ones once they are stored.
         """
         started_at = self._owner_context.clock.monotonic()
         jobs = sorted(self._unstored_by_runner.get(state.id, ()))
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -54,7 +54,7 @@
         """Ask peers to take over while this host still serves the cell; return whether one has.
 
         After a release no task starts until a successor has read it, claimed the cell and read its
-        claim back. A peer that claims the cell from an active owner fences it only at that point.
+        claim back. An owner that stays active is fenced only by the claim, so that gap is avoided.
         """
         members = self._cell_state.member_by_host
         others = [host for host in rank_hosts(members) if host != self._host][:PEERS_PER_REQUEST]
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -22,7 +22,7 @@
     make_incarnation_id,
 )
 from dandelionreel.cell.model import MEMBER_PREFIX, Member, Registration, Runner, make_record
-from dandelionreel.cell.owner import Dispatcher, DispatcherParts
+from dandelionreel.cell.owner import Dispatcher, DispatcherDependencies
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.entry_clients import make_client_api
 from dandelionreel.entry_metrics import EntryMetrics
@@ -291,7 +291,7 @@
     async def _run_terms(self) -> None:
         """Dispatch the cell's jobs during each term that this host wins."""
         settings = self._settings
-        parts = DispatcherParts(
+        dependencies = DispatcherDependencies(
             topic=self._owner_topic,
             follower=self._reads.cell_follower,
             jobs=self._cell_projection,
@@ -312,7 +312,7 @@
         )
         while True:
             term = await self._election.wait_for_term(self._may_claim)
-            self._dispatcher = Dispatcher(parts, term)
+            self._dispatcher = Dispatcher(dependencies, term)
             # The list of runners may be outdated on a host that did not own the cell.
             await self._reads.runners_follower.read_now()
             try:
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -27,7 +27,7 @@
         return False
 
 
-class SureExchange:
+class ConfirmingExchange:
     """A configuration exchange with peers that have no newer configuration."""
 
     async def confirm(self):
@@ -62,7 +62,7 @@
         'north',
         codec,
         configuration,
-        AccessControl(configuration, exchange or SureExchange(), max_age),
+        AccessControl(configuration, exchange or ConfirmingExchange(), max_age),
         jobs,
         follower,
         ClientWrites(
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -65,7 +65,7 @@
     )
     term = Term(2, 'me/1', WriterFence(2, 1), host.clock.monotonic(), False, False)
     context.dispatcher = make_dispatcher(host, term, topic, host.clock)
-    runners = context.dispatcher._parts.runners
+    runners = context.dispatcher._dependencies.runners
     runners._codec = SharedAddressCodec()
     runners.fold(RecordBatch(context.entries, 2, 2))
     context.dispatcher._load_state()
@@ -101,7 +101,7 @@
     context.dispatcher = make_dispatcher(
         host, term, topic, host.clock, lambda registration: Unreachable()
     )
-    context.runners = context.dispatcher._parts.runners
+    context.runners = context.dispatcher._dependencies.runners
     context.runners._codec = SharedAddressCodec()
     read_entry(context, 'w9', b'{}', 5)
     cell = context.dispatcher.cell
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -37,15 +37,15 @@
 DONE_MASK_BY_NAME = {'both tasks': '3', 'the first': '1', 'no tasks': ''}
 
 
-def end(index, step_number=0, outcome=Outcome.DONE):
+def make_end(index, step_number=0, outcome=Outcome.DONE):
     return EndedRun(1, task(JOB, index, step_number), 1, outcome, '')
 
 
 LISTED_BY_NAME = {
     'nothing': (),
-    "the gang's first as done": (end(0, 1),),
-    "the gang's first as failed": (end(0, 1, Outcome.FAILED),),
-    'the second and the gang': (end(1), end(2, 1)),
+    "the gang's first as done": (make_end(0, 1),),
+    "the gang's first as failed": (make_end(0, 1, Outcome.FAILED),),
+    'the second and the gang': (make_end(1), make_end(2, 1)),
 }
 
 
@@ -66,7 +66,7 @@
     steps = (step(long_running=kind == 'of long-running tasks'),)
     context.spec = JobSpec('x', steps, repeat_count=3 if kind == 'with a schedule' else 0)
     context.progress = Progress(1, JobState.RUNNING)
-    context.ended = (end(0),)
+    context.ended = (make_end(0),)
 
 
 @then('the job of the zone counts as {verdict}')
@@ -96,7 +96,7 @@
             raise RunnerError('no answer in time', Verdict.UNKNOWN)
         if self._behaviour == 'refuses a stale epoch for':
             raise RunnerFenced('w1')
-        return RunnerView(0.0, (), (end(0),) if self._behaviour == 'lists as done' else ())
+        return RunnerView(0.0, (), (make_end(0),) if self._behaviour == 'lists as done' else ())
 
     async def close(self):
         """Do nothing: there is no connection."""
@@ -279,10 +279,10 @@
     assert context.zone.request_count == count, context.zone.request_count
 
 
-@given('{count:d} hosts in north and {smaller:d} smaller ones in south')
-def two_zones(context, count, smaller):
+@given('{count:d} hosts in north and {small_count:d} smaller ones in south')
+def two_zones(context, count, small_count):
     context.members = {f'n-{n:02}': Member('north', '127.0.0.1', 1) for n in range(1, count + 1)}
-    for number in range(1, smaller + 1):
+    for number in range(1, small_count + 1):
         context.members[f's-{number:02}'] = Member('south', '127.0.0.1', 1, cores=0.5)
 
 
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -27,7 +27,7 @@
 #: Seconds within which the task of a cancelled job has to be stopped.
 STOP_LIMIT_SECONDS = 3.0
 #: Seconds for which a runner is unreachable.
-PARTITION_SECONDS = 1.5
+UNREACHABLE_SECONDS = 1.5
 #: A run that the previous owner has started.
 EARLIER_RUN = (task('j1'), 1001)
 #: A lease that never expires.
@@ -262,7 +262,7 @@
 async def wait_until_gone(owner):
     """Make the runner reachable again after the partition, and wait for its task to end."""
     if not owner.runner.reachable:
-        await curio.sleep(PARTITION_SECONDS)
+        await curio.sleep(UNREACHABLE_SECONDS)
         owner.runner.reachable = True
     owner.reachable_at = owner.clock.monotonic()
     await curio.ignore_after(LONG_TIMEOUT, until, lambda: not owner.runner.running)
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -3,7 +3,7 @@
 import curio
 from behave import given, then, when
 
-from dandelionreel.cell.membership._completions import KEPT_SECONDS, MAX_KEPT_JOBS, Completions
+from dandelionreel.cell.membership._completions import MAX_KEPT_JOBS, RETENTION_SECONDS, Completions
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import JobSpec, Submission, WriterFence
 from dandelionreel.cell.model._model import JobState
@@ -185,7 +185,7 @@
 @then('it keeps those of the last minute, and at most {most:d}')
 def remembers(context, most):
     kept = [job for job in context.jobs if context.completions.contains(job)]
-    lasting = int(KEPT_SECONDS / 3600 * context.count)
+    lasting = int(RETENTION_SECONDS / 3600 * context.count)
     assert kept == context.jobs[-len(kept) :] and abs(len(kept) - lasting) <= 1, len(kept)
     context.completions.add(f'{number:016x}' for number in range(100_000, 100_000 + 2 * most))
     assert len(context.completions.answer(1)) <= most == MAX_KEPT_JOBS
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -85,7 +85,7 @@
 
 
 class SilentLinks:
-    """Links to peers that do not reply; ``asked`` counts the queries."""
+    """Links to peers that do not reply; ``request_count`` counts the queries."""
 
     def __init__(self):
         self.request_count = 0
@@ -127,7 +127,7 @@
 
 @then('each of them finds it cut off within 1 s')
 def all_checked(context):
-    assert context.checked == [True] * 20, context.learned
+    assert context.checked == [True] * 20, context.checked
 
 
 @then('{count:d} queries were sent')
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -103,13 +103,13 @@
 
 
 class DelayedReadTopic(MemoryTopic):
-    """A topic whose reads are blocked while ``late`` is set."""
+    """A topic whose reads are blocked while ``reads_blocked`` is set."""
 
-    late = False
+    reads_blocked = False
 
     async def read(self, offset, wait, max_bytes):
-        """Read once ``late`` is cleared."""
-        while self.late:
+        """Read once ``reads_blocked`` is cleared."""
+        while self.reads_blocked:
             await curio.sleep(0.01)
         return await super().read(offset, wait, max_bytes)
 
@@ -120,26 +120,26 @@
     left = make_record(OWNER_KEY, Owner(1, 'other', 'other/1', released=True))
     curio.run(context.topic.append, [left], 0.1, WriterFence(1, 4))
     context.host = Host('a', context.topic)
-    context.late = 0.0
+    context.read_delay = 0.0
 
 
 @given('another host has claimed it, which this host reads {seconds:g} s late')
 def other_claims_first(context, seconds):
-    context.late = seconds
+    context.read_delay = seconds
 
 
 @when('it claims')
 @when('it claims until then')
 def claims_left(context):
     async def read_late():
-        await curio.sleep(context.late)
-        context.topic.late = False
+        await curio.sleep(context.read_delay)
+        context.topic.reads_blocked = False
 
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
         await until(lambda: context.host.follower.complete)
-        if context.late:
-            context.topic.late = True
+        if context.read_delay:
+            context.topic.reads_blocked = True
             # Let a read that is in progress end first.
             await curio.sleep(0.1)
             winner = make_record(OWNER_KEY, Owner(2, 'b', 'b/1'))
@@ -147,7 +147,7 @@
             context.appends = context.topic.appends
             await curio.spawn(read_late, daemon=True)
         context.term = await context.host.claim(
-            context.late + 0.4 if context.late else LONG_TIMEOUT
+            context.read_delay + 0.4 if context.read_delay else LONG_TIMEOUT
         )
 
     curio.run(claim)
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -108,8 +108,8 @@
         self.planner = planner
         self.clock = clock
 
-    def plan(self, *asked):
-        plan = self.planner.plan(*asked)
+    def plan(self, *arguments):
+        plan = self.planner.plan(*arguments)
         self.clock.advance(2)
         return plan
 
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -7,9 +7,9 @@
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._election import Election, Term
 from dandelionreel.cell.model import WriterFence
+from dandelionreel.cell.owner._dependencies import DispatcherDependencies
 from dandelionreel.cell.owner._dispatcher import Dispatcher
 from dandelionreel.cell.owner._owner_context import OwnerContext, always_fresh
-from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.cell.store._runner_projection import RunnerProjection
@@ -85,7 +85,7 @@
     host, term, topic, clock, make_runner=make_registration, runners=None, links=None
 ):
     """Return the dispatcher of a host in ``term``, by default without runners."""
-    parts = DispatcherParts(
+    dependencies = DispatcherDependencies(
         topic=topic,
         follower=host.follower,
         jobs=host.projection,
@@ -103,11 +103,11 @@
         max_lease=10.0,
         status_retention=120,
     )
-    return Dispatcher(parts, term)
+    return Dispatcher(dependencies, term)
 
 
 class SilentPeerLinks:
-    """Peer links on which no peer answers; ``asked`` counts the requests."""
+    """Peer links on which no peer answers; ``request_count`` counts the requests."""
 
     def __init__(self):
         self.request_count = 0
