--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -67,19 +67,19 @@
         before the capacity is free.
         """
         tickets = self._cell.tickets.of(step.name)
-        if not tickets.may_ask(now):
+        if not tickets.may_request(now):
             return []
         demand = counted_demand(step)
         slots_and_runners = [
             (count_slots(demand, runner.free_capacity), runner)
             for runner in runners
-            if runner.id not in tickets.asked
+            if runner.id not in tickets.asked_runners
         ]
         if step.step.gang:
             slots_and_runners.sort(key=_by_slots(zone))
         else:
             slots_and_runners = [entry for entry in slots_and_runners if entry[0]]
-            slots_and_runners.sort(key=_by_step_hash(step.name, zone))
+            slots_and_runners.sort(key=_by_job_hash(step.name, zone))
         unasked = [runner for _, runner in slots_and_runners]
         return self._split(queue, step, unasked[: self._runners_to_ask(step)])
 
@@ -93,7 +93,7 @@
     ) -> list[AdviceRequest]:
         """Return requests for new tickets on allowed runners with free slots, ``zone`` first."""
         tickets = self._cell.tickets.of(step.name)
-        if not tickets.may_ask(now):
+        if not tickets.may_request(now):
             return []
         demand = counted_demand(step)
         limit = step.step.max_per_runner
@@ -119,7 +119,7 @@
         plan.
         """
         tickets = self._cell.tickets.of(step.name)
-        if not tickets.may_ask(now) or queue.advice is None:
+        if not tickets.may_request(now) or queue.advice is None:
             return []
         valid = tickets.valid(reservation.at)
         if reservation.runners <= valid.keys():
@@ -187,7 +187,7 @@
     return sort_key
 
 
-def _by_step_hash(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
+def _by_job_hash(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
     """Return a sort key: runners in ``zone``, then with free slots, then by a hash of the job.
 
     With the same order for all, jobs would compete for the same few runners and their tickets.
--- a/dandelionreel/cell/decisions/_allocation_table.py
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -22,18 +22,18 @@
         self.runner_by_id: dict[str, RunnerState] = {}
         #: Ids of jobs whose progress may have to be written to the store.
         self.dirty: set[str] = set()
-        self._runs = AllocationIndex()
+        self._index = AllocationIndex()
         #: Total demand of the runs of each client account.
-        self.usage = self._runs.usage
+        self.usage = self._index.usage
         self._stops = StopQueue()
 
-    def hold(self, runner: RunnerState, allocation: Allocation) -> None:
+    def add_allocation(self, runner: RunnerState, allocation: Allocation) -> None:
         """Add an allocation to its runner and its job."""
-        self._runs.hold(runner, allocation)
+        self._index.add_allocation(runner, allocation)
 
-    def free(self, runner: RunnerState, allocation: Allocation) -> JobRun | None:
+    def remove_allocation(self, runner: RunnerState, allocation: Allocation) -> JobRun | None:
         """Remove the allocation of a finished run; return its job, ``None`` if unknown."""
-        self._runs.free(runner, allocation)
+        self._index.remove_allocation(runner, allocation)
         job = self.job_by_id.get(allocation.task.job)
         if job is not None:
             job.note_run_ended(allocation.task, allocation.run)
@@ -42,7 +42,7 @@
 
     def drop_lost(self, runner: RunnerState, allocation: Allocation) -> None:
         """Remove a run that is known to be gone but whose end was never listed."""
-        job = self.free(runner, allocation)
+        job = self.remove_allocation(runner, allocation)
         found = None if job is None else job.find_task(allocation.task)
         if found is None:
             return
@@ -60,7 +60,7 @@
         for allocation in tuple(runner.allocation_by_run.values()):
             self.drop_lost(runner, allocation)
 
-    def find(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
+    def find_task(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
         """Return a task with its step, ``None`` if the task is unknown."""
         job = self.job_by_id.get(name.job)
         return None if job is None else job.find_task(name)
@@ -95,11 +95,11 @@
 
     def stop(self, allocation: Allocation) -> None:
         """Request a stop of a run; its allocation stays until the run is known to be gone."""
-        self._stops.order(allocation)
+        self._stops.add(allocation)
 
-    def repeat_stop(self, allocation: Allocation, asked: float) -> None:
+    def repeat_stop(self, allocation: Allocation, polled_at: float) -> None:
         """Repeat the stop of a run if a poll sent at ``asked`` should no longer list it."""
-        self._stops.repeat(allocation, asked)
+        self._stops.repeat(allocation, polled_at)
 
     def stop_members(self, step: StepRun) -> None:
         """Stop all placed members of a gang."""
@@ -110,16 +110,16 @@
 
     def stop_job(self, job_id: str) -> None:
         """Stop all runs of a job."""
-        for allocation in self._runs.of_job(job_id):
+        for allocation in self._index.of_job(job_id):
             self.stop(allocation)
 
     def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return all allocations of a job, over all runners."""
-        return self._runs.of_job(job_id)
+        return self._index.of_job(job_id)
 
     def take_stops(self) -> list[Allocation]:
         """Return the stops to send; each is returned only once."""
-        return self._stops.take()
+        return self._stops.take_all()
 
 
 def is_current(task: TaskRun, runner: str, run: int) -> bool:
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -113,32 +113,32 @@
             return bool(self.unseen_runners)
         return not self.unseen_runners.isdisjoint(job.runners)
 
-    def update_job(self, booked: StoredJob, now: float, wall: float) -> None:
+    def update_job(self, stored_job: StoredJob, now: float, wall: float) -> None:
         """Apply what the store holds for a job, new or known.
 
         An unreadable job that is not known here is not started. The ends of its runs are not
         acknowledged: the runners would forget them, and a task that is done would be started
         again once the job can be read.
         """
-        job = self.job_by_id.get(booked.id)
-        if booked.unreadable and job is None:
-            self.unreadable_jobs.add(booked.id)
-        elif booked.id in self.unreadable_jobs:
-            self.unreadable_jobs.remove(booked.id)
+        job = self.job_by_id.get(stored_job.id)
+        if stored_job.unreadable and job is None:
+            self.unreadable_jobs.add(stored_job.id)
+        elif stored_job.id in self.unreadable_jobs:
+            self.unreadable_jobs.remove(stored_job.id)
             for runner in self.runner_by_id.values():
                 runner.reprocess_ends()
-        if job is None and booked.submission is not None and not booked.unreadable:
-            age = max(0.0, wall - booked.submission.accepted_at)
-            job = JobRun(booked.id, booked.submission, now - age)
+        if job is None and stored_job.submission is not None and not stored_job.unreadable:
+            age = max(0.0, wall - stored_job.submission.accepted_at)
+            job = JobRun(stored_job.id, stored_job.submission, now - age)
             job.exceeds_account_rate = self._is_beyond_rate(job)
-            if booked.progress is not None:
-                job.restore(booked.progress)
-            self.job_by_id[booked.id] = job
-            self.unfinished_job_by_id[booked.id] = job
-        elif job is not None and job.apply_final_state(booked.progress):
+            if stored_job.progress is not None:
+                job.restore(stored_job.progress)
+            self.job_by_id[stored_job.id] = job
+            self.unfinished_job_by_id[stored_job.id] = job
+        elif job is not None and job.apply_final_state(stored_job.progress):
             self._allocations.stop_job(job.id)
-        if booked.cancelled:
-            self.cancel(booked.id)
+        if stored_job.cancelled:
+            self.cancel(stored_job.id)
 
     def cancel(self, job_id: str) -> None:
         """Stop a job whose cancellation is stored."""
@@ -206,20 +206,20 @@
         for runner_id, registration in registrations.items():
             if runner_id in self._ended_runners:
                 continue
-            known = self.runner_by_id.get(runner_id)
-            if known is None:
+            state = self.runner_by_id.get(runner_id)
+            if state is None:
                 # A runner that was never used runs none of our tasks, so there is no reason
                 # to poll an address from an entry that cannot be used.
                 if not registration.usable:
                     continue
-                known = RunnerState(registration)
-                self.runner_by_id[runner_id] = known
-                new_runners.append(known)
-            known.note_registration(registration, now)
-            known.listed = True
-        for runner_id, known in self.runner_by_id.items():
+                state = RunnerState(registration)
+                self.runner_by_id[runner_id] = state
+                new_runners.append(state)
+            state.note_registration(registration, now)
+            state.listed = True
+        for runner_id, state in self.runner_by_id.items():
             if runner_id not in registrations:
-                known.listed = False
+                state.listed = False
         return new_runners
 
     def forget_runner(self, runner_id: str) -> None:
@@ -277,8 +277,8 @@
         crashes = []
         dropped = self.unseen_runners.intersection(runners)
         for runner_id in dropped:
-            known = self.runner_by_id.get(runner_id)
-            if known is not None and known.listed:
+            state = self.runner_by_id.get(runner_id)
+            if state is not None and state.listed:
                 continue
             crashes.extend(self._losses.note_unseen(runner_id))
         self.unseen_runners -= dropped
@@ -321,7 +321,7 @@
             quarantined=task.quarantined,
             account=job.account,
         )
-        self._allocations.hold(runner, allocation)
+        self._allocations.add_allocation(runner, allocation)
         step.place(task, runner.id, run)
         return allocation
 
@@ -432,7 +432,7 @@
         account = self._account_of(job)
         if account is None:
             return False
-        return not self._rates.take(account.name, account.weight, job.submission.accepted_at)
+        return not self._rates.take_token(account.name, account.weight, job.submission.accepted_at)
 
     def _cancel(self, job: JobRun) -> None:
         job.cancelled = True
--- a/dandelionreel/cell/decisions/_job_rates.py
+++ b/dandelionreel/cell/decisions/_job_rates.py
@@ -18,7 +18,7 @@
         self._tokens_by_account: dict[str, float] = {}
         self._filled_at_by_account: dict[str, float] = {}
 
-    def take(self, account: str, rate: float, accepted_at: float) -> bool:
+    def take_token(self, account: str, rate: float, accepted_at: float) -> bool:
         """Take a token for a job; return whether the job is within ``rate`` (jobs a second).
 
         Jobs may arrive out of order, as the clocks of the accepting hosts differ; the bucket is
--- a/dandelionreel/cell/decisions/_job_runs.py
+++ b/dandelionreel/cell/decisions/_job_runs.py
@@ -19,16 +19,16 @@
         #: Resources that the runs of each account use in total.
         self.usage: Usage[Demand] = Usage(Demand())
 
-    def hold(self, runner: RunnerState, allocation: Allocation) -> None:
+    def add_allocation(self, runner: RunnerState, allocation: Allocation) -> None:
         """Add an allocation to its runner, its job and its account."""
-        runner.hold(allocation)
+        runner.add_allocation(allocation)
         self.usage.add(allocation.account, allocation.demand)
         held = self._allocations_by_job.setdefault(allocation.task.job, {})
         held[_key(allocation)] = allocation
 
-    def free(self, runner: RunnerState, allocation: Allocation) -> None:
+    def remove_allocation(self, runner: RunnerState, allocation: Allocation) -> None:
         """Remove an allocation; idempotent."""
-        runner.free(allocation)
+        runner.remove_allocation(allocation)
         held = self._allocations_by_job.get(allocation.task.job)
         if held is None:
             return
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -159,11 +159,11 @@
 
         Its capacity may have shrunk since the run was placed there.
         """
-        room, demand = self.free_capacity, allocation.demand
+        free, demand = self.free_capacity, allocation.demand
         return (
-            (room.cpu >= 0 or not demand.cpu)
-            and (room.memory_mb >= 0 or not demand.memory_mb)
-            and (room.gpu >= 0 or not demand.gpu)
+            (free.cpu >= 0 or not demand.cpu)
+            and (free.memory_mb >= 0 or not demand.memory_mb)
+            and (free.gpu >= 0 or not demand.gpu)
         )
 
     @property
@@ -185,7 +185,7 @@
         self.processed_end = self.acknowledged_end
         self.retained_end = None
 
-    def hold(self, allocation: Allocation) -> None:
+    def add_allocation(self, allocation: Allocation) -> None:
         """Add an allocation."""
         self.allocation_by_run[allocation.task, allocation.run] = allocation
         self.used = self.used + allocation.demand
@@ -194,7 +194,7 @@
         if allocation.quarantined:
             self._quarantined.append(allocation)
 
-    def free(self, allocation: Allocation) -> None:
+    def remove_allocation(self, allocation: Allocation) -> None:
         """Remove an allocation; idempotent."""
         if self.allocation_by_run.pop((allocation.task, allocation.run), None) is not None:
             self.used = self.used - allocation.demand
@@ -264,6 +264,6 @@
     """Return the expected end of a run in monotonic seconds."""
     if allocation.phase is AllocationPhase.STOPPING:
         return now
-    began = allocation.started_at or allocation.placed_at
-    usual = began + allocation.expected
-    return max(usual, now + OVERRUN_FRACTION * allocation.expected)
+    started_at = allocation.started_at or allocation.placed_at
+    estimated_end = started_at + allocation.expected
+    return max(estimated_end, now + OVERRUN_FRACTION * allocation.expected)
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_losses.py
@@ -40,7 +40,7 @@
         """Count the runs that were lost with a runner whose process is proven to have ended."""
         if runner.draining:
             return []
-        crashes = self._count(
+        crashes = self._count_crashes(
             runner.id, runner.answered_at, tuple(runner.allocation_by_run.values())
         )
         lapsed = self._lapsed_by_address.get(_address(runner))
@@ -92,9 +92,9 @@
 
     def _count_lapsed(self, address: Address) -> list[Crash]:
         lapsed = self._lapsed_by_address.pop(address)
-        return self._count(lapsed.runner, lapsed.answered_at, lapsed.runs)
+        return self._count_crashes(lapsed.runner, lapsed.answered_at, lapsed.runs)
 
-    def _count(
+    def _count_crashes(
         self,
         runner_id: str,
         answered_at: float,
--- a/dandelionreel/cell/decisions/_objectives.py
+++ b/dandelionreel/cell/decisions/_objectives.py
@@ -40,14 +40,14 @@
     return -(-step.count // max(1, concurrent))
 
 
-def count_fitting(demand: Demand, available: Demand, most: int) -> int:
+def count_fitting(demand: Demand, available: Demand, limit: int) -> int:
     """Return how many tasks of a demand fit into ``available``, limited to ``most``."""
-    count = most
-    for asked, have in (
+    count = limit
+    for needed, free in (
         (demand.cpu, available.cpu),
         (demand.memory_mb, available.memory_mb),
         (demand.gpu, available.gpu),
     ):
-        if asked:
-            count = min(count, have // asked)
+        if needed:
+            count = min(count, free // needed)
     return max(0, count)
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -123,9 +123,9 @@
         candidates = list_candidates(self._cell, self._order.rank, now, wall)
         if not candidates:
             return Plan()
-        self._gate.begin(candidates, now, wall)
-        self._preemption.begin()
-        usable = self._usable(now)
+        self._gate.begin_plan(candidates, now, wall)
+        self._preemption.begin_plan()
+        usable = self._usable_by_service(now)
         makes_reservations = self._renew_reservations(candidates, usable, now)
         requestable_cpu = {
             service: REQUESTED_CPU_FACTOR * _free_cpu(runners)
@@ -169,7 +169,7 @@
     def _gang_version(self, step: StepRun) -> _GangVersion:
         return _GangVersion(step.name, self._cell.tickets.of(step.name).answers)
 
-    def _usable(self, now: float) -> dict[str, dict[str, RunnerState]]:
+    def _usable_by_service(self, now: float) -> dict[str, dict[str, RunnerState]]:
         by_service: dict[str, dict[str, RunnerState]] = {}
         usable = [runner for runner in self._cell.runner_by_id.values() if runner.usable(now)]
         zones = {runner.registration.zone for runner in usable}
@@ -250,7 +250,7 @@
         if not _may_request(queue, state):
             return
         state.requestable_cpu_by_service[service] -= step.waiting * counted_demand(step).cpu
-        if not self._cell.tickets.of(step.name).may_ask(state.now):
+        if not self._cell.tickets.of(step.name).may_request(state.now):
             return
         # Tickets for a reserved runner would expire before the step may start there.
         ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
@@ -262,7 +262,7 @@
         ]
         requests = []
         zone = candidate.job.submission.zone
-        if self._cell.tickets.of(step.name).asked:
+        if self._cell.tickets.of(step.name).asked_runners:
             requests = self._advice_requests.for_expired_tickets(
                 queue, step, eligible, state.now, zone
             )
@@ -343,15 +343,15 @@
             self._reserve_slots(candidate, queue, eligible, eligible, state)
             return
         tickets = self._cell.tickets.of(step.name)
-        if tickets.is_pending and not tickets.asked:
+        if tickets.is_pending and not tickets.asked_runners:
             return
         reservation = None
-        if not state.reservations.full:
+        if not state.reservations.is_full:
             allowed = self._allowed_runners(step, runners)
             valid = tickets.valid(state.now + STOP_LATENCY_SECONDS)
             ready = [runner for runner in allowed if runner.id in valid]
             reservation = self._reserve_slots(candidate, queue, allowed, ready, state)
-        if not _may_request(queue, state) or not tickets.may_ask(state.now):
+        if not _may_request(queue, state) or not tickets.may_request(state.now):
             return
         if reservation is None:
             eligible = [runner for runner in runners.values() if has_required_label(step, runner)]
@@ -381,7 +381,7 @@
         The gang has valid tickets for the ``ready`` runners; tasks are preempted only there.
         """
         reservations, now = state.reservations, state.now
-        if reservations.full:
+        if reservations.is_full:
             return None
         free = reservations.unreserved(runners)
         reservation = reservations.find(candidate.step, candidate.rank, free, now)
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -49,7 +49,7 @@
         #: Preemptible runs by runner and by priority of the gang, the largest first.
         self._victims_by_runner: dict[tuple[str, int], list[Allocation]] = {}
 
-    def begin(self) -> None:
+    def begin_plan(self) -> None:
         """Begin a plan: clear the cached victims.
 
         Within one plan they stay valid but for the runs that the plan itself stops.
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -70,7 +70,7 @@
         #: Jobs that this plan has begun to block.
         self.newly_blocked: list[JobRun] = []
 
-    def begin(self, candidates: Iterable[Candidate], now: float, wall: float) -> None:
+    def begin_plan(self, candidates: Iterable[Candidate], now: float, wall: float) -> None:
         """Begin a plan; gangs that are no longer candidates are forgotten."""
         self._now = now
         self._cell.quotas.refresh(now, wall)
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -69,7 +69,7 @@
         self._freed_by_runner: dict[str, list[FreedCapacity]] = {}
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether no further gang may reserve runners."""
         return self._count >= self._max_count
 
--- a/dandelionreel/cell/decisions/_runner_choice.py
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -59,9 +59,9 @@
 def _remaining_share(demand: Demand, runner: RunnerState) -> float:
     """Return the free share of a runner with the task placed, CPU plus memory."""
     capacity = runner.registration.capacity
-    room = runner.free_capacity
-    return (room.cpu - demand.cpu) / max(1, capacity.cpu) + (
-        room.memory_mb - demand.memory_mb
+    free = runner.free_capacity
+    return (free.cpu - demand.cpu) / max(1, capacity.cpu) + (
+        free.memory_mb - demand.memory_mb
     ) / max(1, capacity.memory_mb)
 
 
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -115,7 +115,7 @@
         allocation = runner.allocation_by_run.get((ended.task, ended.run))
         job = allocations.job_by_id.get(ended.task.job)
         if allocation is not None:
-            allocations.free(runner, allocation)
+            allocations.remove_allocation(runner, allocation)
         found = None if job is None else job.find_task(ended.task)
         if job is None or found is None:
             return allocation
@@ -186,7 +186,7 @@
         found = None if job is None else job.find_task(running.task)
         account = '' if job is None else job.account
         allocation = _make_adopted_allocation(runner, running, now, found, account)
-        allocations.hold(runner, allocation)
+        allocations.add_allocation(runner, allocation)
         if job is None or found is None:
             allocations.stop(allocation)
             return
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -29,11 +29,11 @@
     ``accepted`` is in seconds on this process's monotonic clock.
     """
 
-    def __init__(self, job: str, submission: Submission, accepted: float) -> None:
+    def __init__(self, job: str, submission: Submission, accepted_at: float) -> None:
         """Create a job without progress."""
         self.id = job
         self.submission = submission
-        self.accepted_at = accepted
+        self.accepted_at = accepted_at
         self.cancelled = False
         self.has_started = False
         self.state = JobState.QUEUED
@@ -85,14 +85,14 @@
 
     def steps(self, occurrence: int) -> list[StepRun]:
         """Return the steps of one occurrence, created on first use."""
-        known = self._steps_by_occurrence.get(occurrence)
-        if known is None:
-            known = [
+        cached = self._steps_by_occurrence.get(occurrence)
+        if cached is None:
+            cached = [
                 StepRun(StepName(self.id, occurrence, number), step)
                 for number, step in enumerate(self.spec.steps)
             ]
-            self._steps_by_occurrence[occurrence] = known
-        return known
+            self._steps_by_occurrence[occurrence] = cached
+        return cached
 
     def find_step(self, name: TaskName | StepName) -> StepRun | None:
         """Return the step of a task, ``None`` if the job has no such step."""
@@ -114,11 +114,11 @@
 
         ``quota`` limits what its account may have running.
         """
-        known = self._objective
-        if known is None or known[0] is not queue or known[1] is not quota:
-            known = (queue, quota, objective(queue, self.spec, quota))
-            self._objective = known
-        return known[2]
+        cached = self._objective
+        if cached is None or cached[0] is not queue or cached[1] is not quota:
+            cached = (queue, quota, objective(queue, self.spec, quota))
+            self._objective = cached
+        return cached[2]
 
     def remaining_demand(self, wall: float) -> Demand:
         """Return the total demand of the waiting tasks of all due occurrences."""
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -110,8 +110,8 @@
         placed = sum(task.phase is TaskPhase.PLACED for task in step.tasks)
         return (
             f'{step.name.occurrence}.{step.name.step}: {step.waiting} waiting, {placed} placed, '
-            f'{step.done} done; {len(tickets.allowed)} of {len(tickets.asked)} runners allowed, '
-            f'{len(tickets.valid(now))} valid tickets, {tickets.pending} requests pending'
+            f'{step.done} done; {len(tickets.allowed)} of {len(tickets.asked_runners)} runners '
+            f'allowed, {len(tickets.valid(now))} valid tickets, {tickets.pending} requests pending'
         )
 
 
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -17,7 +17,7 @@
         """Create an empty queue."""
         self._queue: list[Allocation] = []
 
-    def order(self, allocation: Allocation) -> None:
+    def add(self, allocation: Allocation) -> None:
         """Queue the stop of a run; it stays allocated until it is known to be gone."""
         if allocation.phase is AllocationPhase.STOPPING:
             return
@@ -36,7 +36,7 @@
         if polled_at >= allocation.order_answered_at + MAX_STOP_SECONDS:
             self._enqueue(allocation)
 
-    def take(self) -> list[Allocation]:
+    def take_all(self) -> list[Allocation]:
         """Return the queued stops and clear the queue."""
         taken = self._queue
         self._queue = []
--- a/dandelionreel/cell/decisions/_tickets.py
+++ b/dandelionreel/cell/decisions/_tickets.py
@@ -18,7 +18,7 @@
 class StepTickets:
     """The answers of the policy service for one step."""
 
-    asked: set[str] = field(default_factory=set)
+    asked_runners: set[str] = field(default_factory=set)
     allowed: set[str] = field(default_factory=set)
     ticket_by_runner: dict[str, str] = field(default_factory=dict)
     expires_at_by_runner: dict[str, float] = field(default_factory=dict)
@@ -33,7 +33,7 @@
         """Return whether a request is in progress."""
         return self.pending > 0
 
-    def may_ask(self, now: float) -> bool:
+    def may_request(self, now: float) -> bool:
         """Return whether a request may be sent: none is pending and none failed recently."""
         return not self.is_pending and now >= self.not_before
 
@@ -68,7 +68,7 @@
     def note_answer(
         self,
         step: StepName,
-        asked: Iterable[str],
+        asked_runners: Iterable[str],
         permits: Iterable[Permit],
         expires_at: float,
     ) -> None:
@@ -76,7 +76,7 @@
         tickets = self.of(step)
         tickets.pending = max(0, tickets.pending - 1)
         tickets.answers += 1
-        tickets.asked.update(asked)
+        tickets.asked_runners.update(asked_runners)
         for permit in permits:
             tickets.allowed.add(permit.runner)
             tickets.ticket_by_runner[permit.runner] = permit.ticket
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -101,10 +101,10 @@
     return candidate.rank
 
 
-def _lateness(end: float, accepted: float, objective: float) -> int:
+def _lateness(end: float, accepted_at: float, objective: float) -> int:
     """Return 0 for in time, 1 for late but still useful, ``TOO_LATE`` for neither."""
-    if end <= accepted + objective:
+    if end <= accepted_at + objective:
         return 0
-    if end <= accepted + MAX_USEFUL_LATENESS * objective:
+    if end <= accepted_at + MAX_USEFUL_LATENESS * objective:
         return 1
     return TOO_LATE
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -99,18 +99,18 @@
         self._reason_by_key[key] = error.reason
         if len(self._reason_by_key) > MAX_REMEMBERED_KEYS:
             self._reason_by_key.popitem(last=False)
-        self._tell(key, f'cannot be read, {meaning}: {error}', error.reason)
+        self._log(key, f'cannot be read, {meaning}: {error}', error.reason)
 
     def log_readable(self, key: str) -> None:
         """Handle a readable record of a key."""
         if key in self._reason_by_key:
-            self._tell(key, 'can be read again', self._reason_by_key.pop(key))
+            self._log(key, 'can be read again', self._reason_by_key.pop(key))
 
     def forget(self, key: str) -> None:
         """Handle the deletion of a key."""
         self._reason_by_key.pop(key, None)
 
-    def _tell(self, key: str, outcome: str, reason: Reason) -> None:
+    def _log(self, key: str, outcome: str, reason: Reason) -> None:
         now = self._clock.monotonic()
         if now >= self._window_until:
             self._window_until = now + WINDOW_SECONDS
--- a/features/cell_parts.py
+++ b/features/cell_parts.py
@@ -96,7 +96,7 @@
             self.cell.handle_start_reply(allocation, StartReply.STARTED, self.now)
         return plan
 
-    def poll(self, runner, running=(), ended=(), asked=None, complete=True):
+    def poll(self, runner, running=(), ended=(), polled_at=None, complete=True):
         """Poll a runner that lists runs ``(task, run)`` and ends ``(number, task, run, outcome)``.
 
         Without ``complete``, the runner has more ends than it lists.
@@ -107,7 +107,9 @@
             ends.append(EndedRun(number, name, run, Outcome(outcome), ''))
         view = RunnerView(self.now, running_tasks, tuple(ends), complete)
         state = self.cell.runner_by_id[runner]
-        return self.cell.handle_view(state, view, self.now if asked is None else asked, self.now)
+        return self.cell.handle_view(
+            state, view, self.now if polled_at is None else polled_at, self.now
+        )
 
     def runs_on(self, runner):
         """Return the keys ``(task, run)`` of the allocations on a runner."""
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -107,7 +107,9 @@
     cell = context.dispatcher.cell
     (state,) = cell.update_runners(context.runners.registration_by_id, 0.0)
     context.task = task('j1')
-    state.hold(Allocation(context.task, 1001, 'w9', Demand(), 0.0, phase=AllocationPhase.RUNNING))
+    state.add_allocation(
+        Allocation(context.task, 1001, 'w9', Demand(), 0.0, phase=AllocationPhase.RUNNING)
+    )
 
 
 def read_entry(context, runner, content, offset):
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -14,7 +14,7 @@
 
 RUNNER_CPU = 32_000
 #: Seconds; longer than any scenario takes on any machine.
-NEVER_ANSWERS_SECONDS = 30
+NO_ANSWER_SECONDS = 30
 
 
 def journal():
@@ -129,7 +129,7 @@
         self.jobs.append(
             step_or_host.job if isinstance(step_or_host, StepName) else request_message.job
         )
-        await curio.sleep(NEVER_ANSWERS_SECONDS)
+        await curio.sleep(NO_ANSWER_SECONDS)
 
 
 @when('a job of 2 tasks is handed in')
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -29,14 +29,14 @@
 
 
 @given('a task of {cpu:d} is decided to start on {runner}')
-def decided(context, cpu, runner):
+def decided_start(context, cpu, runner):
     submit_single_task(context, cpu)
     (start,) = context.small.plan(start=False).starts
     assert start.runner == runner, start
 
 
 @given('a task of {cpu:d} runs on {runner}')
-def runs(context, cpu, runner):
+def task_runs_on(context, cpu, runner):
     submit_single_task(context, cpu)
     (start,) = context.small.plan().starts
     assert start.runner == runner, start
@@ -71,7 +71,7 @@
 
 
 @then('the task keeps running, and a task of {cpu:d} {outcome}')
-def goes_on(context, cpu, outcome):
+def keeps_running(context, cpu, outcome):
     small = context.small
     assert not small.cell.take_stops()
     assert len(small.runs_on('w1')) == 1
@@ -80,7 +80,7 @@
 
 
 @given('a gang of {count:d} tasks of {cpu:d} for which w1 and w2 are reserved')
-def reserved(context, count, cpu):
+def reserve_for_gang(context, count, cpu):
     small = context.small
     # All runners are full; w1 and w2 become free first.
     for number, seconds in enumerate((1, 2, 9), 1):
@@ -101,10 +101,10 @@
     assert {start.runner for start in plan.starts} == {'w2', 'w3'}, plan.starts
 
 
-@given('a successor that finds a task of {cpu:d} on w1, which reports a capacity of {room:d}')
-def successor_finds(context, cpu, room):
+@given('a successor that finds a task of {cpu:d} on w1, which reports a capacity of {capacity:d}')
+def successor_finds(context, cpu, capacity):
     context.small = SmallCell(('w1',), epoch=2, seen=False)
-    resize(context, 'w1', room)
+    resize(context, 'w1', capacity)
     job = submit_single_task(context, cpu)
     context.small.poll('w1', running=[(task(job), 1001)])
     assert context.small.used('w1') == cpu
@@ -124,17 +124,17 @@
 
 
 @then('it may not start tasks, and logs it')
-def may_not(context):
+def may_not_start(context):
     assert not context.owner.may_start()
     assert context.owner.may_act(), 'the owner must still renew leases'
-    lines = RecordingJournal()
+    journal = RecordingJournal()
     host = Host('me', MemoryTopic())
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
-    rounds = dispatcher._periodic_checks
-    rounds._owner_context, rounds._journal = context.owner, lines
-    rounds._log_runner_list_age()
-    rounds._log_runner_list_age()
-    assert lines.entries == [
+    checks = dispatcher._periodic_checks
+    checks._owner_context, checks._journal = context.owner, journal
+    checks._log_runner_list_age()
+    checks._log_runner_list_age()
+    assert journal.entries == [
         ('starts nothing, by the age of the list of runners.', {'epoch': 1, 'list_age': 2.6})
     ]
 
@@ -149,25 +149,25 @@
     make_advised(context, ('w1', 'w2'))
 
 
-@given('w1 has a capacity of {room:d} and already runs a task of {cpu:d}')
-def runs_over(context, room, cpu):
+@given('w1 has a capacity of {capacity:d} and already runs a task of {cpu:d}')
+def overcommit(context, capacity, cpu):
     small = context.small
     job = submit_single_task(context, cpu)
     small.poll('w1', running=[(task(job), 1)])
-    resize(context, 'w1', room)
+    resize(context, 'w1', capacity)
     assert small.cell.runner_by_id['w1'].free_capacity.cpu < 0
 
 
 @when('a task of {cpu:d} needs advice')
 def advised_task(context, cpu):
     submit_single_task(context, cpu)
-    context.questions = context.small.plan().advice_requests
+    context.advice_requests = context.small.plan().advice_requests
 
 
 @then('advice is asked for it about w2')
 def asked_about(context):
-    (question,) = context.questions
-    assert 'w2' in question.runners, question
+    (request,) = context.advice_requests
+    assert 'w2' in request.runners, request
 
 
 @given('a cell with 24 runners whose queue needs advice, of which the first has no capacity')
@@ -179,10 +179,10 @@
 @when('a gang of {count:d} tasks of {cpu:d} needs advice')
 def advised_gang(context, count, cpu):
     context.small.add_job('gang', [step(cpu, count, gang=True)])
-    context.questions = context.small.plan().advice_requests
+    context.advice_requests = context.small.plan().advice_requests
 
 
 @then('advice is asked for it about fewer than {count:d} runners')
 def asked_fewer(context, count):
-    asked = {runner for question in context.questions for runner in question.runners}
-    assert 0 < len(asked) < count, sorted(asked)
+    asked_runners = {runner for request in context.advice_requests for runner in request.runners}
+    assert 0 < len(asked_runners) < count, sorted(asked_runners)
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -129,8 +129,8 @@
 def poll_without_run(context, order):
     small = context.small
     small.now += 1
-    asked = small.now - 2 if order == 'before' else small.now
-    small.poll('w1', asked=asked)
+    polled_at = small.now - 2 if order == 'before' else small.now
+    small.poll('w1', polled_at=polled_at)
 
 
 @then('the run {fate}')
@@ -231,8 +231,8 @@
     assert stopped == [context.again]
     ended = [(1, context.again.task, context.again.run, 'stopped')]
     small.poll(context.second_runner, ended=ended)
-    made = small.plan()
-    assert [start.task.index for start in made.starts] == [1], made.starts
+    plan = small.plan()
+    assert [start.task.index for start in plan.starts] == [1], plan.starts
 
 
 @when('w1 drains and a job is handed in')
@@ -332,13 +332,13 @@
     small = context.small
     small.registration_by_id['w2'] = make_registration('w2', labels=('b', 'r-2'), port=2)
     small.update_runners()
-    made = {
+    step_by_rule = {
         '4 tasks': step(count=4),
         '4 tasks, at most 2 each': step(count=4, max_per_runner=2),
         '2 tasks that need b': step(count=2, required_label='b'),
         '2 tasks with data at r-2': step(count=2, data_rack='r-2'),
     }
-    small.add_job('j1', [made[rule]])
+    small.add_job('j1', [step_by_rule[rule]])
     small.plan()
 
 
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -8,7 +8,7 @@
 
 RUNNER_CPU = 32_000
 #: Seconds; longer than any scenario takes on any machine.
-LONG = 30
+LONG_SECONDS = 30
 
 
 @given('a gang of {count:d} tasks of {cpu:d} millicores with one start unanswered')
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -98,13 +98,13 @@
 
 
 @when('w1 announces a drain, then another incarnation answers')
-def leaves(context):
+def drain_then_replaced(context):
     context.small.drain('w1')
     replace_runner(context)
 
 
 @when('w1 announces a drain as its entry is removed, then another answers')
-def leaves_with_entry(context):
+def drain_seen_with_removal(context):
     small = context.small
     last = replace(small.registration_by_id.pop('w1'), draining=True)
     small.update_runners()
@@ -113,17 +113,17 @@
 
 
 @then('the task waits with {count:d} crashes')
-def waits(context, count):
+def task_waits(context, count):
     found = context.job.find_task(task('j1'))
     assert context.job.state is not JobState.FAILED
     assert not found[1].runner, found
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
 
 
-@then('the task waits with {count:d} crashes, {close:d} of them during its start')
-def waits_close(context, count, close):
-    waits(context, count)
-    assert sum(run.during_start for run in context.job.crashes.crashed) == close
+@then('the task waits with {count:d} crashes, {during_start:d} of them during its start')
+def task_waits_after_start_crashes(context, count, during_start):
+    task_waits(context, count)
+    assert sum(run.during_start for run in context.job.crashes.crashed) == during_start
 
 
 @given('an owner with a task whose start on w1 {became}')
@@ -144,8 +144,10 @@
 @given('an owner with a task under which {before}')
 def crashed_before(context, before):
     count = int(before[0]) if before[0].isdigit() else 0
-    close = 'at its start' in before
-    crashed = tuple(CrashedRun(0, 0, 0, EARLIER_RUN + number, close) for number in range(count))
+    during_start = 'at its start' in before
+    crashed = tuple(
+        CrashedRun(0, 0, 0, EARLIER_RUN + number, during_start) for number in range(count)
+    )
     make_owner(context, progress=Progress(1, JobState.RUNNING, crashed=crashed))
     context.start.start_unanswered = context.start.connection_broken = 'broke w1' in before
     if not context.start.connection_broken:
@@ -156,7 +158,7 @@
 
 
 @when("its job is {over}, and another incarnation answers at w1's address")
-def over_before(context, over):
+def end_job_then_replace(context, over):
     if over == 'cancelled':
         context.small.cancel('j1')
     else:
@@ -188,14 +190,14 @@
 @when('two tasks break the connection of a fourth runner, which comes back')
 def two_break(context):
     small = context.small
-    keep = {name: small.registration_by_id.pop(name) for name in ('w1', 'w2', 'w3')}
+    other_registrations = {name: small.registration_by_id.pop(name) for name in ('w1', 'w2', 'w3')}
     small.update_runners()
     context.jobs = [small.add_job(f's{number}', [step()]) for number in (1, 2)]
     starts = small.plan(start=False).starts
     assert [start.runner for start in starts] == ['w4', 'w4'], starts
     for start in starts:
         start.start_unanswered = start.connection_broken = True
-    small.registration_by_id.update(keep)
+    small.registration_by_id.update(other_registrations)
     small.registration_by_id.pop('w4')
     small.update_runners()
     small.cell.handle_ended_runner('w4', proven=True)
@@ -224,7 +226,7 @@
 
 
 @then('half a second later other tasks start beside them')
-def beside(context):
+def others_start_beside(context):
     small = context.small
     for start in context.starts:
         small.cell.handle_start_reply(start, StartReply.STARTED, small.now)
@@ -262,7 +264,7 @@
 
 
 @then('it counts {count:d} crashes under the task')
-def counts(context, count):
+def counts_crashes(context, count):
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
     if count > 1:
         assert context.job in context.small.cell.take_dirty_jobs()
@@ -327,12 +329,12 @@
 
 @when('a poll of w1 is answered after another incarnation was found there')
 def late_answer(context):
-    owner = make_context(context)
+    owner = make_context_of_owner(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, LateRunner(context))
 
 
-def make_context(context):
+def make_context_of_owner(context):
     return make_owner_context(context.small.cell, ManualClock(context.small.now))
 
 
@@ -344,7 +346,7 @@
 
 @when('w1 becomes silent before the start is sent')
 def falls_silent(context):
-    owner = make_context(context)
+    owner = make_context_of_owner(context)
     context.runner = owner.runner_by_id['w1'] = CountingRunner()
     context.small.cell.runner_by_id['w1'].suspect = True
 
@@ -358,7 +360,7 @@
 @then('no start is sent to w1, and the task waits')
 def not_sent(context):
     assert context.runner.starts == 0
-    waits(context, 0)
+    task_waits(context, 0)
 
 
 @given('an owner that polls w1')
@@ -368,7 +370,7 @@
 
 @when('the connection of the poll breaks')
 def poll_breaks(context):
-    owner = make_context(context)
+    owner = make_context_of_owner(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, BreakingRunner())
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -63,11 +63,11 @@
             if held.account == account
         )
 
-    def end(self, allocation, how='done'):
+    def end(self, allocation, outcome='done'):
         """Have the runner list the end of a run."""
         runner = self.cell.runner_by_id[allocation.runner]
         number = runner.processed_end + 1
-        self.poll(runner.id, ended=((number, allocation.task, allocation.run, how),))
+        self.poll(runner.id, ended=((number, allocation.task, allocation.run, outcome),))
 
     def end_old(self, seconds):
         """End all runs that were placed at least ``seconds`` ago."""
@@ -236,8 +236,8 @@
     small.plan()
     small.now += 0.1
     context.gang = small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
-    context.gang_began = None
-    context.others = 0
+    context.gang_started_at = None
+    context.red_start_count = 0
     while small.now < START + 30:
         small.now += 0.1
         held = tuple(small.cell.runner_by_id['w1'].allocation_by_run.values())
@@ -250,21 +250,21 @@
         small.hand_in('blue', [step(2000)], queue)
         other = small.hand_in('red', [step(1000)])
         small.plan()
-        context.others += small.placed(other)
-        if small.placed(context.gang) and context.gang_began is None:
-            context.gang_began = small.now
+        context.red_start_count += small.placed(other)
+        if small.placed(context.gang) and context.gang_started_at is None:
+            context.gang_started_at = small.now
             break
 
 
 @then('the gang starts within 30 s')
 def gang_started(context):
-    assert context.gang_began is not None
+    assert context.gang_started_at is not None
     assert context.small.placed(context.gang) == 3
 
 
 @then('tasks of red start in the meantime')
 def others_started(context):
-    assert context.others > 0
+    assert context.red_start_count > 0
 
 
 @when('a gang of 3 tasks of 2 cores waits for a quota that is lowered to {cores:g} cores')
@@ -280,7 +280,7 @@
 
 
 @when('a gang of 3 tasks of 2 cores waits while urgent tasks of blue come for 60 s')
-def gang_without_seats(context):
+def gang_without_slots(context):
     context.gang = context.small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
     hand_in_each_second(context)
 
@@ -305,7 +305,7 @@
 
 
 @then('urgent tasks of blue start every second, and the gang does not')
-def others_go_on(context):
+def others_keep_starting(context):
     hand_in_each_second(context)
     assert context.started == 60, context.started
     assert context.small.placed(context.gang) == 0
@@ -316,23 +316,23 @@
     small = context.small
     gang = step(2000, 3, gang=True)
     context.gangs = [small.hand_in('blue', [gang], 'batch') for _ in range(3)]
-    context.idle = 0
-    context.began = set()
+    context.idle_rounds = 0
+    context.started_jobs = set()
     while small.now < START + 40:
         if small.now < START + 20:
             context.gangs.append(small.hand_in('blue', [gang], 'urgent'))
         plan = small.plan()
-        context.began.update(start.task.job for start in plan.starts)
-        context.idle += small.in_use('blue') == 0 and small.now < START + 20
+        context.started_jobs.update(start.task.job for start in plan.starts)
+        context.idle_rounds += small.in_use('blue') == 0 and small.now < START + 20
         small.now += 0.5
         small.end_old(0.5)
 
 
 @then('one of them runs at all times, and all have started in the end')
 def gangs_take_turns(context):
-    pending = [gang.id for gang in context.gangs if gang.id not in context.began]
+    pending = [gang.id for gang in context.gangs if gang.id not in context.started_jobs]
     assert not pending, (len(pending), len(context.gangs))
-    assert not context.idle, context.idle
+    assert not context.idle_rounds, context.idle_rounds
 
 
 @given('the accounts blue and red with a rate of {rate:g} jobs a second each, and 8 cores')
@@ -398,7 +398,7 @@
 def accepted_at(context, seconds):
     rates = JobRates()
     context.within = [
-        text for text in seconds.split() if rates.take('blue', context.rate, float(text))
+        text for text in seconds.split() if rates.take_token('blue', context.rate, float(text))
     ]
 
 
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -59,21 +59,23 @@
 
 @when('the store drops old records and a job ends while the host reads a snapshot')
 def truncated(context):
-    async def play():
+    async def load_during_truncation():
         host = context.host
         await curio.spawn(host.follower.run, daemon=True)
         assert await host.follower.wait_fresh(host.clock.monotonic(), 5.0)
         assert host.projection.state.find('j1') is not None
-        context.began = host.follower.fresh_at
+        context.fresh_before = host.follower.fresh_at
         context.topic.truncated = True
         await until(lambda: context.topic.paged)
         await curio.sleep(0.01)
 
-    curio.run(play)
+    curio.run(load_during_truncation)
 
 
 @then('the host does not count as up to date before it has read the later records')
 def not_complete(context):
     known = context.host.projection.state.find('j1')
-    fresh = context.host.follower.fresh_at >= context.began
-    assert known is not None or not fresh, 'the host counts as up to date without knowing the job'
+    up_to_date = context.host.follower.fresh_at >= context.fresh_before
+    assert known is not None or not up_to_date, (
+        'the host counts as up to date without knowing the job'
+    )
