--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -29,8 +29,8 @@
 GANG_OVERSAMPLING_FACTOR = 4.0
 #: Runners in each part of a gang's request.
 MAX_RUNNERS_PER_GANG_REQUEST = 45
-#: Free slots above which a runner is not preferred further: more tasks of one step seldom start
-#: there, as other steps use the capacity in the meantime.
+#: A runner with more free slots than this is not preferred over others: more tasks of one step
+#: seldom start there, as other steps use the capacity in the meantime.
 SUFFICIENT_SLOTS = 2
 #: Seconds before the start of a reservation at which its tickets should have arrived.
 TICKET_LEAD_SECONDS = 0.25
@@ -91,7 +91,10 @@
         now: float,
         zone: str = '',
     ) -> list[AdviceRequest]:
-        """Return requests for new tickets on allowed runners with free slots, ``zone`` first."""
+        """Return requests for new tickets on allowed runners with free slots.
+
+        Runners in ``zone`` come first.
+        """
         tickets = self._cell.tickets.of(step.name)
         if not tickets.may_request(now):
             return []
--- a/dandelionreel/cell/decisions/_allocation_table.py
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -98,7 +98,7 @@
         self._stops.add(allocation)
 
     def repeat_stop(self, allocation: Allocation, polled_at: float) -> None:
-        """Repeat the stop of a run if a poll sent at ``asked`` should no longer list it."""
+        """Stop a run again if a poll that was sent at ``polled_at`` should no longer list it."""
         self._stops.repeat(allocation, polled_at)
 
     def stop_members(self, step: StepRun) -> None:
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -86,7 +86,7 @@
         return None if account is None else account.quota
 
     def objective_of(self, job: JobRun) -> float:
-        """Return the job's target completion time in seconds after its acceptance."""
+        """Return the job's latency objective in seconds from its acceptance."""
         return job.objective(self.queue_of(job), self.quota_of(job))
 
     def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
@@ -175,7 +175,7 @@
             self.unfinished_job_by_id.pop(job.id)
 
     def take_dirty_jobs(self) -> list[JobRun]:
-        """Return the jobs with unsaved progress and mark them as saved."""
+        """Return the jobs with unsaved progress, each only once: the caller has to save it."""
         taken = []
         for job_id in self._allocations.dirty:
             job = self.job_by_id.get(job_id)
@@ -270,9 +270,11 @@
         return {unseen: self.runner_by_id[later] for unseen, later in later_by_unseen.items()}
 
     def drop_unseen_runners(self, runners: Iterable[str]) -> list[Crash]:
-        """Stop waiting for runs of earlier owners on unseen runners; their leases have expired.
+        """Stop waiting for runs that earlier owners may have started on unseen runners.
 
-        Counts crashes only for runners whose entry is gone: others may just be unreachable.
+        The caller knows that these runs have ended: their leases have expired, or a later
+        incarnation of the runner answers. Crashes are counted only for runners that are not
+        listed: others may just be unreachable.
         """
         crashes = []
         dropped = self.unseen_runners.intersection(runners)
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -41,8 +41,8 @@
     placed_at: float
     ticket: str = ''
     phase: AllocationPhase = AllocationPhase.STARTING
-    #: When the runner answered the last start or stop, if it did. A complete answer to a poll that
-    #: was sent later and does not list the run proves that it is gone.
+    #: When the runner answered the last start or stop, or first listed the run. A complete answer
+    #: to a poll that was sent later and does not list the run proves that it is gone.
     order_answered_at: float | None = None
     #: When the run was first known to be running.
     started_at: float | None = None
@@ -51,7 +51,7 @@
     #: Expected duration of the run in seconds.
     expected: float = 0.0
     checkpoint: str = ''
-    #: Whether ``demand`` is known; it is not if the job is unknown.
+    #: False if the job or task of the run is unknown; ``demand`` is then zero.
     demand_known: bool = True
     #: Client account whose quota it counts against; empty for none.
     account: str = ''
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -393,7 +393,7 @@
                 candidate.step, queue, reservations.unreserved(ready), now
             )
             if preemption is None:
-                # The gang needs tickets first, so the reservation is due now to request them.
+                # The gang needs tickets first. A reservation that is due now requests them at once.
                 at = now
                 preemption = self._preemption.plan_preemption(candidate.step, queue, free, now)
             else:
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -2,7 +2,7 @@
 
 Load pattern: an account submits many times its usual load while owners change, orders time out and
 its quota is changed. Everything that may be running is counted: confirmed runs, starts that may
-have been carried out, runs that are being stopped, and whatever former owners may have started on
+have been carried out, runs that are being stopped, and whatever earlier owners may have started on
 runners that this owner has not seen yet.
 """
 
@@ -38,7 +38,7 @@
         self._refreshed_at = float('-inf')
 
     def expect_leftovers(self, job: str, progress: Progress, wall: float) -> None:
-        """Count what a job that is over may have left running, as a former owner stored it."""
+        """Count what a finished job may have left running, as an earlier owner stored it."""
         if wall - progress.ended_at > LEFTOVER_SECONDS:
             return
         for leftover in progress.leftovers:
@@ -59,7 +59,7 @@
         return tuple(Leftover(*entry) for entry in sorted(demand_by_runner.items()))
 
     def keep_leftovers(self, job: JobRun, wall: float) -> None:
-        """Keep counting what a job that is over may have left on unseen runners."""
+        """Keep counting what a finished job may have left on unseen runners."""
         if not self._unseen:
             return
         for leftover in self.leftovers_of(job, wall):
@@ -95,15 +95,15 @@
                 self._leftover_by_job_and_runner.pop(key)
 
     def _count_unseen(self, wall: float) -> None:
-        """Count the remaining demand of jobs that may run unseen, capped by runner capacity."""
+        """Count the waiting tasks of jobs that may run on unseen runners, up to their capacity."""
         runners_by_account: dict[str, set[str]] = {}
         for job in self._allocations.unfinished_job_by_id.values():
             runners = self._unseen_runners(job)
             if not job.account or not runners or job.is_over:
                 continue
             runners_by_account.setdefault(job.account, set()).update(runners)
-            held = self._capacity(runners)
-            self._count(job.account, job.remaining_demand(wall).at_most(held))
+            capacity = self._capacity(runners)
+            self._count(job.account, job.remaining_demand(wall).at_most(capacity))
         for account, runners in runners_by_account.items():
             counted = self._unseen_by_account[account]
             self._unseen_by_account[account] = counted.at_most(self._capacity(runners))
@@ -135,7 +135,7 @@
         self._unseen_by_account[account] = counted + demand
 
     def _may_still_run(self, job: str, runner: str) -> bool:
-        """Return whether a runner may still have runs of a job that is over."""
+        """Return whether a runner may still have runs of a finished job."""
         if runner in self._unseen:
             return True
         state = self._allocations.runner_by_id.get(runner)
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -15,8 +15,8 @@
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import Demand, StepName
 
-#: Number of gangs that may hold a reservation at the same time: one for every 15 runners, and at
-#: least 4. More would leave runners idle that the most urgent gangs do not need yet.
+#: How many gangs may hold a reservation at the same time: one for every so many runners, and at
+#: least the minimum. More would leave runners idle that the most urgent gangs do not need yet.
 MIN_RESERVING_GANGS = 4
 RUNNERS_PER_RESERVING_GANG = 15
 #: A task may backfill if it would end before the reservation starts even when it takes this many
@@ -27,7 +27,7 @@
 
 
 class Rank(NamedTuple):
-    """Sort key of a waiting step; lower ranks are placed first."""
+    """Sort key of a waiting step, compared field by field; lower ranks are placed first."""
 
     too_late: bool
     beyond_rate: bool
@@ -185,17 +185,17 @@
     slots = count_slots(demand, free, limit)
     if slots:
         slot_gains.append((now, slots))
-    for capacity in freed:
-        gained = _count(
+    for later in freed:
+        slots_then = _count(
             demand,
-            free.cpu + capacity.cpu,
-            free.memory_mb + capacity.memory_mb,
-            free.gpu + capacity.gpu,
+            free.cpu + later.cpu,
+            free.memory_mb + later.memory_mb,
+            free.gpu + later.gpu,
             limit,
         )
-        if gained > slots:
-            slot_gains.append((capacity.at, gained - slots))
-            slots = gained
+        if slots_then > slots:
+            slot_gains.append((later.at, slots_then - slots))
+            slots = slots_then
     return slot_gains
 
 
--- a/dandelionreel/cell/decisions/_runner_choice.py
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -1,8 +1,8 @@
 """Chooses the runners on which tasks are placed. No I/O.
 
 Load pattern: an availability zone is cut off for some seconds, and every job with a task there has
-to wait. A job's tasks are placed in the zone of its client as long as no slot elsewhere stays
-unused for that, so that fewer jobs depend on any one zone.
+to wait. A job's tasks are placed in the zone of its client if there are free slots, so that fewer
+jobs depend on any one zone. Otherwise they use slots in other zones and do not wait.
 """
 
 from collections.abc import Iterable
@@ -29,7 +29,9 @@
     ticketed: list[TicketedRunner],
     zone: str = '',
 ) -> TicketedRunner | None:
-    """Return the best runner for a task: best fit, with runners in ``zone`` preferred.
+    """Return the best fit for a task, the runner left with the least free share.
+
+    Runners on which the task has not failed, with its data, and in ``zone`` are preferred.
 
     A quarantined task goes to the runner with the least CPU in use, as it may crash its runner.
     """
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -26,7 +26,7 @@
 class JobRun:
     """One job: its steps by occurrence, its failures and the state shown to clients.
 
-    ``accepted`` is in seconds on this process's monotonic clock.
+    ``accepted_at`` is in seconds on this process's monotonic clock.
     """
 
     def __init__(self, job: str, submission: Submission, accepted_at: float) -> None:
@@ -43,7 +43,7 @@
         self._failed_runs: set[FailedRun] = set()
         self.crashes = JobCrashes()
         self._objective: tuple[Queue | None, Demand | None, float] | None = None
-        #: Whether it exceeds the rate of jobs that its account is guaranteed.
+        #: Whether it is beyond the job rate of its account, and ranks behind jobs within the rate.
         self.exceeds_account_rate = False
         #: Why it is not started, as last logged.
         self.hold_reason = ''
@@ -110,7 +110,7 @@
         return step, step.tasks[name.index]
 
     def objective(self, queue: Queue | None, quota: Demand | None = None) -> float:
-        """Return the job's target completion time in seconds, cached for each configuration.
+        """Return the job's latency objective in seconds, cached for each configuration.
 
         ``quota`` limits what its account may have running.
         """
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -10,7 +10,7 @@
 class StopQueue:
     """Stops that are still to be sent.
 
-    An allocation stays in the stopping phase until a poll proves that the run is gone.
+    An allocation stays in the stopping phase after that, until a poll proves that the run is gone.
     """
 
     def __init__(self) -> None:
--- a/dandelionreel/cell/model/_model.py
+++ b/dandelionreel/cell/model/_model.py
@@ -169,9 +169,9 @@
 class Queue:
     """Where jobs are submitted, and how they are scheduled.
 
-    The target completion time of a job is ``slack`` times the duration of its longest dependency
-    chain plus ``latency`` seconds. Priority 0 is the highest. A ``public`` queue accepts calls
-    without an API key.
+    The latency objective of a job is ``slack`` times the duration of its critical path plus
+    ``latency`` seconds. Priority 0 is the highest. A ``public`` queue accepts calls without an API
+    key.
     """
 
     name: str
--- a/dandelionreel/cell/model/_records.py
+++ b/dandelionreel/cell/model/_records.py
@@ -20,8 +20,8 @@
 MEMBER_PREFIX = 'm/'
 RUNNERS_IN_USE_KEY = 'runners'
 
-#: Seconds for which a successor assumes that leases of the previous owner may last that only that
-#: owner has renewed. Also used if the record of the owner cannot be read.
+#: How long a successor waits for leases of the previous owner that it knows nothing about, as only
+#: that owner renewed them. Also used if the record of the owner cannot be read.
 PREDECESSOR_LEASE_SECONDS = 17.8
 #: No owner writes more; an absurd value would keep its successor from ever starting tasks.
 MAX_UNSETTLED_SECONDS = 60
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -131,7 +131,7 @@
 
 
 class StartReply(enum.Enum):
-    """A runner's reply to a start; the task runs only after ``STARTED``."""
+    """A runner's reply to a start; nothing runs unless it is ``STARTED``."""
 
     STARTED = 'started'
     FENCED = 'fenced'
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -102,12 +102,12 @@
         self._log(key, f'cannot be read, {meaning}: {error}', error.reason)
 
     def log_readable(self, key: str) -> None:
-        """Handle a readable record of a key."""
+        """Log that a key is readable again, if it was not."""
         if key in self._reason_by_key:
             self._log(key, 'can be read again', self._reason_by_key.pop(key))
 
     def forget(self, key: str) -> None:
-        """Handle the deletion of a key."""
+        """Forget a deleted key, so that its next unreadable record is logged."""
         self._reason_by_key.pop(key, None)
 
     def _log(self, key: str, outcome: str, reason: Reason) -> None:
--- a/features/cell.feature
+++ b/features/cell.feature
@@ -6,7 +6,7 @@
     When a job is handed in
     Then it starts at once
 
-  # Guards against a second start of a task that a runner of a former owner still runs.
+  # Guards against a second start of a task that a runner of an earlier owner still runs.
   Scenario Outline: A job is blocked while its tasks may run on an unseen runner
     Given a successor that cannot see the runner w3
     When it reads a job from the store that may run on <runner>
@@ -69,7 +69,7 @@
   Scenario: A failed end that is listed to two owners counts once
     Given a cell with the runners w1
     And a running job that fills w1
-    When its run fails, and a successor that has read the progress is told the same end
+    When its run fails, and the same end is listed to a successor that has read the progress
     Then the job is not failed
 
   Scenario: A job fails when its attempts are used up
@@ -173,10 +173,10 @@
     Then the gang starts
 
   # Guards against urgent work that waits for an earlier gang's reservation.
-  Scenario: Urgent work that comes after a gang's reservation was made
+  Scenario: Urgent work that arrives after a gang's reservation was made
     Given a cell with the runners w1, w2
     And a gang that waits for both of them
-    When an urgent job of 20 s comes 0.01 s later
+    When an urgent job of 20 s is handed in 0.01 s later
     Then it starts at once
 
   # Guards against late gangs that never get tickets.
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -38,7 +38,7 @@
     Then the task waits with 1 crashes
 
   Scenario Outline: When a task is given up
-    Given an owner with a task under which <before>
+    Given an owner with a task during whose runs <before>
     When another incarnation answers at w1's address
     Then its job is reported as <state>
 
@@ -53,7 +53,7 @@
       | 2 runners crashed, and that ran on w1 for 30 s                | running |
 
   Scenario Outline: A finished job keeps its state
-    Given an owner with a task under which 2 runners crashed, and that runs on w1
+    Given an owner with a task during whose runs 2 runners crashed, and that runs on w1
     When its job is <over>, and another incarnation answers at w1's address
     Then its job is reported as <over>
 
@@ -74,7 +74,7 @@
   Scenario Outline: What a successor knows of crashes
     Given a successor of an owner that had stored <stored>
     When it finds that another incarnation answers at w1's address
-    Then it counts <count> crashes under the task
+    Then it counts <count> crashes for the task
     And it stores the next start before it is sent
 
     Examples:
@@ -86,8 +86,8 @@
 
   Scenario Outline: A successor that never reaches the runner of a quarantined task
     Given a successor of an owner that had stored a quarantined start on w1
-    When the leases on w1 must have run out and its entry <entry>
-    Then it counts <count> crashes under the task
+    When the leases on w1 must have expired and its entry <entry>
+    Then it counts <count> crashes for the task
 
     Examples:
       | entry     | count |
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -28,21 +28,21 @@
     return f'j{context.count}'
 
 
-@given('a task of {cpu:d} is decided to start on {runner}')
+@given('a task of {cpu:d} millicores is decided to start on {runner}')
 def decided_start(context, cpu, runner):
     submit_single_task(context, cpu)
     (start,) = context.small.plan(start=False).starts
     assert start.runner == runner, start
 
 
-@given('a task of {cpu:d} runs on {runner}')
+@given('a task of {cpu:d} millicores runs on {runner}')
 def task_runs_on(context, cpu, runner):
     submit_single_task(context, cpu)
     (start,) = context.small.plan().starts
     assert start.runner == runner, start
 
 
-@when('{runner} reports a capacity of {cpu:d}')
+@when('{runner} reports a capacity of {cpu:d} millicores')
 def report_capacity(context, runner, cpu):
     resize(context, runner, cpu)
 
@@ -70,7 +70,7 @@
     assert start.runner == 'w2' and start.task not in {one.task for one in sent}, start
 
 
-@then('the task keeps running, and a task of {cpu:d} {outcome}')
+@then('the task keeps running, and a task of {cpu:d} millicores {outcome}')
 def keeps_running(context, cpu, outcome):
     small = context.small
     assert not small.cell.take_stops()
@@ -79,7 +79,7 @@
     assert bool(small.plan().starts) is (outcome == 'starts on w1')
 
 
-@given('a gang of {count:d} tasks of {cpu:d} for which w1 and w2 are reserved')
+@given('a gang of {count:d} tasks of {cpu:d} millicores for which w1 and w2 are reserved')
 def reserve_for_gang(context, count, cpu):
     small = context.small
     # All runners are full; w1 and w2 become free first.
@@ -101,7 +101,7 @@
     assert {start.runner for start in plan.starts} == {'w2', 'w3'}, plan.starts
 
 
-@given('a successor that finds a task of {cpu:d} on w1, which reports a capacity of {capacity:d}')
+@given('a successor that finds a task of {cpu:d} millicores on w1 with a capacity of {capacity:d}')
 def successor_finds(context, cpu, capacity):
     context.small = SmallCell(('w1',), epoch=2, seen=False)
     resize(context, 'w1', capacity)
@@ -149,7 +149,7 @@
     make_advised(context, ('w1', 'w2'))
 
 
-@given('w1 has a capacity of {capacity:d} and already runs a task of {cpu:d}')
+@given('w1 has a capacity of {capacity:d} millicores and already runs a task of {cpu:d} millicores')
 def overcommit(context, capacity, cpu):
     small = context.small
     job = submit_single_task(context, cpu)
@@ -158,7 +158,7 @@
     assert small.cell.runner_by_id['w1'].free_capacity.cpu < 0
 
 
-@when('a task of {cpu:d} needs advice')
+@when('a task of {cpu:d} millicores needs advice')
 def advised_task(context, cpu):
     submit_single_task(context, cpu)
     context.advice_requests = context.small.plan().advice_requests
@@ -176,7 +176,7 @@
     resize(context, 'w0', 0)
 
 
-@when('a gang of {count:d} tasks of {cpu:d} needs advice')
+@when('a gang of {count:d} tasks of {cpu:d} millicores needs advice')
 def advised_gang(context, count, cpu):
     context.small.add_job('gang', [step(cpu, count, gang=True)])
     context.advice_requests = context.small.plan().advice_requests
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -138,7 +138,7 @@
     assert bool(context.small.runs_on('w1')) is (fate == 'is still held')
 
 
-@when('its run fails, and a successor that has read the progress is told the same end')
+@when('its run fails, and the same end is listed to a successor that has read the progress')
 def fail_twice(context):
     small = context.small
     run = small.runs_on('w1')[0][1]
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -173,7 +173,7 @@
     assert not small.plan().starts
 
 
-@when('an urgent job of {seconds:g} s comes {later:g} s later')
+@when('an urgent job of {seconds:g} s is handed in {later:g} s later')
 def urgent_later(context, seconds, later):
     context.small.now += later
     context.small.add_job('urgent', [step(seconds=seconds)])
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -141,7 +141,7 @@
         context.small.poll('w1', running=[(start.task, start.run)])
 
 
-@given('an owner with a task under which {before}')
+@given('an owner with a task during whose runs {before}')
 def crashed_before(context, before):
     count = int(before[0]) if before[0].isdigit() else 0
     during_start = 'at its start' in before
@@ -255,7 +255,7 @@
     replace_runner(context)
 
 
-@when('the leases on w1 must have run out and its entry {entry}')
+@when('the leases on w1 must have expired and its entry {entry}')
 def unseen_given_up(context, entry):
     if entry == 'is gone':
         context.small.registration_by_id.pop('w1')
@@ -263,7 +263,7 @@
     context.small.cell.drop_unseen_runners(tuple(context.small.cell.unseen_runners))
 
 
-@then('it counts {count:d} crashes under the task')
+@then('it counts {count:d} crashes for the task')
 def counts_crashes(context, count):
     assert context.job.crashes.count(task('j1')) == count, context.job.crashes.crashed
     if count > 1:
