--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -148,15 +148,15 @@
 
     def mark_complete(self, jobs: Iterable[str]) -> list[str]:
         """Mark jobs that earlier owners report as complete; return those that were not yet."""
-        taken = []
+        marked = []
         for job_id in jobs:
             job = self.job_by_id.get(job_id)
             if job is None or not job.note_complete():
                 continue
             self._allocations.dirty.add(job_id)
             self._allocations.stop_job(job.id)
-            taken.append(job_id)
-        return taken
+            marked.append(job_id)
+        return marked
 
     def forget_job(self, job_id: str, wall: float) -> None:
         """Remove a job whose records the store has dropped."""
@@ -169,21 +169,21 @@
 
     def drop_finished_jobs(self, wall: float) -> None:
         """Drop finished jobs from planning, so that its cost depends on unfinished jobs only."""
-        over = [job for job in self.unfinished_job_by_id.values() if job.is_over]
-        for job in over:
+        finished = [job for job in self.unfinished_job_by_id.values() if job.is_over]
+        for job in finished:
             self.quotas.keep_leftovers(job, wall)
             self.unfinished_job_by_id.pop(job.id)
 
     def take_dirty_jobs(self) -> list[JobRun]:
         """Return the jobs with unsaved progress, each only once: the caller has to save it."""
-        taken = []
+        unsaved = []
         for job_id in self._allocations.dirty:
             job = self.job_by_id.get(job_id)
             if job is not None and job.dirty:
                 job.dirty = False
-                taken.append(job)
+                unsaved.append(job)
         self._allocations.dirty.clear()
-        return taken
+        return unsaved
 
     def mark_dirty(self, job: JobRun) -> None:
         """Mark a job's progress as unsaved after a failed write to the store."""
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -119,10 +119,10 @@
     def note_registration(self, registration: Registration, now: float) -> None:
         """Apply a registration; on a new drain, compute when the runner may be gone."""
         if registration.draining and not self.registration.draining:
-            stays = (
+            remaining_seconds = (
                 DEFAULT_DRAIN_SECONDS if registration.remaining is None else registration.remaining
             )
-            self.may_leave_at = now + max(0.0, stays - MAX_ENTRY_DELAY_SECONDS)
+            self.may_leave_at = now + max(0.0, remaining_seconds - MAX_ENTRY_DELAY_SECONDS)
         self.registration = registration
         self.free_capacity = registration.capacity - self.used
 
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -38,9 +38,9 @@
 
     def take_all(self) -> list[Allocation]:
         """Return the queued stops and clear the queue."""
-        taken = self._queue
+        queued = self._queue
         self._queue = []
-        return taken
+        return queued
 
     def _enqueue(self, allocation: Allocation) -> None:
         # Until the stop is answered, a poll without the run does not prove that it is gone.
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -66,7 +66,7 @@
 
 
 @then('each zone has {few:d} to {many:d} of them, in no more than {racks:d} racks')
-def spread(context, few, many, racks):
+def check_zones_and_racks(context, few, many, racks):
     for zone in range(ZONES):
         in_zone = [one for one in context.chosen.values() if one.zone == f'zone-{zone}']
         assert few <= len(in_zone) <= many, (zone, len(in_zone))
@@ -74,7 +74,7 @@
 
 
 @given('100 more have the label gpu and none of them is polled')
-def with_label(context):
+def add_labelled_runners(context):
     for number in range(100_000, 100_100):
         context.listed[f'w{number}'] = make_numbered_registration(number, ('gpu',))
     choose(context)
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -95,8 +95,8 @@
             context.hosts,
             SystemClock(),
             journal(),
-            no_answer,
-            no_answer,
+            ignore_answer,
+            ignore_answer,
         )
         policy = AdvicePolicy(0.2, 0.0, 2.0)
         for number in range(10):
@@ -109,7 +109,7 @@
     curio.run(send_all)
 
 
-async def no_answer(*ignored):
+async def ignore_answer(*ignored):
     """Ignore an answer; the hosts never give one."""
 
 
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -69,7 +69,7 @@
 
 
 @when('the leases on w1 expire')
-def lapse(context):
+def expire_leases(context):
     context.small.now += 10
     context.small.cell.runner_by_id['w1'].suspect = True
     context.small.cell.handle_lapsed_runner('w1')
@@ -77,21 +77,21 @@
 
 @when('the leases on w1 expire, then w1 answers')
 def lapse_then_answer(context):
-    lapse(context)
+    expire_leases(context)
     context.small.poll('w1')
     answer_as_new_incarnation(context)
 
 
 @when('the leases on w1 expire, then another incarnation answers')
 def lapse_then_next(context):
-    lapse(context)
+    expire_leases(context)
     context.small.cell.handle_ended_runner('w1', proven=False)
     answer_as_new_incarnation(context)
 
 
 @when('the leases on w1 expire, then another incarnation is listed')
 def lapse_then_listed(context):
-    lapse(context)
+    expire_leases(context)
     port = context.small.registration_by_id['w1'].port
     context.small.registration_by_id['w1+'] = make_registration('w1+', port=port)
     context.small.update_runners()
@@ -207,14 +207,14 @@
 
 
 @then('one of them starts on the empty runner, and nothing else starts there')
-def one_alone(context):
+def one_starts_alone(context):
     context.runner_by_job = {start.task.job: start.runner for start in context.starts}
     assert 'w3' in {context.runner_by_job['s1'], context.runner_by_job['s2']}
     assert sum(start.runner == 'w3' for start in context.starts) == 1, context.starts
 
 
 @then('the other one starts on another runner')
-def other_elsewhere(context):
+def other_starts_elsewhere(context):
     assert context.runner_by_job['s1'] != context.runner_by_job['s2']
     others = [start.runner for start in context.starts if start.task.job == 'other']
     assert others == ['w1'], context.starts
@@ -329,12 +329,12 @@
 
 @when('a poll of w1 is answered after another incarnation was found there')
 def late_answer(context):
-    owner = make_context_of_owner(context)
+    owner = build_owner_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, LateRunner(context))
 
 
-def make_context_of_owner(context):
+def build_owner_context(context):
     return make_owner_context(context.small.cell, ManualClock(context.small.now))
 
 
@@ -346,7 +346,7 @@
 
 @when('w1 becomes silent before the start is sent')
 def falls_silent(context):
-    owner = make_context_of_owner(context)
+    owner = build_owner_context(context)
     context.runner = owner.runner_by_id['w1'] = CountingRunner()
     context.small.cell.runner_by_id['w1'].suspect = True
 
@@ -370,7 +370,7 @@
 
 @when('the connection of the poll breaks')
 def poll_breaks(context):
-    owner = make_context_of_owner(context)
+    owner = build_owner_context(context)
     state = context.small.cell.runner_by_id['w1']
     curio.run(RunnerPoller(owner)._poll_once, state, BreakingRunner())
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -69,7 +69,7 @@
         number = runner.processed_end + 1
         self.poll(runner.id, ended=((number, allocation.task, allocation.run, outcome),))
 
-    def end_old(self, seconds):
+    def end_older_runs(self, seconds):
         """End all runs that were placed at least ``seconds`` ago."""
         for runner in tuple(self.cell.runner_by_id.values()):
             for held in tuple(runner.allocation_by_run.values()):
@@ -215,14 +215,14 @@
 @when('w3 is seen with a run of that job')
 def seen_with_run(context):
     name = JobRun('f' * 16, Submission('urgent', 'desk', 0, JobSpec('', (step(),))), 0)
-    context.left_run = (name.steps(0)[0].tasks[0].name, 1)
-    context.small.poll('w3', running=(context.left_run,))
+    context.leftover_run = (name.steps(0)[0].tasks[0].name, 1)
+    context.small.poll('w3', running=(context.leftover_run,))
     context.small.now += 1
 
 
 @when('the run is stopped')
 def run_stopped(context):
-    context.small.poll('w3', ended=((1, *context.left_run, 'stopped'),))
+    context.small.poll('w3', ended=((1, *context.leftover_run, 'stopped'),))
     context.small.now += 1
     context.small.plan()
 
@@ -276,7 +276,7 @@
     small.plan()
     small.configure((blue(cores), red()))
     small.now += 1
-    small.end_old(0.5)
+    small.end_older_runs(0.5)
 
 
 @when('a gang of 3 tasks of 2 cores waits while urgent tasks of blue come for 60 s')
@@ -293,10 +293,10 @@
         job = small.hand_in('blue', [step(2000)])
         context.started += any(start.task.job == job.id for start in small.plan().starts)
         small.now += 0.5
-        small.end_old(0.5)
+        small.end_older_runs(0.5)
         small.plan()
         small.now += 0.5
-        small.end_old(0.5)
+        small.end_older_runs(0.5)
 
 
 @then('urgent tasks of blue start in at least {seconds:d} of these seconds')
@@ -325,7 +325,7 @@
         context.started_jobs.update(start.task.job for start in plan.starts)
         context.idle_rounds += small.in_use('blue') == 0 and small.now < START + 20
         small.now += 0.5
-        small.end_old(0.5)
+        small.end_older_runs(0.5)
 
 
 @then('one of them runs at all times, and all have started in the end')
@@ -351,7 +351,7 @@
         plan = small.plan()
         context.order.extend(start.task.job for start in plan.starts)
         small.now += 0.5
-        small.end_old(0.5)
+        small.end_older_runs(0.5)
     context.order.extend(start.task.job for start in small.plan().starts)
 
 
@@ -379,7 +379,7 @@
             small.hand_in('red', [step(1000)])
         started.update(start.task.job for start in small.plan().starts)
         small.now += 0.5
-        small.end_old(0.5)
+        small.end_older_runs(0.5)
     context.started = started
 
 
@@ -431,21 +431,21 @@
     small = AccountCell((blue(8), red(12)), runners=RUNNERS)
     for _ in range(60):
         small.now += rng.random() * 0.4
-        draw = rng.random()
-        if draw < 0.1:
+        event_draw = rng.random()
+        if event_draw < 0.1:
             cores = {'blue': rng.choice((2, 8, 16)), 'red': rng.choice((4, 12, 40))}
             small.configure((blue(cores['blue']), red(cores['red'])))
-        elif draw < 0.6:
+        elif event_draw < 0.6:
             gang = rng.random() < 0.3
             steps = [step(rng.choice((500, 2000, 4000)), rng.randint(1, 5), gang=gang)]
             account = rng.choice(('blue', 'red'))
             queue = rng.choice(('urgent', 'gangs', 'batch'))
             small.hand_in(account, steps, queue)
-        elif draw < 0.7:
+        elif event_draw < 0.7:
             jobs = [job for job in small.cell.job_by_id.values() if not job.is_over]
             if jobs:
                 small.cell.cancel(rng.choice(jobs).id)
-        elif draw < 0.8:
+        elif event_draw < 0.8:
             small.cell.take_stops()
         check_starts(small, rng, cores)
         end_some_runs(small, rng)
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -23,11 +23,11 @@
     """Topic that drops old records and reads a snapshot in two parts, between which a job ends."""
 
     truncated = False
-    paged = False
+    snapshot_served = False
 
     async def read(self, offset, wait, max_bytes):
         """Refuse expired records; answer nothing after the snapshot."""
-        if self.paged:
+        if self.snapshot_served:
             await curio.sleep(wait)
             raise StoreError('slow', Verdict.NOT_RUN)
         if self.truncated:
@@ -42,7 +42,7 @@
         end = Progress(1, JobState.COMPLETED, ended_at=1.0)
         await self.append(make_progress_records('j1', end), 0.1)
         second = await super().snapshot()
-        self.paged = True
+        self.snapshot_served = True
         ends = [record for record in first.records if record.key.startswith(PROGRESS_PREFIX)]
         others = [record for record in second.records if not record.key.startswith(PROGRESS_PREFIX)]
         return RecordBatch((*ends, *others), first.next_offset, first.next_offset)
@@ -66,7 +66,7 @@
         assert host.projection.state.find('j1') is not None
         context.fresh_before = host.follower.fresh_at
         context.topic.truncated = True
-        await until(lambda: context.topic.paged)
+        await until(lambda: context.topic.snapshot_served)
         await curio.sleep(0.01)
 
     curio.run(load_during_truncation)
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -174,7 +174,7 @@
 
 
 @then('all {count:d} slots are used, those of north first')
-def all_taken(context, count):
+def slots_used(context, count):
     taken = [zone_of(context.small, allocation) for allocation in context.small.allocations]
     assert len(taken) == count, len(taken)
     assert taken[:8] == ['north'] * 8, taken
