--- a/dandelionreel/admin/_front.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -5,8 +5,8 @@
 
 from dandelionreel import __version__
 from dandelionreel.admin._views import (
+    Acknowledgement,
     ContractView,
-    Done,
     DrainBody,
     EndpointView,
     MemberView,
@@ -52,7 +52,7 @@
 HTTP_UNAVAILABLE = 503
 
 
-class AdminFront:
+class AdminApi:
     """Answers operators, the balancer and the metrics collector."""
 
     def __init__(
@@ -133,13 +133,13 @@
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served')
 
     def _show_health(self) -> Answer:
-        return answer_json(Done('alive'))
+        return answer_json(Acknowledgement('alive'))
 
     def _show_ready(self) -> Answer:
         reasons = self._life.reasons_not_ready()
         if reasons:
             raise not_run(HTTP_UNAVAILABLE, 'not-ready', '; '.join(reasons))
-        return answer_json(Done('ready'))
+        return answer_json(Acknowledgement('ready'))
 
     def _show_metrics(self) -> Answer:
         headers = (('content-type', METRICS_TYPE),)
@@ -309,14 +309,14 @@
         if body.endpoint:
             return self._drain_endpoint(body.endpoint)
         await self._life.request_stop()
-        return answer_json(Done('this daemon drains and stops'), HTTP_ACCEPTED)
+        return answer_json(Acknowledgement('this daemon drains and stops'), HTTP_ACCEPTED)
 
     def _drain_endpoint(self, name: str) -> Answer:
         known = {runner.entry.name for runner in self._pool.runners()}
         if name not in known:
             raise self._unknown_endpoint(name)
         self._pool.close_endpoint(name)
-        return answer_json(Done(f'{name} gets no new work'), HTTP_ACCEPTED)
+        return answer_json(Acknowledgement(f'{name} gets no new work'), HTTP_ACCEPTED)
 
     def _unknown_endpoint(self, name: str) -> RequestError:
         return not_run(
--- a/dandelionreel/admin/_views.py
+++ b/dandelionreel/admin/_views.py
@@ -123,7 +123,7 @@
     endpoint: str = ''
 
 
-class Done(msgspec.Struct, frozen=True):
+class Acknowledgement(msgspec.Struct, frozen=True):
     """What was asked is under way."""
 
     detail: str
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from dandelionreel.admin import AdminFront
+from dandelionreel.admin import AdminApi
 from dandelionreel.backing import HostWatch, LogError, StreamReader, StreamWriter
 from dandelionreel.callers import CallersFront, Relay
 from dandelionreel.contracts import ContractBook, ContractPublisher, ContractRecord
@@ -374,7 +374,7 @@
             relay,
             self._life,
         )
-        admin = AdminFront(
+        admin = AdminApi(
             self.me,
             settings,
             self._clock,
