--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -29,7 +29,7 @@
 from dandelionreel.http import Answer, Request, answer_json
 from dandelionreel.jobs import Dispatcher, JobProjection, JobState
 from dandelionreel.kernel import Clock, RequestError, Settings, clip, not_run
-from dandelionreel.life import Life
+from dandelionreel.life import Lifecycle
 from dandelionreel.ownership import (
     Authority,
     Claimer,
@@ -60,7 +60,7 @@
         me: str,
         settings: Settings,
         clock: Clock,
-        life: Life,
+        life: Lifecycle,
         registry: CollectorRegistry,
         reader: StreamReader,
         members: Membership,
--- a/dandelionreel/callers/_front.py
+++ b/dandelionreel/callers/_front.py
@@ -6,7 +6,7 @@
 from dandelionreel.http import Answer, Request, answer_json, answer_problem
 from dandelionreel.jobs import CancelResult, JobApi, JobMover, MoveBody, zone_of_job
 from dandelionreel.kernel import RequestError, clip, not_run
-from dandelionreel.life import Life
+from dandelionreel.life import Lifecycle
 from dandelionreel.peers import Forward, ForwardAnswer, Frame, Message, Refused
 from dandelionreel.routing import Router
 
@@ -32,7 +32,7 @@
         intake: JobApi,
         mover: JobMover,
         relay: Relay,
-        life: Life,
+        life: Lifecycle,
     ) -> None:
         """Serve callers in ``zone``."""
         self._mover = mover
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -35,7 +35,7 @@
     watch_signals,
     zones_of,
 )
-from dandelionreel.life import InFlight, Life
+from dandelionreel.life import InFlight, Lifecycle
 from dandelionreel.metrics import DaemonMetrics
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
@@ -242,7 +242,7 @@
             self._cell_writer,
             self._journal,
         )
-        self._life = Life(
+        self._life = Lifecycle(
             self._settings,
             self._clock,
             self._cell_reader,
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -13,7 +13,7 @@
 LEFT_PATIENCE = 2.0
 
 
-class Life:
+class Lifecycle:
     """From the first read of the log to the last answer."""
 
     def __init__(
