--- a/dandelionreel/admin/__init__.py
+++ b/dandelionreel/admin/__init__.py
@@ -3,4 +3,4 @@
 from dandelionreel.admin._admin_api import AdminApi
 from dandelionreel.admin._views import DrainBody, PublishBody
 
-__all__ = ('AdminFront', 'DrainBody', 'PublishBody')
+__all__ = ('AdminApi', 'DrainBody', 'PublishBody')
--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -42,7 +42,7 @@
 from dandelionreel.workers import WorkerFleet
 
 #: JSON has no infinity: evidence that never came is shown as this old.
-LONGEST_AGE = 1e9
+MAX_AGE_SECONDS = 1e9
 METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
@@ -97,7 +97,7 @@
         self._pool = pool
         self._router = router
         self._callers = callers
-        self._page_by_path = {
+        self._handler_by_path = {
             '/healthz': self._show_health,
             '/readyz': self._show_ready,
             '/metrics': self._show_metrics,
@@ -125,9 +125,9 @@
         )
 
     def _show(self, path: str) -> Answer:
-        page = self._page_by_path.get(path)
-        if page is not None:
-            return page()
+        handler = self._handler_by_path.get(path)
+        if handler is not None:
+            return handler()
         if path.startswith('/v1/contracts/'):
             return answer_json(self._view_contract(path.removeprefix('/v1/contracts/')))
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served')
@@ -164,7 +164,7 @@
                 self._claimer.is_member(),
                 self._claimer.draining,
                 self._dispatcher.is_active,
-                min(self._authority.evidence_age(), LONGEST_AGE),
+                min(self._authority.evidence_age(), MAX_AGE_SECONDS),
                 outage,
                 len(self._claimer.owned()),
                 self._router.in_flight,
@@ -259,13 +259,13 @@
                 'unknown-customer',
                 f'no contract of {clip(customer)!r} is known',
             )
-        shown = None
+        pending_view = None
         if pending is not None:
             missing = tuple(sorted(pending.missing))
-            shown = PendingView(pending.contract.version, pending.author, missing)
+            pending_view = PendingView(pending.contract.version, pending.author, missing)
         return ContractView(
             contract,
-            shown,
+            pending_view,
             self._contracts.shares(customer),
             tuple(
                 OutcomeView(past.version, past.state, past.detail, past.author, past.wall)
--- a/dandelionreel/cli/_accounts.py
+++ b/dandelionreel/cli/_accounts.py
@@ -4,11 +4,11 @@
 
 from returns.result import Result, Success
 
-from dandelionreel.cli._answers import get
-from dandelionreel.cli._ask import ToolError
+from dandelionreel.cli._client import ToolError
+from dandelionreel.cli._command_result import Command, CommandResult
 from dandelionreel.cli._options import ACCOUNT_COLUMNS, METRICS_PORT
 from dandelionreel.cli._output import write_table
-from dandelionreel.cli._shown import Command, Shown
+from dandelionreel.cli._shared import get_json
 
 PATH = '/accounts'
 
@@ -22,23 +22,25 @@
     :param host: the IP of any entry host, or IP:PORT of its metrics
     :param json: write JSON
     """
-    return lambda environment: _ask(host).map(lambda content: Shown(content, _write, json))
+    return lambda environment: _fetch(host).map(
+        lambda content: CommandResult(content, _write_accounts, json)
+    )
 
 
-def _ask(host: str) -> Result[Any, ToolError]:
+def _fetch(host: str) -> Result[Any, ToolError]:
     address = host if ':' in host else f'{host}:{METRICS_PORT}'
-    return get(address, PATH).bind(lambda content: _ask_owner(address, content))
+    return get_json(address, PATH).bind(lambda content: _fetch_from_owner(address, content))
 
 
-def _ask_owner(address: str, content: Any) -> Result[Any, ToolError]:
+def _fetch_from_owner(address: str, content: Any) -> Result[Any, ToolError]:
     """Return what the owner shows, if there is one and another host has answered."""
     owner = content['owner_address']
     if content['owns'] or not owner:
         return Success(content)
-    return get(f'{owner}:{address.rpartition(":")[2]}', PATH)
+    return get_json(f'{owner}:{address.rpartition(":")[2]}', PATH)
 
 
-def _write(stream: Any, content: Any) -> None:
+def _write_accounts(stream: Any, content: Any) -> None:
     owner = content['owner'] or 'nobody'
     stream.write(f'version {content["version"]}, owned by {owner}\n')
     write_table(stream, content['accounts'], ACCOUNT_COLUMNS)
--- a/dandelionreel/cli/_ask.py
+++ b/dandelionreel/cli/_client.py
@@ -46,13 +46,13 @@
     return Success((address, int(port)))
 
 
-def ask(address: str, request: Request) -> Result[Answer, ToolError]:
+def send_request(address: str, request: Request) -> Result[Answer, ToolError]:
     """Return the answer of the daemon at ``IP:PORT``."""
-    return split_address(address).bind(lambda place: _ask(place, request))
+    return split_address(address).bind(lambda host_and_port: _send(host_and_port, request))
 
 
-def _ask(place: tuple[str, int], request: Request) -> Result[Answer, ToolError]:
-    host, port = place
+def _send(host_and_port: tuple[str, int], request: Request) -> Result[Answer, ToolError]:
+    host, port = host_and_port
     try:
         answer = curio.run(fetch, host, port, request, TIMEOUT_SECONDS)
     except ExchangeError as error:
--- a/dandelionreel/cli/_shown.py
+++ b/dandelionreel/cli/_command_result.py
@@ -7,21 +7,21 @@
 
 from returns.result import Failure, Result, Success
 
-from dandelionreel.cli._ask import ToolError
+from dandelionreel.cli._client import ToolError
 from dandelionreel.kernel import Environment, ExitStatus
 
 
 @dataclass(frozen=True)
-class Shown:
+class CommandResult:
     """What a command found, and how people see it."""
 
     content: Any
-    show: Callable[[Any, Any], None]
+    write: Callable[[Any, Any], None]
     as_json: bool = False
 
 
-Found = Result[Shown, ToolError]
-Command = Callable[[Environment], Found]
+CommandOutcome = Result[CommandResult, ToolError]
+Command = Callable[[Environment], CommandOutcome]
 
 
 def read_file(path: Path) -> Result[bytes, ToolError]:
@@ -29,9 +29,9 @@
     try:
         return Success(path.read_bytes())
     except OSError as error:
-        return Failure(unreadable(path, error))
+        return Failure(unreadable_file_error(path, error))
 
 
-def unreadable(path: Path | str, error: OSError) -> ToolError:
+def unreadable_file_error(path: Path | str, error: OSError) -> ToolError:
     """Return what is said of a file that can't be read."""
     return ToolError(f'{path}: {error.strerror}; name a readable file', ExitStatus.USAGE)
--- a/dandelionreel/cli/_commands.py
+++ b/dandelionreel/cli/_commands.py
@@ -10,18 +10,8 @@
 
 from dandelionreel.admin import DrainBody
 from dandelionreel.cli._accounts import show_accounts
-from dandelionreel.cli._answers import (
-    check,
-    get,
-    make_table,
-    page,
-    post,
-    publish,
-    submit,
-    write_contracts,
-    write_jobs,
-)
-from dandelionreel.cli._ask import ask
+from dandelionreel.cli._client import send_request
+from dandelionreel.cli._command_result import Command, CommandResult, read_file
 from dandelionreel.cli._explain import explain_job
 from dandelionreel.cli._options import (
     DEFAULT_ADMIN,
@@ -34,7 +24,17 @@
 )
 from dandelionreel.cli._output import write_fields
 from dandelionreel.cli._review import review_jobs
-from dandelionreel.cli._shown import Command, Shown, read_file
+from dandelionreel.cli._shared import (
+    check_file,
+    get_json,
+    make_page_command,
+    make_table,
+    post_json,
+    publish,
+    submit,
+    write_contracts,
+    write_jobs,
+)
 from dandelionreel.contracts import ContractError, load_contract
 from dandelionreel.http import VERDICT_HEADER, Request
 from dandelionreel.jobs import CancelBody, MoveBody, ResolveBody
@@ -50,7 +50,7 @@
     :param json: write JSON
     """
     return lambda environment: read_file(file).bind(
-        lambda text: check(file, text, load_settings, SettingsError, json),
+        lambda text: check_file(file, text, load_settings, SettingsError, json),
     )
 
 
@@ -61,7 +61,7 @@
     :param json: write JSON
     """
     return lambda environment: read_file(file).bind(
-        lambda text: check(file, text, load_contract, ContractError, json),
+        lambda text: check_file(file, text, load_contract, ContractError, json),
     )
 
 
@@ -94,8 +94,8 @@
     :param json: write JSON
     """
     path = f'/v1/contracts/{customer}' if customer else '/v1/contracts'
-    return lambda environment: get(admin, path).map(
-        lambda content: Shown(content, write_contracts, json),
+    return lambda environment: get_json(admin, path).map(
+        lambda content: CommandResult(content, write_contracts, json),
     )
 
 
@@ -106,8 +106,8 @@
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
-    return lambda environment: get(admin, f'/v1/contracts/{customer}').map(
-        lambda content: Shown(content['history'], make_table(HISTORY_COLUMNS), json),
+    return lambda environment: get_json(admin, f'/v1/contracts/{customer}').map(
+        lambda content: CommandResult(content['history'], make_table(HISTORY_COLUMNS), json),
     )
 
 
@@ -137,8 +137,8 @@
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
-    return lambda environment: get(admin, f'/v1/jobs/{job}').map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: get_json(admin, f'/v1/jobs/{job}').map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -170,8 +170,8 @@
         'limit': str(limit),
     }
     query = urlencode({name: text for name, text in fields.items() if text})
-    return lambda environment: get(admin, f'/v1/jobs?{query}').map(
-        lambda content: Shown(content, write_jobs, json),
+    return lambda environment: get_json(admin, f'/v1/jobs?{query}').map(
+        lambda content: CommandResult(content, write_jobs, json),
     )
 
 
@@ -183,8 +183,8 @@
     :param json: write JSON
     """
     body = msgspec.json.encode(CancelBody(jobs))
-    return lambda environment: post(admin, '/v1/jobs/cancel', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, '/v1/jobs/cancel', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -203,8 +203,8 @@
     :param json: write JSON
     """
     body = msgspec.json.encode(ResolveBody(outcome))
-    return lambda environment: post(admin, f'/v1/jobs/{job}/resolve', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, f'/v1/jobs/{job}/resolve', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -225,8 +225,8 @@
     :param json: write JSON
     """
     body = msgspec.json.encode(MoveBody(from_zone, to_zone))
-    return lambda environment: post(admin, '/v1/jobs/move', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, '/v1/jobs/move', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -236,7 +236,7 @@
     :param admin: IP:PORT of the daemon's admin interface
     :param json: write JSON
     """
-    return page('/v1/status', write_fields, admin, json)
+    return make_page_command('/v1/status', write_fields, admin, json)
 
 
 def members(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -245,7 +245,7 @@
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
-    return page('/v1/members', make_table(MEMBER_COLUMNS), admin, json)
+    return make_page_command('/v1/members', make_table(MEMBER_COLUMNS), admin, json)
 
 
 def shards(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -254,7 +254,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return page('/v1/shards', make_table(SHARD_COLUMNS), admin, json)
+    return make_page_command('/v1/shards', make_table(SHARD_COLUMNS), admin, json)
 
 
 def workers(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -263,7 +263,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return page('/v1/workers', make_table(WORKER_COLUMNS), admin, json)
+    return make_page_command('/v1/workers', make_table(WORKER_COLUMNS), admin, json)
 
 
 def endpoints(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -272,7 +272,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return page('/v1/endpoints', make_table(ENDPOINT_COLUMNS), admin, json)
+    return make_page_command('/v1/endpoints', make_table(ENDPOINT_COLUMNS), admin, json)
 
 
 def drain(*, endpoint: str = '', admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -283,8 +283,8 @@
     :param json: write JSON
     """
     body = msgspec.json.encode(DrainBody(endpoint))
-    return lambda environment: post(admin, '/v1/drain', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, '/v1/drain', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -326,8 +326,8 @@
         headers.append(('idempotency-key', key))
     target = f'/v1/services/{service}/{path.lstrip("/")}'
     request = Request(method, target, tuple(headers), body.encode())
-    return lambda environment: ask(callers, request).map(
-        lambda answer: Shown(
+    return lambda environment: send_request(callers, request).map(
+        lambda answer: CommandResult(
             {
                 'status': answer.status,
                 'verdict': answer.header(VERDICT_HEADER),
--- a/dandelionreel/cli/_explain.py
+++ b/dandelionreel/cli/_explain.py
@@ -6,9 +6,14 @@
 
 from returns.result import Failure, Success
 
-from dandelionreel.cli._ask import ToolError
+from dandelionreel.cli._client import ToolError
+from dandelionreel.cli._command_result import (
+    Command,
+    CommandOutcome,
+    CommandResult,
+    unreadable_file_error,
+)
 from dandelionreel.cli._output import write_table
-from dandelionreel.cli._shown import Command, Found, Shown, unreadable
 from dandelionreel.kernel import Environment, ExitStatus
 from dandelionreel.records import Subject, SubjectError, explain, parse_subject, view_report
 
@@ -30,7 +35,7 @@
 
 QUOTE_INDENT = '    '
 #: Names of a list that a table shows; JSON has all.
-MOST_LISTED = 3
+MAX_LISTED = 3
 
 
 def explain_job(job: str, *files: Path, json: bool = False) -> Command:
@@ -45,25 +50,27 @@
     return lambda environment: _explain(job, files, environment, json)
 
 
-def _explain(text: str, files: tuple[Path, ...], environment: Environment, json: bool) -> Found:
+def _explain(
+    text: str, files: tuple[Path, ...], environment: Environment, json: bool
+) -> CommandOutcome:
     try:
         subject = parse_subject(text)
     except SubjectError as error:
         return Failure(ToolError(f'{error}', ExitStatus.USAGE))
     try:
-        report = explain(subject, open_all(files, environment))
+        report = explain(subject, open_logs(files, environment))
     except OSError as error:
-        return Failure(unreadable(error.filename or 'standard input', error))
+        return Failure(unreadable_file_error(error.filename or 'standard input', error))
     if report is None:
-        return Failure(_not_named(subject))
-    return Success(Shown(view_report(report), _write_report, json))
+        return Failure(_no_mention_error(subject))
+    return Success(CommandResult(view_report(report), _write_report, json))
 
 
-def _not_named(subject: Subject) -> ToolError:
+def _no_mention_error(subject: Subject) -> ToolError:
     return ToolError(f'no line names {subject.name}; give the logs of all hosts', ExitStatus.ERROR)
 
 
-def open_all(files: tuple[Path, ...], environment: Environment) -> Iterator[tuple[str, BinaryIO]]:
+def open_logs(files: tuple[Path, ...], environment: Environment) -> Iterator[tuple[str, BinaryIO]]:
     """Open one file after the other, each closed when the next one's turn comes.
 
     Standard input stands for ``-``, and for no file at all. Raises ``OSError``.
@@ -84,44 +91,48 @@
         f'read {read["lines"]} lines of {read["files"]} files, {read["bad"]} bad{first}\n',
     )
     runners = frozenset(run['runner'] for run in content['runs'])
-    lines = [_shorten(line, runners) for line in content['timeline']]
-    _write_part(stream, 'timeline', lines, LINE_COLUMNS)
-    _write_part(stream, 'runs', content['runs'], RUN_COLUMNS)
+    lines = [_shorten_lists(line, runners) for line in content['timeline']]
+    _write_section(stream, 'timeline', lines, LINE_COLUMNS)
+    _write_section(stream, 'runs', content['runs'], RUN_COLUMNS)
     for wait in content['waits']:
         _write_wait(stream, wait, whole_job='/' not in content['subject'])
-    for again in content['again']:
-        _write_again(stream, again, runners)
+    for repeated in content['again']:
+        _write_repeated_start(stream, repeated, runners)
     for sentence in content['not_known']:
         stream.write(f'\nnot known: {sentence}')
     stream.write('\n' if content['not_known'] else '')
 
 
-def _write_part(stream: Any, name: str, rows: Any, columns: tuple[str, ...]) -> None:
+def _write_section(stream: Any, name: str, rows: Any, columns: tuple[str, ...]) -> None:
     if not rows:
         return
     stream.write(f'\n{name}\n')
-    write_table(stream, [_plain_row(row) for row in rows], columns)
+    write_table(stream, [_format_row(row) for row in rows], columns)
 
 
-def _shorten(line: Any, runners: frozenset[str]) -> Any:
+def _shorten_lists(line: Any, runners: frozenset[str]) -> Any:
     """Return a line with its long lists cut, the runners that are asked about left in."""
-    more = {name: found for name, found in line['more'].items() if found is not None}
-    for name, found in more.items():
-        if isinstance(found, list) and len(found) > MOST_LISTED:
-            wanted = [one for one in found if one in runners]
-            others = [one for one in found if one not in runners]
-            shown = ', '.join(f'{one}' for one in [*wanted, *others][:MOST_LISTED])
-            more[name] = f'{shown}, … ({len(found)})'
+    more = {
+        name: field_value for name, field_value in line['more'].items() if field_value is not None
+    }
+    for name, field_value in more.items():
+        if isinstance(field_value, list) and len(field_value) > MAX_LISTED:
+            wanted = [item for item in field_value if item in runners]
+            others = [item for item in field_value if item not in runners]
+            shown = ', '.join(f'{item}' for item in [*wanted, *others][:MAX_LISTED])
+            more[name] = f'{shown}, … ({len(field_value)})'
     return {**line, 'more': more}
 
 
-def _plain_row(row: Any) -> dict[str, Any]:
+def _format_row(row: Any) -> dict[str, Any]:
     """Return a row with blanks for what is not known, and how often a line was told."""
-    plain = {name: '' if found is None else found for name, found in row.items()}
+    formatted = {
+        name: '' if field_value is None else field_value for name, field_value in row.items()
+    }
     count = row.get('count', 1)
     if count > 1:
-        plain['text'] = f'{row["text"]} (told {count} times)'
-    return plain
+        formatted['text'] = f'{row["text"]} (told {count} times)'
+    return formatted
 
 
 def _write_wait(stream: Any, wait: Any, *, whole_job: bool) -> None:
@@ -132,27 +143,31 @@
     _write_quotes(stream, wait['causes'])
 
 
-def _write_again(stream: Any, again: Any, runners: frozenset[str]) -> None:
-    earlier = again['earlier']
-    later = again['later']
-    stream.write(f'\ntask {again["task"]}: run {_name_run(earlier)}, then run {_name_run(later)}\n')
-    sign = 'SUSPECT: ' if again['suspect'] else ''
-    stream.write(f'{QUOTE_INDENT}{sign}{again["finding"]}\n')
+def _write_repeated_start(stream: Any, repeated: Any, runners: frozenset[str]) -> None:
+    earlier = repeated['earlier']
+    later = repeated['later']
+    stream.write(
+        f'\ntask {repeated["task"]}: run {_label_run(earlier)}, then run {_label_run(later)}\n'
+    )
+    mark = 'SUSPECT: ' if repeated['suspect'] else ''
+    stream.write(f'{QUOTE_INDENT}{mark}{repeated["finding"]}\n')
     if later['knew']:
-        knew = ', '.join(f'{name} {found}' for name, found in later['knew'].items())
-        stream.write(f'{QUOTE_INDENT}at the start {later["owner"]} knew: {knew}\n')
-    if again['knew']:
+        knowledge = ', '.join(
+            f'{name} {field_value}' for name, field_value in later['knew'].items()
+        )
+        stream.write(f'{QUOTE_INDENT}at the start {later["owner"]} knew: {knowledge}\n')
+    if repeated['knew']:
         stream.write(f'{QUOTE_INDENT}what {later["owner"]} had written by then:\n')
-        _write_quotes(stream, [_shorten(line, runners) for line in again['knew']])
+        _write_quotes(stream, [_shorten_lists(line, runners) for line in repeated['knew']])
 
 
-def _name_run(run: Any) -> str:
+def _label_run(run: Any) -> str:
     owner = run['owner'] or 'an owner that no line names'
     return f'{run["run"]} on {run["runner"]} by {owner} in epoch {run["epoch"]}'
 
 
 def _write_quotes(stream: Any, lines: Any) -> None:
     for line in lines:
-        more = ' '.join(f'{name}={found}' for name, found in line['more'].items())
+        more = ' '.join(f'{name}={field_value}' for name, field_value in line['more'].items())
         stream.write(f'{QUOTE_INDENT}{line["at"]} {line["host"]}: {line["text"]} {more}'.rstrip())
         stream.write('\n')
--- a/dandelionreel/cli/_review.py
+++ b/dandelionreel/cli/_review.py
@@ -6,15 +6,20 @@
 
 from returns.result import Failure, Success
 
-from dandelionreel.cli._ask import ToolError
-from dandelionreel.cli._explain import open_all
+from dandelionreel.cli._client import ToolError
+from dandelionreel.cli._command_result import (
+    Command,
+    CommandOutcome,
+    CommandResult,
+    unreadable_file_error,
+)
+from dandelionreel.cli._explain import open_logs
 from dandelionreel.cli._output import write_table
-from dandelionreel.cli._shown import Command, Found, Shown, unreadable
 from dandelionreel.kernel import Environment, ExitStatus
 from dandelionreel.records import review, view_review
 
-SERVED = ('in time', 'late', 'too late', 'refused', 'open', 'cancelled')
-LOST = ('late', 'too late', 'refused', 'open')
+VERDICT_COLUMNS = ('in time', 'late', 'too late', 'refused', 'open', 'cancelled')
+MISSED_COLUMNS = ('late', 'too late', 'refused', 'open')
 JOB_COLUMNS = ('sent', 'job', 'queue', 'account', 'verdict', 'seconds', 'objective', 'reason')
 
 
@@ -31,33 +36,35 @@
     return lambda environment: _review(files, environment, jobs, json)
 
 
-def _review(files: tuple[Path, ...], environment: Environment, jobs: bool, json: bool) -> Found:
+def _review(
+    files: tuple[Path, ...], environment: Environment, jobs: bool, json: bool
+) -> CommandOutcome:
     try:
-        found = review(open_all(files, environment))
+        review_result = review(open_logs(files, environment))
     except OSError as error:
-        return Failure(unreadable(error.filename or 'standard input', error))
-    if found is None:
+        return Failure(unreadable_file_error(error.filename or 'standard input', error))
+    if review_result is None:
         return Failure(ToolError("no line tells of a job; give the hosts' logs", ExitStatus.ERROR))
-    return Success(Shown(view_review(found), _writer(jobs), json))
+    return Success(CommandResult(view_review(review_result), _make_writer(jobs), json))
 
 
-def _writer(jobs: bool) -> Callable[[Any, Any], None]:
+def _make_writer(jobs: bool) -> Callable[[Any, Any], None]:
     def write(stream: Any, content: Any) -> None:
         read = content['read']
         stream.write(f'read {read["lines"]} lines of {read["files"]} files, {read["bad"]} bad\n')
-        write_table(stream, content['queues'], ('queue', *SERVED))
+        write_table(stream, content['queues'], ('queue', *VERDICT_COLUMNS))
         stream.write('\n')
         if content['accounts']:
-            write_table(stream, content['accounts'], ('account', *SERVED))
+            write_table(stream, content['accounts'], ('account', *VERDICT_COLUMNS))
             stream.write('\n')
-        write_table(stream, content['reasons'], ('reason', *LOST))
+        write_table(stream, content['reasons'], ('reason', *MISSED_COLUMNS))
         if jobs:
             stream.write('\n')
-            rows = [_plain_row(row) for row in content['jobs']]
+            rows = [_format_row(row) for row in content['jobs']]
             write_table(stream, rows, JOB_COLUMNS)
 
     return write
 
 
-def _plain_row(row: Any) -> dict[str, Any]:
-    return {name: '' if found is None else found for name, found in row.items()}
+def _format_row(row: Any) -> dict[str, Any]:
+    return {name: '' if field_value is None else field_value for name, field_value in row.items()}
--- a/dandelionreel/cli/_answers.py
+++ b/dandelionreel/cli/_shared.py
@@ -8,32 +8,32 @@
 from returns.result import Failure, Result, Success
 
 from dandelionreel.admin import PublishBody
-from dandelionreel.cli._ask import ToolError, ask, decode
+from dandelionreel.cli._client import ToolError, decode, send_request
+from dandelionreel.cli._command_result import Command, CommandOutcome, CommandResult
 from dandelionreel.cli._options import JOB_COLUMNS
 from dandelionreel.cli._output import write_fields, write_table
-from dandelionreel.cli._shown import Command, Found, Shown
 from dandelionreel.contracts import ContractError, load_contract
 from dandelionreel.http import Request
 from dandelionreel.jobs import JobSpecError, load_spec
 from dandelionreel.kernel import ExitStatus
 
 
-def check(
+def check_file(
     file: Path,
     text: bytes,
     load: Callable[[bytes], Any],
     error_type: type[ValueError],
     json: bool,
-) -> Found:
+) -> CommandOutcome:
     """Return that a file is good, or why it is not."""
     try:
         loaded = load(text)
     except error_type as error:
         return Failure(ToolError(f'{file}: {error}', ExitStatus.USAGE))
-    shown = {'file': str(file), 'checked': 'good'}
+    fields = {'file': str(file), 'checked': 'good'}
     if json:
-        shown['content'] = msgspec.to_builtins(loaded)
-    return Success(Shown(shown, write_fields, json))
+        fields['content'] = msgspec.to_builtins(loaded)
+    return Success(CommandResult(fields, write_fields, json))
 
 
 def publish(
@@ -43,19 +43,19 @@
     author: str,
     admin: str,
     json: bool,
-) -> Found:
+) -> CommandOutcome:
     """Check a contract and have a daemon publish it."""
     try:
         contract = load_contract(text)
     except ContractError as error:
         return Failure(ToolError(f'{file}: {error}', ExitStatus.USAGE))
     body = msgspec.json.encode(PublishBody(msgspec.Raw(text), replaces, author))
-    return post(admin, f'/v1/contracts/{contract.customer}', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return post_json(admin, f'/v1/contracts/{contract.customer}', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
-def submit(file: Path, text: bytes, key: str, callers: str, json: bool) -> Found:
+def submit(file: Path, text: bytes, key: str, callers: str, json: bool) -> CommandOutcome:
     """Check a job and hand it in."""
     try:
         load_spec(text)
@@ -63,26 +63,28 @@
         return Failure(ToolError(f'{file}: {error}', ExitStatus.USAGE))
     headers = (('idempotency-key', key), ('content-type', 'application/json'))
     request = Request('POST', '/v1/jobs', headers, text)
-    return ask(callers, request).map(
-        lambda answer: Shown({**decode(answer), 'key': key}, write_fields, json),
+    return send_request(callers, request).map(
+        lambda answer: CommandResult({**decode(answer), 'key': key}, write_fields, json),
     )
 
 
-def get(address: str, path: str) -> Result[Any, ToolError]:
+def get_json(address: str, path: str) -> Result[Any, ToolError]:
     """Return what a daemon shows at a path."""
-    return ask(address, Request('GET', path)).map(decode)
+    return send_request(address, Request('GET', path)).map(decode)
 
 
-def post(address: str, path: str, body: bytes) -> Result[Any, ToolError]:
+def post_json(address: str, path: str, body: bytes) -> Result[Any, ToolError]:
     """Return what a daemon answers to a body."""
     headers = (('content-type', 'application/json'),)
-    return ask(address, Request('POST', path, headers, body)).map(decode)
+    return send_request(address, Request('POST', path, headers, body)).map(decode)
 
 
-def page(path: str, show: Callable[[Any, Any], None], admin: str, json: bool) -> Command:
+def make_page_command(
+    path: str, write: Callable[[Any, Any], None], admin: str, json: bool
+) -> Command:
     """Return the command that shows one page of a daemon."""
-    return lambda environment: get(admin, path).map(
-        lambda content: Shown(content, show, json),
+    return lambda environment: get_json(admin, path).map(
+        lambda content: CommandResult(content, write, json),
     )
 
 
--- a/dandelionreel/cli/_tool.py
+++ b/dandelionreel/cli/_tool.py
@@ -24,16 +24,16 @@
         no_negated_flags=False,
     )
     try:
-        found = command(environment)
+        outcome = command(environment)
     except KeyboardInterrupt:
         return ExitStatus.INTERRUPTED
-    if not isinstance(found, Success):
-        error = found.failure()
+    if not isinstance(outcome, Success):
+        error = outcome.failure()
         environment.tell_error(error.message)
         return error.status
-    shown = found.unwrap()
-    if shown.as_json:
-        write_json(environment.stdout, shown.content)
+    result = outcome.unwrap()
+    if result.as_json:
+        write_json(environment.stdout, result.content)
     else:
-        shown.show(environment.stdout, shown.content)
+        result.write(environment.stdout, result.content)
     return ExitStatus.SUCCESS
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -35,7 +35,7 @@
     watch_signals,
     zones_of,
 )
-from dandelionreel.life import InFlight, Lifecycle
+from dandelionreel.life import InFlightCounter, Lifecycle
 from dandelionreel.metrics import DaemonMetrics
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
@@ -82,10 +82,10 @@
 
 CELL_STREAM = 'cell'
 ZONE_STREAM = 'zone.{0}'
-JOIN_PATIENCE = 5.0
-JOIN_AGAIN_SECONDS = 1.0
+JOIN_WRITE_SECONDS = 5.0
+JOIN_RETRY_SECONDS = 1.0
 #: How often in a silent period a daemon looks whether it must say it is alive.
-ALIVE_CHECKS = 8
+ALIVE_CHECKS_PER_PERIOD = 8
 INCARNATION_BYTES = 3
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 MILLISECONDS = 1000
@@ -125,7 +125,7 @@
         self._build_contracts()
         self._build_requests()
         self._build_jobs()
-        self._build_fronts()
+        self._build_apis()
 
     async def run(self) -> ExitStatus:
         """Serve until told to stop; return the exit status."""
@@ -298,14 +298,14 @@
             self._echoes,
             self._journal,
         )
-        self._shares = QuotaShareBalancer(
+        self._share_balancer = QuotaShareBalancer(
             settings,
             clock,
             self._contracts,
             self._cell_writer,
             self._journal,
         )
-        self._orders = OrderSender(
+        self._order_sender = OrderSender(
             self.me,
             settings,
             clock,
@@ -326,12 +326,12 @@
             self._hosts,
             self._zone_reader,
             self._zone_writer,
-            self._orders,
-            self._shares,
+            self._order_sender,
+            self._share_balancer,
             JobMetrics(self._metrics.registry),
             self._journal,
         )
-        self._keeper = JobRefresher(
+        self._job_refresher = JobRefresher(
             settings,
             clock,
             self._jobs,
@@ -343,9 +343,9 @@
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
-    def _build_fronts(self) -> None:
+    def _build_apis(self) -> None:
         settings = self._settings
-        intake = JobApi(
+        job_api = JobApi(
             settings,
             self._clock,
             self._jobs,
@@ -356,7 +356,7 @@
             self._journal,
         )
         relay = Relay(zones_of(settings), self._directory, self._clock)
-        mover = JobMover(
+        job_mover = JobMover(
             self.me,
             settings,
             self._clock,
@@ -366,15 +366,15 @@
             self._zone_writer,
             self._journal,
         )
-        callers = CallersFront(
+        caller_api = CallersFront(
             settings.availability_zone,
             self._router,
-            intake,
-            mover,
+            job_api,
+            job_mover,
             relay,
             self._life,
         )
-        admin = AdminApi(
+        admin_api = AdminApi(
             self.me,
             settings,
             self._clock,
@@ -393,7 +393,7 @@
             self._fleet,
             self._pool,
             self._router,
-            callers,
+            caller_api,
         )
         limits = settings.limits
         server_limits = ServerLimits(
@@ -402,15 +402,15 @@
             read_seconds=limits.header_seconds,
             connections=limits.connections,
         )
-        self._callers_server = Server(callers.handle, server_limits)
-        self._admin_server = Server(admin.handle, server_limits)
-        self._answer_peers(callers)
+        self._callers_server = Server(caller_api.handle, server_limits)
+        self._admin_server = Server(admin_api.handle, server_limits)
+        self._register_peer_handlers(caller_api)
 
-    def _answer_peers(self, callers: CallersFront) -> None:
-        self._neighbourhood.speak(self._gossip, self._hear, self._publisher.hear)
+    def _register_peer_handlers(self, caller_api: CallersFront) -> None:
+        self._neighbourhood.speak(self._make_gossip, self._handle_gossip, self._publisher.hear)
         server = self._peer_server
         server.answer(Heartbeat, self._neighbourhood.answer)
-        server.answer(Forward, callers.answer_forward)
+        server.answer(Forward, caller_api.answer_forward)
         server.answer(PlaceOrder, self._fleet.answer_place)
         server.answer(TaskAction, self._fleet.answer_action)
         server.answer(WorkerReport, self._answer_report)
@@ -449,36 +449,36 @@
             self._zone_writer,
             self._cell_writer,
         )
-        for work in (
+        for run_loop in (
             self._claimer.run,
             self._publisher.run,
             self._pool.run,
             self._router.run,
             self._dispatcher.run,
             self._dispatcher.follow_log,
-            self._orders.run,
-            self._orders.write_queued_records,
-            self._shares.run,
-            self._keeper.run,
+            self._order_sender.run,
+            self._order_sender.write_queued_records,
+            self._share_balancer.run,
+            self._job_refresher.run,
             self._update_metrics,
         ):
-            await start_task(stack, work)
+            await start_task(stack, run_loop)
         await start_task(stack, self._fleet.run, stack)
         # What was built to last is no garbage: later collections skip it.
         gc.collect()
         gc.freeze()
 
-    async def _take_signal(self, number: int) -> None:
+    async def _handle_stop_signal(self, number: int) -> None:
         await self._life.request_stop()
 
     async def _serve(self, stack: AsyncExitStack) -> None:
-        await start_task(stack, await watch_signals(stack, STOP_SIGNALS, self._take_signal))
+        await start_task(stack, await watch_signals(stack, STOP_SIGNALS, self._handle_stop_signal))
         while not self._life.stopping and not self._was_declared_ended():
             await curio.ignore_after(0.5, self._life.stop_requested.wait)
         if self._was_declared_ended():
             self._journal.tell(Part.LIFE, 'exits; the log says that it has ended.')
             return
-        in_flight = InFlight()
+        in_flight = InFlightCounter()
         in_flight.add(lambda: self._router.in_flight)
         in_flight.add(lambda: self._callers_server.busy)
         await self._life.drain(
@@ -506,14 +506,14 @@
             advertised.address if advertised else settings.peers.address,
             advertised.port if advertised else self._peer_server.port,
         )
-        again = settings.timings.retention / 3
+        rejoin_after = settings.timings.retention / 3
         while True:
             for writer in (self._zone_writer, self._cell_writer):
                 await _write_until_done(writer, joined)
             self._journal.tell(Part.OWNERSHIP, f'joined as {self.me}.')
-            await self._say_alive(again)
+            await self._write_alive_records(rejoin_after)
 
-    async def _say_alive(self, seconds: float) -> None:
+    async def _write_alive_records(self, seconds: float) -> None:
         """While some neighbour is silent to us, write that we are alive.
 
         It may be cut off from us alone; without this it would take over
@@ -522,7 +522,7 @@
         period = self._settings.timings.silent_after
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
-            await curio.sleep(period / ALIVE_CHECKS)
+            await curio.sleep(period / ALIVE_CHECKS_PER_PERIOD)
             if not self._neighbourhood.has_silent_neighbour():
                 continue
             with suppress(LogError):
@@ -543,25 +543,25 @@
 
     # Gossip.
 
-    def _gossip(self, near: bool) -> Gossip:
+    def _make_gossip(self, same_zone: bool) -> Gossip:
         # Promises and the proofs behind them are the zone's own matter; other
         # zones need to know only where there is room, and the contracts.
         period = self._settings.timings.silent_after
         zone = self._settings.availability_zone
         heard = self._directory.heard_within(period, zone)
         return Gossip(
-            view=self._promises.view() if near else (),
-            heard=tuple(map(hash_member, heard)) if near else (),
+            view=self._promises.view() if same_zone else (),
+            heard=tuple(map(hash_member, heard)) if same_zone else (),
             rooms=self._pool.rooms(),
-            leaving=self._pool.own_signs() if near else (),
+            leaving=self._pool.own_signs() if same_zone else (),
             contracts=self._contracts.digest(),
             draining=self._claimer.draining,
         )
 
-    async def _hear(self, state: PeerState) -> None:
+    async def _handle_gossip(self, state: PeerState) -> None:
         self._pool.hear_leaving(state.gossip.leaving)
         if state.gossip.contracts == self._contracts.digest():
-            self._life.heard_contracts = True
+            self._life.peer_contracts_match = True
         if state.gossip.rooms:
             await self._pool.changed.notify()
 
@@ -578,9 +578,9 @@
 async def _write_until_done(writer: StreamWriter, joined: Joined) -> None:
     while True:
         try:
-            await writer.write(joined, JOIN_PATIENCE)
+            await writer.write(joined, JOIN_WRITE_SECONDS)
         except LogError:
-            await curio.sleep(JOIN_AGAIN_SECONDS)
+            await curio.sleep(JOIN_RETRY_SECONDS)
             continue
         return
 
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -10,7 +10,7 @@
 from dandelionreel.ownership import Claimer, Left
 
 POLL_SECONDS = 0.1
-LEFT_PATIENCE = 2.0
+LEFT_WRITE_SECONDS = 2.0
 
 
 class Lifecycle:
@@ -33,10 +33,10 @@
         self._contracts = contracts
         self._journal = journal
         self.stopping = False
-        self.hurried = False
+        self.drain_skipped = False
         self.stop_requested = curio.Event()
         #: Set once the contracts of some peer have been seen.
-        self.heard_contracts = False
+        self.peer_contracts_match = False
 
     def reasons_not_ready(self) -> tuple[str, ...]:
         """Return why the balancer should send nothing here, empty when it may."""
@@ -52,19 +52,19 @@
 
         A daemon that knows no newest contract would enforce an old one.
         """
-        return self._cell_reader.caught_up or self.heard_contracts
+        return self._cell_reader.caught_up or self.peer_contracts_match
 
     async def request_stop(self) -> None:
         """Begin the planned stop; a second call hurries it."""
         if self.stopping:
-            self.hurried = True
+            self.drain_skipped = True
         self.stopping = True
         await self.stop_requested.set()
 
     async def drain(
         self,
         claimer: Claimer,
-        in_flight: 'InFlight',
+        in_flight: 'InFlightCounter',
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
         me: str,
@@ -78,11 +78,11 @@
         """
         timings = self._settings.timings
         self._journal.tell(Part.LIFE, 'is stopping; it is not ready any more.')
-        await self._pause(timings.drain_balancer_lag)
+        await self._wait_unless_skipped(timings.drain_balancer_lag)
         finish_connections()
         claimer.draining = True
-        until = self._clock.monotonic() + timings.drain_limit
-        while self._clock.monotonic() < until and not self.hurried:
+        deadline = self._clock.monotonic() + timings.drain_limit
+        while self._clock.monotonic() < deadline and not self.drain_skipped:
             if not in_flight.count() and not claimer.owned():
                 break
             await curio.sleep(POLL_SECONDS)
@@ -103,17 +103,17 @@
             return
         for writer in (zone_writer, cell_writer):
             try:
-                await writer.write(Left(me), LEFT_PATIENCE)
+                await writer.write(Left(me), LEFT_WRITE_SECONDS)
             except LogError as error:
                 self._journal.tell(Part.LIFE, f'could not write that it left: {error}.')
 
-    async def _pause(self, seconds: float) -> None:
-        until = self._clock.monotonic() + seconds
-        while self._clock.monotonic() < until and not self.hurried:
+    async def _wait_unless_skipped(self, seconds: float) -> None:
+        deadline = self._clock.monotonic() + seconds
+        while self._clock.monotonic() < deadline and not self.drain_skipped:
             await curio.sleep(POLL_SECONDS)
 
 
-class InFlight:
+class InFlightCounter:
     """Counts what must be finished before the daemon may exit."""
 
     def __init__(self) -> None:
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -14,10 +14,10 @@
 from dandelionreel.peers import Traffic
 from dandelionreel.placement import Planner
 
-PAGE_FIELD = 1
+RESIDENT_PAGES_FIELD = 1
 
 
-class ControlBytes(Collector):
+class ControlBytesCollector(Collector):
     """Bytes of control messages, by peer and kind."""
 
     def __init__(self, traffic: Traffic) -> None:
@@ -44,21 +44,23 @@
     def __init__(self, traffic: Traffic) -> None:
         """Keep a registry of its own, so that daemons in one process stay apart."""
         self.registry = CollectorRegistry()
-        self.registry.register(ControlBytes(traffic))
-        self._log_outage = self._gauge('log_outage_seconds', 'Seconds without the log, in all.')
-        self._log_read = self._gauge('log_read_seconds', 'Time of the latest read.')
-        self._log_append = self._gauge('log_append_seconds', 'Time of the latest append.')
-        self._appends = self._gauge('log_appends', 'Appends to the zone stream since start.')
-        self._records = self._gauge('log_records', 'Records written since start.')
-        self._owned = self._gauge('owned_shards', 'Shards that this daemon owns.')
-        self._takeovers = self._gauge('takeovers', 'Shards taken from silent owners.')
-        self._queue = self._gauge('request_queue', 'Requests that wait.', 'service')
-        self._jobs = self._gauge('jobs', 'Jobs of this zone by state.', 'state')
-        self._decisions = self._gauge('decisions', 'Placement decisions since dispatching began.')
-        self._used = self._gauge('used', 'Use of the zone by resource.', 'resource')
-        self._total = self._gauge('capacity', 'What the zone has.', 'resource')
-        self._processor = self._gauge('cpu_seconds', 'Processor time of this process.')
-        self._memory = self._gauge('memory_bytes', 'Resident memory of this process.')
+        self.registry.register(ControlBytesCollector(traffic))
+        self._log_outage = self._add_gauge('log_outage_seconds', 'Seconds without the log, in all.')
+        self._log_read = self._add_gauge('log_read_seconds', 'Time of the latest read.')
+        self._log_append = self._add_gauge('log_append_seconds', 'Time of the latest append.')
+        self._appends = self._add_gauge('log_appends', 'Appends to the zone stream since start.')
+        self._records = self._add_gauge('log_records', 'Records written since start.')
+        self._owned = self._add_gauge('owned_shards', 'Shards that this daemon owns.')
+        self._takeovers = self._add_gauge('takeovers', 'Shards taken from silent owners.')
+        self._queue = self._add_gauge('request_queue', 'Requests that wait.', 'service')
+        self._jobs = self._add_gauge('jobs', 'Jobs of this zone by state.', 'state')
+        self._decisions = self._add_gauge(
+            'decisions', 'Placement decisions since dispatching began.'
+        )
+        self._used = self._add_gauge('used', 'Use of the zone by resource.', 'resource')
+        self._capacity = self._add_gauge('capacity', 'What the zone has.', 'resource')
+        self._cpu_seconds = self._add_gauge('cpu_seconds', 'Processor time of this process.')
+        self._resident_bytes = self._add_gauge('memory_bytes', 'Resident memory of this process.')
 
     def update(
         self,
@@ -84,26 +86,26 @@
         self._decisions.set(planner.decisions)
         self._set_use(planner)
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        self._processor.set(usage.ru_utime + usage.ru_stime)
-        self._memory.set(resident_bytes())
+        self._cpu_seconds.set(usage.ru_utime + usage.ru_stime)
+        self._resident_bytes.set(resident_bytes())
 
     def _set_use(self, planner: Planner) -> None:
         used = planner.cell.usage.total()
         total = planner.cell.total
-        for name, part, whole in (
+        for name, used_amount, total_amount in (
             ('processors', used.processors, total.processors),
             ('memory_mb', used.memory_mb, total.memory_mb),
             ('accelerators', used.accelerators, total.accelerators),
         ):
-            self._used.labels(name).set(part)
-            self._total.labels(name).set(whole)
+            self._used.labels(name).set(used_amount)
+            self._capacity.labels(name).set(total_amount)
 
-    def _gauge(self, name: str, text: str, *labels: str) -> Gauge:
+    def _add_gauge(self, name: str, text: str, *labels: str) -> Gauge:
         return Gauge(f'dandelionreel_{name}', text, labels, registry=self.registry)
 
 
 def resident_bytes() -> int:
     """Return this process's resident memory, from the kernel's statm."""
     with open('/proc/self/statm', encoding='ascii') as statm:
-        pages = int(statm.read().split()[PAGE_FIELD])
+        pages = int(statm.read().split()[RESIDENT_PAGES_FIELD])
     return pages * resource.getpagesize()
--- a/dandelionreel/records/__init__.py
+++ b/dandelionreel/records/__init__.py
@@ -1,19 +1,19 @@
 """The log lines of many hosts, gathered into the story of one job, or of all."""
 
-from dandelionreel.records._lines import Tally, read_lines
+from dandelionreel.records._event_kinds import EventKind
+from dandelionreel.records._lines import ReadStats, read_lines
 from dandelionreel.records._report import Report, explain
 from dandelionreel.records._review import Review, review, view_review
-from dandelionreel.records._stages import Stage
 from dandelionreel.records._subject import Subject, SubjectError, parse_subject
 from dandelionreel.records._view import view_report
 
 __all__ = (
     'Report',
     'Review',
-    'Stage',
+    'EventKind',
     'Subject',
     'SubjectError',
-    'Tally',
+    'ReadStats',
     'explain',
     'parse_subject',
     'read_lines',
--- a/dandelionreel/records/_gathering.py
+++ b/dandelionreel/records/_event_collector.py
@@ -7,28 +7,28 @@
 
 from dataclasses import dataclass
 
-from dandelionreel.records._lines import Line
+from dandelionreel.records._lines import LineHeader
+from dandelionreel.records._log_event import LogEvent, decode_event
 from dandelionreel.records._subject import Subject
-from dandelionreel.records._told import Told, make_told
 
 #: Lines of the job itself that are kept, about 1.5 KB each.
-MOST_TOLD = 20_000
+MAX_JOB_EVENTS = 20_000
 #: Lines around it that are kept, about 0.6 KB each.
-MOST_AROUND = 40_000
+MAX_CONTEXT_LINES = 40_000
 #: Seconds in which the same sentence is kept once.
-SAME_SECONDS = 10.0
+DEDUPLICATION_SECONDS = 10.0
 #: Parts whose lines may matter without naming the job.
-AROUND_PARTS = frozenset(('ownership', 'workers', 'log', 'life'))
+CONTEXT_PARTS = frozenset(('ownership', 'workers', 'log', 'life'))
 #: Ends of sentences that each host writes as it reads the list of runners; the first
 #: kind tells nothing of a job.
-READY = ' is ready.'
-LISTED = (' is draining.', ' has gone.')
+READY_ENDING = ' is ready.'
+RUNNER_LIST_ENDINGS = (' is draining.', ' has gone.')
 
 Key = tuple[str, str, int]
 
 
 @dataclass
-class Span:
+class LogSpan:
     """From when to when a host's lines go, in seconds of its wall clock."""
 
     first: float
@@ -36,84 +36,84 @@
 
 
 @dataclass
-class _Kept:
+class _ContextLine:
     at: float
     content: bytes
     count: int = 1
 
 
-class Gathering:
+class EventCollector:
     """Lines of one job, and lines around it."""
 
     def __init__(self, subject: Subject) -> None:
         """Gather for ``subject``."""
         self.subject = subject
-        self.told: list[Told] = []
-        self.span_by_host: dict[str, Span] = {}
+        self.job_events: list[LogEvent] = []
+        self.span_by_host: dict[str, LogSpan] = {}
         #: Lines that there was no room for.
         self.left_out = 0
         #: Lines around the job with a broken field, which shows when they are looked at.
         self.unreadable = 0
         #: One of so many lines of the frequent kinds was written.
         self.sampled = 1
-        self._word = subject.job.encode()
-        self._around: dict[Key, _Kept] = {}
+        self._job_id = subject.job.encode()
+        self._context_lines: dict[Key, _ContextLine] = {}
 
-    def take(self, content: bytes, line: Line) -> bool:
+    def add(self, content: bytes, line: LineHeader) -> bool:
         """Keep a line if it may matter; return whether it can be read."""
         self._note_span(line)
         if isinstance(line.sampled, int):
             self.sampled = max(self.sampled, line.sampled)
-        if self._word in content and _names(content, self._word):
-            return self._take_own(content)
-        if line.message_type in AROUND_PARTS and not line.text.endswith(READY):
-            self._keep_around(content, line)
+        if self._job_id in content and _contains_word(content, self._job_id):
+            return self._add_job_line(content)
+        if line.message_type in CONTEXT_PARTS and not line.text.endswith(READY_ENDING):
+            self._add_context_line(content, line)
         return True
 
-    def around(self) -> list[Told]:
+    def context_events(self) -> list[LogEvent]:
         """Return the lines that may matter without naming the job."""
-        made = [make_told(kept.content, kept.count) for kept in self._around.values()]
-        readable = [told for told in made if told is not None]
+        made = [decode_event(kept.content, kept.count) for kept in self._context_lines.values()]
+        readable = [event for event in made if event is not None]
         self.unreadable += len(made) - len(readable)
         return readable
 
-    def _note_span(self, line: Line) -> None:
+    def _note_span(self, line: LineHeader) -> None:
         span = self.span_by_host.get(line.host)
         if span is None:
-            self.span_by_host[line.host] = Span(line.timestamp, line.timestamp)
+            self.span_by_host[line.host] = LogSpan(line.timestamp, line.timestamp)
             return
         span.first = min(span.first, line.timestamp)
         span.last = max(span.last, line.timestamp)
 
-    def _take_own(self, content: bytes) -> bool:
-        if len(self.told) >= MOST_TOLD:
+    def _add_job_line(self, content: bytes) -> bool:
+        if len(self.job_events) >= MAX_JOB_EVENTS:
             self.left_out += 1
             return True
-        told = make_told(content)
-        if told is None:
+        event = decode_event(content)
+        if event is None:
             return False
-        if self.subject.takes(told.task) and self._takes_found(told):
-            self.told.append(told)
+        if self.subject.includes(event.task) and self._filter_listed_runs(event):
+            self.job_events.append(event)
         return True
 
-    def _takes_found(self, told: Told) -> bool:
+    def _filter_listed_runs(self, event: LogEvent) -> bool:
         """Leave in a list of runs only those asked about; return whether one is left."""
-        found = told.more.get('found')
+        found = event.more.get('found')
         if not isinstance(found, list):
             return True
-        mine = f'{self.subject.name} ' if self.subject.task else f'{self.subject.job}/'
-        told.more['found'] = [text for text in found if f'{text}'.startswith(mine)]
-        return bool(told.more['found'])
-
-    def _keep_around(self, content: bytes, line: Line) -> None:
-        host = '' if line.text.endswith(LISTED) else line.host
-        key = (host, line.text, int(line.timestamp // SAME_SECONDS))
-        kept = self._around.get(key)
+        prefix = f'{self.subject.name} ' if self.subject.task else f'{self.subject.job}/'
+        event.more['found'] = [text for text in found if f'{text}'.startswith(prefix)]
+        return bool(event.more['found'])
+
+    def _add_context_line(self, content: bytes, line: LineHeader) -> None:
+        host = '' if line.text.endswith(RUNNER_LIST_ENDINGS) else line.host
+        key = (host, line.text, int(line.timestamp // DEDUPLICATION_SECONDS))
+        kept = self._context_lines.get(key)
         if kept is None:
-            if len(self._around) >= MOST_AROUND:
+            if len(self._context_lines) >= MAX_CONTEXT_LINES:
                 self.left_out += 1
                 return
-            self._around[key] = _Kept(line.timestamp, content)
+            self._context_lines[key] = _ContextLine(line.timestamp, content)
             return
         kept.count += 1
         if line.timestamp < kept.at:
@@ -121,12 +121,12 @@
             kept.content = content
 
 
-def _names(content: bytes, word: bytes) -> bool:
+def _contains_word(content: bytes, word: bytes) -> bool:
     """Return whether a word stands in a line by itself, not within another id."""
     at = content.find(word)
     while at >= 0:
-        behind = content[at + len(word) : at + len(word) + 1]
-        if not content[at - 1 : at].isalnum() and not behind.isalnum():
+        following = content[at + len(word) : at + len(word) + 1]
+        if not content[at - 1 : at].isalnum() and not following.isalnum():
             return True
         at = content.find(word, at + 1)
     return False
--- /dev/null
+++ b/dandelionreel/records/_job_histories.py
@@ -0,0 +1,170 @@
+"""Each job's life in a few times, put together from the lines of all hosts."""
+
+import re
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from dandelionreel.records._event_kinds import EventKind
+from dandelionreel.records._log_event import LogEvent
+
+#: Jobs that are kept, about 1 KB each.
+MAX_JOBS = 100_000
+COMPLETED = 'completed'
+#: What may happen to a job besides being run.
+INCIDENT_KINDS = frozenset(
+    (
+        EventKind.RUN_LOST,
+        EventKind.RUN_MISSING,
+        EventKind.START_UNANSWERED,
+        EventKind.STOPPING,
+        EventKind.HELD_BY_QUOTA,
+        EventKind.BEYOND_SHARE,
+    )
+)
+CANCELLED = 'cancelled'
+_POST_TEXT = re.compile(r'jobs: POST (\S+):')
+_FINISHED_TEXT = re.compile(r'jobs: job (\S+) is (\w+)\.')
+
+
+@dataclass
+class JobHistory:
+    """One job; times are wall seconds, ``None`` where no line tells."""
+
+    job: str
+    queue: str = ''
+    account: str = ''
+    #: When a host was first asked to take it.
+    sent_at: float | None = None
+    #: When a host first turned it away, and which one.
+    refused_at: float | None = None
+    refused_by: str = ''
+    accepted_at: float | None = None
+    started_at: float | None = None
+    finished_at: float | None = None
+    state: str = ''
+    #: Seconds within which it is in time, as its queue promises.
+    objective: float | None = None
+    #: When its end first stood in the store, and so could be shown.
+    visible_at: float | None = None
+    cancelled: bool = False
+    #: Availability zones of the runners that it was started on.
+    zones: set[str] = field(default_factory=set)
+    #: What became of its runs besides being done.
+    incidents: set[EventKind] = field(default_factory=set)
+    failed_run: bool = False
+
+    @property
+    def seconds(self) -> float | None:
+        """Return how long its caller waited, ``None`` for one that was never told of its end."""
+        if self.sent_at is None or self.visible_at is None:
+            return None
+        return self.visible_at - self.sent_at
+
+
+class JobHistories:
+    """Jobs by id."""
+
+    def __init__(self) -> None:
+        """Start with none."""
+        self.by_job: dict[str, JobHistory] = {}
+        #: Lines of jobs that there was no room for.
+        self.left_out = 0
+        self._stored_ends: list[tuple[float, str]] = []
+
+    def add(self, event: LogEvent, job: str, jobs: Iterable[str]) -> None:
+        """Take a line that names ``job``, or that names ``jobs`` whose ends it tells of."""
+        if event.kind in {EventKind.END_STORED, EventKind.COMPLETION_SHOWN}:
+            self._stored_ends.extend((event.at, name) for name in jobs)
+            return
+        submitted = _POST_TEXT.match(event.text)
+        if submitted is not None:
+            self._add_submission(event, submitted[1])
+            return
+        finished = _FINISHED_TEXT.match(event.text)
+        if finished is not None:
+            self._add_finish(event, finished[1], finished[2])
+            return
+        history = self._get_or_create(job)
+        if history is not None:
+            _add_run_event(history, event)
+            _set_account(history, event)
+
+    def finish(self) -> list[JobHistory]:
+        """Return all jobs by the time at which they were sent, once all lines were taken."""
+        for at, job in self._stored_ends:
+            history = self.by_job.get(job)
+            if history is None or history.finished_at is None or at < history.finished_at:
+                continue
+            history.visible_at = _earlier(history.visible_at, at)
+        for history in self.by_job.values():
+            if history.accepted_at is None and history.started_at is not None:
+                # Its client was never told so; it ran all the same.
+                history.accepted_at = history.started_at
+        sent = [history for history in self.by_job.values() if history.sent_at is not None]
+        return sorted(sent, key=_sent_at)
+
+    def _get_or_create(self, job: str) -> JobHistory | None:
+        history = self.by_job.get(job)
+        if history is not None or not job:
+            return history
+        if len(self.by_job) >= MAX_JOBS:
+            self.left_out += 1
+            return None
+        return self.by_job.setdefault(job, JobHistory(job))
+
+    def _add_submission(self, event: LogEvent, job: str) -> None:
+        history = self._get_or_create(job)
+        if history is None:
+            return
+        seconds = event.more.get('seconds')
+        handling_seconds = seconds if isinstance(seconds, int | float) else 0.0
+        history.sent_at = _earlier(history.sent_at, event.at - handling_seconds)
+        history.queue = history.queue or f'{event.more.get("queue", "")}'
+        _set_account(history, event)
+        if event.kind in {EventKind.ACCEPTED, EventKind.ALREADY_ACCEPTED}:
+            history.accepted_at = _earlier(history.accepted_at, event.at)
+        elif event.kind is EventKind.REFUSED and (history.refused_at or event.at) >= event.at:
+            history.refused_at = event.at
+            history.refused_by = event.host
+
+    def _add_finish(self, event: LogEvent, job: str, state: str) -> None:
+        history = self._get_or_create(job)
+        if history is None:
+            return
+        history.queue = history.queue or f'{event.more.get("queue", "")}'
+        _set_account(history, event)
+        objective = event.more.get('objective')
+        if isinstance(objective, int | float):
+            history.objective = float(objective)
+        if history.finished_at is None or event.at < history.finished_at:
+            history.finished_at = event.at
+            history.state = state
+        history.cancelled = history.cancelled or state == CANCELLED
+
+
+def _add_run_event(history: JobHistory, event: LogEvent) -> None:
+    if event.kind is EventKind.CANCELLED:
+        history.cancelled = True
+    elif event.kind is EventKind.START_SENT:
+        history.started_at = _earlier(history.started_at, event.at)
+        zone = event.more.get('zone')
+        if isinstance(zone, str):
+            history.zones.add(zone)
+    elif event.kind is EventKind.RUN_ENDED:
+        history.failed_run = history.failed_run or event.text.endswith('failed.')
+    elif event.kind in INCIDENT_KINDS:
+        history.incidents.add(event.kind)
+
+
+def _set_account(history: JobHistory, event: LogEvent) -> None:
+    account = event.more.get('account')
+    if isinstance(account, str):
+        history.account = history.account or account
+
+
+def _earlier(known: float | None, at: float) -> float:
+    return at if known is None else min(known, at)
+
+
+def _sent_at(history: JobHistory) -> float:
+    return history.sent_at or 0.0
--- a/dandelionreel/records/_lines.py
+++ b/dandelionreel/records/_lines.py
@@ -13,10 +13,10 @@
 import msgspec
 
 #: Bytes of a line that are read; the longest of our own has some 4,000.
-LONGEST_LINE = 65_536
+MAX_LINE_BYTES = 65_536
 
 
-class Line(msgspec.Struct):
+class LineHeader(msgspec.Struct):
     """The part of a line that says whether it matters; all else stays in its bytes."""
 
     host: str
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Tally:
+class ReadStats:
     """How much was read, and what of it was no line of ours."""
 
     files: int = 0
@@ -47,50 +47,50 @@
         self.first_bad = self.first_bad or f'{self.name}:{self.number}'
 
 
-_DECODER = msgspec.json.Decoder(Line)
+_DECODER = msgspec.json.Decoder(LineHeader)
 #: A value that is nested too deep is a recursion error in the decoder.
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 
-def read_lines(stream: BinaryIO, name: str, tally: Tally) -> Iterator[tuple[bytes, Line]]:
+def read_lines(stream: BinaryIO, name: str, stats: ReadStats) -> Iterator[tuple[bytes, LineHeader]]:
     """Return each line's object as bytes, and what it says of itself.
 
     ``name`` is the file's, for the tally. Blank lines count as none. Raises ``OSError``
     where the stream can't be read on.
     """
-    tally.files += 1
-    tally.name = name
-    for number, raw in enumerate(_split(stream, tally), 1):
-        tally.number = number
+    stats.files += 1
+    stats.name = name
+    for number, raw in enumerate(_read_raw_lines(stream, stats), 1):
+        stats.number = number
         stripped = raw.strip()
         if not stripped:
             continue
-        tally.lines += 1
+        stats.lines += 1
         content = stripped[max(0, stripped.find(b'{')) :]
         line = _decode(content)
         if line is None:
-            tally.note_bad()
+            stats.note_bad()
             continue
         yield content, line
 
 
-def _split(stream: BinaryIO, tally: Tally) -> Iterator[bytes]:
+def _read_raw_lines(stream: BinaryIO, stats: ReadStats) -> Iterator[bytes]:
     """Return lines; one that is too long is cut, so that it can't be read."""
     while True:
-        raw = stream.readline(LONGEST_LINE)
+        raw = stream.readline(MAX_LINE_BYTES)
         if not raw:
             return
-        tally.size += len(raw)
+        stats.size += len(raw)
         rest = raw
-        while len(rest) == LONGEST_LINE and not rest.endswith(b'\n'):
-            rest = stream.readline(LONGEST_LINE)
-            tally.size += len(rest)
+        while len(rest) == MAX_LINE_BYTES and not rest.endswith(b'\n'):
+            rest = stream.readline(MAX_LINE_BYTES)
+            stats.size += len(rest)
         yield raw
 
 
-def _decode(content: bytes) -> Line | None:
+def _decode(content: bytes) -> LineHeader | None:
     try:
         line = _DECODER.decode(content)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     return line if math.isfinite(line.timestamp) else None
--- a/dandelionreel/records/_told.py
+++ b/dandelionreel/records/_log_event.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from dandelionreel.records._lines import UNREADABLE
-from dandelionreel.records._stages import Stage, find_stage
+from dandelionreel.records._event_kinds import EventKind, classify_event
+from dandelionreel.records._lines import DECODE_ERRORS
 
 #: Fields that are shown in columns of their own, or that say nothing of the job.
-_COLUMNS = frozenset(
+_OWN_FIELDS = frozenset(
     (
         'host',
         'text',
@@ -28,12 +28,12 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class LogEvent:
     """A line; ``at`` is its host's wall clock in seconds."""
 
     at: float
     host: str
-    stage: Stage
+    kind: EventKind
     text: str
     task: str = ''
     run: int | None = None
@@ -50,7 +50,7 @@
         return self.text.partition(': ')[2] or self.text
 
 
-def make_told(content: bytes, count: int = 1) -> Told | None:
+def decode_event(content: bytes, count: int = 1) -> LogEvent | None:
     """Return what a line tells; ``None`` where a field that was passed over is broken.
 
     A line is first read only as far as its few own fields, which leaves the others'
@@ -58,26 +58,26 @@
     """
     try:
         fields = msgspec.json.decode(content)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     text = fields['text']
-    return Told(
+    return LogEvent(
         float(fields['timestamp']),
         fields['host'],
-        find_stage(text),
+        classify_event(text),
         text,
-        _text(fields.get('task')),
-        _number(fields.get('run')),
-        _number(fields.get('epoch')),
-        _text(fields.get('runner')),
-        {name: shown for name, shown in fields.items() if name not in _COLUMNS},
+        _text_or_empty(fields.get('task')),
+        _number_or_none(fields.get('run')),
+        _number_or_none(fields.get('epoch')),
+        _text_or_empty(fields.get('runner')),
+        {name: field_value for name, field_value in fields.items() if name not in _OWN_FIELDS},
         count,
     )
 
 
-def _text(found: Any) -> str:
+def _text_or_empty(found: Any) -> str:
     return found if isinstance(found, str) else ''
 
 
-def _number(found: Any) -> int | None:
+def _number_or_none(found: Any) -> int | None:
     return found if isinstance(found, int) else None
--- /dev/null
+++ b/dandelionreel/records/_outages.py
@@ -0,0 +1,153 @@
+"""When which hosts were without the store, down, or without an owner, as their lines tell.
+
+One host without the store may be cut off by itself; all hosts of an availability zone and
+no other tell of a cut of the zone; hosts of all zones tell that the store was away.
+"""
+
+import enum
+from collections import defaultdict
+from dataclasses import dataclass
+
+from dandelionreel.records._event_kinds import EventKind
+from dandelionreel.records._log_event import LogEvent
+
+#: Seconds after a claim in which a new owner still looks at the runners.
+TAKEOVER_SETTLE_SECONDS = 0.3
+#: Seconds within which the hosts of a cell start again that were lost together.
+COMMON_START_SECONDS = 3.0
+LOST_STORE = 'log: has lost the store: cell'
+REGAINED_STORE = 'log: reaches the store: cell'
+HOST_STARTED = 'life: starts.'
+NOT_READY = 'life: asks for no clients: '
+READY = 'life: asks for clients.'
+#: Why a host asks for no clients when it is without the store.
+STORE_CAUSES = ('store', 'cut off')
+OWNS_CELL = 'ownership: owns the cell'
+
+
+class OutageScope(enum.Enum):
+    """How far a loss of the store reaches; its value is shown."""
+
+    HOST = 'a host was without the store'
+    ZONE = 'an availability zone was cut off'
+    ALL = 'the store was away'
+
+
+@dataclass
+class TimeSpan:
+    """From when to when something held, in wall seconds; infinite while it lasts."""
+
+    since: float
+    until: float = float('inf')
+
+    def overlaps(self, since: float, until: float) -> bool:
+        """Return whether some of a time lies within."""
+        return self.since < until and since < self.until
+
+
+class Outages:
+    """Spans by host, and what they say together."""
+
+    def __init__(self) -> None:
+        """Start with nothing told."""
+        self.zone_by_host: dict[str, str] = {}
+        self.takeovers: list[TimeSpan] = []
+        self._store_outages_by_host: dict[str, list[TimeSpan]] = defaultdict(list)
+        self._downtimes_by_host: dict[str, list[TimeSpan]] = defaultdict(list)
+        self._last_line_by_host: dict[str, float] = {}
+
+    def note_host(self, host: str, at: float) -> None:
+        """Note that a host wrote a line; each host's lines come in order."""
+        self._last_line_by_host[host] = at
+
+    def add(self, event: LogEvent) -> None:
+        """Take a line about a host; each host's lines come in order."""
+        text = event.text
+        if text.startswith(HOST_STARTED):
+            self._add_host_start(event)
+        elif text.startswith(LOST_STORE):
+            self._begin_store_outage(event.host, event.at)
+        elif text.startswith(NOT_READY) and any(cause in text for cause in STORE_CAUSES):
+            self._begin_store_outage(event.host, event.at - _seconds(event, 'store_age'))
+        elif text.startswith((REGAINED_STORE, READY)):
+            self._end_store_outage(event.host, event.at)
+        if text.startswith(OWNS_CELL):
+            since = event.at - _seconds(event, 'silent_seconds')
+            self.takeovers.append(TimeSpan(since, event.at + TAKEOVER_SETTLE_SECONDS))
+
+    def find_store_outage_scope(self, since: float, until: float) -> OutageScope | None:
+        """Return how far a loss of the store within a time reached, ``None`` without one."""
+        affected = {
+            host
+            for host, spans in self._store_outages_by_host.items()
+            if any(span.overlaps(since, until) for span in spans)
+        }
+        if not affected:
+            return None
+        zones = {self.zone_by_host.get(host, host) for host in affected}
+        if zones >= set(self.zone_by_host.values()) and len(zones) > 1:
+            return OutageScope.ALL
+        fully_affected = [zone for zone in zones if self._hosts_of(zone) <= affected]
+        return OutageScope.ZONE if fully_affected else OutageScope.HOST
+
+    def partitioned_zones(self, since: float, until: float) -> set[str]:
+        """Return the zones all of whose hosts were without the store within a time."""
+        zones = set(self.zone_by_host.values())
+        return {zone for zone in zones if self._was_partitioned(zone, since, until)}
+
+    def find_total_outages(self) -> list[TimeSpan]:
+        """Return when no host was up."""
+        starts = sorted(
+            (span.until, span.since) for spans in self._downtimes_by_host.values() for span in spans
+        )
+        down = []
+        for started, _ in starts:
+            joint_starts = [
+                (started_at, last)
+                for started_at, last in starts
+                if started <= started_at <= started + COMMON_START_SECONDS
+            ]
+            since = max(last for _, last in joint_starts)
+            if len(joint_starts) >= len(self._last_line_by_host) and since < started:
+                down.append(TimeSpan(since, started))
+        return down
+
+    def _hosts_of(self, zone: str) -> set[str]:
+        return {host for host, host_zone in self.zone_by_host.items() if host_zone == zone}
+
+    def _was_partitioned(self, zone: str, since: float, until: float) -> bool:
+        return all(
+            any(span.overlaps(since, until) for span in self._store_outages_by_host[host])
+            for host in self._hosts_of(zone)
+        )
+
+    def _add_host_start(self, event: LogEvent) -> None:
+        zone = event.more.get('zone')
+        if isinstance(zone, str):
+            self.zone_by_host[event.host] = zone
+        self._end_store_outage(event.host, event.at)
+        last = self._last_line_by_host.get(event.host)
+        if last is not None:
+            # Of what was before the first start nothing is told.
+            self._downtimes_by_host[event.host].append(TimeSpan(last, event.at))
+
+    def _begin_store_outage(self, host: str, at: float) -> None:
+        spans = self._store_outages_by_host[host]
+        if not spans or spans[-1].until < at:
+            spans.append(TimeSpan(at))
+
+    def _end_store_outage(self, host: str, at: float) -> None:
+        spans = self._store_outages_by_host[host]
+        if spans and spans[-1].until == float('inf'):
+            spans[-1].until = at
+
+
+def _seconds(event: LogEvent, name: str) -> float:
+    """Return a field of a line in seconds, none where it does not tell."""
+    found = event.more.get(name)
+    return float(found) if isinstance(found, int | float) else 0.0
+
+
+def is_host_event(kind: EventKind) -> bool:
+    """Return whether lines of that stage may tell of a trouble of hosts."""
+    return kind in {EventKind.HOST, EventKind.STORE, EventKind.TAKEOVER}
--- a/dandelionreel/records/_reasons.py
+++ b/dandelionreel/records/_reasons.py
@@ -2,15 +2,15 @@
 
 import enum
 
-from dandelionreel.records._lives import CANCELLED, Life
-from dandelionreel.records._stages import Stage
-from dandelionreel.records._troubles import Reach, Span, Troubles
+from dandelionreel.records._event_kinds import EventKind
+from dandelionreel.records._job_histories import CANCELLED, JobHistory
+from dandelionreel.records._outages import Outages, OutageScope, TimeSpan
 
 #: A job that takes more than this many times its objective is of no use to its caller.
-LATEST = 3.0
+TOO_LATE_FACTOR = 3.0
 #: Seconds that handing in, the first start and the store's answer may take together
 #: without being why a job is late.
-USUAL_SECONDS = 0.25
+NORMAL_DELAY_SECONDS = 0.25
 
 
 class Verdict(enum.Enum):
@@ -29,131 +29,135 @@
 
     STORE_NOT_ACCEPTED = 'the store was away: not accepted'
     STORE_NOT_STARTED = 'the store was away: not started'
-    STORE_NOT_SHOWN = 'the store was away: end not shown'
+    STORE_END_NOT_SHOWN = 'the store was away: end not shown'
     STORE_SLOW = 'the store was slow'
     ZONE_NOT_ACCEPTED = 'its zone was cut off: not accepted'
-    ZONE_RUNS = 'it ran behind a cut'
+    ZONE_PARTITIONED = 'it ran behind a cut'
     HOST_NOT_ACCEPTED = 'its host was without the store'
-    ALL_DOWN = 'all hosts were down'
+    ALL_HOSTS_DOWN = 'all hosts were down'
     TAKEOVER = 'the owner was replaced'
     RUNNER = 'its runner did not answer or was lost'
     FAILED_RUN = 'a run of it failed'
     STOPPED = 'it was stopped for others, or moved'
     QUOTA = "its account's quota"
     SHARE = "its account's share"
-    WAITED = 'it waited for advice, seats or its gang'
-    TURNED_AWAY = 'turned away for another cause'
-    LONGER = 'it ran longer than declared'
+    START_DELAYED = 'it waited for advice, seats or its gang'
+    OTHER_REFUSAL = 'turned away for another cause'
+    RAN_LONGER = 'it ran longer than declared'
 
 
 NOT_ACCEPTED = {
-    Reach.ALL: Reason.STORE_NOT_ACCEPTED,
-    Reach.ZONE: Reason.ZONE_NOT_ACCEPTED,
-    Reach.HOST: Reason.HOST_NOT_ACCEPTED,
+    OutageScope.ALL: Reason.STORE_NOT_ACCEPTED,
+    OutageScope.ZONE: Reason.ZONE_NOT_ACCEPTED,
+    OutageScope.HOST: Reason.HOST_NOT_ACCEPTED,
 }
 
 
-def judge(life: Life) -> Verdict:
+def classify_job(history: JobHistory) -> Verdict:
     """Return how a job was served, by its objective as it was declared."""
-    if life.cancelled or life.state == CANCELLED:
+    if history.cancelled or history.state == CANCELLED:
         return Verdict.CANCELLED
-    if life.accepted_at is None:
-        return Verdict.REFUSED if life.refused_at else Verdict.OPEN
-    if life.seconds is None:
+    if history.accepted_at is None:
+        return Verdict.REFUSED if history.refused_at else Verdict.OPEN
+    if history.seconds is None:
         return Verdict.OPEN
-    if life.objective is None or life.seconds <= life.objective:
+    if history.objective is None or history.seconds <= history.objective:
         return Verdict.IN_TIME
-    return Verdict.LATE if life.seconds <= LATEST * life.objective else Verdict.TOO_LATE
+    return (
+        Verdict.LATE if history.seconds <= TOO_LATE_FACTOR * history.objective else Verdict.TOO_LATE
+    )
 
 
-def find_reason(life: Life, troubles: Troubles, down: list[Span], last: float) -> Reason:
+def find_reason(history: JobHistory, outages: Outages, down: list[TimeSpan], last: float) -> Reason:
     """Return why a job was not in time; ``last`` is when the logs end."""
-    sent = life.sent_at or last
-    if life.accepted_at is None:
-        return _why_not_accepted(sent, life.refused_at or last, troubles, down)
-    accepted = life.accepted_at
-    started = life.started_at or life.closed_at or last
-    closed = life.closed_at or last
-    shown = life.shown_at or closed
-    spent = {
+    sent = history.sent_at or last
+    if history.accepted_at is None:
+        return _explain_not_accepted(sent, history.refused_at or last, outages, down)
+    accepted = history.accepted_at
+    started = history.started_at or history.finished_at or last
+    finished = history.finished_at or last
+    visible = history.visible_at or finished
+    seconds_by_phase = {
         'accepted': accepted - sent,
         'started': started - accepted,
-        'shown': shown - closed,
+        'shown': visible - finished,
     }
-    longest = max(spent, key=lambda name: spent[name])
-    if spent[longest] <= USUAL_SECONDS:
-        return _why_long(life, troubles, down, Span(started, closed))
-    if longest == 'accepted':
-        return _why_not_accepted(sent, accepted, troubles, down)
-    if longest == 'started':
-        return _why_not_started(life, troubles, down, Span(accepted, started))
-    reach = troubles.reach(closed, shown)
-    return Reason.STORE_NOT_SHOWN if reach else Reason.STORE_SLOW
-
-
-def _why_not_accepted(
+    longest_phase = max(seconds_by_phase, key=lambda name: seconds_by_phase[name])
+    if seconds_by_phase[longest_phase] <= NORMAL_DELAY_SECONDS:
+        return _explain_long_run(history, outages, down, TimeSpan(started, finished))
+    if longest_phase == 'accepted':
+        return _explain_not_accepted(sent, accepted, outages, down)
+    if longest_phase == 'started':
+        return _explain_not_started(history, outages, down, TimeSpan(accepted, started))
+    scope = outages.find_store_outage_scope(finished, visible)
+    return Reason.STORE_END_NOT_SHOWN if scope else Reason.STORE_SLOW
+
+
+def _explain_not_accepted(
     since: float,
     until: float,
-    troubles: Troubles,
-    down: list[Span],
+    outages: Outages,
+    down: list[TimeSpan],
 ) -> Reason:
-    reach = troubles.reach(since, max(until, since + USUAL_SECONDS))
-    if reach is not None:
-        return NOT_ACCEPTED[reach]
+    scope = outages.find_store_outage_scope(since, max(until, since + NORMAL_DELAY_SECONDS))
+    if scope is not None:
+        return NOT_ACCEPTED[scope]
     if _any_overlaps(down, since, until):
-        return Reason.ALL_DOWN
-    if _any_overlaps(troubles.takeovers, since, until):
+        return Reason.ALL_HOSTS_DOWN
+    if _any_overlaps(outages.takeovers, since, until):
         return Reason.TAKEOVER
-    return Reason.TURNED_AWAY
+    return Reason.OTHER_REFUSAL
 
 
-def _why_not_started(
-    life: Life,
-    troubles: Troubles,
-    down: list[Span],
-    span: Span,
+def _explain_not_started(
+    history: JobHistory,
+    outages: Outages,
+    down: list[TimeSpan],
+    span: TimeSpan,
 ) -> Reason:
     if _any_overlaps(down, span.since, span.until):
-        return Reason.ALL_DOWN
-    if troubles.reach(span.since, span.until) is Reach.ALL:
+        return Reason.ALL_HOSTS_DOWN
+    if outages.find_store_outage_scope(span.since, span.until) is OutageScope.ALL:
         return Reason.STORE_NOT_STARTED
-    if _any_overlaps(troubles.takeovers, span.since, span.until):
+    if _any_overlaps(outages.takeovers, span.since, span.until):
         return Reason.TAKEOVER
-    return _why_held(life) or Reason.WAITED
+    return _find_account_limit(history) or Reason.START_DELAYED
 
 
-def _why_held(life: Life) -> Reason | None:
+def _find_account_limit(history: JobHistory) -> Reason | None:
     """Return what kept a job from starting that had tickets and seats to be had."""
-    if Stage.HELD in life.mishaps:
+    if EventKind.HELD_BY_QUOTA in history.incidents:
         return Reason.QUOTA
-    return Reason.SHARE if Stage.BEHIND in life.mishaps else None
+    return Reason.SHARE if EventKind.BEYOND_SHARE in history.incidents else None
 
 
-def _why_long(life: Life, troubles: Troubles, down: list[Span], span: Span) -> Reason:
+def _explain_long_run(
+    history: JobHistory, outages: Outages, down: list[TimeSpan], span: TimeSpan
+) -> Reason:
     if _any_overlaps(down, span.since, span.until):
-        return Reason.ALL_DOWN
-    if life.zones & troubles.cut_zones(span.since, span.until):
-        return Reason.ZONE_RUNS
-    mishap = _find_mishap(life)
-    if mishap is not None:
-        return mishap
-    if troubles.reach(span.since, span.until) is Reach.ALL:
+        return Reason.ALL_HOSTS_DOWN
+    if history.zones & outages.partitioned_zones(span.since, span.until):
+        return Reason.ZONE_PARTITIONED
+    incident = _find_incident(history)
+    if incident is not None:
+        return incident
+    if outages.find_store_outage_scope(span.since, span.until) is OutageScope.ALL:
         return Reason.STORE_NOT_STARTED
-    if _any_overlaps(troubles.takeovers, span.since, span.until):
+    if _any_overlaps(outages.takeovers, span.since, span.until):
         return Reason.TAKEOVER
-    if Stage.HELD in life.mishaps:
+    if EventKind.HELD_BY_QUOTA in history.incidents:
         return Reason.QUOTA
-    return Reason.LONGER
+    return Reason.RAN_LONGER
 
 
-def _find_mishap(life: Life) -> Reason | None:
+def _find_incident(history: JobHistory) -> Reason | None:
     """Return what happened to a job's runs that made it long."""
-    if life.mishaps & {Stage.LOST, Stage.MISSING, Stage.UNANSWERED}:
+    if history.incidents & {EventKind.RUN_LOST, EventKind.RUN_MISSING, EventKind.START_UNANSWERED}:
         return Reason.RUNNER
-    if life.failed_run:
+    if history.failed_run:
         return Reason.FAILED_RUN
-    return Reason.STOPPED if Stage.STOPPING in life.mishaps else None
+    return Reason.STOPPED if EventKind.STOPPING in history.incidents else None
 
 
-def _any_overlaps(spans: list[Span], since: float, until: float) -> bool:
+def _any_overlaps(spans: list[TimeSpan], since: float, until: float) -> bool:
     return any(span.overlaps(since, until) for span in spans)
--- /dev/null
+++ b/dandelionreel/records/_repeated_starts.py
@@ -0,0 +1,170 @@
+"""Tasks that were started more than once: what the later starter had been told."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from dandelionreel.records._event_kinds import EventKind
+from dandelionreel.records._log_event import LogEvent
+from dandelionreel.records._runs import Run
+
+#: Lines of one host that are quoted for one start.
+MAX_QUOTED = 6
+#: Stages by which an owner learns that an earlier run is over, or takes it to be.
+EVIDENCE_KINDS = frozenset(
+    (
+        EventKind.RUN_ENDED,
+        EventKind.START_REFUSED,
+        EventKind.RUN_MISSING,
+        EventKind.RUNNER_GONE,
+        EventKind.RUN_LOST,
+        EventKind.RUNS_LISTED,
+        EventKind.STOPPING,
+        EventKind.STOP_ACCEPTED,
+        EventKind.START_UNANSWERED,
+    ),
+)
+#: Stages of those that say that the run is over, or can't go on.
+RUN_OVER_KINDS = frozenset(
+    (
+        EventKind.RUN_ENDED,
+        EventKind.START_REFUSED,
+        EventKind.RUN_MISSING,
+        EventKind.RUNNER_GONE,
+        EventKind.RUN_LOST,
+    ),
+)
+RUNNER_KINDS = frozenset((EventKind.RUNNER_GONE, EventKind.RUNS_LISTED))
+#: How a new owner tells that it has waited for the leases on runners it can't reach.
+LEASES_EXPIRED_TEXT = 'takes the leases on unseen runners for run out'
+NO_EVIDENCE_TEXT = ', of which no line tells'
+OWNER_KINDS = frozenset((EventKind.TAKEOVER, EventKind.OWNERSHIP))
+
+
+@dataclass(frozen=True)
+class RepeatedStart:
+    """Two runs of a task, one after the other."""
+
+    earlier: Run
+    later: Run
+    #: What is to be thought of it, in one sentence.
+    finding: str
+    #: Whether the lines show no reason for which it might have been started.
+    suspect: bool
+    #: What the later starter was told before, the latest last.
+    known_events: tuple[LogEvent, ...]
+
+
+def find_repeated_starts(runs: Iterable[Run], events: list[LogEvent]) -> list[RepeatedStart]:
+    """Return each run with the one before it of the same task; ``lines`` are in order."""
+    repeated = []
+    earlier: Run | None = None
+    for run in runs:
+        if earlier is not None and earlier.task == run.task:
+            repeated.append(_compare(earlier, run, events))
+        earlier = run
+    return repeated
+
+
+def _compare(earlier: Run, later: Run, events: list[LogEvent]) -> RepeatedStart:
+    known_events = _find_known_events(earlier, later, events)
+    finding, suspect = _explain_start(earlier, later, known_events)
+    return RepeatedStart(earlier, later, finding, suspect, known_events)
+
+
+def _find_known_events(earlier: Run, later: Run, events: list[LogEvent]) -> tuple[LogEvent, ...]:
+    """Return what the later run's owner wrote of the earlier one, and of its own term."""
+    at = later.start_sent_at
+    if at is None:
+        return ()
+    owner_events = [event for event in events if event.host == later.owner and event.at <= at]
+    run_events = [event for event in owner_events if _is_evidence_of(event, earlier)]
+    ownership_events = [event for event in owner_events if event.kind in OWNER_KINDS][-MAX_QUOTED:]
+    return tuple(sorted([*run_events[-MAX_QUOTED:], *ownership_events], key=lambda event: event.at))
+
+
+def _is_evidence_of(event: LogEvent, run: Run) -> bool:
+    """Return whether a line is about a run, or about its runner while it was there."""
+    if event.kind not in EVIDENCE_KINDS:
+        return False
+    if any(run_event is event for run_event in run.events):
+        return True
+    about_runner = event.kind in RUNNER_KINDS and event.runner == run.runner
+    return about_runner and event.at >= run.began_at
+
+
+def _explain_start(
+    earlier: Run, later: Run, known_events: tuple[LogEvent, ...]
+) -> tuple[str, bool]:
+    """Return what the lines say of a second start, and whether it is suspect."""
+    if later.start_sent_at is None:
+        return 'the later start is in no line that was read', True
+    over_events = [event for event in known_events if _shows_run_over(event, earlier)]
+    prefix = f'{later.owner} had been told' if later.owner else 'its owner had been told'
+    if earlier.outcome == 'done':
+        when = earlier.ended_at or 0.0
+        side = 'before' if when <= later.start_sent_at else 'after'
+        gap = abs(later.start_sent_at - when)
+        knowledge = 'it' if over_events else 'nothing of it'
+        return (
+            f'run {earlier.run} was done, told {gap:.3f} s {side} this start; {prefix} {knowledge}',
+            True,
+        )
+    if over_events:
+        return (
+            f'{prefix} {_quote_event(over_events[-1], earlier, later.start_sent_at)}',
+            False,
+        )
+    expiry = _find_expiry(known_events, earlier.runner)
+    overlap = _describe_overlap(earlier, later.start_sent_at)
+    if expiry is not None and not overlap:
+        age = later.start_sent_at - expiry.at
+        return (
+            f'{prefix} nothing of run {earlier.run}; {age:.3f} s before it {expiry.sentence}',
+            False,
+        )
+    waited = '' if expiry is None else f'; it {expiry.sentence}'
+    return (
+        f'{prefix} nothing of the end of run {earlier.run}{overlap or NO_EVIDENCE_TEXT}{waited}',
+        True,
+    )
+
+
+def _quote_event(event: LogEvent, earlier: Run, start_sent_at: float) -> str:
+    absence = f' Run {earlier.run} was not there.' if event.kind is EventKind.RUNS_LISTED else ''
+    return f'{start_sent_at - event.at:.3f} s before: {event.sentence}{absence}'
+
+
+def _shows_run_over(event: LogEvent, run: Run) -> bool:
+    if event.kind is EventKind.RUNS_LISTED:
+        return _lists_all_but(event, run)
+    never_sent = event.kind is EventKind.START_UNANSWERED and event.more.get('verdict') == 'not_run'
+    return event.kind in RUN_OVER_KINDS or never_sent
+
+
+def _lists_all_but(event: LogEvent, run: Run) -> bool:
+    """Return whether a new owner's first look named all that its runner had, and not the run."""
+    repeated = event.more.get('found')
+    if event.more.get('first') is not True or not isinstance(repeated, list):
+        return False
+    is_complete = event.sentence.startswith(f'found {len(repeated)} ')
+    return is_complete and not any(run_event is event for run_event in run.events)
+
+
+def _find_expiry(known_events: tuple[LogEvent, ...], runner: str) -> LogEvent | None:
+    """Return where a new owner took the leases on a runner that it had not seen for over."""
+    for event in reversed(known_events):
+        if LEASES_EXPIRED_TEXT not in event.text:
+            continue
+        runner_names = event.more.get('runners')
+        if not isinstance(runner_names, list) or runner in runner_names:
+            return event
+    return None
+
+
+def _describe_overlap(earlier: Run, start_sent_at: float) -> str:
+    """Return what other hosts read of a run's end, empty where no line tells of one."""
+    if earlier.ended_at is None:
+        return ''
+    if earlier.ended_at > start_sent_at:
+        return f', told {earlier.ended_at - start_sent_at:.3f} s later: both may have run'
+    return f', which {earlier.seen_by} had read: {earlier.outcome}'
--- a/dandelionreel/records/_report.py
+++ b/dandelionreel/records/_report.py
@@ -4,24 +4,24 @@
 from dataclasses import dataclass
 from typing import BinaryIO
 
-from dandelionreel.records._again import Again, find_again
-from dandelionreel.records._gathering import Gathering, Span
-from dandelionreel.records._lines import Tally, read_lines
-from dandelionreel.records._runs import Run, gather_runs
-from dandelionreel.records._stages import Stage
+from dandelionreel.records._event_collector import EventCollector, LogSpan
+from dandelionreel.records._event_kinds import EventKind
+from dandelionreel.records._lines import ReadStats, read_lines
+from dandelionreel.records._log_event import LogEvent
+from dandelionreel.records._repeated_starts import RepeatedStart, find_repeated_starts
+from dandelionreel.records._runs import Run, collect_runs
 from dandelionreel.records._subject import Subject
-from dandelionreel.records._told import Told
-from dandelionreel.records._waits import Wait, find_waits, handed_in_at
+from dandelionreel.records._waits import Wait, find_submission_time, find_waits
 
 #: Seconds before a job's first line and after its last whose lines around it are shown.
-MARGIN = 1.0
+MARGIN_SECONDS = 1.0
 #: Fields of a start without which nobody can tell what its owner knew.
-NEEDED = ('version', 'store_age', 'runner_age')
+KNOWLEDGE_AGE_FIELDS = ('version', 'store_age', 'runner_age')
 #: Stages of lines that are told of a host: shown if the host had to do with the job.
-OF_HOST = frozenset((Stage.STORE, Stage.HOST))
-OF_RUNNER = frozenset((Stage.RUNNER, Stage.LAPSED, Stage.FOUND))
-OF_STORING = frozenset((Stage.NOTED, Stage.UNNOTED))
-OF_OWNER = frozenset((Stage.TAKEN_OVER, Stage.OWNERSHIP))
+HOST_KINDS = frozenset((EventKind.STORE, EventKind.HOST))
+RUNNER_KINDS = frozenset((EventKind.RUNNER, EventKind.RUNNER_GONE, EventKind.RUNS_LISTED))
+END_STORING_KINDS = frozenset((EventKind.END_STORED, EventKind.END_NOT_STORED))
+OWNER_KINDS = frozenset((EventKind.TAKEOVER, EventKind.OWNERSHIP))
 
 
 @dataclass(frozen=True)
@@ -29,16 +29,16 @@
     """What all hosts told, in order of time, and what follows from it."""
 
     subject: Subject
-    tally: Tally
+    stats: ReadStats
     #: The job's own lines, and those around them that it had to do with.
-    lines: tuple[Told, ...]
+    events: tuple[LogEvent, ...]
     #: When the job was handed in, or first told of.
     began_at: float
     runs: tuple[Run, ...]
-    again: tuple[Again, ...]
+    repeated_starts: tuple[RepeatedStart, ...]
     waits: tuple[Wait, ...]
     #: What can't be known from the lines that were read, and why.
-    missing: tuple[str, ...]
+    unknowns: tuple[str, ...]
 
 
 def explain(subject: Subject, streams: Iterable[tuple[str, BinaryIO]]) -> Report | None:
@@ -46,118 +46,134 @@
 
     The streams are read once, each to its end; ``OSError`` of theirs is passed on.
     """
-    tally = Tally()
-    gathering = Gathering(subject)
+    stats = ReadStats()
+    collector = EventCollector(subject)
     for name, stream in streams:
-        for content, line in read_lines(stream, name, tally):
-            if not gathering.take(content, line):
-                tally.note_bad()
-    around = sorted(gathering.around(), key=_time)
-    tally.bad += gathering.unreadable
-    return _tell(gathering, around, tally) if gathering.told else None
-
-
-def _tell(gathering: Gathering, around: list[Told], tally: Tally) -> Report:
-    own = sorted(gathering.told, key=_time)
-    runs = gather_runs(own, gathering.subject.job)
-    if gathering.subject.task:
-        own = [line for line in own if _of_task(line, runs)]
-    lines = sorted([*own, *_choose(own, runs, around)], key=_time)
-    began_at = handed_in_at(own, runs)
+        for content, line in read_lines(stream, name, stats):
+            if not collector.add(content, line):
+                stats.note_bad()
+    context = sorted(collector.context_events(), key=_event_time)
+    stats.bad += collector.unreadable
+    return _build_report(collector, context, stats) if collector.job_events else None
+
+
+def _build_report(collector: EventCollector, context: list[LogEvent], stats: ReadStats) -> Report:
+    job_events = sorted(collector.job_events, key=_event_time)
+    runs = collect_runs(job_events, collector.subject.job)
+    if collector.subject.task:
+        job_events = [event for event in job_events if _concerns_runs(event, runs)]
+    events = sorted([*job_events, *_select_context(job_events, runs, context)], key=_event_time)
+    began_at = find_submission_time(job_events, runs)
     return Report(
-        gathering.subject,
-        tally,
-        tuple(lines),
+        collector.subject,
+        stats,
+        tuple(events),
         began_at,
         tuple(runs),
-        tuple(find_again(runs, lines)),
-        tuple(find_waits(runs, lines, began_at)),
-        tuple(_find_missing(own, runs, gathering)),
+        tuple(find_repeated_starts(runs, events)),
+        tuple(find_waits(runs, events, began_at)),
+        tuple(_find_unknowns(job_events, runs, collector)),
     )
 
 
-def _of_task(line: Told, runs: list[Run]) -> bool:
+def _concerns_runs(event: LogEvent, runs: list[Run]) -> bool:
     """Return whether a line that is told of whole jobs or of any run is about these runs."""
-    if line.stage in OF_STORING or line.run is not None:
-        return any(told is line for run in runs for told in run.told)
+    if event.kind in END_STORING_KINDS or event.run is not None:
+        return any(run_event is event for run in runs for run_event in run.events)
     return True
 
 
-def _choose(own: list[Told], runs: list[Run], around: list[Told]) -> list[Told]:
+def _select_context(
+    job_events: list[LogEvent], runs: list[Run], context: list[LogEvent]
+) -> list[LogEvent]:
     """Return the lines that don't name the job and matter to it."""
-    first = handed_in_at(own, runs) - MARGIN
-    last = own[-1].at + MARGIN
-    hosts = {line.host for line in own}
+    first = find_submission_time(job_events, runs) - MARGIN_SECONDS
+    last = job_events[-1].at + MARGIN_SECONDS
+    hosts = {event.host for event in job_events}
     runners = {run.runner for run in runs}
-    chosen = _owners_before(around, first)
-    for line in around:
-        if first <= line.at <= last and _matters(line, hosts, runners):
-            chosen.append(line)
+    chosen = _find_last_takeover(context, first)
+    for event in context:
+        if first <= event.at <= last and _is_relevant(event, hosts, runners):
+            chosen.append(event)
     return chosen
 
 
-def _matters(line: Told, hosts: set[str], runners: set[str]) -> bool:
-    if line.stage in OF_OWNER:
+def _is_relevant(event: LogEvent, hosts: set[str], runners: set[str]) -> bool:
+    if event.kind in OWNER_KINDS:
         return True
-    if line.stage in OF_HOST:
-        return line.host in hosts
-    return line.stage in OF_RUNNER and line.runner in runners
+    if event.kind in HOST_KINDS:
+        return event.host in hosts
+    return event.kind in RUNNER_KINDS and event.runner in runners
 
 
-def _owners_before(around: list[Told], first: float) -> list[Told]:
+def _find_last_takeover(context: list[LogEvent], first: float) -> list[LogEvent]:
     """Return who had taken the cell over last when the job came."""
-    earlier = [line for line in around if line.stage is Stage.TAKEN_OVER and line.at < first]
+    earlier = [event for event in context if event.kind is EventKind.TAKEOVER and event.at < first]
     return earlier[-1:]
 
 
-def _find_missing(own: list[Told], runs: list[Run], gathering: Gathering) -> list[str]:
-    missing = [*_missing_stages(own, runs), *_missing_fields(own, runs)]
-    missing.extend(_cut_logs(handed_in_at(own, runs), own, gathering.span_by_host))
-    if gathering.sampled > 1:
-        missing.append(f'only one of {gathering.sampled} lines of the frequent kinds was written')
-    if gathering.left_out:
-        missing.append(f'{gathering.left_out} more lines had no room; give fewer logs, or JOB/TASK')
-    return missing
-
-
-def _missing_stages(own: list[Told], runs: list[Run]) -> list[str]:
-    missing = []
-    if not any(line.stage in {Stage.ACCEPTED, Stage.KNOWN} for line in own):
-        missing.append('no line tells where the job was accepted')
+def _find_unknowns(
+    job_events: list[LogEvent], runs: list[Run], collector: EventCollector
+) -> list[str]:
+    unknowns = [*_find_missing_events(job_events, runs), *_find_missing_fields(job_events, runs)]
+    unknowns.extend(
+        _find_truncated_logs(
+            find_submission_time(job_events, runs), job_events, collector.span_by_host
+        )
+    )
+    if collector.sampled > 1:
+        unknowns.append(f'only one of {collector.sampled} lines of the frequent kinds was written')
+    if collector.left_out:
+        unknowns.append(
+            f'{collector.left_out} more lines had no room; give fewer logs, or JOB/TASK'
+        )
+    return unknowns
+
+
+def _find_missing_events(job_events: list[LogEvent], runs: list[Run]) -> list[str]:
+    unknowns = []
+    if not any(
+        event.kind in {EventKind.ACCEPTED, EventKind.ALREADY_ACCEPTED} for event in job_events
+    ):
+        unknowns.append('no line tells where the job was accepted')
     if not runs:
-        missing.append('no line tells of a start')
-    unasked = [run for run in runs if run.asked_at is None]
-    if unasked:
-        missing.append(f'no line tells the start of {len(unasked)} of {len(runs)} runs')
-    endless = [run for run in runs if run.ended_at is None]
-    if endless:
-        missing.append(f'no line tells the end of {len(endless)} of {len(runs)} runs')
-    if runs and not any(run.noted_at for run in runs):
-        missing.append('no line tells when an end was stored, from when on it is acknowledged')
-    return missing
-
-
-def _missing_fields(own: list[Told], runs: list[Run]) -> list[str]:
-    missing = []
-    asked = [run for run in runs if run.asked_at is not None]
-    lacking = [name for name in NEEDED if any(name not in run.knowledge for run in asked)]
+        unknowns.append('no line tells of a start')
+    without_start = [run for run in runs if run.start_sent_at is None]
+    if without_start:
+        unknowns.append(f'no line tells the start of {len(without_start)} of {len(runs)} runs')
+    without_end = [run for run in runs if run.ended_at is None]
+    if without_end:
+        unknowns.append(f'no line tells the end of {len(without_end)} of {len(runs)} runs')
+    if runs and not any(run.end_stored_at for run in runs):
+        unknowns.append('no line tells when an end was stored, from when on it is acknowledged')
+    return unknowns
+
+
+def _find_missing_fields(job_events: list[LogEvent], runs: list[Run]) -> list[str]:
+    unknowns = []
+    asked = [run for run in runs if run.start_sent_at is not None]
+    lacking = [
+        name for name in KNOWLEDGE_AGE_FIELDS if any(name not in run.knowledge for run in asked)
+    ]
     if lacking:
-        missing.append(f'starts lack {", ".join(lacking)}: how old their owner knew things to be')
-    nameless = {line.sentence for line in own if line.run is not None and not line.task}
-    if nameless:
-        missing.append(f'{len(nameless)} lines on runs name no task')
-    return missing
+        unknowns.append(f'starts lack {", ".join(lacking)}: how old their owner knew things to be')
+    unnamed = {event.sentence for event in job_events if event.run is not None and not event.task}
+    if unnamed:
+        unknowns.append(f'{len(unnamed)} lines on runs name no task')
+    return unknowns
 
 
-def _cut_logs(first: float, own: list[Told], span_by_host: dict[str, Span]) -> list[str]:
+def _find_truncated_logs(
+    first: float, job_events: list[LogEvent], span_by_host: dict[str, LogSpan]
+) -> list[str]:
     """Name the logs, of hosts that the job had to do with, which begin too late."""
-    missing = []
-    for host in sorted({line.host for line in own}):
+    unknowns = []
+    for host in sorted({event.host for event in job_events}):
         late = span_by_host[host].first - first
-        if late > MARGIN:
-            missing.append(f'the log of {host} begins {late:.1f} s after the job was handed in')
-    return missing
+        if late > MARGIN_SECONDS:
+            unknowns.append(f'the log of {host} begins {late:.1f} s after the job was handed in')
+    return unknowns
 
 
-def _time(line: Told) -> float:
-    return line.at
+def _event_time(event: LogEvent) -> float:
+    return event.at
--- a/dandelionreel/records/_review.py
+++ b/dandelionreel/records/_review.py
@@ -7,33 +7,33 @@
 
 import msgspec
 
-from dandelionreel.records._lines import Tally, read_lines
-from dandelionreel.records._lives import Life, Lives
-from dandelionreel.records._reasons import Reason, Verdict, find_reason, judge
-from dandelionreel.records._told import make_told
-from dandelionreel.records._troubles import Span, Troubles, tells_of_hosts
+from dandelionreel.records._job_histories import JobHistories, JobHistory
+from dandelionreel.records._lines import ReadStats, read_lines
+from dandelionreel.records._log_event import decode_event
+from dandelionreel.records._outages import Outages, TimeSpan, is_host_event
+from dandelionreel.records._reasons import Reason, Verdict, classify_job, find_reason
 
 #: Parts whose lines tell of jobs or of hosts.
-PARTS = frozenset(('jobs', 'placement', 'workers', 'life', 'log', 'ownership'))
+REVIEWED_PARTS = frozenset(('jobs', 'placement', 'workers', 'life', 'log', 'ownership'))
 #: Verdicts of jobs that their callers did not get in time.
-LOSSES = (Verdict.LATE, Verdict.TOO_LATE, Verdict.REFUSED, Verdict.OPEN)
+MISSED_VERDICTS = (Verdict.LATE, Verdict.TOO_LATE, Verdict.REFUSED, Verdict.OPEN)
 
 
-class _Names(msgspec.Struct):
+class _JobIds(msgspec.Struct):
     """Which jobs a line names."""
 
     job: object = ''
     jobs: object = ()
 
 
-_NAMES = msgspec.json.Decoder(_Names)
+_JOB_IDS_DECODER = msgspec.json.Decoder(_JobIds)
 
 
 @dataclass(frozen=True)
-class Loss:
+class MissedJob:
     """A job that was not in time."""
 
-    life: Life
+    history: JobHistory
     verdict: Verdict
     reason: Reason
 
@@ -42,12 +42,12 @@
 class Review:
     """All jobs of the logs; ``began_at`` is when the first one was sent."""
 
-    tally: Tally
+    stats: ReadStats
     began_at: float
     counts_by_queue: dict[str, Counter[Verdict]]
     counts_by_account: dict[str, Counter[Verdict]]
-    losses: tuple[Loss, ...]
-    takeovers: tuple[Span, ...]
+    missed_jobs: tuple[MissedJob, ...]
+    takeovers: tuple[TimeSpan, ...]
     #: Jobs that there was no room for.
     left_out: int
 
@@ -57,72 +57,74 @@
 
     The streams are read once, each to its end; ``OSError`` of theirs is passed on.
     """
-    tally = Tally()
-    lives, troubles = Lives(), Troubles()
+    stats = ReadStats()
+    histories, outages = JobHistories(), Outages()
     last = 0.0
     for name, stream in streams:
-        for content, line in read_lines(stream, name, tally):
+        for content, line in read_lines(stream, name, stats):
             last = max(last, line.timestamp)
-            if line.message_type in PARTS and not _take(content, lives, troubles):
-                tally.note_bad()
-            troubles.note_host(line.host, line.timestamp)
-    return _sum_up(tally, lives, troubles, last) if lives.by_job else None
+            if line.message_type in REVIEWED_PARTS and not _add_event(content, histories, outages):
+                stats.note_bad()
+            outages.note_host(line.host, line.timestamp)
+    return _summarize(stats, histories, outages, last) if histories.by_job else None
 
 
-def _take(content: bytes, lives: Lives, troubles: Troubles) -> bool:
-    told = make_told(content)
-    if told is None:
+def _add_event(content: bytes, histories: JobHistories, outages: Outages) -> bool:
+    event = decode_event(content)
+    if event is None:
         return False
-    if tells_of_hosts(told.stage):
-        troubles.take(told)
+    if is_host_event(event.kind):
+        outages.add(event)
         return True
-    names = _NAMES.decode(content)
-    job = names.job if isinstance(names.job, str) else ''
-    jobs = names.jobs if isinstance(names.jobs, list) else []
-    lives.take(told, job, [one for one in jobs if isinstance(one, str)])
+    ids = _JOB_IDS_DECODER.decode(content)
+    job = ids.job if isinstance(ids.job, str) else ''
+    jobs = ids.jobs if isinstance(ids.jobs, list) else []
+    histories.add(event, job, [one for one in jobs if isinstance(one, str)])
     return True
 
 
-def _sum_up(tally: Tally, lives: Lives, troubles: Troubles, last: float) -> Review:
-    down = troubles.all_down()
+def _summarize(stats: ReadStats, histories: JobHistories, outages: Outages, last: float) -> Review:
+    down = outages.find_total_outages()
     counts_by_queue: dict[str, Counter[Verdict]] = {}
     counts_by_account: dict[str, Counter[Verdict]] = {}
-    losses = []
-    settled = lives.settle()
-    for life in settled:
-        verdict = judge(life)
-        counts_by_queue.setdefault(life.queue, Counter())[verdict] += 1
-        if life.account:
-            counts_by_account.setdefault(life.account, Counter())[verdict] += 1
-        if verdict in LOSSES:
-            losses.append(Loss(life, verdict, find_reason(life, troubles, down, last)))
-    began_at = (settled[0].sent_at or 0.0) if settled else 0.0
+    missed_jobs = []
+    sent_jobs = histories.finish()
+    for history in sent_jobs:
+        verdict = classify_job(history)
+        counts_by_queue.setdefault(history.queue, Counter())[verdict] += 1
+        if history.account:
+            counts_by_account.setdefault(history.account, Counter())[verdict] += 1
+        if verdict in MISSED_VERDICTS:
+            missed_jobs.append(
+                MissedJob(history, verdict, find_reason(history, outages, down, last))
+            )
+    began_at = (sent_jobs[0].sent_at or 0.0) if sent_jobs else 0.0
     return Review(
-        tally,
+        stats,
         began_at,
         counts_by_queue,
         counts_by_account,
-        tuple(losses),
-        tuple(troubles.takeovers),
-        lives.left_out,
+        tuple(missed_jobs),
+        tuple(outages.takeovers),
+        histories.left_out,
     )
 
 
-def view_review(found: Review) -> dict[str, Any]:
+def view_review(result: Review) -> dict[str, Any]:
     """Return a review as plain values; times are seconds since the first job was sent."""
-    zero = found.began_at
+    zero = result.began_at
     return {
         'read': {
-            'files': found.tally.files,
-            'lines': found.tally.lines,
-            'bad': found.tally.bad,
-            'first_bad': found.tally.first_bad,
-            'left_out': found.left_out,
+            'files': result.stats.files,
+            'lines': result.stats.lines,
+            'bad': result.stats.bad,
+            'first_bad': result.stats.first_bad,
+            'left_out': result.left_out,
         },
-        'queues': _view_counts('queue', found.counts_by_queue),
-        'accounts': _view_counts('account', found.counts_by_account),
-        'reasons': _view_reasons(found.losses),
-        'jobs': [_view_loss(loss, zero) for loss in found.losses],
+        'queues': _view_counts('queue', result.counts_by_queue),
+        'accounts': _view_counts('account', result.counts_by_account),
+        'reasons': _view_reasons(result.missed_jobs),
+        'jobs': [_view_missed_job(missed, zero) for missed in result.missed_jobs],
     }
 
 
@@ -133,27 +135,27 @@
     ]
 
 
-def _view_reasons(losses: Iterable[Loss]) -> list[dict[str, Any]]:
+def _view_reasons(missed_jobs: Iterable[MissedJob]) -> list[dict[str, Any]]:
     counts_by_reason: dict[Reason, Counter[Verdict]] = {}
-    for loss in losses:
-        counts_by_reason.setdefault(loss.reason, Counter())[loss.verdict] += 1
+    for missed in missed_jobs:
+        counts_by_reason.setdefault(missed.reason, Counter())[missed.verdict] += 1
     ordered = sorted(counts_by_reason.items(), key=lambda entry: -entry[1].total())
     return [
-        {'reason': reason.value, **{one.value: counts[one] for one in LOSSES}}
+        {'reason': reason.value, **{one.value: counts[one] for one in MISSED_VERDICTS}}
         for reason, counts in ordered
     ]
 
 
-def _view_loss(loss: Loss, zero: float) -> dict[str, Any]:
-    life = loss.life
-    seconds = life.seconds
+def _view_missed_job(missed: MissedJob, zero: float) -> dict[str, Any]:
+    history = missed.history
+    seconds = history.seconds
     return {
-        'sent': round((life.sent_at or zero) - zero, 3),
-        'job': life.job,
-        'queue': life.queue,
-        'account': life.account,
-        'verdict': loss.verdict.value,
-        'reason': loss.reason.value,
+        'sent': round((history.sent_at or zero) - zero, 3),
+        'job': history.job,
+        'queue': history.queue,
+        'account': history.account,
+        'verdict': missed.verdict.value,
+        'reason': missed.reason.value,
         'seconds': None if seconds is None else round(seconds, 3),
-        'objective': life.objective,
+        'objective': history.objective,
     }
--- a/dandelionreel/records/_subject.py
+++ b/dandelionreel/records/_subject.py
@@ -22,7 +22,7 @@
         """Return what was asked for, as it is written on the command line."""
         return f'{self.job}/{self.task}' if self.task else self.job
 
-    def takes(self, task: str) -> bool:
+    def includes(self, task: str) -> bool:
         """Return whether a line about that task belongs here; empty is the whole job."""
         return not self.task or not task or task == self.task
 
--- a/dandelionreel/records/_view.py
+++ b/dandelionreel/records/_view.py
@@ -4,10 +4,10 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from dandelionreel.records._again import Again
+from dandelionreel.records._log_event import LogEvent
+from dandelionreel.records._repeated_starts import RepeatedStart
 from dandelionreel.records._report import Report
 from dandelionreel.records._runs import Run
-from dandelionreel.records._told import Told
 from dandelionreel.records._waits import Wait
 
 DIGITS = 3
@@ -15,78 +15,78 @@
 
 def view_report(report: Report) -> dict[str, Any]:
     """Return a report as plain values; each ``at`` is in seconds since ``began``."""
-    zero = report.began_at
+    origin = report.began_at
     return {
         'subject': report.subject.name,
-        'began': datetime.fromtimestamp(zero, UTC).isoformat(timespec='milliseconds'),
+        'began': datetime.fromtimestamp(origin, UTC).isoformat(timespec='milliseconds'),
         'read': {
-            'files': report.tally.files,
-            'lines': report.tally.lines,
-            'bad': report.tally.bad,
-            'first_bad': report.tally.first_bad,
+            'files': report.stats.files,
+            'lines': report.stats.lines,
+            'bad': report.stats.bad,
+            'first_bad': report.stats.first_bad,
         },
-        'timeline': [_view_line(line, zero) for line in report.lines],
-        'runs': [_view_run(run, zero) for run in report.runs],
-        'waits': [_view_wait(wait, zero) for wait in report.waits],
-        'again': [_view_again(again, zero) for again in report.again],
-        'not_known': list(report.missing),
+        'timeline': [_view_event(event, origin) for event in report.events],
+        'runs': [_view_run(run, origin) for run in report.runs],
+        'waits': [_view_wait(wait, origin) for wait in report.waits],
+        'again': [_view_repeated_start(repeated, origin) for repeated in report.repeated_starts],
+        'not_known': list(report.unknowns),
     }
 
 
-def _view_line(line: Told, zero: float) -> dict[str, Any]:
+def _view_event(event: LogEvent, origin: float) -> dict[str, Any]:
     return {
-        'at': _since(line.at, zero),
-        'host': line.host,
-        'told': line.stage.value,
-        'task': line.task,
-        'run': line.run,
-        'epoch': line.epoch,
-        'text': line.sentence,
-        'more': line.more,
-        'count': line.count,
+        'at': _seconds_since(event.at, origin),
+        'host': event.host,
+        'told': event.kind.value,
+        'task': event.task,
+        'run': event.run,
+        'epoch': event.epoch,
+        'text': event.sentence,
+        'more': event.more,
+        'count': event.count,
     }
 
 
-def _view_lines(lines: Iterable[Told], zero: float) -> list[dict[str, Any]]:
-    return [_view_line(line, zero) for line in lines]
+def _view_events(events: Iterable[LogEvent], origin: float) -> list[dict[str, Any]]:
+    return [_view_event(event, origin) for event in events]
 
 
-def _view_run(run: Run, zero: float) -> dict[str, Any]:
+def _view_run(run: Run, origin: float) -> dict[str, Any]:
     return {
         'task': run.task,
         'run': run.run,
         'epoch': run.epoch,
         'owner': run.owner,
         'runner': run.runner,
-        'asked': _since(run.asked_at, zero),
-        'ended': _since(run.ended_at, zero),
+        'asked': _seconds_since(run.start_sent_at, origin),
+        'ended': _seconds_since(run.ended_at, origin),
         'seconds': run.seconds,
         'outcome': run.outcome,
         'seen_by': run.seen_by,
-        'noted': _since(run.noted_at, zero),
+        'noted': _seconds_since(run.end_stored_at, origin),
         'knew': run.knowledge,
     }
 
 
-def _view_wait(wait: Wait, zero: float) -> dict[str, Any]:
+def _view_wait(wait: Wait, origin: float) -> dict[str, Any]:
     return {
-        'since': _since(wait.since, zero),
-        'until': _since(wait.until, zero),
+        'since': _seconds_since(wait.since, origin),
+        'until': _seconds_since(wait.until, origin),
         'seconds': round(wait.seconds, DIGITS),
-        'causes': _view_lines(wait.causes, zero),
+        'causes': _view_events(wait.causes, origin),
     }
 
 
-def _view_again(again: Again, zero: float) -> dict[str, Any]:
+def _view_repeated_start(repeated: RepeatedStart, origin: float) -> dict[str, Any]:
     return {
-        'task': again.later.task,
-        'earlier': _view_run(again.earlier, zero),
-        'later': _view_run(again.later, zero),
-        'finding': again.finding,
-        'suspect': again.suspect,
-        'knew': _view_lines(again.knew, zero),
+        'task': repeated.later.task,
+        'earlier': _view_run(repeated.earlier, origin),
+        'later': _view_run(repeated.later, origin),
+        'finding': repeated.finding,
+        'suspect': repeated.suspect,
+        'knew': _view_events(repeated.known_events, origin),
     }
 
 
-def _since(at: float | None, zero: float) -> float | None:
-    return None if at is None else round(at - zero, DIGITS)
+def _seconds_since(at: float | None, origin: float) -> float | None:
+    return None if at is None else round(at - origin, DIGITS)
--- a/dandelionreel/records/_waits.py
+++ b/dandelionreel/records/_waits.py
@@ -3,29 +3,29 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from dandelionreel.records._event_kinds import EventKind
+from dandelionreel.records._log_event import LogEvent
 from dandelionreel.records._runs import Run
-from dandelionreel.records._stages import Stage
-from dandelionreel.records._told import Told
 
 #: Seconds below which a wait is not worth a line: urgent jobs have 0.6 s.
-SHORTEST_WAIT = 0.5
+MIN_WAIT_SECONDS = 0.5
 #: Sentences that are quoted for one wait.
-MOST_CAUSES = 8
+MAX_CAUSES = 8
 #: Stages that may be why a job waits.
-CAUSES = frozenset(
+CAUSE_KINDS = frozenset(
     (
-        Stage.WAITING,
-        Stage.UNANSWERED,
-        Stage.TURNED_AWAY,
-        Stage.STOPPING,
-        Stage.MISSING,
-        Stage.UNNOTED,
-        Stage.TAKEN_OVER,
-        Stage.OWNERSHIP,
-        Stage.LAPSED,
-        Stage.RUNNER,
-        Stage.STORE,
-        Stage.HOST,
+        EventKind.WAITING,
+        EventKind.START_UNANSWERED,
+        EventKind.START_REFUSED,
+        EventKind.STOPPING,
+        EventKind.RUN_MISSING,
+        EventKind.END_NOT_STORED,
+        EventKind.TAKEOVER,
+        EventKind.OWNERSHIP,
+        EventKind.RUNNER_GONE,
+        EventKind.RUNNER,
+        EventKind.STORE,
+        EventKind.HOST,
     ),
 )
 
@@ -36,7 +36,7 @@
 
     since: float
     until: float
-    causes: tuple[Told, ...]
+    causes: tuple[LogEvent, ...]
 
     @property
     def seconds(self) -> float:
@@ -44,14 +44,14 @@
         return self.until - self.since
 
 
-def find_waits(runs: Iterable[Run], lines: list[Told], since: float) -> list[Wait]:
+def find_waits(runs: Iterable[Run], events: list[LogEvent], since: float) -> list[Wait]:
     """Return the waits before starts; ``lines`` are in order, the first wait from ``since``."""
     waits = []
     idle_since: float | None = since
-    for run in sorted((run for run in runs if run.begin_known), key=_began_at):
+    for run in sorted((run for run in runs if run.start_known), key=_began_at):
         until = run.began_at
-        if idle_since is not None and until - idle_since >= SHORTEST_WAIT:
-            waits.append(Wait(idle_since, until, _causes(lines, idle_since, until)))
+        if idle_since is not None and until - idle_since >= MIN_WAIT_SECONDS:
+            waits.append(Wait(idle_since, until, _find_causes(events, idle_since, until)))
         # One that never ended, as far as the lines go, is under way to the end.
         if idle_since is None or run.ended_at is None:
             break
@@ -59,25 +59,25 @@
     return waits
 
 
-def handed_in_at(own: list[Told], runs: Iterable[Run]) -> float:
+def find_submission_time(job_events: list[LogEvent], runs: Iterable[Run]) -> float:
     """Return when the job was handed in as its starts tell, else its first line's time.
 
     Starts say how long the job had waited then; logs that are cut begin later.
     """
-    waited = [run.asked_at - run.waited for run in runs if run.asked_at and run.waited]
-    return min([own[0].at, *waited])
+    waited = [run.start_sent_at - run.waited for run in runs if run.start_sent_at and run.waited]
+    return min([job_events[0].at, *waited])
 
 
 def _began_at(run: Run) -> float:
     return run.began_at
 
 
-def _causes(lines: list[Told], since: float, until: float) -> tuple[Told, ...]:
+def _find_causes(events: list[LogEvent], since: float, until: float) -> tuple[LogEvent, ...]:
     seen: set[str] = set()
     causes = []
-    for line in lines:
-        if not since <= line.at <= until or line.stage not in CAUSES or line.text in seen:
+    for event in events:
+        if not since <= event.at <= until or event.kind not in CAUSE_KINDS or event.text in seen:
             continue
-        seen.add(line.text)
-        causes.append(line)
-    return tuple(causes[-MOST_CAUSES:])
+        seen.add(event.text)
+        causes.append(event)
+    return tuple(causes[-MAX_CAUSES:])
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -11,8 +11,8 @@
 from dandelionreel.kernel import Environment
 
 JOB = '8b344bac49d1ac6d'
-BASE = 1_770_000_000.0
-GOOD = (
+BASE_TIME = 1_770_000_000.0
+COMPLETED_JOB = (
     (0.0, 'jobs: POST ID: 200 by this host.', {}),
     (0.2, 'placement: starts a task on r1.', {'task': '0.0.0', 'run': 1, 'runner': 'r1'}),
     (0.7, 'workers: a run has ended done.', {'task': '0.0.0', 'run': 1, 'runner': 'r1'}),
@@ -20,124 +20,132 @@
 )
 
 
-def line(at, host, text, fields):
+def log_line(at, host, text, fields):
     """Return one line as a host writes it; ``ID`` stands for the job."""
     written = {'job': 'ID', **fields}
     if written['job'] is None:
         del written['job']
     part = text.partition(':')[0]
-    told = {'host': host, 'text': text, **written, 'timestamp': BASE + at, 'message_type': part}
+    told = {
+        'host': host,
+        'text': text,
+        **written,
+        'timestamp': BASE_TIME + at,
+        'message_type': part,
+    }
     return json.dumps(told).replace('ID', JOB).encode()
 
 
-MIDST = {
-    'a line that is cut': lambda: line(0.5, 'a', 'jobs: cut.', {})[:60],
+DAMAGED_CONTENT = {
+    'a line that is cut': lambda: log_line(0.5, 'a', 'jobs: cut.', {})[:60],
     'a line of another program': lambda: b'Traceback (most recent call last):',
     'bytes that are no text': lambda: bytes(range(256)).replace(b'\n', b''),
-    'a value nested 100000 deep': lambda: deep(100_000),
-    'a value nested 3000 deep': lambda: deep(3000),
+    'a value nested 100000 deep': lambda: nested_line(100_000),
+    'a value nested 3000 deep': lambda: nested_line(3000),
     'a line without a host': lambda: json.dumps({'text': JOB, 'timestamp': 1.0}).encode(),
     'a time that is no number': lambda: b'{"host": "a", "text": "x", "timestamp": "now"}',
     'a time beyond all numbers': lambda: b'{"host": "a", "text": "x", "timestamp": 1e999}',
-    'fields of other types': lambda: line(
+    'fields of other types': lambda: log_line(
         0.5, 'a', 'placement: a start was refused: x.', {'task': 7, 'run': 'x', 'runner': [1]}
     ),
-    'a line of 5 MB': lambda: line(0.5, 'a', 'x' * 5_000_000, {}),
-    'a field that is no text': lambda: line(0.5, 'a', 'jobs: x.', {'u': 'Q'}).replace(
+    'a line of 5 MB': lambda: log_line(0.5, 'a', 'x' * 5_000_000, {}),
+    'a field that is no text': lambda: log_line(0.5, 'a', 'jobs: x.', {'u': 'Q'}).replace(
         b'"Q"', b'"\xff"'
     ),
     'blank lines': lambda: b'\n  \n',
 }
 
 
-def deep(depth):
+def nested_line(depth):
     """Return a line with a field of that many lists, one in the other."""
     text = '[' * depth + ']' * depth
-    return line(0.5, 'a', 'jobs: x.', {'deep': 'Q'}).replace(b'"Q"', text.encode())
+    return log_line(0.5, 'a', 'jobs: x.', {'deep': 'Q'}).replace(b'"Q"', text.encode())
 
 
-def _folder(context):
+def _log_folder(context):
     if not hasattr(context, 'folder'):
         context.folder = Path(context.stack.enter_context(tempfile.TemporaryDirectory()))
     return context.folder
 
 
-def _write(context, name, lines):
-    with (_folder(context) / f'{name}.log').open('ab') as file:
+def _append_log(context, name, lines):
+    with (_log_folder(context) / f'{name}.log').open('ab') as file:
         for content in lines:
             file.write(b'  43.6215 ' + name.encode() + b' ' + content + b'\n')
 
 
-def _tell(context, words, stdin=b''):
+def _run_tool(context, words, stdin=b''):
     out, err = io.StringIO(), io.StringIO()
     reader = io.TextIOWrapper(io.BytesIO(stdin))
     context.status = int(main(words, Environment(stdin=reader, stdout=out, stderr=err)))
     context.out, context.err = out.getvalue(), err.getvalue()
 
 
-def tell_story(context, subject=JOB):
-    files = [str(path) for path in sorted(_folder(context).glob('*.log'))]
-    _tell(context, ['explain', subject, *files, '--json'])
-    context.story = json.loads(context.out) if not context.status else None
+def explain_job(context, subject=JOB):
+    files = [str(path) for path in sorted(_log_folder(context).glob('*.log'))]
+    _run_tool(context, ['explain', subject, *files, '--json'])
+    context.report = json.loads(context.out) if not context.status else None
 
 
 @given('logs of hosts a and b')
 def write_logs(context):
     for row in context.table:
-        told = line(float(row['at']), row['host'], row['text'], json.loads(row['fields']))
-        _write(context, row['host'], [told])
+        told = log_line(float(row['at']), row['host'], row['text'], json.loads(row['fields']))
+        _append_log(context, row['host'], [told])
 
 
 @given('a log of a job that went well, with {what} in its midst')
 def write_broken(context, what):
-    lines = [line(at, 'a', text, fields) for at, text, fields in GOOD]
-    folder = _folder(context)
-    content = b'\n'.join([*lines[:2], MIDST[what](), *lines[2:]])
+    lines = [log_line(at, 'a', text, fields) for at, text, fields in COMPLETED_JOB]
+    folder = _log_folder(context)
+    content = b'\n'.join([*lines[:2], DAMAGED_CONTENT[what](), *lines[2:]])
     (folder / 'a.log').write_bytes(content + b'\n')
 
 
 @given('30 hosts that tell that r1 is draining while a task runs there')
 def write_many(context):
-    _write(context, 'a', [line(at, 'a', text, fields) for at, text, fields in GOOD])
+    _append_log(
+        context, 'a', [log_line(at, 'a', text, fields) for at, text, fields in COMPLETED_JOB]
+    )
     for host in range(30):
-        told = line(0.4, f'h{host}', 'workers: r1 is draining.', {'runner': 'r1', 'job': None})
-        _write(context, f'h{host}', [told])
+        told = log_line(0.4, f'h{host}', 'workers: r1 is draining.', {'runner': 'r1', 'job': None})
+        _append_log(context, f'h{host}', [told])
 
 
 @when('its story is told')
 def tell(context):
-    tell_story(context)
+    explain_job(context)
     assert context.status == 0, context.err
 
 
 @when('the tool tells its story from standard input')
 def tell_from_input(context):
-    _tell(context, ['explain', JOB], (_folder(context) / 'a.log').read_bytes())
+    _run_tool(context, ['explain', JOB], (_log_folder(context) / 'a.log').read_bytes())
 
 
 @then('it tells {stages} in this order')
 def check_order(context, stages):
     wanted = stages.split(', ')
-    told = [row['told'] for row in context.story['timeline']]
+    told = [row['told'] for row in context.report['timeline']]
     assert [stage for stage in told if stage in wanted] == wanted, told
 
 
 @then('its run {run:d} was started by {owner} on {runner}, ended {outcome} and was noted')
 def check_run(context, run, owner, runner, outcome):
-    (found,) = context.story['runs']
+    (found,) = context.report['runs']
     told = (found['run'], found['owner'], found['runner'], found['outcome'])
     assert told == (run, owner, runner, outcome), found
     assert found['noted'] is not None and found['ended'] <= found['noted'], found
 
 
 @then('nothing was started again, and nothing is said to be not known')
-def check_whole(context):
-    assert not context.story['again'] and not context.story['not_known'], context.story
+def check_no_findings(context):
+    assert not context.report['again'] and not context.report['not_known'], context.report
 
 
 @then('task {task} is told to be started again, which is {judged}: {words}')
 def check_again(context, task, judged, words):
-    (again,) = context.story['again']
+    (again,) = context.report['again']
     assert again['task'] == task and again['suspect'] is (judged == 'suspect'), again
     assert words in again['finding'], again['finding']
 
@@ -146,14 +154,14 @@
     'the later start was by {owner} in epoch {epoch:d} at version {version:d}, with what it knew {age:g} s old'
 )
 def check_knowledge(context, owner, epoch, version, age):
-    later = context.story['again'][0]['later']
+    later = context.report['again'][0]['later']
     assert (later['owner'], later['epoch']) == (owner, epoch), later
     assert (later['knew']['version'], later['knew']['store_age']) == (version, age), later
 
 
 @then('{owner} had written {first} and {second} by then')
 def check_written(context, owner, first, second):
-    knew = context.story['again'][0]['knew']
+    knew = context.report['again'][0]['knew']
     assert {row['host'] for row in knew} == {owner}, knew
     texts = ' '.join(row['text'] for row in knew)
     assert first in texts and second in texts and 'a run has ended' not in texts, texts
@@ -161,49 +169,49 @@
 
 @then('the same is told of task {task} alone, and of task {other} nothing')
 def check_task(context, task, other):
-    before = context.story['again']
-    tell_story(context, f'{JOB}/{task}')
-    assert context.story['again'] == before, context.story['again']
-    tell_story(context, f'{JOB}/{other}')
+    before = context.report['again']
+    explain_job(context, f'{JOB}/{task}')
+    assert context.report['again'] == before, context.report['again']
+    explain_job(context, f'{JOB}/{other}')
     assert context.status == 1 and f'{JOB}/{other}' in context.err, context.err
 
 
 @then('its runs are {first} {run:d} noted {at:g} and {second} {other:d} noted {then_at:g}')
 def check_runs(context, first, run, at, second, other, then_at):
-    told = [(row['task'], row['run'], row['noted']) for row in context.story['runs']]
+    told = [(row['task'], row['run'], row['noted']) for row in context.report['runs']]
     assert told == [(first, run, at), (second, other, then_at)], told
 
 
 @then('of task {task} alone it tells {stages}')
 def check_alone(context, task, stages):
-    tell_story(context, f'{JOB}/{task}')
-    assert [run['task'] for run in context.story['runs']] == [task], context.story['runs']
-    told = [row['told'] for row in context.story['timeline']]
+    explain_job(context, f'{JOB}/{task}')
+    assert [run['task'] for run in context.report['runs']] == [task], context.report['runs']
+    told = [row['told'] for row in context.report['timeline']]
     assert told == stages.split(', '), told
 
 
 @then('{count:d} lines are counted as bad')
 def check_bad(context, count):
-    read = context.story['read']
+    read = context.report['read']
     assert read['bad'] == count, read
     assert bool(read['first_bad'].endswith('a.log:3')) is bool(count), read
 
 
 @then('it was handed in {seconds:g} s before its start, and waited so long')
 def check_handed_in(context, seconds):
-    assert context.story['runs'][0]['asked'] == seconds, context.story['runs']
-    assert [wait['seconds'] for wait in context.story['waits']] == [seconds]
+    assert context.report['runs'][0]['asked'] == seconds, context.report['runs']
+    assert [wait['seconds'] for wait in context.report['waits']] == [seconds]
 
 
 @then('it is said that {words}')
 def check_missing(context, words):
-    missing = context.story['not_known']
+    missing = context.report['not_known']
     assert any(sentence.startswith(words) for sentence in missing), missing
 
 
 @then('it waited {seconds:g} s, for: {first}, {second}, {host} has lost the store')
 def check_causes(context, seconds, first, second, host):
-    (wait,) = context.story['waits']
+    (wait,) = context.report['waits']
     assert wait['seconds'] == seconds, wait
     told = [(row['host'], row['text']) for row in wait['causes']]
     assert first in told[0][1] and second in told[1][1] and len(told) == 3, told
@@ -211,42 +219,42 @@
 
 
 @then('one line tells that {runner} is draining, told {count:d} times')
-def check_once(context, runner, count):
-    rows = [row for row in context.story['timeline'] if 'is draining' in row['text']]
+def check_deduplicated(context, runner, count):
+    rows = [row for row in context.report['timeline'] if 'is draining' in row['text']]
     assert [row['count'] for row in rows] == [count], rows
 
 
 @then('the logs tell who accepted, started, took over, found, noted and closed it')
 def check_real_logs(context):
-    _take_logs(context)
+    _save_host_logs(context)
     (path,) = context.path_by_id.values()
-    tell_story(context, path.rpartition('/')[2])
+    explain_job(context, path.rpartition('/')[2])
     assert context.status == 0, context.err
-    told = [row['told'] for row in context.story['timeline']]
+    told = [row['told'] for row in context.report['timeline']]
     asked = told.index('asked')
     assert 'accepted' in told[:asked], told
     # The job's last state is told as it is made, its ends once they are stored.
     after = ('taken over', 'found', 'ended', 'closed', 'noted')
     assert tuple(stage for stage in told[asked:] if stage in after) == after, told
-    (run,) = context.story['runs']
+    (run,) = context.report['runs']
     assert run['owner'] == context.killed and run['outcome'] == 'done', run
     assert run['seen_by'] != context.killed and run['noted'] is not None, run
     assert set(run['knew']) == {'failures', 'crashes', 'version', 'store_age', 'runner_age'}, run
-    assert not context.story['again'] and not context.story['not_known'], context.story
+    assert not context.report['again'] and not context.report['not_known'], context.report
 
 
 @then('the logs tell for each of them that it was refused, and what was tried')
 def check_refusals(context):
-    _take_logs(context)
+    _save_host_logs(context)
     for job in range(10, 16):
-        tell_story(context, f'{job:016x}')
+        explain_job(context, f'{job:016x}')
         assert context.status == 0, context.err
-        refused = [row for row in context.story['timeline'] if row['told'] == 'refused']
-        assert refused and not context.story['runs'], context.story
+        refused = [row for row in context.report['timeline'] if row['told'] == 'refused']
+        assert refused and not context.report['runs'], context.report
         assert all(isinstance(row['more']['tried'], list) for row in refused), refused
         assert any(row['more']['tried'] for row in refused), refused
 
 
-def _take_logs(context):
+def _save_host_logs(context):
     for name in context.hosts.names:
-        (_folder(context) / f'{name}.log').write_text(context.hosts.log_of(name))
+        (_log_folder(context) / f'{name}.log').write_text(context.hosts.log_of(name))
--- a/features/steps/tool_steps.py
+++ b/features/steps/tool_steps.py
@@ -12,7 +12,7 @@
 from features.cells import job
 from standins import wait_until
 
-GOOD = {
+VALID_SETTINGS = {
     'host': 'entry-1',
     'availability_zone': 'here',
     'callers': {'address': '127.0.0.1', 'port': 7001},
@@ -22,7 +22,7 @@
 }
 
 
-def _run(context, words):
+def _run_tool(context, words):
     out, err = io.StringIO(), io.StringIO()
     environment = Environment(stdout=out, stderr=err)
     context.status = int(main(words, environment))
@@ -31,13 +31,13 @@
 
 @when('the tool is run with {words}')
 def run_tool(context, words):
-    _run(context, words.split())
+    _run_tool(context, words.split())
 
 
 @when('the tool asks the cell for {words}')
 def ask_cell(context, words):
     daemon = context.cell.daemons['ub-east-d0']
-    _run(context, [*words.split(), '--admin', f'{daemon.address}:{daemon.admin}'])
+    _run_tool(context, [*words.split(), '--admin', f'{daemon.address}:{daemon.admin}'])
 
 
 @then('it exits with {status:d} and writes {text}')
@@ -64,12 +64,12 @@
 
 @when('the tool checks settings with {change}')
 def check_changed(context, change):
-    path = context.stack.enter_context(_temporary())
-    path.write_text(json.dumps({**GOOD, **json.loads(change)}))
-    _run(context, ['check-settings', str(path)])
+    path = context.stack.enter_context(_temporary_settings_path())
+    path.write_text(json.dumps({**VALID_SETTINGS, **json.loads(change)}))
+    _run_tool(context, ['check-settings', str(path)])
 
 
-def _temporary():
+def _temporary_settings_path():
     import tempfile
     from contextlib import contextmanager
 
@@ -82,33 +82,33 @@
 
 
 @when('{count:d} long jobs are submitted and all are cancelled with one command')
-def cancel_wave(context, count):
+def cancel_all(context, count):
     names = list(context.cell.daemons)
     spec = job('run 30', idempotent=True, demand={'processors': 2, 'memory_mb': 64})
     with ThreadPoolExecutor(8) as pool:
         replies = list(
             pool.map(lambda index: context.cell.submit(names[index % 4], spec), range(count)),
         )
-    context.wave = {reply.json()['id'] for reply in replies}
-    assert len(context.wave) == count
+    context.submitted_ids = {reply.json()['id'] for reply in replies}
+    assert len(context.submitted_ids) == count
     daemon = context.cell.daemons['ub-east-d0']
     admin = f'{daemon.address}:{daemon.admin}'
-    _run(context, ['job', 'cancel', *sorted(context.wave), '--admin', admin])
+    _run_tool(context, ['job', 'cancel', *sorted(context.submitted_ids), '--admin', admin])
     assert context.status == 0, context.err
     assert f'{count}' in context.out
 
 
 @then('none of them is left waiting or running within {seconds:g} seconds')
-def check_wave(context, seconds):
-    def left():
+def check_all_cancelled(context, seconds):
+    def unfinished():
         found = set()
         for name in ('ub-east-d0', 'ub-west-d0'):
             for state in ('waiting', 'running'):
                 path = f'/v1/jobs?state={state}&limit=1000'
                 page = context.cell.admin(name, 'GET', path).json()
                 found.update(view['id'] for view in page['jobs'])
-        return found & context.wave
+        return found & context.submitted_ids
 
-    assert wait_until(lambda: not left(), seconds, 0.3), len(left())
-    still = [run for run in context.cell.runs() if run['job'] in context.wave]
-    assert all(run['ended_at'] for run in still)
+    assert wait_until(lambda: not unfinished(), seconds, 0.3), len(unfinished())
+    runs = [run for run in context.cell.runs() if run['job'] in context.submitted_ids]
+    assert all(run['ended_at'] for run in runs)
