--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -21,8 +21,8 @@
 from dandelionreel.backing import StreamReader
 from dandelionreel.callers import CallersFront
 from dandelionreel.contracts import (
-    ContractBook,
     ContractError,
+    ContractProjection,
     ContractPublisher,
     load_contract,
 )
@@ -32,9 +32,9 @@
 from dandelionreel.life import Lifecycle
 from dandelionreel.ownership import (
     Authority,
-    Claimer,
     Membership,
-    ShardFold,
+    ShardClaimer,
+    ShardProjection,
     runner_shard,
 )
 from dandelionreel.peers import PeerDirectory
@@ -64,11 +64,11 @@
         registry: CollectorRegistry,
         reader: StreamReader,
         members: Membership,
-        shards: ShardFold,
+        shards: ShardProjection,
         authority: Authority,
-        claimer: Claimer,
+        claimer: ShardClaimer,
         directory: PeerDirectory,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         publisher: ContractPublisher,
         jobs: JobProjection,
         dispatcher: Dispatcher,
@@ -161,12 +161,12 @@
                 __version__,
                 not reasons,
                 reasons,
-                self._claimer.is_member(),
+                self._claimer.may_claim(),
                 self._claimer.draining,
                 self._dispatcher.is_active,
                 min(self._authority.evidence_age(), MAX_AGE_SECONDS),
                 outage,
-                len(self._claimer.owned()),
+                len(self._claimer.owned_claims()),
                 self._router.in_flight,
                 {state.value: self._jobs.count(state) for state in JobState},
                 contracts,
@@ -199,7 +199,7 @@
                 claim.shard,
                 claim.owner,
                 claim.epoch,
-                '' if self._shards.is_settled(claim) else claim.former,
+                '' if self._shards.is_settled(claim) else claim.former_owner,
                 claim.released,
                 self._authority.grant(claim.shard).level.value,
             )
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -3,7 +3,7 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamReader, StreamWriter
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._attempt_finalizer import RetryBudgets
 from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import Job, JobProjection, Outcome
@@ -33,7 +33,7 @@
         state: DispatcherState,
         clock: Clock,
         jobs: JobProjection,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         reader: StreamReader,
         writer: StreamWriter,
         orders: OrderSender,
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -4,7 +4,7 @@
 """
 
 from dandelionreel.backing import HostWatch, StreamReader, StreamWriter
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._attempt_finalizer import AttemptFinalizer, RetryBudgets
 from dandelionreel.jobs._attempt_starter import AttemptStarter
 from dandelionreel.jobs._dispatcher_state import DispatcherState
@@ -15,7 +15,7 @@
 from dandelionreel.jobs._quota_shares import QuotaShareBalancer
 from dandelionreel.jobs._report_handler import ReportHandler
 from dandelionreel.kernel import Clock, Journal, Part, Settings
-from dandelionreel.ownership import DISPATCH_SHARD, Authority, ShardFold
+from dandelionreel.ownership import DISPATCH_SHARD, Authority, ShardProjection
 from dandelionreel.peers import WorkerReport
 from dandelionreel.placement import Planner
 
@@ -34,9 +34,9 @@
         settings: Settings,
         clock: Clock,
         authority: Authority,
-        shards: ShardFold,
+        shards: ShardProjection,
         jobs: JobProjection,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         hosts: HostWatch,
         reader: StreamReader,
         writer: StreamWriter,
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -81,4 +81,4 @@
         """Return for how many seconds an order to a worker's owner may be in transit."""
         timings = self._settings.timings
         allowed = timings.start_deadline + timings.heartbeat * 2
-        return (allowed + self._authority.flight) * (1 + timings.clock_drift)
+        return (allowed + self._authority.max_start_seconds) * (1 + timings.clock_drift)
--- a/dandelionreel/jobs/_job_projection.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -24,7 +24,7 @@
     JobSnapshot,
 )
 from dandelionreel.jobs._spec import JobSpec
-from dandelionreel.ownership import DISPATCH_SHARD, ShardFold
+from dandelionreel.ownership import DISPATCH_SHARD, ShardProjection
 
 
 class JobState(enum.Enum):
@@ -140,7 +140,7 @@
 class JobProjection:
     """All jobs of a zone, by id and by idempotency key."""
 
-    def __init__(self, shards: ShardFold, max_ended: int, max_keys: int) -> None:
+    def __init__(self, shards: ShardProjection, max_ended: int, max_keys: int) -> None:
         """Check intents against the dispatch epoch of ``shards``.
 
         Keeps ``max_ended`` ended jobs (1.2 KB each), and of older ones only
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -23,7 +23,7 @@
     start_task,
     unknown,
 )
-from dandelionreel.ownership import Membership, ShardFold
+from dandelionreel.ownership import Membership, ShardProjection
 
 WRITE_TIMEOUT_SECONDS = 10.0
 ROUND_SECONDS = 0.2
@@ -55,7 +55,7 @@
     ) -> None:
         self.reader = StreamReader(log, stream, clock, records)
         members = Membership(clock)
-        shards = ShardFold(members, clock)
+        shards = ShardProjection(members, clock)
         self.jobs = JobProjection(shards, 0, 0)
         for part in (members, shards, self.jobs):
             self.reader.add(part.fold, part.reset)
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -1,7 +1,7 @@
 """Updates the dispatcher's queue and workers from the log, the contracts and the host list."""
 
 from dandelionreel.backing import HostWatch
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import Job, JobProjection, JobState, Outcome
 from dandelionreel.jobs._quota_shares import QuotaShareBalancer
@@ -21,7 +21,7 @@
         settings: Settings,
         clock: Clock,
         jobs: JobProjection,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         shares: QuotaShareBalancer,
         hosts: HostWatch,
     ) -> None:
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -1,6 +1,6 @@
 """Compares the reports of worker owners with the attempts that the dispatcher tracks."""
 
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.jobs._dispatcher_state import DispatcherState
 from dandelionreel.jobs._job_projection import Job, JobProjection, JobState, Outcome
 from dandelionreel.jobs._order_sender import OrderSender
@@ -26,7 +26,7 @@
         state: DispatcherState,
         clock: Clock,
         jobs: JobProjection,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         queue_updater: QueueUpdater,
         orders: OrderSender,
         journal: Journal,
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -5,9 +5,9 @@
 import curio
 
 from dandelionreel.backing import LogError, StreamReader, StreamWriter
-from dandelionreel.contracts import ContractBook
+from dandelionreel.contracts import ContractProjection
 from dandelionreel.kernel import Clock, Journal, Part, Settings
-from dandelionreel.ownership import Claimer, Left
+from dandelionreel.ownership import Left, ShardClaimer
 
 POLL_SECONDS = 0.1
 LEFT_WRITE_SECONDS = 2.0
@@ -22,7 +22,7 @@
         clock: Clock,
         cell_reader: StreamReader,
         zone_reader: StreamReader,
-        contracts: ContractBook,
+        contracts: ContractProjection,
         journal: Journal,
     ) -> None:
         """Watch the readers and the contracts."""
@@ -63,7 +63,7 @@
 
     async def drain(
         self,
-        claimer: Claimer,
+        claimer: ShardClaimer,
         in_flight: 'InFlightCounter',
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
@@ -83,7 +83,7 @@
         claimer.draining = True
         deadline = self._clock.monotonic() + timings.drain_limit
         while self._clock.monotonic() < deadline and not self.drain_skipped:
-            if not in_flight.count() and not claimer.owned():
+            if not in_flight.count() and not claimer.owned_claims():
                 break
             await curio.sleep(POLL_SECONDS)
         await self._leave(claimer, zone_writer, cell_writer, me)
@@ -91,14 +91,14 @@
 
     async def _leave(
         self,
-        claimer: Claimer,
+        claimer: ShardClaimer,
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
         me: str,
     ) -> None:
         # Only a daemon that holds nothing may say that it has left: the next
         # owner of its shards would not wait for what it sent last.
-        if claimer.owned():
+        if claimer.owned_claims():
             self._journal.tell(Part.LIFE, 'stops with shards that were not handed over.')
             return
         for writer in (zone_writer, cell_writer):
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -10,7 +10,7 @@
 from dandelionreel.backing import StreamReader, StreamWriter
 from dandelionreel.http import control_bytes_by_kind
 from dandelionreel.jobs import JobProjection, JobState
-from dandelionreel.ownership import Claimer
+from dandelionreel.ownership import ShardClaimer
 from dandelionreel.peers import Traffic
 from dandelionreel.placement import Planner
 
@@ -69,7 +69,7 @@
         queue_by_service: dict[str, int],
         jobs: JobProjection,
         planner: Planner,
-        claimer: Claimer,
+        claimer: ShardClaimer,
     ) -> None:
         """Set all gauges."""
         self._log_outage.set(reader.outage_seconds)
@@ -77,7 +77,7 @@
         self._log_append.set(writer.append_seconds)
         self._appends.set(writer.appends)
         self._records.set(writer.records)
-        self._owned.set(len(claimer.owned()))
+        self._owned.set(len(claimer.owned_claims()))
         self._takeovers.set(claimer.takeovers)
         for service, length in queue_by_service.items():
             self._queue.labels(service).set(length)
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -8,7 +8,7 @@
 from dandelionreel.jobs._lapses import classify_lapse
 from dandelionreel.jobs._records import AttemptEnded
 from dandelionreel.kernel import ManualClock
-from dandelionreel.ownership import DISPATCH_SHARD, Claimed, Membership, ShardEpoch, ShardFold
+from dandelionreel.ownership import DISPATCH_SHARD, Claimed, Membership, ShardEpoch, ShardProjection
 
 EPOCH = 1
 MEMBER = 'me/1'
@@ -47,7 +47,7 @@
 def make_job(context, earlier):
     context.offset = 1
     clock = ManualClock()
-    shards = ShardFold(Membership(clock), clock)
+    shards = ShardProjection(Membership(clock), clock)
     claim = Claimed(MEMBER, (ShardEpoch(DISPATCH_SHARD, 0),))
     shards.fold(claim, Position(0, MEMBER, 0))
     context.jobs = JobProjection(shards, 10, 10)
