--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' interface: contracts, members, shards, hosts, drain, metrics."""
+"""The HTTP interface for operators: contracts, members, shards, workers, drain, metrics."""
 
 import msgspec
 from prometheus_client import CollectorRegistry, generate_latest
@@ -41,7 +41,7 @@
 from dandelionreel.routing import Router, RunnerPool
 from dandelionreel.workers import WorkerFleet
 
-#: JSON has no infinity: evidence that never came is shown as this old.
+#: Shown as the age of evidence that never arrived, since JSON has no infinity.
 MAX_AGE_SECONDS = 1e9
 METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
 HTTP_OK = 200
@@ -53,7 +53,7 @@
 
 
 class AdminApi:
-    """Answers operators, the balancer and the metrics collector."""
+    """Answers operators, the load balancer's health checks and the metrics collector."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         router: Router,
         callers: CallersFront,
     ) -> None:
-        """Answer for the member ``me``."""
+        """Serve the state of the member ``me``."""
         self._me = me
         self._settings = settings
         self._clock = clock
--- a/dandelionreel/admin/_views.py
+++ b/dandelionreel/admin/_views.py
@@ -1,4 +1,4 @@
-"""What operators see, as typed JSON."""
+"""JSON documents of the operators' interface."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class MemberView(msgspec.Struct, frozen=True):
-    """One daemon; ``heard_ago`` is in seconds, -1 when it was never heard."""
+    """One daemon; ``heard_ago`` is seconds since its last message, -1 if there was none."""
 
     member: str
     availability_zone: str
@@ -15,7 +15,7 @@
 
 
 class ShardView(msgspec.Struct, frozen=True):
-    """One shard; ``level`` is what this daemon may do on it."""
+    """One shard; ``level`` is the level of this daemon's grant on it."""
 
     shard: str
     owner: str
@@ -26,7 +26,7 @@
 
 
 class WorkerView(msgspec.Struct, frozen=True):
-    """One worker of this zone, as its ledger at this daemon counts it."""
+    """One worker of this zone, with the use that this daemon's ledger counts."""
 
     worker: str
     rack: str
@@ -56,7 +56,7 @@
 
 
 class PendingView(msgspec.Struct, frozen=True):
-    """A contract version under way, and the members that it waits for."""
+    """A contract version being published, and the members that have not confirmed it."""
 
     version: int
     author: str
@@ -74,7 +74,7 @@
 
 
 class ContractView(msgspec.Struct, frozen=True):
-    """A customer's contract in force, and what is under way."""
+    """A customer's contract in force, its pending version and past outcomes."""
 
     contract: Contract | None
     pending: PendingView | None
@@ -83,7 +83,7 @@
 
 
 class StatusView(msgspec.Struct, frozen=True):
-    """This daemon at a glance."""
+    """The state of this daemon."""
 
     member: str
     availability_zone: str
@@ -110,7 +110,7 @@
 
 
 class PublishDone(msgspec.Struct, frozen=True):
-    """The version is in force."""
+    """The outcome of publishing a contract version."""
 
     customer: str
     version: int
@@ -118,12 +118,12 @@
 
 
 class DrainBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which endpoint leaves; empty for this daemon itself."""
+    """The endpoint to drain; empty for this daemon itself."""
 
     endpoint: str = ''
 
 
 class Acknowledgement(msgspec.Struct, frozen=True):
-    """What was asked is under way."""
+    """A positive answer in one sentence."""
 
     detail: str
--- a/dandelionreel/cli/__init__.py
+++ b/dandelionreel/cli/__init__.py
@@ -1,7 +1,7 @@
-"""Both programs' command lines.
+"""Command lines of the tool and the daemon.
 
-The tool is imported only when it runs: the daemon has no use for it, and its
-libraries would take memory.
+Each is imported only when it runs: the libraries of the tool would take memory in
+the daemon, which does not use them.
 """
 
 
--- a/dandelionreel/cli/_accounts.py
+++ b/dandelionreel/cli/_accounts.py
@@ -1,4 +1,4 @@
-"""The command that shows client accounts: what they use, may use, and what waits."""
+"""The command that shows client accounts: use, quota, share and waiting jobs."""
 
 from typing import Any
 
@@ -33,7 +33,7 @@
 
 
 def _fetch_from_owner(address: str, content: Any) -> Result[Any, ToolError]:
-    """Return what the owner shows, if there is one and another host has answered."""
+    """Return the owner's accounts; ``content`` itself if it is the owner's or there is none."""
     owner = content['owner_address']
     if content['owns'] or not owner:
         return Success(content)
--- a/dandelionreel/cli/_client.py
+++ b/dandelionreel/cli/_client.py
@@ -1,4 +1,4 @@
-"""One question to a daemon, with failures as values."""
+"""HTTP requests to a daemon, with failures as values."""
 
 import enum
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 class Port(enum.Enum):
-    """Which of a daemon's ports to ask."""
+    """The port of a daemon that takes a request."""
 
     ADMIN = 'admin'
     CALLERS = 'callers'
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ToolError:
-    """Why a question has no good answer: one line, and an exit status."""
+    """Why a command failed: one line, and an exit status."""
 
     message: str
     status: ExitStatus
@@ -41,7 +41,7 @@
     """Return host and port of ``IP:PORT``."""
     address, _, port = text.rpartition(':')
     if not address or not port.isdecimal():
-        message = f'{text!r} is no address; give IP:PORT, as in 127.0.0.1:7002'
+        message = f'{text!r} is not an address; give IP:PORT, as in 127.0.0.1:7002'
         return Failure(ToolError(message, ExitStatus.USAGE))
     return Success((address, int(port)))
 
@@ -57,7 +57,11 @@
         answer = curio.run(fetch, host, port, request, TIMEOUT_SECONDS)
     except ExchangeError as error:
         status = ExitStatus.UNKNOWN if error.sent else ExitStatus.UNREACHABLE
-        hint = 'it may have acted; look before you repeat' if error.sent else 'is it running?'
+        hint = (
+            'the request may have taken effect; check before you repeat it'
+            if error.sent
+            else 'is it running?'
+        )
         return Failure(ToolError(f'{host}:{port}: {error}; {hint}', status))
     if answer.status >= HTTP_ERROR:
         return Failure(_read_problem(answer))
--- a/dandelionreel/cli/_command_result.py
+++ b/dandelionreel/cli/_command_result.py
@@ -1,4 +1,4 @@
-"""What commands return, before it is written."""
+"""The result of a command, before it is written."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class CommandResult:
-    """What a command found, and how people see it."""
+    """The content that a command returns, and the function that writes it as text."""
 
     content: Any
     write: Callable[[Any, Any], None]
@@ -25,7 +25,7 @@
 
 
 def read_file(path: Path) -> Result[bytes, ToolError]:
-    """Return a file's bytes."""
+    """Return the content of a file."""
     try:
         return Success(path.read_bytes())
     except OSError as error:
@@ -33,5 +33,5 @@
 
 
 def unreadable_file_error(path: Path | str, error: OSError) -> ToolError:
-    """Return what is said of a file that can't be read."""
+    """Return the error for a file that can't be read."""
     return ToolError(f'{path}: {error.strerror}; name a readable file', ExitStatus.USAGE)
--- a/dandelionreel/cli/_commands.py
+++ b/dandelionreel/cli/_commands.py
@@ -1,4 +1,4 @@
-"""The tool's commands; each is a plain function that defopt turns into one."""
+"""The tool's commands; defopt derives the command line from their signatures."""
 
 import getpass
 import os
@@ -157,8 +157,8 @@
     :param zone: the zone; the daemon's own by default
     :param customer: only this customer's
     :param state: only jobs in this state, such as uncertain
-    :param after: only ids above this one, to go on behind a page
-    :param limit: jobs on a page
+    :param after: only ids above this one, to continue after a page
+    :param limit: maximum number of jobs on a page
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
@@ -176,7 +176,7 @@
 
 
 def job_cancel(*jobs: str, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
-    """Cancel jobs: those that wait do not run, those that run are stopped.
+    """Cancel jobs: waiting jobs do not start, running ones are stopped.
 
     :param jobs: the jobs' ids
     :param admin: IP:PORT of some daemon's admin interface
@@ -195,10 +195,10 @@
     admin: str = DEFAULT_ADMIN,
     json: bool = False,
 ) -> Command:
-    """Settle an uncertain or parked job after looking at what it did.
+    """Set the outcome of an uncertain or parked job after checking what it did.
 
     :param job: the job's id
-    :param outcome: ran, or not_run to have it started again
+    :param outcome: ran, or not_run to start it again
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
@@ -215,12 +215,12 @@
     admin: str = DEFAULT_ADMIN,
     json: bool = False,
 ) -> Command:
-    """Move the waiting jobs of a zone that is out of reach to another.
+    """Move the waiting jobs of an unreachable zone to another.
 
-    Up to 500 at a time; repeat until none moves. Jobs that run stay.
+    Up to 500 at a time; repeat until none moves. Running jobs stay.
 
-    :param from_zone: the zone that is out of reach
-    :param to_zone: the zone that shall run them
+    :param from_zone: the unreachable zone
+    :param to_zone: the zone that takes the jobs over
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
@@ -231,7 +231,7 @@
 
 
 def status(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
-    """Show one daemon at a glance.
+    """Show one daemon's state.
 
     :param admin: IP:PORT of the daemon's admin interface
     :param json: write JSON
@@ -276,9 +276,9 @@
 
 
 def drain(*, endpoint: str = '', admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
-    """Drain an endpoint, or stop this daemon in order.
+    """Drain an endpoint, or drain and stop this daemon.
 
-    :param endpoint: the endpoint that leaves; the daemon itself by default
+    :param endpoint: the endpoint to drain; the daemon itself by default
     :param admin: IP:PORT of the daemon's admin interface
     :param json: write JSON
     """
@@ -306,13 +306,13 @@
 
     :param service: the service's name
     :param path: path at the service
-    :param customer: on whose contract
+    :param customer: the customer whose contract applies
     :param task_class: class of work
-    :param deadline_ms: milliseconds until the answer is of no use
+    :param deadline_ms: milliseconds until the request's deadline
     :param method: HTTP method
     :param idempotent: whether it may be sent again after a failure
-    :param key: idempotency key, for what must not run twice
-    :param body: what to send
+    :param key: idempotency key, for a request that must not run twice
+    :param body: the request body
     :param callers: IP:PORT of some daemon's callers' interface
     :param json: write JSON
     """
@@ -339,7 +339,7 @@
     )
 
 
-#: Names on the command line; a mapping within stands for further words.
+#: Commands by name; a nested mapping holds subcommands.
 COMMANDS: dict[str, Any] = {
     'check-settings': check_settings,
     'contract': {
--- a/dandelionreel/cli/_daemon.py
+++ b/dandelionreel/cli/_daemon.py
@@ -19,16 +19,16 @@
 PROGRAM = 'dandelionreeld'
 DESCRIPTION = (
     'Run one daemon of the scheduler until SIGTERM. The first SIGTERM drains: the '
-    'daemon turns unready, hands its shards over and finishes what is in flight. '
-    'A second one ends sooner.'
+    'daemon turns unready, hands its shards over and finishes requests in flight. '
+    'A second one skips the waiting.'
 )
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the daemon's one option.
+    """Return the parser of the daemon's options.
 
-    The tool's command line is by defopt. Importing that here would take 7 MB
-    of the daemon's 32 (docs/DEPENDENCIES.md).
+    It uses argparse, unlike the tool: importing defopt would take 7 MB of the
+    daemon's 32 MB (docs/DEPENDENCIES.md).
     """
     parser = argparse.ArgumentParser(prog=PROGRAM, description=DESCRIPTION)
     parser.add_argument('--version', action='version', version=f'{PROGRAM} {__version__}')
--- a/dandelionreel/cli/_explain.py
+++ b/dandelionreel/cli/_explain.py
@@ -1,4 +1,4 @@
-"""The command that tells a job's story from the hosts' logs."""
+"""The command that reconstructs the history of a job from the hosts' logs."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -34,16 +34,16 @@
 )
 
 QUOTE_INDENT = '    '
-#: Names of a list that a table shows; JSON has all.
+#: Items of a list that a table shows; JSON has all.
 MAX_LISTED = 3
 
 
 def explain_job(job: str, *files: Path, json: bool = False) -> Command:
-    """Tell the story of a job or task from log files of many hosts, or standard input.
+    """Explain the history of a job or task from log files of many hosts, or standard input.
 
     Lines that can't be read are counted and left out.
 
-    :param job: the job's id, or JOB/TASK with a task as lines name it: 0.2.13
+    :param job: the job's id, or JOB/TASK with a task as in the logs: 0.2.13
     :param files: the hosts' logs, in any order; - or none for standard input
     :param json: write JSON
     """
@@ -71,9 +71,9 @@
 
 
 def open_logs(files: tuple[Path, ...], environment: Environment) -> Iterator[tuple[str, BinaryIO]]:
-    """Open one file after the other, each closed when the next one's turn comes.
+    """Open one file after the other, and close each before the next.
 
-    Standard input stands for ``-``, and for no file at all. Raises ``OSError``.
+    ``-`` and an empty list mean standard input. Raises ``OSError``.
     """
     for path in files or (Path(STDIN),):
         if f'{path}' == STDIN:
@@ -111,7 +111,7 @@
 
 
 def _shorten_lists(line: Any, runners: frozenset[str]) -> Any:
-    """Return a line with its long lists cut, the runners that are asked about left in."""
+    """Return a line with long lists shortened; ``runners`` are listed first."""
     more = {
         name: field_value for name, field_value in line['more'].items() if field_value is not None
     }
@@ -125,7 +125,7 @@
 
 
 def _format_row(row: Any) -> dict[str, Any]:
-    """Return a row with blanks for what is not known, and how often a line was told."""
+    """Return a row with blanks for unknown fields, and how often a line was repeated."""
     formatted = {
         name: '' if field_value is None else field_value for name, field_value in row.items()
     }
--- a/dandelionreel/cli/_output.py
+++ b/dandelionreel/cli/_output.py
@@ -1,4 +1,4 @@
-"""Answers for people, as aligned text, or for programs, as JSON."""
+"""Output as aligned text or as JSON."""
 
 import json
 from collections.abc import Sequence
@@ -9,20 +9,20 @@
 
 
 def write_json(stream: TextIO, content: Any) -> None:
-    """Write JSON with stable order of keys."""
+    """Write JSON with sorted keys."""
     stream.write(json.dumps(content, indent=INDENT, sort_keys=True))
     stream.write('\n')
 
 
 def write_fields(stream: TextIO, content: dict[str, Any]) -> None:
-    """Write one field a line, names aligned."""
+    """Write one field per line, values aligned."""
     width = max((len(name) for name in content), default=0)
     for name, field in content.items():
         stream.write(f'{name.ljust(width)}{COLUMN_GAP}{_format(field)}\n')
 
 
 def write_table(stream: TextIO, rows: Sequence[dict[str, Any]], columns: Sequence[str]) -> None:
-    """Write rows under a head line, columns aligned."""
+    """Write a header and rows, columns aligned."""
     cells = [list(columns)]
     cells.extend([_format(row.get(column, '')) for column in columns] for row in rows)
     widths = [max(len(line[index]) for line in cells) for index in range(len(columns))]
--- a/dandelionreel/cli/_review.py
+++ b/dandelionreel/cli/_review.py
@@ -1,4 +1,4 @@
-"""The command that tells how all jobs of the hosts' logs were served, and why not."""
+"""The command that reports how jobs were served, and why some were late."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -24,13 +24,13 @@
 
 
 def review_jobs(*files: Path, jobs: bool = False, json: bool = False) -> Command:
-    """Tell how all jobs were served, and why some were not, from log files of all hosts.
+    """Report how all jobs were served, and why some were late, from log files of all hosts.
 
-    A job is judged by its objective as it was declared: late beyond it, too late beyond
+    A job is compared with its declared objective: late beyond it, too late beyond
     three times as long. Lines that can't be read are counted and left out.
 
     :param files: the hosts' logs, in any order; - or none for standard input
-    :param jobs: name each job that was not in time
+    :param jobs: list each job that was not in time
     :param json: write JSON, each job included
     """
     return lambda environment: _review(files, environment, jobs, json)
--- a/dandelionreel/cli/_shared.py
+++ b/dandelionreel/cli/_shared.py
@@ -1,4 +1,4 @@
-"""What the tool's commands have in common: check, ask, and how answers are shown."""
+"""Functions that several commands share: check files, send requests, write answers."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -25,7 +25,7 @@
     error_type: type[ValueError],
     json: bool,
 ) -> CommandOutcome:
-    """Return that a file is good, or why it is not."""
+    """Return a report that a file is valid, or the error in it."""
     try:
         loaded = load(text)
     except error_type as error:
@@ -56,7 +56,7 @@
 
 
 def submit(file: Path, text: bytes, key: str, callers: str, json: bool) -> CommandOutcome:
-    """Check a job and hand it in."""
+    """Check a job and submit it."""
     try:
         load_spec(text)
     except JobSpecError as error:
@@ -69,12 +69,12 @@
 
 
 def get_json(address: str, path: str) -> Result[Any, ToolError]:
-    """Return what a daemon shows at a path."""
+    """Return the decoded answer of a daemon to a GET request."""
     return send_request(address, Request('GET', path)).map(decode)
 
 
 def post_json(address: str, path: str, body: bytes) -> Result[Any, ToolError]:
-    """Return what a daemon answers to a body."""
+    """Return the decoded answer of a daemon to a POST request."""
     headers = (('content-type', 'application/json'),)
     return send_request(address, Request('POST', path, headers, body)).map(decode)
 
@@ -82,26 +82,26 @@
 def make_page_command(
     path: str, write: Callable[[Any, Any], None], admin: str, json: bool
 ) -> Command:
-    """Return the command that shows one page of a daemon."""
+    """Return the command that fetches a path of a daemon and shows it."""
     return lambda environment: get_json(admin, path).map(
         lambda content: CommandResult(content, write, json),
     )
 
 
 def make_table(columns: tuple[str, ...]) -> Callable[[Any, Any], None]:
-    """Return what writes rows with these columns."""
+    """Return a function that writes rows with these columns."""
     return lambda stream, content: write_table(stream, content, columns)
 
 
 def write_jobs(stream: Any, content: Any) -> None:
-    """Write a page of jobs, and how to go on behind it."""
+    """Write a page of jobs, and the option that fetches the next page."""
     write_table(stream, content['jobs'], JOB_COLUMNS)
     if content['next_after']:
         stream.write(f'more: --after {content["next_after"]}\n')
 
 
 def write_contracts(stream: Any, content: Any) -> None:
-    """Write contracts, their shares, and what is pending."""
+    """Write contracts, their shares per zone, and their pending versions."""
     views = content if isinstance(content, list) else [content]
     for view in views:
         contract = view['contract'] or {'version': 'none in force'}
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -84,7 +84,7 @@
 ZONE_STREAM = 'zone.{0}'
 JOIN_WRITE_SECONDS = 5.0
 JOIN_RETRY_SECONDS = 1.0
-#: How often in a silent period a daemon looks whether it must say it is alive.
+#: Checks per silence period for whether a liveness record must be written.
 ALIVE_CHECKS_PER_PERIOD = 8
 INCARNATION_BYTES = 3
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -95,22 +95,22 @@
 
 
 class DispatchShard(ShardUser):
-    """Has the zone's dispatch shard owned by somebody."""
+    """Requests the zone's dispatch shard, so that some daemon always owns it."""
 
     def wanted_shards(self) -> tuple[str, ...]:
-        """Return the one shard."""
+        """Return the dispatch shard."""
         return (DISPATCH_SHARD,)
 
     async def prepare_release(self, shard: str) -> bool:
-        """Return True: a dispatcher's orders carry its epoch and an age."""
+        """Return True: orders carry epoch and age, so none needs to finish before a release."""
         return True
 
 
 class Daemon:
-    """One daemon, made of parts that know each other only by their constructors."""
+    """One daemon; its components get each other only as constructor arguments."""
 
     def __init__(self, settings: Settings, environment: Environment) -> None:
-        """Build all parts; nothing runs or listens yet."""
+        """Build all components; nothing runs or listens yet."""
         self._settings = settings
         self._clock = environment.clock
         self._journal = Journal(
@@ -128,7 +128,7 @@
         self._build_apis()
 
     async def run(self) -> ExitStatus:
-        """Serve until told to stop; return the exit status."""
+        """Serve until a stop is requested; return the exit status."""
         self._journal.open()
         try:
             async with AsyncExitStack() as stack:
@@ -422,8 +422,8 @@
 
     async def _start(self, stack: AsyncExitStack) -> None:
         settings = self._settings
-        # Binding comes before joining: a member that listens can be proven
-        # to have ended by a refused connection.
+        # Listen before joining: peers take a refused connection as proof that a
+        # member has ended, which holds only if every member listens.
         await self._peer_server.start(stack, settings.peers.address, settings.peers.port)
         await self._admin_server.start(stack, settings.admin.address, settings.admin.port)
         await self._callers_server.start(stack, settings.callers.address, settings.callers.port)
@@ -466,7 +466,7 @@
         ):
             await start_task(stack, run_loop)
         await start_task(stack, self._fleet.run, stack)
-        # What was built to last is no garbage: later collections skip it.
+        # Objects built at startup live as long as the process: later collections skip them.
         gc.collect()
         gc.freeze()
 
@@ -478,7 +478,7 @@
         while not self._life.stopping and not self._was_declared_ended():
             await curio.ignore_after(0.5, self._life.stop_requested.wait)
         if self._was_declared_ended():
-            self._journal.tell(Part.LIFE, 'exits; the log says that it has ended.')
+            self._journal.tell(Part.LIFE, 'exits: the log records this member as ended.')
             return
         in_flight = InFlightCounter()
         in_flight.add(lambda: self._router.in_flight)
@@ -498,7 +498,7 @@
         return self._zone_members.has_ended(self.me) or self._cell_members.has_ended(self.me)
 
     async def _join(self) -> None:
-        """Join both streams, again before a third of the retention is left."""
+        """Write the join record to both streams, again after each third of the retention."""
         settings = self._settings
         advertised = settings.peers_advertised
         joined = Joined(
@@ -516,10 +516,10 @@
             await self._write_alive_records(rejoin_after)
 
     async def _write_alive_records(self, seconds: float) -> None:
-        """While some neighbour is silent to us, write that we are alive.
+        """Write liveness records while no message arrives from some monitored peer.
 
-        It may be cut off from us alone; without this it would take over
-        shards whose owner is well.
+        Only the link to that peer may be cut; without these records it would
+        take over shards whose owner is still running.
         """
         period = self._settings.timings.silent_after
         until = self._clock.monotonic() + seconds
@@ -546,8 +546,8 @@
     # Gossip.
 
     def _make_gossip(self, same_zone: bool) -> Gossip:
-        # Promises and the proofs behind them are the zone's own matter; other
-        # zones need to know only where there is room, and the contracts.
+        # Promises and the evidence behind them are exchanged only within the zone;
+        # other zones need only the free slots and the contracts.
         period = self._settings.timings.silent_after
         zone = self._settings.availability_zone
         heard = self._directory.heard_within(period, zone)
@@ -588,5 +588,5 @@
 
 
 def _make_incarnation(wall: float) -> str:
-    """Return a text that sorts after those of earlier starts on the host."""
+    """Return an id that sorts after those of earlier starts on the host."""
     return f'{int(wall * MILLISECONDS):013x}{os.urandom(INCARNATION_BYTES).hex()}'
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -1,4 +1,4 @@
-"""Readiness, and the order in which a daemon stops."""
+"""Readiness of a daemon, and the sequence of its shutdown."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 class Lifecycle:
-    """From the first read of the log to the last answer."""
+    """Tracks readiness from the first read of the log on, and drains the daemon at its end."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         contracts: ContractProjection,
         journal: Journal,
     ) -> None:
-        """Watch the readers and the contracts."""
+        """Derive readiness from the readers and the contracts."""
         self._settings = settings
         self._clock = clock
         self._cell_reader = cell_reader
@@ -35,27 +35,27 @@
         self.stopping = False
         self.drain_skipped = False
         self.stop_requested = curio.Event()
-        #: Set once the contracts of some peer have been seen.
+        #: Set once a peer has gossiped the same contracts as known here.
         self.peer_contracts_match = False
 
     def reasons_not_ready(self) -> tuple[str, ...]:
-        """Return why the balancer should send nothing here, empty when it may."""
+        """Return why the load balancer should send no requests here, empty if it may."""
         reasons = []
         if self.stopping:
             reasons.append('stopping')
         if not self.knows_contracts():
-            reasons.append('neither the log nor a peer has told the contracts in force')
+            reasons.append('the contracts in force are not known yet from the log or a peer')
         return tuple(reasons)
 
     def knows_contracts(self) -> bool:
-        """Return whether the log or a peer has told the contracts in force.
+        """Return whether the contracts in force are known from the log or a peer.
 
-        A daemon that knows no newest contract would enforce an old one.
+        A daemon that lacks the newest contract would enforce an outdated one.
         """
         return self._cell_reader.caught_up or self.peer_contracts_match
 
     async def request_stop(self) -> None:
-        """Begin the planned stop; a second call hurries it."""
+        """Begin a graceful stop; a second call skips the waiting."""
         if self.stopping:
             self.drain_skipped = True
         self.stopping = True
@@ -70,14 +70,14 @@
         me: str,
         finish_connections: Callable[[], None],
     ) -> None:
-        """Stop in order: unready, wait for the balancer, hand over, finish, leave.
+        """Shut down: turn unready, wait for the balancer, hand over shards, finish, leave.
 
-        From when the balancer must have noticed, ``finish_connections`` has
-        each answer close its connection, so that no caller sends on one that
-        ends with this process.
+        Once the balancer must have noticed, ``finish_connections`` makes each
+        answer close its connection, so that no caller sends a request on a
+        connection that ends with this process.
         """
         timings = self._settings.timings
-        self._journal.tell(Part.LIFE, 'is stopping; it is not ready any more.')
+        self._journal.tell(Part.LIFE, 'is stopping and reports not ready.')
         await self._wait_unless_skipped(timings.drain_balancer_lag)
         finish_connections()
         claimer.draining = True
@@ -96,16 +96,16 @@
         cell_writer: StreamWriter,
         me: str,
     ) -> None:
-        # Only a daemon that holds nothing may say that it has left: the next
-        # owner of its shards would not wait for what it sent last.
+        # Only a daemon without shards may write that it has left: the next owner of
+        # its shards does not wait for the effects of its last messages.
         if claimer.owned_claims():
-            self._journal.tell(Part.LIFE, 'stops with shards that were not handed over.')
+            self._journal.tell(Part.LIFE, 'is stopping with shards that were not handed over.')
             return
         for writer in (zone_writer, cell_writer):
             try:
                 await writer.write(Left(me), LEFT_WRITE_SECONDS)
             except LogError as error:
-                self._journal.tell(Part.LIFE, f'could not write that it left: {error}.')
+                self._journal.tell(Part.LIFE, f'could not write the leave record: {error}.')
 
     async def _wait_unless_skipped(self, seconds: float) -> None:
         deadline = self._clock.monotonic() + seconds
@@ -114,7 +114,7 @@
 
 
 class InFlightCounter:
-    """Counts what must be finished before the daemon may exit."""
+    """Counts the requests that must be finished before the daemon may exit."""
 
     def __init__(self) -> None:
         """Start with no sources."""
@@ -125,5 +125,5 @@
         self._sources.append(source)
 
     def count(self) -> int:
-        """Return how much is under way."""
+        """Return the total over all sources."""
         return sum(source() for source in self._sources)
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -1,4 +1,4 @@
-"""The daemon's own metrics: log, ownership, queues, workers, control cost."""
+"""The daemon's own metrics: log, ownership, queues, workers, control traffic."""
 
 import resource
 from collections.abc import Iterable
@@ -21,11 +21,11 @@
     """Bytes of control messages, by peer and kind."""
 
     def __init__(self, traffic: Traffic) -> None:
-        """Read the counts that the peers' streams keep."""
+        """Read the byte counts of the peer connections."""
         self._traffic = traffic
 
     def collect(self) -> Iterable[CounterMetricFamily]:
-        """Yield the counts."""
+        """Yield the byte counters."""
         family = CounterMetricFamily(
             'dandelionreel_control_bytes',
             'Bytes to and from peers, by message, and to and from the platform.',
@@ -42,7 +42,7 @@
     """Gauges that are set once a second."""
 
     def __init__(self, traffic: Traffic) -> None:
-        """Keep a registry of its own, so that daemons in one process stay apart."""
+        """Create a separate registry, so that daemons in one process do not share metrics."""
         self.registry = CollectorRegistry()
         self.registry.register(ControlBytesCollector(traffic))
         self._log_outage = self._add_gauge('log_outage_seconds', 'Seconds without the log, in all.')
--- a/dandelionreel/records/__init__.py
+++ b/dandelionreel/records/__init__.py
@@ -1,4 +1,4 @@
-"""The log lines of many hosts, gathered into the story of one job, or of all."""
+"""Reconstructs the history of jobs from the log lines of many hosts."""
 
 from dandelionreel.records._event_kinds import EventKind
 from dandelionreel.records._lines import ReadStats, read_lines
--- a/dandelionreel/records/_event_collector.py
+++ b/dandelionreel/records/_event_collector.py
@@ -1,8 +1,8 @@
-"""Picks the lines that matter out of many, in one pass and a bounded room.
+"""Selects the log lines that are relevant to a job, in one pass and bounded memory.
 
-Which hosts and runners a job has to do with is known only at the end: until then lines
-about owners, runners, stores and hosts are kept, the same ones once in some seconds. A
-list of 176 runners that 35 hosts read again writes 6,000 lines within a second.
+Which hosts and runners a job involves is known only at the end. Until then lines about
+owners, runners, stores and hosts are kept, equal ones once per interval: when 35 hosts
+reload a list of 176 runners, they write 6,000 lines within a second.
 """
 
 from dataclasses import dataclass
@@ -11,16 +11,16 @@
 from dandelionreel.records._log_event import LogEvent, decode_event
 from dandelionreel.records._subject import Subject
 
-#: Lines of the job itself that are kept, about 1.5 KB each.
+#: Limit of kept events that name the job, about 1.5 KB each.
 MAX_JOB_EVENTS = 20_000
-#: Lines around it that are kept, about 0.6 KB each.
+#: Limit of kept lines that don't name the job, about 0.6 KB each.
 MAX_CONTEXT_LINES = 40_000
-#: Seconds in which the same sentence is kept once.
+#: Interval in which equal lines are kept once.
 DEDUPLICATION_SECONDS = 10.0
-#: Parts whose lines may matter without naming the job.
+#: Logging parts whose lines may be relevant without naming the job.
 CONTEXT_PARTS = frozenset(('ownership', 'workers', 'log', 'life'))
-#: Ends of sentences that each host writes as it reads the list of runners; the first
-#: kind tells nothing of a job.
+#: Endings of lines that each host writes when it reads the list of runners. Lines of
+#: the first kind are never relevant to a job; equal ones of the others are merged over hosts.
 READY_ENDING = ' is ready.'
 RUNNER_LIST_ENDINGS = (' is draining.', ' has gone.')
 
@@ -29,7 +29,7 @@
 
 @dataclass
 class LogSpan:
-    """From when to when a host's lines go, in seconds of its wall clock."""
+    """Time of the first and the last line of a host, in seconds of its wall clock."""
 
     first: float
     last: float
@@ -43,24 +43,24 @@
 
 
 class EventCollector:
-    """Lines of one job, and lines around it."""
+    """Collects the events of one job, and lines that may explain them."""
 
     def __init__(self, subject: Subject) -> None:
-        """Gather for ``subject``."""
+        """Collect events for ``subject``."""
         self.subject = subject
         self.job_events: list[LogEvent] = []
         self.span_by_host: dict[str, LogSpan] = {}
-        #: Lines that there was no room for.
+        #: Lines that were dropped because a limit was reached.
         self.left_out = 0
-        #: Lines around the job with a broken field, which shows when they are looked at.
+        #: Context lines with a broken field, found only when they are fully decoded.
         self.unreadable = 0
-        #: One of so many lines of the frequent kinds was written.
+        #: Sampling rate of frequent lines: one of this many was written.
         self.sampled = 1
         self._job_id = subject.job.encode()
         self._context_lines: dict[Key, _ContextLine] = {}
 
     def add(self, content: bytes, line: LineHeader) -> bool:
-        """Keep a line if it may matter; return whether it can be read."""
+        """Keep a line if it may be relevant; return whether it can be decoded."""
         self._note_span(line)
         if isinstance(line.sampled, int):
             self.sampled = max(self.sampled, line.sampled)
@@ -71,7 +71,7 @@
         return True
 
     def context_events(self) -> list[LogEvent]:
-        """Return the lines that may matter without naming the job."""
+        """Return the events that may be relevant without naming the job."""
         made = [decode_event(kept.content, kept.count) for kept in self._context_lines.values()]
         readable = [event for event in made if event is not None]
         self.unreadable += len(made) - len(readable)
@@ -97,7 +97,7 @@
         return True
 
     def _filter_listed_runs(self, event: LogEvent) -> bool:
-        """Leave in a list of runs only those asked about; return whether one is left."""
+        """Reduce a list of runs to those of the subject; return whether any is left."""
         found = event.more.get('found')
         if not isinstance(found, list):
             return True
@@ -122,7 +122,7 @@
 
 
 def _contains_word(content: bytes, word: bytes) -> bool:
-    """Return whether a word stands in a line by itself, not within another id."""
+    """Return whether a line contains a word that is not part of a longer id."""
     at = content.find(word)
     while at >= 0:
         following = content[at + len(word) : at + len(word) + 1]
--- a/dandelionreel/records/_event_kinds.py
+++ b/dandelionreel/records/_event_kinds.py
@@ -1,11 +1,11 @@
-"""Which part of a job's life a line tells of, by its sentence."""
+"""Classifies log lines by their text."""
 
 import enum
 import re
 
 
 class EventKind(enum.Enum):
-    """What a line tells; its value is shown."""
+    """The kind of a log event; the value is shown."""
 
     ACCEPTED = 'accepted'
     ALREADY_ACCEPTED = 'known'
@@ -39,8 +39,8 @@
     OTHER = 'other'
 
 
-#: Sentences, the more special ones first. What a later version of the program writes
-#: and this table does not name is shown as its part's.
+#: Patterns of log texts, specific ones first. A text that matches none, such as one of a
+#: newer version, gets the kind of the part that logged it.
 _KIND_PATTERNS = tuple(
     (re.compile(pattern), kind)
     for pattern, kind in (
@@ -84,7 +84,7 @@
 
 
 def classify_event(text: str) -> EventKind:
-    """Return what a line with that text tells."""
+    """Return the kind of a log line with this text."""
     for pattern, kind in _KIND_PATTERNS:
         if pattern.match(text):
             return kind
--- a/dandelionreel/records/_job_histories.py
+++ b/dandelionreel/records/_job_histories.py
@@ -1,4 +1,4 @@
-"""Each job's life in a few times, put together from the lines of all hosts."""
+"""The times of each job's state changes, combined from the logs of all hosts."""
 
 import re
 from collections.abc import Iterable
@@ -7,10 +7,10 @@
 from dandelionreel.records._event_kinds import EventKind
 from dandelionreel.records._log_event import LogEvent
 
-#: Jobs that are kept, about 1 KB each.
+#: Limit of kept jobs, about 1 KB each.
 MAX_JOBS = 100_000
 COMPLETED = 'completed'
-#: What may happen to a job besides being run.
+#: Events that may delay a job.
 INCIDENT_KINDS = frozenset(
     (
         EventKind.RUN_LOST,
@@ -28,51 +28,51 @@
 
 @dataclass
 class JobHistory:
-    """One job; times are wall seconds, ``None`` where no line tells."""
+    """One job; times are wall-clock seconds, ``None`` if no event has them."""
 
     job: str
     queue: str = ''
     account: str = ''
-    #: When a host was first asked to take it.
+    #: When it was first submitted.
     sent_at: float | None = None
-    #: When a host first turned it away, and which one.
+    #: When a host first refused it, and which host.
     refused_at: float | None = None
     refused_by: str = ''
     accepted_at: float | None = None
     started_at: float | None = None
     finished_at: float | None = None
     state: str = ''
-    #: Seconds within which it is in time, as its queue promises.
+    #: Seconds within which it must finish, as declared for its queue.
     objective: float | None = None
-    #: When its end first stood in the store, and so could be shown.
+    #: When its end was first stored, from when on hosts show it.
     visible_at: float | None = None
     cancelled: bool = False
-    #: Availability zones of the runners that it was started on.
+    #: Availability zones of the runners on which it was started.
     zones: set[str] = field(default_factory=set)
-    #: What became of its runs besides being done.
+    #: Events that may have delayed it.
     incidents: set[EventKind] = field(default_factory=set)
     failed_run: bool = False
 
     @property
     def seconds(self) -> float | None:
-        """Return how long its caller waited, ``None`` for one that was never told of its end."""
+        """Return the seconds from submission to its visible end, ``None`` if either is unknown."""
         if self.sent_at is None or self.visible_at is None:
             return None
         return self.visible_at - self.sent_at
 
 
 class JobHistories:
-    """Jobs by id."""
+    """Histories of jobs by job id."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without jobs."""
         self.by_job: dict[str, JobHistory] = {}
-        #: Lines of jobs that there was no room for.
+        #: Events of jobs that were dropped because the limit was reached.
         self.left_out = 0
         self._stored_ends: list[tuple[float, str]] = []
 
     def add(self, event: LogEvent, job: str, jobs: Iterable[str]) -> None:
-        """Take a line that names ``job``, or that names ``jobs`` whose ends it tells of."""
+        """Add an event of ``job``, or one that reports the ends of ``jobs``."""
         if event.kind in {EventKind.END_STORED, EventKind.COMPLETION_SHOWN}:
             self._stored_ends.extend((event.at, name) for name in jobs)
             return
@@ -90,7 +90,7 @@
             _set_account(history, event)
 
     def finish(self) -> list[JobHistory]:
-        """Return all jobs by the time at which they were sent, once all lines were taken."""
+        """Return the submitted jobs in order of submission, after all events were added."""
         for at, job in self._stored_ends:
             history = self.by_job.get(job)
             if history is None or history.finished_at is None or at < history.finished_at:
@@ -98,7 +98,7 @@
             history.visible_at = _earlier(history.visible_at, at)
         for history in self.by_job.values():
             if history.accepted_at is None and history.started_at is not None:
-                # Its client was never told so; it ran all the same.
+                # Its acceptance is not logged, but it was started.
                 history.accepted_at = history.started_at
         sent = [history for history in self.by_job.values() if history.sent_at is not None]
         return sorted(sent, key=_sent_at)
--- a/dandelionreel/records/_lines.py
+++ b/dandelionreel/records/_lines.py
@@ -1,8 +1,8 @@
-"""Lines of logs, one at a time: what can't be read is counted and left out.
+"""Reads log files line by line; lines that can't be decoded are counted and skipped.
 
-Logs come cut at both ends, mixed with other programs' lines, or with something put
-before each line. None of it may end the reading, nor may one endless line take all
-memory: it would show as a tool that is killed while it reads the one log that matters.
+Logs may be truncated at both ends, contain lines of other programs, or have a prefix on
+each line. None of this may abort the reading, and one very long line must not exhaust
+the memory, or the tool would be killed while it reads the log that is needed.
 """
 
 import math
@@ -12,12 +12,12 @@
 
 import msgspec
 
-#: Bytes of a line that are read; the longest of our own has some 4,000.
+#: Bytes of a line that are read; the longest valid line has some 4,000.
 MAX_LINE_BYTES = 65_536
 
 
 class LineHeader(msgspec.Struct):
-    """The part of a line that says whether it matters; all else stays in its bytes."""
+    """The fields that decide whether a line is relevant; the others are decoded later."""
 
     host: str
     text: str
@@ -29,34 +29,34 @@
 
 @dataclass
 class ReadStats:
-    """How much was read, and what of it was no line of ours."""
+    """Counts of what was read, and of lines that could not be decoded."""
 
     files: int = 0
     lines: int = 0
     size: int = 0
     bad: int = 0
-    #: Where the first one stands that can't be read, as ``FILE:NUMBER``.
+    #: Position of the first bad line, as ``FILE:NUMBER``.
     first_bad: str = ''
     #: The file and the number of the line that is being read.
     name: str = ''
     number: int = 0
 
     def note_bad(self) -> None:
-        """Count the line that is being read as one that can't be."""
+        """Count the current line as bad."""
         self.bad += 1
         self.first_bad = self.first_bad or f'{self.name}:{self.number}'
 
 
 _DECODER = msgspec.json.Decoder(LineHeader)
-#: A value that is nested too deep is a recursion error in the decoder.
+#: The decoder raises ``RecursionError`` for a value that is nested too deeply.
 DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 
 def read_lines(stream: BinaryIO, name: str, stats: ReadStats) -> Iterator[tuple[bytes, LineHeader]]:
-    """Return each line's object as bytes, and what it says of itself.
+    """Yield each line's JSON object as bytes, and its header fields.
 
-    ``name`` is the file's, for the tally. Blank lines count as none. Raises ``OSError``
-    where the stream can't be read on.
+    ``name`` is the file name for ``stats``. Blank lines are not counted. Raises ``OSError``
+    if the stream can't be read.
     """
     stats.files += 1
     stats.name = name
@@ -75,7 +75,7 @@
 
 
 def _read_raw_lines(stream: BinaryIO, stats: ReadStats) -> Iterator[bytes]:
-    """Return lines; one that is too long is cut, so that it can't be read."""
+    """Yield raw lines; one that is too long is truncated, so that it fails to decode."""
     while True:
         raw = stream.readline(MAX_LINE_BYTES)
         if not raw:
--- a/dandelionreel/records/_log_event.py
+++ b/dandelionreel/records/_log_event.py
@@ -1,4 +1,4 @@
-"""One thing that was told: a line with the fields that a story is made of."""
+"""One log event: a decoded log line with the fields that reports use."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -8,7 +8,7 @@
 from dandelionreel.records._event_kinds import EventKind, classify_event
 from dandelionreel.records._lines import DECODE_ERRORS
 
-#: Fields that are shown in columns of their own, or that say nothing of the job.
+#: Fields that have attributes of their own, or say nothing about the job.
 _OWN_FIELDS = frozenset(
     (
         'host',
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class LogEvent:
-    """A line; ``at`` is its host's wall clock in seconds."""
+    """A log event; ``at`` is its host's wall clock in seconds."""
 
     at: float
     host: str
@@ -39,22 +39,22 @@
     run: int | None = None
     epoch: int | None = None
     runner: str = ''
-    #: All other fields, as they were written.
+    #: All other fields, unchanged.
     more: dict[str, Any] = field(default_factory=dict)
-    #: How many lines told the same within some seconds.
+    #: Number of equal lines that were merged into this one.
     count: int = 1
 
     @property
     def sentence(self) -> str:
-        """Return the text without the part that wrote it."""
+        """Return the text without the prefix that names its logging part."""
         return self.text.partition(': ')[2] or self.text
 
 
 def decode_event(content: bytes, count: int = 1) -> LogEvent | None:
-    """Return what a line tells; ``None`` where a field that was passed over is broken.
+    """Return the event of a line; ``None`` if one of its fields is broken.
 
-    A line is first read only as far as its few own fields, which leaves the others'
-    letters and nesting unchecked.
+    The line's header was decoded before, which does not check the encoding and the
+    nesting of its other fields.
     """
     try:
         fields = msgspec.json.decode(content)
--- a/dandelionreel/records/_outages.py
+++ b/dandelionreel/records/_outages.py
@@ -1,7 +1,8 @@
-"""When which hosts were without the store, down, or without an owner, as their lines tell.
+"""Outages that the logs show: hosts without the store, hosts down, cells without an owner.
 
-One host without the store may be cut off by itself; all hosts of an availability zone and
-no other tell of a cut of the zone; hosts of all zones tell that the store was away.
+If one host lost the store, the host itself may be cut off; if exactly the hosts of an
+availability zone lost it, the zone is partitioned; if hosts of all zones lost it, the
+store was down.
 """
 
 import enum
@@ -11,22 +12,22 @@
 from dandelionreel.records._event_kinds import EventKind
 from dandelionreel.records._log_event import LogEvent
 
-#: Seconds after a claim in which a new owner still looks at the runners.
+#: Seconds after a claim in which a new owner still reads the state of the runners.
 TAKEOVER_SETTLE_SECONDS = 0.3
-#: Seconds within which the hosts of a cell start again that were lost together.
+#: Hosts of a cell that went down together start again within this many seconds.
 COMMON_START_SECONDS = 3.0
 LOST_STORE = 'log: has lost the store: cell'
 REGAINED_STORE = 'log: reaches the store: cell'
 HOST_STARTED = 'life: starts.'
 NOT_READY = 'life: asks for no clients: '
 READY = 'life: asks for clients.'
-#: Why a host asks for no clients when it is without the store.
+#: Reasons for not being ready that mean that the host has lost the store.
 STORE_CAUSES = ('store', 'cut off')
 OWNS_CELL = 'ownership: owns the cell'
 
 
 class OutageScope(enum.Enum):
-    """How far a loss of the store reaches; its value is shown."""
+    """Extent of a store outage; the value is shown."""
 
     HOST = 'a host was without the store'
     ZONE = 'an availability zone was cut off'
@@ -35,21 +36,21 @@
 
 @dataclass
 class TimeSpan:
-    """From when to when something held, in wall seconds; infinite while it lasts."""
+    """A time span in wall-clock seconds; ``until`` is infinite while it lasts."""
 
     since: float
     until: float = float('inf')
 
     def overlaps(self, since: float, until: float) -> bool:
-        """Return whether some of a time lies within."""
+        """Return whether the span overlaps another one."""
         return self.since < until and since < self.until
 
 
 class Outages:
-    """Spans by host, and what they say together."""
+    """Collects outages of hosts, and derives those of zones and of the cell."""
 
     def __init__(self) -> None:
-        """Start with nothing told."""
+        """Start without outages."""
         self.zone_by_host: dict[str, str] = {}
         self.takeovers: list[TimeSpan] = []
         self._store_outages_by_host: dict[str, list[TimeSpan]] = defaultdict(list)
@@ -57,11 +58,11 @@
         self._last_line_by_host: dict[str, float] = {}
 
     def note_host(self, host: str, at: float) -> None:
-        """Note that a host wrote a line; each host's lines come in order."""
+        """Record the time of a host's latest line; each host's lines come in order."""
         self._last_line_by_host[host] = at
 
     def add(self, event: LogEvent) -> None:
-        """Take a line about a host; each host's lines come in order."""
+        """Add an event about a host; each host's events come in order."""
         text = event.text
         if text.startswith(HOST_STARTED):
             self._add_host_start(event)
@@ -76,7 +77,7 @@
             self.takeovers.append(TimeSpan(since, event.at + TAKEOVER_SETTLE_SECONDS))
 
     def find_store_outage_scope(self, since: float, until: float) -> OutageScope | None:
-        """Return how far a loss of the store within a time reached, ``None`` without one."""
+        """Return the scope of store outages within a time span, ``None`` without any."""
         affected = {
             host
             for host, spans in self._store_outages_by_host.items()
@@ -91,12 +92,12 @@
         return OutageScope.ZONE if fully_affected else OutageScope.HOST
 
     def partitioned_zones(self, since: float, until: float) -> set[str]:
-        """Return the zones all of whose hosts were without the store within a time."""
+        """Return the zones all of whose hosts were without the store within a time span."""
         zones = set(self.zone_by_host.values())
         return {zone for zone in zones if self._was_partitioned(zone, since, until)}
 
     def find_total_outages(self) -> list[TimeSpan]:
-        """Return when no host was up."""
+        """Return the spans in which no host was up."""
         starts = sorted(
             (span.until, span.since) for spans in self._downtimes_by_host.values() for span in spans
         )
@@ -128,7 +129,7 @@
         self._end_store_outage(event.host, event.at)
         last = self._last_line_by_host.get(event.host)
         if last is not None:
-            # Of what was before the first start nothing is told.
+            # The logs don't show how long the host was down before its first line.
             self._downtimes_by_host[event.host].append(TimeSpan(last, event.at))
 
     def _begin_store_outage(self, host: str, at: float) -> None:
@@ -143,11 +144,11 @@
 
 
 def _seconds(event: LogEvent, name: str) -> float:
-    """Return a field of a line in seconds, none where it does not tell."""
+    """Return a field in seconds, 0 if the event lacks it."""
     found = event.more.get(name)
     return float(found) if isinstance(found, int | float) else 0.0
 
 
 def is_host_event(kind: EventKind) -> bool:
-    """Return whether lines of that stage may tell of a trouble of hosts."""
+    """Return whether events of a kind may show an outage."""
     return kind in {EventKind.HOST, EventKind.STORE, EventKind.TAKEOVER}
--- a/dandelionreel/records/_reasons.py
+++ b/dandelionreel/records/_reasons.py
@@ -1,4 +1,4 @@
-"""Why a job was not served in time, in one reason: where most of its time went."""
+"""Finds the main reason why a job was late: where most of its time was spent."""
 
 import enum
 
@@ -6,15 +6,15 @@
 from dandelionreel.records._job_histories import CANCELLED, JobHistory
 from dandelionreel.records._outages import Outages, OutageScope, TimeSpan
 
-#: A job that takes more than this many times its objective is of no use to its caller.
+#: A job that takes longer than this many times its objective is useless to its caller.
 TOO_LATE_FACTOR = 3.0
-#: Seconds that handing in, the first start and the store's answer may take together
-#: without being why a job is late.
+#: Submission, first start and storing of the end are no reason for lateness if each takes
+#: at most this many seconds.
 NORMAL_DELAY_SECONDS = 0.25
 
 
 class Verdict(enum.Enum):
-    """How a job was served; its value is shown."""
+    """How a job was served; the value is shown."""
 
     IN_TIME = 'in time'
     LATE = 'late'
@@ -25,7 +25,7 @@
 
 
 class Reason(enum.Enum):
-    """Why it was not in time; its value is shown."""
+    """Why a job was not in time; the value is shown."""
 
     STORE_NOT_ACCEPTED = 'the store was away: not accepted'
     STORE_NOT_STARTED = 'the store was away: not started'
@@ -54,7 +54,7 @@
 
 
 def classify_job(history: JobHistory) -> Verdict:
-    """Return how a job was served, by its objective as it was declared."""
+    """Return how a job was served, compared with its declared objective."""
     if history.cancelled or history.state == CANCELLED:
         return Verdict.CANCELLED
     if history.accepted_at is None:
@@ -125,7 +125,7 @@
 
 
 def _find_account_limit(history: JobHistory) -> Reason | None:
-    """Return what kept a job from starting that had tickets and seats to be had."""
+    """Return the account limit that kept a job from starting, ``None`` without one."""
     if EventKind.HELD_BY_QUOTA in history.incidents:
         return Reason.QUOTA
     return Reason.SHARE if EventKind.BEYOND_SHARE in history.incidents else None
@@ -151,7 +151,7 @@
 
 
 def _find_incident(history: JobHistory) -> Reason | None:
-    """Return what happened to a job's runs that made it long."""
+    """Return the incident that made a job's runs take longer, ``None`` without one."""
     if history.incidents & {EventKind.RUN_LOST, EventKind.RUN_MISSING, EventKind.START_UNANSWERED}:
         return Reason.RUNNER
     if history.failed_run:
--- a/dandelionreel/records/_repeated_starts.py
+++ b/dandelionreel/records/_repeated_starts.py
@@ -1,4 +1,4 @@
-"""Tasks that were started more than once: what the later starter had been told."""
+"""Tasks that were started more than once: what the later owner knew when it started them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,9 +7,9 @@
 from dandelionreel.records._log_event import LogEvent
 from dandelionreel.records._runs import Run
 
-#: Lines of one host that are quoted for one start.
+#: Limit of quoted events about the run, and of those about the ownership, per start.
 MAX_QUOTED = 6
-#: Stages by which an owner learns that an earlier run is over, or takes it to be.
+#: Events from which an owner concludes that an earlier run is over.
 EVIDENCE_KINDS = frozenset(
     (
         EventKind.RUN_ENDED,
@@ -23,7 +23,7 @@
         EventKind.START_UNANSWERED,
     ),
 )
-#: Stages of those that say that the run is over, or can't go on.
+#: Those of them that show that the run has ended or can't continue.
 RUN_OVER_KINDS = frozenset(
     (
         EventKind.RUN_ENDED,
@@ -34,7 +34,7 @@
     ),
 )
 RUNNER_KINDS = frozenset((EventKind.RUNNER_GONE, EventKind.RUNS_LISTED))
-#: How a new owner tells that it has waited for the leases on runners it can't reach.
+#: Logged by a new owner once leases on runners that it can't reach must have expired.
 LEASES_EXPIRED_TEXT = 'takes the leases on unseen runners for run out'
 NO_EVIDENCE_TEXT = ', of which no line tells'
 OWNER_KINDS = frozenset((EventKind.TAKEOVER, EventKind.OWNERSHIP))
@@ -42,20 +42,20 @@
 
 @dataclass(frozen=True)
 class RepeatedStart:
-    """Two runs of a task, one after the other."""
+    """Two successive runs of a task."""
 
     earlier: Run
     later: Run
-    #: What is to be thought of it, in one sentence.
+    #: The conclusion, in one sentence.
     finding: str
-    #: Whether the lines show no reason for which it might have been started.
+    #: Whether no event justifies the later start.
     suspect: bool
-    #: What the later starter was told before, the latest last.
+    #: What the owner of the later run had logged before its start, in order of time.
     known_events: tuple[LogEvent, ...]
 
 
 def find_repeated_starts(runs: Iterable[Run], events: list[LogEvent]) -> list[RepeatedStart]:
-    """Return each run with the one before it of the same task; ``lines`` are in order."""
+    """Return each pair of successive runs of a task; ``events`` are in order of time."""
     repeated = []
     earlier: Run | None = None
     for run in runs:
@@ -72,7 +72,7 @@
 
 
 def _find_known_events(earlier: Run, later: Run, events: list[LogEvent]) -> tuple[LogEvent, ...]:
-    """Return what the later run's owner wrote of the earlier one, and of its own term."""
+    """Return what the later run's owner logged about the earlier run and its own ownership."""
     at = later.start_sent_at
     if at is None:
         return ()
@@ -83,7 +83,7 @@
 
 
 def _is_evidence_of(event: LogEvent, run: Run) -> bool:
-    """Return whether a line is about a run, or about its runner while it was there."""
+    """Return whether an event concerns a run, or its runner after the run began."""
     if event.kind not in EVIDENCE_KINDS:
         return False
     if any(run_event is event for run_event in run.events):
@@ -95,7 +95,7 @@
 def _explain_start(
     earlier: Run, later: Run, known_events: tuple[LogEvent, ...]
 ) -> tuple[str, bool]:
-    """Return what the lines say of a second start, and whether it is suspect."""
+    """Return the explanation of a repeated start, and whether it is suspect."""
     if later.start_sent_at is None:
         return 'the later start is in no line that was read', True
     over_events = [event for event in known_events if _shows_run_over(event, earlier)]
@@ -142,7 +142,7 @@
 
 
 def _lists_all_but(event: LogEvent, run: Run) -> bool:
-    """Return whether a new owner's first look named all that its runner had, and not the run."""
+    """Return whether a new owner's first list of a runner's runs is complete and lacks the run."""
     repeated = event.more.get('found')
     if event.more.get('first') is not True or not isinstance(repeated, list):
         return False
@@ -151,7 +151,7 @@
 
 
 def _find_expiry(known_events: tuple[LogEvent, ...], runner: str) -> LogEvent | None:
-    """Return where a new owner took the leases on a runner that it had not seen for over."""
+    """Return where a new owner logged that the leases on an unseen runner have expired."""
     for event in reversed(known_events):
         if LEASES_EXPIRED_TEXT not in event.text:
             continue
@@ -162,7 +162,7 @@
 
 
 def _describe_overlap(earlier: Run, start_sent_at: float) -> str:
-    """Return what other hosts read of a run's end, empty where no line tells of one."""
+    """Describe a run's end that another host recorded; empty if no event has one."""
     if earlier.ended_at is None:
         return ''
     if earlier.ended_at > start_sent_at:
--- a/dandelionreel/records/_report.py
+++ b/dandelionreel/records/_report.py
@@ -1,4 +1,4 @@
-"""The whole story of a job or a task, made of what was gathered."""
+"""The report on a job or a task, made from the collected events."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 from dandelionreel.records._subject import Subject
 from dandelionreel.records._waits import Wait, find_submission_time, find_waits
 
-#: Seconds before a job's first line and after its last whose lines around it are shown.
+#: Context events are shown from this long before a job's first event to as long after its last.
 MARGIN_SECONDS = 1.0
-#: Fields of a start without which nobody can tell what its owner knew.
+#: Fields of a start that tell how current the owner's knowledge was.
 KNOWLEDGE_AGE_FIELDS = ('version', 'store_age', 'runner_age')
-#: Stages of lines that are told of a host: shown if the host had to do with the job.
+#: Events about a host: shown if the host logged events of the job.
 HOST_KINDS = frozenset((EventKind.STORE, EventKind.HOST))
 RUNNER_KINDS = frozenset((EventKind.RUNNER, EventKind.RUNNER_GONE, EventKind.RUNS_LISTED))
 END_STORING_KINDS = frozenset((EventKind.END_STORED, EventKind.END_NOT_STORED))
@@ -26,25 +26,25 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What all hosts told, in order of time, and what follows from it."""
+    """The events of all hosts in order of time, and the conclusions from them."""
 
     subject: Subject
     stats: ReadStats
-    #: The job's own lines, and those around them that it had to do with.
+    #: The job's own events, and related ones of its owners, hosts and runners.
     events: tuple[LogEvent, ...]
-    #: When the job was handed in, or first told of.
+    #: When the job was submitted, or the time of its first event.
     began_at: float
     runs: tuple[Run, ...]
     repeated_starts: tuple[RepeatedStart, ...]
     waits: tuple[Wait, ...]
-    #: What can't be known from the lines that were read, and why.
+    #: What can't be concluded from the logs, and why.
     unknowns: tuple[str, ...]
 
 
 def explain(subject: Subject, streams: Iterable[tuple[str, BinaryIO]]) -> Report | None:
-    """Return the story of ``subject`` from named streams; ``None`` where no line names it.
+    """Return the report on ``subject`` from named streams; ``None`` if no line names it.
 
-    The streams are read once, each to its end; ``OSError`` of theirs is passed on.
+    Each stream is read once, to its end; its ``OSError`` is passed on.
     """
     stats = ReadStats()
     collector = EventCollector(subject)
@@ -77,7 +77,7 @@
 
 
 def _concerns_runs(event: LogEvent, runs: list[Run]) -> bool:
-    """Return whether a line that is told of whole jobs or of any run is about these runs."""
+    """Return whether an event about a run, or about stored ends of jobs, is about these runs."""
     if event.kind in END_STORING_KINDS or event.run is not None:
         return any(run_event is event for run in runs for run_event in run.events)
     return True
@@ -86,7 +86,7 @@
 def _select_context(
     job_events: list[LogEvent], runs: list[Run], context: list[LogEvent]
 ) -> list[LogEvent]:
-    """Return the lines that don't name the job and matter to it."""
+    """Return the context events that are relevant to the job."""
     first = find_submission_time(job_events, runs) - MARGIN_SECONDS
     last = job_events[-1].at + MARGIN_SECONDS
     hosts = {event.host for event in job_events}
@@ -107,7 +107,7 @@
 
 
 def _find_last_takeover(context: list[LogEvent], first: float) -> list[LogEvent]:
-    """Return who had taken the cell over last when the job came."""
+    """Return the last takeover of the cell before a time, if any."""
     earlier = [event for event in context if event.kind is EventKind.TAKEOVER and event.at < first]
     return earlier[-1:]
 
@@ -166,7 +166,7 @@
 def _find_truncated_logs(
     first: float, job_events: list[LogEvent], span_by_host: dict[str, LogSpan]
 ) -> list[str]:
-    """Name the logs, of hosts that the job had to do with, which begin too late."""
+    """Describe logs of the job's hosts that begin after its submission."""
     unknowns = []
     for host in sorted({event.host for event in job_events}):
         late = span_by_host[host].first - first
--- a/dandelionreel/records/_review.py
+++ b/dandelionreel/records/_review.py
@@ -1,4 +1,4 @@
-"""How the jobs of some time were served, and why those were late that were."""
+"""Summary of how all jobs in the logs were served, and why some were late."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -13,14 +13,14 @@
 from dandelionreel.records._outages import Outages, TimeSpan, is_host_event
 from dandelionreel.records._reasons import Reason, Verdict, classify_job, find_reason
 
-#: Parts whose lines tell of jobs or of hosts.
+#: Logging parts whose lines concern jobs or hosts.
 REVIEWED_PARTS = frozenset(('jobs', 'placement', 'workers', 'life', 'log', 'ownership'))
-#: Verdicts of jobs that their callers did not get in time.
+#: Verdicts of jobs that were not served in time.
 MISSED_VERDICTS = (Verdict.LATE, Verdict.TOO_LATE, Verdict.REFUSED, Verdict.OPEN)
 
 
 class _JobIds(msgspec.Struct):
-    """Which jobs a line names."""
+    """The job ids in a line."""
 
     job: object = ''
     jobs: object = ()
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Review:
-    """All jobs of the logs; ``began_at`` is when the first one was sent."""
+    """Summary of all jobs in the logs; ``began_at`` is when the first one was submitted."""
 
     stats: ReadStats
     began_at: float
@@ -48,14 +48,14 @@
     counts_by_account: dict[str, Counter[Verdict]]
     missed_jobs: tuple[MissedJob, ...]
     takeovers: tuple[TimeSpan, ...]
-    #: Jobs that there was no room for.
+    #: Events of jobs that were dropped because the limit was reached.
     left_out: int
 
 
 def review(streams: Iterable[tuple[str, BinaryIO]]) -> Review | None:
-    """Return how all jobs were served; ``None`` where no line tells of a job.
+    """Return how all jobs were served; ``None`` if no line names a job.
 
-    The streams are read once, each to its end; ``OSError`` of theirs is passed on.
+    Each stream is read once, to its end; its ``OSError`` is passed on.
     """
     stats = ReadStats()
     histories, outages = JobHistories(), Outages()
@@ -111,7 +111,7 @@
 
 
 def view_review(result: Review) -> dict[str, Any]:
-    """Return a review as plain values; times are seconds since the first job was sent."""
+    """Return a review as plain values; times are seconds since the first submission."""
     zero = result.began_at
     return {
         'read': {
--- a/dandelionreel/records/_runs.py
+++ b/dandelionreel/records/_runs.py
@@ -1,4 +1,4 @@
-"""The runs of each task, put together from what different hosts told of them."""
+"""The runs of each task, combined from the events of all hosts."""
 
 import re
 from collections.abc import Iterable
@@ -8,27 +8,27 @@
 from dandelionreel.records._event_kinds import EventKind
 from dandelionreel.records._log_event import LogEvent
 
-#: Runs of one epoch; a run's number tells its owner where a line has no epoch.
+#: Run numbers per epoch; a run's number gives its epoch where an event has none.
 RUNS_PER_EPOCH = 1000
-#: Stages that end what is known of a run, besides its end.
+#: Outcomes of runs whose end was not reported.
 OUTCOME_BY_KIND = {
     EventKind.RUN_MISSING: 'not there',
     EventKind.START_REFUSED: 'not taken',
     EventKind.RUN_LOST: 'lost with its runner',
 }
-#: What a start says of the age of what its owner knew.
+#: Fields of a start about the state and the age of the owner's knowledge.
 KNOWLEDGE_FIELDS = ('failures', 'crashes', 'version', 'store_age', 'runner_age')
 _LISTED_RUN = re.compile(r'(\S+)/(\d+\.\d+\.\d+) (\d+) ')
 
 
 @dataclass
 class Run:
-    """One run of a task; times are wall seconds, ``None`` where no line tells."""
+    """One run of a task; times are wall-clock seconds, ``None`` if no event has them."""
 
     task: str
     run: int
     runner: str = ''
-    #: The owner that ordered it; empty where its start is not in the lines.
+    #: The owner that started it; empty if its start is not in the logs.
     owner: str = ''
     start_sent_at: float | None = None
     knowledge: dict[str, Any] = field(default_factory=dict)
@@ -37,25 +37,25 @@
     outcome: str = ''
     seconds: float | None = None
     end_stored_at: float | None = None
-    #: Who read its end or its loss first.
+    #: The host that first logged its end or loss.
     seen_by: str = ''
     number: int | None = None
-    #: What else was told of it, by any host.
+    #: All events about it, of any host.
     events: list[LogEvent] = field(default_factory=list)
 
     @property
     def epoch(self) -> int:
-        """Return the epoch that it was started under."""
+        """Return the epoch of the owner that started it."""
         return self.run // RUNS_PER_EPOCH
 
     @property
     def start_known(self) -> bool:
-        """Return whether the lines tell when it was asked for, or for how long it ran."""
+        """Return whether its start time or its duration is known."""
         return self.start_sent_at is not None or self.seconds is not None
 
     @property
     def began_at(self) -> float:
-        """Return when it was first known of, for its place among others."""
+        """Return when it began, as far as known, for sorting."""
         if self.start_sent_at is not None:
             return self.start_sent_at
         if self.ended_at is not None:
@@ -64,7 +64,7 @@
 
 
 def collect_runs(events: Iterable[LogEvent], job: str) -> list[Run]:
-    """Return the runs of all tasks by task and time; ``told`` is in order of time."""
+    """Return the runs sorted by task and time; ``events`` are in order of time."""
     run_by_name: dict[tuple[str, int], Run] = {}
     for event in events:
         for task, number, runner in _find_runs(event, job, run_by_name.values()):
@@ -78,7 +78,7 @@
 
 
 def _find_runs(event: LogEvent, job: str, known: Iterable[Run]) -> list[tuple[str, int, str]]:
-    """Return the runs that a line is about: task, number, runner."""
+    """Return the runs that an event is about: task, number, runner."""
     if event.kind is EventKind.RUNS_LISTED:
         matches = [_LISTED_RUN.match(f'{text} ') for text in _texts_of(event.more.get('found'))]
         return [
@@ -90,7 +90,7 @@
         return []
     if event.task:
         return [(event.task, event.run, event.runner)]
-    # Some lines leave the task out: the runner tells it where it had only one such run.
+    # Some events lack the task: it is found if only one run has this number and runner.
     candidates = [run for run in known if run.run == event.run and run.runner == event.runner]
     return [(candidates[0].task, event.run, event.runner)] if len(candidates) == 1 else []
 
--- a/dandelionreel/records/_view.py
+++ b/dandelionreel/records/_view.py
@@ -1,4 +1,4 @@
-"""A report as plain values, for people's tables and for programs."""
+"""Converts a report to plain values, for tables and JSON."""
 
 from collections.abc import Iterable
 from datetime import UTC, datetime
--- a/dandelionreel/records/_waits.py
+++ b/dandelionreel/records/_waits.py
@@ -1,4 +1,4 @@
-"""Times in which nothing of a job ran, and what the lines say of them."""
+"""Spans in which no task of a job ran, and the events that may explain them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,11 +7,11 @@
 from dandelionreel.records._log_event import LogEvent
 from dandelionreel.records._runs import Run
 
-#: Seconds below which a wait is not worth a line: urgent jobs have 0.6 s.
+#: Shorter waits are not reported; the limit for urgent jobs is 0.6 s.
 MIN_WAIT_SECONDS = 0.5
-#: Sentences that are quoted for one wait.
+#: Limit of events that are quoted for one wait.
 MAX_CAUSES = 8
-#: Stages that may be why a job waits.
+#: Events that may explain why a job waits.
 CAUSE_KINDS = frozenset(
     (
         EventKind.WAITING,
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """From when to when no run was under way, in wall seconds."""
+    """A span without runs, in wall-clock seconds."""
 
     since: float
     until: float
@@ -40,19 +40,19 @@
 
     @property
     def seconds(self) -> float:
-        """Return how long it was."""
+        """Return its length in seconds."""
         return self.until - self.since
 
 
 def find_waits(runs: Iterable[Run], events: list[LogEvent], since: float) -> list[Wait]:
-    """Return the waits before starts; ``lines`` are in order, the first wait from ``since``."""
+    """Return the waits before starts, the first from ``since``; ``events`` are in order."""
     waits = []
     idle_since: float | None = since
     for run in sorted((run for run in runs if run.start_known), key=_began_at):
         until = run.began_at
         if idle_since is not None and until - idle_since >= MIN_WAIT_SECONDS:
             waits.append(Wait(idle_since, until, _find_causes(events, idle_since, until)))
-        # One that never ended, as far as the lines go, is under way to the end.
+        # A run without a known end counts as running until the end of the logs.
         if idle_since is None or run.ended_at is None:
             break
         idle_since = max(idle_since, run.ended_at)
@@ -60,9 +60,9 @@
 
 
 def find_submission_time(job_events: list[LogEvent], runs: Iterable[Run]) -> float:
-    """Return when the job was handed in as its starts tell, else its first line's time.
+    """Return when the job was submitted, from the waiting times of its starts or its first event.
 
-    Starts say how long the job had waited then; logs that are cut begin later.
+    A truncated log may begin after the submission; each start has the time waited so far.
     """
     waited = [run.start_sent_at - run.waited for run in runs if run.start_sent_at and run.waited]
     return min([job_events[0].at, *waited])
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps that write small logs and have the tool tell a job's story from them."""
+"""Steps that write small logs and run ``explain`` on them."""
 
 import io
 import json
@@ -37,19 +37,19 @@
 
 
 DAMAGED_CONTENT = {
-    'a line that is cut': lambda: log_line(0.5, 'a', 'jobs: cut.', {})[:60],
+    'a truncated line': lambda: log_line(0.5, 'a', 'jobs: cut.', {})[:60],
     'a line of another program': lambda: b'Traceback (most recent call last):',
-    'bytes that are no text': lambda: bytes(range(256)).replace(b'\n', b''),
+    'bytes that are not UTF-8': lambda: bytes(range(256)).replace(b'\n', b''),
     'a value nested 100000 deep': lambda: nested_line(100_000),
     'a value nested 3000 deep': lambda: nested_line(3000),
     'a line without a host': lambda: json.dumps({'text': JOB, 'timestamp': 1.0}).encode(),
-    'a time that is no number': lambda: b'{"host": "a", "text": "x", "timestamp": "now"}',
-    'a time beyond all numbers': lambda: b'{"host": "a", "text": "x", "timestamp": 1e999}',
-    'fields of other types': lambda: log_line(
+    'a timestamp that is no number': lambda: b'{"host": "a", "text": "x", "timestamp": "now"}',
+    'an infinite timestamp': lambda: b'{"host": "a", "text": "x", "timestamp": 1e999}',
+    'fields of unexpected types': lambda: log_line(
         0.5, 'a', 'placement: a start was refused: x.', {'task': 7, 'run': 'x', 'runner': [1]}
     ),
     'a line of 5 MB': lambda: log_line(0.5, 'a', 'x' * 5_000_000, {}),
-    'a field that is no text': lambda: log_line(0.5, 'a', 'jobs: x.', {'u': 'Q'}).replace(
+    'a field that is not UTF-8': lambda: log_line(0.5, 'a', 'jobs: x.', {'u': 'Q'}).replace(
         b'"Q"', b'"\xff"'
     ),
     'blank lines': lambda: b'\n  \n',
@@ -57,7 +57,7 @@
 
 
 def nested_line(depth):
-    """Return a line with a field of that many lists, one in the other."""
+    """Return a line with a field of lists nested ``depth`` deep."""
     text = '[' * depth + ']' * depth
     return log_line(0.5, 'a', 'jobs: x.', {'deep': 'Q'}).replace(b'"Q"', text.encode())
 
@@ -94,7 +94,7 @@
         _append_log(context, row['host'], [told])
 
 
-@given('a log of a job that went well, with {what} in its midst')
+@given('a log of a completed job that contains {what}')
 def write_broken(context, what):
     lines = [log_line(at, 'a', text, fields) for at, text, fields in COMPLETED_JOB]
     folder = _log_folder(context)
@@ -102,7 +102,7 @@
     (folder / 'a.log').write_bytes(content + b'\n')
 
 
-@given('30 hosts that tell that r1 is draining while a task runs there')
+@given('30 hosts that log that r1 is draining while a task runs there')
 def write_many(context):
     _append_log(
         context, 'a', [log_line(at, 'a', text, fields) for at, text, fields in COMPLETED_JOB]
@@ -112,25 +112,25 @@
         _append_log(context, f'h{host}', [told])
 
 
-@when('its story is told')
+@when('the job is explained')
 def tell(context):
     explain_job(context)
     assert context.status == 0, context.err
 
 
-@when('the tool tells its story from standard input')
+@when('the tool explains the job from standard input')
 def tell_from_input(context):
     _run_tool(context, ['explain', JOB], (_log_folder(context) / 'a.log').read_bytes())
 
 
-@then('it tells {stages} in this order')
+@then('the timeline has {stages} in this order')
 def check_order(context, stages):
     wanted = stages.split(', ')
     told = [row['told'] for row in context.report['timeline']]
     assert [stage for stage in told if stage in wanted] == wanted, told
 
 
-@then('its run {run:d} was started by {owner} on {runner}, ended {outcome} and was noted')
+@then('its run {run:d} was started by {owner} on {runner}, ended {outcome} and its end was stored')
 def check_run(context, run, owner, runner, outcome):
     (found,) = context.report['runs']
     told = (found['run'], found['owner'], found['runner'], found['outcome'])
@@ -138,12 +138,12 @@
     assert found['noted'] is not None and found['ended'] <= found['noted'], found
 
 
-@then('nothing was started again, and nothing is said to be not known')
+@then('the report has no repeated starts and no unknowns')
 def check_no_findings(context):
     assert not context.report['again'] and not context.report['not_known'], context.report
 
 
-@then('task {task} is told to be started again, which is {judged}: {words}')
+@then('task {task} is reported as started again, which is {judged}: {words}')
 def check_again(context, task, judged, words):
     (again,) = context.report['again']
     assert again['task'] == task and again['suspect'] is (judged == 'suspect'), again
@@ -159,7 +159,7 @@
     assert (later['knew']['version'], later['knew']['store_age']) == (version, age), later
 
 
-@then('{owner} had written {first} and {second} by then')
+@then('{owner} had logged {first} and {second} by then')
 def check_written(context, owner, first, second):
     knew = context.report['again'][0]['knew']
     assert {row['host'] for row in knew} == {owner}, knew
@@ -167,7 +167,7 @@
     assert first in texts and second in texts and 'a run has ended' not in texts, texts
 
 
-@then('the same is told of task {task} alone, and of task {other} nothing')
+@then('a report on task {task} alone has the same start, and task {other} is not found')
 def check_task(context, task, other):
     before = context.report['again']
     explain_job(context, f'{JOB}/{task}')
@@ -182,7 +182,7 @@
     assert told == [(first, run, at), (second, other, then_at)], told
 
 
-@then('of task {task} alone it tells {stages}')
+@then('the timeline of task {task} alone is {stages}')
 def check_alone(context, task, stages):
     explain_job(context, f'{JOB}/{task}')
     assert [run['task'] for run in context.report['runs']] == [task], context.report['runs']
@@ -197,19 +197,19 @@
     assert bool(read['first_bad'].endswith('a.log:3')) is bool(count), read
 
 
-@then('it was handed in {seconds:g} s before its start, and waited so long')
+@then('it was submitted {seconds:g} s before its start, and waited as long')
 def check_handed_in(context, seconds):
     assert context.report['runs'][0]['asked'] == seconds, context.report['runs']
     assert [wait['seconds'] for wait in context.report['waits']] == [seconds]
 
 
-@then('it is said that {words}')
+@then('the report says that {words}')
 def check_missing(context, words):
     missing = context.report['not_known']
     assert any(sentence.startswith(words) for sentence in missing), missing
 
 
-@then('it waited {seconds:g} s, for: {first}, {second}, {host} has lost the store')
+@then('it waited {seconds:g} s because of: {first}, {second}, {host} has lost the store')
 def check_causes(context, seconds, first, second, host):
     (wait,) = context.report['waits']
     assert wait['seconds'] == seconds, wait
@@ -218,7 +218,7 @@
     assert told[2][0] == host and 'has lost the store' in told[2][1], told
 
 
-@then('one line tells that {runner} is draining, told {count:d} times')
+@then('one line says that {runner} is draining, logged {count:d} times')
 def check_deduplicated(context, runner, count):
     rows = [row for row in context.report['timeline'] if 'is draining' in row['text']]
     assert [row['count'] for row in rows] == [count], rows
@@ -233,7 +233,7 @@
     told = [row['told'] for row in context.report['timeline']]
     asked = told.index('asked')
     assert 'accepted' in told[:asked], told
-    # The job's last state is told as it is made, its ends once they are stored.
+    # A job's final state is logged when it is decided, its ends once they are stored.
     after = ('taken over', 'found', 'ended', 'closed', 'noted')
     assert tuple(stage for stage in told[asked:] if stage in after) == after, told
     (run,) = context.report['runs']
--- a/features/steps/review_steps.py
+++ b/features/steps/review_steps.py
@@ -1,4 +1,4 @@
-"""Steps that write small logs of a cell and have the tool review them."""
+"""Steps that write small logs of a cell and run ``review`` on them."""
 
 import json
 import tempfile
@@ -30,7 +30,7 @@
 
 
 def store_outage(host, at, until):
-    """Return what a host tells that is without the store for a time."""
+    """Return the events of a host that loses the store for a time."""
     outage_text = 'log: has lost the store: cell: the store answered 503.'
     return (
         (at, host, outage_text, {'job': None}),
@@ -43,26 +43,26 @@
 
 
 EVENTS_BY_CASE = {
-    'all goes well': (ACCEPTED, STARTED, job_finished(1.5), end_stored(1.51)),
+    'the job is in time': (ACCEPTED, STARTED, job_finished(1.5), end_stored(1.51)),
     'the job is cancelled': (
         ACCEPTED,
         STARTED,
         (1.2, 'a', 'jobs: DELETE ID: 200 by a peer.', {}),
         job_finished(9.0, 'cancelled'),
     ),
-    'nobody takes the job while the store is away': (
+    'no host accepts the job while the store is down': (
         *(event for host in ZONE_BY_HOST for event in store_outage(host, 0.5, 9.0)),
         job_refused('a', 1.0),
         job_refused('c', 2.0),
     ),
-    'the hosts of one zone turn the job away': (
+    'the hosts of one zone refuse the job': (
         *store_outage('c', 0.5, 9.0),
         *store_outage('d', 0.6, 9.0),
         job_refused('c', 1.0),
         job_refused('d', 2.0),
     ),
-    'one host turns the job away': (*store_outage('c', 0.5, 9.0), job_refused('c', 1.0)),
-    'the job ends while the store is away': (
+    'one host refuses the job': (*store_outage('c', 0.5, 9.0), job_refused('c', 1.0)),
+    'the job ends while the store is down': (
         ACCEPTED,
         STARTED,
         *(event for host in ZONE_BY_HOST for event in store_outage(host, 1.4, 6.0)),
@@ -134,7 +134,7 @@
         job_finished(2.9),
         end_stored(2.9),
     ),
-    'the job runs longer than its queue thought': (
+    'the job runs longer than declared': (
         ACCEPTED,
         STARTED,
         job_finished(3.5),
@@ -152,7 +152,7 @@
 @given('the logs of hosts in three zones, in which {what}')
 def write_case(context, what):
     _log_folder(context)
-    # Hosts write for ever; their last lines tell that they were up until then.
+    # A host counts as up until its last line, so each gets one after the submission.
     filler = 'contracts: a configuration is in force.'
     events = [
         (0.0, host, 'life: starts.', {'job': None, 'zone': ZONE_BY_HOST[host]})
@@ -164,7 +164,7 @@
         [*events, *EVENTS_BY_CASE[what]], key=lambda event: event[0]
     ):
         content = log_line(at, host, text, fields)
-        # Each story has a job, and a log file, of its own.
+        # Each case has its own job and its own log file.
         _append_log(context, name, [content.replace(b'8b344bac49d1ac6d', name.encode())])
 
 
@@ -186,7 +186,7 @@
     context.review = json.loads(context.out) if not context.status else None
 
 
-@then('its job is said to be {verdict}, since {reason}')
+@then('the review reports the job as {verdict}, because: {reason}')
 def check_reason(context, verdict, reason):
     (job,) = context.review['jobs']
     assert (job['verdict'], job['reason']) == (verdict, reason), context.review
@@ -194,7 +194,7 @@
     assert row['reason'] == reason and row[verdict] == 1, row
 
 
-@then('no job is said to be late')
+@then('the review reports no late job')
 def check_none(context):
     assert context.review['jobs'] == [], context.review
     (row,) = context.review['queues']
@@ -207,6 +207,6 @@
     assert 'no line tells of a job' in context.err and context.err.count('\n') == 1, context.err
 
 
-@then('{count:d} lines are said to be bad')
+@then('the review counts {count:d} bad lines')
 def check_bad(context, count):
     assert context.review['read']['bad'] == count, context.review['read']
--- a/features/steps/tool_steps.py
+++ b/features/steps/tool_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the tool in this process, through the entry point users have."""
+"""Steps that run the tool in this process, through its public entry point."""
 
 import io
 import json
--- a/features/tool.feature
+++ b/features/tool.feature
@@ -1,6 +1,6 @@
 Feature: The tool and the daemon's command line
 
-  Scenario Outline: Example files are good: <words>
+  Scenario Outline: Example files are valid: <words>
     When the tool is run with <words>
     Then it exits with 0 and writes checked
 
@@ -62,7 +62,7 @@
     When the tool is run with contract check no-such-file.json
     Then it exits with 2 and the one line of error names no-such-file.json
 
-  Scenario: A wave of cancellations
+  Scenario: Many jobs are cancelled with one command
     Given a shared cell
     When 200 long jobs are submitted and all are cancelled with one command
     Then none of them is left waiting or running within 20 seconds
