--- a/dandelionreel/cli/_explain.py
+++ b/dandelionreel/cli/_explain.py
@@ -117,9 +117,9 @@
     }
     for name, field_value in more.items():
         if isinstance(field_value, list) and len(field_value) > MAX_LISTED:
-            wanted = [item for item in field_value if item in runners]
-            others = [item for item in field_value if item not in runners]
-            shown = ', '.join(f'{item}' for item in [*wanted, *others][:MAX_LISTED])
+            wanted = [entry for entry in field_value if entry in runners]
+            others = [entry for entry in field_value if entry not in runners]
+            shown = ', '.join(f'{entry}' for entry in [*wanted, *others][:MAX_LISTED])
             more[name] = f'{shown}, … ({len(field_value)})'
     return {**line, 'more': more}
 
--- a/dandelionreel/cli/_tool.py
+++ b/dandelionreel/cli/_tool.py
@@ -31,9 +31,9 @@
         error = outcome.failure()
         environment.tell_error(error.message)
         return error.status
-    result = outcome.unwrap()
-    if result.as_json:
-        write_json(environment.stdout, result.content)
+    command_result = outcome.unwrap()
+    if command_result.as_json:
+        write_json(environment.stdout, command_result.content)
     else:
-        result.write(environment.stdout, result.content)
+        command_result.write(environment.stdout, command_result.content)
     return ExitStatus.SUCCESS
--- a/dandelionreel/records/_review.py
+++ b/dandelionreel/records/_review.py
@@ -110,21 +110,21 @@
     )
 
 
-def view_review(result: Review) -> dict[str, Any]:
+def view_review(summary: Review) -> dict[str, Any]:
     """Return a review as plain values; times are seconds since the first submission."""
-    zero = result.began_at
+    zero = summary.began_at
     return {
         'read': {
-            'files': result.stats.files,
-            'lines': result.stats.lines,
-            'bad': result.stats.bad,
-            'first_bad': result.stats.first_bad,
-            'left_out': result.left_out,
+            'files': summary.stats.files,
+            'lines': summary.stats.lines,
+            'bad': summary.stats.bad,
+            'first_bad': summary.stats.first_bad,
+            'left_out': summary.left_out,
         },
-        'queues': _view_counts('queue', result.counts_by_queue),
-        'accounts': _view_counts('account', result.counts_by_account),
-        'reasons': _view_reasons(result.missed_jobs),
-        'jobs': [_view_missed_job(missed, zero) for missed in result.missed_jobs],
+        'queues': _view_counts('queue', summary.counts_by_queue),
+        'accounts': _view_counts('account', summary.counts_by_account),
+        'reasons': _view_reasons(summary.missed_jobs),
+        'jobs': [_view_missed_job(missed, zero) for missed in summary.missed_jobs],
     }
 
 
