--- a/bench/guards.py
+++ b/bench/guards.py
@@ -46,7 +46,7 @@
     Guard(
         'the ledger refuses what does not fit',
         'workers/_ledger.py',
-        'if not (self.total() + demand).fits(self.room(grant)):',
+        'if not (self.total_demand() + demand).fits(self.usable_capacity(grant)):',
         'if False:',
         'parts.feature:LEDGER',
     ),
@@ -61,8 +61,8 @@
     Guard(
         'not_run only when no byte left',
         'routing/_runner.py',
-        'self.sent = self._check()\n        return self.sent',
-        'return self._check()',
+        'self.sent = self._may_send()\n        return self.sent',
+        'return self._may_send()',
         'requests.feature:LATE',
     ),
     Guard(
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -9,7 +9,7 @@
 
 from dandelionreel.admin import AdminApi
 from dandelionreel.backing import HostWatch, LogError, StreamReader, StreamWriter
-from dandelionreel.callers import CallersFront, Relay
+from dandelionreel.callers import CallerApi, Relay
 from dandelionreel.contracts import ContractProjection, ContractPublisher, ContractRecord
 from dandelionreel.http import Server, ServerLimits
 from dandelionreel.jobs import (
@@ -54,25 +54,25 @@
 from dandelionreel.peers import (
     ContractsWanted,
     Done,
-    EchoBook,
     Forward,
     Frame,
     Gossip,
     Heartbeat,
     Message,
+    PeerClocks,
     PeerDirectory,
     PeerServer,
     PeerState,
     PlaceOrder,
     Refused,
     TaskAction,
-    Traffic,
+    TrafficCounter,
     WorkerReport,
     hash_member,
 )
 from dandelionreel.routing import (
-    KeyedSends,
-    KeyFold,
+    IdempotencyGuard,
+    KeyProjection,
     RequestRecord,
     Router,
     RoutingMetrics,
@@ -176,13 +176,13 @@
     def _build_ownership(self) -> None:
         settings, clock = self._settings, self._clock
         zone = settings.availability_zone
-        self._traffic = Traffic()
-        self._echoes = EchoBook()
-        self._directory = PeerDirectory(self.me, clock, self._echoes, self._traffic)
+        self._traffic = TrafficCounter()
+        self._peer_clocks = PeerClocks()
+        self._directory = PeerDirectory(self.me, clock, self._peer_clocks, self._traffic)
         self._peer_server = PeerServer(
             self.me,
             clock,
-            self._echoes,
+            self._peer_clocks,
             self._journal,
             self._traffic,
         )
@@ -225,13 +225,13 @@
             self._zone_writer,
             self._journal,
         )
-        self._cell_reader.add(self._cell_members.fold, self._cell_members.reset)
-        self._zone_reader.add(self._zone_members.fold, self._zone_members.reset)
-        self._zone_reader.add(self._shards.fold, self._shards.reset)
+        self._cell_reader.add_handler(self._cell_members.fold, self._cell_members.reset)
+        self._zone_reader.add_handler(self._zone_members.fold, self._zone_members.reset)
+        self._zone_reader.add_handler(self._shards.fold, self._shards.reset)
 
     def _build_contracts(self) -> None:
         self._contracts = ContractProjection(self._cell_members, self._clock)
-        self._cell_reader.add(self._contracts.fold, self._contracts.reset)
+        self._cell_reader.add_handler(self._contracts.fold, self._contracts.reset)
         self._publisher = ContractPublisher(
             self.me,
             self._settings,
@@ -253,8 +253,8 @@
 
     def _build_requests(self) -> None:
         self._metrics = DaemonMetrics(self._traffic)
-        self._keys = KeyFold()
-        self._zone_reader.add(self._keys.fold, self._keys.reset)
+        self._keys = KeyProjection()
+        self._zone_reader.add_handler(self._keys.fold, self._keys.reset)
         self._pool = RunnerPool(
             self._settings,
             self._clock,
@@ -272,7 +272,7 @@
             self._zone_members,
             self._pool,
             self._directory,
-            KeyedSends(self._keys, self._zone_reader, self._zone_writer),
+            IdempotencyGuard(self._keys, self._zone_reader, self._zone_writer),
             RoutingMetrics(self._metrics.registry),
             self._journal,
         )
@@ -284,7 +284,7 @@
             settings.limits.known_jobs,
             settings.limits.known_keys,
         )
-        self._zone_reader.add(self._jobs.fold, self._jobs.reset)
+        self._zone_reader.add_handler(self._jobs.fold, self._jobs.reset)
         self._fleet = WorkerFleet(
             self.me,
             settings,
@@ -295,7 +295,7 @@
             self._zone_reader,
             self._peer_monitor,
             self._directory,
-            self._echoes,
+            self._peer_clocks,
             self._journal,
         )
         self._share_balancer = QuotaShareBalancer(
@@ -339,7 +339,7 @@
             self._zone_writer,
             self._journal,
         )
-        self._fleet.deliver_to(self._dispatcher.handle_report)
+        self._fleet.use_report_handler(self._dispatcher.handle_report)
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
@@ -366,7 +366,7 @@
             self._zone_writer,
             self._journal,
         )
-        caller_api = CallersFront(
+        caller_api = CallerApi(
             settings.availability_zone,
             self._router,
             job_api,
@@ -406,17 +406,17 @@
         self._admin_server = Server(admin_api.handle, server_limits)
         self._register_peer_handlers(caller_api)
 
-    def _register_peer_handlers(self, caller_api: CallersFront) -> None:
+    def _register_peer_handlers(self, caller_api: CallerApi) -> None:
         self._peer_monitor.connect_gossip(
             self._make_gossip, self._handle_gossip, self._publisher.handle_gossip
         )
         server = self._peer_server
-        server.answer(Heartbeat, self._peer_monitor.answer_heartbeat)
-        server.answer(Forward, caller_api.answer_forward)
-        server.answer(PlaceOrder, self._fleet.answer_place)
-        server.answer(TaskAction, self._fleet.answer_action)
-        server.answer(WorkerReport, self._answer_report)
-        server.answer(ContractsWanted, self._publisher.answer_query)
+        server.add_handler(Heartbeat, self._peer_monitor.answer_heartbeat)
+        server.add_handler(Forward, caller_api.answer_forward)
+        server.add_handler(PlaceOrder, self._fleet.answer_place)
+        server.add_handler(TaskAction, self._fleet.answer_action)
+        server.add_handler(WorkerReport, self._answer_report)
+        server.add_handler(ContractsWanted, self._publisher.answer_query)
 
     # Running.
 
@@ -482,14 +482,14 @@
             return
         in_flight = InFlightCounter()
         in_flight.add(lambda: self._router.in_flight)
-        in_flight.add(lambda: self._callers_server.busy)
+        in_flight.add(lambda: self._callers_server.requests_in_progress)
         await self._life.drain(
             self._claimer,
             in_flight,
             self._zone_writer,
             self._cell_writer,
             self.me,
-            self._callers_server.finish,
+            self._callers_server.disable_keep_alive,
         )
 
     def _was_declared_ended(self) -> bool:
@@ -554,17 +554,17 @@
         return Gossip(
             view=self._promises.view() if same_zone else (),
             heard=tuple(map(hash_member, heard)) if same_zone else (),
-            rooms=self._pool.rooms(),
-            leaving=self._pool.own_signs() if same_zone else (),
+            service_slots=self._pool.free_slots_by_service(),
+            leaving=self._pool.observed_leaving() if same_zone else (),
             contracts=self._contracts.digest(),
             draining=self._claimer.draining,
         )
 
     async def _handle_gossip(self, state: PeerState) -> None:
-        self._pool.hear_leaving(state.gossip.leaving)
+        self._pool.note_leaving(state.gossip.leaving)
         if state.gossip.contracts == self._contracts.digest():
             self._life.peer_contracts_match = True
-        if state.gossip.rooms:
+        if state.gossip.service_slots:
             await self._pool.changed.notify()
 
     async def _answer_report(self, frame: Frame) -> Message:
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -2,9 +2,16 @@
 
 from dandelionreel.jobs._job_projection import JobChanges
 from dandelionreel.jobs._tracked_attempts import AttemptTracker, TrackedTask
-from dandelionreel.kernel import Settings, Signal
+from dandelionreel.kernel import ChangeNotifier, Settings
 from dandelionreel.ownership import DISPATCH_SHARD, Authority
-from dandelionreel.placement import Cell, FairQueue, Planner, RunTimes, Terms, WorkerView
+from dandelionreel.placement import (
+    Cell,
+    CustomerTerms,
+    FairQueue,
+    Planner,
+    RunTimeEstimator,
+    WorkerView,
+)
 
 #: Margin after a lease's expiry before its task counts as ended.
 LAPSE_MARGIN_SECONDS = 2.0
@@ -26,10 +33,10 @@
         """Start inactive, with dispatch epoch 0."""
         self._settings = settings
         self._authority = authority
-        self._terms: dict[str, Terms] = {}
+        self._terms: dict[str, CustomerTerms] = {}
         self.changes = changes
-        self.wake = Signal()
-        self.run_times = RunTimes()
+        self.wake = ChangeNotifier()
+        self.run_times = RunTimeEstimator()
         self.epoch = 0
         self.took_over_at = 0.0
         self.clear()
@@ -48,11 +55,11 @@
         self.deferred: set[str] = set()
         self.planner = Planner(Cell(), FairQueue(self.terms), self.run_times)
 
-    def terms(self, customer: str) -> Terms:
+    def terms(self, customer: str) -> CustomerTerms:
         """Return a customer's contract terms as of this round."""
-        return self._terms.get(customer, Terms())
+        return self._terms.get(customer, CustomerTerms())
 
-    def replace_terms(self, terms_by_customer: dict[str, Terms]) -> None:
+    def replace_terms(self, terms_by_customer: dict[str, CustomerTerms]) -> None:
         """Replace the contract terms of all customers."""
         self._terms = terms_by_customer
 
@@ -64,7 +71,7 @@
         """Release the resources of a task in the cell."""
         worker = self.worker(task.worker)
         if worker is not None:
-            self.planner.cell.release(worker, task.task_id)
+            self.planner.cell.remove_task(worker, task.task_id)
 
     def may_act(self, epoch: int) -> bool:
         """Return whether this daemon is still the dispatcher of ``epoch``."""
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -9,7 +9,7 @@
 from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask, parse_outcome
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import TaskReport, WorkerReport
-from dandelionreel.placement import Running
+from dandelionreel.placement import RunningTask
 
 #: Margin for the offset between two hosts' wall clocks.
 WALL_CLOCK_MARGIN_SECONDS = 1.0
@@ -54,9 +54,9 @@
             return
         if report.reachable:
             self._state.reported_epochs[report.worker] = report.epoch
-            self._state.planner.cell.set_room(worker, report.room)
+            self._state.planner.cell.set_usable_capacity(worker, report.usable_capacity)
             self._apply_report(report)
-        elif report.silent > self._state.lapse_seconds:
+        elif report.unrenewed_seconds > self._state.lapse_seconds:
             self._end_all_tasks(report.worker)
         await self._state.wake.notify()
 
@@ -80,7 +80,7 @@
     ) -> Outcome:
         """Return the outcome of a task that its worker's report lacks."""
         age = self._max_age(tracked)
-        if not task.is_running and age < report.remembers:
+        if not task.is_running and age < report.history_seconds:
             # The worker would remember the task if it had started since then.
             return Outcome.NOT_STARTED
         if tracked.idempotent:
@@ -110,10 +110,10 @@
             reported = report_by_task.get(task_id)
             tracked = self._is_tracked(task_id)
             if not tracked and (reported is None or not reported.running):
-                self._state.planner.cell.release(worker, task_id)
+                self._state.planner.cell.remove_task(worker, task_id)
         for reported in report.tasks:
             if reported.running and reported.id not in worker.running_by_task:
-                self._state.planner.cell.hold(worker, self._make_running(reported))
+                self._state.planner.cell.add_task(worker, self._make_running(reported))
             if reported.running and not self._state.tracker.has_task(reported):
                 self._handle_untracked_task(report.worker, reported)
 
@@ -123,7 +123,7 @@
         task = tracked.task_by_id.get(task_id) if tracked else None
         return task is not None and task.outcome is None
 
-    def _make_running(self, reported: TaskReport) -> Running:
+    def _make_running(self, reported: TaskReport) -> RunningTask:
         job = self._jobs.get(reported.job)
         customer = job.spec.customer if job else reported.customer
         contract = self._contracts.effective(customer)
@@ -133,7 +133,7 @@
         may_stop = bool(job and job.spec.idempotent and job.spec.tasks == 1)
         declared = job.spec.run_seconds if job else 0
         kind = job.spec.kind if job else ''
-        return Running(
+        return RunningTask(
             reported.id,
             reported.job,
             customer,
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -11,7 +11,7 @@
 from dandelionreel.http import control_bytes_by_kind
 from dandelionreel.jobs import JobProjection, JobState
 from dandelionreel.ownership import ShardClaimer
-from dandelionreel.peers import Traffic
+from dandelionreel.peers import TrafficCounter
 from dandelionreel.placement import Planner
 
 RESIDENT_PAGES_FIELD = 1
@@ -20,7 +20,7 @@
 class ControlBytesCollector(Collector):
     """Bytes of control messages, by peer and kind."""
 
-    def __init__(self, traffic: Traffic) -> None:
+    def __init__(self, traffic: TrafficCounter) -> None:
         """Read the byte counts of the peer connections."""
         self._traffic = traffic
 
@@ -41,7 +41,7 @@
 class DaemonMetrics:
     """Gauges that are set once a second."""
 
-    def __init__(self, traffic: Traffic) -> None:
+    def __init__(self, traffic: TrafficCounter) -> None:
         """Create a separate registry, so that daemons in one process do not share metrics."""
         self.registry = CollectorRegistry()
         self.registry.register(ControlBytesCollector(traffic))
@@ -83,7 +83,7 @@
             self._queue.labels(service).set(length)
         for state in JobState:
             self._jobs.labels(state.value).set(jobs.count(state))
-        self._decisions.set(planner.decisions)
+        self._decisions.set(planner.decision_count)
         self._set_use(planner)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self._cpu_seconds.set(usage.ru_utime + usage.ru_stime)
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -1,104 +1,105 @@
-"""The workers of a zone as placement sees them, indexed by free processors."""
+"""Workers of a zone and their free resources, indexed by free processors."""
 
 import random
 from collections.abc import Iterable
 
 from dandelionreel.accounts import Usage
 from dandelionreel.backing import EPSILON, NOTHING, Resources
-from dandelionreel.placement._work import Running
+from dandelionreel.placement._work import RunningTask
 
-#: Consecutive failures of different jobs after which a worker gets no work.
-FAILURES_TO_QUARANTINE = 3
+#: Different jobs that fail in a row before their worker is quarantined.
+FAILED_JOBS_TO_QUARANTINE = 3
 QUARANTINE_SECONDS = 30.0
-QUARANTINE_LIMIT = 600.0
+MAX_QUARANTINE_SECONDS = 600.0
 
 
 class WorkerView:
-    """One worker: what it has, what is taken, and how it has behaved."""
+    """One worker: its capacity, its tasks and its recent failures."""
 
     __slots__ = (
         'accelerators',
         'bucket',
+        'bucket_index',
         'capacity',
         'failed_jobs',
         'free',
         'name',
-        'place',
         'probing',
-        'quarantine',
+        'quarantine_seconds',
         'quarantined_until',
         'rack',
-        'room',
         'running_by_task',
+        'usable_capacity',
         'used',
     )
 
     def __init__(self, name: str, rack: str, capacity: Resources) -> None:
-        """Start empty."""
+        """Start without tasks."""
         self.name = name
         self.rack = rack
         self.capacity = capacity
-        self.room = capacity
+        self.usable_capacity = capacity
         self.used = NOTHING
         self.free = capacity
-        self.running_by_task: dict[str, Running] = {}
+        self.running_by_task: dict[str, RunningTask] = {}
         self.failed_jobs: list[str] = []
         self.quarantined_until = 0.0
-        self.quarantine = QUARANTINE_SECONDS
+        self.quarantine_seconds = QUARANTINE_SECONDS
         self.probing = False
         self.bucket = -1
-        self.place = -1
+        self.bucket_index = -1
         self.accelerators = capacity.accelerators > 0
 
 
 class _Buckets:
-    """Workers in lists by whole free processors, so that a sample costs the same at any size."""
+    """Workers grouped by whole free processors, so that sampling costs the same at any size."""
 
     def __init__(self) -> None:
         self.lists: list[list[WorkerView]] = []
 
-    def put(self, worker: WorkerView) -> None:
-        wanted = max(0, int(worker.free.processors + EPSILON))
-        if worker.bucket == wanted:
+    def insert(self, worker: WorkerView) -> None:
+        bucket_number = max(0, int(worker.free.processors + EPSILON))
+        if worker.bucket == bucket_number:
             return
-        self.take(worker)
-        while len(self.lists) <= wanted:
+        self.remove(worker)
+        while len(self.lists) <= bucket_number:
             self.lists.append([])
-        bucket = self.lists[wanted]
-        worker.bucket = wanted
-        worker.place = len(bucket)
+        bucket = self.lists[bucket_number]
+        worker.bucket = bucket_number
+        worker.bucket_index = len(bucket)
         bucket.append(worker)
 
-    def take(self, worker: WorkerView) -> None:
+    def remove(self, worker: WorkerView) -> None:
         if worker.bucket < 0:
             return
         bucket = self.lists[worker.bucket]
         last = bucket.pop()
         if last is not worker:
-            bucket[worker.place] = last
-            last.place = worker.place
+            bucket[worker.bucket_index] = last
+            last.bucket_index = worker.bucket_index
         worker.bucket = -1
 
 
 class Cell:
-    """All workers of a zone, and what each customer uses there.
+    """All workers of a zone, and the resources that each customer uses there.
 
-    The dispatcher's picture: the owner of each worker has the last word.
+    This is the dispatcher's view, which may be outdated; the owner of each
+    worker may still refuse a start.
     """
 
-    def __init__(self, source: random.Random | None = None) -> None:
-        """Draw samples from ``source``."""
-        self.source = source or random.Random()
+    def __init__(self, random_source: random.Random | None = None) -> None:
+        """Draw samples from ``random_source``."""
+        self.random_source = random_source or random.Random()
         self.worker_by_name: dict[str, WorkerView] = {}
-        #: What each customer uses, all workers together.
+        #: Resources in use by customer, over all workers.
         self.usage: Usage[Resources] = Usage(NOTHING)
         self.total = NOTHING
-        self._freed: dict[str, WorkerView] = {}
-        self._plain = _Buckets()
-        self._accelerated = _Buckets()
+        self._freed_by_name: dict[str, WorkerView] = {}
+        self._without_accelerators = _Buckets()
+        self._with_accelerators = _Buckets()
 
     def add(self, name: str, rack: str, capacity: Resources) -> WorkerView:
-        """Add a worker, or change what it has."""
+        """Add a worker, or update its rack and capacity."""
         worker = self.worker_by_name.get(name)
         if worker is not None and worker.capacity == capacity:
             worker.rack = rack
@@ -108,53 +109,53 @@
         worker = WorkerView(name, rack, capacity)
         self.worker_by_name[name] = worker
         self.total += capacity
-        self._index(worker)
-        self._freed[name] = worker
+        self._update_index(worker)
+        self._freed_by_name[name] = worker
         return worker
 
     def remove(self, name: str) -> None:
-        """Forget a worker and what ran there."""
+        """Remove a worker and its tasks."""
         worker = self.worker_by_name.pop(name, None)
         if worker is None:
             return
         for task_id in tuple(worker.running_by_task):
-            self._drop(worker, task_id)
-        self._buckets(worker).take(worker)
+            self._remove_task(worker, task_id)
+        self._buckets_for(worker).remove(worker)
         self.total -= worker.capacity
 
-    def set_room(self, worker: WorkerView, room: Resources) -> None:
-        """Change how much of the worker may be filled at present."""
-        if worker.room == room:
+    def set_usable_capacity(self, worker: WorkerView, capacity: Resources) -> None:
+        """Set how much of the worker's capacity may be used at present."""
+        if worker.usable_capacity == capacity:
             return
-        worker.room = room
-        self._update(worker)
-        self._freed[worker.name] = worker
+        worker.usable_capacity = capacity
+        self._update_free(worker)
+        self._freed_by_name[worker.name] = worker
 
-    def hold(self, worker: WorkerView, running: Running) -> None:
-        """Count a task on a worker."""
+    def add_task(self, worker: WorkerView, running: RunningTask) -> None:
+        """Add a task to a worker, replacing an entry with the same id."""
         if running.task_id in worker.running_by_task:
-            self._drop(worker, running.task_id)
+            self._remove_task(worker, running.task_id)
         worker.running_by_task[running.task_id] = running
         worker.used += running.demand
         self.usage.add(running.customer, running.demand)
-        self._update(worker)
+        self._update_free(worker)
 
-    def release(self, worker: WorkerView, task_id: str) -> Running | None:
-        """Stop counting a task; return it, or ``None`` when it was not counted."""
-        running = self._drop(worker, task_id)
+    def remove_task(self, worker: WorkerView, task_id: str) -> RunningTask | None:
+        """Remove a task from a worker; return it, or ``None`` when it was not there."""
+        running = self._remove_task(worker, task_id)
         if running is not None:
-            self._update(worker)
-            self._freed[worker.name] = worker
+            self._update_free(worker)
+            self._freed_by_name[worker.name] = worker
         return running
 
-    def take_freed(self) -> tuple[WorkerView, ...]:
-        """Return the workers that may have made room since the last question."""
-        freed = tuple(self._freed.values())
-        self._freed.clear()
+    def take_freed_workers(self) -> tuple[WorkerView, ...]:
+        """Return the workers that may have gained free resources since the last call."""
+        freed = tuple(self._freed_by_name.values())
+        self._freed_by_name.clear()
         return freed
 
     def fits(self, worker: WorkerView, demand: Resources) -> bool:
-        """Return whether the demand fits what is free on the worker."""
+        """Return whether the demand fits the free resources of the worker."""
         free = worker.free
         return (
             demand.processors <= free.processors + EPSILON
@@ -163,33 +164,33 @@
         )
 
     def is_quarantined(self, worker: WorkerView, now: float) -> bool:
-        """Return whether its failures keep new work away.
+        """Return whether recent failures exclude the worker from placement.
 
-        After a quarantine one task at a time is tried until one succeeds.
+        After a quarantine the worker gets one task at a time until one succeeds.
         """
         if now < worker.quarantined_until:
             return True
         return worker.probing and bool(worker.running_by_task)
 
     def note_success(self, worker: WorkerView) -> None:
-        """A task ended well: the worker is trusted again."""
+        """Clear the failures of a worker after a successful task."""
         worker.failed_jobs.clear()
         worker.probing = False
-        worker.quarantine = QUARANTINE_SECONDS
-        self._freed[worker.name] = worker
+        worker.quarantine_seconds = QUARANTINE_SECONDS
+        self._freed_by_name[worker.name] = worker
 
     def note_failure(self, worker: WorkerView, job: str, now: float) -> bool:
-        """A task failed there; return whether the worker is quarantined for it.
+        """Record a failed task; return whether the worker is quarantined for it.
 
-        One job that fails again and again says nothing about the worker;
-        several different ones in a row do.
+        Repeated failures of one job may be the job's fault; failures of
+        several different jobs in a row point to the worker.
         """
         if job not in worker.failed_jobs:
             worker.failed_jobs.append(job)
-        if len(worker.failed_jobs) < FAILURES_TO_QUARANTINE and not worker.probing:
+        if len(worker.failed_jobs) < FAILED_JOBS_TO_QUARANTINE and not worker.probing:
             return False
-        worker.quarantined_until = now + worker.quarantine
-        worker.quarantine = min(worker.quarantine * 2, QUARANTINE_LIMIT)
+        worker.quarantined_until = now + worker.quarantine_seconds
+        worker.quarantine_seconds = min(worker.quarantine_seconds * 2, MAX_QUARANTINE_SECONDS)
         worker.failed_jobs.clear()
         worker.probing = True
         return True
@@ -200,26 +201,26 @@
         *,
         tightest: bool,
     ) -> Iterable[WorkerView]:
-        """Yield workers that may have room for the demand.
+        """Yield workers that may have enough free processors for the demand.
 
-        ``tightest`` starts with those that have the fewest free processors;
-        among equals the order starts at a random place. Workers with
-        accelerators come last for work that needs none.
+        ``tightest`` starts with the workers that have the fewest free
+        processors; among equals the order starts at a random position.
+        Workers with accelerators come last for work that needs none.
         """
-        groups: tuple[_Buckets, ...] = (self._accelerated,)
+        bucket_groups: tuple[_Buckets, ...] = (self._with_accelerators,)
         if not demand.accelerators:
-            groups = (self._plain, self._accelerated)
-        lowest = max(0, int(demand.processors + EPSILON))
-        for buckets in groups:
-            lists = buckets.lists[lowest:]
+            bucket_groups = (self._without_accelerators, self._with_accelerators)
+        first_bucket = max(0, int(demand.processors + EPSILON))
+        for buckets in bucket_groups:
+            lists = buckets.lists[first_bucket:]
             for bucket in lists if tightest else reversed(lists):
                 if not bucket:
                     continue
-                start = self.source.randrange(len(bucket))
+                start = self.random_source.randrange(len(bucket))
                 yield from bucket[start:]
                 yield from bucket[:start]
 
-    def _drop(self, worker: WorkerView, task_id: str) -> Running | None:
+    def _remove_task(self, worker: WorkerView, task_id: str) -> RunningTask | None:
         running = worker.running_by_task.pop(task_id, None)
         if running is None:
             return None
@@ -227,12 +228,12 @@
         self.usage.remove(running.customer, running.demand)
         return running
 
-    def _update(self, worker: WorkerView) -> None:
-        worker.free = worker.room - worker.used
-        self._index(worker)
+    def _update_free(self, worker: WorkerView) -> None:
+        worker.free = worker.usable_capacity - worker.used
+        self._update_index(worker)
 
-    def _index(self, worker: WorkerView) -> None:
-        self._buckets(worker).put(worker)
+    def _update_index(self, worker: WorkerView) -> None:
+        self._buckets_for(worker).insert(worker)
 
-    def _buckets(self, worker: WorkerView) -> _Buckets:
-        return self._accelerated if worker.accelerators else self._plain
+    def _buckets_for(self, worker: WorkerView) -> _Buckets:
+        return self._with_accelerators if worker.accelerators else self._without_accelerators
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform, its workers and its endpoints."""
+"""Stand-ins (test doubles) for the platform, its workers and its endpoints."""
 
 from standins._cluster import (
     FAST_TIMINGS,
@@ -11,50 +11,50 @@
 )
 from standins._entry_hosts import (
     EntryHosts,
-    crashes_by_task,
-    doubled_runs,
-    overfull,
-    started_over,
-    started_over_quota,
+    count_crashes_by_task,
+    find_duplicate_runs,
+    find_overallocated_runners,
+    find_starts_over_capacity,
+    find_starts_over_quota,
     wait_for,
 )
 from standins._evidence import (
-    over_filled,
-    over_slots,
-    overlapping,
-    repeated,
+    find_overallocated_workers,
+    find_overlapping_runs,
+    find_overloaded_runners,
+    find_repeated_starts,
     requests_by_mark,
 )
 from standins._memory_topic import MemoryTopic
-from standins._relay import ANYONE, Cut, Cuts
+from standins._relay import ANY_NAME, Cut, Cuts
 from standins._users_platform import AccountRow, PlatformRunner, Run, UsersPlatform
 
 __all__ = (
-    'ANYONE',
-    'AccountRow',
-    'MemoryTopic',
+    'ANY_NAME',
     'FAST_TIMINGS',
+    'AccountRow',
     'Cluster',
     'Cut',
     'Cuts',
     'DaemonProcess',
     'EntryHosts',
     'Layout',
+    'MemoryTopic',
     'PlatformRunner',
     'Reply',
     'Run',
     'UsersPlatform',
-    'crashes_by_task',
-    'doubled_runs',
+    'count_crashes_by_task',
     'exchange',
-    'over_filled',
-    'overfull',
-    'over_slots',
-    'overlapping',
-    'repeated',
+    'find_duplicate_runs',
+    'find_overallocated_runners',
+    'find_overallocated_workers',
+    'find_overlapping_runs',
+    'find_overloaded_runners',
+    'find_repeated_starts',
+    'find_starts_over_capacity',
+    'find_starts_over_quota',
     'requests_by_mark',
-    'started_over',
-    'started_over_quota',
     'wait_for',
     'wait_until',
 )
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -3,7 +3,7 @@
 import msgspec
 import xxhash
 
-from dandelionreel.backing import HostEntry, HostsDone
+from dandelionreel.backing import HostEntry, HostsResult
 from dandelionreel.http import Answer, Request, answer_json
 from standins._faults import FaultSwitch
 
@@ -13,7 +13,7 @@
 
 
 class HostsStandIn(FaultSwitch):
-    """A list that tests replace as a whole; its lag is the test's to make."""
+    """A list that tests replace as a whole, and late if they want it to be outdated."""
 
     def __init__(self, hosts: tuple[HostEntry, ...] = ()) -> None:
         """Start with ``hosts``."""
@@ -25,18 +25,20 @@
         if request.path == FAULTS:
             return self.set(request)
         if request.path == HOSTS:
-            self.hosts = msgspec.json.decode(request.body, type=HostsDone).hosts
-            return answer_json(HostsDone(self.hosts))
-        await self.faults.before()
+            self.hosts = msgspec.json.decode(request.body, type=HostsResult).hosts
+            return answer_json(HostsResult(self.hosts))
+        await self.faults.apply_before()
         return self._list(request)
 
     def _list(self, request: Request) -> Answer:
         zone = request.query_by_name.get('availability_zone', '')
-        shown = tuple(
-            one for one in self.hosts if one.kind == 'entry' or zone in {'', one.availability_zone}
+        listed = tuple(
+            host
+            for host in self.hosts
+            if host.kind == 'entry' or zone in {'', host.availability_zone}
         )
-        body = msgspec.json.encode(HostsDone(shown))
-        mark = f'"{xxhash.xxh64_hexdigest(body)}"'
-        if request.header('if-none-match') == mark:
-            return Answer(HTTP_NOT_MODIFIED, (('etag', mark),))
-        return answer_json(HostsDone(shown), headers=(('etag', mark),))
+        body = msgspec.json.encode(HostsResult(listed))
+        entity_tag = f'"{xxhash.xxh64_hexdigest(body)}"'
+        if request.header('if-none-match') == entity_tag:
+            return Answer(HTTP_NOT_MODIFIED, (('etag', entity_tag),))
+        return answer_json(HostsResult(listed), headers=(('etag', entity_tag),))
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -1,7 +1,7 @@
-"""The users' platform in one thread: its store, runners and policy service, told to fail.
+"""A stand-in for the users' platform in one thread: store, runners and policy service.
 
-They speak the published protocol over HTTP, so the real daemons meet them through
-the adapter. Runners keep a record of every run, from which tests judge.
+They serve the published protocol over HTTP, so real daemons reach them through the
+adapter, and have faults that tests set. Runners record every run; tests check these records.
 """
 
 import base64
@@ -20,39 +20,39 @@
 from dandelionreel.http import Answer, CloseConnection, Request, Server, ServerLimits, answer_json
 from dandelionreel.kernel import start_task
 from standins._other_writer import OtherWriter
-from standins._relay import Relay, Wire
+from standins._relay import LinkFaults, Relay
 
-LENGTH = struct.Struct('>I')
+LENGTH_PREFIX = struct.Struct('>I')
 MILLISECONDS = 1000
 STOP_SECONDS = 0.1
-LOOK_STEP = 0.01
-#: Seconds between the start of a task that crashes its runner and the crash, and until
-#: the runner is back.
-CRASH_SECONDS = 0.01
-BACK_SECONDS = 1.0
-#: Processors of a runner, in thousandths.
+POLL_SECONDS = 0.01
+#: Seconds from the start of a task that crashes its runner to the crash, and from the crash
+#: to the runner's restart.
+CRASH_DELAY_SECONDS = 0.01
+RESTART_SECONDS = 1.0
+#: Processors of a runner, in thousandths of one.
 FULL_CPU = 8000
 #: Seconds that the clock of a runner shows when the platform starts.
-CLOCK_SECONDS = 5000.0
-#: Seconds for which a runner keeps its tasks at the most without a renewal.
-LONGEST_LEASE = 10.0
+INITIAL_CLOCK_SECONDS = 5000.0
+#: Seconds for which a runner keeps its tasks without a renewal, at most.
+MAX_LEASE_SECONDS = 10.0
 SERVER_LIMITS = ServerLimits(idle_seconds=600)
 
 
 @dataclass
 class StoreFaults:
-    """What the store does to calls: shares between 0 and 1, seconds."""
+    """Faults of the store; shares are between 0 and 1, times in seconds."""
 
     down: bool = False
     lose_share: float = 0.0
     delay: float = 0.0
-    #: Addresses that are turned away.
+    #: Source addresses whose requests are refused.
     refused_hosts: set[str] = field(default_factory=set)
 
 
 class _Topic:
     def __init__(self) -> None:
-        #: Each with the length of its key, its key and its value.
+        #: Each consists of the length of its key, the key and the value.
         self.records: list[bytes] = []
         self.epoch = 0
         self.next_sequence = 0
@@ -68,17 +68,17 @@
         self._random = random.Random(seed)
         self.faults = StoreFaults()
 
-    def put(self, topic: str, key: str, fact: object) -> None:
-        """Write as the operator or as a runner does; ``None`` drops the key."""
-        content = b'' if fact is None else json.dumps(fact).encode()
+    def put(self, topic: str, key: str, document: object) -> None:
+        """Write a record as the operator or a runner does; ``None`` deletes the key."""
+        content = b'' if document is None else json.dumps(document).encode()
         self.put_raw(topic, bytes([len(key)]) + key.encode() + content)
 
     def put_raw(self, topic: str, record: bytes) -> None:
-        """Write as another writer may: whatever bytes the record has."""
+        """Write arbitrary bytes as a record, as another writer may."""
         self._topic(topic).records.append(record)
 
     async def handle(self, request: Request) -> Answer:
-        """Answer one call, or fail as told."""
+        """Answer a request, or fail as ``faults`` says."""
         if self.faults.delay:
             await curio.sleep(self.faults.delay)
         if self.faults.down:
@@ -111,7 +111,7 @@
         done = {'offset': len(topic.records)}
         position = 0
         while position < len(body):
-            length = LENGTH.unpack_from(body, position)[0]
+            length = LENGTH_PREFIX.unpack_from(body, position)[0]
             topic.records.append(body[position + 4 : position + 4 + length])
             position += 4 + length
         done['end'] = len(topic.records)
@@ -142,10 +142,10 @@
     async def _read(self, topic: _Topic, offset: int, wait_ms: int) -> Answer:
         until = time.monotonic() + wait_ms / MILLISECONDS
         while len(topic.records) <= offset and time.monotonic() < until:
-            await curio.sleep(LOOK_STEP)
+            await curio.sleep(POLL_SECONDS)
         body = struct.pack('>QQ', len(topic.records), 0)
         for record in topic.records[offset:]:
-            body += LENGTH.pack(len(record)) + record
+            body += LENGTH_PREFIX.pack(len(record)) + record
         return Answer(200, (), body)
 
     def _topic(self, name: str) -> _Topic:
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True)
 class AccountRow:
-    """One client account as the operator writes it; ``cpu`` of 0 is no limit."""
+    """A client account as the operator writes it; a ``cpu`` of 0 means no limit."""
 
     name: str
     keys: tuple[str, ...]
@@ -173,22 +173,22 @@
 
 
 class QuotaHistory:
-    """Which quota each account has had since when."""
+    """The quotas that each account has had over time."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without accounts."""
         self._quotas_by_account: dict[str, list[tuple[float, int]]] = {}
 
-    def note(self, now: float, accounts: Sequence[AccountRow]) -> None:
-        """Take a new configuration; one that an account is not in puts no limit on it."""
+    def add_configuration(self, now: float, accounts: Sequence[AccountRow]) -> None:
+        """Add a new configuration; an account missing from it has no limit."""
         names = {row.name for row in accounts}
         for name in self._quotas_by_account.keys() - names:
             self._quotas_by_account[name].append((now, 0))
         for row in accounts:
             self._quotas_by_account.setdefault(row.name, []).append((now, row.cpu))
 
-    def highest(self, account: str, since: float, until: float) -> int:
-        """Return the highest quota that may have been in force in a time; 0 is no limit."""
+    def get_highest(self, account: str, since: float, until: float) -> int:
+        """Return the highest quota that may have been in effect in a period; 0 means no limit."""
         found = []
         for number, (at, cpu) in enumerate(self._quotas_by_account.get(account, ())):
             later = self._quotas_by_account[account][number + 1 :]
@@ -197,197 +197,204 @@
         return 0 if not found or 0 in found else max(found)
 
 
-#: Since when a runner has so many processors: monotonic seconds, thousandths.
-Room = tuple[float, int]
+#: Time of a change in monotonic seconds, and the processors from then on in thousandths.
+CapacityChange = tuple[float, int]
 
 
 @dataclass
 class Run:
-    """One run as its runner saw it; times are monotonic seconds."""
+    """A run as its runner recorded it; times are monotonic seconds."""
 
     task: str
     number: int
     runner: str
     cpu: int
     began: float
-    until: float
+    planned_end: float
     ended: float | None = None
-    how: str = ''
+    outcome: str = ''
     stopping: bool = False
 
 
 class PlatformRunner:
-    """Starts what it is told, under a fence and one lease for all of it.
+    """Runs tasks under a fencing token and one lease for all of them.
 
     A task's payload says what it does: ``cpu seconds [fail | crash]``. One that crashes
-    its runner ends all that runs there, and breaks all connections; the runner is back
-    some time later, under another name or as another incarnation under the same one.
+    its runner ends all tasks there and breaks all connections; the runner restarts some
+    time later, under another name or as another incarnation of the same name.
     """
 
-    def __init__(self, name: str, runs: list[Run], *, tells_incarnation: bool = False) -> None:
+    def __init__(self, name: str, runs: list[Run], *, reports_incarnation: bool = False) -> None:
         """Record every run in ``runs``."""
         self.name = name
-        self.dark = False
-        #: The Unix millisecond at which the process started that answers now.
-        self.born = int(time.time() * MILLISECONDS)
-        #: Whether connections to the former process are still to be closed.
-        self.resetting = False
-        self.tells_incarnation = tells_incarnation
-        #: Answers in place of the runner if it is set.
+        self.is_down = False
+        #: The Unix millisecond at which the current incarnation started.
+        self.started_at_ms = int(time.time() * MILLISECONDS)
+        #: Whether the connections to the crashed process are still to be closed.
+        self.reset_pending = False
+        self.reports_incarnation = reports_incarnation
+        #: Handles requests instead of the runner if it is set.
         self.answer: Callable[[Request], Awaitable[Answer]] | None = None
-        self._clock_zero = time.monotonic() - CLOCK_SECONDS
-        #: What the runner has said that it has, the latest last.
-        self.rooms: list[Room] = [(0.0, FULL_CPU)]
-        #: Called with the runner once it has crashed under a task.
+        self._clock_zero = time.monotonic() - INITIAL_CLOCK_SECONDS
+        #: The capacities that the runner has reported, the latest last.
+        self.capacity_changes: list[CapacityChange] = [(0.0, FULL_CPU)]
+        #: Called with the runner after a task has crashed it.
         self.on_crash: Callable[[PlatformRunner], Awaitable[None]] | None = None
         self._runs = runs
-        self._token = 0
+        self._fencing_token = 0
         self._deadline = 0.0
         self._run_by_task: dict[str, Run] = {}
-        self._highest: dict[str, int] = {}
-        self._ends: list[list] = []
-        self._next_end = 1
+        self._highest_run_by_task: dict[str, int] = {}
+        self._unacknowledged_ends: list[list] = []
+        self._next_end_number = 1
 
     def clock(self) -> float:
         """Return what the runner's clock shows, in seconds."""
         return time.monotonic() - self._clock_zero
 
     async def handle(self, request: Request) -> Answer:
-        """Answer one order or look."""
-        if self.dark or self.resetting:
+        """Answer an order or a poll."""
+        if self.is_down or self.reset_pending:
             raise CloseConnection
         if self.answer is not None:
             return await self.answer(request)
         self.advance()
-        asked = json.loads(request.body)
+        order = json.loads(request.body)
         if request.header('x-expected-instance') not in {'', self.name}:
             return answer_json({}, 421)
-        if asked['fencing_token'] < self._token:
-            return self._refuse('fence')
-        self._token = asked['fencing_token']
+        if order['fencing_token'] < self._fencing_token:
+            return self._reject('fence')
+        self._fencing_token = order['fencing_token']
         if request.path == '/v1/run-start':
-            answer = self._start(asked)
-            await self._crash_under(asked)
+            answer = self._start(order)
+            await self._crash_if_requested(order)
             return answer
         if request.path == '/v1/run-stop':
-            return self._stop(asked)
-        return await self._hold(asked)
+            return self._stop(order)
+        return await self._renew_and_poll(order)
 
     def advance(self) -> None:
-        """End what is due: tasks that are done or stopped, and lapsed leases."""
+        """End the tasks that are due: done, stopped, or with a lease that has expired."""
         now = time.monotonic()
         deadline = self._deadline + self._clock_zero
         for run in tuple(self._run_by_task.values()):
-            lapsed = deadline < now and deadline < run.until
-            if run.until > now and not lapsed:
+            lapsed = deadline < now and deadline < run.planned_end
+            if run.planned_end > now and not lapsed:
                 continue
-            run.ended = min(run.until, deadline) if lapsed else run.until
-            run.how = 'lapsed' if lapsed else run.how
+            run.ended = min(run.planned_end, deadline) if lapsed else run.planned_end
+            run.outcome = 'lapsed' if lapsed else run.outcome
             del self._run_by_task[run.task]
-            self._ends.append([self._next_end, run.task, run.number, run.how, ''])
-            self._next_end += 1
+            self._unacknowledged_ends.append(
+                [self._next_end_number, run.task, run.number, run.outcome, '']
+            )
+            self._next_end_number += 1
 
     @property
     def cpu(self) -> int:
-        """Return the processors that the runner says it has."""
-        return self.rooms[-1][1]
+        """Return the processors that the runner reports."""
+        return self.capacity_changes[-1][1]
 
     def resize(self, cpu: int) -> None:
-        """Have more or fewer processors from now on; what runs goes on."""
-        self.rooms.append((time.monotonic(), cpu))
+        """Change the number of processors; running tasks go on."""
+        self.capacity_changes.append((time.monotonic(), cpu))
 
     def crash(self) -> None:
-        """End everything that runs without a trace; ends not yet read are lost too."""
+        """End all tasks without reporting it; ends that were not read yet are lost too."""
         self.advance()
         for run in self._runs:
-            if run.runner == self.name and run.task in {end[1] for end in self._ends}:
-                run.how = 'unread'
+            if run.runner == self.name and run.task in {
+                end[1] for end in self._unacknowledged_ends
+            }:
+                run.outcome = 'unread'
         for run in self._run_by_task.values():
             run.ended = time.monotonic()
-            run.how = 'crashed'
+            run.outcome = 'crashed'
         self._run_by_task.clear()
-        self.dark = True
-        self.resetting = True
+        self.is_down = True
+        self.reset_pending = True
 
-    def revive(self, name: str = '') -> None:
-        """Come back, which runs nothing and has seen no token; all counts start anew.
+    def restart(self, name: str = '') -> None:
+        """Start again without tasks, fencing token or ends; all counters start anew.
 
-        Without a ``name`` it is the next incarnation under the name that it had.
+        Without a ``name`` it is the next incarnation of its old name.
         """
         self.name = name or self.name
-        self.born = max(self.born + 1, int(time.time() * MILLISECONDS))
+        self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * MILLISECONDS))
         self._clock_zero = time.monotonic()
-        self._token = 0
+        self._fencing_token = 0
         self._deadline = 0.0
-        self._highest.clear()
-        self._ends.clear()
-        self._next_end = 1
-        self.dark = False
-
-    async def _crash_under(self, asked: dict) -> None:
-        """Crash if the task that was just started does so, before the start is answered."""
-        if 'crash' not in asked['spec'].split() or asked['task'] not in self._run_by_task:
+        self._highest_run_by_task.clear()
+        self._unacknowledged_ends.clear()
+        self._next_end_number = 1
+        self.is_down = False
+
+    async def _crash_if_requested(self, order: dict) -> None:
+        """Crash before the start is answered if the started task asks for it."""
+        if 'crash' not in order['spec'].split() or order['task'] not in self._run_by_task:
             return
-        await curio.sleep(CRASH_SECONDS)
-        if not self.dark:
+        await curio.sleep(CRASH_DELAY_SECONDS)
+        if not self.is_down:
             self.crash()
             if self.on_crash is not None:
                 await curio.spawn(self.on_crash, self, daemon=True)
         raise CloseConnection
 
-    def _start(self, asked: dict) -> Answer:
-        self._extend(asked['deadline_ms'])
-        task, number = asked['task'], asked['run']
+    def _start(self, order: dict) -> Answer:
+        self._extend_lease(order['deadline_ms'])
+        task, number = order['task'], order['run']
         known = self._run_by_task.get(task)
         if known is not None and known.number == number:
             return self._ok()
-        if number <= self._highest.get(task, 0):
-            return self._refuse('old')
-        if asked['deadline_ms'] / MILLISECONDS < self.clock():
-            return self._refuse('late')
-        words = asked['spec'].split()
+        if number <= self._highest_run_by_task.get(task, 0):
+            return self._reject('old')
+        if order['deadline_ms'] / MILLISECONDS < self.clock():
+            return self._reject('late')
+        arguments = order['spec'].split()
         now = time.monotonic()
-        run = Run(task, number, self.name, int(words[0]), now, now + float(words[1]))
-        run.how = 'failed' if 'fail' in words else 'done'
+        run = Run(task, number, self.name, int(arguments[0]), now, now + float(arguments[1]))
+        run.outcome = 'failed' if 'fail' in arguments else 'done'
         self._run_by_task[task] = run
-        self._highest[task] = number
+        self._highest_run_by_task[task] = number
         self._runs.append(run)
         return self._ok()
 
-    def _stop(self, asked: dict) -> Answer:
-        task, number = asked['task'], asked['run']
-        self._highest[task] = max(self._highest.get(task, 0), number)
+    def _stop(self, order: dict) -> Answer:
+        task, number = order['task'], order['run']
+        self._highest_run_by_task[task] = max(self._highest_run_by_task.get(task, 0), number)
         run = self._run_by_task.get(task)
         if run is not None and run.number <= number and not run.stopping:
             run.stopping = True
-            run.how = 'stopped'
-            run.until = min(run.until, time.monotonic() + STOP_SECONDS)
+            run.outcome = 'stopped'
+            run.planned_end = min(run.planned_end, time.monotonic() + STOP_SECONDS)
         return self._ok()
 
-    async def _hold(self, asked: dict) -> Answer:
-        self._ends = [end for end in self._ends if end[0] > asked['acked_through']]
-        self._extend(asked.get('deadline_ms', 0))
-        until = time.monotonic() + asked.get('wait_ms', 0) / MILLISECONDS
-        born = self.born
-        while not self._ends and time.monotonic() < until:
-            await curio.sleep(LOOK_STEP)
-            if self.dark or self.born != born:
-                # A crash ends all connections; the next life answers no look at this one.
+    async def _renew_and_poll(self, order: dict) -> Answer:
+        self._unacknowledged_ends = [
+            end for end in self._unacknowledged_ends if end[0] > order['acked_through']
+        ]
+        self._extend_lease(order.get('deadline_ms', 0))
+        until = time.monotonic() + order.get('wait_ms', 0) / MILLISECONDS
+        born = self.started_at_ms
+        while not self._unacknowledged_ends and time.monotonic() < until:
+            await curio.sleep(POLL_SECONDS)
+            if self.is_down or self.started_at_ms != born:
+                # A crash breaks all connections: the next incarnation must not answer a poll
+                # that was sent to this one.
                 raise CloseConnection
             self.advance()
         running = [[run.task, run.number, '', 0, 0] for run in self._run_by_task.values()]
         body = {
             'clock_ms': self._clock_ms(),
             'running': running,
-            'finished': self._ends[:500],
+            'finished': self._unacknowledged_ends[:500],
         }
-        if self.tells_incarnation:
-            body['born'] = self.born
+        if self.reports_incarnation:
+            body['born'] = self.started_at_ms
         return answer_json(body)
 
-    def _extend(self, deadline_ms: int) -> None:
-        asked = min(deadline_ms / MILLISECONDS, self.clock() + LONGEST_LEASE)
-        self._deadline = max(self._deadline, asked)
+    def _extend_lease(self, deadline_ms: int) -> None:
+        requested_deadline = min(deadline_ms / MILLISECONDS, self.clock() + MAX_LEASE_SECONDS)
+        self._deadline = max(self._deadline, requested_deadline)
 
     def _clock_ms(self) -> int:
         return int(self.clock() * MILLISECONDS)
@@ -395,57 +402,59 @@
     def _ok(self) -> Answer:
         return answer_json({'clock_ms': self._clock_ms()})
 
-    def _refuse(self, reason: str) -> Answer:
+    def _reject(self, reason: str) -> Answer:
         return answer_json({'clock_ms': self._clock_ms(), 'reason': reason}, 409)
 
 
 class ResettableServer(Server):
-    """A server whose open connections end with the process that they reached."""
+    """A server that can close its connections, as if its process had ended."""
 
     async def reset(self) -> None:
-        """Close all connections; new ones are taken."""
+        """Close all connections; new ones are accepted."""
         await self._cancel_all()
 
 
 async def _reset_connections(runner: PlatformRunner, server: ResettableServer) -> None:
-    """Close the connections to a runner each time that it has crashed."""
+    """Close the connections to a runner after each of its crashes."""
     while True:
-        if runner.resetting:
+        if runner.reset_pending:
             await server.reset()
-            runner.resetting = False
-        await curio.sleep(LOOK_STEP)
+            runner.reset_pending = False
+        await curio.sleep(POLL_SECONDS)
 
 
 class UsersPlatform:
     """Store, runners and policy service on one loopback address, in one thread."""
 
-    def __init__(self, runners: int = 3, seed: int = 1, *, tells_incarnation: bool = False) -> None:
+    def __init__(
+        self, runners: int = 3, seed: int = 1, *, reports_incarnation: bool = False
+    ) -> None:
         """Prepare ``runners`` runners of the service ``desk``.
 
-        Where they tell their incarnation, they restart under the names that they had.
+        If they report their incarnation, they keep their names after a restart.
         """
         self.store = PlatformStore(seed)
         self.quotas = QuotaHistory()
         self.runs: list[Run] = []
         self.runners = [
-            PlatformRunner(f'i-{number}', self.runs, tells_incarnation=tells_incarnation)
+            PlatformRunner(f'i-{number}', self.runs, reports_incarnation=reports_incarnation)
             for number in range(runners)
         ]
         self.port_by_name: dict[str, int] = {}
-        self.wire = Wire({})
-        self._place_by_runner: dict[PlatformRunner, str] = {}
-        self._relayed: dict[str, str] = {}
-        self._lives = 0
-        #: By every name that a runner had.
-        self.rooms_by_name: dict[str, list[Room]] = {}
+        self.link_faults = LinkFaults({})
+        self._original_name_by_runner: dict[PlatformRunner, str] = {}
+        self._target_by_relay: dict[str, str] = {}
+        self._restart_count = 0
+        #: Has an entry for each name that a runner has had.
+        self.capacity_changes_by_name: dict[str, list[CapacityChange]] = {}
         for runner in self.runners:
-            runner.on_crash = self._bring_back
+            runner.on_crash = self._restart_after_crash
         self._ready = threading.Event()
         self._stop = threading.Event()
         self._thread = threading.Thread(target=curio.run, args=(self._serve,), daemon=True)
 
     def start(self) -> None:
-        """Serve until ``stop``; runners register themselves."""
+        """Serve in a thread until ``stop``, and register the runners."""
         self._thread.start()
         self._ready.wait()
         for runner in self.runners:
@@ -457,17 +466,17 @@
         self._thread.join()
 
     def register(self, runner: PlatformRunner, *, state: str = 'ready') -> None:
-        """Write a runner's entry; a relay before it is what others see."""
-        self.rooms_by_name[runner.name] = runner.rooms
+        """Write a runner's entry, with the port of its relay if it has one."""
+        self.capacity_changes_by_name[runner.name] = runner.capacity_changes
         self.store.put('keyed.servers', runner.name, self.entry_of(runner, state))
 
     def entry_of(self, runner: PlatformRunner, state: str = 'ready') -> dict:
         """Return a runner's entry."""
-        place = self._place_by_runner.setdefault(runner, runner.name)
-        port = self.port_by_name.get(f'relay-{place}', self.port_by_name[place])
-        told = {'born': runner.born} if runner.tells_incarnation else {}
+        original_name = self._original_name_by_runner.setdefault(runner, runner.name)
+        port = self.port_by_name.get(f'relay-{original_name}', self.port_by_name[original_name])
+        incarnation_fields = {'born': runner.started_at_ms} if runner.reports_incarnation else {}
         return {
-            **told,
+            **incarnation_fields,
             'service': 'desk',
             'address': f'127.0.0.1:{port}',
             'zone': 'north',
@@ -481,22 +490,22 @@
         }
 
     def make_other_writer(self, seed: str) -> OtherWriter:
-        """Return a writer that fills the runners' topic with bad entries once started."""
+        """Return a writer that, once started, writes broken entries to the runners' topic."""
         return OtherWriter(
             seed,
             lambda record: self.store.put_raw('keyed.servers', record),
             lambda: {runner.name: self.entry_of(runner) for runner in self.runners},
-            self._beat,
+            self._write_heartbeats,
         )
 
-    def relay(self, name: str, target: str) -> None:
-        """Put a relay called ``name`` before a server, before ``start``."""
-        self._relayed[name] = target
+    def add_relay(self, name: str, target: str) -> None:
+        """Add a relay called ``name`` in front of a server; only before ``start``."""
+        self._target_by_relay[name] = target
 
     def configure(self, version: int = 1, accounts: Sequence[AccountRow] | None = None) -> None:
-        """Write a configuration with one plain queue and one that needs advice.
+        """Write a configuration with a plain queue and one that needs placement advice.
 
-        Without ``accounts`` no call needs a key.
+        Without ``accounts`` requests need no API key.
         """
         routes = []
         for number, name in enumerate(('plain', 'advised')):
@@ -517,31 +526,31 @@
         document = {'version': version, 'routes': routes, 'services': services, 'limits': {}}
         if accounts is not None:
             document['tenants'] = [row.encode() for row in accounts]
-            self.quotas.note(time.monotonic(), accounts)
+            self.quotas.add_configuration(time.monotonic(), accounts)
         self.store.put('keyed.op', 'config', document)
 
-    def settle(self) -> list[Run]:
-        """Bring every runner up to now and return all runs."""
+    def collect_runs(self) -> list[Run]:
+        """End the tasks that are due on every runner, and return all runs."""
         for runner in self.runners:
             runner.advance()
         return list(self.runs)
 
-    async def _bring_back(self, runner: PlatformRunner) -> None:
-        """Let a crashed runner start again, and its old entry expire if its name changes."""
-        await curio.sleep(BACK_SECONDS)
-        if runner.tells_incarnation:
-            runner.revive()
+    async def _restart_after_crash(self, runner: PlatformRunner) -> None:
+        """Restart a crashed runner, and remove its old entry if its name changes."""
+        await curio.sleep(RESTART_SECONDS)
+        if runner.reports_incarnation:
+            runner.restart()
             self.register(runner)
             return
-        former = runner.name
-        self._lives += 1
-        runner.revive(f'{former.split("+")[0]}+{self._lives}')
+        previous_name = runner.name
+        self._restart_count += 1
+        runner.restart(f'{previous_name.split("+")[0]}+{self._restart_count}')
         self.register(runner)
-        self.store.put('keyed.servers', former, None)
+        self.store.put('keyed.servers', previous_name, None)
 
-    def _beat(self) -> None:
+    def _write_heartbeats(self) -> None:
         for runner in self.runners:
-            if not runner.dark:
+            if not runner.is_down:
                 self.register(runner)
 
     async def _serve(self) -> None:
@@ -551,7 +560,7 @@
             for runner in self.runners:
                 server = await self._listen(stack, runner.name, runner.handle)
                 await start_task(stack, _reset_connections, runner, server)
-            for name, target in self._relayed.items():
+            for name, target in self._target_by_relay.items():
                 await self._listen_relay(stack, name, target)
             self._ready.set()
             while not self._stop.is_set():
@@ -569,8 +578,8 @@
         with socket.socket() as free:
             free.bind(('127.0.0.1', 0))
             port = free.getsockname()[1]
-        reaches = ('127.0.0.1', self.port_by_name[target])
-        await Relay(self.wire, name, ('127.0.0.1', port), reaches).start(stack)
+        target_address = ('127.0.0.1', self.port_by_name[target])
+        await Relay(self.link_faults, name, ('127.0.0.1', port), target_address).start(stack)
         self.port_by_name[name] = port
 
     async def _advise(self, request: Request) -> Answer:
