--- a/dandelionreel/records/_repeated_starts.py
+++ b/dandelionreel/records/_repeated_starts.py
@@ -101,9 +101,9 @@
     over_events = [event for event in known_events if _shows_run_over(event, earlier)]
     prefix = f'{later.owner} had been told' if later.owner else 'its owner had been told'
     if earlier.outcome == 'done':
-        when = earlier.ended_at or 0.0
-        side = 'before' if when <= later.start_sent_at else 'after'
-        gap = abs(later.start_sent_at - when)
+        earlier_end = earlier.ended_at or 0.0
+        side = 'before' if earlier_end <= later.start_sent_at else 'after'
+        gap = abs(later.start_sent_at - earlier_end)
         knowledge = 'it' if over_events else 'nothing of it'
         return (
             f'run {earlier.run} was done, told {gap:.3f} s {side} this start; {prefix} {knowledge}',
@@ -122,9 +122,9 @@
             f'{prefix} nothing of run {earlier.run}; {age:.3f} s before it {expiry.sentence}',
             False,
         )
-    waited = '' if expiry is None else f'; it {expiry.sentence}'
+    expired = '' if expiry is None else f'; it {expiry.sentence}'
     return (
-        f'{prefix} nothing of the end of run {earlier.run}{overlap or NO_EVIDENCE_TEXT}{waited}',
+        f'{prefix} nothing of the end of run {earlier.run}{overlap or NO_EVIDENCE_TEXT}{expired}',
         True,
     )
 
@@ -143,10 +143,10 @@
 
 def _lists_all_but(event: LogEvent, run: Run) -> bool:
     """Return whether a new owner's first list of a runner's runs is complete and lacks the run."""
-    repeated = event.more.get('found')
-    if event.more.get('first') is not True or not isinstance(repeated, list):
+    listed = event.more.get('found')
+    if event.more.get('first') is not True or not isinstance(listed, list):
         return False
-    is_complete = event.sentence.startswith(f'found {len(repeated)} ')
+    is_complete = event.sentence.startswith(f'found {len(listed)} ')
     return is_complete and not any(run_event is event for run_event in run.events)
 
 
--- a/dandelionreel/records/_report.py
+++ b/dandelionreel/records/_report.py
@@ -151,9 +151,9 @@
 
 def _find_missing_fields(job_events: list[LogEvent], runs: list[Run]) -> list[str]:
     unknowns = []
-    asked = [run for run in runs if run.start_sent_at is not None]
+    started = [run for run in runs if run.start_sent_at is not None]
     lacking = [
-        name for name in KNOWLEDGE_AGE_FIELDS if any(name not in run.knowledge for run in asked)
+        name for name in KNOWLEDGE_AGE_FIELDS if any(name not in run.knowledge for run in started)
     ]
     if lacking:
         unknowns.append(f'starts lack {", ".join(lacking)}: how old their owner knew things to be')
--- a/dandelionreel/records/_review.py
+++ b/dandelionreel/records/_review.py
@@ -79,7 +79,7 @@
     ids = _JOB_IDS_DECODER.decode(content)
     job = ids.job if isinstance(ids.job, str) else ''
     jobs = ids.jobs if isinstance(ids.jobs, list) else []
-    histories.add(event, job, [one for one in jobs if isinstance(one, str)])
+    histories.add(event, job, [job_id for job_id in jobs if isinstance(job_id, str)])
     return True
 
 
@@ -130,7 +130,7 @@
 
 def _view_counts(kind: str, counts_by_name: dict[str, Counter[Verdict]]) -> list[dict[str, Any]]:
     return [
-        {kind: name or '?', **{one.value: counts[one] for one in Verdict}}
+        {kind: name or '?', **{verdict.value: counts[verdict] for verdict in Verdict}}
         for name, counts in sorted(counts_by_name.items())
     ]
 
@@ -141,7 +141,7 @@
         counts_by_reason.setdefault(missed.reason, Counter())[missed.verdict] += 1
     ordered = sorted(counts_by_reason.items(), key=lambda entry: -entry[1].total())
     return [
-        {'reason': reason.value, **{one.value: counts[one] for one in MISSED_VERDICTS}}
+        {'reason': reason.value, **{verdict.value: counts[verdict] for verdict in MISSED_VERDICTS}}
         for reason, counts in ordered
     ]
 
--- a/dandelionreel/records/_waits.py
+++ b/dandelionreel/records/_waits.py
@@ -64,8 +64,10 @@
 
     A truncated log may begin after the submission; each start has the time waited so far.
     """
-    waited = [run.start_sent_at - run.waited for run in runs if run.start_sent_at and run.waited]
-    return min([job_events[0].at, *waited])
+    submission_times = [
+        run.start_sent_at - run.waited for run in runs if run.start_sent_at and run.waited
+    ]
+    return min([job_events[0].at, *submission_times])
 
 
 def _began_at(run: Run) -> float:
