--- a/dandelionreel/http/_server.py
+++ b/dandelionreel/http/_server.py
@@ -160,7 +160,7 @@
 
     async def _read_request(self, client: Any, http: Any) -> Request | None:
         """Return the next complete request, ``None`` if the client closed the connection."""
-        first = await self._read_first(client, http)
+        first = await self._read_head(client, http)
         if not isinstance(first, h11.Request):
             return None
         headers = _decode_headers(first.headers)
@@ -178,7 +178,7 @@
             bytes(body),
         )
 
-    async def _read_first(self, client: Any, http: Any) -> Any:
+    async def _read_head(self, client: Any, http: Any) -> Any:
         # An idle connection may wait for its next request for ``idle_seconds``. Once a
         # request has begun, each read has ``read_seconds``, so that a client that stops
         # within the head cannot hold the connection forever.
--- a/dandelionreel/peers/_directory.py
+++ b/dandelionreel/peers/_directory.py
@@ -32,6 +32,7 @@
     heard_at: float = NEVER_HEARD
     #: Since when no gap between two messages was longer than ``MAX_GAP_SECONDS``.
     heard_since: float = NEVER_HEARD
+    #: Consecutive refused connections.
     refusals: int = 0
     gossip: Gossip = field(default_factory=Gossip)
     #: Requests forwarded to the peer since its last gossip; each takes a free slot.
--- a/dandelionreel/peers/_link.py
+++ b/dandelionreel/peers/_link.py
@@ -153,10 +153,10 @@
             raise TimeoutError('no connection in time')
         self._sock = sock
         self._stream = FrameStream(sock, self._traffic)
-        self._reader = await curio.spawn(self._read, self._stream, daemon=True)
+        self._reader = await curio.spawn(self._read_answers, self._stream, daemon=True)
         return self._stream
 
-    async def _read(self, stream: FrameStream) -> None:
+    async def _read_answers(self, stream: FrameStream) -> None:
         try:
             while True:
                 frame = await stream.receive()
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -26,13 +26,14 @@
     from dandelionreel.peers import Done, Frame, encode_frame
     from dandelionreel.peers._codec import _schema
 
-    good = encode_frame(Frame(1, 'x/1', 1, 1, Done()))
-    other = _schema.Frame.new_message(version=99, exchange=1, sender='x/1').to_bytes()
+    valid_frame = encode_frame(Frame(1, 'x/1', 1, 1, Done()))
+    other_version_frame = _schema.Frame.new_message(version=99, exchange=1, sender='x/1').to_bytes()
     return {
         'a frame of 2 gigabytes': struct.pack('>I', 2**31) + b'x',
-        'a frame of another version': struct.pack('>I', len(other)) + other,
+        'a frame of another version': struct.pack('>I', len(other_version_frame))
+        + other_version_frame,
         'a frame of random bytes': struct.pack('>I', 64) + os.urandom(64),
-        'half a frame': struct.pack('>I', len(good)) + good[:8],
+        'half a frame': struct.pack('>I', len(valid_frame)) + valid_frame[:8],
     }
 
 
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -70,17 +70,17 @@
                 log = plugins.create(PluginKind.LOG, context.plugin, endpoint, TIMEOUT)
                 stack.push_async_callback(log.close)
                 standin.faults = context.faults
-                streams = log if context.plugin == 'memory' else standin.log
+                memory_log = log if context.plugin == 'memory' else standin.log
                 if not context.server_stopped:
-                    return await check(log, streams)
-            return await check(log, streams)
+                    return await check(log, memory_log)
+            return await check(log, memory_log)
 
     return curio.run(run)
 
 
 @then('offsets are consecutive and a read returns what was appended')
 def check_offsets(context):
-    async def check(log, streams):
+    async def check(log, memory_log):
         assert [await log.append('s', [b'1']) for _ in range(3)] == [0, 1, 2]
         batch = await log.read('s', 1, 0)
         assert (batch.records, batch.tail) == ((b'1', b'1'), 3)
@@ -91,7 +91,7 @@
 
 @then('a read at the tail waits and returns nothing')
 def check_tail(context):
-    async def check(log, streams):
+    async def check(log, memory_log):
         batch = await log.read('s', 0, 0.05)
         assert batch.records == () and batch.reached_tail
 
@@ -100,7 +100,7 @@
 
 @then('records of one append are consecutive and in order')
 def check_together(context):
-    async def check(log, streams):
+    async def check(log, memory_log):
         async with curio.TaskGroup() as group:
             for start in (10, 20, 30):
                 await group.spawn(log.append, 's', [b'%d' % (start + index) for index in range(5)])
@@ -114,9 +114,9 @@
 
 @then('a read before the oldest record fails with the oldest available offset')
 def check_truncated(context):
-    async def check(log, streams):
+    async def check(log, memory_log):
         await log.append('s', [b'1'] * 5)
-        streams.stream('s').truncate(3)
+        memory_log.stream('s').truncate(3)
         try:
             await log.read('s', 1, 0)
         except LogTruncatedError as error:
@@ -129,21 +129,21 @@
 
 @then('an append fails with verdict {verdict} and took effect: {effect}')
 def check_append_fails(context, verdict, effect):
-    async def check(log, streams):
+    async def check(log, memory_log):
         try:
             await log.append('s', [b'1'])
         except LogError as error:
             assert error.verdict is Verdict(verdict), error.verdict
         else:
             raise AssertionError('no error')
-        assert streams.stream('s').tail == (1 if effect == 'yes' else 0)
+        assert memory_log.stream('s').tail == (1 if effect == 'yes' else 0)
 
     _run_with_log(context, check)
 
 
 @then('{count:d} records written at once are each processed once and in order')
 def check_processed_once(context, count):
-    async def check(log, streams):
+    async def check(log, memory_log):
         clock = SystemClock()
         reader = StreamReader(log, 's', clock, Number)
         processed = []
@@ -159,7 +159,7 @@
             await task.cancel()
         assert processed == list(range(count)), processed
         # Before a retry, the writer reads the log again, so no record is stored twice.
-        assert streams.stream('s').tail == count
+        assert memory_log.stream('s').tail == count
         assert context.faults.lose_answers < 3
 
     _run_with_log(context, check)
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -62,10 +62,10 @@
         await curio.sleep(SHORT_TIMEOUT)
         small_error = await send(link, 1, SHORT_TIMEOUT)
         # Its socket reuses the number of the descriptor that was just closed.
-        other = await send(make_link(context.port), 1, SHORT_TIMEOUT)
+        other_error = await send(make_link(context.port), 1, SHORT_TIMEOUT)
         await large_request.join()
         await link.close()
-        return large_request.result, small_error, other, await query_working_peer()
+        return large_request.result, small_error, other_error, await query_working_peer()
 
     context.results = curio.run(ask)
 
@@ -87,10 +87,10 @@
 
 @then('both fail and the process can send requests to another peer')
 def both_fail(context):
-    large_error, small_error, other, working_peer_failure = context.results
+    large_error, small_error, other_error, working_peer_failure = context.results
     assert large_error, context.results
     assert small_error, context.results
-    assert other, context.results
+    assert other_error, context.results
     assert not working_peer_failure, working_peer_failure
     context.listener.close()
 
@@ -142,10 +142,10 @@
         await curio.sleep(SHORT_TIMEOUT)
         await channel.close()
         request_error = await waiting.join()
-        other = Channel('127.0.0.1', context.port)
-        again = await curio.ignore_after(SHORT_TIMEOUT, exchange, other)
-        await other.close()
-        return request_error, again, await query_working_peer()
+        other_channel = Channel('127.0.0.1', context.port)
+        second_result = await curio.ignore_after(SHORT_TIMEOUT, exchange, other_channel)
+        await other_channel.close()
+        return request_error, second_result, await query_working_peer()
 
     context.results = curio.run(ask)
 
@@ -161,9 +161,9 @@
 
 @then('the request fails at once and the process can send requests to another server')
 def request_fails(context):
-    request_error, again, working_peer_failure = context.results
+    request_error, second_result, working_peer_failure = context.results
     assert request_error, context.results
-    assert again is None, context.results
+    assert second_result is None, context.results
     assert not working_peer_failure, working_peer_failure
     context.listener.close()
 
