--- a/dandelionreel/admin/_front.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -1,12 +1,12 @@
-"""The operators' interface: contracts, members, shards, hosts, drain, metrics."""
+"""The HTTP interface for operators: contracts, members, shards, workers, drain, metrics."""
 
 import msgspec
 from prometheus_client import CollectorRegistry, generate_latest
 
 from dandelionreel import __version__
 from dandelionreel.admin._views import (
+    Acknowledgement,
     ContractView,
-    Done,
     DrainBody,
     EndpointView,
     MemberView,
@@ -29,7 +29,7 @@
 from dandelionreel.http import Answer, Request, answer_json
 from dandelionreel.jobs import Dispatcher, JobProjection, JobState
 from dandelionreel.kernel import Clock, RequestError, Settings, clip, not_run
-from dandelionreel.life import Life
+from dandelionreel.life import Lifecycle
 from dandelionreel.ownership import (
     Authority,
     Membership,
@@ -41,8 +41,8 @@
 from dandelionreel.routing import Router, RunnerPool
 from dandelionreel.workers import WorkerFleet
 
-#: JSON has no infinity: evidence that never came is shown as this old.
-LONGEST_AGE = 1e9
+#: Shown as the age of evidence that never arrived, since JSON has no infinity.
+MAX_AGE_SECONDS = 1e9
 METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
@@ -52,15 +52,15 @@
 HTTP_UNAVAILABLE = 503
 
 
-class AdminFront:
-    """Answers operators, the balancer and the metrics collector."""
+class AdminApi:
+    """Answers operators, the load balancer's health checks and the metrics collector."""
 
     def __init__(
         self,
         me: str,
         settings: Settings,
         clock: Clock,
-        life: Life,
+        life: Lifecycle,
         registry: CollectorRegistry,
         reader: StreamReader,
         members: Membership,
@@ -77,7 +77,7 @@
         router: Router,
         callers: CallerApi,
     ) -> None:
-        """Answer for the member ``me``."""
+        """Serve the state of the member ``me``."""
         self._me = me
         self._settings = settings
         self._clock = clock
@@ -97,7 +97,7 @@
         self._pool = pool
         self._router = router
         self._callers = callers
-        self._page_by_path = {
+        self._handler_by_path = {
             '/healthz': self._show_health,
             '/readyz': self._show_ready,
             '/metrics': self._show_metrics,
@@ -125,21 +125,21 @@
         )
 
     def _show(self, path: str) -> Answer:
-        page = self._page_by_path.get(path)
-        if page is not None:
-            return page()
+        handler = self._handler_by_path.get(path)
+        if handler is not None:
+            return handler()
         if path.startswith('/v1/contracts/'):
             return answer_json(self._view_contract(path.removeprefix('/v1/contracts/')))
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served')
 
     def _show_health(self) -> Answer:
-        return answer_json(Done('alive'))
+        return answer_json(Acknowledgement('alive'))
 
     def _show_ready(self) -> Answer:
         reasons = self._life.reasons_not_ready()
         if reasons:
             raise not_run(HTTP_UNAVAILABLE, 'not-ready', '; '.join(reasons))
-        return answer_json(Done('ready'))
+        return answer_json(Acknowledgement('ready'))
 
     def _show_metrics(self) -> Answer:
         headers = (('content-type', METRICS_TYPE),)
@@ -164,7 +164,7 @@
                 self._claimer.may_claim(),
                 self._claimer.draining,
                 self._dispatcher.is_active,
-                min(self._authority.evidence_age(), LONGEST_AGE),
+                min(self._authority.evidence_age(), MAX_AGE_SECONDS),
                 outage,
                 len(self._claimer.owned_claims()),
                 self._router.in_flight,
@@ -259,13 +259,13 @@
                 'unknown-customer',
                 f'no contract of {clip(customer)!r} is known',
             )
-        shown = None
+        pending_view = None
         if pending is not None:
             missing = tuple(sorted(pending.missing))
-            shown = PendingView(pending.contract.version, pending.author, missing)
+            pending_view = PendingView(pending.contract.version, pending.author, missing)
         return ContractView(
             contract,
-            shown,
+            pending_view,
             self._contracts.shares(customer),
             tuple(
                 OutcomeView(past.version, past.state, past.detail, past.author, past.wall)
@@ -309,14 +309,14 @@
         if body.endpoint:
             return self._drain_endpoint(body.endpoint)
         await self._life.request_stop()
-        return answer_json(Done('this daemon drains and stops'), HTTP_ACCEPTED)
+        return answer_json(Acknowledgement('this daemon drains and stops'), HTTP_ACCEPTED)
 
     def _drain_endpoint(self, name: str) -> Answer:
         known = {runner.entry.name for runner in self._pool.runners()}
         if name not in known:
             raise self._unknown_endpoint(name)
         self._pool.drain_endpoint(name)
-        return answer_json(Done(f'{name} gets no new work'), HTTP_ACCEPTED)
+        return answer_json(Acknowledgement(f'{name} gets no new work'), HTTP_ACCEPTED)
 
     def _unknown_endpoint(self, name: str) -> RequestError:
         return not_run(
--- a/dandelionreel/cli/_commands.py
+++ b/dandelionreel/cli/_commands.py
@@ -1,4 +1,4 @@
-"""The tool's commands; each is a plain function that defopt turns into one."""
+"""The tool's commands; defopt derives the command line from their signatures."""
 
 import getpass
 import os
@@ -10,18 +10,8 @@
 
 from dandelionreel.admin import DrainBody
 from dandelionreel.cli._accounts import show_accounts
-from dandelionreel.cli._answers import (
-    check,
-    get,
-    make_table,
-    page,
-    post,
-    publish,
-    submit,
-    write_contracts,
-    write_jobs,
-)
-from dandelionreel.cli._ask import ask
+from dandelionreel.cli._client import send_request
+from dandelionreel.cli._command_result import Command, CommandResult, read_file
 from dandelionreel.cli._explain import explain_job
 from dandelionreel.cli._options import (
     DEFAULT_ADMIN,
@@ -34,7 +24,17 @@
 )
 from dandelionreel.cli._output import write_fields
 from dandelionreel.cli._review import review_jobs
-from dandelionreel.cli._shown import Command, Shown, read_file
+from dandelionreel.cli._shared import (
+    check_file,
+    get_json,
+    make_page_command,
+    make_table,
+    post_json,
+    publish,
+    submit,
+    write_contracts,
+    write_jobs,
+)
 from dandelionreel.contracts import ContractError, load_contract
 from dandelionreel.http import VERDICT_HEADER, Request
 from dandelionreel.jobs import CancelBody, MoveBody, ResolveBody
@@ -50,7 +50,7 @@
     :param json: write JSON
     """
     return lambda environment: read_file(file).bind(
-        lambda text: check(file, text, load_settings, SettingsError, json),
+        lambda text: check_file(file, text, load_settings, SettingsError, json),
     )
 
 
@@ -61,7 +61,7 @@
     :param json: write JSON
     """
     return lambda environment: read_file(file).bind(
-        lambda text: check(file, text, load_contract, ContractError, json),
+        lambda text: check_file(file, text, load_contract, ContractError, json),
     )
 
 
@@ -94,8 +94,8 @@
     :param json: write JSON
     """
     path = f'/v1/contracts/{customer}' if customer else '/v1/contracts'
-    return lambda environment: get(admin, path).map(
-        lambda content: Shown(content, write_contracts, json),
+    return lambda environment: get_json(admin, path).map(
+        lambda content: CommandResult(content, write_contracts, json),
     )
 
 
@@ -106,8 +106,8 @@
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
-    return lambda environment: get(admin, f'/v1/contracts/{customer}').map(
-        lambda content: Shown(content['history'], make_table(HISTORY_COLUMNS), json),
+    return lambda environment: get_json(admin, f'/v1/contracts/{customer}').map(
+        lambda content: CommandResult(content['history'], make_table(HISTORY_COLUMNS), json),
     )
 
 
@@ -137,8 +137,8 @@
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
-    return lambda environment: get(admin, f'/v1/jobs/{job}').map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: get_json(admin, f'/v1/jobs/{job}').map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -157,8 +157,8 @@
     :param zone: the zone; the daemon's own by default
     :param customer: only this customer's
     :param state: only jobs in this state, such as uncertain
-    :param after: only ids above this one, to go on behind a page
-    :param limit: jobs on a page
+    :param after: only ids above this one, to continue after a page
+    :param limit: maximum number of jobs on a page
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
@@ -170,21 +170,21 @@
         'limit': str(limit),
     }
     query = urlencode({name: text for name, text in fields.items() if text})
-    return lambda environment: get(admin, f'/v1/jobs?{query}').map(
-        lambda content: Shown(content, write_jobs, json),
+    return lambda environment: get_json(admin, f'/v1/jobs?{query}').map(
+        lambda content: CommandResult(content, write_jobs, json),
     )
 
 
 def job_cancel(*jobs: str, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
-    """Cancel jobs: those that wait do not run, those that run are stopped.
+    """Cancel jobs: waiting jobs do not start, running ones are stopped.
 
     :param jobs: the jobs' ids
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
     body = msgspec.json.encode(CancelBody(jobs))
-    return lambda environment: post(admin, '/v1/jobs/cancel', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, '/v1/jobs/cancel', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -195,16 +195,16 @@
     admin: str = DEFAULT_ADMIN,
     json: bool = False,
 ) -> Command:
-    """Settle an uncertain or parked job after looking at what it did.
+    """Set the outcome of an uncertain or parked job after checking what it did.
 
     :param job: the job's id
-    :param outcome: ran, or not_run to have it started again
+    :param outcome: ran, or not_run to start it again
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
     body = msgspec.json.encode(ResolveBody(outcome))
-    return lambda environment: post(admin, f'/v1/jobs/{job}/resolve', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, f'/v1/jobs/{job}/resolve', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -215,28 +215,28 @@
     admin: str = DEFAULT_ADMIN,
     json: bool = False,
 ) -> Command:
-    """Move the waiting jobs of a zone that is out of reach to another.
+    """Move the waiting jobs of an unreachable zone to another.
 
-    Up to 500 at a time; repeat until none moves. Jobs that run stay.
+    Up to 500 at a time; repeat until none moves. Running jobs stay.
 
-    :param from_zone: the zone that is out of reach
-    :param to_zone: the zone that shall run them
+    :param from_zone: the unreachable zone
+    :param to_zone: the zone that takes the jobs over
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
     body = msgspec.json.encode(MoveBody(from_zone, to_zone))
-    return lambda environment: post(admin, '/v1/jobs/move', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, '/v1/jobs/move', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
 def status(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
-    """Show one daemon at a glance.
+    """Show one daemon's state.
 
     :param admin: IP:PORT of the daemon's admin interface
     :param json: write JSON
     """
-    return page('/v1/status', write_fields, admin, json)
+    return make_page_command('/v1/status', write_fields, admin, json)
 
 
 def members(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -245,7 +245,7 @@
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
-    return page('/v1/members', make_table(MEMBER_COLUMNS), admin, json)
+    return make_page_command('/v1/members', make_table(MEMBER_COLUMNS), admin, json)
 
 
 def shards(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -254,7 +254,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return page('/v1/shards', make_table(SHARD_COLUMNS), admin, json)
+    return make_page_command('/v1/shards', make_table(SHARD_COLUMNS), admin, json)
 
 
 def workers(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -263,7 +263,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return page('/v1/workers', make_table(WORKER_COLUMNS), admin, json)
+    return make_page_command('/v1/workers', make_table(WORKER_COLUMNS), admin, json)
 
 
 def endpoints(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -272,19 +272,19 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return page('/v1/endpoints', make_table(ENDPOINT_COLUMNS), admin, json)
+    return make_page_command('/v1/endpoints', make_table(ENDPOINT_COLUMNS), admin, json)
 
 
 def drain(*, endpoint: str = '', admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
-    """Drain an endpoint, or stop this daemon in order.
+    """Drain an endpoint, or drain and stop this daemon.
 
-    :param endpoint: the endpoint that leaves; the daemon itself by default
+    :param endpoint: the endpoint to drain; the daemon itself by default
     :param admin: IP:PORT of the daemon's admin interface
     :param json: write JSON
     """
     body = msgspec.json.encode(DrainBody(endpoint))
-    return lambda environment: post(admin, '/v1/drain', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return lambda environment: post_json(admin, '/v1/drain', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
@@ -306,13 +306,13 @@
 
     :param service: the service's name
     :param path: path at the service
-    :param customer: on whose contract
+    :param customer: the customer whose contract applies
     :param task_class: class of work
-    :param deadline_ms: milliseconds until the answer is of no use
+    :param deadline_ms: milliseconds until the request's deadline
     :param method: HTTP method
     :param idempotent: whether it may be sent again after a failure
-    :param key: idempotency key, for what must not run twice
-    :param body: what to send
+    :param key: idempotency key, for a request that must not run twice
+    :param body: the request body
     :param callers: IP:PORT of some daemon's callers' interface
     :param json: write JSON
     """
@@ -326,8 +326,8 @@
         headers.append(('idempotency-key', key))
     target = f'/v1/services/{service}/{path.lstrip("/")}'
     request = Request(method, target, tuple(headers), body.encode())
-    return lambda environment: ask(callers, request).map(
-        lambda answer: Shown(
+    return lambda environment: send_request(callers, request).map(
+        lambda answer: CommandResult(
             {
                 'status': answer.status,
                 'verdict': answer.header(VERDICT_HEADER),
@@ -339,7 +339,7 @@
     )
 
 
-#: Names on the command line; a mapping within stands for further words.
+#: Commands by name; a nested mapping holds subcommands.
 COMMANDS: dict[str, Any] = {
     'check-settings': check_settings,
     'contract': {
--- a/dandelionreel/platform/_configuration.py
+++ b/dandelionreel/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as it stands in the store."""
+"""Decodes the operator's configuration from the store."""
 
 from typing import Annotated
 
@@ -7,21 +7,21 @@
 from dandelionreel.cell.model import AdvicePolicy, Configuration, Queue, Service, decode_json
 from dandelionreel.platform._accounts import AccountDecoder
 
-#: The operator's key that holds the newest configuration in full.
+#: The key in the operator's topic under which the whole current configuration is stored.
 CONFIGURATION_KEY = 'config'
 MILLISECONDS = 1000
-#: Versions are whole and exact in JSON up to here. An absurd one would keep every later
-#: version from coming into force.
-LARGEST = 9_007_199_254_740_992
+#: JSON numbers are exact integers up to here. A version above it is rejected: it would prevent
+#: every later version from coming into force.
+JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 
-Version = Annotated[int, msgspec.Meta(ge=0, lt=LARGEST)]
-Number = Annotated[float, msgspec.Meta(ge=0)]
+Version = Annotated[int, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class _Advice(msgspec.Struct, frozen=True):
-    decision_ms: Number = 0
-    period_ms: Number = 0
-    valid_ms: Number = 2000
+    decision_ms: NonNegative = 0
+    period_ms: NonNegative = 0
+    valid_ms: NonNegative = 2000
 
 
 class _Route(msgspec.Struct, frozen=True):
@@ -29,11 +29,11 @@
     host: str
     path_prefix: str
     service: str = ''
-    timeout_ms: Number = 3000
-    target_latency_ms: Number = 0
+    timeout_ms: NonNegative = 3000
+    target_latency_ms: NonNegative = 0
     priority: int = 0
     max_attempts: int = 1
-    slack_factor: Number = 1
+    slack_factor: NonNegative = 1
     advice: _Advice | None = None
     public: bool = False
 
@@ -60,30 +60,30 @@
 
 
 class ConfigurationDecoder:
-    """Decodes versions one after the other; what a version leaves as it was costs little."""
+    """Decodes successive versions; accounts that did not change are not decoded again."""
 
     def __init__(self) -> None:
-        """Start without a former version."""
+        """Create a decoder that has seen no version yet."""
         self._accounts = AccountDecoder()
 
     def decode(self, content: bytes) -> Configuration:
-        """Return the configuration; raises ``UnreadableError``."""
+        """Decode a configuration; raises ``UnreadableError``."""
         document = decode_json(_DECODER, content)
         services = tuple(
             Service(entry.name, entry.enforces_capacity, entry.standby)
             for entry in document.services
         )
-        rows = document.tenants
+        tenant_rows = document.tenants
         return Configuration(
             document.version,
-            tuple(_queue(route) for route in document.routes),
+            tuple(_to_queue(route) for route in document.routes),
             services,
             document.limits.max_body_bytes,
-            None if rows is None else self._accounts.decode(rows),
+            None if tenant_rows is None else self._accounts.decode(tenant_rows),
         )
 
 
-def _queue(route: _Route) -> Queue:
+def _to_queue(route: _Route) -> Queue:
     advice = None
     if route.advice is not None:
         advice = AdvicePolicy(
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -1,9 +1,10 @@
-"""Runners: starts, stops and polls over HTTP.
+"""HTTP client of a runner: starts, stops and polls.
 
-Each call reaches the incarnation that it is meant for, or has no effect. A call names the
-runner by its id, which the next incarnation has too; what tells them apart is only in the
-answer to a poll. So each new connection is tried with a poll that renews, acknowledges and
-starts nothing: what answers it is the process that all calls on that connection reach.
+Each call either reaches the intended incarnation of the runner or has no effect. A request
+contains only the runner's id, which later incarnations share; only the answer to a poll contains
+the incarnation. Each new connection is therefore checked with a poll that renews no leases,
+acknowledges nothing and starts nothing: all later calls on the connection reach the process
+that answered it.
 """
 
 from typing import Any
@@ -37,22 +38,22 @@
 from dandelionreel.kernel import Verdict
 from dandelionreel.platform._views import decode_view
 
-#: Seconds for an order. A runner answers within milliseconds; a slow link
-#: takes some tens. An order that stays unanswered is simply repeated.
+#: Timeout in seconds for a start or a stop. A runner answers within milliseconds, over a slow
+#: link within some tens of them. An unanswered order is repeated.
 ORDER_TIMEOUT = 0.4
-#: Seconds beyond the time that a poll may wait at the runner.
-POLL_TIMEOUT = 0.6
-#: Connections for orders to one runner: one unanswered order must not hold up
-#: the starts behind it.
-ORDER_CHANNELS = 3
+#: Seconds added to the time that a poll may wait at the runner.
+POLL_TIMEOUT_MARGIN = 0.6
+#: Connections for starts and stops per runner: an unanswered order must not block the starts
+#: after it.
+ORDER_CONNECTIONS = 3
 
-#: Lists runs and ends; renews leases and acknowledges ends where it is told to.
+#: Lists runs and ends; also renews leases and acknowledges ends if the request says so.
 POLL_PATH = '/v1/hold'
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
 HTTP_CONFLICT = 409
-HTTP_REPLACED = 421
-UNHEALTHY = frozenset((429, 503))
+HTTP_MISDIRECTED = 421
+UNHEALTHY_STATUSES = frozenset((429, 503))
 MILLISECONDS = 1000
 
 _REPLY_BY_REASON = {
@@ -64,24 +65,24 @@
 }
 
 
-class _Clock(msgspec.Struct):
+class _OrderReply(msgspec.Struct):
     clock_ms: float | None = None
     reason: str = ''
 
 
-_CLOCK = msgspec.json.Decoder(_Clock)
+_ORDER_REPLY_DECODER = msgspec.json.Decoder(_OrderReply)
 
 
 def encode_task(task: TaskName) -> str:
-    """Return a task's name as runners know it."""
+    """Return the name of a task on the wire."""
     return f'{task.job}.{task.occurrence}.{task.step}.{task.index}'
 
 
 class HttpRunner(Runner):
-    """One runner, with a connection for polls and a few for orders."""
+    """Client of one runner, with a connection for polls and several for orders."""
 
     def __init__(self, registration: Registration) -> None:
-        """Reach the runner where it registered itself."""
+        """Create a client for the address and the incarnation of a registration."""
         self._runner = registration.runner
         self._incarnation = registration.incarnation
         self._address = (registration.address, registration.port)
@@ -89,13 +90,16 @@
             ('content-type', 'application/json'),
             ('x-expected-instance', runner_id(registration.runner)),
         )
-        self._polls = self._make_channel()
-        self._orders = [self._make_channel() for _ in range(ORDER_CHANNELS)]
-        self._next_order = 0
+        self._poll_channel = self._make_channel()
+        self._order_channels = [self._make_channel() for _ in range(ORDER_CONNECTIONS)]
+        self._next_channel = 0
         self._epoch = 0
 
     async def start(self, order: StartOrder, check: Check) -> StartAnswer:
-        """Start a task; ``check`` is asked right before the bytes leave."""
+        """Start a task; ``check`` is called right before the request is sent.
+
+        If it returns false, nothing is sent.
+        """
         fields: dict[str, object] = {
             'task': encode_task(order.task),
             'run': order.run,
@@ -108,19 +112,19 @@
         if order.ticket:
             fields['ticket'] = order.ticket
         try:
-            answer = await self._order('/v1/run-start', fields, check)
+            answer = await self._send_order('/v1/run-start', fields, check)
         except RunnerReplaced:
             return StartAnswer(StartReply.REPLACED, None)
         except RunnerFenced:
             return StartAnswer(StartReply.FENCED, None)
-        clock, reason = _read_clock(answer)
+        clock, reason = _decode_order_reply(answer)
         if answer.status == HTTP_OK:
             return StartAnswer(StartReply.STARTED, clock)
         if answer.status == HTTP_CONFLICT:
             return StartAnswer(_REPLY_BY_REASON.get(reason, StartReply.INVALID), clock)
-        if answer.status == HTTP_REPLACED:
+        if answer.status == HTTP_MISDIRECTED:
             return StartAnswer(StartReply.REPLACED, None)
-        if answer.status in UNHEALTHY:
+        if answer.status in UNHEALTHY_STATUSES:
             return StartAnswer(StartReply.UNHEALTHY, clock)
         if answer.status == HTTP_BAD_REQUEST:
             return StartAnswer(StartReply.INVALID, clock)
@@ -129,7 +133,7 @@
     async def stop(self, task: TaskName, run: int, epoch: int) -> None:
         """Stop a run."""
         fields = {'task': encode_task(task), 'run': run, 'fencing_token': epoch}
-        self._check_answer(await self._order('/v1/run-stop', fields))
+        self._check_answer(await self._send_order('/v1/run-stop', fields))
 
     async def poll(
         self,
@@ -138,13 +142,19 @@
         lease_until: float | None,
         wait: float,
     ) -> RunnerView:
-        """Renew all leases and list everything."""
+        """Return the runs and ends on the runner.
+
+        Renews all leases to ``lease_until`` unless it is ``None``, and acknowledges the ends up
+        to the number ``acknowledged``.
+        """
         fields: dict[str, object] = {'fencing_token': epoch, 'acked_through': acknowledged}
         if lease_until is not None:
             fields['deadline_ms'] = int(lease_until * MILLISECONDS)
         if wait:
             fields['wait_ms'] = int(wait * MILLISECONDS)
-        answer = await self._call(self._polls, POLL_PATH, fields, POLL_TIMEOUT + wait)
+        answer = await self._exchange(
+            self._poll_channel, POLL_PATH, fields, POLL_TIMEOUT_MARGIN + wait
+        )
         self._check_answer(answer)
         view = decode_view(answer.body)
         self._check_incarnation(view)
@@ -152,7 +162,7 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        for channel in (self._polls, *self._orders):
+        for channel in (self._poll_channel, *self._order_channels):
             await channel.close()
 
     def _make_channel(self) -> Channel:
@@ -162,7 +172,7 @@
         return Channel(address, port, 'runner', check_peer=self._check_peer)
 
     async def _check_peer(self, connection: Connection) -> None:
-        """Raise ``RunnerReplaced`` where another incarnation is at the end of a connection."""
+        """Raise ``RunnerReplaced`` if a connection leads to another incarnation."""
         fields = {'fencing_token': self._epoch, 'acked_through': 0}
         answer = await connection.exchange(self._make_request(POLL_PATH, fields), ORDER_TIMEOUT)
         self._check_answer(answer)
@@ -176,7 +186,7 @@
         if view.incarnation == self._incarnation:
             return
         if view.incarnation is None:
-            raise RunnerError('the answer does not tell the incarnation', Verdict.NOT_RUN)
+            raise RunnerError('the answer does not contain the incarnation', Verdict.NOT_RUN)
         raise RunnerReplaced(self._runner)
 
     def _make_request(self, path: str, fields: dict[str, Any]) -> Request:
@@ -185,21 +195,23 @@
     def _check_answer(self, answer: Answer) -> None:
         if answer.status == HTTP_OK:
             return
-        if answer.status == HTTP_REPLACED:
+        if answer.status == HTTP_MISDIRECTED:
             raise RunnerReplaced(self._runner)
         if answer.status == HTTP_CONFLICT:
-            _, reason = _read_clock(answer)
+            _, reason = _decode_order_reply(answer)
             if reason == 'fence':
                 raise RunnerFenced(self._runner)
             return
         raise RunnerError(f'the runner answered {answer.status}', Verdict.NOT_RUN)
 
-    async def _order(self, path: str, fields: dict[str, Any], check: Check | None = None) -> Answer:
-        self._next_order = (self._next_order + 1) % ORDER_CHANNELS
-        channel = self._orders[self._next_order]
-        return await self._call(channel, path, fields, ORDER_TIMEOUT, check)
+    async def _send_order(
+        self, path: str, fields: dict[str, Any], check: Check | None = None
+    ) -> Answer:
+        self._next_channel = (self._next_channel + 1) % ORDER_CONNECTIONS
+        channel = self._order_channels[self._next_channel]
+        return await self._exchange(channel, path, fields, ORDER_TIMEOUT, check)
 
-    async def _call(
+    async def _exchange(
         self,
         channel: Channel,
         path: str,
@@ -216,11 +228,11 @@
             raise RunnerError(f'{error}', verdict, connection_broken=broken) from error
 
 
-def _read_clock(answer: Answer) -> tuple[float | None, str]:
+def _decode_order_reply(answer: Answer) -> tuple[float | None, str]:
     try:
-        decoded = decode_json(_CLOCK, answer.body)
+        decoded = decode_json(_ORDER_REPLY_DECODER, answer.body)
     except UnreadableError:
-        # The status alone says what came of the order.
+        # The HTTP status alone tells the result of the order.
         return None, ''
     clock = None if decoded.clock_ms is None else decoded.clock_ms / MILLISECONDS
     return clock, decoded.reason
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the whole path."""
+"""Steps of requests and jobs from submission to result."""
 
 import os
 
@@ -10,7 +10,7 @@
 
 @given('a shared cell')
 def use_shared_cell(context):
-    context.cell = context.shelf.shared()
+    context.cell = context.shared_cell.get_cell()
 
 
 @then('every daemon enforces version {version:d} of {customer}')
@@ -25,11 +25,11 @@
     assert wait_until(all_enforce, 5)
 
 
-@when('a lounge desk asks {daemon} for an entry check')
-def ask_entry_check(context, daemon):
+@when('a caller sends an echo request to {daemon}')
+def send_echo(context, daemon):
     context.mark = os.urandom(8).hex()
     context.body = os.urandom(2000)
-    context.reply = context.cell.callers(
+    context.reply = context.cell.request_as_caller(
         daemon,
         'POST',
         '/v1/services/booking/echo?seconds=0.01',
@@ -42,8 +42,8 @@
     )
 
 
-@then('the answer is its own and whole, with verdict {verdict}')
-def check_whole(context, verdict):
+@then('the answer has its own mark and body, with verdict {verdict}')
+def check_own_answer(context, verdict):
     assert context.reply.status == 200, context.reply
     assert context.reply.headers['dandelionreel-verdict'] == verdict
     assert context.reply.headers['mark'] == context.mark
@@ -70,14 +70,14 @@
     name = next(iter(context.cell.daemons))
 
     def has_ended():
-        shown = context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}')
-        return shown.status == 200 and shown.json()['state'] == state
+        reply = context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}')
+        return reply.status == 200 and reply.json()['state'] == state
 
     assert wait_until(has_ended, 20)
 
 
 @then("the workers' records show one run of it")
-def check_one_run(context):
+def check_single_run(context):
     assert len(context.cell.runs(context.jobs[0])) == 1
 
 
@@ -89,14 +89,14 @@
 
 
 @given('a cell that keeps the details of {count:d} ended jobs')
-def start_small_memory(context, count):
+def start_cell_with_job_limit(context, count):
     layout = Layout(('ub-east',), 1, 1, 1, limits={'known_jobs': count})
     context.cell = context.stack.enter_context(Cluster(layout))
     assert context.cell.publish(contract()).status == 200
 
 
 @when('a settlement with key {key} has ended and {count:d} others after it')
-def end_many(context, key, count):
+def submit_and_finish_jobs(context, key, count):
     name = 'ub-east-d0'
     context.jobs = []
     for number in range(count + 1):
@@ -104,10 +104,10 @@
         context.jobs.append(reply.json()['id'])
         assert wait_until(lambda: len(context.cell.runs()) == len(context.jobs), 10)
 
-    def forgotten():
+    def is_dropped():
         return context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}').status == 404
 
-    assert wait_until(forgotten, 10)
+    assert wait_until(is_dropped, 10)
 
 
 @then('submitting it again with key {key} is answered as already run')
--- a/standins/_relay.py
+++ b/standins/_relay.py
@@ -1,7 +1,7 @@
 """A TCP relay whose links tests can cut, in one direction or in both.
 
-A cut swallows bytes and keeps connections open, as a lost network does; it
-refuses nothing. Daemons are told apart by the address that they connect from.
+A cut drops bytes and keeps connections open, as a network partition does; it
+refuses no connection. Daemons are identified by their source address.
 """
 
 from contextlib import AsyncExitStack
@@ -14,52 +14,53 @@
 from dandelionreel.http import Answer, Request, answer_json, connect, listen
 
 READ_SIZE = 65_536
-#: Whom a rule names to mean every source or target.
-ANYONE = '*'
-STEP_SECONDS = 0.05
-#: The senders' TCP_USER_TIMEOUT, which a relay's own socket hides from them.
-GIVE_UP_SECONDS = 1.0
+#: Stands for every source or every target of a cut.
+ANY_NAME = '*'
+POLL_SECONDS = 0.05
+#: The TCP_USER_TIMEOUT of the senders. The relay applies it, since its socket
+#: acknowledges their bytes, so that their own timeout never runs out.
+TCP_USER_TIMEOUT_SECONDS = 1.0
 
 
 class Cut(msgspec.Struct, frozen=True):
-    """Bytes from ``source`` to ``target`` get lost."""
+    """Drops the bytes from ``source`` to ``target``."""
 
     source: str
     target: str
 
 
 class Cuts(msgspec.Struct):
-    """All cuts in force, and relays that refuse connections."""
+    """All cuts in effect, and the targets whose relays refuse connections."""
 
     cuts: tuple[Cut, ...] = ()
     closed: tuple[str, ...] = ()
 
 
-class Wire:
-    """The cuts that all relays of one stand-in process obey."""
+class LinkFaults:
+    """The cuts that all relays of a process apply."""
 
     def __init__(self, name_by_address: dict[str, str]) -> None:
-        """Name sources by the addresses that they connect from."""
+        """Identify sources by the addresses that they connect from."""
         self._name_by_address = name_by_address
         self._cuts = Cuts()
 
     def replace(self, cuts: Cuts) -> None:
-        """Put these cuts in force instead of all others."""
+        """Replace all cuts."""
         self._cuts = cuts
 
     def handle(self, request: Request) -> Answer:
-        """Replace the cuts by those of the body."""
+        """Replace the cuts with those in the request body."""
         self._cuts = msgspec.json.decode(request.body, type=Cuts)
         return answer_json(self._cuts)
 
     def name(self, address: str) -> str:
-        """Return the name of a source."""
+        """Return the name that belongs to a source address."""
         return self._name_by_address.get(address, address)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Return whether bytes that way get lost."""
+        """Return whether bytes in this direction are dropped."""
         for cut in self._cuts.cuts:
-            if cut.source in {source, ANYONE} and cut.target in {target, ANYONE}:
+            if cut.source in {source, ANY_NAME} and cut.target in {target, ANY_NAME}:
                 return True
         return False
 
@@ -69,20 +70,20 @@
 
 
 class Relay:
-    """Listens for one target and passes bytes on while no cut forbids it."""
+    """Listens in front of one target and forwards bytes that no cut drops."""
 
     def __init__(
         self,
-        wire: Wire,
+        link_faults: LinkFaults,
         target: str,
-        listens: tuple[str, int],
-        reaches: tuple[str, int],
+        listen_address: tuple[str, int],
+        target_address: tuple[str, int],
     ) -> None:
-        """Stand before ``target``."""
-        self._wire = wire
+        """Prepare a relay from ``listen_address`` to ``target_address``."""
+        self._link_faults = link_faults
         self._target = target
-        self._listens = listens
-        self._reaches = reaches
+        self._listen_address = listen_address
+        self._target_address = target_address
         self._listener: Any = None
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -92,12 +93,12 @@
 
     async def _run(self) -> None:
         while True:
-            if self._wire.is_closed(self._target):
+            if self._link_faults.is_closed(self._target):
                 await self._close()
                 await curio.sleep(0.05)
                 continue
             if self._listener is None:
-                self._listener = listen(*self._listens)
+                self._listener = listen(*self._listen_address)
             accepted = await curio.ignore_after(0.05, self._listener.accept)
             if accepted is not None:
                 await curio.spawn(self._serve, *accepted, daemon=True)
@@ -108,14 +109,14 @@
             self._listener = None
 
     async def _serve(self, client: Any, address: tuple[str, int]) -> None:
-        source = self._wire.name(address[0])
+        source = self._link_faults.name(address[0])
         try:
-            upstream = await connect(*self._reaches, 60)
+            upstream = await connect(*self._target_address, 60)
         except OSError:
             await client.close()
             return
-        back = await curio.spawn(
-            self._pass_on,
+        reply_task = await curio.spawn(
+            self._forward,
             upstream,
             client,
             self._target,
@@ -123,34 +124,34 @@
             daemon=True,
         )
         try:
-            await self._pass_on(client, upstream, source, self._target)
+            await self._forward(client, upstream, source, self._target)
         finally:
-            await back.cancel()
+            await reply_task.cancel()
             await client.close()
             await upstream.close()
 
-    async def _pass_cut(self, source: str, target: str) -> bool:
-        """Hold bytes back while a cut lasts; False once TCP would give up.
+    async def _wait_while_cut(self, source: str, target: str) -> bool:
+        """Wait while a cut lasts; return False once TCP would give up.
 
-        Bytes that a short cut meets arrive late, as from a send buffer.
+        Bytes held up by a short cut arrive late, as from a send buffer.
         """
-        waited = 0.0
-        while self._wire.is_cut(source, target):
-            if waited > GIVE_UP_SECONDS:
+        waited_seconds = 0.0
+        while self._link_faults.is_cut(source, target):
+            if waited_seconds > TCP_USER_TIMEOUT_SECONDS:
                 return False
-            await curio.sleep(STEP_SECONDS)
-            waited += STEP_SECONDS
+            await curio.sleep(POLL_SECONDS)
+            waited_seconds += POLL_SECONDS
         return True
 
-    async def _pass_on(self, reading: Any, writing: Any, source: str, target: str) -> None:
+    async def _forward(self, reader: Any, writer: Any, source: str, target: str) -> None:
         try:
             while True:
-                received = await reading.recv(READ_SIZE)
-                if not await self._pass_cut(source, target):
+                received = await reader.recv(READ_SIZE)
+                if not await self._wait_while_cut(source, target):
                     return
                 if not received:
-                    await writing.shutdown(socket.SHUT_WR)
+                    await writer.shutdown(socket.SHUT_WR)
                     return
-                await writing.sendall(received)
+                await writer.sendall(received)
         except OSError:
             return
--- a/standins/_runner.py
+++ b/standins/_runner.py
@@ -1,7 +1,7 @@
-"""A stand-in runner: eight slots, 64 connections, answers what it was asked.
+"""A stand-in for a runner, by default with eight slots and 64 connections.
 
-``POST /echo`` returns the body with a mark of the runner; the query's
-``seconds`` is how long it works. It records every request by its id.
+``POST /echo`` returns the body, the ``mark`` header and the name of the runner;
+the query's ``seconds`` is how long the work takes. Every request is recorded with its id.
 """
 
 import time
@@ -38,7 +38,7 @@
 
 
 class RunnerRecord(msgspec.Struct):
-    """All requests, and the most that were worked on at once."""
+    """All requests, and the highest number in progress at once."""
 
     runner: str
     slots: int
@@ -48,14 +48,14 @@
 
 
 class RunnerStandIn(FaultSwitch):
-    """One runner on a port of its own."""
+    """A runner on its own port."""
 
     def __init__(self, entry: HostEntry) -> None:
-        """Stand in for ``entry``."""
+        """Prepare the runner that ``entry`` describes."""
         super().__init__()
         self.entry = entry
         self._busy = 0
-        self._most = 0
+        self._peak_busy = 0
         self._requests: list[RequestRecord] = []
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -73,12 +73,12 @@
             if self.faults.outage:
                 raise CloseConnection
             return answer_json({'busy': self._busy})
-        await self.faults.before()
+        await self.faults.apply_before()
         return await self._work(request)
 
     def record(self) -> RunnerRecord:
-        """Return what was worked on here."""
-        return RunnerRecord(self.entry.name, self.entry.slots, self._most, 0, self._requests)
+        """Return the requests that this runner has handled."""
+        return RunnerRecord(self.entry.name, self.entry.slots, self._peak_busy, 0, self._requests)
 
     async def _work(self, request: Request) -> Answer:
         record = RequestRecord(
@@ -89,13 +89,13 @@
         )
         self._requests.append(record)
         self._busy += 1
-        self._most = max(self._most, self._busy)
+        self._peak_busy = max(self._peak_busy, self._busy)
         try:
             await curio.sleep(float(request.query_by_name.get('seconds', '0')))
         finally:
             self._busy -= 1
             record.ended_at = time.monotonic()
-        self.faults.after()
+        self.faults.apply_after()
         record.answered = True
         headers = [('content-type', 'application/octet-stream'), ('runner', self.entry.name)]
         headers.append(('mark', request.header('mark')))
