--- a/bench/soak.py
+++ b/bench/soak.py
@@ -25,10 +25,10 @@
 from standins import (
     Cluster,
     Layout,
-    over_filled,
-    over_slots,
-    overlapping,
-    repeated,
+    find_overallocated_workers,
+    find_overlapping_runs,
+    find_overloaded_runners,
+    find_repeated_starts,
     requests_by_mark,
     wait_until,
 )
@@ -73,7 +73,7 @@
         self.seconds = seconds
         self.tally = Tally()
         self.stop = Event()
-        layout = Layout(ZONES, daemons, 2, 2, cuttable=True)
+        layout = Layout(ZONES, daemons, 2, 2, has_relays=True)
         self.cell = Cluster(layout)
         self.version = 1
         self.down: set[str] = set()
@@ -119,7 +119,7 @@
         asked = Asked(os.urandom(8).hex(), os.urandom(200), source.random() < 0.6)
         with self.tally.lock:
             self.tally.asked.append(asked)
-        reply = self.cell.callers(
+        reply = self.cell.request_as_caller(
             name,
             'POST',
             f'/v1/services/booking/echo?seconds={source.choice((0.01, 0.05, 0.4))}',
@@ -302,7 +302,7 @@
             msgspec.structs.replace(one, state='leaving') if one.name == leaving else one
             for one in self.cell.hosts
         ]
-        self.cell.list_hosts(hosts)
+        self.cell.replace_hosts(hosts)
 
     def publish(self) -> None:
         """Publish the next version through some daemon."""
@@ -391,10 +391,10 @@
         endpoints = self.cell.records('endpoint')
         runs = [run for record in workers for run in record['runs']]
         once = {name for name, is_once in tally.accepted.items() if is_once}
-        tally.wrong.extend(f'over-filled {one}' for one in over_filled(workers))
-        tally.wrong.extend(f'over slots {one}' for one in over_slots(endpoints))
-        tally.wrong.extend(f'in two places {one}' for one in overlapping(runs))
-        tally.wrong.extend(f'run twice {one}' for one in repeated(runs, once))
+        tally.wrong.extend(f'over-filled {one}' for one in find_overallocated_workers(workers))
+        tally.wrong.extend(f'over slots {one}' for one in find_overloaded_runners(endpoints))
+        tally.wrong.extend(f'in two places {one}' for one in find_overlapping_runs(runs))
+        tally.wrong.extend(f'run twice {one}' for one in find_repeated_starts(runs, once))
         tally.wrong.extend(self.judge_requests(requests_by_mark(endpoints)))
         self.starts = len(runs)
         self.worked = sum(len(record['requests']) for record in endpoints)
--- a/dandelionreel/cli/_answers.py
+++ b/dandelionreel/cli/_shared.py
@@ -1,4 +1,4 @@
-"""What the tool's commands have in common: check, ask, and how answers are shown."""
+"""Functions that several commands share: check files, send requests, write answers."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -8,32 +8,32 @@
 from returns.result import Failure, Result, Success
 
 from dandelionreel.admin import PublishBody
-from dandelionreel.cli._ask import ToolError, ask, decode
+from dandelionreel.cli._client import ToolError, decode, send_request
+from dandelionreel.cli._command_result import Command, CommandOutcome, CommandResult
 from dandelionreel.cli._options import JOB_COLUMNS
 from dandelionreel.cli._output import write_fields, write_table
-from dandelionreel.cli._shown import Command, Found, Shown
 from dandelionreel.contracts import ContractError, load_contract
 from dandelionreel.http import Request
 from dandelionreel.jobs import JobSpecError, load_spec
 from dandelionreel.kernel import ExitStatus
 
 
-def check(
+def check_file(
     file: Path,
     text: bytes,
     load: Callable[[bytes], Any],
     error_type: type[ValueError],
     json: bool,
-) -> Found:
-    """Return that a file is good, or why it is not."""
+) -> CommandOutcome:
+    """Return a report that a file is valid, or the error in it."""
     try:
         loaded = load(text)
     except error_type as error:
         return Failure(ToolError(f'{file}: {error}', ExitStatus.USAGE))
-    shown = {'file': str(file), 'checked': 'good'}
+    fields = {'file': str(file), 'checked': 'good'}
     if json:
-        shown['content'] = msgspec.to_builtins(loaded)
-    return Success(Shown(shown, write_fields, json))
+        fields['content'] = msgspec.to_builtins(loaded)
+    return Success(CommandResult(fields, write_fields, json))
 
 
 def publish(
@@ -43,63 +43,65 @@
     author: str,
     admin: str,
     json: bool,
-) -> Found:
+) -> CommandOutcome:
     """Check a contract and have a daemon publish it."""
     try:
         contract = load_contract(text)
     except ContractError as error:
         return Failure(ToolError(f'{file}: {error}', ExitStatus.USAGE))
     body = msgspec.json.encode(PublishBody(msgspec.Raw(text), replaces, author))
-    return post(admin, f'/v1/contracts/{contract.customer}', body).map(
-        lambda content: Shown(content, write_fields, json),
+    return post_json(admin, f'/v1/contracts/{contract.customer}', body).map(
+        lambda content: CommandResult(content, write_fields, json),
     )
 
 
-def submit(file: Path, text: bytes, key: str, callers: str, json: bool) -> Found:
-    """Check a job and hand it in."""
+def submit(file: Path, text: bytes, key: str, callers: str, json: bool) -> CommandOutcome:
+    """Check a job and submit it."""
     try:
         load_spec(text)
     except JobSpecError as error:
         return Failure(ToolError(f'{file}: {error}', ExitStatus.USAGE))
     headers = (('idempotency-key', key), ('content-type', 'application/json'))
     request = Request('POST', '/v1/jobs', headers, text)
-    return ask(callers, request).map(
-        lambda answer: Shown({**decode(answer), 'key': key}, write_fields, json),
+    return send_request(callers, request).map(
+        lambda answer: CommandResult({**decode(answer), 'key': key}, write_fields, json),
     )
 
 
-def get(address: str, path: str) -> Result[Any, ToolError]:
-    """Return what a daemon shows at a path."""
-    return ask(address, Request('GET', path)).map(decode)
+def get_json(address: str, path: str) -> Result[Any, ToolError]:
+    """Return the decoded answer of a daemon to a GET request."""
+    return send_request(address, Request('GET', path)).map(decode)
 
 
-def post(address: str, path: str, body: bytes) -> Result[Any, ToolError]:
-    """Return what a daemon answers to a body."""
+def post_json(address: str, path: str, body: bytes) -> Result[Any, ToolError]:
+    """Return the decoded answer of a daemon to a POST request."""
     headers = (('content-type', 'application/json'),)
-    return ask(address, Request('POST', path, headers, body)).map(decode)
+    return send_request(address, Request('POST', path, headers, body)).map(decode)
 
 
-def page(path: str, show: Callable[[Any, Any], None], admin: str, json: bool) -> Command:
-    """Return the command that shows one page of a daemon."""
-    return lambda environment: get(admin, path).map(
-        lambda content: Shown(content, show, json),
+def make_page_command(
+    path: str, write: Callable[[Any, Any], None], admin: str, json: bool
+) -> Command:
+    """Return the command that fetches a path of a daemon and shows it."""
+    return lambda environment: get_json(admin, path).map(
+        lambda content: CommandResult(content, write, json),
     )
 
 
 def make_table(columns: tuple[str, ...]) -> Callable[[Any, Any], None]:
-    """Return what writes rows with these columns."""
+    """Return a function that writes rows with these columns."""
     return lambda stream, content: write_table(stream, content, columns)
 
 
 def write_jobs(stream: Any, content: Any) -> None:
-    """Write a page of jobs, and how to go on behind it."""
+    """Write a page of jobs, and the option that fetches the next page."""
     write_table(stream, content['jobs'], JOB_COLUMNS)
     if content['next_after']:
         stream.write(f'more: --after {content["next_after"]}\n')
 
 
 def write_contracts(stream: Any, content: Any) -> None:
-    """Write contracts, their shares, and what is pending."""
+    """Write contracts, their shares per zone, and their pending versions."""
     views = content if isinstance(content, list) else [content]
     for view in views:
         contract = view['contract'] or {'version': 'none in force'}
--- a/features/steps/account_host_steps.py
+++ b/features/steps/account_host_steps.py
@@ -9,13 +9,13 @@
 from dandelionreel.kernel import Environment
 from features.steps.platform_steps import make_job
 from standins import (
-    ANYONE,
+    ANY_NAME,
     AccountRow,
     Cut,
     Cuts,
     EntryHosts,
     UsersPlatform,
-    started_over_quota,
+    find_starts_over_quota,
     wait_for,
 )
 
@@ -29,7 +29,7 @@
     context.platform = UsersPlatform()
     context.hosts = EntryHosts(context.platform, 3, ADDRESS_BLOCK)
     for name in context.hosts.names:
-        context.platform.relay(f'store-{name}', 'store')
+        context.platform.add_relay(f'store-{name}', 'store')
     context.platform.start()
     context.stack.callback(context.platform.stop)
     context.platform.configure(1, accounts)
@@ -90,7 +90,7 @@
 @when('the first host is cut off from the store, and the key becomes new')
 def revoke_during_store_cut(context):
     link = f'store-{context.hosts.names[0]}'
-    context.platform.wire.replace(Cuts((Cut(ANYONE, link), Cut(link, ANYONE))))
+    context.platform.link_faults.replace(Cuts((Cut(ANY_NAME, link), Cut(link, ANY_NAME))))
     context.platform.configure(2, [AccountRow('blue', ('new',))])
 
 
@@ -143,8 +143,8 @@
     context.others = others
     wait_for_completed(context, others[0], 'old')
     accounts = {path.rpartition('/')[2]: 'blue' for path in context.jobs}
-    runs = context.platform.settle()
-    violations = started_over_quota(runs, accounts, context.platform.quotas)
+    runs = context.platform.collect_runs()
+    violations = find_starts_over_quota(runs, accounts, context.platform.quotas)
     assert not violations, violations
     assert len(runs) >= len(context.jobs)
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -23,9 +23,11 @@
 
 def find_crashed_runs(context):
     """Return the runs of the crashing job that have crashed their runners."""
-    runs = context.platform.settle()
+    runs = context.platform.collect_runs()
     return [
-        run for run in runs if run.task.startswith(f'{CRASHING_JOB:016x}') and run.how == 'crashed'
+        run
+        for run in runs
+        if run.task.startswith(f'{CRASHING_JOB:016x}') and run.outcome == 'crashed'
     ]
 
 
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -47,7 +47,7 @@
 
 @given('a runner that has run a task and is known from its entry')
 def known_runner(context):
-    context.platform = UsersPlatform(1, tells_incarnation=True)
+    context.platform = UsersPlatform(1, reports_incarnation=True)
     context.platform.start()
     context.stack.callback(context.platform.stop)
     (context.runner,) = context.platform.runners
@@ -86,7 +86,7 @@
 def restart(context):
     context.runner.crash()
     time.sleep(0.05)
-    context.runner.revive()
+    context.runner.restart()
 
 
 @when(
@@ -160,7 +160,7 @@
 @then('the start is answered, and the new process has run it')
 def check_new_process_ran_task(context):
     assert context.result is StartReply.STARTED, context.result
-    assert [run.number for run in context.platform.settle()] == [1, 9]
+    assert [run.number for run in context.platform.collect_runs()] == [1, 9]
 
 
 @when('it does not answer, and a start is sent')
@@ -169,7 +169,7 @@
         context.result = await send(context.client, 'a start', context.runner.clock())
         await context.client.close()
 
-    context.runner.dark = True
+    context.runner.is_down = True
     curio.run(start)
 
 
@@ -190,7 +190,7 @@
         context.result = await send(context.client, call, context.runner.clock())
         await context.client.close()
 
-    context.runner.tells_incarnation = False
+    context.runner.reports_incarnation = False
     if 'stops' not in behavior:
         context.runner.answer = handle
     curio.run(send_call)
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -26,13 +26,14 @@
     from dandelionreel.peers import Done, Frame, encode_frame
     from dandelionreel.peers._codec import _schema
 
-    good = encode_frame(Frame(1, 'x/1', 1, 1, Done()))
-    other = _schema.Frame.new_message(version=99, exchange=1, sender='x/1').to_bytes()
+    valid_frame = encode_frame(Frame(1, 'x/1', 1, 1, Done()))
+    other_version_frame = _schema.Frame.new_message(version=99, exchange=1, sender='x/1').to_bytes()
     return {
         'a frame of 2 gigabytes': struct.pack('>I', 2**31) + b'x',
-        'a frame of another version': struct.pack('>I', len(other)) + other,
+        'a frame of another version': struct.pack('>I', len(other_version_frame))
+        + other_version_frame,
         'a frame of random bytes': struct.pack('>I', 64) + os.urandom(64),
-        'half a frame': struct.pack('>I', len(good)) + good[:8],
+        'half a frame': struct.pack('>I', len(valid_frame)) + valid_frame[:8],
     }
 
 
@@ -54,7 +55,7 @@
 def send_invalid_http(context, what):
     daemon = context.cell.daemons[DAEMON_NAME]
     context.received = _send(
-        daemon.address, daemon.callers, PAYLOAD_BY_DESCRIPTION[what], half_close=False
+        daemon.address, daemon.caller_port, PAYLOAD_BY_DESCRIPTION[what], half_close=False
     )
 
 
@@ -72,7 +73,7 @@
 @when('a request is sent with header {header} set to {text}')
 def send_header(context, header, text):
     headers = {'dandelionreel-customer': 'khangai', header: text}
-    context.reply = context.cell.callers(
+    context.reply = context.cell.request_as_caller(
         DAEMON_NAME, 'POST', '/v1/services/booking/echo', b'', headers
     )
 
@@ -80,7 +81,7 @@
 @when('a request is sent to service {service}')
 def send_service(context, service):
     headers = {'dandelionreel-customer': 'khangai'}
-    context.reply = context.cell.callers(
+    context.reply = context.cell.request_as_caller(
         DAEMON_NAME, 'POST', f'/v1/services/{service}/x', b'', headers
     )
 
@@ -99,7 +100,9 @@
 def send_invalid_frame(context, what):
     daemon = context.cell.daemons[DAEMON_NAME]
     half_close = what == 'half a frame'
-    context.received = _send(daemon.address, daemon.peers, _frames()[what], half_close=half_close)
+    context.received = _send(
+        daemon.address, daemon.peer_port, _frames()[what], half_close=half_close
+    )
 
 
 @then('the connection is closed')
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -4,7 +4,13 @@
 
 from behave import given, then, when
 
-from standins import EntryHosts, UsersPlatform, doubled_runs, overfull, wait_for
+from standins import (
+    EntryHosts,
+    UsersPlatform,
+    find_duplicate_runs,
+    find_overallocated_runners,
+    wait_for,
+)
 
 COMPLETED = 'completed'
 
@@ -76,9 +82,9 @@
 
 @then('no task ran twice and no runner exceeded its capacity')
 def check_runs(context):
-    runs = context.platform.settle()
-    assert not doubled_runs(runs), doubled_runs(runs)
-    assert not overfull(runs), overfull(runs)
+    runs = context.platform.collect_runs()
+    assert not find_duplicate_runs(runs), find_duplicate_runs(runs)
+    assert not find_overallocated_runners(runs), find_overallocated_runners(runs)
 
 
 @when('{count:d} jobs of 3 tasks are submitted to all hosts')
@@ -130,8 +136,8 @@
 
 @then('its task is stopped')
 def check_task_stopped(context):
-    wait_for(lambda: context.platform.settle()[0].ended is not None)
-    assert [run.how for run in context.platform.runs] == ['stopped']
+    wait_for(lambda: context.platform.collect_runs()[0].ended is not None)
+    assert [run.outcome for run in context.platform.runs] == ['stopped']
 
 
 @when('a long job is submitted and the owner is killed while it runs')
@@ -274,4 +280,4 @@
 
 @then('its task has run once')
 def check_ran_once(context):
-    assert len(context.platform.settle()) == 1, context.platform.runs
+    assert len(context.platform.collect_runs()) == 1, context.platform.runs
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -16,14 +16,14 @@
 
 @given('{count:d} entry hosts on a platform whose runners restart under their ids')
 def start_restarting(context, count):
-    start_hosts(context, count, ADDRESS_BLOCK, tells_incarnation=True)
+    start_hosts(context, count, ADDRESS_BLOCK, reports_incarnation=True)
 
 
 def restart(context, runner, pause=0.05):
     """Crash a runner, start it again and update its entry afterwards."""
     runner.crash()
     time.sleep(pause)
-    runner.revive()
+    runner.restart()
     context.platform.register(runner)
 
 
@@ -94,7 +94,7 @@
     platform = context.platform
     submit_jobs(context, range(1, 11), cpu=500, seconds=0.1, count=12)
     wait_for_all_completed(context)
-    ended = Counter(run.runner for run in platform.settle())
+    ended = Counter(run.runner for run in platform.collect_runs())
     assert min(ended.values()) >= ends, ended
     restart_all(context)
     submit_job(
@@ -104,6 +104,6 @@
 
 @then('the gang has run once')
 def check_gang_ran_once(context):
-    runs = context.platform.settle()
+    runs = context.platform.collect_runs()
     numbers = {run.number for run in runs if run.task.startswith(f'{GANG_JOB:016x}')}
     assert len(numbers) == 1, numbers
--- a/standins/_cluster.py
+++ b/standins/_cluster.py
@@ -21,20 +21,20 @@
 from dandelionreel.kernel import Endpoint
 from standins._plan import Plan, RelayPlan
 
-#: Each process that starts cells has loopback addresses of its own, so that
-#: cells that run side by side never take each other's ports.
+#: Loopback subnet derived from the process id, so that cells started by parallel
+#: processes don't compete for ports.
 SUBNET = f'127.{64 + os.getpid() // 256 % 64}.{os.getpid() % 256}'
 LOOPBACK = f'{SUBNET}.1'
-FIRST_DAEMON = 10
-DAEMONS_A_ZONE = 20
+FIRST_DAEMON_ADDRESS = 10
+ADDRESSES_PER_ZONE = 20
 READY_SECONDS = 20.0
 POLL_SECONDS = 0.05
-SETTLED_SECONDS = 0.7
+OWNERSHIP_STABLE_SECONDS = 0.7
 HTTP_TIMEOUT = 30.0
-PROCESS_SECONDS = 3600.0
+MAX_RUN_SECONDS = 3600.0
 PR_SET_PDEATHSIG = 1
 
-#: Faster than a real cell's, so that tests end soon; the ratios stay.
+#: Shorter than in production, so that tests end soon; the ratios are the same.
 FAST_TIMINGS = {
     'authority': 1.5,
     'heartbeat': 0.3,
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """How large a cell to start; ``cuttable`` puts relays between the parts."""
+    """Size and settings of a test cell; ``has_relays`` lets tests cut the links of daemons."""
 
     zones: tuple[str, ...] = ('ub-east', 'ub-west')
     daemons: int = 1
@@ -64,7 +64,7 @@
     service: str = 'booking'
     slots: int = 8
     capacity: Resources = Resources(32, 65_536, 0)
-    cuttable: bool = False
+    has_relays: bool = False
     seconds: float = 600.0
     timings: dict[str, float] = field(default_factory=lambda: dict(FAST_TIMINGS))
     logs: dict[str, Any] = field(default_factory=dict)
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """One whole HTTP answer; header names in lower case."""
+    """A complete HTTP response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -86,14 +86,14 @@
 
 @dataclass
 class DaemonProcess:
-    """One daemon, its addresses, and its process while it runs."""
+    """A daemon, its addresses and files, and its process once it was started."""
 
     name: str
     zone: str
     address: str
-    callers: int
-    admin: int
-    peers: int
+    caller_port: int
+    admin_port: int
+    peer_port: int
     settings: Path
     log: Path
     process: subprocess.Popen | None = None
@@ -105,41 +105,41 @@
 
 
 class Ports:
-    """Free ports; each is handed out once in this process."""
+    """Allocates free ports, each only once in this process."""
 
-    _given: set[int] = set()
+    _allocated: set[int] = set()
 
-    def take(self, address: str = LOOPBACK) -> int:
+    def allocate(self, address: str = LOOPBACK) -> int:
         """Return a port that is free now."""
         while True:
             with socket.socket() as probe:
                 probe.bind((address, 0))
                 port = probe.getsockname()[1]
-            if port not in self._given:
-                self._given.add(port)
+            if port not in self._allocated:
+                self._allocated.add(port)
                 return port
 
 
 class Cluster:
-    """A cell on loopback. Leave it by the ``with`` block: it ends what it started."""
+    """A cell of real processes on loopback; leaving the ``with`` block ends them."""
 
     def __init__(self, layout: Layout) -> None:
-        """Lay out ports and files; nothing runs yet."""
+        """Allocate ports and write the settings files; start nothing yet."""
         self.layout = layout
         self._stack = ExitStack()
         self._ports = Ports()
         self._directory = Path(self._stack.enter_context(tempfile.TemporaryDirectory()))
         self.address = LOOPBACK
-        self.log_port = self._ports.take()
-        self.hosts_port = self._ports.take()
-        self.control_port = self._ports.take()
+        self.log_port = self._ports.allocate()
+        self.hosts_port = self._ports.allocate()
+        self.control_port = self._ports.allocate()
         self.daemons: dict[str, DaemonProcess] = {}
         self.hosts: list[HostEntry] = []
         self._relays: list[RelayPlan] = []
-        self._names: dict[str, str] = {}
+        self._name_by_address: dict[str, str] = {}
         self._standins: subprocess.Popen | None = None
         for index, zone in enumerate(layout.zones):
-            self._lay_out_zone(index, zone)
+            self._plan_zone(index, zone)
 
     def __enter__(self) -> 'Cluster':
         """Start everything and wait until all daemons are ready."""
@@ -148,11 +148,11 @@
             self.start(daemon.name)
         for daemon in self.daemons.values():
             self.wait_ready(daemon.name)
-        self.wait_settled()
+        self.wait_ownership_stable()
         return self
 
     def __exit__(self, *exc_info: object) -> None:
-        """End all processes that this object started."""
+        """Kill all processes that this object started."""
         for daemon in self.daemons.values():
             self.kill(daemon.name)
         if self._standins is not None:
@@ -171,15 +171,15 @@
             self.control_port,
             tuple(self.hosts),
             tuple(self._relays),
-            self._names,
-            PROCESS_SECONDS,
+            self._name_by_address,
+            MAX_RUN_SECONDS,
         )
         path = self._directory / 'plan.json'
         path.write_bytes(msgspec.json.encode(plan))
         self._standins = subprocess.Popen(
             [sys.executable, '-m', 'standins', str(path)],
             stdout=subprocess.PIPE,
-            preexec_fn=_end_with_parent,
+            preexec_fn=_kill_with_parent,
             cwd=Path(__file__).parent.parent,
         )
         line = self._standins.stdout.readline()
@@ -200,7 +200,7 @@
                     str(daemon.settings),
                 ],
                 stderr=log,
-                preexec_fn=_end_with_parent,
+                preexec_fn=_kill_with_parent,
                 cwd=Path(__file__).parent.parent,
             )
 
@@ -211,7 +211,7 @@
             os.kill(daemon.process.pid, number)
 
     def kill(self, name: str) -> None:
-        """End a daemon at once."""
+        """Kill a daemon, even one that is paused."""
         daemon = self.daemons[name]
         if daemon.process is None:
             return
@@ -221,35 +221,35 @@
         daemon.process.wait()
 
     def wait_ready(self, name: str) -> None:
-        """Wait until a daemon is ready and a member."""
+        """Wait until a daemon reports that it is ready and a member of the cell."""
         daemon = self.daemons[name]
         until = time.monotonic() + READY_SECONDS
         while time.monotonic() < until:
             if not daemon.is_running:
-                raise RuntimeError(f'{name} ended: {self.log_of(name)[-2000:]}')
+                raise RuntimeError(f'{name} exited: {self.log_of(name)[-2000:]}')
             reply = self.try_get(daemon, '/v1/status')
             if reply is not None and reply.status == 200:
                 status = reply.json()
                 if status['ready'] and status['is_member']:
                     return
             time.sleep(POLL_SECONDS)
-        raise RuntimeError(f'{name} did not get ready: {self.log_of(name)[-2000:]}')
+        raise RuntimeError(f'{name} did not become ready: {self.log_of(name)[-2000:]}')
 
-    def wait_settled(self) -> None:
-        """Wait until ownership has stopped moving: scenarios begin from there."""
+    def wait_ownership_stable(self) -> None:
+        """Wait until shard ownership is stable, so that scenarios start from a fixed state."""
         until = time.monotonic() + READY_SECONDS
-        former: list[Any] = []
+        previous_owners: list[Any] = []
         while time.monotonic() < until:
-            time.sleep(SETTLED_SECONDS)
+            time.sleep(OWNERSHIP_STABLE_SECONDS)
             owners = [self.owners_in(zone) for zone in self.layout.zones]
-            if owners == former and all(owners):
+            if owners == previous_owners and all(owners):
                 return
-            former = owners
-        raise RuntimeError('ownership did not settle')
+            previous_owners = owners
+        raise RuntimeError('shard ownership did not become stable')
 
     def owners_in(self, zone: str) -> list[tuple[str, str]]:
-        """Return each shard's owner, nothing while some shard has none."""
-        name = next(one.name for one in self.daemons.values() if one.zone == zone)
+        """Return each shard and its owner, or nothing while a shard is missing or released."""
+        name = next(daemon.name for daemon in self.daemons.values() if daemon.zone == zone)
         shards = self.admin(name, 'GET', '/v1/shards').json()
         expected = self.layout.workers + self.layout.endpoints + 1
         if len(shards) != expected or any(shard['released'] for shard in shards):
@@ -257,24 +257,24 @@
         return [(shard['shard'], shard['owner']) for shard in shards]
 
     def log_of(self, name: str) -> str:
-        """Return what a daemon has written so far."""
+        """Return what a daemon has logged so far."""
         return self.daemons[name].log.read_text()
 
-    # Questions.
+    # Requests.
 
     def try_get(self, daemon: DaemonProcess, path: str) -> Reply | None:
-        """Return an answer of the admin port, ``None`` when there is none."""
+        """Send a GET request to the admin port; return ``None`` if there is no answer."""
         try:
-            return exchange(daemon.address, daemon.admin, 'GET', path, timeout=2)
+            return exchange(daemon.address, daemon.admin_port, 'GET', path, timeout=2)
         except OSError:
             return None
 
     def admin(self, name: str, method: str, path: str, body: Any = None) -> Reply:
-        """Ask a daemon's admin port."""
+        """Send a request to a daemon's admin port."""
         daemon = self.daemons[name]
-        return exchange(daemon.address, daemon.admin, method, path, body)
+        return exchange(daemon.address, daemon.admin_port, method, path, body)
 
-    def callers(
+    def request_as_caller(
         self,
         name: str,
         method: str,
@@ -283,12 +283,12 @@
         headers: dict[str, str] | None = None,
         timeout: float = HTTP_TIMEOUT,
     ) -> Reply:
-        """Ask a daemon's callers' port."""
+        """Send a request to the port that a daemon serves callers on."""
         daemon = self.daemons[name]
-        return exchange(daemon.address, daemon.callers, method, path, body, headers, timeout)
+        return exchange(daemon.address, daemon.caller_port, method, path, body, headers, timeout)
 
     def publish(self, contract: dict[str, Any], replaces: int = 0, name: str = '') -> Reply:
-        """Publish a contract through some daemon."""
+        """Publish a contract through the named daemon, or through the first one."""
         name = name or next(iter(self.daemons))
         path = f'/v1/contracts/{contract["customer"]}'
         body = {'contract': contract, 'replaces': replaces, 'author': 'operator'}
@@ -297,43 +297,46 @@
     def submit(self, name: str, job: dict[str, Any], key: str = '') -> Reply:
         """Submit a job."""
         headers = {'idempotency-key': key} if key else {}
-        return self.callers(name, 'POST', '/v1/jobs', job, headers)
+        return self.request_as_caller(name, 'POST', '/v1/jobs', job, headers)
 
-    # Faults and evidence.
+    # Faults and records.
 
     def set_log_faults(self, **faults: Any) -> None:
-        """Replace the log's faults."""
+        """Replace the faults of the log stand-in."""
         exchange(LOOPBACK, self.log_port, 'POST', '/control/faults', faults)
 
     def set_host_faults(self, host: str, **faults: Any) -> None:
-        """Replace the faults of a worker or an endpoint."""
+        """Replace the faults of the stand-in of a worker or an endpoint."""
         entry = self.host(host)
         exchange(entry.address, entry.port, 'POST', '/control/faults', faults)
 
     def truncate_log(self, stream: str, first: int | None = None) -> None:
-        """Let records of a stream expire."""
+        """Drop the records of a stream before the offset ``first``, or all of them."""
         query = f'stream={stream}'
         if first is not None:
             query = f'{query}&first={first}'
         exchange(LOOPBACK, self.log_port, 'POST', f'/control/truncate?{query}')
 
     def cut(self, *pairs: tuple[str, str], closed: tuple[str, ...] = ()) -> None:
-        """Lose all bytes from the first to the second of each pair; replaces former cuts."""
+        """Replace all cuts: drop the bytes from the first to the second name of each pair.
+
+        Relays of the ``closed`` targets refuse connections.
+        """
         cuts = [{'source': source, 'target': target} for source, target in pairs]
         body = {'cuts': cuts, 'closed': list(closed)}
         exchange(LOOPBACK, self.control_port, 'POST', '/control/cuts', body)
 
-    def list_hosts(self, hosts: list[HostEntry]) -> None:
+    def replace_hosts(self, hosts: list[HostEntry]) -> None:
         """Replace the platform's list of hosts."""
         body = msgspec.to_builtins({'hosts': hosts})
         exchange(LOOPBACK, self.hosts_port, 'POST', '/control/hosts', body)
 
     def host(self, name: str) -> HostEntry:
-        """Return a host of the plan."""
+        """Return the host with this name."""
         return next(entry for entry in self.hosts if entry.name == name)
 
     def record(self, host: str) -> dict[str, Any]:
-        """Return what a worker or endpoint has done, by its own record."""
+        """Return what the stand-in of a worker or an endpoint has recorded."""
         entry = self.host(host)
         return exchange(entry.address, entry.port, 'GET', '/control/record').json()
 
@@ -346,9 +349,9 @@
         found = [run for record in self.records('worker') for run in record['runs']]
         return [run for run in found if job in {'', run['job']}]
 
-    # Laying out.
+    # Layout.
 
-    def _lay_out_zone(self, index: int, zone: str) -> None:
+    def _plan_zone(self, index: int, zone: str) -> None:
         layout = self.layout
         for number in range(layout.workers):
             self.hosts.append(
@@ -357,7 +360,7 @@
                     'worker',
                     zone,
                     LOOPBACK,
-                    self._ports.take(),
+                    self._ports.allocate(),
                     rack=f'{zone}-rack{number // 6}',
                     capacity=layout.capacity,
                 ),
@@ -369,45 +372,45 @@
                     'endpoint',
                     zone,
                     LOOPBACK,
-                    self._ports.take(),
+                    self._ports.allocate(),
                     service=layout.service,
                     slots=layout.slots,
                     connections=64,
                 ),
             )
         for number in range(layout.daemons):
-            self._lay_out_daemon(index, zone, number)
+            self._plan_daemon(index, zone, number)
 
-    def _lay_out_daemon(self, index: int, zone: str, number: int) -> None:
+    def _plan_daemon(self, index: int, zone: str, number: int) -> None:
         name = f'{zone}-d{number}'
-        address = f'{SUBNET}.{FIRST_DAEMON + index * DAEMONS_A_ZONE + number}'
-        self._names[address] = name
-        peers = self._ports.take(address)
-        reached = peers
+        address = f'{SUBNET}.{FIRST_DAEMON_ADDRESS + index * ADDRESSES_PER_ZONE + number}'
+        self._name_by_address[address] = name
+        peer_port = self._ports.allocate(address)
+        advertised_port = peer_port
         log_port, hosts_port = self.log_port, self.hosts_port
-        if self.layout.cuttable:
-            reached = self._relay(name, address, peers)
-            log_port = self._relay('log', LOOPBACK, self.log_port)
+        if self.layout.has_relays:
+            advertised_port = self._add_relay(name, address, peer_port)
+            log_port = self._add_relay('log', LOOPBACK, self.log_port)
         daemon = DaemonProcess(
             name,
             zone,
             address,
-            self._ports.take(address),
-            self._ports.take(address),
-            peers,
+            self._ports.allocate(address),
+            self._ports.allocate(address),
+            peer_port,
             self._directory / f'{name}.json',
             self._directory / f'{name}.log',
         )
         self.daemons[name] = daemon
-        self.hosts.append(HostEntry(name, 'entry', zone, address, reached))
+        self.hosts.append(HostEntry(name, 'entry', zone, address, advertised_port))
         settings = {
             'host': name,
             'availability_zone': zone,
             'availability_zones': list(self.layout.zones),
-            'callers': _endpoint(address, daemon.callers),
-            'admin': _endpoint(address, daemon.admin),
-            'peers': _endpoint(address, peers),
-            'peers_advertised': _endpoint(address, reached),
+            'callers': _endpoint(address, daemon.caller_port),
+            'admin': _endpoint(address, daemon.admin_port),
+            'peers': _endpoint(address, peer_port),
+            'peers_advertised': _endpoint(address, advertised_port),
             'source_address': address,
             'platform': {
                 'log': _endpoint(LOOPBACK, log_port),
@@ -419,14 +422,14 @@
         }
         daemon.settings.write_text(json.dumps(settings))
 
-    def _relay(self, target: str, address: str, port: int) -> int:
-        listens = self._ports.take(address)
-        self._relays.append(RelayPlan(target, address, listens, address, port))
-        return listens
+    def _add_relay(self, target: str, address: str, port: int) -> int:
+        listen_port = self._ports.allocate(address)
+        self._relays.append(RelayPlan(target, address, listen_port, address, port))
+        return listen_port
 
 
-def _end_with_parent() -> None:
-    """Have the kernel end this process when the test run ends, however it does."""
+def _kill_with_parent() -> None:
+    """Have the kernel kill this process when the test process ends, even if that is killed."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
@@ -451,17 +454,17 @@
     try:
         connection.request(method, path, payload, headers or {})
         answer = connection.getresponse()
-        named = {name.lower(): text for name, text in answer.getheaders()}
-        return Reply(answer.status, named, answer.read())
+        header_by_name = {name.lower(): text for name, text in answer.getheaders()}
+        return Reply(answer.status, header_by_name, answer.read())
     finally:
         connection.close()
 
 
-def wait_until(test: Any, seconds: float = 15.0, pause: float = POLL_SECONDS) -> bool:
-    """Return whether ``test()`` becomes true within ``seconds``."""
+def wait_until(condition: Any, seconds: float = 15.0, pause: float = POLL_SECONDS) -> bool:
+    """Return whether ``condition()`` becomes true within ``seconds``."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        if test():
+        if condition():
             return True
         time.sleep(pause)
-    return bool(test())
+    return bool(condition())
