--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from dandelionreel.admin import AdminFront
+from dandelionreel.admin import AdminApi
 from dandelionreel.backing import HostWatch, LogError, StreamReader, StreamWriter
 from dandelionreel.callers import CallerApi, Relay
 from dandelionreel.contracts import ContractProjection, ContractPublisher, ContractRecord
@@ -35,7 +35,7 @@
     watch_signals,
     zones_of,
 )
-from dandelionreel.life import InFlight, Life
+from dandelionreel.life import InFlightCounter, Lifecycle
 from dandelionreel.metrics import DaemonMetrics
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
@@ -82,10 +82,10 @@
 
 CELL_STREAM = 'cell'
 ZONE_STREAM = 'zone.{0}'
-JOIN_PATIENCE = 5.0
-JOIN_AGAIN_SECONDS = 1.0
-#: How often in a silent period a daemon looks whether it must say it is alive.
-ALIVE_CHECKS = 8
+JOIN_WRITE_SECONDS = 5.0
+JOIN_RETRY_SECONDS = 1.0
+#: Checks per silence period for whether a liveness record must be written.
+ALIVE_CHECKS_PER_PERIOD = 8
 INCARNATION_BYTES = 3
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 MILLISECONDS = 1000
@@ -95,22 +95,22 @@
 
 
 class DispatchShard(ShardUser):
-    """Has the zone's dispatch shard owned by somebody."""
+    """Requests the zone's dispatch shard, so that some daemon always owns it."""
 
     def wanted_shards(self) -> tuple[str, ...]:
-        """Return the one shard."""
+        """Return the dispatch shard."""
         return (DISPATCH_SHARD,)
 
     async def prepare_release(self, shard: str) -> bool:
-        """Return True: a dispatcher's orders carry its epoch and an age."""
+        """Return True: orders carry epoch and age, so none needs to finish before a release."""
         return True
 
 
 class Daemon:
-    """One daemon, made of parts that know each other only by their constructors."""
+    """One daemon; its components get each other only as constructor arguments."""
 
     def __init__(self, settings: Settings, environment: Environment) -> None:
-        """Build all parts; nothing runs or listens yet."""
+        """Build all components; nothing runs or listens yet."""
         self._settings = settings
         self._clock = environment.clock
         self._journal = Journal(
@@ -125,10 +125,10 @@
         self._build_contracts()
         self._build_requests()
         self._build_jobs()
-        self._build_fronts()
+        self._build_apis()
 
     async def run(self) -> ExitStatus:
-        """Serve until told to stop; return the exit status."""
+        """Serve until a stop is requested; return the exit status."""
         self._journal.open()
         try:
             async with AsyncExitStack() as stack:
@@ -242,7 +242,7 @@
             self._cell_writer,
             self._journal,
         )
-        self._life = Life(
+        self._life = Lifecycle(
             self._settings,
             self._clock,
             self._cell_reader,
@@ -298,14 +298,14 @@
             self._peer_clocks,
             self._journal,
         )
-        self._shares = QuotaShareBalancer(
+        self._share_balancer = QuotaShareBalancer(
             settings,
             clock,
             self._contracts,
             self._cell_writer,
             self._journal,
         )
-        self._orders = OrderSender(
+        self._order_sender = OrderSender(
             self.me,
             settings,
             clock,
@@ -326,12 +326,12 @@
             self._hosts,
             self._zone_reader,
             self._zone_writer,
-            self._orders,
-            self._shares,
+            self._order_sender,
+            self._share_balancer,
             JobMetrics(self._metrics.registry),
             self._journal,
         )
-        self._keeper = JobRefresher(
+        self._job_refresher = JobRefresher(
             settings,
             clock,
             self._jobs,
@@ -343,9 +343,9 @@
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
-    def _build_fronts(self) -> None:
+    def _build_apis(self) -> None:
         settings = self._settings
-        intake = JobApi(
+        job_api = JobApi(
             settings,
             self._clock,
             self._jobs,
@@ -356,7 +356,7 @@
             self._journal,
         )
         relay = Relay(zones_of(settings), self._directory, self._clock)
-        mover = JobMover(
+        job_mover = JobMover(
             self.me,
             settings,
             self._clock,
@@ -366,15 +366,15 @@
             self._zone_writer,
             self._journal,
         )
-        callers = CallerApi(
+        caller_api = CallerApi(
             settings.availability_zone,
             self._router,
-            intake,
-            mover,
+            job_api,
+            job_mover,
             relay,
             self._life,
         )
-        admin = AdminFront(
+        admin_api = AdminApi(
             self.me,
             settings,
             self._clock,
@@ -393,7 +393,7 @@
             self._fleet,
             self._pool,
             self._router,
-            callers,
+            caller_api,
         )
         limits = settings.limits
         server_limits = ServerLimits(
@@ -402,15 +402,17 @@
             read_seconds=limits.header_seconds,
             connections=limits.connections,
         )
-        self._callers_server = Server(callers.handle, server_limits)
-        self._admin_server = Server(admin.handle, server_limits)
-        self._answer_peers(callers)
+        self._callers_server = Server(caller_api.handle, server_limits)
+        self._admin_server = Server(admin_api.handle, server_limits)
+        self._register_peer_handlers(caller_api)
 
-    def _answer_peers(self, callers: CallerApi) -> None:
-        self._peer_monitor.connect_gossip(self._gossip, self._hear, self._publisher.handle_gossip)
+    def _register_peer_handlers(self, caller_api: CallerApi) -> None:
+        self._peer_monitor.connect_gossip(
+            self._make_gossip, self._handle_gossip, self._publisher.handle_gossip
+        )
         server = self._peer_server
         server.add_handler(Heartbeat, self._peer_monitor.answer_heartbeat)
-        server.add_handler(Forward, callers.answer_forward)
+        server.add_handler(Forward, caller_api.answer_forward)
         server.add_handler(PlaceOrder, self._fleet.answer_place)
         server.add_handler(TaskAction, self._fleet.answer_action)
         server.add_handler(WorkerReport, self._answer_report)
@@ -420,8 +422,8 @@
 
     async def _start(self, stack: AsyncExitStack) -> None:
         settings = self._settings
-        # Binding comes before joining: a member that listens can be proven
-        # to have ended by a refused connection.
+        # Listen before joining: peers take a refused connection as proof that a
+        # member has ended, which holds only if every member listens.
         await self._peer_server.start(stack, settings.peers.address, settings.peers.port)
         await self._admin_server.start(stack, settings.admin.address, settings.admin.port)
         await self._callers_server.start(stack, settings.callers.address, settings.callers.port)
@@ -449,36 +451,36 @@
             self._zone_writer,
             self._cell_writer,
         )
-        for work in (
+        for run_loop in (
             self._claimer.run,
             self._publisher.run,
             self._pool.run,
             self._router.run,
             self._dispatcher.run,
             self._dispatcher.follow_log,
-            self._orders.run,
-            self._orders.write_queued_records,
-            self._shares.run,
-            self._keeper.run,
+            self._order_sender.run,
+            self._order_sender.write_queued_records,
+            self._share_balancer.run,
+            self._job_refresher.run,
             self._update_metrics,
         ):
-            await start_task(stack, work)
+            await start_task(stack, run_loop)
         await start_task(stack, self._fleet.run, stack)
-        # What was built to last is no garbage: later collections skip it.
+        # Objects built at startup live as long as the process: later collections skip them.
         gc.collect()
         gc.freeze()
 
-    async def _take_signal(self, number: int) -> None:
+    async def _handle_stop_signal(self, number: int) -> None:
         await self._life.request_stop()
 
     async def _serve(self, stack: AsyncExitStack) -> None:
-        await start_task(stack, await watch_signals(stack, STOP_SIGNALS, self._take_signal))
+        await start_task(stack, await watch_signals(stack, STOP_SIGNALS, self._handle_stop_signal))
         while not self._life.stopping and not self._was_declared_ended():
             await curio.ignore_after(0.5, self._life.stop_requested.wait)
         if self._was_declared_ended():
-            self._journal.tell(Part.LIFE, 'exits; the log says that it has ended.')
+            self._journal.tell(Part.LIFE, 'exits: the log records this member as ended.')
             return
-        in_flight = InFlight()
+        in_flight = InFlightCounter()
         in_flight.add(lambda: self._router.in_flight)
         in_flight.add(lambda: self._callers_server.requests_in_progress)
         await self._life.drain(
@@ -496,7 +498,7 @@
         return self._zone_members.has_ended(self.me) or self._cell_members.has_ended(self.me)
 
     async def _join(self) -> None:
-        """Join both streams, again before a third of the retention is left."""
+        """Write the join record to both streams, again after each third of the retention."""
         settings = self._settings
         advertised = settings.peers_advertised
         joined = Joined(
@@ -506,23 +508,23 @@
             advertised.address if advertised else settings.peers.address,
             advertised.port if advertised else self._peer_server.port,
         )
-        again = settings.timings.retention / 3
+        rejoin_after = settings.timings.retention / 3
         while True:
             for writer in (self._zone_writer, self._cell_writer):
                 await _write_until_done(writer, joined)
             self._journal.tell(Part.OWNERSHIP, f'joined as {self.me}.')
-            await self._say_alive(again)
+            await self._write_alive_records(rejoin_after)
 
-    async def _say_alive(self, seconds: float) -> None:
-        """While some neighbour is silent to us, write that we are alive.
+    async def _write_alive_records(self, seconds: float) -> None:
+        """Write liveness records while no message arrives from some monitored peer.
 
-        It may be cut off from us alone; without this it would take over
-        shards whose owner is well.
+        Only the link to that peer may be cut; without these records it would
+        take over shards whose owner is still running.
         """
         period = self._settings.timings.silent_after
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
-            await curio.sleep(period / ALIVE_CHECKS)
+            await curio.sleep(period / ALIVE_CHECKS_PER_PERIOD)
             if not self._peer_monitor.has_silent_neighbour():
                 continue
             with suppress(LogError):
@@ -543,25 +545,25 @@
 
     # Gossip.
 
-    def _gossip(self, near: bool) -> Gossip:
-        # Promises and the proofs behind them are the zone's own matter; other
-        # zones need to know only where there is room, and the contracts.
+    def _make_gossip(self, same_zone: bool) -> Gossip:
+        # Promises and the evidence behind them are exchanged only within the zone;
+        # other zones need only the free slots and the contracts.
         period = self._settings.timings.silent_after
         zone = self._settings.availability_zone
         heard = self._directory.heard_within(period, zone)
         return Gossip(
-            view=self._promises.view() if near else (),
-            heard=tuple(map(hash_member, heard)) if near else (),
+            view=self._promises.view() if same_zone else (),
+            heard=tuple(map(hash_member, heard)) if same_zone else (),
             service_slots=self._pool.free_slots_by_service(),
-            leaving=self._pool.observed_leaving() if near else (),
+            leaving=self._pool.observed_leaving() if same_zone else (),
             contracts=self._contracts.digest(),
             draining=self._claimer.draining,
         )
 
-    async def _hear(self, state: PeerState) -> None:
+    async def _handle_gossip(self, state: PeerState) -> None:
         self._pool.note_leaving(state.gossip.leaving)
         if state.gossip.contracts == self._contracts.digest():
-            self._life.heard_contracts = True
+            self._life.peer_contracts_match = True
         if state.gossip.service_slots:
             await self._pool.changed.notify()
 
@@ -578,13 +580,13 @@
 async def _write_until_done(writer: StreamWriter, joined: Joined) -> None:
     while True:
         try:
-            await writer.write(joined, JOIN_PATIENCE)
+            await writer.write(joined, JOIN_WRITE_SECONDS)
         except LogError:
-            await curio.sleep(JOIN_AGAIN_SECONDS)
+            await curio.sleep(JOIN_RETRY_SECONDS)
             continue
         return
 
 
 def _make_incarnation(wall: float) -> str:
-    """Return a text that sorts after those of earlier starts on the host."""
+    """Return an id that sorts after those of earlier starts on the host."""
     return f'{int(wall * MILLISECONDS):013x}{os.urandom(INCARNATION_BYTES).hex()}'
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -23,11 +23,11 @@
     """Topic that drops old records and reads a snapshot in two parts, between which a job ends."""
 
     truncated = False
-    paged = False
+    snapshot_served = False
 
     async def read(self, offset, wait, max_bytes):
         """Refuse expired records; answer nothing after the snapshot."""
-        if self.paged:
+        if self.snapshot_served:
             await curio.sleep(wait)
             raise StoreError('slow', Verdict.NOT_RUN)
         if self.truncated:
@@ -42,7 +42,7 @@
         end = Progress(1, JobState.COMPLETED, ended_at=1.0)
         await self.append(make_progress_records('j1', end), 0.1)
         second = await super().snapshot()
-        self.paged = True
+        self.snapshot_served = True
         ends = [record for record in first.records if record.key.startswith(PROGRESS_PREFIX)]
         others = [record for record in second.records if not record.key.startswith(PROGRESS_PREFIX)]
         return RecordBatch((*ends, *others), first.next_offset, first.next_offset)
@@ -59,21 +59,23 @@
 
 @when('the store drops old records and a job ends while the host reads a snapshot')
 def truncated(context):
-    async def play():
+    async def load_during_truncation():
         host = context.host
         await curio.spawn(host.follower.run, daemon=True)
         assert await host.follower.wait_fresh(host.clock.monotonic(), 5.0)
         assert host.projection.state.find('j1') is not None
-        context.began = host.follower.fresh_at
+        context.fresh_before = host.follower.fresh_at
         context.topic.truncated = True
-        await until(lambda: context.topic.paged)
+        await until(lambda: context.topic.snapshot_served)
         await curio.sleep(0.01)
 
-    curio.run(play)
+    curio.run(load_during_truncation)
 
 
 @then('the host does not count as up to date before it has read the later records')
 def not_complete(context):
     known = context.host.projection.state.find('j1')
-    fresh = context.host.follower.fresh_at >= context.began
-    assert known is not None or not fresh, 'the host counts as up to date without knowing the job'
+    up_to_date = context.host.follower.fresh_at >= context.fresh_before
+    assert known is not None or not up_to_date, (
+        'the host counts as up to date without knowing the job'
+    )
