--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -165,22 +165,22 @@
 
 @when('a client asks for the job')
 def ask_for_job(context):
-    context.told = curio.run(context.partition_reads.is_complete, JOB)
+    context.is_shown_complete = curio.run(context.partition_reads.is_complete, JOB)
 
 
 @when('{count:d} clients ask for the job within 0.1 s')
-def many_ask(context, count):
+def many_clients_ask(context, count):
     async def ask_many():
         tasks = [await curio.spawn(context.partition_reads.is_complete, JOB) for _ in range(count)]
-        return [await asking.join() for asking in tasks]
+        return [await client_task.join() for client_task in tasks]
 
     assert curio.run(ask_many) == [True] * count
 
 
 @then('inside the partition it is told {state}')
-def told_state(context, state):
-    assert context.told is (state == 'completed'), context.told
-    assert context.completions.contains(JOB) is context.told
+def client_told_state(context, state):
+    assert context.is_shown_complete is (state == 'completed'), context.is_shown_complete
+    assert context.completions.contains(JOB) is context.is_shown_complete
 
 
 @then('no lease was renewed and no end acknowledged')
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -129,8 +129,8 @@
 @when('w1 lists a run of an unknown job')
 def unknown_run(context):
     context.small.poll('w1', running=[EARLIER_RUN])
-    (context.unknown,) = context.small.cell.take_stops()
-    context.small.cell.handle_stop_reply(context.unknown, context.small.now)
+    (context.unknown_run_stop,) = context.small.cell.take_stops()
+    context.small.cell.handle_stop_reply(context.unknown_run_stop, context.small.now)
 
 
 @when('w1 no longer lists the unknown run')
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -90,12 +90,12 @@
 
 
 @then('clients are told {state} within a second')
-def told(context, state):
+def clients_told_state(context, state):
     assert context.completions.contains(JOB) is (state == 'completed')
 
 
 @then('the peer is told nothing')
-def told_nothing(context):
+def peer_gets_nothing(context):
     assert context.peer.request_count == 0, context.peer.request_count
 
 
@@ -112,7 +112,7 @@
 
 
 @given('a peer that was told that the job is complete and that {answers}')
-def told_peer(context, answers):
+def informed_peer(context, answers):
     completions = Completions(SystemClock())
     completions.add([JOB])
     context.peer = PeerLinks(completions if answers == 'replies' else None)
@@ -151,13 +151,13 @@
 
 
 @given('a host that the owner of epoch {epoch:d} has queried')
-def asked_host(context, epoch):
+def queried_host(context, epoch):
     context.completions = Completions(ManualClock(0))
     assert context.completions.answer(epoch) == ()
 
 
 @when('the owner of epoch {epoch:d} tells it that a job is complete')
-def tell(context, epoch):
+def owner_reports(context, epoch):
     context.accepted = context.completions.merge(epoch, [JOB])
 
 
@@ -172,7 +172,7 @@
 
 
 @given('a host that is told of {count:d} complete jobs over an hour')
-def told_for_long(context, count):
+def informed_for_an_hour(context, count):
     context.clock = ManualClock(0)
     context.completions = Completions(context.clock)
     context.jobs = [f'{number:016x}' for number in range(count)]
@@ -183,7 +183,7 @@
 
 
 @then('it keeps those of the last minute, and at most {most:d}')
-def remembers(context, most):
+def keeps_recent(context, most):
     kept = [job for job in context.jobs if context.completions.contains(job)]
     lasting = int(RETENTION_SECONDS / 3600 * context.count)
     assert kept == context.jobs[-len(kept) :] and abs(len(kept) - lasting) <= 1, len(kept)
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -26,7 +26,7 @@
 
 
 @given('a host in north that got replies of {others} 0.1 s ago and of the store {age:g} s ago')
-def listening_host(context, others, age):
+def host_with_replies(context, others, age):
     context.zone_contact = ZoneContact()
     context.zones = ZONES
     context.store_answered_at = NOW - age
@@ -67,7 +67,7 @@
 
 @given('a host in north that is cut off')
 def cut_off_host(context):
-    listening_host(context, 'nobody', 9.0)
+    host_with_replies(context, 'nobody', 9.0)
     query_both(context, 'none replies')
     check_verdict(context, 'cut off')
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -192,7 +192,7 @@
 
 
 @given('a job is stored right before each of the next {count:d} appends')
-def growing(context, count):
+def job_before_each_append(context, count):
     context.topic.faults.extend(['grow'] * count)
     context.appends = context.topic.appends
 
@@ -233,7 +233,7 @@
 
 
 @then('it {acts} the cell')
-def leaves_or_keeps(context, acts):
+def hands_over_or_keeps(context, acts):
     assert context.owner.ended.is_set() == (acts == 'leaves')
 
 
@@ -290,5 +290,5 @@
 
 
 @then('it leaves jobs on unseen runners alone for {wait:g} s')
-def leaves_alone(context, wait):
+def blocks_unseen_runners(context, wait):
     assert abs(context.dispatcher._periodic_checks.predecessor_leases.end_at - 1000 - wait) < 0.01
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -73,7 +73,7 @@
 
 
 @then('no advice is requested until they have expired')
-def asked_once(context):
+def requested_once(context):
     assert not context.small.plan().advice_requests
     context.small.now += 2
     assert context.small.plan().advice_requests
@@ -88,13 +88,13 @@
 
 
 @then('the {count:d} jobs whose objectives end first request advice')
-def first_ask(context, count):
-    asking = [request.step.job for request in context.plan.advice_requests]
-    assert asking == [f'j{number}' for number in range(9, 9 - count, -1)], asking
+def first_request_advice(context, count):
+    requesting = [request.step.job for request in context.plan.advice_requests]
+    assert requesting == [f'j{number}' for number in range(9, 9 - count, -1)], requesting
 
 
 @then('an urgent job requests advice regardless')
-def urgent_asks(context):
+def urgent_requests_advice(context):
     small = context.small
     small.add_job('now', [step()])
     plan = small.planner.plan(small.now, small.now, 0)
@@ -114,7 +114,7 @@
         return plan
 
 
-class UnreachableRunner:
+class UnstartedRunner:
     """A runner that must get no start."""
 
     async def start(self, order, check):
@@ -134,7 +134,7 @@
     job = small.add_job('j1', [step()], queue='plain' if what == 'a start' else 'urgent')
     job.stored_runners.add('w1')
     dispatcher.cell = dispatcher._owner_context.cell = small.cell
-    dispatcher._owner_context.runner_by_id['w1'] = UnreachableRunner()
+    dispatcher._owner_context.runner_by_id['w1'] = UnstartedRunner()
     dispatcher._pool._local = LocalAdvisor(None)
     dispatcher._planner = SlowPlanner(small.planner, clock)
     context.small = small
