--- a/bench/guards.py
+++ b/bench/guards.py
@@ -82,8 +82,8 @@
     Guard(
         'views are not passed on',
         'ownership/_promises.py',
-        '{*self._first_hand(), self._me}',
-        '{*self.required(), self._me}',
+        '{*self._members_known_first_hand(), self._me}',
+        '{*self.required_members(), self._me}',
         'parts.feature:VIEW',
     ),
     Guard(
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -413,7 +413,7 @@
                 declared_error.append(max(30 / actual, actual / 30))
             starts += 1
             late += now > work.due_at
-            times.note('c0', work.kind, actual)
+            times.add_run('c0', work.kind, actual)
             heapq.heappush(ends, (now + actual + 30, starts, work, one.workers))
         for worker in day.planner.cell.worker_by_name.values():
             over_filled += not worker.used.fits(worker.capacity)
--- a/dandelionreel/contracts/_document.py
+++ b/dandelionreel/contracts/_document.py
@@ -140,12 +140,12 @@
 
 
 def _intersect_classes(old: Contract, new: Contract) -> tuple[ClassTerms, ...]:
-    both = []
+    common_classes = []
     for terms in old.classes:
         other = new.terms(terms.name)
         if other is None:
             continue
-        both.append(
+        common_classes.append(
             ClassTerms(
                 terms.name,
                 min(terms.priority, other.priority),
@@ -153,4 +153,4 @@
                 terms.preemptible and other.preemptible,
             ),
         )
-    return tuple(both)
+    return tuple(common_classes)
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -83,7 +83,7 @@
         try:
             await self._writer.write(proposal, self._settings.timings.publish_patience)
         except LogError as error:
-            raise _make_request_error(error) from error
+            raise _translate_log_error(error) from error
         outcome = await self._await_outcome(nonce)
         if outcome is None:
             raise unknown(
@@ -155,8 +155,8 @@
             )
 
     async def _await_outcome(self, nonce: str) -> ProposalOutcome | None:
-        until = self._clock.monotonic() + self._settings.timings.publish_patience
-        while self._clock.monotonic() < until:
+        deadline = self._clock.monotonic() + self._settings.timings.publish_patience
+        while self._clock.monotonic() < deadline:
             seen = self._reader.changed.count
             outcome = self._contracts.outcome(nonce)
             if outcome is not None:
@@ -203,8 +203,8 @@
             contract = self._contracts.in_force(customer)
             if contract is None or not self._reader.caught_up:
                 continue
-            stated = Restated(contract, self._contracts.shares(customer))
-            await self._writer.write(stated, WRITE_TIMEOUT_SECONDS)
+            restated = Restated(contract, self._contracts.shares(customer))
+            await self._writer.write(restated, WRITE_TIMEOUT_SECONDS)
 
     def _rank(self) -> int:
         keys = member_keys(self._membership.live())
@@ -229,7 +229,7 @@
     return msgspec.json.encode(contract)
 
 
-def _make_request_error(error: LogError) -> RequestError:
+def _translate_log_error(error: LogError) -> RequestError:
     if error.verdict is Verdict.NOT_RUN:
         return not_run(
             HTTP_UNAVAILABLE,
--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -7,9 +7,9 @@
 HTTP_FORBIDDEN = 403
 
 
-def require_contract(book: ContractProjection, customer: str, task_class: str) -> Contract:
+def require_contract(contracts: ContractProjection, customer: str, task_class: str) -> Contract:
     """Return the contract to enforce; raises ``RequestError`` with the verdict not run."""
-    contract = book.effective(customer)
+    contract = contracts.effective(customer)
     if contract is None:
         raise not_run(
             HTTP_FORBIDDEN,
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -525,7 +525,7 @@
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
             await curio.sleep(period / ALIVE_CHECKS_PER_PERIOD)
-            if not self._peer_monitor.has_silent_neighbour():
+            if not self._peer_monitor.has_silent_member():
                 continue
             with suppress(LogError):
                 await self._zone_writer.write(Alive(self.me), period)
--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -61,7 +61,7 @@
         self._journal = journal
         self._random = random.Random()
 
-    async def finalize_ended(self) -> None:
+    async def finalize_ended_attempts(self) -> None:
         """Start writing the outcome of each ended attempt, once."""
         for tracked in tuple(self._state.tracker.attempt_by_job.values()):
             if not tracked.has_ended or tracked.is_finalizing:
@@ -74,7 +74,7 @@
             tracked.is_finalizing = True
             await curio.spawn(self._finalize, tracked, self._state.epoch, daemon=True)
 
-    def stop_unwanted(self) -> None:
+    def stop_unwanted_attempts(self) -> None:
         """Stop cancelled attempts, and the remaining tasks of a gang of which one has failed."""
         for tracked in tuple(self._state.tracker.attempt_by_job.values()):
             job = self._jobs.get(tracked.job)
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -78,9 +78,13 @@
             for task_id, worker in zip(ids, placement.workers, strict=True)
         ]
         self._state.tracker.add(tracked, tasks)
-        await curio.spawn(self._execute, placement, tracked, self._state.epoch, daemon=True)
+        await curio.spawn(
+            self._execute_placement, placement, tracked, self._state.epoch, daemon=True
+        )
 
-    async def _execute(self, placement: Placement, tracked: TrackedAttempt, epoch: int) -> None:
+    async def _execute_placement(
+        self, placement: Placement, tracked: TrackedAttempt, epoch: int
+    ) -> None:
         for victim in placement.victims:
             await curio.spawn(self._preempt, victim, epoch, daemon=True)
         if not await self._write_intent(placement, epoch):
@@ -130,7 +134,7 @@
             task.worker,
             task.task_id,
             work.demand,
-            self._command(work.id),
+            self._get_command(work.id),
             work.customer,
             work.id,
             work.attempt,
@@ -180,21 +184,21 @@
 
     async def _wait_for_victims(self, placement: Placement) -> None:
         """Wait until the preempted tasks have ended by report, or the timeout is over."""
-        until = self._clock.monotonic() + PREEMPTION_TIMEOUT_SECONDS
+        deadline = self._clock.monotonic() + PREEMPTION_TIMEOUT_SECONDS
         names = set(placement.workers)
-        while self._clock.monotonic() < until:
+        while self._clock.monotonic() < deadline:
             seen = self._state.wake.count
             remaining = [
                 victim
                 for victim in placement.victims
-                if any(victim.task_id in self._running_on(name) for name in names)
+                if any(victim.task_id in self._running_tasks_on(name) for name in names)
             ]
             if not remaining:
                 return
             await self._state.wake.wait(seen, PREEMPTION_POLL_SECONDS)
 
-    def _running_on(self, name: str) -> dict[str, RunningTask]:
-        worker = self._state.worker(name)
+    def _running_tasks_on(self, name: str) -> dict[str, RunningTask]:
+        worker = self._state.find_worker(name)
         return worker.running_by_task if worker else {}
 
     def _worker_of(self, victim: RunningTask) -> str:
@@ -206,7 +210,7 @@
         work = placement.work
         ids = task_ids(work.id, work.attempt, work.tasks)
         for task_id, name in zip(ids, placement.workers, strict=True):
-            worker = self._state.worker(name)
+            worker = self._state.find_worker(name)
             if worker is not None:
                 self._state.planner.cell.remove_task(worker, task_id)
 
@@ -220,7 +224,7 @@
         if contract is not None:
             self._budgets.for_customer(customer).add_attempt(contract.requests.retry_budget)
 
-    def _command(self, job_id: str) -> str:
+    def _get_command(self, job_id: str) -> str:
         job = self._jobs.get(job_id)
         return job.spec.command if job else ''
 
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -133,8 +133,8 @@
     async def _round(self) -> None:
         self._take_over_if_new()
         self._queue_updater.update()
-        await self._finalizer.finalize_ended()
-        self._finalizer.stop_unwanted()
+        await self._finalizer.finalize_ended_attempts()
+        self._finalizer.stop_unwanted_attempts()
         placements = self.planner.decide(self._clock.wall(), MAX_DECISIONS_PER_ROUND)
         for placement in placements:
             await self._starter.start(placement)
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -63,13 +63,13 @@
         """Replace the contract terms of all customers."""
         self._terms = terms_by_customer
 
-    def worker(self, name: str) -> WorkerView | None:
+    def find_worker(self, name: str) -> WorkerView | None:
         """Return a worker of the cell, or ``None`` if it is unknown."""
         return self.planner.cell.worker_by_name.get(name)
 
     def release(self, task: TrackedTask) -> None:
         """Release the resources of a task in the cell."""
-        worker = self.worker(task.worker)
+        worker = self.find_worker(task.worker)
         if worker is not None:
             self.planner.cell.remove_task(worker, task.task_id)
 
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -272,7 +272,7 @@
         )
         if capacity_in_tasks >= spec.tasks:
             return
-        largest = max(workers, key=_processors).capacity
+        largest = max(workers, key=_by_processors).capacity
         raise not_run(
             HTTP_INVALID,
             'never-fits',
@@ -281,7 +281,7 @@
         )
 
 
-def _processors(entry: HostEntry) -> float:
+def _by_processors(entry: HostEntry) -> float:
     return entry.capacity.processors
 
 
--- a/dandelionreel/jobs/_job_projection.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -132,9 +132,9 @@
 
     def pop_all(self) -> tuple[str, ...]:
         """Return the ids of the changed jobs and clear them."""
-        taken = tuple(self.job_ids)
+        job_ids = tuple(self.job_ids)
         self.job_ids.clear()
-        return taken
+        return job_ids
 
 
 class JobProjection:
@@ -292,9 +292,9 @@
             detail=record.detail,
             written_at=position.wall,
         )
-        self._put(self._after_attempt(job, outcome, position))
+        self._put(self._job_after_attempt(job, outcome, position))
 
-    def _after_attempt(self, job: Job, outcome: Outcome, position: Position) -> Job:
+    def _job_after_attempt(self, job: Job, outcome: Outcome, position: Position) -> Job:
         if outcome is Outcome.SUCCEEDED and job.spec.task_class != 'service':
             return _end_job(job, JobState.SUCCEEDED, position)
         if job.cancelled:
@@ -302,14 +302,14 @@
         if outcome in {Outcome.NOT_STARTED, Outcome.SUCCEEDED}:
             return replace(job, state=JobState.WAITING)
         if not job.spec.idempotent:
-            return self._after_non_idempotent_run(job, outcome, position)
+            return self._job_after_non_idempotent_run(job, outcome, position)
         if outcome is Outcome.FAILED:
             job = replace(job, failures=job.failures + 1)
             if job.failures >= job.spec.max_attempts:
                 return replace(job, state=JobState.PARKED)
         return replace(job, state=JobState.WAITING)
 
-    def _after_non_idempotent_run(self, job: Job, outcome: Outcome, position: Position) -> Job:
+    def _job_after_non_idempotent_run(self, job: Job, outcome: Outcome, position: Position) -> Job:
         """Return a non-idempotent job that may have run; it is never restarted automatically."""
         if outcome is Outcome.FAILED:
             return _end_job(job, JobState.FAILED, position)
--- a/dandelionreel/jobs/_job_refresher.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -62,10 +62,10 @@
 
     def _find_due(self) -> list[Job]:
         due_before = self._clock.wall() - self._settings.timings.retention / 3
-        live = self._jobs.in_state(
+        unfinished = self._jobs.in_state(
             JobState.WAITING,
             JobState.RUNNING,
             JobState.MOVED,
             *RESOLVABLE_STATES,
         )
-        return [job for job in live if job.written_at < due_before and not job.ended_at]
+        return [job for job in unfinished if job.written_at < due_before and not job.ended_at]
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -57,8 +57,8 @@
         members = Membership(clock)
         shards = ShardProjection(members, clock)
         self.jobs = JobProjection(shards, 0, 0)
-        for part in (members, shards, self.jobs):
-            self.reader.add_handler(part.fold, part.reset)
+        for projection in (members, shards, self.jobs):
+            self.reader.add_handler(projection.fold, projection.reset)
         # Each move needs a new writer name, because its record numbers start over.
         writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -182,8 +182,8 @@
             if attempt.outcome is Outcome.FAILED
             for worker in attempt.workers
         }
-        until, refused = self._state.avoided_workers.get(job.id, (0.0, frozenset()))
-        if until > self._clock.monotonic():
+        avoid_until, refused = self._state.avoided_workers.get(job.id, (0.0, frozenset()))
+        if avoid_until > self._clock.monotonic():
             failed |= refused
         if len(failed) >= len(self._state.planner.cell.worker_by_name):
             return frozenset()
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -43,8 +43,8 @@
 
     def usable_share(self, customer: str) -> float:
         """Return the share of the quota that this zone may currently use."""
-        held = self._contracts.share(customer, self._zone)
-        return max(0.0, held - self._reserved.get(customer, 0))
+        zone_share = self._contracts.share(customer, self._zone)
+        return max(0.0, zone_share - self._reserved.get(customer, 0))
 
     def plan_transfers(self, planner: Planner) -> None:
         """Plan requests for missing shares and transfers of spare shares."""
@@ -67,7 +67,7 @@
     def _plan_request(self, customer: str, planner: Planner) -> None:
         now = self._clock.monotonic()
         contract = self._contracts.effective(customer)
-        if contract is None or not planner.queue.waiting(customer):
+        if contract is None or not planner.queue.count_waiting(customer):
             return
         if now - self._requested_at.get(customer, float('-inf')) < REQUEST_INTERVAL_SECONDS:
             return
@@ -110,7 +110,9 @@
         used = planner.cell.usage.of(customer)
         usable = quota.times(self.usable_share(customer))
         candidates = (
-            planner.queue.heads_of_customer(customer) if planner.queue.waiting(customer) else []
+            planner.queue.heads_of_customer(customer)
+            if planner.queue.count_waiting(customer)
+            else []
         )
         for work in candidates:
             if (used + work.total).fits(usable):
@@ -121,9 +123,9 @@
 
     def _has_largest_share(self, customer: str, recipient: str) -> bool:
         shares = [
-            (part.share, part.zone)
-            for part in self._contracts.shares(customer)
-            if part.zone != recipient
+            (entry.share, entry.zone)
+            for entry in self._contracts.shares(customer)
+            if entry.zone != recipient
         ]
         return bool(shares) and max(shares)[1] == self._zone
 
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -49,7 +49,7 @@
             return
         if report.epoch < self._state.reported_epochs.get(report.worker, 0):
             return
-        worker = self._state.worker(report.worker)
+        worker = self._state.find_worker(report.worker)
         if worker is None:
             return
         if report.reachable:
@@ -103,7 +103,7 @@
         report_by_task: dict[str, TaskReport],
     ) -> None:
         """Make the cell's running tasks of a worker match its report."""
-        worker = self._state.worker(report.worker)
+        worker = self._state.find_worker(report.worker)
         if worker is None:
             return
         for task_id in tuple(worker.running_by_task):
@@ -188,14 +188,14 @@
         self._record_result(tracked, task, outcome)
 
     def _record_result(self, tracked: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
-        worker = self._state.worker(task.worker)
+        worker = self._state.find_worker(task.worker)
         job = self._jobs.get(tracked.job)
         if worker is None or job is None:
             return
         if outcome is Outcome.SUCCEEDED:
             self._state.planner.cell.note_success(worker)
-            ran = self._clock.wall() - tracked.intent_wall
-            self._state.run_times.note(tracked.customer, job.spec.kind, ran)
+            duration = self._clock.wall() - tracked.intent_wall
+            self._state.run_times.add_run(tracked.customer, job.spec.kind, duration)
         elif outcome is Outcome.FAILED:
             now = self._clock.wall()
             if self._state.planner.cell.note_failure(worker, tracked.job, now):
--- a/dandelionreel/jobs/_spec.py
+++ b/dandelionreel/jobs/_spec.py
@@ -10,8 +10,8 @@
 
 Name = Annotated[str, Meta(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
 Command = Annotated[str, Meta(min_length=1, max_length=4096)]
-Tasks = Annotated[int, Meta(ge=1, le=10_000)]
-Attempts = Annotated[int, Meta(ge=1, le=100)]
+TaskCount = Annotated[int, Meta(ge=1, le=10_000)]
+AttemptCount = Annotated[int, Meta(ge=1, le=100)]
 RunSeconds = Annotated[float, Meta(ge=0, le=31_536_000)]
 WaitSeconds = Annotated[float, Meta(gt=0, le=31_536_000)]
 Kind = Annotated[str, Meta(max_length=100)]
@@ -24,11 +24,11 @@
     command: Command
     demand: Amounts
     task_class: Name = 'batch'
-    tasks: Tasks = 1
+    tasks: TaskCount = 1
     idempotent: bool = False
     run_seconds: RunSeconds = 0
     longest_wait: WaitSeconds | None = None
-    max_attempts: Attempts = 3
+    max_attempts: AttemptCount = 3
     kind: Kind = ''
 
     @property
--- a/dandelionreel/ownership/_authority.py
+++ b/dandelionreel/ownership/_authority.py
@@ -75,7 +75,7 @@
         return self._timings.start_deadline + self._timings.socket_timeout
 
     @property
-    def takeover_wait(self) -> float:
+    def takeover_wait_seconds(self) -> float:
         """Return how long a claimant waits after a claim from an owner that may be live.
 
         By then the owner's authority has ended, also with clock drift, and
@@ -85,7 +85,7 @@
         return drifted + self.max_start_seconds
 
     @property
-    def takeover_wait_after_proof(self) -> float:
+    def takeover_wait_after_end_seconds(self) -> float:
         """Return how long an ended owner's last start may still be in flight."""
         return self.max_start_seconds * (1 + self._timings.clock_drift)
 
@@ -134,15 +134,15 @@
 
     def _active_at(self, claim: ShardClaim) -> float:
         if claim.former_owner:
-            return claim.learned_at + self.takeover_wait
+            return claim.learned_at + self.takeover_wait_seconds
         if claim.clean_handover:
             return claim.learned_at
         # The former owner is proven to have ended, or its claim has expired
         # from the log; its last start may still arrive.
-        return claim.learned_at + self.takeover_wait_after_proof
+        return claim.learned_at + self.takeover_wait_after_end_seconds
 
     def _settled_at(self, claim: ShardClaim) -> float:
         ended_at = self._membership.ended_at_by_key.get(claim.former_owner)
         if ended_at is None:
             return claim.learned_at
-        return ended_at + self.takeover_wait_after_proof
+        return ended_at + self.takeover_wait_after_end_seconds
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -62,11 +62,11 @@
 def choose_owner(shard: str, hosts: Iterable[str]) -> str:
     """Return the host that should own a shard, by rendezvous hashing."""
     best = ''
-    best_score = -1
+    highest_score = -1
     for host in hosts:
         score = xxhash.xxh64_intdigest(f'{shard}|{host}'.encode())
-        if score > best_score:
-            best, best_score = host, score
+        if score > highest_score:
+            best, highest_score = host, score
     return best
 
 
@@ -183,8 +183,8 @@
     async def _claim_assigned_shards(self) -> None:
         hosts = self._candidate_hosts()
         wanted = []
-        for shard in self._wanted_shards():
-            if self._target(shard, hosts) != host_of(self._me):
+        for shard in self._list_wanted_shards():
+            if self._target_host(shard, hosts) != host_of(self._me):
                 continue
             if not self._shards.may_be_claimed(shard, self._me):
                 continue
@@ -205,27 +205,27 @@
 
     async def _claim(self, wanted: list[str]) -> None:
         for shard in wanted:
-            self._withhold(shard)
+            self._withhold_promise(shard)
         claims = tuple(ShardEpoch(shard, self._shards.epoch(shard)) for shard in wanted)
         try:
             await self._writer.write(Claimed(self._me, claims), WRITE_TIMEOUT_SECONDS)
         except LogError as error:
-            self._note_failed_claim(wanted, error)
+            self._handle_failed_claim(wanted, error)
             raise
-        won = [shard for shard in wanted if self._owns(shard)]
-        for shard in won:
+        claimed = [shard for shard in wanted if self._owns(shard)]
+        for shard in claimed:
             self._log_claimed(shard)
 
-    def _withhold(self, shard: str) -> None:
+    def _withhold_promise(self, shard: str) -> None:
         claim = self._shards.get(shard)
         if claim is None or claim.released or self._membership.has_ended(claim.owner):
             return
         if shard in self._withheld_by_shard:
             return
-        self._promises.withhold(claim.owner)
+        self._promises.withhold_promise(claim.owner)
         self._withheld_by_shard[shard] = (claim.owner, claim.epoch)
 
-    def _note_failed_claim(self, wanted: list[str], error: LogError) -> None:
+    def _handle_failed_claim(self, wanted: list[str], error: LogError) -> None:
         if error.verdict is Verdict.UNKNOWN:
             self._unconfirmed_claims.update(wanted)
             return
@@ -266,7 +266,7 @@
     def _resume_promise(self, shard: str) -> None:
         owner, _ = self._withheld_by_shard.pop(shard, ('', 0))
         if owner:
-            self._promises.resume(owner)
+            self._promises.resume_promise(owner)
 
     def _log_claimed(self, shard: str) -> None:
         claim = self._shards.get(shard)
@@ -286,8 +286,8 @@
         )
 
     def _back_off_takeover(self, shard: str) -> None:
-        _, last = self._takeover_backoff_by_shard.get(shard, (0.0, 0.0))
-        length = min(max(TAKEOVER_BACKOFF_SECONDS, last * 2), MAX_TAKEOVER_BACKOFF_SECONDS)
+        _, last_length = self._takeover_backoff_by_shard.get(shard, (0.0, 0.0))
+        length = min(max(TAKEOVER_BACKOFF_SECONDS, last_length * 2), MAX_TAKEOVER_BACKOFF_SECONDS)
         self._takeover_backoff_by_shard[shard] = (self._clock.monotonic() + length, length)
 
     async def _yield_taken_shards(self) -> None:
@@ -306,11 +306,11 @@
             self._journal.tell(Part.OWNERSHIP, f'yielded {len(yielded)} shards to claimants.')
 
     async def _release_surplus(self) -> None:
-        due = self._find_surplus()
+        claims_to_renew = self._find_surplus()
         # Shards that should stay with this daemon after all are used again.
-        self._authority.suspended.intersection_update(claim.shard for claim in due)
+        self._authority.suspended.intersection_update(claim.shard for claim in claims_to_renew)
         released = []
-        for claim in due:
+        for claim in claims_to_renew:
             self._authority.suspended.add(claim.shard)
             if await self._prepare_release(claim.shard):
                 released.append(ShardEpoch(claim.shard, claim.epoch))
@@ -341,10 +341,10 @@
         return tuple(surplus[:count])
 
     def _belongs_elsewhere(self, claim: ShardClaim, hosts: tuple[str, ...]) -> bool:
-        best = self._target(claim.shard, hosts)
+        best = self._target_host(claim.shard, hosts)
         return bool(best) and best != host_of(self._me)
 
-    def _target(self, shard: str, hosts: tuple[str, ...]) -> str:
+    def _target_host(self, shard: str, hosts: tuple[str, ...]) -> str:
         """Return the host that should own a shard; cached until the hosts change."""
         if hosts != self._target_hosts:
             self._target_hosts = hosts
@@ -380,7 +380,7 @@
         The log would otherwise lose the claim when its record expires.
         """
         now = self._clock.monotonic()
-        due = []
+        claims_to_renew = []
         for claim in self.owned_claims():
             if not self._shards.is_settled(claim):
                 continue
@@ -389,14 +389,14 @@
                 written = claim.learned_at
                 self._renewed_at_by_shard[claim.shard] = (claim.epoch, written)
             if now - written > self._timings.retention / 3:
-                due.append(ShardEpoch(claim.shard, claim.epoch))
-        if not due:
+                claims_to_renew.append(ShardEpoch(claim.shard, claim.epoch))
+        if not claims_to_renew:
             return
-        await self._writer.write(Renewed(self._me, tuple(due)), WRITE_TIMEOUT_SECONDS)
-        for renewed in due:
+        await self._writer.write(Renewed(self._me, tuple(claims_to_renew)), WRITE_TIMEOUT_SECONDS)
+        for renewed in claims_to_renew:
             self._renewed_at_by_shard[renewed.shard] = (renewed.epoch, now)
 
-    def _wanted_shards(self) -> tuple[str, ...]:
+    def _list_wanted_shards(self) -> tuple[str, ...]:
         found: list[str] = []
         for user in self._users:
             found.extend(user.wanted_shards())
--- a/dandelionreel/ownership/_membership.py
+++ b/dandelionreel/ownership/_membership.py
@@ -122,9 +122,9 @@
             member = Member(key, host, '', '', 0, -1)
         self._member_by_key[key] = replace(member, ended_by=proof)
         self.ended_at_by_key[key] = self._clock.monotonic()
-        self._forget_oldest()
+        self._drop_oldest_ended()
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest_ended(self) -> None:
         while len(self.ended_at_by_key) > MAX_ENDED_KEPT:
             oldest = next(iter(self.ended_at_by_key))
             self.ended_at_by_key.pop(oldest)
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -128,7 +128,7 @@
             latest = max(latest, state.heard_since)
         return latest
 
-    def has_silent_neighbour(self) -> bool:
+    def has_silent_member(self) -> bool:
         """Return whether a live member of the zone was silent for half a period.
 
         If the member doesn't hear this daemon either, it must read in the log
@@ -149,7 +149,7 @@
         if same_zone:
             self._promises.require_promise(frame.sender)
         await self._handle_gossip(frame.sender, message.gossip, same_zone=same_zone)
-        promise = same_zone and self._promises.give(frame.sender)
+        promise = same_zone and self._promises.give_promise(frame.sender)
         return HeartbeatAnswer(promise, self._gossip_source(same_zone))
 
     async def run(self, stack: AsyncExitStack) -> None:
@@ -211,13 +211,13 @@
 
     async def _send_heartbeat(self, state: PeerState, *, same_zone: bool) -> None:
         live_before = self._live_members_on(state.address.host)
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         request = Heartbeat(self._zone, self._gossip_source(same_zone))
         try:
             frame = await state.link.ask(request, self._settings.timings.authority / 2)
         except PeerError as error:
             if error.refused:
-                self._note_refused(state, live_before)
+                self._handle_connection_refused(state, live_before)
             else:
                 state.refusals = 0
             return
@@ -226,9 +226,9 @@
         answer = frame.message
         await self._handle_gossip(frame.sender, answer.gossip, same_zone=same_zone)
         if same_zone:
-            self._promises.receive(
+            self._promises.record_answer(
                 frame.sender,
-                asked_at,
+                requested_at,
                 answer.promise,
                 answer.gossip.view,
             )
@@ -251,7 +251,7 @@
         }
         return tuple(found.values())
 
-    def _note_refused(self, state: PeerState, members: tuple[Member, ...]) -> None:
+    def _handle_connection_refused(self, state: PeerState, members: tuple[Member, ...]) -> None:
         # A refusal means that no process listens: the incarnations known before
         # the request have ended. A timeout proves nothing, because the daemon
         # may be paused.
@@ -259,10 +259,10 @@
         if state.refusals < REFUSALS_FOR_PROOF:
             return
         for member in members:
-            self._promises.note_connection_refused(member.key)
+            self._promises.record_connection_refused(member.key)
             self._refused_at_by_member.setdefault(member.key, self._clock.monotonic())
         if state.member:
-            self._promises.note_connection_refused(state.member)
+            self._promises.record_connection_refused(state.member)
 
     async def _write_proofs(self, zone_writer: StreamWriter, cell_writer: StreamWriter) -> None:
         for member in self._cell_members.live():
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class _ReceivedPromise:
-    asked_at: float
+    requested_at: float
     view: tuple[int, ...]
 
 
@@ -44,7 +44,7 @@
         #: When this daemon last gave each member its promise.
         self.promised_at_by_member: dict[str, float] = {}
 
-    def give(self, member: str) -> bool:
+    def give_promise(self, member: str) -> bool:
         """Promise ``member`` not to act on its shards; return False during a claim on them."""
         if member in self._withheld_count_by_member or self._membership.has_ended(member):
             return False
@@ -68,13 +68,13 @@
         circulate forever, and one that nobody can resolve would block all
         evidence.
         """
-        return tuple(sorted(map(hash_member, {*self._first_hand(), self._me})))
+        return tuple(sorted(map(hash_member, {*self._members_known_first_hand(), self._me})))
 
-    def withhold(self, member: str) -> None:
+    def withhold_promise(self, member: str) -> None:
         """Stop promising to a member before a claim on its shards is written."""
         self._withheld_count_by_member[member] = self._withheld_count_by_member.get(member, 0) + 1
 
-    def resume(self, member: str) -> None:
+    def resume_promise(self, member: str) -> None:
         """End one ``withhold``, once the claim is lost or settled."""
         remaining = self._withheld_count_by_member.get(member, 0) - 1
         if remaining > 0:
@@ -82,41 +82,43 @@
             return
         self._withheld_count_by_member.pop(member, None)
 
-    def receive(self, member: str, asked_at: float, promise: bool, view: tuple[int, ...]) -> None:
+    def record_answer(
+        self, member: str, requested_at: float, promise: bool, view: tuple[int, ...]
+    ) -> None:
         """Store a member's answer; a withheld promise cancels the earlier one."""
         if not promise:
             self._received_by_member.pop(member, None)
             return
-        self._received_by_member[member] = _ReceivedPromise(asked_at, view)
+        self._received_by_member[member] = _ReceivedPromise(requested_at, view)
 
-    def note_connection_refused(self, member: str) -> None:
+    def record_connection_refused(self, member: str) -> None:
         """Note that a refused connection has proven that this incarnation has ended."""
         self._refused_members.add(member)
 
-    def required(self) -> frozenset[str]:
+    def required_members(self) -> frozenset[str]:
         """Return the members whose promise is required for evidence."""
-        named = set(self._first_hand())
+        named = set(self._members_known_first_hand())
         for received in self._received_by_member.values():
             named.update(map(self._resolve_hash, received.view))
-        return frozenset(key for key in named if self._may_live(key))
+        return frozenset(key for key in named if self._may_be_live(key))
 
     def evidence_at(self) -> float:
         """Return when the oldest required promise was requested."""
         now = self._clock.monotonic()
         oldest = now
-        for key in self.required():
+        for key in self.required_members():
             received = self._received_by_member.get(key)
             if received is None:
                 return NO_EVIDENCE
-            oldest = min(oldest, received.asked_at)
+            oldest = min(oldest, received.requested_at)
         return oldest
 
-    def _first_hand(self) -> tuple[str, ...]:
+    def _members_known_first_hand(self) -> tuple[str, ...]:
         """Return the members known from the log or by their own heartbeats."""
         named = {*member_keys(self._membership.live(self._zone)), *self._heard_members}
-        return tuple(key for key in named if self._may_live(key))
+        return tuple(key for key in named if self._may_be_live(key))
 
-    def _may_live(self, key: str) -> bool:
+    def _may_be_live(self, key: str) -> bool:
         if key == self._me or key in self._refused_members:
             return False
         return not (self._membership.has_ended(key) or self._is_older_incarnation(key))
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -94,7 +94,7 @@
             claimed.shard,
             member,
             position.offset + 1,
-            former_owner=self._unproven_former_owner(claim),
+            former_owner=self._find_live_former_owner(claim),
             clean_handover=self._is_clean_handover(claim),
             learned_at=self._clock.monotonic(),
             predecessor_unknown=claim is None and claimed.epoch == UNKNOWN_EPOCH,
@@ -121,7 +121,7 @@
         owner_gone = claim.released or self._membership.has_ended(claim.owner)
         return owner_gone or claim.owner == member
 
-    def _unproven_former_owner(self, claim: ShardClaim | None) -> str:
+    def _find_live_former_owner(self, claim: ShardClaim | None) -> str:
         if claim is None or claim.released or self._membership.has_ended(claim.owner):
             return ''
         return claim.owner
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -148,7 +148,7 @@
             self._freed_by_name[worker.name] = worker
         return running
 
-    def take_freed_workers(self) -> tuple[WorkerView, ...]:
+    def pop_freed_workers(self) -> tuple[WorkerView, ...]:
         """Return the workers that may have gained free resources since the last call."""
         freed = tuple(self._freed_by_name.values())
         self._freed_by_name.clear()
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -23,7 +23,7 @@
         """Start without any runs."""
         self._runs_by_kind: OrderedDict[tuple[str, str], deque[float]] = OrderedDict()
 
-    def note(self, customer: str, kind: str, seconds: float) -> None:
+    def add_run(self, customer: str, kind: str, seconds: float) -> None:
         """Add the run time of a successful run."""
         key = (customer, kind)
         runs = self._runs_by_kind.get(key)
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -76,7 +76,7 @@
 
     def _retry_freed_shapes(self) -> None:
         """Allow the shapes again that may fit a worker with newly freed resources."""
-        freed = self.cell.take_freed_workers()
+        freed = self.cell.pop_freed_workers()
         if not self._failed_shapes:
             return
         for worker in freed:
@@ -128,14 +128,14 @@
         name = GANG if work.tasks > 1 else work.task_class
         placement = self._policy_by_name[name].place(work, self.cell, now, self.reservation)
         if placement is None:
-            self._note_failed(work, now)
+            self._mark_unplaceable(work, now)
             return False
         self.decision_count += 1
         self.apply_placement(placement, now)
         placed.append(placement)
         return True
 
-    def _note_failed(self, work: Work, now: float) -> None:
+    def _mark_unplaceable(self, work: Work, now: float) -> None:
         if not work.avoid:
             self._failed_shapes.add(work.shape)
         if work.tasks > 1 and self.reservation is None and work.task_class != URGENT:
--- a/dandelionreel/placement/_policy.py
+++ b/dandelionreel/placement/_policy.py
@@ -92,19 +92,19 @@
     ) -> WorkerView | None:
         """Return the sampled worker with the lowest leftover score."""
         ends_at = now + work.run_seconds
-        found = None
-        found_score = float('inf')
+        best = None
+        best_score = float('inf')
         usable_count = 0
         for worker in cell.sample(work.demand, tightest=True):
             if not is_usable(work, worker, cell, now, reservation, ends_at):
                 continue
             usable_count += 1
             score = score_leftover(worker, work.demand)
-            if score < found_score:
-                found, found_score = worker, score
+            if score < best_score:
+                best, best_score = worker, score
             if usable_count >= MAX_CANDIDATES:
                 break
-        return found
+        return best
 
 
 @plugins.register(PluginKind.PLACEMENT, SERVICE)
@@ -115,23 +115,23 @@
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
         """Return the sampled worker with the fewest services of the customer."""
-        found = None
-        found_score = (float('inf'), float('inf'))
+        best = None
+        best_score = (float('inf'), float('inf'))
         usable_count = 0
         for worker in cell.sample(work.demand, tightest=False):
             if not is_usable(work, worker, cell, now, reservation, float('inf')):
                 continue
             usable_count += 1
-            score = (self._count_same_service(worker, work), -worker.free.processors)
-            if score < found_score:
-                found, found_score = worker, score
+            score = (self._count_customer_services(worker, work), -worker.free.processors)
+            if score < best_score:
+                best, best_score = worker, score
             if usable_count >= MAX_CANDIDATES:
                 break
-        if found is None:
+        if best is None:
             return None
-        return Placement(work, (found.name,), reason='it runs the fewest services of the customer')
+        return Placement(work, (best.name,), reason='it runs the fewest services of the customer')
 
-    def _count_same_service(self, worker: WorkerView, work: Work) -> float:
+    def _count_customer_services(self, worker: WorkerView, work: Work) -> float:
         return sum(
             1
             for running in worker.running_by_task.values()
@@ -250,14 +250,14 @@
         )
 
 
-def count_fitting(demand: Resources, room: Resources) -> int:
+def count_fitting(demand: Resources, capacity: Resources) -> int:
     """Return how many tasks of the demand fit into ``room``."""
     counts = [
-        int(have / wanted + EPSILON)
-        for wanted, have in (
-            (demand.processors, room.processors),
-            (demand.memory_mb, room.memory_mb),
-            (demand.accelerators, room.accelerators),
+        int(available / wanted + EPSILON)
+        for wanted, available in (
+            (demand.processors, capacity.processors),
+            (demand.memory_mb, capacity.memory_mb),
+            (demand.accelerators, capacity.accelerators),
         )
         if wanted > 0
     ]
--- a/dandelionreel/placement/_queue.py
+++ b/dandelionreel/placement/_queue.py
@@ -139,7 +139,7 @@
             return None
         return self._queue_by_customer[customer].remove(job)
 
-    def waiting(self, customer: str) -> int:
+    def count_waiting(self, customer: str) -> int:
         """Return the number of waiting jobs of a customer."""
         customer_queue = self._queue_by_customer.get(customer)
         return len(customer_queue.work_by_id) if customer_queue else 0
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -136,14 +136,14 @@
 @when("the other's view names a third member that it does not know")
 def name_third(context):
     context.view = tuple(map(hash_member, ('a/1', 'b/1', 'c/1')))
-    context.book.receive('b/1', context.clock.monotonic(), True, context.view)
+    context.book.record_answer('b/1', context.clock.monotonic(), True, context.view)
 
 
 @when('it learns of the third and both send a promise')
 def learn_third(context):
     _join(context, 'c/1')
     for member in ('b/1', 'c/1'):
-        context.book.receive(member, context.clock.monotonic(), True, context.view)
+        context.book.record_answer(member, context.clock.monotonic(), True, context.view)
 
 
 @then('it has {evidence} evidence, and its own view names {words} members')
