--- a/dandelionreel/contracts/_contract_projection.py
+++ b/dandelionreel/contracts/_contract_projection.py
@@ -1,4 +1,4 @@
-"""Contracts in force and pending, built from the cell's stream in log order.
+"""Contracts in force and pending proposals, built from the cell's log stream.
 
 There is no commit record. A proposal takes effect at the record by which the
 last of the members that were live when it was proposed has staged it, left or
@@ -69,7 +69,7 @@
     """The contracts of all customers, as far as this daemon has read the log."""
 
     def __init__(self, membership: Membership, clock: Clock) -> None:
-        """Use ``membership``, which applies each record of the stream before this does."""
+        """Follow ``membership``, which must apply each log record before this projection."""
         self._membership = membership
         self._clock = clock
         self._in_force_by_customer: dict[str, ContractInForce] = {}
--- a/dandelionreel/contracts/_document.py
+++ b/dandelionreel/contracts/_document.py
@@ -15,7 +15,7 @@
 Priority = Annotated[int, Meta(ge=0, le=1000)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 
-#: Classes of work, each with its own placement policy.
+#: Classes of jobs, each with its own placement policy.
 TASK_CLASSES = ('urgent', 'service', 'batch')
 
 
@@ -43,7 +43,8 @@
 class RequestTerms(Struct, frozen=True, forbid_unknown_fields=True):
     """Limits on requests to services.
 
-    ``rate`` is per second; ``retry_budget`` is the share of retries on top.
+    ``rate`` is per second, ``concurrency`` counts requests at the same time, and
+    ``retry_budget`` is the allowed ratio of additional retries to requests.
     """
 
     rate: PositiveNumber = 100
@@ -111,7 +112,7 @@
 
 
 def intersect_contracts(old: Contract, new: Contract) -> Contract:
-    """Return a contract within the limits of both versions.
+    """Return a contract that keeps to the limits of both versions.
 
     It is enforced from staging until the outcome of the proposal is known.
     """
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -1,6 +1,7 @@
-"""Publishes contracts, stages those of other members and restates them.
+"""Publishes contract versions, and stages those that other members publish.
 
-A contract in force is written again before its records expire from the log.
+A contract in force is restated, that is written again, before the log drops its
+old records.
 """
 
 import os
@@ -39,8 +40,8 @@
 
 CHECK_INTERVAL_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 5.0
-#: Delay per rank in the sorted list of members before a member aborts a proposal
-#: or restates a contract, so that usually only the first one does.
+#: A member aborts a proposal or restates a contract after this delay times its
+#: position in the sorted list of members, so that usually only one member does.
 RANK_DELAY_SECONDS = 1.0
 NONCE_BYTES = 8
 QUERY_TIMEOUT_SECONDS = 2.0
@@ -101,14 +102,14 @@
         return outcome
 
     async def run(self) -> None:
-        """Stage, abort and restate contracts whenever the log changes."""
+        """Stage, abort and restate contracts when the log changes, or after the check interval."""
         while True:
-            seen = self._reader.changed.count
+            change_count = self._reader.changed.count
             try:
                 await self._run_once()
             except LogError as error:
                 self._journal.tell(Part.CONTRACTS, f'could not write to the log: {error}.')
-            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
+            await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
 
     async def handle_gossip(self, state: PeerState) -> None:
         """Query a peer for its contracts if its digest differs from ours.
@@ -125,7 +126,7 @@
         await curio.spawn(self._query_contracts, state, daemon=True)
 
     async def answer_query(self, frame: Frame) -> Message:
-        """Answer a peer's query with the contracts in force."""
+        """Answer a peer's query with the contracts that are in force here."""
         documents = [self._encode_in_force(customer) for customer in self._contracts.customers()]
         return ContractState(self._reader.offset, tuple(documents))
 
@@ -157,11 +158,11 @@
     async def _await_outcome(self, nonce: str) -> ProposalOutcome | None:
         deadline = self._clock.monotonic() + self._settings.timings.publish_patience
         while self._clock.monotonic() < deadline:
-            seen = self._reader.changed.count
+            change_count = self._reader.changed.count
             outcome = self._contracts.outcome(nonce)
             if outcome is not None:
                 return outcome
-            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
+            await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
         return self._contracts.outcome(nonce)
 
     async def _run_once(self) -> None:
--- a/dandelionreel/contracts/_records.py
+++ b/dandelionreel/contracts/_records.py
@@ -1,4 +1,4 @@
-"""Log records of contract publication and of quota shares, in the cell's stream."""
+"""Records of contract publication and of quota shares, in the cell's log stream."""
 
 from msgspec import Struct
 
--- a/dandelionreel/jobs/__init__.py
+++ b/dandelionreel/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Job lifecycle: jobs are accepted into the log, dispatched per zone and finalized once."""
+"""Jobs: accepted into the log, placed on workers by the zone's dispatcher, finalized once."""
 
 from dandelionreel.jobs._dispatcher import Dispatcher
 from dandelionreel.jobs._job_api import JobApi, zone_of_job
--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -1,4 +1,4 @@
-"""Finalizes ended attempts: writes their outcomes and schedules retries."""
+"""Writes the outcomes of ended attempts, schedules retries and stops unwanted attempts."""
 
 import random
 
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -19,6 +19,7 @@
 WRITE_TIMEOUT_SECONDS = 10.0
 #: How long the intent of a started attempt waits for the log during an outage.
 OUTAGE_WRITE_TIMEOUT_SECONDS = 86_400.0
+#: How long a job is not placed on a worker that has refused one of its tasks.
 AVOID_WORKER_SECONDS = 5.0
 PREEMPTION_TIMEOUT_SECONDS = 3.0
 PREEMPTION_POLL_SECONDS = 0.25
@@ -154,7 +155,8 @@
             task.absent_after = now
             self._metrics.count_start(work.customer, work.task_class)
             return
-        # The order may still be in transit; reports count once it cannot be.
+        # The order may still be in transit. Only reports after that time prove that
+        # the task did not start.
         task.absent_after = now + self._state.max_order_seconds
 
     def _handle_refusal(self, work: Work, task: TrackedTask, cause: str) -> None:
@@ -183,11 +185,11 @@
         await self._orders.send_action(epoch, worker, victim.task_id, 'stop')
 
     async def _wait_for_victims(self, placement: Placement) -> None:
-        """Wait until the preempted tasks have ended by report, or the timeout is over."""
+        """Wait until reports show that the preempted tasks have ended, or until the timeout."""
         deadline = self._clock.monotonic() + PREEMPTION_TIMEOUT_SECONDS
         names = set(placement.workers)
         while self._clock.monotonic() < deadline:
-            seen = self._state.wake.count
+            change_count = self._state.wake.count
             remaining = [
                 victim
                 for victim in placement.victims
@@ -195,7 +197,7 @@
             ]
             if not remaining:
                 return
-            await self._state.wake.wait(seen, PREEMPTION_POLL_SECONDS)
+            await self._state.wake.wait(change_count, PREEMPTION_POLL_SECONDS)
 
     def _running_tasks_on(self, name: str) -> dict[str, RunningTask]:
         worker = self._state.find_worker(name)
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -111,18 +111,18 @@
     async def run(self) -> None:
         """Dispatch while this daemon owns the dispatch shard, forever."""
         while True:
-            seen = self._state.wake.count
+            change_count = self._state.wake.count
             if self._authority.may_dispatch(DISPATCH_SHARD):
                 await self._round()
             else:
                 self._stop_dispatching()
-            await self._state.wake.wait(seen, ROUND_SECONDS)
+            await self._state.wake.wait(change_count, ROUND_SECONDS)
 
     async def follow_log(self) -> None:
         """Wake the dispatcher after every batch of log records, forever."""
         while True:
-            seen = self._reader.changed.count
-            await self._reader.changed.wait(seen, LOG_WAIT_SECONDS)
+            change_count = self._reader.changed.count
+            await self._reader.changed.wait(change_count, LOG_WAIT_SECONDS)
             await self._state.wake.notify()
 
     async def handle_report(self, report: WorkerReport) -> None:
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -51,12 +51,12 @@
         self.not_before: dict[str, float] = {}
         #: Per job, workers to avoid and until when, on the monotonic clock.
         self.avoided_workers: dict[str, tuple[float, frozenset[str]]] = {}
-        #: Waiting jobs that may not be queued yet.
+        #: Waiting jobs that can't be queued yet, such as during the delay of a retry.
         self.deferred: set[str] = set()
         self.planner = Planner(Cell(), FairQueue(self.terms), self.run_times)
 
     def terms(self, customer: str) -> CustomerTerms:
-        """Return a customer's contract terms as of this round."""
+        """Return a customer's contract terms, updated in each round of the dispatcher."""
         return self._terms.get(customer, CustomerTerms())
 
     def replace_terms(self, terms_by_customer: dict[str, CustomerTerms]) -> None:
@@ -79,13 +79,13 @@
 
     @property
     def lapse_seconds(self) -> float:
-        """Return after how many seconds without a lease renewal a task has certainly ended."""
+        """Return the seconds without a lease renewal after which a task has certainly ended."""
         timings = self._settings.timings
         return timings.lease * (1 + timings.clock_drift) + LAPSE_MARGIN_SECONDS
 
     @property
     def max_order_seconds(self) -> float:
-        """Return for how many seconds an order to a worker's owner may be in transit."""
+        """Return the longest time, in seconds, that an order to a worker may be in transit."""
         timings = self._settings.timings
         allowed = timings.start_deadline + timings.heartbeat * 2
         return (allowed + self._authority.max_start_seconds) * (1 + timings.clock_drift)
--- a/dandelionreel/jobs/_lapses.py
+++ b/dandelionreel/jobs/_lapses.py
@@ -13,7 +13,8 @@
 #: Losses in a row that don't count as failures: two in a row are more often chance than
 #: the job's fault.
 EXCUSED_LAPSES = 2
-#: Older attempts are ignored: a service that runs for months outlives many workers.
+#: Only attempts that started within this time count: a service that runs for months
+#: outlives many workers.
 LAPSE_WINDOW_SECONDS = 600.0
 
 
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -78,7 +78,10 @@
         own_writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Move jobs to the zone of ``settings``; ``stream_name`` is a format string for a zone."""
+        """Move jobs to the zone of ``settings``.
+
+        ``stream_name`` is a format string that takes the name of a zone.
+        """
         self._member = member
         self._zone = settings.availability_zone
         self._clock = clock
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -15,7 +15,7 @@
 )
 from dandelionreel.workers import REFUSED, UNKNOWN, WorkerFleet
 
-#: Interval and number of tries of a stop that is not confirmed.
+#: A stop that is not confirmed is sent again at this interval, up to ``MAX_STOP_TRIES``.
 STOP_RETRY_SECONDS = 1.0
 MAX_STOP_TRIES = 30
 IDLE_SECONDS = 0.5
@@ -106,9 +106,9 @@
         """
         interval = 1 / self._settings.limits.stops_per_second
         while True:
-            seen = self._changed.count
+            change_count = self._changed.count
             if not self._pending_stops:
-                await self._changed.wait(seen, IDLE_SECONDS)
+                await self._changed.wait(change_count, IDLE_SECONDS)
                 continue
             for task_id in tuple(self._pending_stops):
                 await curio.spawn(self._try_stop, task_id, daemon=True)
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -1,4 +1,4 @@
-"""Balances the shares of quotas between zones, in the manner of escrow.
+"""Balances the shares of quotas between zones, like an escrow.
 
 A zone gives a share up before the recipient may use it, so the shares in use
 never exceed the contract, whatever network partitions occur.
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -90,8 +90,8 @@
     def _max_age(self, tracked: TrackedAttempt) -> float:
         """Return an upper bound of the age of the attempt's intent, in seconds.
 
-        An adopted attempt compares the wall clocks of two hosts; an attempt of
-        this dispatcher uses its monotonic clock.
+        The age of an adopted attempt is the difference of two hosts' wall clocks;
+        that of an own attempt is measured on the monotonic clock.
         """
         if tracked.adopted:
             return self._clock.wall() - tracked.intent_wall + WALL_CLOCK_MARGIN_SECONDS
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -20,7 +20,7 @@
 #: would keep taking the shard from each other.
 TAKEOVER_BACKOFF_SECONDS = 10.0
 MAX_TAKEOVER_BACKOFF_SECONDS = 160.0
-#: Margin for members that restate their facts later than due.
+#: Margin for members that write their records again later than due.
 RESTATE_MARGIN_SECONDS = 2.0
 
 
@@ -37,7 +37,7 @@
 
     @abc.abstractmethod
     def is_draining(self, member: str) -> bool:
-        """Return whether the member has told that it is about to leave."""
+        """Return whether the member has announced that it is about to leave."""
 
     @abc.abstractmethod
     def has_acknowledged_me(self, member: str) -> bool:
@@ -154,17 +154,17 @@
         return True
 
     async def run(self) -> None:
-        """Claim and release shards whenever the log changes."""
+        """Claim and release shards when the log changes, or after the check interval."""
         while True:
-            seen = self._reader.changed.count
+            change_count = self._reader.changed.count
             try:
                 await self.run_once()
             except LogError as error:
                 self._journal.tell(Part.OWNERSHIP, f'could not write to the log: {error}.')
-            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
+            await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
 
     async def run_once(self) -> None:
-        """Do one pass of all claims, releases and renewals that are due."""
+        """Write all claims, releases and renewals that are due."""
         if not self._reader.caught_up or not self._membership.is_live(self._me):
             return
         await self._invalidate_unconfirmed_claims()
@@ -177,7 +177,7 @@
 
     @property
     def _restated_within(self) -> float:
-        """Return the time within which every live fact is restated in the log."""
+        """Return the seconds within which every record still in force is written again."""
         return self._timings.retention / 3 + RESTATE_MARGIN_SECONDS
 
     async def _claim_assigned_shards(self) -> None:
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -92,8 +92,8 @@
         if state is None:
             return True
         # A daemon that was paused has missed the messages of all others. After
-        # it resumes, it must listen for a whole period before it takes a member
-        # for silent.
+        # it resumes, it must listen for a whole period before it considers a
+        # member silent.
         listened_from = max(state.heard_at, self._awake_since)
         if now - listened_from < period:
             return False
@@ -103,7 +103,7 @@
         return now - alive_at >= ALIVE_PERIODS * period
 
     def is_draining(self, member: str) -> bool:
-        """Return whether the member has told that it is about to leave."""
+        """Return whether the member has announced that it is about to leave."""
         state = self._directory.get_by_member(member)
         return state is not None and state.gossip.draining
 
@@ -112,10 +112,9 @@
         return member in self._acknowledged_by
 
     def all_heard_since(self) -> float:
-        """Return since when all live members of the zone have been heard without a gap.
+        """Return the monotonic time since when no live member of the zone was silent.
 
-        This is the latest monotonic time at which one of them was silent; the
-        present if a member is silent now.
+        It is the present if a member is silent now.
         """
         now = self._clock.monotonic()
         latest = float('-inf')
@@ -129,7 +128,7 @@
         return latest
 
     def has_silent_member(self) -> bool:
-        """Return whether a live member of the zone was silent for half a period.
+        """Return whether a live member of the zone has been silent for half a period.
 
         If the member doesn't hear this daemon either, it must read in the log
         that this daemon is alive before a whole period is over.
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -75,7 +75,7 @@
         self._withheld_count_by_member[member] = self._withheld_count_by_member.get(member, 0) + 1
 
     def resume_promise(self, member: str) -> None:
-        """End one ``withhold``, once the claim is lost or settled."""
+        """Undo one ``withhold_promise``, once the claim is lost or settled."""
         remaining = self._withheld_count_by_member.get(member, 0) - 1
         if remaining > 0:
             self._withheld_count_by_member[member] = remaining
@@ -92,7 +92,7 @@
         self._received_by_member[member] = _ReceivedPromise(requested_at, view)
 
     def record_connection_refused(self, member: str) -> None:
-        """Note that a refused connection has proven that this incarnation has ended."""
+        """Record a refused connection, which proves that this incarnation has ended."""
         self._refused_members.add(member)
 
     def required_members(self) -> frozenset[str]:
--- a/dandelionreel/ownership/_records.py
+++ b/dandelionreel/ownership/_records.py
@@ -34,14 +34,14 @@
 
 
 class Ended(Struct, frozen=True, tag='ended'):
-    """A daemon is proven to have ended; ``proof`` tells by what."""
+    """A daemon is proven to have ended; ``proof`` is the kind of proof."""
 
     member: str
     proof: str
 
 
 class Alive(Struct, frozen=True, tag='alive'):
-    """Tells peers that may not hear a daemon that it is alive."""
+    """A daemon is alive; written for peers that may not receive its heartbeats."""
 
     member: str
 
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -9,7 +9,7 @@
 from dandelionreel.ownership._membership import Membership
 from dandelionreel.ownership._records import Claimed, Released, Renewed, ShardEpoch
 
-#: The epoch that a claim replaces if its author knows no claim on the shard.
+#: The epoch in a claim whose author knows no earlier claim on the shard.
 UNKNOWN_EPOCH = 0
 
 
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -11,7 +11,7 @@
 MIN_RUNS = 5
 #: A pessimistic estimate: nine in ten runs ended sooner.
 QUANTILE = 0.9
-#: Multiplies the declared time while there are too few runs.
+#: While there are too few runs, the declared time may be this many times too short.
 DECLARED_FACTOR = 3.0
 DEFAULT_RUN_SECONDS = 3600.0
 
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -32,7 +32,7 @@
         self.considered_count = 0
 
     def decide(self, now: float, limit: int) -> list[Placement]:
-        """Return up to ``limit`` placements, each already counted in the cell."""
+        """Return up to ``limit`` placements; their tasks are already added to the cell."""
         self._drop_expired_reservation(now)
         self._retry_freed_shapes()
         placed: list[Placement] = []
@@ -75,7 +75,7 @@
         return self._estimator.estimate(customer, kind, declared)
 
     def _retry_freed_shapes(self) -> None:
-        """Allow the shapes again that may fit a worker with newly freed resources."""
+        """Remove shapes from the failed ones if they may fit a worker that has freed resources."""
         freed = self.cell.pop_freed_workers()
         if not self._failed_shapes:
             return
@@ -100,7 +100,7 @@
                     blocked.add(work.id)
 
     def _place_fairly(self, now: float, limit: int, placed: list[Placement]) -> None:
-        """Place one job at a time, always for the customer with the lowest fair share key."""
+        """Place one job at a time, always of the customer with the lowest ``_entitlement``."""
         entitlements = [
             (self._entitlement(customer), customer) for customer in self.queue.customers()
         ]
--- a/dandelionreel/placement/_policy.py
+++ b/dandelionreel/placement/_policy.py
@@ -12,7 +12,7 @@
 MAX_CANDIDATES = 12
 #: Workers searched for tasks to preempt, drawn at random from all.
 MAX_PREEMPTION_WORKERS = 32
-#: Weight of the amount of leftover resources relative to their imbalance.
+#: Weight of the amount of leftover resources in a score; their imbalance has weight 1.
 SIZE_WEIGHT = 0.05
 GANG = 'gang'
 #: Number of tasks that fit when a task demands no resources.
@@ -251,7 +251,7 @@
 
 
 def count_fitting(demand: Resources, capacity: Resources) -> int:
-    """Return how many tasks of the demand fit into ``room``."""
+    """Return how many tasks with that demand fit into ``capacity``."""
     counts = [
         int(available / wanted + EPSILON)
         for wanted, available in (
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -1,4 +1,4 @@
-"""Steps of contract publication and of network cuts."""
+"""Steps for contract publication and network cuts."""
 
 import json
 from concurrent.futures import ThreadPoolExecutor
@@ -65,14 +65,14 @@
 
 
 @when('an operator publishes a contract with {change}')
-def publish_bad(context, change):
+def publish_invalid_contract(context, change):
     document = contract(2)
     document.update(json.loads(change))
     context.reply = context.cell.publish(document, 1)
 
 
 @then('it is refused as not_run and the answer names {words}')
-def check_names(context, words):
+def check_refusal(context, words):
     assert 400 <= context.reply.status < 500, context.reply
     assert context.reply.json()['verdict'] == 'not_run'
     assert words in context.reply.json()['detail'], context.reply
@@ -98,8 +98,8 @@
     inside = [daemon.name for daemon in context.cell.daemons.values() if daemon.zone == zone]
     outside = [daemon.name for daemon in context.cell.daemons.values() if daemon.zone != zone]
     outside.append('log')
-    pairs = [(one, other) for one in inside for other in outside]
-    context.cell.cut(*pairs, *[(other, one) for one, other in pairs])
+    pairs = [(inner, outer) for inner in inside for outer in outside]
+    context.cell.cut(*pairs, *[(outer, inner) for inner, outer in pairs])
 
 
 @when('all cuts are healed')
@@ -108,10 +108,10 @@
 
 
 @then('{name} keeps its shards')
-def check_keeps(context, name):
+def check_keeps_shards(context, name):
     shards = context.cell.admin(name, 'GET', '/v1/shards').json()
-    own = [shard for shard in shards if shard['owner'].startswith(name)]
-    assert own, shards
-    assert {shard['level'] for shard in own} == {'whole'}, own
+    own_shards = [shard for shard in shards if shard['owner'].startswith(name)]
+    assert own_shards, shards
+    assert {shard['level'] for shard in own_shards} == {'whole'}, own_shards
     assert context.cell.log_of(name).count('was silent') == 0
     assert 'yielded' not in context.cell.log_of(name)
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -1,4 +1,4 @@
-"""Steps on attempts that are lost with their workers, on a ``JobProjection`` alone."""
+"""Steps for attempts that are lost with their workers, with a ``JobProjection`` only."""
 
 from behave import given, then, when
 
