--- a/dandelionreel/ownership/_authority.py
+++ b/dandelionreel/ownership/_authority.py
@@ -44,8 +44,8 @@
 class Authority:
     """Grants this daemon the right to act on shards, by the log and by peers' promises.
 
-    Evidence is a read of the log to its tail, or promises of all other
-    members of the zone, that shows that nobody had claimed this daemon's shards.
+    Evidence that nobody has claimed this daemon's shards is a read of the log
+    up to its end, or the promises of all other members of the zone.
     """
 
     def __init__(
