--- a/dandelionreel/cell/clients/_client_call.py
+++ b/dandelionreel/cell/clients/_client_call.py
@@ -26,19 +26,19 @@
 class ClientCall:
     """A call with its caller, and where and when it arrived.
 
-    ``zone`` is that of the host that received it from the client, ``began`` is in monotonic
-    seconds. ``relayed`` says that a peer has forwarded it.
+    ``zone`` is that of the host that received it from the client, ``received_at`` is in
+    monotonic seconds. ``relayed`` says that a peer has forwarded it.
     """
 
     request: Request
     caller: Caller
     zone: str
-    began: float
+    received_at: float
     relayed: bool
 
     @property
     def timeout(self) -> float:
-        """Return the seconds from ``began`` within which the call must be answered."""
+        """Return the seconds from ``received_at`` within which the call must be answered."""
         text = self.request.header(DEADLINE_HEADER)
         timeout = float(text) / MILLISECONDS if text.isdigit() else DEFAULT_TIMEOUT_SECONDS
         return min(timeout, DEFAULT_TIMEOUT_SECONDS) * TIMEOUT_SHARE
@@ -54,7 +54,7 @@
     return answer_problem(Problem(Verdict.NOT_RUN, status, cause, detail, retry_after))
 
 
-def refuse(cause: str, detail: str, retry_after: float = RETRY_AFTER_SECONDS) -> Answer:
+def answer_unavailable(cause: str, detail: str, retry_after: float = RETRY_AFTER_SECONDS) -> Answer:
     """Return the answer that asks a client to retry; a forwarding peer may try another host."""
     answer = answer_not_run(HTTP_UNAVAILABLE, cause, detail, retry_after)
     return Answer(answer.status, (*answer.headers, (CAUSE_HEADER, cause)), answer.body)
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -10,14 +10,14 @@
 class StopQueue:
     """Stops that are still to be sent.
 
-    An allocation stays in the stopping phase until a poll proves that the run is gone.
+    An allocation stays in the stopping phase after that, until a poll proves that the run is gone.
     """
 
     def __init__(self) -> None:
         """Create an empty queue."""
         self._queue: list[Allocation] = []
 
-    def order(self, allocation: Allocation) -> None:
+    def add(self, allocation: Allocation) -> None:
         """Queue the stop of a run; it stays allocated until it is known to be gone."""
         if allocation.phase is AllocationPhase.STOPPING:
             return
@@ -36,11 +36,11 @@
         if polled_at >= allocation.order_answered_at + MAX_STOP_SECONDS:
             self._enqueue(allocation)
 
-    def take(self) -> list[Allocation]:
+    def take_all(self) -> list[Allocation]:
         """Return the queued stops and clear the queue."""
-        taken = self._queue
+        queued = self._queue
         self._queue = []
-        return taken
+        return queued
 
     def _enqueue(self, allocation: Allocation) -> None:
         # Until the stop is answered, a poll without the run does not prove that it is gone.
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -131,7 +131,7 @@
 
 
 class StartReply(enum.Enum):
-    """A runner's reply to a start; the task runs only after ``STARTED``."""
+    """A runner's reply to a start; nothing runs unless it is ``STARTED``."""
 
     STARTED = 'started'
     FENCED = 'fenced'
@@ -269,7 +269,7 @@
     """Client of the policy service, which decides which runners may run a step."""
 
     @abc.abstractmethod
-    async def ask(
+    async def request_permits(
         self,
         step: StepName,
         runners: Sequence[str],
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -213,7 +213,7 @@
         requested_at = self._clock.monotonic()
         request = Heartbeat(self._zone, self._gossip_source(same_zone))
         try:
-            frame = await state.link.ask(request, self._settings.timings.authority / 2)
+            frame = await state.link.request(request, self._settings.timings.authority / 2)
         except PeerError as error:
             if error.refused:
                 self._handle_connection_refused(state, live_before)
