--- a/bench/guards.py
+++ b/bench/guards.py
@@ -212,7 +212,7 @@
     'SUCCESSOR': 'What a successor knows',
     'ROOM': 'between a decision',
     'RENEW': 'An owner dies while the log is out',
-    'RESTARTED': 'A call for a runner that has restarted',
+    'RESTARTED': 'A call to a runner that has restarted',
 }
 
 
