--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -59,7 +59,7 @@
         self.jobs = JobProjection(shards, 0, 0)
         for projection in (members, shards, self.jobs):
             self.reader.add_handler(projection.fold, projection.reset)
-        # Each move needs a new writer name, because its record numbers start over.
+        # A writer numbers its records from the start, so each move needs a new writer name.
         writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
 
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -1,8 +1,8 @@
 """Promises between the members of a zone: given, withheld and received.
 
-A member that promises has no claim on the receiver's shards, and won't act on
-them before the authority that its promise gives has run out. An owner with
-recent promises of all other members may act without reading the log.
+A member promises an owner that it has no claim on the owner's shards. If it
+claims one later, it waits until the authority from its promise has expired. An
+owner with recent promises of all other members may act without the log.
 """
 
 from dataclasses import dataclass
--- a/dandelionreel/ownership/_records.py
+++ b/dandelionreel/ownership/_records.py
@@ -18,7 +18,7 @@
 
 
 class Joined(Struct, frozen=True, tag='joined'):
-    """A daemon is listening at this address; restated before the record expires."""
+    """A daemon is listening at this address; written again before the record expires."""
 
     member: str
     host: str
