--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -256,7 +256,7 @@
         )
         return (
             self._is_unreachable(now)
-            and now - self._projection.owner_heard_at >= unreachable_silence
+            and now - self._projection.owner_heartbeat_at >= unreachable_silence
         )
 
     def _owner_was_restarted(self, owner: Owner) -> bool:
@@ -278,7 +278,7 @@
             or self._is_unreachable_and_silent(now)
         ):
             return Vacancy.VACANT
-        heard_at = self._projection.owner_heard_at
+        heard_at = self._projection.owner_heartbeat_at
         silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._projection.average_heartbeat_gap)
         if heard_at < self._follower.reachable_since:
             heard_at, silent = self._follower.reachable_since, SILENT_AFTER_OUTAGE_SECONDS
@@ -301,7 +301,7 @@
         owner = self._projection.state.owner
         member = self._projection.state.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
-        silent = now - max(self._projection.owner_heard_at, self._follower.reachable_since)
+        silent = now - max(self._projection.owner_heartbeat_at, self._follower.reachable_since)
         if owner is None or member is None or silent > MAX_EXCUSED_SILENCE_SECONDS:
             return False
         try:
@@ -341,7 +341,7 @@
     async def _claim_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
         former = self._projection.state.owner
-        heard_at = self._projection.owner_heard_at
+        heard_at = self._projection.owner_heartbeat_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
         self._journal.tell(
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -246,7 +246,7 @@
         parts = self._parts
         self._periodic_checks.load_predecessor_state(self._clock.monotonic())
         cell_state = parts.jobs.state
-        cell_state.take_changed()
+        cell_state.take_changed_jobs()
         # In order of acceptance, since an account expects its earlier jobs to be served first.
         for job_id in sorted(cell_state.submission_by_id, key=cell_state.accepted_at):
             self._update_job(job_id)
@@ -313,7 +313,7 @@
             if not self._parts.election.still_owner(self._owner_context.term):
                 await self._owner_context.end_term('the store names another owner')
                 return
-            changed = cell_state.take_changed()
+            changed = cell_state.take_changed_jobs()
             for job_id in changed:
                 self._update_job(job_id)
             if changed:
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -164,9 +164,9 @@
         meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
         although it is not in the store.
         """
-        given_up = self.writer.given_up
+        abandoned_before = self.writer.abandoned_count
         outcome = await self.store_progress(self.cell.take_dirty_jobs())
-        return outcome if self.writer.given_up == given_up else WriteOutcome.UNKNOWN
+        return outcome if self.writer.abandoned_count == abandoned_before else WriteOutcome.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -110,7 +110,7 @@
         A job stays blocked until each runner that is stored with it has listed its tasks, or all
         leases there must have expired.
         """
-        self._cell.unseen_runners.update(self._parts.jobs.state.earlier_runners())
+        self._cell.unseen_runners.update(self._parts.jobs.state.runners_possibly_in_use())
         self._log_unseen('blocks the jobs that may run on runners that have not answered yet.', now)
 
     async def _drop_unseen_runners(self, now: float) -> None:
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -121,14 +121,14 @@
         self.member_by_host: dict[str, Member] = {}
         self.owner: Owner | None = None
         self.runners_in_use: RunnersInUse | None = None
-        self.changed: set[str] = set()
+        self.changed_jobs: set[str] = set()
         #: Keys whose newest record cannot be read.
         self.unreadable_keys: set[str] = set()
 
-    def take_changed(self) -> set[str]:
+    def take_changed_jobs(self) -> set[str]:
         """Return the jobs whose records changed since the last call."""
-        taken = self.changed
-        self.changed = set()
+        taken = self.changed_jobs
+        self.changed_jobs = set()
         return taken
 
     def find(self, job: str) -> StoredJob | None:
@@ -159,7 +159,7 @@
             if progress.state in FINAL_STATES and progress.ended_at < wall_time
         ]
 
-    def earlier_runners(self) -> set[str]:
+    def runners_possibly_in_use(self) -> set[str]:
         """Return the runners on which tasks started by the owner or its predecessors may run.
 
         Where their list cannot be read, they are taken from the jobs' progress: a runner is
@@ -255,7 +255,7 @@
             self.owner = UNKNOWN_OWNER
         prefix, name = key[: len(SUBMISSION_PREFIX)], key[len(SUBMISSION_PREFIX) :]
         if prefix in {SUBMISSION_PREFIX, PROGRESS_PREFIX}:
-            self.changed.add(name)
+            self.changed_jobs.add(name)
 
     def _fold_one(self, record: KeyedRecord) -> None:
         if record.error is not None:
@@ -273,7 +273,7 @@
             self._fold_submission(name, content)
         elif prefix == CANCELLATION_PREFIX:
             _set_or_remove(self.cancellation_by_id, name, content, _CANCELLATION)
-            self.changed.add(name)
+            self.changed_jobs.add(name)
         elif prefix == PROGRESS_PREFIX:
             self._fold_progress(name, content)
         elif prefix == MEMBER_PREFIX:
@@ -293,7 +293,7 @@
             submission = _decode_submission(job, content)
             self._drop_inconsistent_progress(job, submission)
             self.submission_by_id[job] = submission
-        self.changed.add(job)
+        self.changed_jobs.add(job)
 
     def _drop_inconsistent_progress(self, job: str, submission: Submission) -> None:
         """Mark progress that was read before its submission as unreadable if it does not match."""
@@ -316,7 +316,7 @@
             if submission is not None:
                 check_progress(progress, submission.spec)
             self.progress_by_id[job] = progress
-        self.changed.add(job)
+        self.changed_jobs.add(job)
 
     def _values_by_name(self, key: str) -> dict:
         """Return the dictionary that has the values of a key's prefix."""
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -72,8 +72,8 @@
         projection: Projection,
         clock: Clock,
         journal: Journal,
-        wait: float,
-        pause: Callable[[], float],
+        max_wait: float,
+        get_pause: Callable[[], float],
         is_wanted: Callable[[], bool] = _always,
     ) -> None:
         """Let a read wait up to ``wait`` seconds for new records, and pause between reads.
@@ -87,8 +87,8 @@
         self._projection = projection
         self._clock = clock
         self._journal = journal
-        self._wait = wait
-        self._pause = pause
+        self._max_wait = max_wait
+        self._get_pause = get_pause
         self._is_wanted = is_wanted
         #: Whether the topic is not read because it is not wanted.
         self.suspended = False
@@ -101,7 +101,7 @@
         self.fresh_at = NEVER
         #: Since when all reads have succeeded; ``NEVER`` after a failure.
         self.reachable_since = NEVER
-        self.lost_at = NEVER
+        self.failed_at = NEVER
         #: When the store last answered a read.
         self.answered_at = NEVER
         self.changed = ChangeNotifier()
@@ -112,7 +112,7 @@
         return self._offset is not None
 
     @property
-    def reached(self) -> bool:
+    def reachable(self) -> bool:
         """Return whether the latest read was answered."""
         return self.reachable_since != NEVER
 
@@ -172,14 +172,14 @@
     async def _follow_once(self) -> None:
         sent_at = self._clock.monotonic()
         offset_before = self._offset
-        reached = await self._step()
+        reached_end = await self._read_once()
         self._note_answer()
-        if reached:
+        if reached_end:
             self.fresh_at = sent_at
         await self.changed.notify()
         # Without a pause, an answer without records would lead to a busy loop.
-        if reached or self._offset == offset_before:
-            await self._wait_for_request(self._pause())
+        if reached_end or self._offset == offset_before:
+            await self._wait_for_request(self._get_pause())
 
     def _reset(self) -> None:
         self._offset = None
@@ -190,7 +190,7 @@
         await curio.ignore_after(seconds, self._read_requested.wait)
         self._read_requested.clear()
 
-    async def _step(self) -> bool:
+    async def _read_once(self) -> bool:
         """Read once; return whether the end of the topic was reached."""
         if self._offset is None:
             snapshot = await self._topic.snapshot()
@@ -198,7 +198,7 @@
             self._offset = snapshot.next_offset
             self.read_from = self.read_from or snapshot.next_offset
             return False
-        batch = await self._topic.read(self._offset, self._wait, self._read_size.bytes)
+        batch = await self._topic.read(self._offset, self._max_wait, self._read_size.bytes)
         self._read_size.note_answer(reached_end=batch.reached_end)
         self._projection.fold(batch)
         self._offset = batch.next_offset
@@ -211,7 +211,7 @@
             self._journal.tell(Part.LOG, f'reaches the store: {self._name}.')
 
     def _note_failure(self, error: StoreError) -> None:
-        self.lost_at = self._clock.monotonic()
+        self.failed_at = self._clock.monotonic()
         if self.reachable_since != NEVER:
             self._journal.tell(Part.LOG, f'has lost the store: {self._name}: {error}.')
         self.reachable_since = NEVER
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -126,7 +126,7 @@
         self._unreadable = unreadable or UnreadableLog('cell', Part.LOG, clock, journal)
         self.state = CellState()
         #: When the owner's last heartbeat was read: it was written no later than this.
-        self.owner_heard_at = NEVER
+        self.owner_heartbeat_at = NEVER
         #: Moving average of the seconds between two heartbeats.
         self.average_heartbeat_gap = 0.0
 
@@ -139,7 +139,7 @@
         previous_owner = self.state.owner
         self._report_errors(snapshot.records, self.state.load_snapshot(snapshot.records))
         if self.state.owner != previous_owner:
-            self.owner_heard_at = self._clock.monotonic()
+            self.owner_heartbeat_at = self._clock.monotonic()
 
     def fold(self, batch: RecordBatch) -> None:
         """Fold the next records of the topic.
@@ -156,11 +156,11 @@
             record.key == OWNER_KEY and error is None
             for record, error in zip(batch.records, errors, strict=True)
         ):
-            gap = min(MAX_GAP_SECONDS, now - self.owner_heard_at)
+            gap = min(MAX_GAP_SECONDS, now - self.owner_heartbeat_at)
             self.average_heartbeat_gap += NEWEST_GAP_WEIGHT * (gap - self.average_heartbeat_gap)
-            self.owner_heard_at = now
+            self.owner_heartbeat_at = now
         elif self.state.owner is not previous_owner:
-            self.owner_heard_at = now
+            self.owner_heartbeat_at = now
 
     def _report_errors(
         self,
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -63,7 +63,7 @@
     deadline: float
     in_doubt: bool = False
     outcome: WriteOutcome | None = None
-    event: curio.Event = field(default_factory=curio.Event)
+    completed: curio.Event = field(default_factory=curio.Event)
 
 
 class AppendLatency:
@@ -116,13 +116,13 @@
         self._journal = journal
         self._fence = fence
         self._waiting: deque[_PendingWrite] = deque()
-        self._event = curio.Event()
+        self._write_queued = curio.Event()
         self._latency = AppendLatency()
         self._pause = RETRY_SECONDS
         self._failed_fast = False
         self.fenced = False
         #: How many writes were given up: their records are not stored, or may not be.
-        self.given_up = 0
+        self.abandoned_count = 0
         #: Since when no append has succeeded, infinite while appends succeed.
         self.failing_since = float('inf')
         self.failed_at = float('-inf')
@@ -148,15 +148,15 @@
         """Append the records within ``timeout`` seconds and return what became of them."""
         pending = _PendingWrite(records, self._clock.monotonic() + timeout)
         self._waiting.append(pending)
-        await self._event.set()
-        await pending.event.wait()
+        await self._write_queued.set()
+        await pending.completed.wait()
         return pending.outcome or WriteOutcome.UNKNOWN
 
     async def run(self) -> None:
         """Append waiting records until the writer is fenced off."""
         while not self.fenced:
-            await self._event.wait()
-            self._event.clear()
+            await self._write_queued.wait()
+            self._write_queued.clear()
             while self._waiting and not self.fenced:
                 await self._append(self._take_batch())
         await self._fail_all()
@@ -226,8 +226,8 @@
         if kept:
             await curio.sleep(self._pause)
         if self._fence is None:
-            longer = min(MAX_RETRY_SECONDS, 2 * self._pause)
-            self._pause = longer * (1 - random.random() / 2)
+            doubled_pause = min(MAX_RETRY_SECONDS, 2 * self._pause)
+            self._pause = doubled_pause * (1 - random.random() / 2)
         return kept
 
     async def _abandon_expired(self, now: float) -> None:
@@ -243,9 +243,9 @@
             await self._abandon(pending)
 
     async def _abandon(self, pending: _PendingWrite) -> None:
-        self.given_up += 1
+        self.abandoned_count += 1
         pending.outcome = WriteOutcome.UNKNOWN if pending.in_doubt else WriteOutcome.REFUSED
-        await pending.event.set()
+        await pending.completed.set()
 
     @property
     def _timeout(self) -> float:
@@ -271,4 +271,4 @@
 ) -> None:
     for pending in writes:
         pending.outcome = outcome
-        await pending.event.set()
+        await pending.completed.set()
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -21,7 +21,7 @@
         """Start without refusals."""
         self.count_by_account: Counter[str] = Counter()
 
-    def note(self, account: str) -> None:
+    def add(self, account: str) -> None:
         """Count a refused request."""
         has_own_count = (
             account in self.count_by_account or len(self.count_by_account) < MAX_LISTED_ACCOUNTS
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -58,8 +58,8 @@
         partition_detector,
         clock,
         journal,
-        metrics.note_answer,
-        metrics.refusals.note,
+        metrics.count_answer,
+        metrics.refusals.add,
     )
 
 
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -84,7 +84,7 @@
             settings.host,
             settings.store,
             lambda: self._dispatcher is not None,
-            self._metrics.note_unreadable,
+            self._metrics.count_unreadable,
             self._clock,
             self._journal,
         )
@@ -251,7 +251,7 @@
             self._clock,
             self._journal,
         )
-        await self._client_server.start(stack, settings.callers.host, settings.callers.port)
+        await self._client_server.start(stack, settings.clients.host, settings.clients.port)
 
     async def _answer_owner_query(self, frame: Frame) -> Message:
         dispatcher = self._dispatcher
@@ -337,13 +337,13 @@
 
     async def _handle_signal(self, number: int) -> None:
         if number == signal.SIGHUP:
-            self._reload()
+            self._check_settings_file()
             return
         self._stopping = True
         self._readiness.stop()
         await self._stop_requested.set()
 
-    def _reload(self) -> None:
+    def _check_settings_file(self) -> None:
         """Check the settings file again; the addresses in use stay those of the start."""
         try:
             load_host_settings(self._settings_path)
--- a/dandelionreel/entry_metrics.py
+++ b/dandelionreel/entry_metrics.py
@@ -69,12 +69,12 @@
         """Serve the result of ``get_view()`` at ``ACCOUNTS_PATH``."""
         self._get_accounts_view = get_view
 
-    def note_answer(self, method: str, status: int, seconds: float) -> None:
+    def count_answer(self, method: str, status: int, seconds: float) -> None:
         """Count an answer to a client."""
         self._answers.labels(method, str(status)).inc()
         self._answer_seconds.labels(method).observe(seconds)
 
-    def note_unreadable(self, topic: str, reason: str) -> None:
+    def count_unreadable(self, topic: str, reason: str) -> None:
         """Count a record in the store that cannot be read."""
         self._unreadable.labels(topic, reason).inc()
 
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -34,7 +34,7 @@
 async def listen_peers(
     stack: AsyncExitStack,
     address: Address,
-    front: ClientApi,
+    client_api: ClientApi,
     election: Election,
     advisor: LocalAdvisor,
     completions: CompletionAnswers,
@@ -49,7 +49,7 @@
     """
     peers = PeerServer(election.incarnation, clock, PeerClocks(), journal, TrafficCounter())
     handlers = (
-        (Forward, front.handle_relayed),
+        (Forward, client_api.handle_relayed),
         (OwnerFailing, election.handle_owner_failing),
         (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer),
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -73,13 +73,15 @@
             self._make_unreadable_log('runners', Part.WORKERS),
         )
         self.cell = CellProjection(clock, journal, self._make_unreadable_log('cell', Part.LOG))
-        self.cell_follower = self._follow('cell', CELL_TOPIC, self.cell, CELL_WAIT_SECONDS)
-        self.runners_follower = self._follow(
+        self.cell_follower = self._make_follower('cell', CELL_TOPIC, self.cell, CELL_WAIT_SECONDS)
+        self.runners_follower = self._make_follower(
             'runners', RUNNERS_TOPIC, self.runners, RUNNERS_WAIT_SECONDS
         )
         self.followers = (
             self.cell_follower,
-            self._follow('operator', OPERATOR_TOPIC, self.configuration, OPERATOR_WAIT_SECONDS),
+            self._make_follower(
+                'operator', OPERATOR_TOPIC, self.configuration, OPERATOR_WAIT_SECONDS
+            ),
             self.runners_follower,
         )
 
@@ -92,7 +94,7 @@
     def complete(self) -> bool:
         """Return whether all needed topics have been read to the end, and the store answers."""
         return all(
-            follower.suspended or (follower.complete and follower.reached)
+            follower.suspended or (follower.complete and follower.reachable)
             for follower in self.followers
         )
 
@@ -101,7 +103,9 @@
         """Return whether the first snapshots of all needed topics have been read."""
         return all(follower.started or follower.suspended for follower in self.followers)
 
-    def _follow(self, name: str, topic: str, projection: Projection, max_wait: float) -> Follower:
+    def _make_follower(
+        self, name: str, topic: str, projection: Projection, max_wait: float
+    ) -> Follower:
         return Follower(
             name,
             self.topics[topic],
@@ -109,7 +113,7 @@
             self._clock,
             self._journal,
             max_wait,
-            lambda: self._pause(topic),
+            lambda: self._pause_seconds(topic),
             lambda: topic != RUNNERS_TOPIC or self._needs_runner_list(),
         )
 
@@ -119,7 +123,7 @@
     def _make_unreadable_log(self, topic: str, part: Part) -> UnreadableLog:
         return UnreadableLog(topic, part, self._clock, self._journal, self._note_unreadable)
 
-    def _pause(self, topic: str) -> float:
+    def _pause_seconds(self, topic: str) -> float:
         if topic == OPERATOR_TOPIC:
             return OPERATOR_PAUSE_SECONDS
         if self._owns_cell():
--- a/dandelionreel/platform/_advice.py
+++ b/dandelionreel/platform/_advice.py
@@ -45,7 +45,9 @@
 
         ``runners`` are ids of incarnations; the service knows only the ids of runners.
         """
-        incarnation_by_id = {runner_id(one): one for one in runners[:MAX_RUNNERS_PER_CALL]}
+        incarnation_by_id = {
+            runner_id(incarnation): incarnation for incarnation in runners[:MAX_RUNNERS_PER_CALL]
+        }
         fields = {
             'step': f'{step.job}.{step.occurrence}.{step.step}',
             'workers': list(incarnation_by_id),
--- a/dandelionreel/platform/_settings.py
+++ b/dandelionreel/platform/_settings.py
@@ -76,7 +76,7 @@
 
     host: str
     zone: str
-    callers: Address
+    clients: Address
     readiness: Address
     peers: Address
     seeds: tuple[Address, ...]
@@ -139,7 +139,7 @@
     return HostSettings(
         host=decoded.node,
         zone=decoded.zone,
-        callers=parse_address(decoded.listen.frontend),
+        clients=parse_address(decoded.listen.frontend),
         readiness=parse_address(decoded.listen.readiness),
         peers=Address(decoded.ip, first_port),
         # All hosts use the same port for peers; the ports in ``seeds`` are other ports.
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -85,13 +85,13 @@
     def raise_timeout(number, frame):
         raise CaseTimeoutError(f'it takes over {CASE_SECONDS} s')
 
-    former = signal.signal(signal.SIGVTALRM, raise_timeout)
+    previous_handler = signal.signal(signal.SIGVTALRM, raise_timeout)
     signal.setitimer(signal.ITIMER_VIRTUAL, CASE_SECONDS)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_VIRTUAL, 0)
-        signal.signal(signal.SIGVTALRM, former)
+        signal.signal(signal.SIGVTALRM, previous_handler)
 
 
 @dataclass
@@ -175,7 +175,7 @@
     follower = Follower('raw', topic, projection, projections.clock, None, 0.0, lambda: 0.0)
     follower._offset = offset
 
-    curio.run(follower._step)
+    curio.run(follower._read_once)
     return follower
 
 
@@ -265,7 +265,7 @@
         first = self.draw.random() < 0.5
         self.read_records(
             'keyed.cell',
-            projections.jobs,
+            projections.cell,
             projections,
             *([] if first else good),
             mutated,
@@ -276,7 +276,7 @@
             ),
             encode_record(b'j/00000000000000aa', encode(SUBMISSION)),
         )
-        cell_state = projections.jobs.state
+        cell_state = projections.cell.state
         assert cell_state.find('00000000000000aa') is not None, 'a neighbour is not known'
         assert cell_state.find(JOB) is not None, 'the job is not known'
         cell = Cell(9, 3.0)
@@ -372,8 +372,8 @@
     assert 0 < len(registration.address) < 254, 'the address is too long'
     assert registration.address.isascii() and '\x00' not in registration.address, 'the address'
     assert registration.service, 'no service'
-    room = registration.capacity
-    for amount in (room.cpu, room.memory_mb, room.gpu):
+    capacity = registration.capacity
+    for amount in (capacity.cpu, capacity.memory_mb, capacity.gpu):
         assert 0 <= amount < 2**40, 'the capacity is out of range'
     remaining = registration.remaining
     assert remaining is None or 0 <= remaining < 1e9, 'the remaining time is out of range'
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -231,7 +231,7 @@
             self.configuration.has_service,
             self.make_unreadable_log('runners', Part.WORKERS, journal),
         )
-        self.jobs = CellProjection(
+        self.cell = CellProjection(
             self.clock, journal, self.make_unreadable_log('cell', Part.LOG, journal)
         )
 
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -65,7 +65,7 @@
     def age(self, now):
         return 0.0
 
-    async def wait_fresh(self, since, patience):
+    async def wait_fresh(self, since, timeout):
         return True
 
 
@@ -77,23 +77,23 @@
     def store_is_failing(self, now):
         return False
 
-    async def write(self, records, patience):
+    async def write(self, records, timeout):
         return WriteOutcome.REFUSED
 
 
 class StubPeers:
     """Links to a peer that replies with its configuration, or does not answer."""
 
-    def __init__(self, given=None):
-        self.given = given
+    def __init__(self, reply=None):
+        self.reply = reply
         self.query_count = 0
 
     async def ask(self, member, message, timeout):
         assert isinstance(message, ConfigurationWanted), message
         self.query_count += 1
-        if self.given is None:
+        if self.reply is None:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
-        return Frame(1, 'peer/1', 0, 0, self.given)
+        return Frame(1, 'peer/1', 0, 0, self.reply)
 
 
 def make_document(version, rows):
@@ -102,11 +102,11 @@
     return json.dumps({'version': version, 'routes': [route], 'tenants': rows}).encode()
 
 
-def make_exchange(context, projection, given, store_age):
+def make_exchange(context, projection, reply, store_age):
     """Return an exchange with one peer, of a host whose store answered so many seconds ago."""
     context.cell_state = CellState()
     context.cell_state.fold([make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 1))])
-    context.links = StubPeers(given)
+    context.links = StubPeers(reply)
     clock = ManualClock(NOW)
     return ConfigurationExchange(
         'me',
@@ -132,7 +132,7 @@
     context.stack.callback(context.journal.close)
     queues = (make_plain_queue('plain'), make_plain_queue('open', public=True))
     context.projection = make_projection(context, make_configuration(queues, accounts, version))
-    context.jobs = CellProjection(ManualClock(NOW), context.journal)
+    context.cell_projection = CellProjection(ManualClock(NOW), context.journal)
     context.exchange = make_exchange(
         context, context.projection, ConfigurationGiven(version, b'', True), 0.1
     )
@@ -141,10 +141,10 @@
 
 def rebuild_api(context, longest_age=None):
     clock = ManualClock(NOW)
-    relay = Relay('me', context.jobs.state, context.links, clock, context.journal)
-    context.front = make_client_api(
+    relay = Relay('me', context.cell_projection.state, context.links, clock, context.journal)
+    context.client_api = make_client_api(
         context.projection,
-        context.jobs,
+        context.cell_projection,
         FreshFollower(),
         RefusingWriter(),
         relay,
@@ -180,12 +180,12 @@
 
 
 @given('the maximum age of a configuration that keys are checked by is {limit}')
-def maximum_key_age(context, limit):
+def set_max_key_age(context, limit):
     rebuild_api(context, None if limit == 'unlimited' else float(limit.split()[0]))
 
 
 @given('peers that {peers}')
-def peers_that(context, peers):
+def set_peer_reply(context, peers):
     rows = [{'name': 'blue', 'api_keys': ['new-key']}]
     silent = 9.0 if 'store is silent' in peers else 0.1
     reply_by_words = {
@@ -204,23 +204,23 @@
     return tuple((name.lower(), value.strip()) for name, _, value in pairs)
 
 
-def ask(context, method, path, headers, body=b''):
+def send_request(context, method, path, headers, body=b''):
     request = Request(method, path, (('host', 'h'), *headers), body)
-    context.answer = curio.run(context.front.handle, request)
+    context.answer = curio.run(context.client_api.handle, request)
 
 
 @when('a client counts the jobs with the headers {headers}')
-def count_with(context, headers):
-    ask(context, 'GET', '/plain/', parse_headers(headers))
+def count_jobs_with_headers(context, headers):
+    send_request(context, 'GET', '/plain/', parse_headers(headers))
 
 
 @when('a client counts the jobs of the public queue without a key')
-def count_public(context):
-    ask(context, 'GET', '/open/', ())
+def count_public_jobs(context):
+    send_request(context, 'GET', '/open/', ())
 
 
 @then('the answer is a {status:d}, and no key is logged')
-def answer_and_log(context, status):
+def check_answer_and_log(context, status):
     assert context.answer.status == status, context.answer
     challenge = context.answer.header('www-authenticate')
     assert (challenge == 'Bearer') is (status == 401), context.answer
@@ -229,7 +229,7 @@
 
 
 @then('random headers get the same answer unless they contain a known key')
-def random_headers(context):
+def check_random_headers(context):
     words = strategies.sampled_from(['bearer', 'Bearer', 'Basic', *KEYS[:3], ' ', '  ', '\t', 'é'])
     texts = strategies.text(max_size=40) | strategies.lists(words, max_size=6).map(''.join)
     first_refusal = []
@@ -237,7 +237,7 @@
     @settings(max_examples=400, deadline=None, database=None, derandomize=True)
     @hypothesis_given(texts)
     def check(text):
-        ask(context, 'GET', '/plain/', (('authorization', text),))
+        send_request(context, 'GET', '/plain/', (('authorization', text),))
         scheme, _, key = text.partition(' ')
         known = scheme.lower() == 'bearer' and key.lstrip(' ') in KEYS[:3]
         if known:
@@ -251,52 +251,52 @@
 
 
 @when('a hundred requests come with unknown keys')
-def many_unknown_keys(context):
+def request_with_unknown_keys(context):
     for number in range(100):
-        ask(context, 'GET', '/plain/', (('authorization', f'Bearer unknown-{number}'),))
+        send_request(context, 'GET', '/plain/', (('authorization', f'Bearer unknown-{number}'),))
         assert context.answer.status == 401, context.answer
 
 
 @then('peers were asked once')
-def queried_once(context):
+def check_queried_once(context):
     assert context.links.query_count == 1, context.links.query_count
 
 
 @when('a peer with configuration version {version:d} forwards a request of {caller} with {key}')
-def forwarded_request(context, version, caller, key):
+def forward_request(context, version, caller, key):
     request = Request('GET', '/plain/', (('host', 'h'),))
     found = Caller(caller, digest_key(key), version)
     frame = Frame(1, 'peer/1', 0, 0, Forward(request, 1.0, 1, found))
-    context.answer = curio.run(context.front.handle_relayed, frame).answer
+    context.answer = curio.run(context.client_api.handle_relayed, frame).answer
 
 
 @given('a job of {owner} that is {state}')
-def job_of(context, owner, state):
+def store_job(context, owner, state):
     account = '' if owner == 'nobody' else owner
     if state == 'queued':
         submission = Submission('plain', 'desk', 1.0, JobSpec('', (step(),)), '', account)
         record = make_record(SUBMISSION_PREFIX + JOB, submission)
     else:
         record = make_record(PROGRESS_PREFIX + JOB, Progress(1, JobState(state), account=account))
-    context.jobs.fold(RecordBatch((record,), 1, 1))
+    context.cell_projection.fold(RecordBatch((record,), 1, 1))
 
 
 @when('{caller} asks by {method}')
-def asks_by(context, caller, method):
+def request_by_method(context, caller, method):
     body = json.dumps({'spec': 'x', 'steps': [{'count': 1, 'cpu': 10}]}).encode()
     headers = (('authorization', f'Bearer {caller}-key-1'),)
-    ask(context, method, f'/plain/{JOB}', headers, body)
+    send_request(context, method, f'/plain/{JOB}', headers, body)
 
 
 @when('blue submits a step of {count:d} {kind} of {cpu:g} cores, with a quota of 8 cores')
-def hands_in_step(context, count, kind, cpu):
-    asked = {'count': count, 'cpu': int(cpu * 1000), 'gang': kind == 'gang members'}
-    body = json.dumps({'spec': 'x', 'steps': [asked]}).encode()
-    ask(context, 'POST', f'/plain/{JOB}', (('authorization', 'Bearer blue-key-1'),), body)
+def submit_step(context, count, kind, cpu):
+    step_fields = {'count': count, 'cpu': int(cpu * 1000), 'gang': kind == 'gang members'}
+    body = json.dumps({'spec': 'x', 'steps': [step_fields]}).encode()
+    send_request(context, 'POST', f'/plain/{JOB}', (('authorization', 'Bearer blue-key-1'),), body)
 
 
 @when('a configuration has the accounts {rows}')
-def configuration_has(context, rows):
+def decode_accounts(context, rows):
     codec = JsonRecordCodec()
     try:
         context.accounts = codec.decode_configuration(make_document(1, json.loads(rows))).accounts
@@ -305,7 +305,7 @@
 
 
 @then('{usable} are in force, with {problems:d} problems, and no problem names a key')
-def accounts_in_force(context, usable, problems):
+def check_accounts(context, usable, problems):
     wanted = {} if usable == 'none' else dict(part.split(':') for part in usable.split())
     found = context.accounts
     assert set(found.account_by_name) == set(wanted), found.account_by_name
@@ -317,7 +317,7 @@
 
 
 @given('a configuration of 100 accounts with 100 keys each')
-def many_keys(context):
+def decode_many_keys(context):
     context.codec = JsonRecordCodec()
     context.rows = [
         {'name': f'a{number}', 'api_keys': [f'key-{number}-{key}' for key in range(100)]}
@@ -327,7 +327,7 @@
 
 
 @when('a version arrives in which one account has another key')
-def one_key_changes(context):
+def change_one_key(context):
     context.digested = []
     real = _accounts.digest_key
 
@@ -345,7 +345,7 @@
 
 
 @then('{count:d} keys were digested, and every key finds its account')
-def keys_digested(context, count):
+def check_digested_keys(context, count):
     assert len(context.digested) == count, len(context.digested)
     for row in context.rows:
         for key in row['api_keys']:
@@ -377,11 +377,11 @@
 
 
 @when('it reads that the owner has the newer configuration')
-def reads_owner(context):
+def read_newer_owner(context):
     context.cell_state.fold([make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1', version=6))])
     check_configuration(context)
 
 
 @then('it has the {which} configuration')
-def has_configuration(context, which):
+def check_version(context, which):
     assert context.projection.version == (6 if which == 'newer' else 5), context.projection.version
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -51,7 +51,7 @@
         dispatcher._owner_context.writer.stored_at + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
     )
     now = me.clock.monotonic() + 1.5
-    heard_at = other.projection.owner_heard_at
+    heard_at = other.projection.owner_heartbeat_at
     term = Term(2, 'other/1', WriterFence(2, 1), heard_at, False, False)
     context.wait_end = PredecessorLeases(term, LEASE_SECONDS, now).end_at
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -78,7 +78,7 @@
         await curio.spawn(context.host.follower.run, daemon=True)
         await until(lambda: context.host.follower.started)
         context.topic.down = True
-        await until(lambda: context.host.follower.lost_at > 0)
+        await until(lambda: context.host.follower.failed_at > 0)
         context.clock.advance(5)
         context.topic.down = False
         context.term = await context.host.claim(0.5)
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -61,22 +61,22 @@
 
 
 @when('it reads configuration 5 and then {record}')
-def reads_configurations(context, record):
+def read_two_configurations(context, record):
     read_configurations(
         context.projections, make_configuration_record(version=5), BAD_CONFIGURATIONS[record]
     )
 
 
 @then('configuration 5 is in force')
-def in_force(context):
+def check_version_in_force(context):
     assert context.projections.configuration.current.version == 5
 
 
-def changed_spec(*steps):
+def encode_submission(*steps):
     return encode(Submission('urgent', 'desk', 990.0, JobSpec('payload', steps)))
 
 
-def changed_progress(*done):
+def encode_progress(*done):
     return encode(Progress(4, JobState.RUNNING, done))
 
 
@@ -84,13 +84,13 @@
     'no JSON': b'{"queue":',
     'a list': b'[]',
     'nested deeply': DEEP_JSON,
-    'a huge count': changed_spec(Step(10**15, Demand(), 1.0)),
-    'a cycle of steps': changed_spec(Step(1, Demand(), 1.0, (0,))),
+    'a huge count': encode_submission(Step(10**15, Demand(), 1.0)),
+    'a cycle of steps': encode_submission(Step(1, Demand(), 1.0, (0,))),
     'a tiny interval': encode(
         Submission('urgent', 'desk', 9.0, JobSpec('x', SUBMISSION.spec.steps, 2, 1.0, 1e-300))
     ),
-    'an invalid mask': changed_progress(DoneTasks(0, 0, '-x')),
-    'an unknown step': changed_progress(DoneTasks(0, 9, '1')),
+    'an invalid mask': encode_progress(DoneTasks(0, 0, '-x')),
+    'an unknown step': encode_progress(DoneTasks(0, 9, '1')),
     'an epoch below zero': encode(msgspec.structs.replace(OWNER, epoch=-1)),
     'an epoch of 400 digits': b'{"epoch":' + b'9' * 400 + b',"host":"x","term":"x/1"}',
     'a host that is a number': b'{"epoch":9,"host":7,"term":"x/1"}',
@@ -107,7 +107,7 @@
 
 
 @given('a host that has read {before}')
-def has_read(context, before):
+def host_that_has_read(context, before):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
     append(context, *BEFORE[before])
@@ -117,23 +117,23 @@
     """Append records to the topic and let the host read all new ones."""
     if records:
         curio.run(context.memory.append, records, 0.1)
-    curio.run(context.host.follower._step)
-    curio.run(context.host.follower._step)
+    curio.run(context.host.follower._read_once)
+    curio.run(context.host.follower._read_once)
 
 
 @when('the record of {key} becomes {record}')
-def record_becomes(context, key, record):
+def change_record(context, key, record):
     append(context, KeyedRecord(f'{key}/{JOB}', BAD_RECORDS[record]))
 
 
 @when('a client submits a job with {part}')
-def hand_in_part(context, part):
+def submit_with_part(context, part):
     # Of a field that is given twice the last one counts.
     context.body = b'{"spec":"x","steps":[{"count":1}],"repeat_count":2,%s}' % part.encode()
 
 
 @then('it is refused as invalid')
-def bad_input(context):
+def check_refused(context):
     try:
         decode_submission(context.body)
     except SubmissionError:
@@ -142,7 +142,7 @@
 
 
 @when('it starts again from a snapshot in which {key} is {record}')
-def snapshot_with(context, key, record):
+def read_snapshot_with(context, key, record):
     bad = KeyedRecord(f'{key}/{JOB}', BAD_RECORDS[record])
     curio.run(context.memory.append, [bad], 0.1)
     context.host.follower._offset = None
@@ -150,7 +150,7 @@
 
 
 @when('the same job is submitted again')
-def handed_in_again(context):
+def resubmit_job(context):
     stored_job = context.host.projection.state.find(JOB)
     # A host that took the job for accepted would not store it again.
     assert stored_job.may_be_resubmitted
@@ -158,7 +158,7 @@
 
 
 @then('the job is shown as {state}')
-def shown_as(context, state):
+def check_shown_state(context, state):
     stored_job = context.host.projection.state.find(JOB)
     assert stored_job is not None, 'the job is not known'
     assert stored_job.state is JobState(state), stored_job
@@ -175,7 +175,7 @@
 
 
 @then('the job is {handled}')
-def handled(context, handled):
+def check_started(context, handled):
     stored_job = context.host.projection.state.find(JOB)
     dispatcher = start_term(context)
     cell = dispatcher.cell
@@ -187,26 +187,26 @@
 
 
 @given("a host that reads an owner's heartbeats")
-def hears_owner(context):
+def host_with_owner(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
     append(context, make_record('owner', OWNER))
-    context.is_confirmed = context.host.projection.owner_heard_at
+    context.heartbeat_at = context.host.projection.owner_heartbeat_at
 
 
 @when('the ownership record becomes {record}')
-def owner_becomes(context, record):
+def change_owner_record(context, record):
     context.host.clock.advance(0.4)
     append(context, KeyedRecord('owner', BAD_RECORDS[record]))
 
 
 @then('it does not count as a heartbeat')
-def no_heartbeat(context):
-    assert context.host.projection.owner_heard_at == context.is_confirmed
+def check_no_heartbeat(context):
+    assert context.host.projection.owner_heartbeat_at == context.heartbeat_at
 
 
 @then('the known owner is unchanged')
-def same_owner(context):
+def check_owner_unchanged(context):
     assert context.host.projection.state.owner == OWNER
     # Also after the host has had to start again from a snapshot.
     context.host.follower._offset = None
@@ -215,10 +215,10 @@
 
 
 @then('a host that starts now waits for a heartbeat before it claims')
-def late_host_waits(context):
+def check_late_host_waits(context):
     late = Host('late', context.memory, ManualClock())
-    curio.run(late.follower._step)
-    curio.run(late.follower._step)
+    curio.run(late.follower._read_once)
+    curio.run(late.follower._read_once)
     late.follower.fresh_at = late.clock.now
     late.follower.reachable_since = late.clock.now
     assert late.election._vacancy() is Vacancy.HELD
@@ -230,7 +230,7 @@
 
 
 @given('a job that an owner has started on the runner i-1')
-def started_on(context):
+def store_started_job(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
     job = (make_record(f'j/{JOB}', SUBMISSION), make_record(f'e/{JOB}', PROGRESS))
@@ -238,32 +238,32 @@
 
 
 @when('a host that has read no list takes over, and the list is no JSON')
-def list_unreadable(context):
+def take_over_with_unreadable_list(context):
     append(context, KeyedRecord('runners', BAD_RECORDS['no JSON']))
     context.dispatcher = start_term(context)
 
 
 @then('it starts no task of that job until all leases must have expired')
-def left_alone(context):
+def check_not_started(context):
     cell = context.dispatcher.cell
     assert cell.is_blocked(cell.job_by_id[JOB])
-    rounds = context.dispatcher._periodic_checks
-    curio.run(rounds._drop_unseen_runners, rounds.predecessor_leases.end_at + 0.1)
+    checks = context.dispatcher._periodic_checks
+    curio.run(checks._drop_unseen_runners, checks.predecessor_leases.end_at + 0.1)
     assert not cell.is_blocked(cell.job_by_id[JOB])
 
 
 @given('a host that knows a peer')
-def knows_peer(context):
+def host_with_peer(context):
     context.memory = MemoryTopic()
     context.host = Host('me', context.memory, ManualClock())
     append(context, make_record('m/entry-1', MEMBER))
 
 
 @when("the peer's record becomes {record}")
-def peer_becomes(context, record):
+def change_peer_record(context, record):
     append(context, KeyedRecord('m/entry-1', BAD_RECORDS[record]))
 
 
 @then('the known address of the peer is unchanged')
-def peer_is(context):
+def check_peer_unchanged(context):
     assert context.host.projection.state.member_by_host == {'entry-1': MEMBER}
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -25,7 +25,7 @@
 
 
 @given('a runner with a running task and a valid entry')
-def runner_at_work(context):
+def runner_with_task(context):
     prepare_projections(context)
     context.small = SmallCell(())
     read_entries(context, ('i-1', make_entry()))
@@ -37,35 +37,35 @@
 
 
 @when('its entry becomes one of another service')
-def other_service(context):
+def change_service(context):
     read_entries(context, ('i-1', make_entry(service='other')))
 
 
 @when('its entry becomes {bad}')
-def entry_becomes(context, bad):
+def change_entry(context, bad):
     read_entries(context, ('i-1', BAD_ENTRIES[bad]))
 
 
 @then('no further task is started on it')
-def nothing_new(context):
+def check_no_new_start(context):
     small = context.small
     small.poll('i-1', running=[context.run])
     small.add_job('j2', [step(cpu=4000, count=4)])
-    assert all(made.runner != 'i-1' for made in small.plan().starts)
+    assert all(start.runner != 'i-1' for start in small.plan().starts)
     assert not small.cell.runner_by_id['i-1'].usable(small.now)
 
 
 @then('its task counts there, and is not started elsewhere')
-def counts(context):
+def check_task_counted(context):
     small = context.small
     small.poll('i-2')
     starts = small.plan().starts
-    assert all(made.task != context.run[0] for made in starts), starts
+    assert all(start.task != context.run[0] for start in starts), starts
     assert context.run in small.runs_on('i-1')
 
 
 @then('it is still polled at its last known address')
-def looked_at(context):
+def check_still_polled(context):
     registration = context.small.cell.runner_by_id['i-1'].registration
     assert (registration.address, registration.port) == ('10.0.0.1', 7000), registration
     assert context.projections.runners.find('i-1').port == 7000
@@ -73,7 +73,7 @@
 
 
 @then('its next valid entry makes it usable again')
-def brought_back(context):
+def check_usable_again(context):
     read_entries(context, ('i-1', make_entry()))
     small = context.small
     small.poll('i-1', running=[context.run])
@@ -81,56 +81,56 @@
 
 
 @when('all its leases have expired')
-def leases_ran_out(context):
+def expire_leases(context):
     context.small.poll('i-2')
     context.small.cell.handle_lapsed_runner('i-1')
 
 
 @then('its task is started elsewhere')
-def starts_elsewhere(context):
-    made = context.small.plan().starts
-    assert [(start.task, start.runner) for start in made] == [(context.run[0], 'i-2')]
+def check_started_elsewhere(context):
+    start = context.small.plan().starts
+    assert [(start.task, start.runner) for start in start] == [(context.run[0], 'i-2')]
 
 
 @given('a host that knows two valid entries')
-def two_entries(context):
+def read_two_entries(context):
     prepare_projections(context)
     context.small = SmallCell(())
     read_entries(context, ('i-1', make_entry()), ('i-2', make_entry(address=OTHER)))
 
 
 @when('there is a third entry with {bad}')
-def third_entry(context, bad):
+def read_third_entry(context, bad):
     read_entries(context, ('i-3', BAD_ENTRIES[bad]))
 
 
 @then('only the two runners are known')
-def two_known(context):
+def check_two_known(context):
     assert context.projections.runners.registration_by_id.keys() == {'i-1', 'i-2'}
     assert context.small.cell.runner_by_id.keys() == {'i-1', 'i-2'}
 
 
 @given('a runner with a running task whose entry was removed')
-def entry_gone(context):
-    runner_at_work(context)
+def runner_with_removed_entry(context):
+    runner_with_task(context)
     read_entries(context, ('i-1', b''))
 
 
 @when('another entry at its address has {bad}')
-def other_at_address(context, bad):
+def read_entry_at_same_address(context, bad):
     content = make_entry() if bad == 'nothing wrong' else BAD_ENTRIES[bad]
     read_entries(context, ('i-9', content))
 
 
 @then('its task stays assigned to it, and is not started elsewhere')
-def counts_here(context):
+def check_task_still_assigned(context):
     show_entries_to_owner(context)
     assert context.small.runs_on('i-1') == (context.run,), context.small.runs_on('i-1')
     assert not context.small.plan().starts
 
 
 @when('an entry of an unconfigured service at its address is read before the configuration')
-def unnamed_before_configuration(context):
+def read_entry_before_configuration(context):
     context.late = HostProjections()
     topic, raw = make_raw_topic()
     raw.frames = [encode_record(b'i-9', BAD_ENTRIES['a service that is not configured'])]
@@ -141,32 +141,32 @@
 
 
 @when('the start of a second task on it is planned, and its entry becomes no JSON')
-def start_pending(context):
+def plan_start_before_bad_entry(context):
     context.small.add_job('j2', [step(cpu=4000)])
     (context.pending,) = context.small.plan(start=False).starts
     assert context.small.cell.may_start(context.pending)
-    entry_becomes(context, 'no JSON')
+    change_entry(context, 'no JSON')
 
 
 @then('the order is not sent')
-def order_not_sent(context):
+def check_order_not_sent(context):
     assert context.pending.runner == 'i-1'
     assert not context.small.cell.may_start(context.pending)
 
 
 @when('another term begins')
-def another_term(context):
+def begin_other_term(context):
     context.small = SmallCell((), epoch=2)
     show_entries_to_owner(context)
 
 
 @then('the next owner polls i-2 only')
-def looks_at_one(context):
+def check_one_polled(context):
     assert context.small.cell.runner_by_id.keys() == {'i-2'}
 
 
 @when('the host starts again from a snapshot')
-def starts_again(context):
+def restart_from_snapshot(context):
     context.raw.pages = [
         encode_page([('i-1', BAD_ENTRIES['no JSON']), ('i-2', make_entry(address=OTHER))])
     ]
@@ -175,12 +175,12 @@
 
 
 @given('a host that follows a topic')
-def following(context):
+def follow_topic(context):
     prepare_projections(context)
 
 
 @when('it reads {bad} between two valid entries')
-def bad_frame(context, bad):
+def read_bad_frame(context, bad):
     context.raw.frames = [
         encode_record(b'i-1', make_entry()),
         BAD_FRAMES[bad],
@@ -191,13 +191,13 @@
 
 
 @then('it knows both entries and has read to the end')
-def knows_both(context):
+def check_both_known(context):
     assert context.projections.runners.registration_by_id.keys() == {'i-1', 'i-2'}
     assert context.follower.offset == context.end
 
 
 @when('its read of three entries is cut in the last one')
-def read_cut(context):
+def read_truncated_record(context):
     context.raw.frames = [
         encode_record(b'i-1', make_entry()),
         encode_record(b'i-2', make_entry(address=OTHER)),
@@ -208,7 +208,7 @@
 
 
 @then('the last one is read again whole')
-def read_again(context):
+def check_read_again(context):
     assert context.follower.offset == 2
     context.raw.cut = 0
     again = read_once(context.topic, context.projections.runners, context.projections, 2)
@@ -217,7 +217,7 @@
 
 
 @when('its read is cut in the header')
-def head_cut(context):
+def truncate_header(context):
     context.raw.cut = 7
     context.attempt = lambda: read_once(
         context.topic, context.projections.runners, context.projections, 0
@@ -225,7 +225,7 @@
 
 
 @when('each page ends with the key after which it began')
-def stuck_pages(context):
+def read_pages_without_progress(context):
     context.raw.pages = [encode_page([('i-1', make_entry())], has_more=True)] * 9
     context.attempt = lambda: read_once(
         context.topic, context.projections.runners, context.projections, None
@@ -233,7 +233,7 @@
 
 
 @then('it counts as a failure of the store')
-def store_failure(context):
+def check_store_failure(context):
     try:
         context.attempt()
     except StoreError:
@@ -254,7 +254,7 @@
 
 
 @when('it reads a page with an item {item} between two valid ones')
-def bad_item(context, item):
+def read_bad_item(context, item):
     rows = [('i-1', make_entry()), BAD_ITEMS[item], ('i-2', make_entry(address=OTHER))]
     context.raw.pages = [encode_page(rows, end=8)]
     context.follower = read_once(
@@ -264,7 +264,7 @@
 
 
 @when('a page shows its entry with bad base64')
-def own_bad_item(context):
+def read_known_entry_as_bad_item(context):
     rows = [{'key': 'i-1', 'value': '!', 'offset': 1}, ('i-2', make_entry(address=OTHER))]
     context.raw.pages = [encode_page(rows)]
     read_once(context.topic, context.projections.runners, context.projections, None)
@@ -272,7 +272,7 @@
 
 
 @when('it reads the same unreadable entry 100 times, and then a valid one')
-def repeats_itself(context):
+def read_same_bad_entry(context):
     bad = ('i-1', BAD_ENTRIES['no JSON'])
     read_entries(context, ('i-1', make_entry()))
     for _ in range(100):
@@ -282,7 +282,7 @@
 
 
 @then('it logs the two changes and counts 100 unreadable records')
-def tells_changes(context):
+def check_changes_logged(context):
     lines = context.projections.lines_of('i-1')
     assert len([line for line in lines if 'cannot be read' in line['text']]) == 1, lines
     assert len([line for line in lines if 'can be read again' in line['text']]) == 1, lines
@@ -290,13 +290,13 @@
 
 
 @when('it reads 5000 unreadable entries of different keys')
-def many_keys(context):
+def read_many_bad_keys(context):
     records = [(f'x-{number}', BAD_ENTRIES['no JSON']) for number in range(5000)]
     read_entries(context, *records)
 
 
 @then('it logs 20 at most and counts 5000 unreadable records')
-def tells_few(context):
+def check_few_lines(context):
     lines = [line for line in context.projections.lines if 'cannot be read' in line['text']]
     assert 1 <= len(lines) <= 20, len(lines)
     assert sum(context.projections.unreadable.values()) == 5000
@@ -304,11 +304,11 @@
 
 
 @when('{cases:d} batches with a mutated record are read with seed {seed:d}')
-def fuzz(context, cases, seed):
+def run_fuzz(context, cases, seed):
     context.results = Fuzz(seed).run_cases(cases)
 
 
 @then('no valid record and no offset is lost, and no reader fails')
-def nothing_lost(context):
+def check_nothing_lost(context):
     results = context.results
     assert not results.failures, (dict(results.failure_count_by_kind), results.failures[:10])
--- a/features/steps/entry_view_steps.py
+++ b/features/steps/entry_view_steps.py
@@ -14,7 +14,7 @@
 
 
 @given('a runner that runs two tasks')
-def runs_two(context):
+def runner_with_two_tasks(context):
     context.small = SmallCell(('w1',))
     context.small.add_job(JOB, [step(count=2)])
     context.small.plan()
@@ -22,12 +22,12 @@
     context.small.now += 1.0
 
 
-def row(run, *more):
+def encode_row(run, *more):
     name, number = run
     return [f'{name.job}.{name.occurrence}.{name.step}.{name.index}', number, *more]
 
 
-def look(context, running=(), finished=()):
+def handle_poll_answer(context, running=(), finished=()):
     """Let the owner process the answer of a poll."""
     body = {'clock_ms': 482113, 'running': list(running), 'finished': list(finished)}
     context.view = decode_view(json.dumps(body).encode())
@@ -38,9 +38,9 @@
 
 
 @when('it lists the first one, and in place of the second {bad}')
-def lists_bad_row(context, bad):
+def list_bad_row(context, bad):
     first, second = context.runs
-    name, number, *_ = row(second)
+    name, number, *_ = encode_row(second)
     bad_rows = {
         'a row that is a number': 7,
         'a row without a run': [name],
@@ -48,40 +48,40 @@
         'a run of 400 digits': [name, int('9' * 400), '', 0, 0],
         'progress that is a list': [name, number, '', [], 0],
     }
-    look(context, [row(first, '', 5, 0), bad_rows[bad]])
+    handle_poll_answer(context, [encode_row(first, '', 5, 0), bad_rows[bad]])
 
 
 @then('the second task still counts there')
-def still_counts(context):
+def check_second_counted(context):
     assert set(context.runs) == set(context.small.runs_on('w1'))
     assert not context.effect.lost
 
 
 @when('it lists the ends 5 and 7 as done, and between them one of an unknown outcome')
-def lists_ends(context):
+def list_ends_with_bad_one(context):
     first, second = context.runs
-    strange = TaskName('fedcba9876543210', 0, 0, 0)
+    unknown_task = TaskName('fedcba9876543210', 0, 0, 0)
     ends = [
-        [5, *row(first, 'done', '')],
-        [6, *row((strange, 1), 'vanished', '')],
-        [7, *row(second, 'done', '')],
+        [5, *encode_row(first, 'done', '')],
+        [6, *encode_row((unknown_task, 1), 'vanished', '')],
+        [7, *encode_row(second, 'done', '')],
     ]
-    look(context, (), ends)
+    handle_poll_answer(context, (), ends)
 
 
 @then('the ends that can be read count')
-def ends_count(context):
+def check_ends_counted(context):
     assert not context.small.runs_on('w1')
     assert context.small.cell.job_by_id[JOB].state is JobState.COMPLETED
 
 
 @then('no end from {number:d} on is acknowledged')
-def not_acknowledged(context, number):
+def check_not_acknowledged(context, number):
     assert context.small.cell.runner_by_id['w1'].acknowledgeable_end == number - 1
 
 
 @given("a successor that cannot read a job's submission")
-def unreadable_job(context):
+def successor_with_unreadable_job(context):
     context.small = SmallCell(('w1',), epoch=2)
     stored_job = StoredJob(JOB, None, False, None, submission_unreadable=True)
     context.small.cell.update_job(stored_job, context.small.now, context.small.now)
@@ -89,18 +89,18 @@
 
 
 @when('a runner lists an end of the job as done')
-def lists_its_end(context):
+def list_end(context):
     context.ends = [(1, TaskName(JOB, 0, 0, 0), 1001, 'done')]
     context.small.poll('w1', ended=context.ends)
 
 
 @when('the job can be read')
-def job_readable(context):
+def make_job_readable(context):
     context.small.add_job(JOB, [step()])
 
 
 @then('the end counts when it is listed again, and may be acknowledged')
-def end_counts(context):
+def check_end_counted(context):
     context.small.poll('w1', ended=context.ends)
     assert context.small.cell.job_by_id[JOB].state is JobState.COMPLETED
     assert not context.small.plan().starts
@@ -108,12 +108,12 @@
 
 
 @when('it answers a poll with no JSON')
-def answers_nothing(context):
+def answer_without_json(context):
     context.attempt = lambda: decode_view(b'{"clock_ms":')
 
 
 @then('that counts as no answer')
-def counts_as_none(context):
+def check_no_answer(context):
     try:
         context.attempt()
     except RunnerError:
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -39,7 +39,7 @@
     assert job.state is JobState.COMPLETED
     # The page with progress was read before the end, the one with submissions after it.
     context.host.projection.load_snapshot(RecordBatch((running,), 1, 1))
-    for job_id in cell_state.take_changed():
+    for job_id in cell_state.take_changed_jobs():
         context.dispatcher._update_job(job_id)
 
 
@@ -54,7 +54,7 @@
     cell_state = context.host.projection.state
     cell_state.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     cell_state.fold(context.topic.records)
-    for job_id in cell_state.take_changed():
+    for job_id in cell_state.take_changed_jobs():
         context.dispatcher._update_job(job_id)
 
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -67,25 +67,25 @@
 
 
 @then('it is {outcome}')
-def outcome_is(context, outcome):
+def check_outcome(context, outcome):
     assert context.outcome.value == outcome, context.outcome
 
 
 @given('a host that is number {place:d} of {count:d} in the claim order')
-def host_in_order(context, place, count):
+def host_in_claim_order(context, place, count):
     hosts = [f'h{number:03}' for number in range(count)]
     members = {host: Member('north', '127.0.0.1', 1) for host in hosts}
     context.read = is_successor(members, hosts[place - 1])
 
 
 @given('a host that is not a member yet')
-def unheard_host(context):
+def host_that_is_no_member(context):
     members = {f'h{number}': Member('north', '127.0.0.1', 1) for number in range(97)}
     context.read = is_successor(members, 'new')
 
 
 @then('the list of runners is {fate}')
-def list_is(context, fate):
+def check_list_is_read(context, fate):
     assert context.read is (fate == 'read')
 
 
@@ -107,11 +107,11 @@
         curio.run(
             topic.append, [make_record(f'{SUBMISSION_PREFIX}{job}', submission)], LONG_TIMEOUT
         )
-    context.folder = CellProjection(SystemClock(), journal())
+    context.cell_projection = CellProjection(SystemClock(), journal())
     context.follower = Follower(
         'cell',
         context.topic,
-        context.folder,
+        context.cell_projection,
         SystemClock(),
         journal(),
         0.02,
@@ -127,14 +127,14 @@
 
 
 @then('nothing is read')
-def nothing_read(context):
+def check_nothing_read(context):
     curio.run(curio.ignore_after, 0.05, context.follower.run)
     assert context.topic.snapshots == 0
     assert not context.follower.started
 
 
 @when('it is needed and told to read now')
-def topic_needed_again(context):
+def need_topic_again(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
         await curio.sleep(0)
@@ -146,8 +146,8 @@
 
 
 @then('it knows the newest records after one snapshot')
-def knows_store(context):
-    assert context.folder.state.find('x') is not None
+def check_newest_known(context):
+    assert context.cell_projection.state.find('x') is not None
     assert context.topic.snapshots == 1
 
 
@@ -182,14 +182,14 @@
 
 
 @then('it knows the newest record after {count:d} reads at most')
-def caught_up(context, count):
+def check_caught_up(context, count):
     assert context.fresh
-    assert context.folder.state.find('19') is not None
+    assert context.cell_projection.state.find('19') is not None
     assert context.topic.reads <= count, context.topic.reads
 
 
 @given('a writer that is given {count:d} successive records of a job during an append')
-def many_records(context, count):
+def write_many_records(context, count):
     context.topic = MemoryTopic()
 
     async def write():
@@ -205,24 +205,24 @@
 
 
 @then('the store has executed one more append, of the newest record only')
-def one_append(context):
+def check_one_append(context):
     assert context.topic.appends == 2, context.topic.appends
     assert [record.content for record in context.topic.records] == [b'{}', b'19']
 
 
 @then('each of the {count:d} is reported as stored')
-def all_stored(context, count):
+def check_all_stored(context, count):
     assert context.outcomes == [WriteOutcome.STORED] * (1 + count)
 
 
 @given('an owner whose heartbeat the store refuses for 2 s')
-def refused_heartbeat(context):
+def owner_with_refused_heartbeat(context):
     context.topic = MemoryTopic()
     context.topic.faults.extend(['refuse'] * 20)
 
 
 @when('a job with a timeout of 0.3 s is submitted')
-def job_behind(context):
+def submit_behind_heartbeat(context):
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal(), WriterFence(1, 1))
         await curio.spawn(writer.run, daemon=True)
@@ -237,17 +237,17 @@
 
 
 @then('its write is refused within 1 s')
-def refused_in_time(context):
+def check_refused_in_time(context):
     assert context.outcome is WriteOutcome.REFUSED, context.outcome
 
 
 @then('the store never contains it')
-def never_stored(context):
+def check_never_stored(context):
     assert [record.key for record in context.topic.records] == [OWNER_KEY]
 
 
 @given('an owner whose last append is late')
-def late_owner(context):
+def owner_with_late_append(context):
     context.topic = MemoryTopic()
     context.topic.faults.append('late')
 
@@ -259,25 +259,25 @@
 
 
 @when('a successor has written and the late append lands')
-def successor_writes(context):
+def write_as_successor(context):
     curio.run(context.topic.append, [KeyedRecord('e/x', b'new')], 0.1, WriterFence(2, 9))
     context.topic.apply_late_appends()
 
 
 @then('the store holds what the successor wrote')
-def holds_new(context):
+def check_successor_record(context):
     snapshot = curio.run(context.topic.snapshot)
     assert [record.content for record in snapshot.records] == [b'new']
 
 
 @given('an owner whose append lost its answer')
-def lost_answer(context):
+def owner_with_lost_answer(context):
     context.topic = MemoryTopic()
     context.topic.faults.append('lose')
 
 
 @when('it writes again')
-def writes_again(context):
+def write_again(context):
     async def write():
         writer = GroupWriter(context.topic, SystemClock(), journal(), WriterFence(1, 77))
         await curio.spawn(writer.run, daemon=True)
@@ -288,20 +288,20 @@
 
 
 @then('every record is in the store once')
-def each_record_once(context):
+def check_each_record_once(context):
     assert [record.key for record in context.topic.records] == ['e/1', 'e/2']
     assert context.topic.appends == 3
 
 
 @given('a host that reads a record in an unknown format')
-def other_version(context):
+def host_with_unknown_format(context):
     context.topic = MemoryTopic()
     curio.run(context.topic.append, [KeyedRecord(f'{SUBMISSION_PREFIX}j1', b'{"shape": 9}')], 0.1)
     context.host = Host('a', context.topic)
 
 
 @when('a job is stored after it')
-def another_job(context):
+def store_another_job(context):
     submission = Submission('urgent', 'desk', 5.0, JobSpec('payload', ()))
     curio.run(context.topic.append, [make_record(f'{SUBMISSION_PREFIX}j2', submission)], 0.1)
 
@@ -313,7 +313,7 @@
 
 
 @then('the host knows the job')
-def knows_job(context):
+def check_job_known(context):
     assert context.host.projection.state.find('j2')
 
 
@@ -330,19 +330,19 @@
 
 
 @when('its owner stores that it is {state}')
-def owner_notes(context, state):
+def store_final_state(context, state):
     progress = Progress(1, JobState(state), ended_at=7.0)
     curio.run(context.topic.append, make_progress_records('j1', progress), 0.1)
 
 
 @when('a late repetition of the submission lands')
-def late_submission(context):
+def append_late_submission(context):
     submission = Submission('urgent', 'desk', 8.0, JobSpec('payload', ()))
     curio.run(context.topic.append, [make_record(f'{SUBMISSION_PREFIX}j1', submission)], 0.1)
 
 
 @then('a host that starts now reads {count:d} record and shows it as {state}')
-def reads_and_shows(context, count, state):
+def check_snapshot(context, count, state):
     snapshot = curio.run(context.topic.snapshot)
     kept = [record for record in snapshot.records if record.content]
     cell_state = CellState()
@@ -361,7 +361,7 @@
 
 
 @when('the records that it has not read have expired')
-def records_expired(context):
+def expire_records(context):
     context.topic.first = 2
 
     async def follow():
@@ -373,7 +373,7 @@
 
 
 @then('it knows the content of the newest records')
-def knows_newest(context):
+def check_newest_owner(context):
     assert context.host.projection.state.owner.epoch == 3
 
 
@@ -403,7 +403,7 @@
 
 
 @given('an owner with a runner that does not answer')
-def owner_of_silent(context):
+def owner_of_silent_runner(context):
     context.small = SmallCell(('w1',))
     context.owner = make_owner_context(
         context.small.cell,
@@ -427,7 +427,7 @@
 
 
 @then('the runner gets no more starts until it has answered a poll')
-def nothing_until_look(context):
+def check_no_starts_before_poll(context):
     small = context.small
     small.add_job('j2', [step()])
     assert not small.plan().starts
@@ -436,12 +436,12 @@
 
 
 @when("the owner's last append was answered {seconds:d} s after that answer")
-def last_append(context, seconds):
+def answer_last_append(context, seconds):
     context.owner.writer.stored_at = 1000 + seconds
 
 
 @then('7 s after it its tasks count as {fate}, and new starts are {starts}')
-def judged_tasks(context, fate, starts):
+def check_leases(context, fate, starts):
     context.clock.now = 1007.0
     assert context.owner.leases_expired(context.state) is (fate == 'gone')
     assert context.owner.may_start() is (starts == 'allowed')
@@ -462,24 +462,24 @@
 
 
 @then('the store counts as unreachable')
-def out_of_reach(context):
+def check_unreachable(context):
     assert context.writer.store_is_failing(context.writer.failed_at)
 
 
 @then('2 s later it does not')
-def not_any_more(context):
+def check_reachable_again(context):
     assert not context.writer.store_is_failing(context.writer.failed_at + 2)
 
 
 @given('answers after {seconds:f} s and then {misses:d} timeouts')
 def answers_and_timeouts(context, seconds, misses):
-    context.times = AppendLatency()
+    context.latency = AppendLatency()
     for _ in range(40):
-        context.times.note_answer(seconds)
+        context.latency.note_answer(seconds)
     for _ in range(misses):
-        context.times.note_timeout()
+        context.latency.note_timeout()
 
 
-@then('the next timeout is about {patience:f} s')
-def timeout_is(context, patience):
-    assert abs(context.times.timeout - patience) < 0.05, context.times.timeout
+@then('the next timeout is about {timeout:f} s')
+def check_timeout(context, timeout):
+    assert abs(context.latency.timeout - timeout) < 0.05, context.latency.timeout
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -110,4 +110,4 @@
 
 @then('the owner counts as heard from just now')
 def heard_now(context):
-    assert context.projection.owner_heard_at == context.clock.monotonic()
+    assert context.projection.owner_heartbeat_at == context.clock.monotonic()
--- a/features/store.feature
+++ b/features/store.feature
@@ -270,10 +270,10 @@
 
   Scenario Outline: The timeout of an append
     Given answers after <seconds> s and then <misses> timeouts
-    Then the next timeout is about <patience> s
+    Then the next timeout is about <timeout> s
 
     Examples:
-      | seconds | misses | patience |
+      | seconds | misses | timeout  |
       | 0.004   | 0      | 0.3      |
       | 0.004   | 1      | 0.6      |
       | 0.004   | 2      | 0.9      |
