--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -106,7 +106,8 @@
 class CellState:
     """Jobs, members and the owner, folded from records in log order.
 
-    ``changed`` has the ids of jobs whose records changed since the last ``take_changed``.
+    ``changed_jobs`` has the ids of jobs whose records changed since the last
+    ``take_changed_jobs``.
     """
 
     def __init__(self) -> None:
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -76,9 +76,9 @@
         get_pause: Callable[[], float],
         is_wanted: Callable[[], bool] = _always,
     ) -> None:
-        """Let a read wait up to ``wait`` seconds for new records, and pause between reads.
+        """Let a read wait up to ``max_wait`` seconds for new records, and pause between reads.
 
-        The seconds of ``pause()`` collect the records of a busy topic into fewer reads, as each
+        The seconds of ``get_pause()`` collect the records of a busy topic into fewer reads, as each
         read is a paid call to the store. While ``is_wanted()`` is false nothing is read;
         afterwards reading begins again with a snapshot.
         """
@@ -101,6 +101,7 @@
         self.fresh_at = NEVER
         #: Since when all reads have succeeded; ``NEVER`` after a failure.
         self.reachable_since = NEVER
+        #: When a read last failed.
         self.failed_at = NEVER
         #: When the store last answered a read.
         self.answered_at = NEVER
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -69,7 +69,7 @@
         return self._apply_record(record, peer)
 
     def has_service(self, service: str) -> bool:
-        """Return whether a configuration has named the service; ``True`` if there is none."""
+        """Return whether a configuration has named the service; ``True`` before the first one."""
         return self.current is None or service in self._services
 
     def _apply_record(self, record: KeyedRecord, peer: str = '') -> bool:
@@ -125,7 +125,7 @@
         self._clock = clock
         self._unreadable = unreadable or UnreadableLog('cell', Part.LOG, clock, journal)
         self.state = CellState()
-        #: When the owner's last heartbeat was read: it was written no later than this.
+        #: The owner wrote its last heartbeat no later than this.
         self.owner_heartbeat_at = NEVER
         #: Moving average of the seconds between two heartbeats.
         self.average_heartbeat_gap = 0.0
@@ -145,7 +145,7 @@
         """Fold the next records of the topic.
 
         An ownership record that cannot be read is not a heartbeat: otherwise another writer
-        could keep the cell with a dead owner. It does not prove silence either, so an owner
+        could make a dead owner keep the cell. It does not prove silence either, so an owner
         that was not known before counts as just heard.
         """
         previous_owner = self.state.owner
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -1,7 +1,7 @@
 """Projection of the runners' topic, in which each runner has an entry with its registration.
 
-An entry may come from another writer. No tasks are started by an entry that cannot be read, or
-whose service is in no configuration. Tasks that may run on the runner already are still
+An entry may come from another writer. No tasks are started on a runner whose entry cannot be
+read, or has a service that is in no configuration. Tasks that may run there already stay
 attributed to its last known registration: they are counted, the runner is polled, and they are
 not started elsewhere before their leases must have expired.
 """
@@ -37,7 +37,7 @@
         has_service: Callable[[str], bool] = _accept_any_service,
         unreadable: UnreadableLog | None = None,
     ) -> None:
-        """Start without runners; only those of a service for which ``has_service()`` are usable."""
+        """Start without runners; only runners with a service that is known are usable."""
         self._codec = codec
         self._clock = clock
         self._journal = journal
@@ -107,7 +107,7 @@
         return registration
 
     def _check_unchanged(self, runner: str, registration: Registration) -> None:
-        """Refuse an entry that changes an incarnation's address or service, or has none.
+        """Refuse an entry that changes an incarnation's address or service, or has no incarnation.
 
         An incarnation has one address and one service. Of two entries that differ one is
         wrong, and orders are sent to the address of the first one.
@@ -170,7 +170,7 @@
         return self.registration_by_id.get(self._incarnation_by_runner.get(runner, ''))
 
     def _retire(self, runner: str) -> str:
-        """Note the removal of a runner's entry; return its incarnation, empty for none."""
+        """Move a runner's registration to the removed ones; return its incarnation, or ''."""
         incarnation = self._incarnation_by_runner.pop(runner, '')
         registration = self.registration_by_id.pop(incarnation, None)
         if registration is not None:
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -1,4 +1,4 @@
-"""The status of client accounts that an entry host shows: usage, quota, share and refusals."""
+"""The status of client accounts that an entry host shows: usage, quota, share, jobs, refusals."""
 
 from collections import Counter
 from typing import Any
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -344,7 +344,7 @@
         await self._stop_requested.set()
 
     def _check_settings_file(self) -> None:
-        """Check the settings file again; the addresses in use stay those of the start."""
+        """Log whether the settings file is valid; its changes apply after a restart."""
         try:
             load_host_settings(self._settings_path)
         except (SettingsError, OSError) as error:
--- a/dandelionreel/platform/_accounts.py
+++ b/dandelionreel/platform/_accounts.py
@@ -122,7 +122,7 @@
 
 
 def _to_quota(maximum: _Maximum | None) -> Demand | None:
-    """Return the quota; a maximum of 0 means no limit."""
+    """Return the quota: an amount of 0 means no limit, and ``None`` means no quota."""
     if maximum is None or maximum == _Maximum():
         return None
     return Demand(
--- a/dandelionreel/platform/_framing.py
+++ b/dandelionreel/platform/_framing.py
@@ -114,7 +114,7 @@
 def _decode_page_by_row(raw: bytes) -> Page:
     """Decode a page row by row, for a page that cannot be decoded as a whole.
 
-    The faster ``msgspec`` decoder rejects a whole page if a key contains a lone surrogate or if
+    The ``msgspec`` decoder rejects a whole page if a key contains a lone surrogate or if
     some bytes are not UTF-8.
     """
     try:
@@ -162,5 +162,5 @@
 
 
 def _find_last_key(records: tuple[KeyedRecord, ...]) -> str:
-    """Return the last valid key; items without one after it are read again with the next page."""
+    """Return the last valid key. Items after it have none, and come again with the next page."""
     return next((record.key for record in reversed(records) if record.key), '')
--- a/dandelionreel/platform/_settings.py
+++ b/dandelionreel/platform/_settings.py
@@ -142,7 +142,7 @@
         clients=parse_address(decoded.listen.frontend),
         readiness=parse_address(decoded.listen.readiness),
         peers=Address(decoded.ip, first_port),
-        # All hosts use the same port for peers; the ports in ``seeds`` are other ports.
+        # Seeds have another port of their host; peers use the same port on all hosts.
         seeds=tuple(Address(parse_address(seed).host, first_port) for seed in decoded.seeds),
         metrics=Address(decoded.ip, first_port + 1),
         store=parse_address(decoded.platform.address),
--- a/features/accounts.feature
+++ b/features/accounts.feature
@@ -7,29 +7,29 @@
     Then the answer is a <status>, and no key is logged
 
     Examples: served
-      | headers                                   | status |
-      | Authorization: Bearer blue-key-1          | 200    |
-      | Authorization: Bearer blue-key-2          | 200    |
-      | Authorization: bearer red-key-1           | 200    |
-      | Authorization: BEARER red-key-1           | 200    |
-      | Authorization: Bearer   red-key-1         | 200    |
+      | headers                           | status |
+      | Authorization: Bearer blue-key-1  | 200    |
+      | Authorization: Bearer blue-key-2  | 200    |
+      | Authorization: bearer red-key-1   | 200    |
+      | Authorization: BEARER red-key-1   | 200    |
+      | Authorization: Bearer   red-key-1 | 200    |
 
     Examples: not served
-      | headers                                                          | status |
-      | none                                                             | 401    |
-      | Authorization: Bearer green-key-1                                | 401    |
-      | Authorization: Bearer BLUE-KEY-1                                 | 401    |
-      | Authorization: Bearer blue-key-1x                                | 401    |
-      | Authorization: Bearer blue-key-1 x                               | 401    |
-      | Authorization: Bearer                                            | 401    |
-      | Authorization: blue-key-1                                        | 401    |
-      | Authorization: Basic blue-key-1                                  | 401    |
-      | Authorization: Bearerblue-key-1                                  | 401    |
-      | Authorization: Bearer blüe                                       | 401    |
-      | X-Api-Key: blue-key-1                                            | 401    |
-      | Authorization: Bearer blue-key-1, Authorization: Bearer red-key-1 | 401   |
-      | Authorization: Bearer blue-key-1, Authorization: Bearer blue-key-1 | 401  |
-      | Authorization: Bearer 100 kB                                     | 401    |
+      | headers                                                            | status |
+      | none                                                               | 401    |
+      | Authorization: Bearer green-key-1                                  | 401    |
+      | Authorization: Bearer BLUE-KEY-1                                   | 401    |
+      | Authorization: Bearer blue-key-1x                                  | 401    |
+      | Authorization: Bearer blue-key-1 x                                 | 401    |
+      | Authorization: Bearer                                              | 401    |
+      | Authorization: blue-key-1                                          | 401    |
+      | Authorization: Basic blue-key-1                                    | 401    |
+      | Authorization: Bearerblue-key-1                                    | 401    |
+      | Authorization: Bearer blüe                                         | 401    |
+      | X-Api-Key: blue-key-1                                              | 401    |
+      | Authorization: Bearer blue-key-1, Authorization: Bearer red-key-1  | 401    |
+      | Authorization: Bearer blue-key-1, Authorization: Bearer blue-key-1 | 401    |
+      | Authorization: Bearer 100 kB                                       | 401    |
 
   # Guards against accepting a key for its format, and against refusals that differ.
   Scenario: Only a known key is accepted, whatever the header contains
@@ -54,11 +54,11 @@
     Then the answer is a <status>, and no key is logged
 
     Examples:
-      | peers                                      | status |
-      | have a configuration with that key         | 200    |
-      | have the same configuration                | 401    |
-      | do not answer while the store is silent    | 503    |
-      | do not answer while the store serves       | 401    |
+      | peers                                   | status |
+      | have a configuration with that key      | 200    |
+      | have the same configuration             | 401    |
+      | do not answer while the store is silent | 503    |
+      | do not answer while the store serves    | 401    |
 
   # Guards against load from unknown keys: they share one query to peers.
   Scenario: A hundred unknown keys
@@ -88,10 +88,10 @@
     Then the answer is a <status>, and no key is logged
 
     Examples:
-      | age | limit      | status |
-      | 3   | 5 s        | 200    |
-      | 6   | 5 s        | 503    |
-      | 60  | unlimited   | 200    |
+      | age | limit     | status |
+      | 3   | 5 s       | 200    |
+      | 6   | 5 s       | 503    |
+      | 60  | unlimited | 200    |
 
   # Guards against an account that gets information about another one's job.
   Scenario Outline: A job of the account blue
@@ -101,18 +101,18 @@
     Then the answer is a <status>, and no key is logged
 
     Examples:
-      | owner   | state     | caller | method | status |
-      | blue    | queued    | blue   | GET    | 200    |
-      | blue    | completed | blue   | GET    | 200    |
-      | blue    | queued    | red    | GET    | 410    |
-      | blue    | completed | red    | GET    | 410    |
-      | blue    | queued    | red    | DELETE | 410    |
-      | blue    | completed | red    | DELETE | 410    |
-      | blue    | queued    | red    | POST   | 409    |
-      | blue    | completed | red    | POST   | 409    |
-      | blue    | completed | blue   | DELETE | 200    |
-      | blue    | completed | blue   | POST   | 200    |
-      | nobody  | completed | red    | GET    | 200    |
+      | owner  | state     | caller | method | status |
+      | blue   | queued    | blue   | GET    | 200    |
+      | blue   | completed | blue   | GET    | 200    |
+      | blue   | queued    | red    | GET    | 410    |
+      | blue   | completed | red    | GET    | 410    |
+      | blue   | queued    | red    | DELETE | 410    |
+      | blue   | completed | red    | DELETE | 410    |
+      | blue   | queued    | red    | POST   | 409    |
+      | blue   | completed | red    | POST   | 409    |
+      | blue   | completed | blue   | DELETE | 200    |
+      | blue   | completed | blue   | POST   | 200    |
+      | nobody | completed | red    | GET    | 200    |
 
   # Guards against a job that waits for ever because a part of it exceeds the quota.
   Scenario Outline: A job that exceeds its account's quota
@@ -121,11 +121,11 @@
     Then the answer is a <status>, and no key is logged
 
     Examples:
-      | count | kind           | cpu | status |
-      | 1     | tasks          | 9   | 429    |
-      | 20    | tasks          | 8   | 503    |
-      | 3     | gang members   | 3   | 429    |
-      | 2     | gang members   | 4   | 503    |
+      | count | kind         | cpu | status |
+      | 1     | tasks        | 9   | 429    |
+      | 20    | tasks        | 8   | 503    |
+      | 3     | gang members | 3   | 429    |
+      | 2     | gang members | 4   | 503    |
 
   # Guards against one invalid row that makes other accounts unusable.
   Scenario Outline: Invalid accounts in a configuration
@@ -133,22 +133,22 @@
     Then <usable> are in force, with <problems> problems, and no problem names a key
 
     Examples:
-      | rows                                                                   | usable | problems |
-      | [{"name":"a","api_keys":["k1"]}]                                       | a:k1   | 0        |
-      | [{"name":"a","api_keys":["k1"],"colour":"red"}]                        | a:k1   | 0        |
-      | [{"name":"a","api_keys":["k1"]},{"name":"a","api_keys":["k2"]}]        | a:k1   | 1        |
-      | [{"name":"a","api_keys":["k1"]},{"name":"b","api_keys":["k1","k2"]}]   | a:k1 b:k2 | 1     |
-      | [{"name":"a","api_keys":["k1",""]}]                                    | a:k1   | 1        |
-      | [{"name":"a","api_keys":["k1",7]}]                                     | a:k1   | 1        |
-      | [{"name":"a","api_keys":"k1"},{"name":"b","api_keys":["k2"]}]          | a: b:k2 | 1       |
-      | [{"name":"a","api_keys":["k1"],"weight":-1}]                           | a:k1   | 1        |
-      | [{"name":"a","api_keys":["k1"],"weight":1e300}]                        | a:k1   | 1        |
-      | [{"name":"a","api_keys":["k1"],"maximum":{"cpu":-5}}]                  | a:k1   | 1        |
-      | [{"name":"a","api_keys":["k1"],"maximum":7}]                           | a:k1   | 1        |
-      | [{"api_keys":["k1"]},{"name":"b","api_keys":["k2"]}]                   | b:k2   | 1        |
-      | [7,{"name":"b","api_keys":["k2"]}]                                     | b:k2   | 1        |
-      | [{"name":"a"}]                                                         | a:     | 0        |
-      | []                                                                     | none   | 0        |
+      | rows                                                                 | usable    | problems |
+      | [{"name":"a","api_keys":["k1"]}]                                     | a:k1      | 0        |
+      | [{"name":"a","api_keys":["k1"],"colour":"red"}]                      | a:k1      | 0        |
+      | [{"name":"a","api_keys":["k1"]},{"name":"a","api_keys":["k2"]}]      | a:k1      | 1        |
+      | [{"name":"a","api_keys":["k1"]},{"name":"b","api_keys":["k1","k2"]}] | a:k1 b:k2 | 1        |
+      | [{"name":"a","api_keys":["k1",""]}]                                  | a:k1      | 1        |
+      | [{"name":"a","api_keys":["k1",7]}]                                   | a:k1      | 1        |
+      | [{"name":"a","api_keys":"k1"},{"name":"b","api_keys":["k2"]}]        | a: b:k2   | 1        |
+      | [{"name":"a","api_keys":["k1"],"weight":-1}]                         | a:k1      | 1        |
+      | [{"name":"a","api_keys":["k1"],"weight":1e300}]                      | a:k1      | 1        |
+      | [{"name":"a","api_keys":["k1"],"maximum":{"cpu":-5}}]                | a:k1      | 1        |
+      | [{"name":"a","api_keys":["k1"],"maximum":7}]                         | a:k1      | 1        |
+      | [{"api_keys":["k1"]},{"name":"b","api_keys":["k2"]}]                 | b:k2      | 1        |
+      | [7,{"name":"b","api_keys":["k2"]}]                                   | b:k2      | 1        |
+      | [{"name":"a"}]                                                       | a:        | 0        |
+      | []                                                                   | none      | 0        |
 
   # Guards against digesting all keys where one of them changes.
   Scenario: One of 10,000 keys changes
@@ -163,9 +163,9 @@
     Then it <outcome>
 
     Examples:
-      | age | outcome                          |
-      | 0.1 | has the old configuration        |
-      | 1.0 | has the newer configuration      |
+      | age | outcome                     |
+      | 0.1 | has the old configuration   |
+      | 1.0 | has the newer configuration |
 
   # Guards against a stalled read of the operator's topic while other topics are read.
   Scenario: The owner has a newer configuration
--- a/features/entries.feature
+++ b/features/entries.feature
@@ -10,43 +10,43 @@
     And its next valid entry makes it usable again
 
     Examples:
-      | entry                        |
-      | without a service            |
-      | without an address           |
-      | without a zone               |
-      | without a state              |
-      | without a capacity           |
-      | a service that is a number   |
-      | a state that is a list       |
-      | labels that are no list      |
-      | a capacity that is text      |
-      | an empty service             |
-      | a service that is not configured  |
-      | an unknown state    |
-      | a capacity below zero        |
-      | memory below zero            |
-      | a capacity of 400 digits     |
-      | a capacity with a fraction   |
-      | port 0                       |
-      | port 99999                   |
-      | a port of other digits       |
-      | a port of superscripts       |
-      | an address without a port    |
-      | an address of 300 characters |
-      | an address with a zero byte  |
-      | time left below zero         |
-      | nothing but null             |
-      | a list                       |
-      | a number                     |
-      | no JSON                      |
-      | cut short                    |
-      | two values                   |
-      | nested deeply                |
-      | nested deeply in a field     |
-      | bytes that are no text       |
-      | text of another encoding     |
-      | a field that is no text      |
-      | an unpaired surrogate        |
+      | entry                            |
+      | without a service                |
+      | without an address               |
+      | without a zone                   |
+      | without a state                  |
+      | without a capacity               |
+      | a service that is a number       |
+      | a state that is a list           |
+      | labels that are not a list       |
+      | a capacity that is text          |
+      | an empty service                 |
+      | a service that is not configured |
+      | an unknown state                 |
+      | a capacity below zero            |
+      | memory below zero                |
+      | a capacity of 400 digits         |
+      | a capacity with a fraction       |
+      | port 0                           |
+      | port 99999                       |
+      | a port of non-ASCII digits       |
+      | a port of superscript digits     |
+      | an address without a port        |
+      | an address of 300 characters     |
+      | an address with a zero byte      |
+      | a negative remaining time        |
+      | a null document                  |
+      | a list                           |
+      | a number                         |
+      | invalid JSON                     |
+      | truncated                        |
+      | two JSON values                  |
+      | nested deeply                    |
+      | nested deeply in a field         |
+      | bytes that are not UTF-8         |
+      | UTF-16 text                      |
+      | a field that is not UTF-8        |
+      | an unpaired surrogate            |
 
   # An entry that no host has ever read as valid has no trusted address: it is not polled.
   Scenario Outline: An entry that was never valid
@@ -55,43 +55,43 @@
     Then only the two runners are known
 
     Examples:
-      | entry                        |
-      | without a service            |
-      | without an address           |
-      | without a zone               |
-      | without a state              |
-      | without a capacity           |
-      | a service that is a number   |
-      | a state that is a list       |
-      | labels that are no list      |
-      | a capacity that is text      |
-      | an empty service             |
-      | a service that is not configured  |
-      | an unknown state    |
-      | a capacity below zero        |
-      | memory below zero            |
-      | a capacity of 400 digits     |
-      | a capacity with a fraction   |
-      | port 0                       |
-      | port 99999                   |
-      | a port of other digits       |
-      | a port of superscripts       |
-      | an address without a port    |
-      | an address of 300 characters |
-      | an address with a zero byte  |
-      | time left below zero         |
-      | nothing but null             |
-      | a list                       |
-      | a number                     |
-      | no JSON                      |
-      | cut short                    |
-      | two values                   |
-      | nested deeply                |
-      | nested deeply in a field     |
-      | bytes that are no text       |
-      | text of another encoding     |
-      | a field that is no text      |
-      | an unpaired surrogate        |
+      | entry                            |
+      | without a service                |
+      | without an address               |
+      | without a zone                   |
+      | without a state                  |
+      | without a capacity               |
+      | a service that is a number       |
+      | a state that is a list           |
+      | labels that are not a list       |
+      | a capacity that is text          |
+      | an empty service                 |
+      | a service that is not configured |
+      | an unknown state                 |
+      | a capacity below zero            |
+      | memory below zero                |
+      | a capacity of 400 digits         |
+      | a capacity with a fraction       |
+      | port 0                           |
+      | port 99999                       |
+      | a port of non-ASCII digits       |
+      | a port of superscript digits     |
+      | an address without a port        |
+      | an address of 300 characters     |
+      | an address with a zero byte      |
+      | a negative remaining time        |
+      | a null document                  |
+      | a list                           |
+      | a number                         |
+      | invalid JSON                     |
+      | truncated                        |
+      | two JSON values                  |
+      | nested deeply                    |
+      | nested deeply in a field         |
+      | bytes that are not UTF-8         |
+      | UTF-16 text                      |
+      | a field that is not UTF-8        |
+      | an unpaired surrogate            |
 
   Scenario: The entry of a runner names another service of the configuration
     Given a runner with a running task and a valid entry
@@ -103,7 +103,7 @@
 
   Scenario: A runner whose entry is unreadable dies
     Given a runner with a running task and a valid entry
-    When its entry becomes no JSON
+    When its entry becomes invalid JSON
     And all its leases have expired
     Then its task is started elsewhere
 
@@ -114,12 +114,12 @@
     Then its task stays assigned to it, and is not started elsewhere
 
     Examples:
-      | entry                         |
-      | nothing wrong                 |
-      | a service that is not configured   |
-      | an unknown state     |
-      | a capacity below zero         |
-      | no JSON                       |
+      | entry                            |
+      | nothing wrong                    |
+      | a service that is not configured |
+      | an unknown state                 |
+      | a capacity below zero            |
+      | invalid JSON                     |
 
   # The configuration is read from another topic, and may come after the entries.
   Scenario: An entry was accepted before any configuration was known
@@ -129,18 +129,18 @@
 
   Scenario: An entry becomes unreadable before the order to start a task is sent
     Given a runner with a running task and a valid entry
-    When the start of a second task on it is planned, and its entry becomes no JSON
+    When the start of a second task on it is planned, and its entry becomes invalid JSON
     Then the order is not sent
 
   Scenario: The next owner does not poll a runner with an unusable entry
     Given a runner with a running task and a valid entry
-    When its entry becomes no JSON
+    When its entry becomes invalid JSON
     And another term begins
     Then the next owner polls i-2 only
 
   Scenario: An unreadable entry is read again from a snapshot
     Given a runner with a running task and a valid entry
-    When its entry becomes no JSON
+    When its entry becomes invalid JSON
     And the host starts again from a snapshot
     Then it is still polled at its last known address
     And no further task is started on it
@@ -153,13 +153,13 @@
 
     Examples:
       | record                       |
-      | a record of no bytes         |
+      | an empty record              |
       | a record of one byte         |
-      | a key of no bytes            |
-      | a key that is no text        |
+      | an empty key                 |
+      | a key that is not UTF-8      |
       | a key longer than its record |
 
-  Scenario: A read that is cut short
+  Scenario: A read that is truncated
     Given a host that follows a topic
     When its read of three entries is cut in the last one
     Then the last one is read again whole
@@ -175,15 +175,15 @@
     Then it knows both entries and has read to the end
 
     Examples:
-      | item                    |
-      | without a key           |
-      | with a number as key    |
-      | with an unpaired surrogate as key |
-      | with bad base64         |
+      | item                                |
+      | without a key                       |
+      | with a number as key                |
+      | with an unpaired surrogate as key   |
+      | with bad base64                     |
       | with an unpaired surrogate as value |
-      | with a list as value    |
-      | with a text as offset   |
-      | that is null            |
+      | with a list as value                |
+      | with a text as offset               |
+      | that is null                        |
 
   Scenario: An item of a known runner on a page cannot be read
     Given a runner with a running task and a valid entry
@@ -203,15 +203,15 @@
     Then configuration 5 is in force
 
     Examples:
-      | record               |
-      | no JSON              |
-      | a list               |
-      | routes that are text |
-      | no version           |
-      | nested deeply        |
-      | a version below zero |
+      | record                  |
+      | invalid JSON            |
+      | a list                  |
+      | routes that are text    |
+      | no version              |
+      | nested deeply           |
+      | a version below zero    |
       | a version of 400 digits |
-      | a negative timeout   |
+      | a negative timeout      |
 
   # Guards against a client whose job was accepted and is then reported as unknown (410).
   Scenario Outline: A record of an accepted job cannot be read
@@ -221,22 +221,22 @@
     And the job is <handled>
 
     Examples:
-      | before               | key | record           | state   | handled     |
-      | nothing              | j   | no JSON          | queued  | not started |
-      | nothing              | j   | nested deeply    | queued  | not started |
-      | nothing              | j   | a huge count     | queued  | not started |
-      | nothing              | j   | a tiny interval  | queued    | not started |
-      | nothing              | j   | a cycle of steps | queued  | not started |
-      | a job                | j   | no JSON          | queued  | started     |
-      | a job                | j   | a huge count     | queued  | started     |
-      | a job                | e   | no JSON          | running | not started |
-      | a job                | e   | an invalid mask       | running | not started |
-      | a job                | e   | an unknown step  | running | not started |
-      | a job                | c   | no JSON          | queued  | started     |
-      | a job under way      | e   | no JSON          | running | started     |
-      | a job under way      | e   | an unknown step  | running | started     |
-      | a completed job      | e   | no JSON          | completed | not started |
-      | nothing              | e   | no JSON          | running | not started |
+      | before          | key | record           | state     | handled     |
+      | nothing         | j   | invalid JSON     | queued    | not started |
+      | nothing         | j   | nested deeply    | queued    | not started |
+      | nothing         | j   | a huge count     | queued    | not started |
+      | nothing         | j   | a tiny interval  | queued    | not started |
+      | nothing         | j   | a cycle of steps | queued    | not started |
+      | a job           | j   | invalid JSON     | queued    | started     |
+      | a job           | j   | a huge count     | queued    | started     |
+      | a job           | e   | invalid JSON     | running   | not started |
+      | a job           | e   | an invalid mask  | running   | not started |
+      | a job           | e   | an unknown step  | running   | not started |
+      | a job           | c   | invalid JSON     | queued    | started     |
+      | a job under way | e   | invalid JSON     | running   | started     |
+      | a job under way | e   | an unknown step  | running   | started     |
+      | a completed job | e   | invalid JSON     | completed | not started |
+      | nothing         | e   | invalid JSON     | running   | not started |
 
   # Guards against one client's job that blocks all others.
   Scenario Outline: A job whose record no host could read is refused
@@ -244,11 +244,11 @@
     Then it is refused as invalid
 
     Examples:
-      | part                    |
-      | "interval_ms": 1e-300   |
-      | "interval_ms": -1       |
-      | "first_run_ms": -1e300  |
-      | "repeat_count": 100000  |
+      | part                   |
+      | "interval_ms": 1e-300  |
+      | "interval_ms": -1      |
+      | "first_run_ms": -1e300 |
+      | "repeat_count": 100000 |
 
   Scenario Outline: A job's record is unreadable in a snapshot
     Given a host that has read a job under way
@@ -258,13 +258,13 @@
 
     Examples:
       | key | record        |
-      | j   | no JSON       |
-      | e   | no JSON       |
+      | j   | invalid JSON  |
+      | e   | invalid JSON  |
       | j   | nested deeply |
 
   Scenario: A client submits an unreadable job again
     Given a host that has read nothing
-    When the record of j becomes no JSON
+    When the record of j becomes invalid JSON
     And the same job is submitted again
     Then the job is shown as queued
     And the job is started
@@ -278,17 +278,17 @@
     And a host that starts now waits for a heartbeat before it claims
 
     Examples:
-      | record                |
-      | no JSON               |
-      | a list                |
-      | nested deeply         |
-      | an epoch below zero   |
-      | an epoch of 400 digits |
+      | record                  |
+      | invalid JSON            |
+      | a list                  |
+      | nested deeply           |
+      | an epoch below zero     |
+      | an epoch of 400 digits  |
       | a host that is a number |
 
   Scenario: The list of runners that may hold an owner's tasks cannot be read
     Given a job that an owner has started on the runner i-1
-    When a host that has read no list takes over, and the list is no JSON
+    When a host that has read no list takes over, and the list is invalid JSON
     Then it starts no task of that job until all leases must have expired
 
   Scenario Outline: The address of a peer cannot be read
@@ -297,12 +297,12 @@
     Then the known address of the peer is unchanged
 
     Examples:
-      | record                 |
-      | no JSON                |
-      | port 0                 |
-      | port 99999             |
+      | record                       |
+      | invalid JSON                 |
+      | port 0                       |
+      | port 99999                   |
       | an address of 300 characters |
-      | nested deeply          |
+      | nested deeply                |
 
   # Guards against taking a run for lost because its row in the list cannot be read.
   Scenario Outline: A runner lists something that cannot be read
@@ -311,12 +311,12 @@
     Then the second task still counts there
 
     Examples:
-      | row                        |
-      | a row that is a number     |
-      | a row without a run        |
-      | a name that is no task     |
-      | a run of 400 digits        |
-      | progress that is a list    |
+      | row                     |
+      | a row that is a number  |
+      | a row without a run     |
+      | an invalid task name    |
+      | a run of 400 digits     |
+      | progress that is a list |
 
   Scenario: A runner lists ends, and one that cannot be read
     Given a runner that runs two tasks
@@ -334,7 +334,7 @@
 
   Scenario: A runner lists nothing that can be read
     Given a runner that runs two tasks
-    When it answers a poll with no JSON
+    When it answers a poll with invalid JSON
     Then that counts as no answer
 
   Scenario: A writer that repeats the same unreadable entry
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -233,7 +233,7 @@
             encode_record(b'i-2', VALID_ENTRY_BYTES.replace(b':7000', b':7001')),
         )
         known = projections.runners.registration_by_id
-        assert {'i-1', 'i-2'} <= known.keys(), 'a neighbour is not known'
+        assert {'i-1', 'i-2'} <= known.keys(), 'a valid record beside the mutated one is not known'
         for registration in known.values():
             check_registration(registration)
         small_cell = SmallCell(())
@@ -277,7 +277,9 @@
             encode_record(b'j/00000000000000aa', encode(SUBMISSION)),
         )
         cell_state = projections.cell.state
-        assert cell_state.find('00000000000000aa') is not None, 'a neighbour is not known'
+        assert cell_state.find('00000000000000aa') is not None, (
+            'a valid record beside the mutated one is not known'
+        )
         assert cell_state.find(JOB) is not None, 'the job is not known'
         cell = Cell(9, 3.0)
         for job in (JOB, '00000000000000aa'):
@@ -320,7 +322,9 @@
             document['items'].insert(self.draw.randrange(3), item)
             raw.pages = [json.dumps(document).encode()]
             read_once(topic, projections.runners, projections, None)
-            assert {'i-1', 'i-2'} <= projections.runners.registration_by_id.keys(), 'a neighbour'
+            assert {'i-1', 'i-2'} <= projections.runners.registration_by_id.keys(), (
+                'a valid item was lost'
+            )
             return
         raw.pages = [self.mutator.content(good), good, good]
         try:
@@ -329,7 +333,7 @@
             read_once(topic, projections.runners, projections, None)
 
     def raw_reads(self):
-        """A whole answer is cut or altered: its complete records count, the rest is read again."""
+        """A whole answer is cut or altered: only its complete records are read, the rest later."""
         projections = HostProjections()
         topic, raw = make_raw_topic()
         raw.frames = [
--- a/features/incarnations.feature
+++ b/features/incarnations.feature
@@ -44,21 +44,21 @@
     Then the host lists <known>
 
     Examples:
-      | first                | second                         | known                         |
-      | an entry             | an entry                       | i-1                           |
-      | an entry             | an entry born at 7             | i-1@7                         |
-      | an entry born at 7   | an entry born at 7             | i-1@7                         |
-      | an entry born at 7   | an entry born at 9             | i-1@9                         |
-      | an entry born at 9   | an entry born at 7             | i-1@7                         |
-      | an entry born at 7   | an entry                       | i-1@7, which gets no new task |
-      | an entry born at 7   | an entry born at null          | i-1@7, which gets no new task |
-      | an entry born at 7   | an entry born at "8"           | i-1@7, which gets no new task |
-      | an entry born at 7   | an entry born at 8.5           | i-1@7, which gets no new task |
-      | an entry born at 7   | an entry born at 0             | i-1@7, which gets no new task |
-      | an entry born at 7   | an entry born at true          | i-1@7, which gets no new task |
-      | an entry born at 7   | an entry born at 7 elsewhere   | i-1@7, which gets no new task |
-      | an entry born at 7   | an entry born at 9 elsewhere   | i-1@9                         |
-      | an entry born at 7   | no entry any more              | nothing                       |
+      | first              | second                       | known                         |
+      | an entry           | an entry                     | i-1                           |
+      | an entry           | an entry born at 7           | i-1@7                         |
+      | an entry born at 7 | an entry born at 7           | i-1@7                         |
+      | an entry born at 7 | an entry born at 9           | i-1@9                         |
+      | an entry born at 9 | an entry born at 7           | i-1@7                         |
+      | an entry born at 7 | an entry                     | i-1@7, which gets no new task |
+      | an entry born at 7 | an entry born at null        | i-1@7, which gets no new task |
+      | an entry born at 7 | an entry born at "8"         | i-1@7, which gets no new task |
+      | an entry born at 7 | an entry born at 8.5         | i-1@7, which gets no new task |
+      | an entry born at 7 | an entry born at 0           | i-1@7, which gets no new task |
+      | an entry born at 7 | an entry born at true        | i-1@7, which gets no new task |
+      | an entry born at 7 | an entry born at 7 elsewhere | i-1@7, which gets no new task |
+      | an entry born at 7 | an entry born at 9 elsewhere | i-1@9                         |
+      | an entry born at 7 | no entry any more            | nothing                       |
 
   Scenario: A former incarnation is remembered as removed
     Given a host that knows i-1 from an entry born at 7
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -26,18 +26,18 @@
     Then the answer is <status>
 
     Examples:
-      | method | path                    | body                                        | status |
-      | POST   | /plain/0123456789abcdef | {"spec":"x"}                                | 400    |
-      | POST   | /plain/0123456789abcdef | not json                                    | 400    |
-      | POST   | /plain/0123456789abcdef | {"spec":"x","steps":[]}                     | 400    |
-      | POST   | /plain/0123456789abcdef | {"spec":"x","steps":[{"count":0}]}          | 400    |
-      | POST   | /plain/0123456789abcdef | {"spec":"x","steps":[{"depends_on":[0]}]}   | 400    |
-      | POST   | /plain/0123456789abcdef | {"spec":"x","steps":[{"cpu":-1}]}           | 400    |
-      | POST   | /plain/xyz              | {"spec":"1 1","steps":[{"count":1}]}        | 400    |
+      | method | path                      | body                                      | status |
+      | POST   | /plain/0123456789abcdef   | {"spec":"x"}                              | 400    |
+      | POST   | /plain/0123456789abcdef   | not json                                  | 400    |
+      | POST   | /plain/0123456789abcdef   | {"spec":"x","steps":[]}                   | 400    |
+      | POST   | /plain/0123456789abcdef   | {"spec":"x","steps":[{"count":0}]}        | 400    |
+      | POST   | /plain/0123456789abcdef   | {"spec":"x","steps":[{"depends_on":[0]}]} | 400    |
+      | POST   | /plain/0123456789abcdef   | {"spec":"x","steps":[{"cpu":-1}]}         | 400    |
+      | POST   | /plain/xyz                | {"spec":"1 1","steps":[{"count":1}]}      | 400    |
       | POST   | /nowhere/0123456789abcdef | {"spec":"1 1","steps":[{"count":1}]}      | 404    |
-      | GET    | /plain/0123456789abcdef | nothing                                     | 410    |
-      | DELETE | /plain/0123456789abcdef | nothing                                     | 410    |
-      | GET    | /plain/                 | nothing                                     | 200    |
+      | GET    | /plain/0123456789abcdef   | nothing                                   | 410    |
+      | DELETE | /plain/0123456789abcdef   | nothing                                   | 410    |
+      | GET    | /plain/                   | nothing                                   | 200    |
 
   # Guards against a cancelled job that continues to run or is started again.
   Scenario: A job is cancelled while it runs
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -47,7 +47,7 @@
 
 
 BAD_CONFIGURATIONS = {
-    'no JSON': b'{"version":',
+    'invalid JSON': b'{"version":',
     'a list': b'[]',
     'routes that are text': make_configuration_record(version=6, routes='all'),
     'no version': make_configuration_record(version=None),
@@ -81,7 +81,7 @@
 
 
 BAD_RECORDS = {
-    'no JSON': b'{"queue":',
+    'invalid JSON': b'{"queue":',
     'a list': b'[]',
     'nested deeply': DEEP_JSON,
     'a huge count': encode_submission(Step(10**15, Demand(), 1.0)),
@@ -237,9 +237,9 @@
     append(context, make_record('owner', OWNER), *job)
 
 
-@when('a host that has read no list takes over, and the list is no JSON')
+@when('a host that has read no list takes over, and the list is invalid JSON')
 def take_over_with_unreadable_list(context):
-    append(context, KeyedRecord('runners', BAD_RECORDS['no JSON']))
+    append(context, KeyedRecord('runners', BAD_RECORDS['invalid JSON']))
     context.dispatcher = start_term(context)
 
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -88,8 +88,8 @@
 
 @then('its task is started elsewhere')
 def check_started_elsewhere(context):
-    start = context.small.plan().starts
-    assert [(start.task, start.runner) for start in start] == [(context.run[0], 'i-2')]
+    starts = context.small.plan().starts
+    assert [(start.task, start.runner) for start in starts] == [(context.run[0], 'i-2')]
 
 
 @given('a host that knows two valid entries')
@@ -140,12 +140,12 @@
     context.projections = context.late
 
 
-@when('the start of a second task on it is planned, and its entry becomes no JSON')
+@when('the start of a second task on it is planned, and its entry becomes invalid JSON')
 def plan_start_before_bad_entry(context):
     context.small.add_job('j2', [step(cpu=4000)])
     (context.pending,) = context.small.plan(start=False).starts
     assert context.small.cell.may_start(context.pending)
-    change_entry(context, 'no JSON')
+    change_entry(context, 'invalid JSON')
 
 
 @then('the order is not sent')
@@ -168,7 +168,7 @@
 @when('the host starts again from a snapshot')
 def restart_from_snapshot(context):
     context.raw.pages = [
-        encode_page([('i-1', BAD_ENTRIES['no JSON']), ('i-2', make_entry(address=OTHER))])
+        encode_page([('i-1', BAD_ENTRIES['invalid JSON']), ('i-2', make_entry(address=OTHER))])
     ]
     read_once(context.topic, context.projections.runners, context.projections, None)
     show_entries_to_owner(context)
@@ -273,7 +273,7 @@
 
 @when('it reads the same unreadable entry 100 times, and then a valid one')
 def read_same_bad_entry(context):
-    bad = ('i-1', BAD_ENTRIES['no JSON'])
+    bad = ('i-1', BAD_ENTRIES['invalid JSON'])
     read_entries(context, ('i-1', make_entry()))
     for _ in range(100):
         read_entries(context, bad)
@@ -291,7 +291,7 @@
 
 @when('it reads 5000 unreadable entries of different keys')
 def read_many_bad_keys(context):
-    records = [(f'x-{number}', BAD_ENTRIES['no JSON']) for number in range(5000)]
+    records = [(f'x-{number}', BAD_ENTRIES['invalid JSON']) for number in range(5000)]
     read_entries(context, *records)
 
 
--- a/features/steps/entry_view_steps.py
+++ b/features/steps/entry_view_steps.py
@@ -44,7 +44,7 @@
     bad_rows = {
         'a row that is a number': 7,
         'a row without a run': [name],
-        'a name that is no task': ['x.y', number, '', 0, 0],
+        'an invalid task name': ['x.y', number, '', 0, 0],
         'a run of 400 digits': [name, int('9' * 400), '', 0, 0],
         'progress that is a list': [name, number, '', [], 0],
     }
@@ -107,7 +107,7 @@
     assert context.small.cell.runner_by_id['w1'].acknowledgeable_end == 1
 
 
-@when('it answers a poll with no JSON')
+@when('it answers a poll with invalid JSON')
 def answer_without_json(context):
     context.attempt = lambda: decode_view(b'{"clock_ms":')
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -440,10 +440,10 @@
     context.owner.writer.stored_at = 1000 + seconds
 
 
-@then('7 s after it its tasks count as {fate}, and new starts are {starts}')
-def check_leases(context, fate, starts):
+@then('7 s after that answer its leases are {state}, and new starts are {starts}')
+def check_leases(context, state, starts):
     context.clock.now = 1007.0
-    assert context.owner.leases_expired(context.state) is (fate == 'gone')
+    assert context.owner.leases_expired(context.state) is (state == 'expired')
     assert context.owner.may_start() is (starts == 'allowed')
 
 
--- a/features/store.feature
+++ b/features/store.feature
@@ -7,13 +7,13 @@
     Then it is <outcome>
 
     Examples:
-      | faults                  | outcome |
-      | succeed                 | stored  |
-      | refuse once             | stored  |
-      | refuse always           | refused |
-      | lose once               | stored  |
-      | lose, then refuse       | unknown |
-      | stay silent always      | unknown |
+      | faults             | outcome |
+      | succeed            | stored  |
+      | refuse once        | stored  |
+      | refuse always      | refused |
+      | lose once          | stored  |
+      | lose, then refuse  | unknown |
+      | stay silent always | unknown |
 
   # Guards against the load of all hosts reading the entries of all runners.
   Scenario Outline: Which hosts follow the list of runners
@@ -21,11 +21,11 @@
     Then the list of runners is <read>
 
     Examples:
-      | place | count | read         |
-      | 1     | 97    | read         |
-      | 9     | 97    | read         |
-      | 10    | 97    | not read     |
-      | 8     | 8     | read         |
+      | place | count | read     |
+      | 1     | 97    | read     |
+      | 9     | 97    | read     |
+      | 10    | 97    | not read |
+      | 8     | 8     | read     |
 
   # Guards against a new owner that does not know the runners of cancelled jobs.
   Scenario: A host that does not know its place in the claim order yet
@@ -121,13 +121,13 @@
     Then it <acts>
 
     Examples:
-      | cores | others | answers         | seconds | acts                |
-      | 0.5   | 2.0    | is ready        | 2       | leaves the cell     |
-      | 0.5   | 2.0    | is ready        | 1       | keeps the cell      |
-      | 0.5   | 2.0    | is not ready    | 2       | keeps the cell      |
-      | 0.5   | 2.0    | does not answer | 2       | keeps the cell      |
-      | 0.5   | 0.5    | is ready        | 2       | keeps the cell      |
-      | 1.1   | 2.0    | is ready        | 2       | keeps the cell      |
+      | cores | others | answers         | seconds | acts            |
+      | 0.5   | 2.0    | is ready        | 2       | leaves the cell |
+      | 0.5   | 2.0    | is ready        | 1       | keeps the cell  |
+      | 0.5   | 2.0    | is not ready    | 2       | keeps the cell  |
+      | 0.5   | 2.0    | does not answer | 2       | keeps the cell  |
+      | 0.5   | 0.5    | is ready        | 2       | keeps the cell  |
+      | 1.1   | 2.0    | is ready        | 2       | keeps the cell  |
 
   Scenario Outline: An owner whose heartbeats are missed is asked
     Given a host that follows an owner whose heartbeats are missed
@@ -135,22 +135,22 @@
     Then the host <claims> the cell
 
     Examples:
-      | word  | claims        |
+      | word  | claims         |
       | acts  | does not claim |
-      | ended | claims        |
+      | ended | claims         |
 
   # Guards against the load of all hosts of a zone appending to a slow store.
   Scenario Outline: Who writes for a zone
     Given the hosts n-large, n-1, n-2, s-large, s-1
-    Then <me> has its clients' jobs written by <deputy>, with <avoided> out of reach
+    Then <me> has its clients' jobs written by <writer>, with <excluded> out of reach
 
     Examples:
-      | me      | deputy  | avoided |
-      | n-2     | n-large | nobody  |
-      | n-2     | n-1     | n-large |
-      | n-large | itself  | nobody  |
-      | s-1     | s-large | nobody  |
-      | s-1     | itself  | s-large |
+      | me      | writer  | excluded |
+      | n-2     | n-large | nobody   |
+      | n-2     | n-1     | n-large  |
+      | n-large | itself  | nobody   |
+      | s-1     | s-large | nobody   |
+      | s-1     | itself  | s-large  |
 
   Scenario: Hosts claim one after the other, the largest first
     Given the hosts n-1, s-1, n-large, s-large
@@ -225,25 +225,25 @@
     Then the peer <fate>
 
     Examples:
-      | misses | seconds | fate         |
-      | 1      | 1.4     | is left out  |
-      | 1      | 1.6     | is asked     |
-      | 2      | 2.9     | is left out  |
-      | 2      | 3.1     | is asked     |
-      | 9      | 4.1     | is asked     |
-      | 1100   | 4.1     | is asked     |
+      | misses | seconds | fate        |
+      | 1      | 1.4     | is left out |
+      | 1      | 1.6     | is asked    |
+      | 2      | 2.9     | is left out |
+      | 2      | 3.1     | is asked    |
+      | 9      | 4.1     | is asked    |
+      | 1100   | 4.1     | is asked    |
 
   # Guards against an old owner that takes leases for expired which its successor renews.
   Scenario Outline: Leases of a silent runner, at an owner without an answer of the store
     Given a runner whose leases expired 5 s after its last answer
     When the owner's last append was answered <seconds> s after that answer
-    Then 7 s after it its tasks count as <fate>, and new starts are <starts>
+    Then 7 s after that answer its leases are <state>, and new starts are <starts>
 
     Examples:
-      | seconds | fate | starts    |
-      | 1       | held | forbidden |
-      | 4       | held | forbidden |
-      | 6       | gone | allowed   |
+      | seconds | state   | starts    |
+      | 1       | valid   | forbidden |
+      | 4       | valid   | forbidden |
+      | 6       | expired | allowed   |
 
   # Guards against many starts that are sent into a partition.
   Scenario: A start without an answer blocks further starts
@@ -273,10 +273,10 @@
     Then the next timeout is about <timeout> s
 
     Examples:
-      | seconds | misses | timeout  |
-      | 0.004   | 0      | 0.3      |
-      | 0.004   | 1      | 0.6      |
-      | 0.004   | 2      | 0.9      |
-      | 0.1     | 0      | 0.8      |
-      | 0.1     | 1      | 0.9      |
-      | 0.25    | 3      | 0.9      |
+      | seconds | misses | timeout |
+      | 0.004   | 0      | 0.3     |
+      | 0.004   | 1      | 0.6     |
+      | 0.004   | 2      | 0.9     |
+      | 0.1     | 0      | 0.8     |
+      | 0.1     | 1      | 0.9     |
+      | 0.25    | 3      | 0.9     |
