--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -14,7 +14,7 @@
 
 RUNNER_CPU = 32_000
 #: Seconds; longer than any scenario takes on any machine.
-NEVER_ANSWERS_SECONDS = 30
+NO_ANSWER_SECONDS = 30
 
 
 def journal():
@@ -95,8 +95,8 @@
             context.hosts,
             SystemClock(),
             journal(),
-            no_answer,
-            no_answer,
+            ignore_answer,
+            ignore_answer,
         )
         policy = AdvicePolicy(0.2, 0.0, 2.0)
         for number in range(10):
@@ -109,7 +109,7 @@
     curio.run(send_all)
 
 
-async def no_answer(*ignored):
+async def ignore_answer(*ignored):
     """Ignore an answer; the hosts never give one."""
 
 
@@ -129,7 +129,7 @@
         self.jobs.append(
             step_or_host.job if isinstance(step_or_host, StepName) else request_message.job
         )
-        await curio.sleep(NEVER_ANSWERS_SECONDS)
+        await curio.sleep(NO_ANSWER_SECONDS)
 
 
 @when('a job of 2 tasks is handed in')
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -8,7 +8,7 @@
 
 RUNNER_CPU = 32_000
 #: Seconds; longer than any scenario takes on any machine.
-LONG = 30
+LONG_SECONDS = 30
 
 
 @given('a gang of {count:d} tasks of {cpu:d} millicores with one start unanswered')
@@ -173,7 +173,7 @@
     assert not small.plan().starts
 
 
-@when('an urgent job of {seconds:g} s comes {later:g} s later')
+@when('an urgent job of {seconds:g} s is handed in {later:g} s later')
 def urgent_later(context, seconds, later):
     context.small.now += later
     context.small.add_job('urgent', [step(seconds=seconds)])
