--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -138,10 +138,10 @@
 
     def insert(self, good):
         at = self.draw.randrange(len(good))
-        more = self.draw.choice(
+        inserted = self.draw.choice(
             (b'\x00', b'\xff', b'"', b'[[[', DEEP_JSON, b'9' * 5000, b'NaN', b',')
         )
-        return good[:at] + more + good[at:]
+        return good[:at] + inserted + good[at:]
 
     def encode(self, good):
         return good.decode().encode(self.draw.choice(('utf-16', 'utf-32', 'cp500')))
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -265,8 +265,8 @@
 @when('a peer with configuration version {version:d} forwards a request of {caller} with {key}')
 def forward_request(context, version, caller, key):
     request = Request('GET', '/plain/', (('host', 'h'),))
-    found = Caller(caller, digest_key(key), version)
-    frame = Frame(1, 'peer/1', 0, 0, Forward(request, 1.0, 1, found))
+    authenticated = Caller(caller, digest_key(key), version)
+    frame = Frame(1, 'peer/1', 0, 0, Forward(request, 1.0, 1, authenticated))
     context.answer = curio.run(context.client_api.handle_relayed, frame).answer
 
 
@@ -306,14 +306,18 @@
 
 @then('{usable} are in force, with {problems:d} problems, and no problem names a key')
 def check_accounts(context, usable, problems):
-    wanted = {} if usable == 'none' else dict(part.split(':') for part in usable.split())
-    found = context.accounts
-    assert set(found.account_by_name) == set(wanted), found.account_by_name
-    for name, key in wanted.items():
-        owner = found.find(digest_key(key)) if key else found.account_by_name[name]
-        assert owner is not None and owner.name == name, (name, key)
-    assert len(found.problems) == problems, found.problems
-    assert not [key for key in ('k1', 'k2') if key in ' '.join(found.problems)], found.problems
+    expected_key_by_name = (
+        {} if usable == 'none' else dict(part.split(':') for part in usable.split())
+    )
+    accounts = context.accounts
+    assert set(accounts.account_by_name) == set(expected_key_by_name), accounts.account_by_name
+    for name, key in expected_key_by_name.items():
+        account = accounts.find(digest_key(key)) if key else accounts.account_by_name[name]
+        assert account is not None and account.name == name, (name, key)
+    assert len(accounts.problems) == problems, accounts.problems
+    assert not [key for key in ('k1', 'k2') if key in ' '.join(accounts.problems)], (
+        accounts.problems
+    )
 
 
 @given('a configuration of 100 accounts with 100 keys each')
@@ -329,19 +333,19 @@
 @when('a version arrives in which one account has another key')
 def change_one_key(context):
     context.digested = []
-    real = _accounts.digest_key
+    original = _accounts.digest_key
 
-    def counted(key):
+    def digest_and_record(key):
         context.digested.append(key)
-        return real(key)
+        return original(key)
 
     context.rows[7]['api_keys'][3] = 'another-key'
-    _accounts.digest_key = counted
+    _accounts.digest_key = digest_and_record
     try:
         document = make_document(2, context.rows)
         context.accounts = context.codec.decode_configuration(document).accounts
     finally:
-        _accounts.digest_key = real
+        _accounts.digest_key = original
 
 
 @then('{count:d} keys were digested, and every key finds its account')
@@ -356,7 +360,7 @@
 @given(
     'a host whose last answer of the store is {age:g} s old, and peers with a newer configuration'
 )
-def host_behind(context, age):
+def host_with_old_configuration(context, age):
     context.journal = Journal(LogCapture(), 'me')
     projection = make_projection(context, make_configuration((make_plain_queue('plain'),), ()))
     peer_reply = ConfigurationGiven(6, make_document(6, []), True)
@@ -366,7 +370,7 @@
 
 @given('a host that knows no peer, with a seed that has a newer configuration')
 def host_with_seed(context):
-    host_behind(context, 1.0)
+    host_with_old_configuration(context, 1.0)
     context.cell_state.clear()
     context.exchange._seeds = (Member('', '127.0.0.1', 1),)
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -75,18 +75,18 @@
 def host_in_claim_order(context, place, count):
     hosts = [f'h{number:03}' for number in range(count)]
     members = {host: Member('north', '127.0.0.1', 1) for host in hosts}
-    context.read = is_successor(members, hosts[place - 1])
+    context.list_is_read = is_successor(members, hosts[place - 1])
 
 
 @given('a host that is not a member yet')
 def host_that_is_no_member(context):
     members = {f'h{number}': Member('north', '127.0.0.1', 1) for number in range(97)}
-    context.read = is_successor(members, 'new')
+    context.list_is_read = is_successor(members, 'new')
 
 
 @then('the list of runners is {fate}')
 def check_list_is_read(context, fate):
-    assert context.read is (fate == 'read')
+    assert context.list_is_read is (fate == 'read')
 
 
 class SnapshotCountingTopic(MemoryTopic):
