--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -68,13 +68,14 @@
 #: for the same append.
 SEQUENCE_RANGE = 1_000_000_000
 
-AskPeer = Callable[[Member, Message, float], Awaitable[Frame]]
+QueryPeer = Callable[[Member, Message, float], Awaitable[Frame]]
 
 
 class Vacancy(enum.Enum):
     """Whether the cell may be claimed."""
 
     HELD = 'held'
+    #: Heartbeats are missing; the owner is queried before the cell is claimed.
     SILENT = 'silent'
     VACANT = 'vacant'
 
@@ -96,8 +97,8 @@
     released: bool
     #: Whether the former owner's process is known to have ended.
     former_ended: bool
-    #: Seconds after the former owner's last heartbeat for which owners before it may still renew
-    #: leases.
+    #: Seconds after the former owner's last heartbeat for which leases that were granted by owners
+    #: before it may last.
     unsettled: float = 0
     former: Owner | None = None
     #: The offset at which this incarnation of the host first read the topic.
@@ -130,14 +131,14 @@
         follower: Follower,
         projection: CellProjection,
         incarnation: str,
-        ask_peer: AskPeer,
+        query_peer: QueryPeer,
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Claim as ``incarnation``; query owners without heartbeats by ``ask_peer``."""
+        """Claim as ``incarnation``; query owners without heartbeats by ``query_peer``."""
         self.incarnation = incarnation
         self._host = incarnation.partition('/')[0]
-        self._ask_peer = ask_peer
+        self._query_peer = query_peer
         self._topic = topic
         self._follower = follower
         self._projection = projection
@@ -172,12 +173,12 @@
                 return term
             await curio.sleep(self._random.random() * MAX_CLAIM_BACKOFF_SECONDS)
 
-    def still_owner(self, term: Term) -> bool:
+    def is_current_owner(self, term: Term) -> bool:
         """Return whether the newest known owner is that of this term."""
         owner = self._projection.state.owner
         return owner is not None and owner.term == term.term
 
-    def suspect(self, term: str) -> None:
+    def suspect_owner(self, term: str) -> None:
         """Treat the owner with that term as dead before its heartbeats are missing."""
         self._suspected_term = term
         self._suspected_until = self._clock.monotonic() + SUSPECTED_SECONDS
@@ -202,7 +203,7 @@
         """Handle an owner's request for a successor because the store does not serve it."""
         failing: Any = frame.message
         self._journal.tell(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
-        self.suspect(failing.term)
+        self.suspect_owner(failing.term)
         return Done()
 
     def may_hand_over(self) -> bool:
@@ -305,7 +306,7 @@
         if owner is None or member is None or silent > MAX_EXCUSED_SILENCE_SECONDS:
             return False
         try:
-            frame = await self._ask_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
+            frame = await self._query_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
             self._journal.tell(
                 Part.OWNERSHIP, f'{owner.host} did not reply to an ownership query: {error}.'
@@ -401,7 +402,8 @@
 
         Raises ``ConflictError`` if the topic does not end at ``expected_end``.
         """
-        # The former owner may still renew leases; the first heartbeat stores the exact time.
+        # The former owner may still renew leases; the first heartbeat stores the exact
+        # remaining time.
         owner = Owner(
             fence.epoch,
             self._host,
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -24,7 +24,8 @@
 class PartitionDetector:
     """Tells whether this host is cut off from the store and all other zones.
 
-    Peers are queried only while the store is silent.
+    Peers are queried only while the store is silent or after a failed attempt to store something,
+    and at most once in ``QUERY_INTERVAL_SECONDS``.
     """
 
     def __init__(
@@ -106,7 +107,7 @@
     async def _query_host(self, member: Member, queried_at: float) -> None:
         try:
             # Any reply shows that the zone is reachable; what it says does not matter.
-            await self._links.ask(member, OwnerAsked(''), ANSWER_TIMEOUT)
+            await self._links.request(member, OwnerAsked(''), ANSWER_TIMEOUT)
         except PeerError:
             self._zone_contact.note_miss(member.zone, queried_at)
             return
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -57,8 +57,8 @@
         members = Membership(clock)
         shards = ShardProjection(members, clock)
         self.jobs = JobProjection(shards, 0, 0)
-        for part in (members, shards, self.jobs):
-            self.reader.add_handler(part.fold, part.reset)
+        for projection in (members, shards, self.jobs):
+            self.reader.add_handler(projection.fold, projection.reset)
         # Each move needs a new writer name, because its record numbers start over.
         writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
@@ -78,7 +78,10 @@
         own_writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Move jobs to the zone of ``settings``; ``stream_name`` is a format string for a zone."""
+        """Move jobs to the zone of ``settings``.
+
+        ``stream_name`` is a format string that takes the name of a zone.
+        """
         self._member = member
         self._zone = settings.availability_zone
         self._clock = clock
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -7,9 +7,9 @@
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._election import Election, Term
 from dandelionreel.cell.model import WriterFence
+from dandelionreel.cell.owner._dependencies import DispatcherDependencies
 from dandelionreel.cell.owner._dispatcher import Dispatcher
 from dandelionreel.cell.owner._owner_context import OwnerContext, always_fresh
-from dandelionreel.cell.owner._parts import DispatcherParts
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.cell.store._runner_projection import RunnerProjection
@@ -46,10 +46,10 @@
         #: The owner's reply when a peer queries whether it acts; ``None`` for no reply.
         self.owner_reply = None
         self.election = Election(
-            topic, self.follower, self.projection, f'{name}/1', self.ask, self.clock, journal()
+            topic, self.follower, self.projection, f'{name}/1', self.request, self.clock, journal()
         )
 
-    async def ask(self, member, message, timeout):
+    async def request(self, member, message, timeout):
         """Answer in place of a peer."""
         if self.owner_reply is None:
             raise PeerError('no answer', Verdict.UNKNOWN)
@@ -85,7 +85,7 @@
     host, term, topic, clock, make_runner=make_registration, runners=None, links=None
 ):
     """Return the dispatcher of a host in ``term``, by default without runners."""
-    parts = DispatcherParts(
+    dependencies = DispatcherDependencies(
         topic=topic,
         follower=host.follower,
         jobs=host.projection,
@@ -100,18 +100,18 @@
         journal=journal(),
         host='me',
         gang_timeout=3.0,
-        longest_lease=10.0,
-        status_kept=120,
+        max_lease=10.0,
+        status_retention=120,
     )
-    return Dispatcher(parts, term)
+    return Dispatcher(dependencies, term)
 
 
 class SilentPeerLinks:
-    """Peer links on which no peer answers; ``asked`` counts the requests."""
+    """Peer links on which no peer answers; ``request_count`` counts the requests."""
 
     def __init__(self):
-        self.asked = 0
+        self.request_count = 0
 
-    async def ask(self, member, message, timeout):
-        self.asked += 1
+    async def request(self, member, message, timeout):
+        self.request_count += 1
         raise PeerError('no answer in time', Verdict.NOT_RUN)
