--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -15,7 +15,7 @@
 
 HTTP_OK = 200
 HTTP_GONE = 410
-HTTP_REFUSED = frozenset((429, 503))
+REFUSED_STATUSES = frozenset((429, 503))
 MILLISECONDS = 1000
 
 
@@ -60,7 +60,7 @@
         body = msgspec.json.encode(AppendBody([msgspec.Raw(text) for text in records]))
         request = Request('POST', f'/v1/streams/{stream}/records', body=body)
         answer = await self._exchange(self._append_channel_by_stream, stream, request, 0)
-        if answer.status in HTTP_REFUSED:
+        if answer.status in REFUSED_STATUSES:
             raise LogError(
                 f'the log service refused the append (status {answer.status})', Verdict.NOT_RUN
             )
--- a/dandelionreel/backing/_memory_log.py
+++ b/dandelionreel/backing/_memory_log.py
@@ -5,7 +5,7 @@
 from dandelionreel.backing._log import LogBatch, LogService, LogTruncatedError
 from dandelionreel.kernel import ChangeNotifier, Endpoint, PluginKind, plugins
 
-READ_RECORDS = 500
+MAX_RECORDS_PER_READ = 500
 
 
 class MemoryStream:
@@ -36,7 +36,7 @@
         if offset < self.first:
             raise LogTruncatedError(self.first)
         start = offset - self.first
-        kept = tuple(self.records[start : start + READ_RECORDS])
+        kept = tuple(self.records[start : start + MAX_RECORDS_PER_READ])
         return LogBatch(offset, self.tail, kept)
 
     def truncate(self, first: int) -> None:
--- a/dandelionreel/backing/_memory_worker.py
+++ b/dandelionreel/backing/_memory_worker.py
@@ -133,7 +133,7 @@
                 task.lease_until = self._clock.monotonic() + lease
                 task.renewed_by = renewal.holder
 
-    async def act(self, task_id: str, action: str) -> None:
+    async def apply_action(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task; raises ``WorkerError``.
 
         A stop is remembered even for an unknown task: its start may arrive later
--- a/dandelionreel/backing/_stream.py
+++ b/dandelionreel/backing/_stream.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self._decoder = msgspec.json.Decoder(records)
         self._handlers: list[RecordHandler] = []
-        self._resets: list[Callable[[], None]] = []
+        self._reset_callbacks: list[Callable[[], None]] = []
         self._last_by_writer: dict[str, int] = {}
         self.stream = stream
         self.offset = 0
@@ -72,7 +72,7 @@
     def add_handler(self, handler: RecordHandler, reset: Callable[[], None]) -> None:
         """Call ``handler`` for every record, and ``reset`` before the stream is read anew."""
         self._handlers.append(handler)
-        self._resets.append(reset)
+        self._reset_callbacks.append(reset)
 
     def has_seen(self, writer: str, number: int) -> bool:
         """Return whether this record of that writer has been processed."""
@@ -152,7 +152,7 @@
         self._first_wall = None
         self.caught_up = False
         self._last_by_writer.clear()
-        for reset in self._resets:
+        for reset in self._reset_callbacks:
             reset()
 
     def _record_caught_up(self, requested_at: float) -> None:
--- a/dandelionreel/backing/_workers.py
+++ b/dandelionreel/backing/_workers.py
@@ -113,7 +113,7 @@
         """Renew the leases of running tasks; unknown tasks are ignored."""
 
     @abc.abstractmethod
-    async def act(self, task_id: str, action: str) -> None:
+    async def apply_action(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task; raises ``WorkerError``."""
 
     @abc.abstractmethod
@@ -163,7 +163,7 @@
         request = Request('POST', '/v1/leases', body=msgspec.json.encode(renewal))
         self._check_status(await self._exchange(self._order_channel, request, self._timeout))
 
-    async def act(self, task_id: str, action: str) -> None:
+    async def apply_action(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task."""
         request = Request('POST', f'/v1/tasks/{task_id}/{action}')
         self._check_status(await self._exchange(self._order_channel, request, self._timeout))
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.http import Answer, Request
 from dandelionreel.jobs import CancelBody, CancelResult
-from dandelionreel.kernel import Clock, Verdict, clip, not_run, unknown
+from dandelionreel.kernel import Clock, Verdict, clip, not_run, outcome_unknown
 from dandelionreel.peers import Forward, ForwardAnswer, PeerDirectory, PeerError, PeerState
 
 RELAY_TIMEOUT_SECONDS = 8.0
@@ -34,7 +34,7 @@
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN or request.method == 'GET':
                     continue
-                raise unknown(
+                raise outcome_unknown(
                     HTTP_TIMEOUT,
                     'peer-silent',
                     f'{state.address.host} received the request and did not answer; '
@@ -65,7 +65,7 @@
         try:
             return msgspec.json.decode(answer.body, type=CancelResult)
         except msgspec.MsgspecError as error:
-            raise unknown(
+            raise outcome_unknown(
                 answer.status,
                 'zone-refused',
                 f'zone {zone} answered {answer.status}',
--- a/dandelionreel/cli/_daemon.py
+++ b/dandelionreel/cli/_daemon.py
@@ -54,13 +54,13 @@
         set_source_address(settings.source_address)
         daemon = Daemon(settings, environment)
     except OSError as error:
-        environment.tell_error(f'{path}: {error.strerror}; name a readable settings file')
+        environment.write_error(f'{path}: {error.strerror}; name a readable settings file')
         return ExitStatus.USAGE
     except (SettingsError, UnknownPlugin) as error:
-        environment.tell_error(f'{path}: {error}')
+        environment.write_error(f'{path}: {error}')
         return ExitStatus.USAGE
     try:
         return curio.run(daemon.run)
     except OSError as error:
-        environment.tell_error(f'cannot listen: {error}; free the port or change the settings')
+        environment.write_error(f'cannot listen: {error}; free the port or change the settings')
         return ExitStatus.ERROR
--- a/dandelionreel/cli/_tool.py
+++ b/dandelionreel/cli/_tool.py
@@ -29,7 +29,7 @@
         return ExitStatus.INTERRUPTED
     if not isinstance(outcome, Success):
         error = outcome.failure()
-        environment.tell_error(error.message)
+        environment.write_error(error.message)
         return error.status
     command_result = outcome.unwrap()
     if command_result.as_json:
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -24,7 +24,7 @@
     Settings,
     Verdict,
     not_run,
-    unknown,
+    outcome_unknown,
     zones_of,
 )
 from dandelionreel.ownership import Membership, member_keys
@@ -86,7 +86,7 @@
             raise _make_request_error(error) from error
         outcome = await self._await_outcome(nonce)
         if outcome is None:
-            raise unknown(
+            raise outcome_unknown(
                 HTTP_TIMEOUT,
                 'contract-outcome-unknown',
                 'the proposal is in the log but its outcome was not read in time; '
@@ -237,7 +237,7 @@
             'the log is unavailable; nothing was published',
             retry_after=10,
         )
-    return unknown(
+    return outcome_unknown(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
         'the log did not confirm the proposal; check the contract history before publishing again',
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -339,7 +339,7 @@
             self._zone_writer,
             self._journal,
         )
-        self._fleet.use_report_handler(self._dispatcher.handle_report)
+        self._fleet.set_report_handler(self._dispatcher.handle_report)
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
@@ -561,7 +561,7 @@
         )
 
     async def _handle_gossip(self, state: PeerState) -> None:
-        self._pool.note_leaving(state.gossip.leaving)
+        self._pool.record_reported_leaving(state.gossip.leaving)
         if state.gossip.contracts == self._contracts.digest():
             self._life.peer_contracts_match = True
         if state.gossip.service_slots:
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -383,13 +383,13 @@
         settings = load_host_settings(path)
         host = EntryHost(settings, path, environment.stdout.fileno())
     except OSError as error:
-        environment.tell_error(f'{path}: {error.strerror}; name a readable settings file')
+        environment.write_error(f'{path}: {error.strerror}; name a readable settings file')
         return ExitStatus.USAGE
     except SettingsError as error:
-        environment.tell_error(f'{path}: {error}')
+        environment.write_error(f'{path}: {error}')
         return ExitStatus.USAGE
     try:
         return curio.run(host.run)
     except OSError as error:
-        environment.tell_error(f'cannot listen: {error}; free the port or change the settings')
+        environment.write_error(f'cannot listen: {error}; free the port or change the settings')
         return ExitStatus.ERROR
--- a/dandelionreel/http/_client.py
+++ b/dandelionreel/http/_client.py
@@ -11,7 +11,7 @@
 
 READ_SIZE = 65_536
 #: Called right before a request is sent; returns whether it may be.
-Check = Callable[[], bool]
+SendCheck = Callable[[], bool]
 HOP_BY_HOP_HEADERS = frozenset(
     ('connection', 'keep-alive', 'transfer-encoding', 'content-length', 'te')
 )
@@ -69,7 +69,7 @@
         self,
         request: Request,
         timeout: float,
-        check: Check | None = None,
+        check: SendCheck | None = None,
     ) -> Answer:
         """Send the request and return the complete response.
 
@@ -119,7 +119,7 @@
         self,
         request: Request,
         progress: '_Progress',
-        check: Check | None,
+        check: SendCheck | None,
     ) -> Answer:
         headers = [('host', f'{self._address}:{self._port}')]
         headers.extend(_end_to_end_headers(request.headers))
@@ -252,7 +252,7 @@
         self,
         request: Request,
         timeout: float,
-        check: Check | None = None,
+        check: SendCheck | None = None,
     ) -> Answer:
         """Send the request, opening the connection first if needed.
 
@@ -282,7 +282,7 @@
         else:
             await self._connection.close()
 
-    async def _exchange(self, request: Request, timeout: float, check: Check | None) -> Answer:
+    async def _exchange(self, request: Request, timeout: float, check: SendCheck | None) -> Answer:
         reused = self._connection.is_open
         if not reused:
             await self._open(timeout)
--- a/dandelionreel/http/_server.py
+++ b/dandelionreel/http/_server.py
@@ -18,7 +18,7 @@
 
 HTTP_TIMEOUT = 408
 HTTP_TOO_LARGE = 413
-HTTP_ERROR = 500
+HTTP_INTERNAL_ERROR = 500
 
 
 @dataclass(frozen=True)
@@ -65,8 +65,8 @@
         self._handler = handler
         self._is_draining = is_draining
         self._limits = limits or ServerLimits()
-        self._open = 0
-        self._closing = False
+        self._open_connections = 0
+        self._keep_alive_disabled = False
         self._tasks: set[Any] = set()
         self.requests_in_progress = 0
         self.port = 0
@@ -81,15 +81,15 @@
 
     def disable_keep_alive(self) -> None:
         """Close each connection after its current response from now on."""
-        self._closing = True
+        self._keep_alive_disabled = True
 
     async def _accept(self, sock: Any) -> None:
         while True:
             client, _ = await sock.accept()
-            if self._open >= self._limits.connections:
+            if self._open_connections >= self._limits.connections:
                 await client.close()
                 continue
-            self._open += 1
+            self._open_connections += 1
             task = await curio.spawn(self._serve, client, daemon=True)
             self._tasks.add(task)
 
@@ -107,7 +107,7 @@
         except (OSError, curio.TaskTimeout, CloseConnection):
             return
         finally:
-            self._open -= 1
+            self._open_connections -= 1
             self._tasks.discard(await curio.current_task())
             await client.close()
 
@@ -132,7 +132,7 @@
             self.requests_in_progress += 1
             try:
                 answer = await self._handle(request)
-                await self._write(client, http, answer)
+                await self._send_answer(client, http, answer)
             finally:
                 self.requests_in_progress -= 1
             if http.our_state is h11.MUST_CLOSE:
@@ -152,7 +152,7 @@
             eliot.write_traceback()
             problem = Problem(
                 Verdict.UNKNOWN,
-                HTTP_ERROR,
+                HTTP_INTERNAL_ERROR,
                 'internal-error',
                 f'{type(error).__name__}: {error}',
             )
@@ -229,9 +229,9 @@
         if http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
         answer = answer_problem(problem)
-        await self._write(client, http, answer, last=True)
+        await self._send_answer(client, http, answer, last=True)
 
-    async def _write(
+    async def _send_answer(
         self,
         client: Any,
         http: Any,
@@ -245,7 +245,7 @@
             if name not in {'connection', 'transfer-encoding', 'content-length'}
         ]
         headers.append(('content-length', str(len(answer.body))))
-        if last or self._closing or self._is_draining():
+        if last or self._keep_alive_disabled or self._is_draining():
             headers.append(('connection', 'close'))
         payload = http.send(h11.Response(status_code=answer.status, headers=headers))
         if answer.body:
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -28,7 +28,7 @@
     Verdict,
     clip,
     not_run,
-    unknown,
+    outcome_unknown,
     zones_of,
 )
 from dandelionreel.ownership import choose_owner
@@ -192,7 +192,7 @@
         # Another daemon may have accepted a job with the same key first.
         job = self._jobs.find_by_key(spec.customer, key)
         if job is None:
-            raise unknown(
+            raise outcome_unknown(
                 HTTP_TIMEOUT,
                 'job-not-read-back',
                 'the job may be stored; retry with the same idempotency key',
@@ -293,7 +293,7 @@
             'the log is unreachable; the request was not stored',
             RETRY_AFTER_SECONDS,
         )
-    return unknown(
+    return outcome_unknown(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
         'the log did not confirm the write in time; retry with the same idempotency key',
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -20,8 +20,8 @@
     RequestError,
     Settings,
     not_run,
+    outcome_unknown,
     start_task,
-    unknown,
 )
 from dandelionreel.ownership import Membership, ShardProjection
 
@@ -107,7 +107,7 @@
             try:
                 return await self._move(remote, zone)
             except LogError as error:
-                raise unknown(
+                raise outcome_unknown(
                     HTTP_TIMEOUT,
                     'log-outcome-unknown',
                     f'{error}; repeat the move, no job is lost or duplicated',
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -79,7 +79,7 @@
         if not owner:
             return False
         if owner == self._member:
-            return await self._fleet.act(order)
+            return await self._fleet.apply_action(order)
         try:
             frame = await self._directory.ask(
                 owner,
--- a/dandelionreel/kernel/__init__.py
+++ b/dandelionreel/kernel/__init__.py
@@ -26,7 +26,7 @@
     RequestError,
     Verdict,
     not_run,
-    unknown,
+    outcome_unknown,
 )
 
 __all__ = (
@@ -59,7 +59,7 @@
     'plugins',
     'seconds_or_none',
     'start_task',
-    'unknown',
+    'outcome_unknown',
     'watch_signals',
     'zones_of',
 )
--- a/dandelionreel/kernel/_environment.py
+++ b/dandelionreel/kernel/_environment.py
@@ -17,6 +17,6 @@
     stderr: TextIO = field(default_factory=lambda: sys.stderr)
     clock: Clock = field(default_factory=SystemClock)
 
-    def tell_error(self, message: str) -> None:
+    def write_error(self, message: str) -> None:
         """Write ``program: error: message`` as one line to standard error."""
         self.stderr.write(f'{self.program}: error: {message}\n')
--- a/dandelionreel/kernel/_log_stream.py
+++ b/dandelionreel/kernel/_log_stream.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 #: Upper bound of the bytes that are buffered while the reader of the log is slow.
-PENDING_BYTES = 262_144
+MAX_PENDING_BYTES = 262_144
 
 
 class LogStream:
@@ -25,7 +25,7 @@
     def write(self, line: bytes) -> int:
         """Write or buffer a line; drop it if the buffer is full."""
         self._drain()
-        if self._pending_bytes + len(line) > PENDING_BYTES:
+        if self._pending_bytes + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             return 0
         if line:
--- a/dandelionreel/kernel/_verdict.py
+++ b/dandelionreel/kernel/_verdict.py
@@ -46,6 +46,6 @@
     return RequestError(Problem(Verdict.NOT_RUN, status, cause, detail, retry_after))
 
 
-def unknown(status: int, cause: str, detail: str) -> RequestError:
+def outcome_unknown(status: int, cause: str, detail: str) -> RequestError:
     """Return an error for a request that may have been executed."""
     return RequestError(Problem(Verdict.UNKNOWN, status, cause, detail))
--- a/dandelionreel/peers/__init__.py
+++ b/dandelionreel/peers/__init__.py
@@ -23,7 +23,7 @@
     PeerDirectory,
     PeerState,
 )
-from dandelionreel.peers._framing import FRAME_BYTES, FrameStream, TrafficCounter
+from dandelionreel.peers._framing import MAX_FRAME_BYTES, FrameStream, TrafficCounter
 from dandelionreel.peers._link import NO_CLOCK_READING, PeerClocks, PeerError, PeerLink
 from dandelionreel.peers._messages import (
     ContractState,
@@ -48,7 +48,7 @@
 from dandelionreel.peers._server import PeerServer
 
 __all__ = (
-    'FRAME_BYTES',
+    'MAX_FRAME_BYTES',
     'NEVER_HEARD',
     'NO_CLOCK_READING',
     'PROTOCOL_VERSION',
--- a/dandelionreel/peers/_framing.py
+++ b/dandelionreel/peers/_framing.py
@@ -6,10 +6,10 @@
 from dandelionreel.peers._codec import FrameError, decode_frame, encode_frame
 from dandelionreel.peers._messages import Frame
 
-LENGTH = struct.Struct('>I')
+LENGTH_PREFIX = struct.Struct('>I')
 READ_SIZE = 65_536
 #: Larger than the largest response that is forwarded; a longer frame is rejected unread.
-FRAME_BYTES = 16_777_216
+MAX_FRAME_BYTES = 16_777_216
 
 
 class TrafficCounter:
@@ -39,16 +39,16 @@
         """Write one frame; raises ``OSError``."""
         payload = encode_frame(frame)
         self._count(frame, len(payload))
-        await self._sock.sendall(LENGTH.pack(len(payload)) + payload)
+        await self._sock.sendall(LENGTH_PREFIX.pack(len(payload)) + payload)
 
     async def receive(self) -> Frame | None:
         """Return the next frame, ``None`` at the end of the stream; raises ``FrameError``."""
-        head = await self._read_exactly(LENGTH.size)
+        head = await self._read_exactly(LENGTH_PREFIX.size)
         if head is None:
             return None
-        length = LENGTH.unpack(head)[0]
-        if length > FRAME_BYTES:
-            raise FrameError(f'frame of {length} bytes exceeds the limit of {FRAME_BYTES}')
+        length = LENGTH_PREFIX.unpack(head)[0]
+        if length > MAX_FRAME_BYTES:
+            raise FrameError(f'frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}')
         payload = await self._read_exactly(length)
         if payload is None:
             raise FrameError('connection closed in the middle of a frame')
@@ -69,4 +69,4 @@
 
     def _count(self, frame: Frame, length: int) -> None:
         kind = type(frame.message).__name__
-        self._traffic.add(self._host, kind, length + LENGTH.size)
+        self._traffic.add(self._host, kind, length + LENGTH_PREFIX.size)
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -13,7 +13,7 @@
 
 from dandelionreel.backing import LogError, Position, StreamReader, StreamWriter
 from dandelionreel.http import Request
-from dandelionreel.kernel import Problem, RequestError, Verdict, not_run, unknown
+from dandelionreel.kernel import Problem, RequestError, Verdict, not_run, outcome_unknown
 
 NONCE_BYTES = 8
 MAX_KEYS = 50_000
@@ -114,7 +114,7 @@
         )
         self._raise_if_used(customer, key, digest, '')
         if self._reader.outage_since is not None:
-            raise _make_log_unavailable()
+            raise _make_log_unavailable_error()
         nonce = os.urandom(NONCE_BYTES).hex()
         try:
             await self._writer.write(RequestIntent(customer, key, digest, nonce), timeout)
@@ -122,7 +122,7 @@
             # The request won't be sent, but the log may still append the
             # intent later; this record releases the key in that case.
             await curio.spawn(self.record_result, customer, key, nonce, NOT_SENT, daemon=True)
-            raise _make_log_unavailable() from error
+            raise _make_log_unavailable_error() from error
         self._raise_if_used(customer, key, digest, nonce)
         return nonce
 
@@ -140,10 +140,10 @@
         state = self._projection.get(customer, key)
         if state is None or state.nonce == nonce:
             return
-        raise make_refusal(state, digest)
+        raise make_key_in_use_error(state, digest)
 
 
-def make_refusal(state: KeyState, digest: str) -> RequestError:
+def make_key_in_use_error(state: KeyState, digest: str) -> RequestError:
     """Return the error for a key that is already in use."""
     if state.digest != digest:
         return not_run(
@@ -152,7 +152,7 @@
             'this idempotency key was used for a different request; use a new one',
         )
     if state.status is None:
-        return unknown(
+        return outcome_unknown(
             HTTP_CONFLICT,
             'already-sent',
             'a request with this key was already sent; its result is unknown here',
@@ -167,7 +167,7 @@
     )
 
 
-def _make_log_unavailable() -> RequestError:
+def _make_log_unavailable_error() -> RequestError:
     return not_run(
         HTTP_UNAVAILABLE,
         'log-unavailable',
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -18,7 +18,7 @@
 from dandelionreel.routing._choice import RunnerChoice
 from dandelionreel.routing._runner import Runner
 
-REFRESH_SECONDS = 0.5
+OWNERSHIP_CHECK_SECONDS = 0.5
 
 
 class RunnerPool(ShardUser):
@@ -74,7 +74,7 @@
         while True:
             await self._refresh()
             seen = self._hosts.changed.count
-            await self._hosts.changed.wait(seen, REFRESH_SECONDS)
+            await self._hosts.changed.wait(seen, OWNERSHIP_CHECK_SECONDS)
 
     def runners(self) -> tuple[Runner, ...]:
         """Return all runners of the zone."""
@@ -121,7 +121,7 @@
         """Send no more requests to an endpoint, on an operator's command."""
         self._draining.add(name)
 
-    def note_leaving(self, names: Iterable[str]) -> None:
+    def record_reported_leaving(self, names: Iterable[str]) -> None:
         """Record a peer's report of leaving endpoints."""
         for name in names:
             self._reported_leaving_at[name] = self._clock.monotonic()
@@ -168,7 +168,7 @@
                 free_by_service[service] = free_by_service.get(service, 0) + free_slots
         return tuple(ServiceSlots(name, free) for name, free in sorted(free_by_service.items()))
 
-    def mean_seconds(self, service: str) -> float:
+    def mean_answer_seconds(self, service: str) -> float:
         """Return the mean answer time of the service's runners, 0 if none is known."""
         means = [
             runner.latency.mean
@@ -177,7 +177,7 @@
         ]
         return sum(means) / len(means) if means else 0
 
-    def slots(self, service: str) -> int:
+    def usable_slots(self, service: str) -> int:
         """Return the slots that this daemon may use for a service."""
         total = 0
         for runner in self._runner_by_name.values():
@@ -209,7 +209,7 @@
                 self._draining.discard(name)
                 await self._runner_by_name.pop(name).close_idle()
         for runner in self._runner_by_name.values():
-            await self._note_ownership(runner)
+            await self._update_ownership(runner)
         await self._log_leaving()
 
     def _make_runner(self, entry: HostEntry) -> Runner:
@@ -222,7 +222,7 @@
             timings.socket_timeout,
         )
 
-    async def _note_ownership(self, runner: Runner) -> None:
+    async def _update_ownership(self, runner: Runner) -> None:
         name = runner.entry.name
         claim = self._shards.get(runner_shard(name))
         grant = self._authority.grant(runner_shard(name))
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -25,7 +25,7 @@
     Settings,
     Verdict,
     not_run,
-    unknown,
+    outcome_unknown,
     zones_of,
 )
 from dandelionreel.ownership import Membership, choose_owner
@@ -60,7 +60,7 @@
 #: A queued request checks the peers for free slots this often.
 PEER_CHECK_SECONDS = 0.1
 #: Poll interval of the router while no request is queued.
-IDLE_SECONDS = 1.0
+IDLE_POLL_SECONDS = 1.0
 #: One hop to a peer with free slots.
 MAX_HOPS = 1
 #: Hop count with which the receiver admits the request as if it came from a caller.
@@ -163,7 +163,9 @@
             for service, queue in self._queue_by_service.items():
                 await queue.wake(free_by_service.get(service, 0))
             waiting = any(queue.waiting for queue in self._queue_by_service.values())
-            await self._pool.changed.wait(seen, PEER_CHECK_SECONDS if waiting else IDLE_SECONDS)
+            await self._pool.changed.wait(
+                seen, PEER_CHECK_SECONDS if waiting else IDLE_POLL_SECONDS
+            )
 
     async def _admit(self, call: ServiceCall) -> Answer:
         usage = self._admission.admit(call)
@@ -219,12 +221,12 @@
         except RequestError as error:
             if error.problem.verdict is not Verdict.NOT_RUN:
                 raise
-            await self._end_keyed(call, nonce, NOT_SENT)
+            await self._record_key_result(call, nonce, NOT_SENT)
             raise
-        await self._end_keyed(call, nonce, answer.status)
+        await self._record_key_result(call, nonce, answer.status)
         return answer
 
-    async def _end_keyed(self, call: ServiceCall, nonce: str, status: int) -> None:
+    async def _record_key_result(self, call: ServiceCall, nonce: str, status: int) -> None:
         # In the background, so that the caller does not wait for the log.
         await curio.spawn(
             self._idempotency_guard.record_result,
@@ -261,7 +263,7 @@
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN:
                     continue
-                raise unknown(
+                raise outcome_unknown(
                     HTTP_TIMEOUT,
                     'peer-silent',
                     'the daemon that received the request did not answer',
@@ -285,7 +287,7 @@
             if not history.may_have_run or problem.verdict is not Verdict.NOT_RUN:
                 raise
             # The last attempt did not run, but an earlier one may have.
-            raise unknown(problem.status, problem.cause, problem.detail) from error
+            raise outcome_unknown(problem.status, problem.cause, problem.detail) from error
 
     async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Answer:
         while True:
@@ -332,7 +334,7 @@
         detail = f'runner {runner.entry.name}: {error}'
         if error.sent:
             status = HTTP_BAD_GATEWAY if in_time else HTTP_TIMEOUT
-            raise unknown(status, 'runner-failed', detail)
+            raise outcome_unknown(status, 'runner-failed', detail)
         raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
 
     async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Answer | None:
@@ -354,7 +356,7 @@
             if call.idempotent and self._admission.use_retry(call):
                 self._metrics.count_retry(call)
                 return None
-            raise unknown(
+            raise outcome_unknown(
                 HTTP_TIMEOUT,
                 'peer-silent',
                 f'{state.member} received the request and did not answer',
@@ -453,12 +455,12 @@
 
     def _estimate_wait(self, call: ServiceCall, queue: RequestQueue) -> float:
         """Estimate the seconds until an answer, from the queue and the mean answer time."""
-        slots = self._pool.slots(call.service)
-        mean_seconds = self._pool.mean_seconds(call.service)
-        if not slots or not mean_seconds:
+        usable_slots = self._pool.usable_slots(call.service)
+        mean_answer_seconds = self._pool.mean_answer_seconds(call.service)
+        if not usable_slots or not mean_answer_seconds:
             return 0
         requests_ahead = queue.count_ahead(self._priority(call), call.deadline)
-        return (requests_ahead / slots + 1) * mean_seconds
+        return (requests_ahead / usable_slots + 1) * mean_answer_seconds
 
     def _is_service_known(self, service: str) -> bool:
         return any(_free_slots_of(state, service) for state in self._directory.states())
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -27,7 +27,7 @@
 LIMIT_DECREASE_FACTOR = 0.9
 BEST_DRIFT_FACTOR = 1.01
 MIN_LIMIT = 1.0
-QUARANTINE_SECONDS = 1.0
+INITIAL_QUARANTINE_SECONDS = 1.0
 MAX_QUARANTINE_SECONDS = 30.0
 FAILURES_TO_QUARANTINE = 3
 SLOT_QUERY_SECONDS = 0.5
@@ -80,19 +80,19 @@
         self._answer_bytes = answer_bytes
         self._longest_run = longest_run
         self._user_timeout = user_timeout
-        self._idle: list[Connection] = []
+        self._idle_connections: list[Connection] = []
         self._epoch = 0
         self._limit = float(entry.slots)
-        self._failures = 0
+        self._consecutive_failures = 0
         self._quarantined_until = 0.0
-        self._quarantine_seconds = QUARANTINE_SECONDS
+        self._quarantine_seconds = INITIAL_QUARANTINE_SECONDS
         self.latency = Latency()
         #: Slots of this daemon's requests, including those whose caller gave up.
         self.in_use = 0
         self.open_connections = 0
         #: Slots that requests of a former owner may still occupy.
         self.former_owner_slots = 0
-        self.former_owner_until = 0.0
+        self.former_owner_wait_until = 0.0
         self.leaving_seen_at = float('-inf')
 
     @property
@@ -106,7 +106,7 @@
             return 0
         free = min(self.slot_limit(grant), self.limit) - self.in_use
         # An idle connection can be closed in favour of a new one.
-        busy_connections = self.open_connections - len(self._idle)
+        busy_connections = self.open_connections - len(self._idle_connections)
         return max(0, min(free, self.entry.connections - busy_connections))
 
     def slot_limit(self, grant: Grant) -> int:
@@ -131,7 +131,7 @@
         self._epoch = grant.epoch
         if not clean_handover:
             self.former_owner_slots = self.entry.slots
-            self.former_owner_until = self._clock.monotonic() + self._longest_run
+            self.former_owner_wait_until = self._clock.monotonic() + self._longest_run
 
     async def await_former_owner(self) -> None:
         """Poll the runner until the former owner occupies no more slots.
@@ -144,7 +144,7 @@
             await curio.sleep(SLOT_QUERY_SECONDS)
             busy = await self._query_busy_slots()
             if busy is None:
-                if self._clock.monotonic() >= self.former_owner_until:
+                if self._clock.monotonic() >= self.former_owner_wait_until:
                     self.former_owner_slots = 0
                 continue
             self.former_owner_slots = max(0, busy - self.in_use)
@@ -185,23 +185,23 @@
 
     async def close_idle(self) -> None:
         """Close all idle connections."""
-        idle = self._idle
-        self._idle = []
+        idle = self._idle_connections
+        self._idle_connections = []
         for connection in idle:
             self.open_connections -= 1
             await connection.close()
 
     async def open_connection(self, *, new_connection: bool) -> Connection:
         """Return an idle connection, or a new one; raises ``ExchangeError``."""
-        while self._idle and not new_connection:
-            connection = self._idle.pop()
+        while self._idle_connections and not new_connection:
+            connection = self._idle_connections.pop()
             if connection.is_open:
                 return connection
             self.open_connections -= 1
             await connection.close()
-        if self._idle and self.open_connections >= self.entry.connections:
+        if self._idle_connections and self.open_connections >= self.entry.connections:
             self.open_connections -= 1
-            await self._idle.pop().close()
+            await self._idle_connections.pop().close()
         connection = Connection(self.entry.address, self.entry.port, self._answer_bytes)
         self.open_connections += 1
         try:
@@ -215,7 +215,7 @@
     async def return_connection(self, connection: Connection, *, reusable: bool) -> None:
         """Keep a reusable connection for later requests; close any other."""
         if reusable and connection.is_open:
-            self._idle.append(connection)
+            self._idle_connections.append(connection)
             return
         self.open_connections -= 1
         await connection.close()
@@ -223,8 +223,8 @@
     def record_answer(self, seconds: float, answer: Answer) -> None:
         """Update latency, health and the concurrency limit from an answer."""
         self.latency.add(seconds)
-        self._failures = 0
-        self._quarantine_seconds = QUARANTINE_SECONDS
+        self._consecutive_failures = 0
+        self._quarantine_seconds = INITIAL_QUARANTINE_SECONDS
         if self.latency.is_slow:
             self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
         else:
@@ -238,8 +238,8 @@
             return
         if isinstance(error, RefusedError):
             self.leaving_seen_at = self._clock.monotonic()
-        self._failures += 1
-        if self._failures >= FAILURES_TO_QUARANTINE or isinstance(error, RefusedError):
+        self._consecutive_failures += 1
+        if self._consecutive_failures >= FAILURES_TO_QUARANTINE or isinstance(error, RefusedError):
             self._quarantined_until = self._clock.monotonic() + self._quarantine_seconds
             self._quarantine_seconds = min(self._quarantine_seconds * 2, MAX_QUARANTINE_SECONDS)
 
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -145,15 +145,17 @@
             self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, now)
             raise
 
-    async def act(self, task_id: str, action: str) -> bool:
+    async def apply_action(self, task_id: str, action: str) -> bool:
         """Stop, checkpoint or throttle a task; return whether the worker confirmed it."""
         try:
-            await self._service.act(task_id, action)
+            await self._service.apply_action(task_id, action)
         except WorkerError:
             return False
         return True
 
-    def report(self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int) -> WorkerReport:
+    def make_report(
+        self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int
+    ) -> WorkerReport:
         """Return a report of the worker's current state."""
         grant = self.grant()
         task_list = self._task_list
@@ -177,7 +179,7 @@
             dispatch_epoch,
         )
 
-    async def note_grant(self) -> None:
+    async def notify_grant_change(self) -> None:
         """Notify the waiting tasks of this agent if the grant has changed."""
         grant = self.grant()
         if grant != self._last_grant:
@@ -185,7 +187,7 @@
             await self.changed.notify()
 
     @property
-    def last_answer_at(self) -> float:
+    def last_answered_at(self) -> float:
         """Return when the worker last answered."""
         return self._last_contact.answered_at
 
@@ -211,7 +213,7 @@
         try:
             task_list = await self._service.tasks(last_revision if wait else -1, wait)
         except WorkerError as error:
-            await self._note_unreachable(error)
+            await self._handle_unreachable(error)
             return -1
         if task_list.unchanged and self._has_restarted(task_list):
             self._journal.tell(
@@ -258,7 +260,7 @@
             return UNSETTLED_WATCH_SECONDS
         return self._settings.timings.lease * WATCH_LEASE_FRACTION
 
-    async def _note_unreachable(self, error: WorkerError) -> None:
+    async def _handle_unreachable(self, error: WorkerError) -> None:
         if self._last_contact.reachable:
             self._journal.tell(
                 Part.WORKERS,
@@ -290,7 +292,7 @@
                 lambda: self._may_send_start(grant),
             )
         except WorkerError as error:
-            return await self._note_failed_start(order, error)
+            return await self._handle_failed_start(order, error)
         self.start_count += 1
         self.ledger.set_state(order.task_id, AllocationState.RUNNING, self._clock.monotonic())
         return PlaceAnswer(STARTED)
@@ -302,7 +304,7 @@
             return False
         return self.ledger.total_demand().fits(self.ledger.usable_capacity(current))
 
-    async def _note_failed_start(self, order: PlaceOrder, error: WorkerError) -> PlaceAnswer:
+    async def _handle_failed_start(self, order: PlaceOrder, error: WorkerError) -> PlaceAnswer:
         if error.verdict is Verdict.NOT_RUN:
             self.ledger.release(order.task_id)
             return PlaceAnswer(REFUSED, f'{error}')
@@ -324,7 +326,7 @@
         for allocation in self.ledger.allocations():
             if allocation.state is not AllocationState.DOUBTFUL:
                 continue
-            if await self.act(allocation.task_id, STOP):
+            if await self.apply_action(allocation.task_id, STOP):
                 self.ledger.release(allocation.task_id)
                 await self.changed.notify()
 
@@ -349,7 +351,7 @@
             f'tells {self.entry.name} to {action} {status.id}; it uses more than it declared.',
             task=status.id,
         )
-        if await self.act(status.id, action):
+        if await self.apply_action(status.id, action):
             self._last_action_by_task[status.id] = action
 
     def _task_report(self, status: TaskStatus) -> TaskReport:
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -87,7 +87,7 @@
         self._report_handler: ReportHandler | None = None
         self.agent_by_worker: dict[str, WorkerAgent] = {}
 
-    def use_report_handler(self, handler: ReportHandler) -> None:
+    def set_report_handler(self, handler: ReportHandler) -> None:
         """Set the handler of reports for when this daemon is the dispatcher itself."""
         self._report_handler = handler
 
@@ -109,7 +109,7 @@
         while True:
             await self._refresh()
             for agent in tuple(self.agent_by_worker.values()):
-                await agent.note_grant()
+                await agent.notify_grant_change()
             await self._hosts.changed.wait(self._hosts.changed.count, POLL_SECONDS)
 
     async def place(self, order: PlaceOrder) -> PlaceAnswer:
@@ -121,14 +121,14 @@
             return PlaceAnswer(REFUSED, 'no such worker')
         return await agent.start(order)
 
-    async def act(self, action: TaskAction) -> bool:
+    async def apply_action(self, action: TaskAction) -> bool:
         """Stop, checkpoint or throttle a task on an owned worker."""
         if action.dispatch_epoch < self._shards.epoch(DISPATCH_SHARD):
             return False
         agent = self.agent_by_worker.get(action.worker)
         if agent is None or agent.grant().level is GrantLevel.NONE:
             return False
-        return await agent.act(action.task_id, action.action)
+        return await agent.apply_action(action.task_id, action.action)
 
     async def answer_place(self, frame: Frame) -> Message:
         """Start a task for the dispatcher, unless its order is too old.
@@ -149,7 +149,9 @@
         action = frame.message
         if not isinstance(action, TaskAction):
             return Refused('not a task action')
-        return Done() if await self.act(action) else Refused('the action was not carried out')
+        return (
+            Done() if await self.apply_action(action) else Refused('the action was not carried out')
+        )
 
     def _entries(self) -> tuple[HostEntry, ...]:
         return self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
@@ -204,7 +206,7 @@
             if not target.dispatcher:
                 await agent.changed.wait(agent.changed.count, IDLE_CHECK_SECONDS)
                 continue
-            refresh_due = self._clock.monotonic() - last_sent.at > REPORT_REFRESH_SECONDS
+            refresh_due = self._clock.monotonic() - last_sent.sent_at > REPORT_REFRESH_SECONDS
             if target == last_sent.target and not refresh_due:
                 await agent.changed.wait(target.change_count, IDLE_CHECK_SECONDS)
                 continue
@@ -227,10 +229,10 @@
         if dispatcher == self._me:
             if self._report_handler is not None:
                 await self._report_handler(
-                    agent.report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
+                    agent.make_report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
                 )
             return True
-        report = agent.report(
+        report = agent.make_report(
             unrenewed_seconds, self._peer_clocks.get_last(dispatcher), target.epoch
         )
         try:
@@ -248,7 +250,7 @@
         worker that we have not polled yet does not count as silent.
         """
         heard_since = self._peer_monitor.all_heard_since()
-        since = max(agent.last_answer_at, heard_since, agent.grant().since)
+        since = max(agent.last_answered_at, heard_since, agent.grant().since)
         return max(0.0, self._clock.monotonic() - since)
 
     async def _renew_for_others(self, agent: WorkerAgent) -> None:
@@ -277,4 +279,4 @@
     """The target of the last report that was accepted, and when it was sent."""
 
     target: _ReportTarget = _ReportTarget()
-    at: float = float('-inf')
+    sent_at: float = float('-inf')
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -22,7 +22,7 @@
 }
 
 
-def _frames():
+def _make_frames():
     from dandelionreel.peers import Done, Frame, encode_frame
     from dandelionreel.peers._codec import _schema
 
@@ -61,8 +61,8 @@
 
 @then('the connection is answered with {status:d} or closed')
 def check_status(context, status):
-    first = context.received.split(b'\r\n', 1)[0]
-    assert first in {b''} or str(status).encode() in first, context.received[:300]
+    status_line = context.received.split(b'\r\n', 1)[0]
+    assert status_line in {b''} or str(status).encode() in status_line, context.received[:300]
 
 
 @then('the daemon still answers')
@@ -101,7 +101,7 @@
     daemon = context.cell.daemons[DAEMON_NAME]
     half_close = what == 'half a frame'
     context.received = _send(
-        daemon.address, daemon.peer_port, _frames()[what], half_close=half_close
+        daemon.address, daemon.peer_port, _make_frames()[what], half_close=half_close
     )
 
 
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -186,7 +186,7 @@
     return curio.run(run)
 
 
-def _order(command, lease_ms=5000):
+def _make_order(command, lease_ms=5000):
     return TaskOrder(Resources(1, 128, 0), command, lease_ms, 'me', 1, 'c', 'j', 1, 'batch')
 
 
@@ -208,8 +208,8 @@
 @then('a started task runs, is listed, and ends with its outcome')
 def check_runs(context):
     async def check(worker):
-        await worker.start('a', _order('run 0.2'), TIMEOUT, _always_allowed)
-        await worker.start('b', _order('fail 0.1'), TIMEOUT, _always_allowed)
+        await worker.start('a', _make_order('run 0.2'), TIMEOUT, _always_allowed)
+        await worker.start('b', _make_order('fail 0.1'), TIMEOUT, _always_allowed)
         listed = {status.id: status.is_running for status in (await worker.tasks(-1, 0)).tasks}
         assert listed == {'a': True, 'b': True}
         assert await _wait_for_outcome(worker, 'a') == 'succeeded'
@@ -221,7 +221,7 @@
 @then('a second start with the same id is refused with verdict not_run')
 def check_second(context):
     async def check(worker):
-        await worker.start('a', _order('run 1'), TIMEOUT, _always_allowed)
+        await worker.start('a', _make_order('run 1'), TIMEOUT, _always_allowed)
         await _check_refused(worker, 'a')
 
     _run_with_worker(context, check)
@@ -229,7 +229,7 @@
 
 async def _check_refused(worker, task_id):
     try:
-        await worker.start(task_id, _order('run 1'), TIMEOUT, _always_allowed)
+        await worker.start(task_id, _make_order('run 1'), TIMEOUT, _always_allowed)
     except WorkerError as error:
         assert error.verdict is Verdict.NOT_RUN
     else:
@@ -239,7 +239,7 @@
 @then('a start that arrives after its stop is refused')
 def check_tombstone(context):
     async def check(worker):
-        await worker.act('late', 'stop')
+        await worker.apply_action('late', 'stop')
         await _check_refused(worker, 'late')
 
     _run_with_worker(context, check)
@@ -248,7 +248,7 @@
 @then('a task whose lease is not renewed lapses')
 def check_lapses(context):
     async def check(worker):
-        await worker.start('a', _order('run 30', lease_ms=300), TIMEOUT, _always_allowed)
+        await worker.start('a', _make_order('run 30', lease_ms=300), TIMEOUT, _always_allowed)
         assert await _wait_for_outcome(worker, 'a') == 'lapsed'
 
     _run_with_worker(context, check)
@@ -257,7 +257,7 @@
 @then('a task whose lease is renewed runs to its end')
 def check_renewed(context):
     async def check(worker):
-        await worker.start('a', _order('run 0.9', lease_ms=400), TIMEOUT, _always_allowed)
+        await worker.start('a', _make_order('run 0.9', lease_ms=400), TIMEOUT, _always_allowed)
         for _ in range(6):
             await curio.sleep(0.15)
             await worker.renew(LeaseRenewal('peer', 400, ('a',)))
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -56,7 +56,7 @@
 
 @when('a large request is sent to it and a small one times out meanwhile')
 def small_request_times_out(context):
-    async def ask():
+    async def run_requests():
         link = make_link(context.port)
         large_request = await curio.spawn(send, link, LARGE_BODY_BYTES, 5 * SHORT_TIMEOUT)
         await curio.sleep(SHORT_TIMEOUT)
@@ -67,7 +67,7 @@
         await link.close()
         return large_request.result, small_error, other_error, await query_working_peer()
 
-    context.results = curio.run(ask)
+    context.results = curio.run(run_requests)
 
 
 async def query_working_peer():
@@ -87,11 +87,11 @@
 
 @then('both fail and the process can send requests to another peer')
 def both_fail(context):
-    large_error, small_error, other_error, working_peer_failure = context.results
+    large_error, small_error, other_error, working_peer_error = context.results
     assert large_error, context.results
     assert small_error, context.results
     assert other_error, context.results
-    assert not working_peer_failure, working_peer_failure
+    assert not working_peer_error, working_peer_error
     context.listener.close()
 
 
@@ -109,7 +109,7 @@
 
 @when('a request with a long timeout is sent to it')
 def unreachable(context):
-    async def ask():
+    async def run_requests():
         link = make_link(context.port)
         try:
             await link.ask(Forward(Request('POST', '/x'), LONG_TIMEOUT, 1), LONG_TIMEOUT)
@@ -119,11 +119,11 @@
             await link.close()
         return None
 
-    async def ask_in_time():
+    async def run_with_limit():
         # Without a limit on connecting, the request would take LONG_TIMEOUT seconds.
-        return await curio.ignore_after(LONG_TIMEOUT / 3, ask)
+        return await curio.ignore_after(LONG_TIMEOUT / 3, run_requests)
 
-    context.error = curio.run(ask_in_time)
+    context.error = curio.run(run_with_limit)
 
 
 @then('it fails as not run long before its timeout')
@@ -136,18 +136,18 @@
 
 @when('a channel to it is closed while a request waits')
 def channel_closed(context):
-    async def ask():
+    async def run_requests():
         channel = Channel('127.0.0.1', context.port)
-        waiting = await curio.spawn(exchange, channel)
+        request_task = await curio.spawn(exchange, channel)
         await curio.sleep(SHORT_TIMEOUT)
         await channel.close()
-        request_error = await waiting.join()
+        request_error = await request_task.join()
         other_channel = Channel('127.0.0.1', context.port)
         second_result = await curio.ignore_after(SHORT_TIMEOUT, exchange, other_channel)
         await other_channel.close()
         return request_error, second_result, await query_working_peer()
 
-    context.results = curio.run(ask)
+    context.results = curio.run(run_requests)
 
 
 async def exchange(channel):
@@ -161,10 +161,10 @@
 
 @then('the request fails at once and the process can send requests to another server')
 def request_fails(context):
-    request_error, second_result, working_peer_failure = context.results
+    request_error, second_result, working_peer_error = context.results
     assert request_error, context.results
     assert second_result is None, context.results
-    assert not working_peer_failure, working_peer_failure
+    assert not working_peer_error, working_peer_error
     context.listener.close()
 
 
@@ -195,12 +195,12 @@
 async def disconnect_unread(port):
     """Send a request, leave the answer unread and end the connection."""
     link = make_link(port)
-    asking = await curio.spawn(send, link, 1, SHORT_TIMEOUT)
+    request_task = await curio.spawn(send, link, 1, SHORT_TIMEOUT)
     # The reading task of the link is cancelled before the answer arrives.
     while link._reader is None:
         await curio.sleep(0)
     await link._reader.cancel(blocking=False)
-    await asking.join()
+    await request_task.join()
     await link._sock.shutdown(socket.SHUT_RDWR)
     await link.close()
     await curio.sleep(SHORT_TIMEOUT)
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -79,30 +79,30 @@
     assert (allowed == 'yes') is (not context.refusal), context.refusal
 
 
-def _envelope(number):
+def _encode_envelope(number):
     body = msgspec.Raw(msgspec.json.encode(Number(number)))
     return msgspec.json.encode(Envelope('me', number, 1.0, body))
 
 
 @then('a reader of a log with records {written} handles {handled}')
 def check_handled(context, written, handled):
-    async def work():
+    async def read_records():
         log = MemoryLog()
-        await log.append('s', [_envelope(int(text)) for text in written.split(', ')])
+        await log.append('s', [_encode_envelope(int(text)) for text in written.split(', ')])
         reader = StreamReader(log, 's', ManualClock(), Number)
         found = []
         reader.add_handler(lambda record, position: found.append(str(record.number)), found.clear)
         await reader.read_once(0)
         return ', '.join(found)
 
-    assert curio.run(work) == handled
+    assert curio.run(read_records) == handled
 
 
 @then('a reader of a truncated log covers the last {seconds:d} seconds only after that time')
 def check_covers(context, seconds):
-    async def work():
+    async def read_truncated_log():
         log = MemoryLog()
-        await log.append('s', [_envelope(0)])
+        await log.append('s', [_encode_envelope(0)])
         log.stream('s').truncate(1)
         clock = ManualClock()
         reader = StreamReader(log, 's', clock, Number)
@@ -115,7 +115,7 @@
         found.append(reader.covers_last(seconds))
         return found
 
-    assert curio.run(work) == [False, False, True]
+    assert curio.run(read_truncated_log) == [False, False, True]
 
 
 def _join(context, member):
@@ -125,10 +125,10 @@
 
 
 @given('a member that knows of one other')
-def make_book(context):
+def make_member(context):
     context.clock = ManualClock()
     context.members = Membership(context.clock)
-    context.book = PromiseTracker('a/1', 'z', context.clock, context.members)
+    context.promise_tracker = PromiseTracker('a/1', 'z', context.clock, context.members)
     _join(context, 'a/1')
     _join(context, 'b/1')
 
@@ -136,27 +136,27 @@
 @when("the other's view names a third member that it does not know")
 def name_third(context):
     context.view = tuple(map(hash_member, ('a/1', 'b/1', 'c/1')))
-    context.book.receive('b/1', context.clock.monotonic(), True, context.view)
+    context.promise_tracker.receive('b/1', context.clock.monotonic(), True, context.view)
 
 
 @when('it learns of the third and both send a promise')
 def learn_third(context):
     _join(context, 'c/1')
     for member in ('b/1', 'c/1'):
-        context.book.receive(member, context.clock.monotonic(), True, context.view)
+        context.promise_tracker.receive(member, context.clock.monotonic(), True, context.view)
 
 
 @then('it has {evidence} evidence, and its own view names {words} members')
 def check_no_evidence(context, evidence, words):
     assert evidence == 'no'
-    assert context.book.evidence_at() == float('-inf')
-    assert len(context.book.view()) == {'two': 2, 'three': 3}[words]
+    assert context.promise_tracker.evidence_at() == float('-inf')
+    assert len(context.promise_tracker.view()) == {'two': 2, 'three': 3}[words]
 
 
 @then('it has evidence, and its own view names {words} members')
 def check_evidence(context, words):
-    assert context.book.evidence_at() == context.clock.monotonic()
-    assert len(context.book.view()) == {'two': 2, 'three': 3}[words]
+    assert context.promise_tracker.evidence_at() == context.clock.monotonic()
+    assert len(context.promise_tracker.view()) == {'two': 2, 'three': 3}[words]
 
 
 @then('the shares of {count:d} over zones with {daemons:d} daemons add up to at most {limit:d}')
@@ -180,27 +180,27 @@
 def make_job(context):
     clock = ManualClock()
     context.shards = ShardProjection(Membership(clock), clock)
-    context.book = JobProjection(context.shards, 10, 10)
+    context.job_projection = JobProjection(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
     accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
-    context.book.fold(accepted, Position(1, 'a/1', 0))
+    context.job_projection.fold(accepted, Position(1, 'a/1', 0))
 
 
-def _intent(worker):
+def _make_intent(worker):
     return AttemptIntent('z.1', 1, 1, 'a/1', (worker,))
 
 
 @when('its intent for w1 is appended, and then one for w2 with the same attempt')
 def append_both_intents(context):
     for offset, worker in enumerate(('w1', 'w2'), 2):
-        context.book.fold(_intent(worker), Position(offset, 'a/1', 0))
+        context.job_projection.fold(_make_intent(worker), Position(offset, 'a/1', 0))
 
 
 @then('the job matches the intent for w1 and not the one for w2')
 def check_matching_intent(context):
-    job = context.book.get('z.1')
-    assert job.matches_intent(_intent('w1'))
-    assert not job.matches_intent(_intent('w2'))
+    job = context.job_projection.get('z.1')
+    assert job.matches_intent(_make_intent('w1'))
+    assert not job.matches_intent(_make_intent('w2'))
 
 
 @when(
@@ -211,9 +211,9 @@
     context.shards.fold(released, Position(2, 'a/1', 0))
     _claim(context, 'b/1', 1, 3)
     assert context.shards.epoch(DISPATCH_SHARD) == 4
-    context.book.fold(_intent('w1'), Position(4, 'a/1', 0))
+    context.job_projection.fold(_make_intent('w1'), Position(4, 'a/1', 0))
 
 
 @then('the job still waits')
 def check_waiting(context):
-    assert context.book.get('z.1').state is JobState.WAITING
+    assert context.job_projection.get('z.1').state is JobState.WAITING
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -106,7 +106,7 @@
             await self._worker.start(task_path, order, 0, _always)
             return answer_json({}, HTTP_CREATED)
         task_id, _, action = task_path.rpartition('/')
-        await self._worker.act(task_id, action)
+        await self._worker.apply_action(task_id, action)
         return answer_json({})
 
     def _record_change(self, task: MemoryTask) -> None:
