--- a/bench/guards.py
+++ b/bench/guards.py
@@ -193,11 +193,11 @@
     ),
 )
 WORDS = {
-    'TWICE': 'stands twice',
+    'TWICE': 'is in the log twice',
     'MIDDLE': 'begins in the middle',
     'LEDGER': 'A ledger of 8',
-    'GIVEN UP': 'given up has landed',
-    'FORMER': 'of a former dispatcher lands',
+    'GIVEN UP': 'write timed out is appended',
+    'FORMER': 'of a former dispatcher is appended',
     'VIEW': 'known at first hand',
     'LATE': 'Answers come late',
     'SETTLEMENT': 'A worker is lost',
--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -42,7 +42,7 @@
 
 @plugins.register(PluginKind.LOG, 'http')
 class HttpLog(LogService):
-    """Uses one connection for appends and one for reads of each stream.
+    """Uses two connections for each stream: one for appends and one for reads.
 
     A read waits at the server for new records (long polling), so appends on the
     same connection would wait behind it.
--- a/dandelionreel/kernel/_journal.py
+++ b/dandelionreel/kernel/_journal.py
@@ -1,6 +1,6 @@
 """Structured log of the daemon's decisions, written as eliot events.
 
-Each event has a short sentence that starts with the name of the subsystem.
+The text of each event is a short sentence after the name of the part that wrote it.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class Part(enum.Enum):
-    """The subsystem that writes a log line; its value is the prefix of the sentence."""
+    """The part (subsystem) of the daemon that writes a line; its value is the line's prefix."""
 
     LIFE = 'life'
     LOG = 'log'
@@ -48,8 +48,8 @@
     """Writes log lines and samples the frequent ones.
 
     ``tell_frequent`` writes one of every ``sample_every`` lines; these have the field
-    ``sampled``, so that a reader can estimate the full count. A subsystem that is
-    listed in ``quiet_parts`` writes nothing.
+    ``sampled``, so that a reader can estimate the full count. A part that is listed in
+    ``quiet_parts`` writes nothing.
     """
 
     def __init__(
--- a/dandelionreel/kernel/_verdict.py
+++ b/dandelionreel/kernel/_verdict.py
@@ -47,5 +47,5 @@
 
 
 def outcome_unknown(status: int, cause: str, detail: str) -> RequestError:
-    """Return an error for a request that may have been executed."""
+    """Return an error for a request that may or may not have been executed."""
     return RequestError(Problem(Verdict.UNKNOWN, status, cause, detail))
--- a/dandelionreel/peers/schema.capnp
+++ b/dandelionreel/peers/schema.capnp
@@ -95,8 +95,8 @@
 
 struct HeartbeatAnswer {
   promise @0 :Bool;
-  # The sender claims none of the receiver's shards and will not act on a claim within the
-  # authority duration D.
+  # The sender claims none of the receiver's shards, and will not act on a claim to one within
+  # the authority timeout (setting ``timings.authority``) from now.
   view @1 :List(UInt64);
   heard @2 :List(UInt64);
   rooms @3 :List(Room);
--- a/dandelionreel/routing/_budget.py
+++ b/dandelionreel/routing/_budget.py
@@ -7,7 +7,7 @@
 MAX_SAVED_RETRIES = 10.0
 #: Compensates float error, so that three thirds of a count make the whole.
 ROUNDING_TOLERANCE = 1e-9
-#: Requests per second where the share of the rate is lower or zero.
+#: Requests per second for a daemon whose share of the rate is lower or zero.
 MIN_RATE = 1e-3
 
 
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -16,6 +16,7 @@
 from dandelionreel.kernel import Problem, RequestError, Verdict, not_run, outcome_unknown
 
 NONCE_BYTES = 8
+#: Beyond this number the oldest keys are forgotten.
 MAX_KEYS = 50_000
 #: Stands for a runner's status when nothing was sent.
 NOT_SENT = 0
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -84,8 +84,8 @@
         """Return whether the endpoint is draining or shutting down.
 
         The sources are the host list, an operator, peers, and this daemon's
-        own connections. A report from peers or connections that is two polls
-        older than a host list with the endpoint still live is a false alarm.
+        own connections. A report from peers or connections is a false alarm if a
+        host list that was read two poll intervals later still has the endpoint as live.
         """
         if not entry.is_live or entry.name in self._draining:
             return True
--- a/dandelionreel/routing/_queue.py
+++ b/dandelionreel/routing/_queue.py
@@ -24,7 +24,7 @@
     """A bounded priority queue; a woken request tries again to acquire a slot."""
 
     def __init__(self, max_length: int) -> None:
-        """Hold at most ``length`` requests."""
+        """Hold at most ``max_length`` requests."""
         self._max_length = max_length
         self._heap: list[Waiter] = []
         self._arrivals = 0
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -51,7 +51,8 @@
 HTTP_BAD_GATEWAY = 502
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
-#: Minimum remaining time for a request to be forwarded to another zone.
+#: A round trip to another zone takes at least this long, so a request with less time left
+#: is not forwarded there.
 CROSS_ZONE_MIN_SECONDS = 0.05
 #: Time reserved for the answer to reach the caller.
 ANSWER_MARGIN_SECONDS = 0.01
@@ -65,7 +66,7 @@
 MAX_HOPS = 1
 #: Hop count with which the receiver admits the request as if it came from a caller.
 ADMIT_HOPS = 0
-#: One more hop, to the zone that keeps the idempotency key.
+#: One hop to the zone that keeps the idempotency key, one more to a peer with free slots.
 MAX_KEYED_HOPS = 2
 RETRY_AFTER_SECONDS = 1.0
 NO_ROUTE_RETRY_SECONDS = 5.0
@@ -73,7 +74,7 @@
 
 @dataclass
 class _AttemptHistory:
-    """Outcome of all previous attempts of one request."""
+    """Whether any earlier attempt of one request may have run."""
 
     may_have_run: bool = False
 
@@ -382,7 +383,7 @@
         frame = await state.link.ask(message, max(remaining, ANSWER_MARGIN_SECONDS))
         answer = frame.message
         if not isinstance(answer, ForwardAnswer):
-            raise PeerError('not an answer', Verdict.UNKNOWN)
+            raise PeerError('unexpected message type in the answer', Verdict.UNKNOWN)
         if answer.no_room:
             return None
         raise_problem(answer.answer)
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -20,13 +20,15 @@
 
 SLOTS_PATH = '/.runner/slots'
 HTTP_OK = 200
-#: Weight of the newest answer time in the moving average.
+#: Weight of the newest answer time in the moving average of answer times.
 LATENCY_WEIGHT = 0.1
 #: A runner whose mean latency exceeds its best by this factor gets a lower limit.
 SLOW_FACTOR = 3.0
 LIMIT_DECREASE_FACTOR = 0.9
+#: Factor by which the best answer time rises with each answer.
 BEST_DRIFT_FACTOR = 1.01
 MIN_LIMIT = 1.0
+#: A quarantined runner gets no requests; the time doubles each time up to the maximum.
 INITIAL_QUARANTINE_SECONDS = 1.0
 MAX_QUARANTINE_SECONDS = 30.0
 FAILURES_TO_QUARANTINE = 3
@@ -92,7 +94,9 @@
         self.open_connections = 0
         #: Slots that requests of a former owner may still occupy.
         self.former_owner_slots = 0
+        #: When a runner that does not report its slots counts as free of them.
         self.former_owner_wait_until = 0.0
+        #: When a refused or closing connection last suggested that the endpoint leaves.
         self.leaving_seen_at = float('-inf')
 
     @property
@@ -127,7 +131,11 @@
         return self._clock.monotonic() < self._quarantined_until
 
     def start_ownership(self, grant: Grant, *, clean_handover: bool) -> None:
-        """Begin a grant; after an unclean handover all slots count as the former owner's."""
+        """Begin a grant.
+
+        After an unclean handover all slots count as occupied by the former owner
+        until ``await_former_owner`` finds them free.
+        """
         self._epoch = grant.epoch
         if not clean_handover:
             self.former_owner_slots = self.entry.slots
@@ -233,7 +241,7 @@
             self.leaving_seen_at = self._clock.monotonic()
 
     def record_failure(self, error: ExchangeError) -> None:
-        """Update health from a failure; a refused connection means the endpoint may leave."""
+        """Update health from a failure; a refused connection suggests that the endpoint leaves."""
         if isinstance(error, SendForbiddenError):
             return
         if isinstance(error, RefusedError):
@@ -291,8 +299,8 @@
             await self.done.set()
             if error.sent and not isinstance(error, RefusedError):
                 # The runner may still be working although the connection is
-                # closed; the slot stays occupied until it reports fewer busy
-                # slots, or for the longest run.
+                # closed; the slot stays occupied until the runner reports fewer
+                # busy slots than are counted here, at most for the longest run.
                 await self._wait_for_release(longest_run)
         finally:
             runner.in_use -= 1
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -25,6 +25,7 @@
 UNKNOWN = 'unknown'
 #: A long poll for changes waits this fraction of a lease at the worker.
 WATCH_LEASE_FRACTION = 2 / 3
+#: The same while the state of a former owner is unsettled.
 UNSETTLED_WATCH_SECONDS = 1.0
 RETRY_DELAY_SECONDS = 0.5
 #: Without ownership the agent checks this often, or when its grant changes.
@@ -198,8 +199,8 @@
     def _start_history_seconds(self) -> float:
         """Return for how many seconds back from now the task list has every start.
 
-        The list may be as old as a long poll, and its history counts back
-        from when it was requested.
+        The list may be old: the last long poll may have taken most of a lease.
+        Its age is counted from when it was requested.
         """
         if self._task_list is None:
             return 0
@@ -298,7 +299,7 @@
         return PlaceAnswer(STARTED)
 
     def _may_send_start(self, grant: Grant) -> bool:
-        """Return whether a start that the ledger counts may be sent now."""
+        """Return whether a start that the ledger already counts may be sent now."""
         current = self.grant()
         if current.level is GrantLevel.NONE or current.epoch != grant.epoch:
             return False
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -55,7 +55,10 @@
 
 
 class WorkerFleet(ShardUser):
-    """The agents of all workers of the zone; a daemon acts only on workers it owns."""
+    """The agents of all workers of the zone.
+
+    Every daemon has an agent for each worker, but acts only on the workers that it owns.
+    """
 
     def __init__(
         self,
@@ -134,7 +137,7 @@
         """Start a task for the dispatcher, unless its order is too old.
 
         The order may have waited in a paused process or in a socket while
-        another dispatcher took over, so its age is checked on our own clock.
+        another dispatcher took over. The echoed reading of our own clock bounds its age.
         """
         order = frame.message
         if not isinstance(order, PlaceOrder):
@@ -216,7 +219,7 @@
             await curio.sleep(POLL_SECONDS)
 
     def _find_report_target(self, agent: WorkerAgent) -> '_ReportTarget':
-        """Return the target of a report made now, empty if none is due."""
+        """Return where a report made now would go; empty without a dispatcher or a grant."""
         claim = self._shards.get(DISPATCH_SHARD)
         grant = agent.grant()
         if claim is None or grant.level is GrantLevel.NONE:
--- a/features/links.feature
+++ b/features/links.feature
@@ -1,7 +1,7 @@
 Feature: Failing and closed connections to peers and servers
 
   # Guards against closing a socket on which another task is blocked in sending. Its descriptor
-  # would stay in the selector of curio, and reusing its number would end the process.
+  # would stay in curio's selector, and a new connection with its number would end the process.
   Scenario: A request times out while another one is blocked in sending
     Given a peer that accepts connections and never reads
     When a large request is sent to it and a small one times out meanwhile
--- a/features/parts.feature
+++ b/features/parts.feature
@@ -28,7 +28,7 @@
 
   # A start whose answer was lost may still reach the worker, so a task list without it
   # must not release its resources.
-  Scenario: A start in doubt is not released by a listing
+  Scenario: A start with an unknown outcome is not released by a task list
     Given a ledger of 8 processors with 0 allocated by a former owner and 0 by its owner
     When a start of 6 processors has an unknown outcome and the task list lacks it
     And 4 processors are requested at level whole
@@ -36,26 +36,27 @@
 
   # An intent whose write timed out may still be appended to the log after its
   # replacement; only the first of one attempt counts.
-  Scenario: An intent that was given up has landed after all
+  Scenario: An intent whose write timed out is appended after all
     Given a job and a dispatcher of epoch 1
     When its intent for w1 is appended, and then one for w2 with the same attempt
     Then the job matches the intent for w1 and not the one for w2
 
   # A dispatcher that was replaced may still write; its intent has an old epoch.
-  Scenario: An intent of a former dispatcher lands after its successor's claim
+  Scenario: An intent of a former dispatcher is appended after its successor's claim
     Given a job and a dispatcher of epoch 1
     When another dispatcher claims the shard, and then an intent of the former one for w1 is appended
     Then the job still waits
 
   # An append that was repeated because its answer was lost leaves two copies in the log.
-  Scenario: A record that stands twice in the log is folded once
+  Scenario: A record that is in the log twice is processed once
     Then a reader of a log with records 0, 1, 1, 0, 2 handles 0, 1, 2
 
   # A log that was truncated recently may lack claims whose owners are alive.
   Scenario: A reader that begins in the middle covers only what it has read
     Then a reader of a truncated log covers the last 10 seconds only after that time
 
-  # A view must hold only members that this one knows itself, not those that peers report.
+  # A view must hold only members that this one knows itself. With those that peers report,
+  # views would grow with every exchange.
   Scenario: A view names only members known at first hand
     Given a member that knows of one other
     When the other's view names a third member that it does not know
