--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -28,7 +28,8 @@
 #: Factor by which the best answer time rises with each answer.
 BEST_DRIFT_FACTOR = 1.01
 MIN_LIMIT = 1.0
-#: A quarantined runner gets no requests; the time doubles each time up to the maximum.
+#: A quarantined runner gets no requests. The time doubles with each quarantine up to the
+#: maximum, until an answer resets it.
 INITIAL_QUARANTINE_SECONDS = 1.0
 MAX_QUARANTINE_SECONDS = 30.0
 FAILURES_TO_QUARANTINE = 3
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -25,7 +25,7 @@
 UNKNOWN = 'unknown'
 #: A long poll for changes waits this fraction of a lease at the worker.
 WATCH_LEASE_FRACTION = 2 / 3
-#: The same while the state of a former owner is unsettled.
+#: Seconds of a long poll while the state of a former owner is unsettled.
 UNSETTLED_WATCH_SECONDS = 1.0
 RETRY_DELAY_SECONDS = 0.5
 #: Without ownership the agent checks this often, or when its grant changes.
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -57,7 +57,8 @@
 class WorkerFleet(ShardUser):
     """The agents of all workers of the zone.
 
-    Every daemon has an agent for each worker, but acts only on the workers that it owns.
+    Every daemon has an agent for each worker, but starts and stops tasks only on those
+    that it owns.
     """
 
     def __init__(
