--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -78,9 +78,9 @@
 class Tally:
     """What a soak has done, and which promises it found broken."""
 
-    asked: list[Asked] = field(default_factory=list)
+    jobs: list[Asked] = field(default_factory=list)
     faults: Counter = field(default_factory=Counter)
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 class PlatformSoak:
@@ -143,7 +143,7 @@
                 self._over.set()
             self._heal()
             self._judge()
-            if self.tally.wrong:
+            if self.tally.violations:
                 for name in self._hosts.names:
                     sys.stdout.write(f'--- {name}\n{self._hosts.log_of(name)[-200_000:]}')
         return self.tally
@@ -161,7 +161,7 @@
             job = (number << 32) + count
             queue = draw.choice(('plain', 'advised'))
             asked = Asked(f'/{queue}/{job:016x}', draw.randint(1, 4), client=number)
-            self.tally.asked.append(asked)
+            self.tally.jobs.append(asked)
             self._hand_in(asked, draw)
             if asked.accepted and draw.random() < 0.1:
                 time.sleep(draw.random() * 0.3)
@@ -257,7 +257,7 @@
             count += 1
             job = (CLIENTS << 32) + count
             asked = Asked(f'/plain/{job:016x}', draw.randint(1, 2), culprit=True)
-            self.tally.asked.append(asked)
+            self.tally.jobs.append(asked)
             self._hand_in(asked, draw)
 
     def _later(self, seconds: float, heal: object, *args: object) -> None:
@@ -340,11 +340,11 @@
             self._accounts.settle()
 
     def _judge(self) -> None:
-        wrong = self.tally.wrong
+        wrong = self.tally.violations
         if self._accounts is not None:
             wrong.extend(self._accounts.judge(self._hosts))
             self.tally.faults['accounts'] = self._accounts.changes
-        for asked in self.tally.asked:
+        for asked in self.tally.jobs:
             try:
                 wait_for(lambda asked=asked: self._has_ended(asked))
             except TimeoutError:
@@ -360,7 +360,7 @@
             if count > MOST_CRASHES and self._is_culprit(task):
                 wrong.append(f'{task} crashed {count} runners')
         jobs = {run.task.split('.')[0] for run in runs}
-        for asked in self.tally.asked:
+        for asked in self.tally.jobs:
             job = asked.path.rpartition('/')[2]
             most = max((crashes[task] for task in crashes if task.startswith(job)), default=0)
             given_up = asked.accepted and self._state(asked) == 'failed'
@@ -384,7 +384,7 @@
 
     def _is_culprit(self, task: str) -> bool:
         job = task.split('.')[0]
-        return any(asked.culprit and asked.path.endswith(job) for asked in self.tally.asked)
+        return any(asked.culprit and asked.path.endswith(job) for asked in self.tally.jobs)
 
     def _state(self, asked: Asked) -> str:
         """Return the state that the first host tells."""
@@ -419,14 +419,14 @@
         accounts=options.accounts,
     )
     tally = soak.run()
-    accepted = sum(asked.accepted for asked in tally.asked)
+    accepted = sum(asked.accepted for asked in tally.jobs)
     sys.stdout.write(
-        f'seed {options.seed}: {len(tally.asked)} jobs, {accepted} accepted; '
-        f'faults {dict(tally.faults)}; {len(tally.wrong)} promises broken\n'
+        f'seed {options.seed}: {len(tally.jobs)} jobs, {accepted} accepted; '
+        f'faults {dict(tally.faults)}; {len(tally.violations)} promises broken\n'
     )
-    for line in tally.wrong:
+    for line in tally.violations:
         sys.stdout.write(f'  {line}\n')
-    return 1 if tally.wrong else 0
+    return 1 if tally.violations else 0
 
 
 if __name__ == '__main__':
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -54,12 +54,12 @@
 class Tally:
     """What the run has done and found."""
 
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[Asked] = field(default_factory=list)
     accepted: dict[str, bool] = field(default_factory=dict)
     refused: Counter = field(default_factory=Counter)
     faults: Counter = field(default_factory=Counter)
     versions: dict[str, int] = field(default_factory=dict)
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     left_at: dict[str, float] = field(default_factory=dict)
     lock: Lock = field(default_factory=Lock)
 
@@ -118,7 +118,7 @@
         """Send one request and keep its answer."""
         asked = Asked(os.urandom(8).hex(), os.urandom(200), source.random() < 0.6)
         with self.tally.lock:
-            self.tally.asked.append(asked)
+            self.tally.requests.append(asked)
         reply = self.cell.callers(
             name,
             'POST',
@@ -161,7 +161,7 @@
                 version = status['contracts'].get('khangai', 0)
                 member = status['member']
                 if version < self.tally.versions.get(member, 0):
-                    self.tally.wrong.append(f'version went back at {member}')
+                    self.tally.violations.append(f'version went back at {member}')
                 self.tally.versions[member] = max(version, self.tally.versions.get(member, 0))
             time.sleep(0.3)
 
@@ -216,7 +216,7 @@
         self.cell.signal(name, signal.SIGTERM)
         process = self.cell.daemons[name].process
         if not wait_until(lambda: process.poll() is not None, 25):
-            self.tally.wrong.append(f'{name} did not stop in time')
+            self.tally.violations.append(f'{name} did not stop in time')
             self.cell.kill(name)
         self.cell.start(name)
         self.down.discard(name)
@@ -293,7 +293,7 @@
             if request['started_at'] > left_at + LEAVING_SECONDS
         ]
         if late:
-            self.tally.wrong.append(f'{name} got {len(late)} requests while leaving')
+            self.tally.violations.append(f'{name} got {len(late)} requests while leaving')
         self.list_hosts()
 
     def list_hosts(self, leaving: str = '') -> None:
@@ -325,7 +325,7 @@
             replies = list(pool.map(lambda name: self.try_publish(name, version), (first, second)))
         won = [reply for reply in replies if reply == 200]
         if len(won) > 1 and first != second:
-            self.tally.wrong.append('two operators both won')
+            self.tally.violations.append('two operators both won')
         self.version = max(self.tally.versions.values(), default=1)
 
     def try_publish(self, name: str, version: int) -> int:
@@ -365,12 +365,12 @@
             return not missing
 
         if not wait_until(all_final, 60, 0.5):
-            self.tally.wrong.append(
+            self.tally.violations.append(
                 f'{len(missing)} accepted jobs did not end: {sorted(missing)[:3]}'
             )
             for one in sorted(missing)[:3]:
                 shown = self.cell.admin(f'{ZONES[0]}-d0', 'GET', f'/v1/jobs/{one}')
-                self.tally.wrong.append(shown.body.decode())
+                self.tally.violations.append(shown.body.decode())
 
     def listed(self, name: str, state: str) -> set[str]:
         """Return the jobs of a daemon's zone in a state."""
@@ -391,18 +391,18 @@
         endpoints = self.cell.records('endpoint')
         runs = [run for record in workers for run in record['runs']]
         once = {name for name, is_once in tally.accepted.items() if is_once}
-        tally.wrong.extend(f'over-filled {one}' for one in over_filled(workers))
-        tally.wrong.extend(f'over slots {one}' for one in over_slots(endpoints))
-        tally.wrong.extend(f'in two places {one}' for one in overlapping(runs))
-        tally.wrong.extend(f'run twice {one}' for one in repeated(runs, once))
-        tally.wrong.extend(self.judge_requests(requests_by_mark(endpoints)))
+        tally.violations.extend(f'over-filled {one}' for one in over_filled(workers))
+        tally.violations.extend(f'over slots {one}' for one in over_slots(endpoints))
+        tally.violations.extend(f'in two places {one}' for one in overlapping(runs))
+        tally.violations.extend(f'run twice {one}' for one in repeated(runs, once))
+        tally.violations.extend(self.judge_requests(requests_by_mark(endpoints)))
         self.starts = len(runs)
         self.worked = sum(len(record['requests']) for record in endpoints)
 
     def judge_requests(self, worked: dict[str, list[dict[str, Any]]]) -> list[str]:
         """Return what is wrong with answers and verdicts."""
         wrong = []
-        for asked in self.tally.asked:
+        for asked in self.tally.requests:
             done = worked.get(asked.mark, [])
             if asked.status == 200 and not asked.own:
                 wrong.append(f'answer of another: {asked.mark}')
@@ -422,17 +422,17 @@
     options = parser.parse_args()
     soak = Soak(options.seed, options.seconds, options.daemons)
     tally = soak.run()
-    verdicts = Counter(asked.verdict or 'none' for asked in tally.asked)
+    verdicts = Counter(asked.verdict or 'none' for asked in tally.requests)
     sys.stdout.write(
         f'seed {options.seed}, {options.seconds:.0f} s of faults: {dict(tally.faults)}\n'
-        f'requests {len(tally.asked)} with verdicts {dict(verdicts)}; worked on {soak.worked}\n'
+        f'requests {len(tally.requests)} with verdicts {dict(verdicts)}; worked on {soak.worked}\n'
         f'jobs accepted {len(tally.accepted)}, task starts {soak.starts}, '
         f'submissions refused {dict(tally.refused)}\n'
-        f'promises broken: {len(tally.wrong)}\n',
+        f'promises broken: {len(tally.violations)}\n',
     )
-    for line in tally.wrong[:20]:
+    for line in tally.violations[:20]:
         sys.stdout.write(f'WRONG {line[:400]}\n')
-    return 1 if tally.wrong else 0
+    return 1 if tally.violations else 0
 
 
 if __name__ == '__main__':
--- a/features/steps/platform_soak_steps.py
+++ b/features/steps/platform_soak_steps.py
@@ -12,5 +12,5 @@
 
 @then('every promise was kept')
 def kept(context):
-    assert any(asked.accepted for asked in context.tally.asked)
-    assert not context.tally.wrong, context.tally.wrong
+    assert any(job.accepted for job in context.tally.jobs)
+    assert not context.tally.violations, context.tally.violations
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -12,5 +12,5 @@
 
 @then('no promise was broken in the run')
 def check_tally(context):
-    assert context.tally.asked and context.tally.accepted
-    assert not context.tally.wrong, context.tally.wrong
+    assert context.tally.requests and context.tally.accepted
+    assert not context.tally.violations, context.tally.violations
