--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -12,23 +12,23 @@
 import numpy as np
 from matplotlib.figure import Figure
 
-from bench.cell import SIZES, idle, tell
+from bench.cell import SIZES, measure_idle, print_figures
 
 COSTS = ('cpu_percent', 'memory_mb', 'control_bytes')
 SIZE_FIELDS = ('near', 'far', 'owned_workers', 'zone_workers', 'owned_tasks')
-LIMITS = {'cpu_percent': 1.4, 'memory_mb': 32.0, 'control_bytes': 6000.0}
+LIMIT_BY_COST = {'cpu_percent': 1.4, 'memory_mb': 32.0, 'control_bytes': 6000.0}
 ZONES = 7
 WORKERS = 1300
 TASKS = 9600
-PICTURE = Path(__file__).parent.parent / 'docs' / 'capacity.png'
+PLOT_PATH = Path(__file__).parent.parent / 'docs' / 'capacity.png'
 
 
-def target(entry_hosts: int) -> dict[str, float]:
+def target_size(entry_hosts: int) -> dict[str, float]:
     """Return a daemon's surroundings at the target with so many entry hosts."""
-    each = entry_hosts / ZONES
+    hosts_per_zone = entry_hosts / ZONES
     return {
-        'near': each - 1,
-        'far': entry_hosts - each,
+        'near': hosts_per_zone - 1,
+        'far': entry_hosts - hosts_per_zone,
         'owned_workers': WORKERS / entry_hosts,
         'zone_workers': WORKERS / ZONES,
         'owned_tasks': TASKS / entry_hosts,
@@ -41,8 +41,8 @@
     while True:
         matrix = np.array([[1.0, *(row[field] for field in fields)] for row in rows])
         values = np.array([row[cost] for row in rows])
-        found, *_ = np.linalg.lstsq(matrix, values, rcond=None)
-        slopes = dict(zip(['base', *fields], map(float, found), strict=True))
+        solution, *_ = np.linalg.lstsq(matrix, values, rcond=None)
+        slopes = dict(zip(['base', *fields], map(float, solution), strict=True))
         lowest = min(fields, key=lambda field: slopes[field], default='')
         # More of anything never costs less: such a slope is noise.
         if not lowest or slopes[lowest] >= 0:
@@ -55,7 +55,7 @@
     return slopes['base'] + sum(slopes.get(field, 0) * size[field] for field in SIZE_FIELDS)
 
 
-def draw(rows: list[dict[str, Any]], slopes_by_cost: dict[str, dict[str, float]]) -> None:
+def draw_plot(rows: list[dict[str, Any]], slopes_by_cost: dict[str, dict[str, float]]) -> None:
     """Draw measured against fitted cost, with the limit of letter 1."""
     figure = Figure(figsize=(12, 4))
     axes = figure.subplots(1, len(COSTS))
@@ -65,29 +65,32 @@
         axis.scatter(fitted, [row[cost] for row in rows], label='measured size')
         hosts = range(14, 71, 7)
         axis.plot(
-            [predict(slopes, target(count)) for count in hosts],
-            [predict(slopes, target(count)) for count in hosts],
+            [predict(slopes, target_size(count)) for count in hosts],
+            [predict(slopes, target_size(count)) for count in hosts],
             marker='x',
             label='target, 14 to 70 entry hosts',
         )
-        axis.axhline(LIMITS[cost], color='red', label='limit of letter 1')
+        axis.axhline(LIMIT_BY_COST[cost], color='red', label='limit of letter 1')
         axis.set_xlabel('fitted')
         axis.set_ylabel(cost)
         axis.legend(fontsize=7)
     figure.tight_layout()
-    figure.savefig(PICTURE, dpi=80)
+    figure.savefig(PLOT_PATH, dpi=80)
 
 
 def main() -> int:
     """Measure, fit, print and draw."""
-    rows = [idle(*size) for size in SIZES]
+    rows = [measure_idle(*size) for size in SIZES]
     slopes_by_cost = {cost: fit(rows, cost) for cost in COSTS}
     for cost, slopes in slopes_by_cost.items():
         residual = max(abs(predict(slopes, row) - row[cost]) for row in rows)
-        tell(f'slopes of {cost}', **slopes, largest_residual=residual)
+        print_figures(f'slopes of {cost}', **slopes, largest_residual=residual)
         for hosts in (14, 28, 35, 56, 70):
-            tell(f'  at the target with {hosts} entry hosts', cost=predict(slopes, target(hosts)))
-    draw(rows, slopes_by_cost)
+            print_figures(
+                f'  at the target with {hosts} entry hosts',
+                cost=predict(slopes, target_size(hosts)),
+            )
+    draw_plot(rows, slopes_by_cost)
     return 0
 
 
--- a/bench/cell.py
+++ b/bench/cell.py
@@ -17,7 +17,7 @@
 from features.cells import contract, job
 from standins import Cluster, Layout, exchange, wait_until
 
-TICKS = os.sysconf('SC_CLK_TCK')
+TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
 IDLE_SECONDS = 15.0
 #: Zones, daemons and workers in each, running tasks in all.
 SIZES = (
@@ -32,7 +32,7 @@
 )
 
 
-def tell(name: str, **fields) -> None:
+def print_figures(name: str, **fields) -> None:
     """Write one line of figures."""
     rounded = {
         key: round(field, 3) if isinstance(field, float) else field for key, field in fields.items()
@@ -45,7 +45,7 @@
     """Return the processor time that a process has used."""
     with open(f'/proc/{pid}/stat', encoding='ascii') as stat:
         fields = stat.read().rsplit(')', 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
@@ -60,15 +60,15 @@
 def control_bytes(cell: Cluster, name: str) -> dict[str, float]:
     """Return the bytes of peer messages by kind so far."""
     text = cell.admin(name, 'GET', '/metrics').body.decode()
-    found = {}
+    bytes_by_kind = {}
     for line in text.splitlines():
         if line.startswith('dandelionreel_control_bytes_total'):
             kind = line.split('"')[1]
-            found[kind] = found.get(kind, 0) + float(line.rsplit(' ', 1)[1])
-    return found
+            bytes_by_kind[kind] = bytes_by_kind.get(kind, 0) + float(line.rsplit(' ', 1)[1])
+    return bytes_by_kind
 
 
-def idle(zones: int, daemons: int, workers: int, running: int) -> dict[str, Any]:
+def measure_idle(zones: int, daemons: int, workers: int, running: int) -> dict[str, Any]:
     """Return the idle cost of a daemon in a cell of that size, and print it."""
     names = ('ub-a', 'ub-b', 'ub-c', 'ub-d')[:zones]
     layout = Layout(names, daemons, workers, min(workers, 8), timings={})
@@ -77,18 +77,18 @@
         if running:
             start_running(cell, running)
         time.sleep(8)
-        pids = {name: one.process.pid for name, one in cell.daemons.items()}
-        first = {name: cpu_seconds(pid) for name, pid in pids.items()}
-        kinds = {name: control_bytes(cell, name) for name in pids}
-        log = exchange(cell.address, cell.log_port, 'GET', '/control/counts').json()
+        pids = {name: daemon.process.pid for name, daemon in cell.daemons.items()}
+        cpu_before = {name: cpu_seconds(pid) for name, pid in pids.items()}
+        bytes_before = {name: control_bytes(cell, name) for name in pids}
+        log_before = exchange(cell.address, cell.log_port, 'GET', '/control/counts').json()
         time.sleep(IDLE_SECONDS)
-        cpu = [(cpu_seconds(pid) - first[name]) / IDLE_SECONDS for name, pid in pids.items()]
-        later = exchange(cell.address, cell.log_port, 'GET', '/control/counts').json()
+        cpu = [(cpu_seconds(pid) - cpu_before[name]) / IDLE_SECONDS for name, pid in pids.items()]
+        log_after = exchange(cell.address, cell.log_port, 'GET', '/control/counts').json()
         by_kind: dict[str, float] = {}
         for name in pids:
             for kind, count in control_bytes(cell, name).items():
-                grown = (count - kinds[name].get(kind, 0)) / IDLE_SECONDS / len(pids)
-                by_kind[kind] = round(by_kind.get(kind, 0) + grown, 1)
+                rate = (count - bytes_before[name].get(kind, 0)) / IDLE_SECONDS / len(pids)
+                by_kind[kind] = round(by_kind.get(kind, 0) + rate, 1)
         row = {
             'zones': zones,
             'daemons': zones * daemons,
@@ -104,9 +104,9 @@
             'memory_mb': mean([memory_mb(pid) for pid in pids.values()]),
             'control_bytes': sum(by_kind.values()),
             'by_kind': by_kind,
-            'log_reads_per_second': (later['reads'] - log['reads']) / IDLE_SECONDS,
+            'log_reads_per_second': (log_after['reads'] - log_before['reads']) / IDLE_SECONDS,
         }
-        tell('idle', **row)
+        print_figures('idle', **row)
         return row
 
 
@@ -124,65 +124,67 @@
     wait_until(lambda: len(cell.runs()) >= count, 60, 0.5)
 
 
-def takeover(kind: str, number: signal.Signals, rounds: int) -> None:
+def measure_takeover(kind: str, signal_number: signal.Signals, rounds: int) -> None:
     """Print how long a shard is without an acting owner after a failure."""
     times = []
     for _ in range(rounds):
         with Cluster(Layout(('ub-east',), 3, 4, 4, timings={})) as cell:
             cell.publish(contract())
             victim = 'ub-east-d0'
-            cell.signal(victim, number)
+            cell.signal(victim, signal_number)
             began = time.monotonic()
 
             def all_taken() -> bool:
                 shards = cell.admin('ub-east-d1', 'GET', '/v1/shards').json()
                 shards += cell.admin('ub-east-d2', 'GET', '/v1/shards').json()
-                acting = {one['shard'] for one in shards if one['level'] != 'none'}
+                acting = {shard['shard'] for shard in shards if shard['level'] != 'none'}
                 return len(acting) == 9
 
             if wait_until(all_taken, 40, 0.05):
                 times.append(time.monotonic() - began)
-    tell(f'takeover after {kind}', runs=len(times), median_s=median(times), worst_s=max(times))
+    print_figures(
+        f'takeover after {kind}', runs=len(times), median_s=median(times), worst_s=max(times)
+    )
 
 
-def publication(rounds: int) -> None:
+def measure_publication(rounds: int) -> None:
     """Print how long a version takes to be in force everywhere."""
     with Cluster(Layout(('ub-a', 'ub-b', 'ub-c'), 3, 1, 1, timings={})) as cell:
         cell.publish(contract())
-        quiet = []
+        healthy_times = []
         for version in range(2, 2 + rounds):
             began = time.monotonic()
             cell.publish(contract(version), version - 1)
-            wait_until(partial(in_force, cell, version), 30, 0.01)
-            quiet.append(time.monotonic() - began)
+            wait_until(partial(is_in_force, cell, version), 30, 0.01)
+            healthy_times.append(time.monotonic() - began)
         version = 2 + rounds
         cell.kill('ub-c-d2')
         began = time.monotonic()
         reply = cell.publish(contract(version), version - 1)
-        wait_until(partial(in_force, cell, version), 30, 0.01)
-        dying = time.monotonic() - began
-    tell(
+        wait_until(partial(is_in_force, cell, version), 30, 0.01)
+        dying_seconds = time.monotonic() - began
+    print_figures(
         'publication to 9 daemons',
         rounds=rounds,
-        quiet_median_s=median(quiet),
-        quiet_worst_s=max(quiet),
-        one_member_dying_s=dying,
+        quiet_median_s=median(healthy_times),
+        quiet_worst_s=max(healthy_times),
+        one_member_dying_s=dying_seconds,
         status=reply.status,
     )
 
 
-def in_force(cell: Cluster, version: int) -> bool:
+def is_in_force(cell: Cluster, version: int) -> bool:
     """Return whether all running daemons enforce the version."""
-    for one in cell.daemons.values():
-        if not one.is_running:
+    for daemon in cell.daemons.values():
+        if not daemon.is_running:
             continue
-        status = cell.admin(one.name, 'GET', '/v1/status').json()
+        status = cell.admin(daemon.name, 'GET', '/v1/status').json()
         if status['contracts'].get('khangai') != version:
             return False
     return True
 
 
-def burst(jobs: int) -> None:
+def measure_burst(jobs: int) -> None:
     """Print how many appends a burst of jobs takes."""
     with Cluster(Layout(('ub-east',), 3, 8, 1, timings={})) as cell:
         cell.publish(contract(quota={'processors': 1e6, 'memory_mb': 1e9}))
@@ -195,25 +197,25 @@
         def submit(index: int) -> int:
             return cell.submit(names[index % 3], spec, f'burst-{index}').status
 
-        pids = [one.process.pid for one in cell.daemons.values()]
+        pids = [daemon.process.pid for daemon in cell.daemons.values()]
         cpu = sum(cpu_seconds(pid) for pid in pids)
         with ThreadPoolExecutor(32) as pool:
             accepted = sum(status == 202 for status in pool.map(submit, range(jobs)))
-        took = time.monotonic() - began
+        submit_seconds = time.monotonic() - began
         wait_until(lambda: len(cell.runs()) >= accepted, 60, 0.1)
-        started = time.monotonic() - began
+        start_seconds = time.monotonic() - began
         time.sleep(2)
         cpu = sum(cpu_seconds(pid) for pid in pids) - cpu
         after = exchange(cell.address, cell.log_port, 'GET', '/control/counts').json()
     appends = after['appends'] - before['appends']
     records = after['records'] - before['records']
-    tell(
+    print_figures(
         'burst',
         jobs=accepted,
-        accepted_per_second=accepted / took,
-        starts_per_second=accepted / started,
+        accepted_per_second=accepted / submit_seconds,
+        starts_per_second=accepted / start_seconds,
         appends=appends,
-        appends_per_second=appends / started,
+        appends_per_second=appends / start_seconds,
         records_per_append=records / appends,
         cpu_ms_per_job=cpu / accepted * 1000,
     )
@@ -229,11 +231,11 @@
         (3, 3, 8, 120),
         (3, 3, 8, 360),
     ):
-        idle(*size)
-    takeover('SIGKILL', signal.SIGKILL, 7)
-    takeover('SIGSTOP', signal.SIGSTOP, 5)
-    publication(10)
-    burst(1500)
+        measure_idle(*size)
+    measure_takeover('SIGKILL', signal.SIGKILL, 7)
+    measure_takeover('SIGSTOP', signal.SIGSTOP, 5)
+    measure_publication(10)
+    measure_burst(1500)
     return 0
 
 
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -14,7 +14,7 @@
 }
 
 
-def tell(text: str) -> None:
+def print_line(text: str) -> None:
     """Write one line."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
@@ -22,43 +22,48 @@
 
 def main() -> int:
     """Show a contract, an urgent request and a job; return the exit status."""
-    tell('starting a log service, a host list, 4 workers, 4 runners and 4 daemons in 2 zones')
+    print_line('starting a log service, a host list, 4 workers, 4 runners and 4 daemons in 2 zones')
     with Cluster(Layout(daemons=2)) as cell:
-        return show(cell)
+        return run_demo(cell)
 
 
-def show(cell: Cluster) -> int:
+def run_demo(cell: Cluster) -> int:
     """Go through the path on a running cell."""
     names = list(cell.daemons)
     began = time.monotonic()
     reply = cell.publish(contract())
-    tell(f'contract published: {reply.status} {reply.body.decode()}')
+    print_line(f'contract published: {reply.status} {reply.body.decode()}')
     in_force = wait_until(
         lambda: all(
             cell.admin(name, 'GET', '/v1/status').json()['contracts'].get('khangai') == 1
             for name in names
         ),
     )
-    tell(f'in force on all {len(names)} daemons: {in_force}, {time.monotonic() - began:.3f} s')
+    print_line(
+        f'in force on all {len(names)} daemons: {in_force}, {time.monotonic() - began:.3f} s'
+    )
     for name in names:
-        answer = cell.callers(name, 'POST', '/v1/services/booking/echo', b'pass 4711', HEADERS)
-        verdict = answer.headers.get('dandelionreel-verdict')
-        tell(f'entry check by {name}: {answer.status}, verdict {verdict}, {answer.body!r}')
-    accepted = cell.submit(names[0], job('run 1'), 'settlement-1').json()
-    tell(f'settlement accepted: {accepted["id"]} {accepted["state"]}')
-    ended = wait_until(
+        response = cell.callers(name, 'POST', '/v1/services/booking/echo', b'pass 4711', HEADERS)
+        verdict = response.headers.get('dandelionreel-verdict')
+        print_line(
+            f'entry check by {name}: {response.status}, verdict {verdict}, {response.body!r}'
+        )
+    submitted = cell.submit(names[0], job('run 1'), 'settlement-1').json()
+    print_line(f'settlement accepted: {submitted["id"]} {submitted["state"]}')
+    has_ended = wait_until(
         lambda: (
-            cell.admin(names[0], 'GET', f'/v1/jobs/{accepted["id"]}').json()['state'] == 'succeeded'
+            cell.admin(names[0], 'GET', f'/v1/jobs/{submitted["id"]}').json()['state']
+            == 'succeeded'
         ),
     )
-    runs = cell.runs(accepted['id'])
-    tell(f"settlement ended: {ended}; runs by the workers' own record: {len(runs)}")
+    runs = cell.runs(submitted['id'])
+    print_line(f"settlement ended: {has_ended}; runs by the workers' own record: {len(runs)}")
     for name in names:
         for line in cell.log_of(name).splitlines():
             text = json.loads(line).get('text', '')
             if text.startswith(('placement', 'jobs: attempt', 'routing: sends')):
-                tell(f'  {name} | {text}')
-    return 0 if in_force and ended and len(runs) == 1 else 1
+                print_line(f'  {name} | {text}')
+    return 0 if in_force and has_ended and len(runs) == 1 else 1
 
 
 if __name__ == '__main__':
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Played:
+class Trial:
     """One play."""
 
     way: str
@@ -31,46 +31,48 @@
     seconds: float
 
 
-def play(played: Played) -> Score:
+def run_trial(trial: Trial) -> Score:
     """Return what one play came to."""
-    replay = Replay(make_loads()[played.load], POLICIES[played.way], played.seed)
-    replay.play(played.seconds)
+    replay = Replay(make_loads()[trial.load], POLICIES[trial.way], trial.seed)
+    replay.play(trial.seconds)
     return score(replay)
 
 
-def interval(found: list[float]) -> float:
+def confidence_half_width(values: list[float]) -> float:
     """Return half of the 95% confidence interval of a mean."""
-    if len(found) < 2:
+    if len(values) < 2:
         return 0.0
-    quantile = QUANTILE_BY_SEEDS.get(len(found), USUAL_QUANTILE)
-    return quantile * stdev(found) / len(found) ** 0.5
+    quantile = QUANTILE_BY_SEEDS.get(len(values), USUAL_QUANTILE)
+    return quantile * stdev(values) / len(values) ** 0.5
 
 
-def tell(scores_by_case: dict[tuple[str, str], list[Score]]) -> None:
+def print_table(scores_by_case: dict[tuple[str, str], list[Score]]) -> None:
     """Print a table."""
-    head = f'{"load":14}{"way":28}{"worth":>16}{"worst accounts":>16}{"bound":>8}{"plan p99":>10}'
-    sys.stdout.write(f'{head}\n')
+    header = f'{"load":14}{"way":28}{"worth":>16}{"worst accounts":>16}{"bound":>8}{"plan p99":>10}'
+    sys.stdout.write(f'{header}\n')
     for (load, way), scores in scores_by_case.items():
         columns = []
         for name in MEASURES[:2]:
-            found = [getattr(one, name) for one in scores]
-            columns.append(f'{mean(found):.3f} ± {interval(found):.3f}')
-        bound = mean(one.bound for one in scores)
-        plan = 1000 * max(one.plan_p99 for one in scores)
+            values = [getattr(result, name) for result in scores]
+            columns.append(f'{mean(values):.3f} ± {confidence_half_width(values):.3f}')
+        bound = mean(result.bound for result in scores)
+        plan = 1000 * max(result.plan_p99 for result in scores)
         sys.stdout.write(
             f'{load:14}{way:28}{columns[0]:>16}{columns[1]:>16}{bound:8.3f}{plan:7.1f} ms\n'
         )
 
 
-def draw(scores_by_case: dict[tuple[str, str], list[Score]], path: Path) -> None:
+def draw_plot(scores_by_case: dict[tuple[str, str], list[Score]], path: Path) -> None:
     """Draw the worth of each way on each load."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(9, 0.4 * len(scores_by_case) + 1))
-    for place, scores in enumerate(scores_by_case.values()):
-        found = [one.worth for one in scores]
-        axes.errorbar(mean(found), place, xerr=interval(found), fmt='o', color='black')
-        axes.plot(mean(one.worst_accounts for one in scores), place, 'x', color='grey')
+    for index, scores in enumerate(scores_by_case.values()):
+        values = [result.worth for result in scores]
+        axes.errorbar(
+            mean(values), index, xerr=confidence_half_width(values), fmt='o', color='black'
+        )
+        axes.plot(mean(result.worst_accounts for result in scores), index, 'x', color='grey')
     axes.set_yticks(range(len(scores_by_case)), [f'{load}: {way}' for load, way in scores_by_case])
     axes.set_xlabel('worth (dots, 95% intervals) and worst tenth of accounts (crosses)')
     figure.tight_layout()
@@ -86,19 +88,19 @@
     parser.add_argument('--seconds', type=float, default=24)
     parser.add_argument('--jobs', type=int, default=2)
     parser.add_argument('--plot', type=Path)
-    asked = parser.parse_args()
-    cases = list(product(asked.load or sorted(make_loads()), asked.way or sorted(POLICIES)))
-    seeds = range(1, asked.seeds + 1)
-    plays = [Played(way, load, seed, asked.seconds) for load, way in cases for seed in seeds]
-    with ProcessPoolExecutor(asked.jobs) as pool:
-        scores = list(pool.map(play, plays))
+    options = parser.parse_args()
+    cases = list(product(options.load or sorted(make_loads()), options.way or sorted(POLICIES)))
+    seeds = range(1, options.seeds + 1)
+    trials = [Trial(way, load, seed, options.seconds) for load, way in cases for seed in seeds]
+    with ProcessPoolExecutor(options.jobs) as pool:
+        scores = list(pool.map(run_trial, trials))
     scores_by_case = {
-        case: scores[place * asked.seeds : (place + 1) * asked.seeds]
-        for place, case in enumerate(cases)
+        case: scores[index * options.seeds : (index + 1) * options.seeds]
+        for index, case in enumerate(cases)
     }
-    tell(scores_by_case)
-    if asked.plot is not None:
-        draw(scores_by_case, asked.plot)
+    print_table(scores_by_case)
+    if options.plot is not None:
+        draw_plot(scores_by_case, options.plot)
     return 0
 
 
--- a/bench/explain.py
+++ b/bench/explain.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-BYTES = 100_000_000
+LOG_BYTES = 100_000_000
 SEED = 7
 HOSTS = [f'entry-{zone}-{number}' for zone in 'abcd' for number in range(1, 10)]
 JOB = '8b344bac49d1ac6d'
@@ -23,7 +23,7 @@
 MB = 1_000_000
 
 
-def fields_of(number: int, job: str, runner: str) -> dict[str, object]:
+def make_fields(number: int, job: str, runner: str) -> dict[str, object]:
     """Return what one line of ten tells, in the shapes and shares of real logs."""
     run = {'job': job, 'task': f'0.1.{number % 50}', 'run': 3001, 'epoch': 3, 'runner': runner}
     kinds = (
@@ -38,39 +38,39 @@
     return {'text': text.format(job=job, runner=runner), **fields}
 
 
-def mixed(one_job: bool) -> Iterator[bytes]:
+def generate_lines(one_job: bool) -> Iterator[bytes]:
     """Return lines of 36 hosts and 3,000 jobs, or of one job, cut ones among them."""
-    chance = random.Random(SEED)
-    jobs = [JOB] if one_job else [JOB, *(f'{chance.getrandbits(64):016x}' for _ in range(2999))]
+    rng = random.Random(SEED)
+    jobs = [JOB] if one_job else [JOB, *(f'{rng.getrandbits(64):016x}' for _ in range(2999))]
     number = 0
     while True:
         number += 1
-        runner = f'i-{chance.getrandbits(40):010x}' if number % 5 else 'i-1'
-        told = fields_of(number, chance.choice(jobs), runner)
+        runner = f'i-{rng.getrandbits(40):010x}' if number % 5 else 'i-1'
+        fields = make_fields(number, rng.choice(jobs), runner)
         line = json.dumps(
             {
-                'host': chance.choice(HOSTS),
-                **told,
+                'host': rng.choice(HOSTS),
+                **fields,
                 'timestamp': 1.77e9 + number * 0.002,
                 'task_uuid': '53314170-5dc5-47d8-9448-b2ea91dd01be',
                 'task_level': [1],
-                'message_type': told['text'].partition(':')[0],
+                'message_type': fields['text'].partition(':')[0],
             },
             separators=(',', ':'),
         ).encode()
-        yield (line if number % CUT_EVERY else line[: chance.randrange(len(line))]) + b'\n'
+        yield (line if number % CUT_EVERY else line[: rng.randrange(len(line))]) + b'\n'
 
 
-def endless() -> Iterator[bytes]:
+def generate_endless_line() -> Iterator[bytes]:
     """Return a line of the job, then one that has no end."""
-    yield next(mixed(one_job=True))
+    yield next(generate_lines(one_job=True))
     while True:
         yield b'{"host":"a"' * 1000
 
 
 def write(path: Path, chunks: Iterator[bytes]) -> None:
     """Write chunks up to the size."""
-    left = BYTES
+    left = LOG_BYTES
     with path.open('wb') as file:
         while left > 0:
             left -= file.write(next(chunks))
@@ -86,15 +86,15 @@
         check=False,
     )
     seconds = time.monotonic() - began
-    head = done.stdout.splitlines()
-    peak, _, read = head[-1].partition(' ') if head else ('?', '', '')
+    output = done.stdout.splitlines()
+    peak, _, read = output[-1].partition(' ') if output else ('?', '', '')
     sys.stdout.write(
         f'{name}: {path.stat().st_size / MB:.0f} MB in {seconds:.1f} s, '
         f'{peak} MB of memory, exit {done.returncode}; {read}\n'
     )
 
 
-def tell(words: list[str]) -> int:
+def run_explain(arguments: list[str]) -> int:
     """Run the tool's command here; write the peak of memory and what was read."""
     from io import StringIO
 
@@ -102,7 +102,7 @@
     from dandelionreel.kernel import Environment
 
     out = StringIO()
-    status = run_tool(['explain', *words], Environment(stdout=out))
+    status = run_tool(['explain', *arguments], Environment(stdout=out))
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     read = out.getvalue().splitlines()[1:2]
     sys.stdout.write(f'{peak:.0f} {"".join(read)}\n')
@@ -112,13 +112,13 @@
 def main() -> int:
     """Measure all three logs."""
     if sys.argv[1:2] == ['tell']:
-        return tell(sys.argv[2:])
+        return run_explain(sys.argv[2:])
     with TemporaryDirectory() as folder:
         path = Path(folder) / 'hosts.log'
         for name, chunks in (
-            ('a site at work', mixed(one_job=False)),
-            ('one job only', mixed(one_job=True)),
-            ('a line without end', endless()),
+            ('a site at work', generate_lines(one_job=False)),
+            ('one job only', generate_lines(one_job=True)),
+            ('a line without end', generate_endless_line()),
         ):
             write(path, chunks)
             measure(name, path)
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-AT_ONCE = 3
-SECONDS = 280
+PARALLEL_RUNS = 3
+TIMEOUT_SECONDS = 280
 
 
 @dataclass(frozen=True)
@@ -192,7 +192,7 @@
         'incarnations.feature:RESTARTED',
     ),
 )
-WORDS = {
+TITLE_PART_BY_WORD = {
     'TWICE': 'stands twice',
     'MIDDLE': 'begins in the middle',
     'LEDGER': 'A ledger of 8',
@@ -216,12 +216,12 @@
 }
 
 
-def place_of(feature: str) -> str:
+def find_scenario(feature: str) -> str:
     """Return ``file:line`` of the scenario that a guard names."""
     name, _, word = feature.partition(':')
     path = ROOT / 'features' / name
     for number, line in enumerate(path.read_text().splitlines(), 1):
-        if 'Scenario' in line and WORDS[word] in line:
+        if 'Scenario' in line and TITLE_PART_BY_WORD[word] in line:
             return f'features/{name}:{number}'
     raise LookupError(feature)
 
@@ -237,21 +237,21 @@
         if guard.text not in text:
             raise LookupError(f'{guard.file} does not hold {guard.text!r}')
         path.write_text(text.replace(guard.text, guard.weakened))
-        done = subprocess.run(
-            [sys.executable, '-m', 'features.run', '--one', place_of(guard.feature)],
+        completed = subprocess.run(
+            [sys.executable, '-m', 'features.run', '--one', find_scenario(guard.feature)],
             cwd=copy,
             env={'PYTHONPATH': str(copy), 'PATH': ''},
             capture_output=True,
             text=True,
-            timeout=SECONDS,
+            timeout=TIMEOUT_SECONDS,
             check=False,
         )
-    return guard, done.returncode != 0
+    return guard, completed.returncode != 0
 
 
 def main() -> int:
     """Print each guard and whether its feature notices; 0 when all do."""
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
         results = list(pool.map(try_guard, GUARDS))
     for guard, noticed in results:
         sys.stdout.write(f'{"noticed" if noticed else "MISSED"}: {guard.name} ({guard.feature})\n')
--- a/bench/make_examples.py
+++ b/bench/make_examples.py
@@ -9,7 +9,7 @@
 KINGSTON_ZONES = ('kin-harbour', 'kin-north', 'kin-portmore')
 
 
-def settings(zones: tuple[str, ...], zone_index: int, number: int) -> dict[str, Any]:
+def make_settings(zones: tuple[str, ...], zone_index: int, number: int) -> dict[str, Any]:
     """Return one daemon's settings."""
     zone = zones[zone_index]
     address = f'10.{20 + zone_index}.0.{10 + number}'
@@ -27,7 +27,7 @@
     }
 
 
-def khangai() -> dict[str, Any]:
+def khangai_contract() -> dict[str, Any]:
     """Return Khangai's contract: entry checks first, settlements may wait."""
     return {
         'customer': 'khangai',
@@ -45,7 +45,7 @@
     }
 
 
-def kingston() -> dict[str, Any]:
+def kingston_contract() -> dict[str, Any]:
     """Return Kingston's contract: maps first, basin charts overnight."""
     return {
         'customer': 'caribsea-charts',
@@ -63,7 +63,7 @@
     }
 
 
-def alone() -> dict[str, Any]:
+def single_host_settings() -> dict[str, Any]:
     """Return settings for one daemon with nothing else, for a first try."""
     return {
         'host': 'alone',
@@ -90,7 +90,7 @@
     }
 
 
-def job(customer: str, command: str, *, idempotent: bool) -> dict[str, Any]:
+def make_job(customer: str, command: str, *, idempotent: bool) -> dict[str, Any]:
     """Return a job to submit."""
     return {
         'customer': customer,
@@ -103,7 +103,7 @@
     }
 
 
-def write(path: Path, content: dict[str, Any]) -> None:
+def write_json(path: Path, content: dict[str, Any]) -> None:
     """Write one JSON file."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(content, indent=2) + '\n')
@@ -111,25 +111,29 @@
 
 def main() -> None:
     """Write all examples."""
-    for name, zones, each in (('khangai', KHANGAI_ZONES, 2), ('kingston', KINGSTON_ZONES, 3)):
+    for name, zones, hosts_per_zone in (
+        ('khangai', KHANGAI_ZONES, 2),
+        ('kingston', KINGSTON_ZONES, 3),
+    ):
         for index, zone in enumerate(zones):
-            for number in range(each):
+            for number in range(hosts_per_zone):
                 path = FOLDER / name / f'entry-{zone}-{number}.json'
-                write(path, settings(zones, index, number))
-    write(FOLDER / 'khangai' / 'contract.json', khangai())
-    write(FOLDER / 'kingston' / 'contract.json', kingston())
-    write(FOLDER / 'alone' / 'settings.json', alone())
-    write(
+                write_json(path, make_settings(zones, index, number))
+    write_json(FOLDER / 'khangai' / 'contract.json', khangai_contract())
+    write_json(FOLDER / 'kingston' / 'contract.json', kingston_contract())
+    write_json(FOLDER / 'alone' / 'settings.json', single_host_settings())
+    write_json(
         FOLDER / 'alone' / 'contract.json',
-        {**khangai(), 'quota': {'processors': 8, 'memory_mb': 16384}, 'guaranteed': {}},
+        {**khangai_contract(), 'quota': {'processors': 8, 'memory_mb': 16384}, 'guaranteed': {}},
     )
-    write(FOLDER / 'alone' / 'job.json', job('khangai', 'run 2', idempotent=True))
-    write(
-        FOLDER / 'khangai' / 'settlement.json', job('khangai', 'settle partners', idempotent=False)
+    write_json(FOLDER / 'alone' / 'job.json', make_job('khangai', 'run 2', idempotent=True))
+    write_json(
+        FOLDER / 'khangai' / 'settlement.json',
+        make_job('khangai', 'settle partners', idempotent=False),
     )
-    write(
+    write_json(
         FOLDER / 'kingston' / 'basin-chart.json',
-        job('caribsea-charts', 'rebuild basin', idempotent=True),
+        make_job('caribsea-charts', 'rebuild basin', idempotent=True),
     )
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -26,43 +26,43 @@
     task_ids,
 )
 
-CORES = 32
-MEMORY = 65_536
+CORES_PER_WORKER = 32
+MEMORY_MB = 65_536
 TASKS_PER_WORKER = 9600 / 1300
 CUSTOMERS = 37
 SEED = 20261202
 
 
-def tell(text: str) -> None:
+def print_line(text: str) -> None:
     """Write one line."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
-def percentile(values: list[float], part: float) -> float:
+def percentile(values: list[float], share: float) -> float:
     """Return the value that ``part`` of the sorted values do not exceed."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
+    return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
-def make_cell(workers: int, source: random.Random) -> Cell:
+def make_cell(workers: int, rng: random.Random) -> Cell:
     """Return workers of 32 cores and 64 GB, a quarter of them with 8 accelerators."""
-    cell = Cell(source)
+    cell = Cell(rng)
     for index in range(workers):
         accelerators = 8 if index % 4 == 3 else 0
-        capacity = Resources(CORES, MEMORY, accelerators)
+        capacity = Resources(CORES_PER_WORKER, MEMORY_MB, accelerators)
         cell.add(f'w{index}', f'rack{index // 6}', capacity)
     return cell
 
 
-def make_work(index: int, source: random.Random, now: float, **changes) -> Work:
+def make_work(index: int, rng: random.Random, now: float, **changes) -> Work:
     """Return one batch job of mixed size."""
-    cores = source.choice((1, 1, 2, 2, 4, 4, 8))
-    memory = cores * source.choice((1024, 2048, 3072))
-    accelerators = source.choice((1, 2)) if source.random() < 0.08 else 0
+    cores = rng.choice((1, 1, 2, 2, 4, 4, 8))
+    memory = cores * rng.choice((1024, 2048, 3072))
+    accelerators = rng.choice((1, 2)) if rng.random() < 0.08 else 0
     work = Work(
         f'z.{index}',
-        f'c{source.randrange(CUSTOMERS)}',
+        f'c{rng.randrange(CUSTOMERS)}',
         'batch',
         Resources(cores, memory, accelerators),
         now,
@@ -75,12 +75,12 @@
     return replace(work, **changes) if changes else work
 
 
-def no_terms(customer: str) -> CustomerTerms:
+def default_terms(customer: str) -> CustomerTerms:
     """Return terms without quota."""
     return CustomerTerms()
 
 
-def finish(planner: Planner, work: Work, workers: tuple[str, ...]) -> None:
+def release_tasks(planner: Planner, work: Work, workers: tuple[str, ...]) -> None:
     """Release all tasks of a job."""
     for task_id, name in zip(task_ids(work.id, work.attempt, work.tasks), workers, strict=True):
         worker = planner.cell.worker_by_name.get(name)
@@ -115,19 +115,19 @@
         return best
 
 
-def churn(workers: int, rounds: int) -> dict[str, float]:
+def measure_churn(workers: int, rounds: int) -> dict[str, float]:
     """Return decision times with a full complement of running tasks."""
-    source = random.Random(SEED)
-    planner = Planner(make_cell(workers, source), FairQueue(no_terms), RunTimeEstimator())
+    rng = random.Random(SEED)
+    planner = Planner(make_cell(workers, rng), FairQueue(default_terms), RunTimeEstimator())
     running: list[tuple[Work, tuple[str, ...]]] = []
     index = 0
     while len(running) < workers * TASKS_PER_WORKER:
-        planner.queue.add(make_work(index, source, 0))
+        planner.queue.add(make_work(index, rng, 0))
         index += 1
         for placement in planner.decide(0, 1):
             running.append((placement.work, placement.workers))
     for _ in range(200):
-        planner.queue.add(make_work(index, source, 0))
+        planner.queue.add(make_work(index, rng, 0))
         index += 1
     gc.collect()
     gc.freeze()
@@ -135,20 +135,20 @@
     now = 1.0
     while len(times) < rounds:
         for _ in range(4):
-            place = source.randrange(len(running))
-            running[place], running[-1] = running[-1], running[place]
-            finish(planner, *running.pop())
+            position = rng.randrange(len(running))
+            running[position], running[-1] = running[-1], running[position]
+            release_tasks(planner, *running.pop())
         for _ in range(4):
-            planner.queue.add(make_work(index, source, now))
+            planner.queue.add(make_work(index, rng, now))
             index += 1
         while True:
             began = time.perf_counter()
             placed = planner.decide(now, 1)
-            took = time.perf_counter() - began
+            seconds = time.perf_counter() - began
             if not placed:
                 break
-            times.append(took)
-            running.extend((one.work, one.workers) for one in placed)
+            times.append(seconds)
+            running.extend((placement.work, placement.workers) for placement in placed)
         now += 0.01
     gc.unfreeze()
     return {
@@ -166,7 +166,7 @@
     placed = 0.0
     for work in sorted(
         jobs,
-        key=lambda one: (-one.demand.accelerators, -one.demand.processors, -one.demand.memory_mb),
+        key=lambda job: (-job.demand.accelerators, -job.demand.processors, -job.demand.memory_mb),
     ):
         best, least = None, float('inf')
         for worker in cell.worker_by_name.values():
@@ -174,58 +174,56 @@
                 continue
             if worker.accelerators and not work.demand.accelerators and least != float('inf'):
                 continue
-            left = worker.free.processors / CORES + worker.free.memory_mb / MEMORY
+            left = worker.free.processors / CORES_PER_WORKER + worker.free.memory_mb / MEMORY_MB
             if left < least:
                 best, least = worker, left
         if best is not None:
-            hold(cell, best.name, work)
+            add_task(cell, best.name, work)
             placed += work.demand.processors
     return placed
 
 
-def hold(cell: Cell, name: str, work: Work) -> None:
+def add_task(cell: Cell, name: str, work: Work) -> None:
     """Count one task."""
     worker = cell.worker_by_name[name]
     running = RunningTask(f'{work.id}.1.0', work.id, work.customer, 'batch', work.demand, 0, 60)
     cell.add_task(worker, running)
 
 
-def packing(workers: int) -> dict[str, float]:
+def measure_packing(workers: int) -> dict[str, float]:
     """Return how much of the offline pass's packing each way reaches."""
-    source = random.Random(SEED)
-    jobs = [make_work(index, source, index) for index in range(int(workers * 14))]
-    offline = best_fit_decreasing(workers, jobs)
-    planner = Planner(make_cell(workers, source), FairQueue(no_terms), RunTimeEstimator())
+    rng = random.Random(SEED)
+    jobs = [make_work(index, rng, index) for index in range(int(workers * 14))]
+    offline_total = best_fit_decreasing(workers, jobs)
+    planner = Planner(make_cell(workers, rng), FairQueue(default_terms), RunTimeEstimator())
     for work in jobs:
         planner.queue.add(work)
-    ours = 0.0
+    planner_total = 0.0
     while True:
         placed = planner.decide(0, 64)
         if not placed:
             break
-        ours += sum(one.work.demand.processors for one in placed)
-    result = {'ours': ours / offline}
-    for name, way in (('first_fit', FirstFit), ('least_loaded', LeastLoaded)):
-        baseline = way(make_cell(workers, source))
+        planner_total += sum(placement.work.demand.processors for placement in placed)
+    result = {'ours': planner_total / offline_total}
+    for name, baseline_class in (('first_fit', FirstFit), ('least_loaded', LeastLoaded)):
+        baseline = baseline_class(make_cell(workers, rng))
         total = 0.0
         for work in jobs:
             chosen = baseline.choose(work)
             if chosen:
-                hold(baseline.cell, chosen, work)
+                add_task(baseline.cell, chosen, work)
                 total += work.demand.processors
-        result[name] = total / offline
+        result[name] = total / offline_total
     return result
 
 
-class Day:
+class Simulation:
     """Virtual time over a planner: arrivals, ends, and what waited how long."""
 
-    def __init__(self, workers: int, terms: Callable[[str], CustomerTerms] = no_terms) -> None:
+    def __init__(self, workers: int, terms: Callable[[str], CustomerTerms] = default_terms) -> None:
         """Start with empty workers."""
-        self.source = random.Random(SEED)
-        self.planner = Planner(
-            make_cell(workers, self.source), FairQueue(terms), RunTimeEstimator()
-        )
+        self.rng = random.Random(SEED)
+        self.planner = Planner(make_cell(workers, self.rng), FairQueue(terms), RunTimeEstimator())
         self.now = 0.0
         self.ends: list[tuple[float, int, Work, tuple[str, ...]]] = []
         self.waits: dict[str, list[float]] = {}
@@ -235,7 +233,7 @@
 
     def add(self, **changes) -> Work:
         """Let a job arrive."""
-        work = make_work(self.index, self.source, self.now, **changes)
+        work = make_work(self.index, self.rng, self.now, **changes)
         self.index += 1
         self.planner.queue.add(work)
         return work
@@ -249,7 +247,7 @@
             if work.id in self.stopped:
                 self.stopped.discard(work.id)
                 continue
-            finish(self.planner, work, workers)
+            release_tasks(self.planner, work, workers)
             self.decide()
         self.now = until
 
@@ -259,12 +257,12 @@
             began = time.perf_counter()
             placed = self.planner.decide(self.now, 64)
             self.decide_times.append(time.perf_counter() - began)
-            for one in placed:
-                self._start(one)
+            for placement in placed:
+                self.start_tasks(placement)
             if len(placed) < 64:
                 return
 
-    def _start(self, placement) -> None:
+    def start_tasks(self, placement) -> None:
         for victim in placement.victims:
             for name in placement.workers:
                 worker = self.planner.cell.worker_by_name[name]
@@ -273,21 +271,21 @@
         work = placement.work
         kind = 'gang' if work.tasks > 1 else work.task_class
         self.waits.setdefault(kind, []).append(self.now - work.accepted_at)
-        length = work.run_seconds * self.source.uniform(0.2, 2)
+        length = work.run_seconds * self.rng.uniform(0.2, 2)
         heapq.heappush(self.ends, (self.now + length, self.index, work, placement.workers))
         self.index += 1
 
 
-def urgent_waiting(backlog: float) -> dict[str, float]:
+def measure_urgent_waiting(backlog: float) -> dict[str, float]:
     """Return urgent work's waiting with a batch backlog of so many cells' work."""
-    day = Day(24)
-    cell_jobs = int(24 * CORES / 3.14)
+    simulation = Simulation(24)
+    cell_jobs = int(24 * CORES_PER_WORKER / 3.14)
     for _ in range(int(cell_jobs * backlog)):
-        day.add()
-    day.step(30)
+        simulation.add()
+    simulation.step(30)
     for _ in range(600):
         for _ in range(2):
-            day.add(
+            simulation.add(
                 task_class='urgent',
                 priority=100,
                 longest_wait=2.5,
@@ -295,30 +293,30 @@
                 demand=Resources(1, 512, 0),
                 preemptible=False,
             )
-        day.step(0.1)
-    waits = day.waits['urgent']
+        simulation.step(0.1)
+    waits = simulation.waits['urgent']
     return {
         'urgent_started': len(waits),
         'p50_s': percentile(waits, 0.5),
         'p99_s': percentile(waits, 0.99),
-        'decide_p99_ms': percentile(day.decide_times, 0.99) * 1000,
+        'decide_p99_ms': percentile(simulation.decide_times, 0.99) * 1000,
     }
 
 
-def fairness() -> dict[str, float]:
+def measure_fairness() -> dict[str, float]:
     """Return the largest deviation of shares from weights while all are backlogged."""
     weights = {'c0': 1.0, 'c1': 1.0, 'c2': 2.0, 'c3': 4.0}
-    day = Day(200, lambda customer: CustomerTerms(weight=weights[customer]))
+    simulation = Simulation(200, lambda customer: CustomerTerms(weight=weights[customer]))
     for index in range(60_000):
-        day.add(customer=f'c{index % 4}', run_seconds=60)
+        simulation.add(customer=f'c{index % 4}', run_seconds=60)
     deviations = []
     for _ in range(40):
-        day.step(5)
-        if day.now < 30:
+        simulation.step(5)
+        if simulation.now < 30:
             continue
-        used = day.planner.cell.usage
-        total = day.planner.cell.total
-        shares = {name: used.of(name).dominant_share(total) for name in weights}
+        usage = simulation.planner.cell.usage
+        total = simulation.planner.cell.total
+        shares = {name: usage.of(name).dominant_share(total) for name in weights}
         whole = sum(shares.values())
         deviations.append(
             max(
@@ -329,13 +327,13 @@
     return {'mean_deviation': mean(deviations), 'worst_deviation': max(deviations)}
 
 
-def cancellations() -> dict[str, float]:
+def measure_cancellations() -> dict[str, float]:
     """Return urgent decision time around a wave of 5,000 cancellations."""
 
-    def urgent_time(day: Day) -> float:
+    def urgent_time(simulation: Simulation) -> float:
         times = []
         for _ in range(300):
-            day.add(
+            simulation.add(
                 task_class='urgent',
                 priority=100,
                 longest_wait=2.5,
@@ -344,69 +342,73 @@
                 preemptible=False,
             )
             began = time.perf_counter()
-            day.step(0.01)
+            simulation.step(0.01)
             times.append(time.perf_counter() - began)
         return percentile(times, 0.99) * 1000
 
-    day = Day(24)
-    waiting = [day.add().id for _ in range(8000)]
-    day.step(1)
-    quiet = urgent_time(day)
+    simulation = Simulation(24)
+    waiting = [simulation.add().id for _ in range(8000)]
+    simulation.step(1)
+    quiet_p99 = urgent_time(simulation)
     began = time.perf_counter()
     for job in waiting[:5000]:
-        day.planner.queue.remove(job)
-    wave = time.perf_counter() - began
-    return {'quiet_p99_ms': quiet, 'wave_ms': wave * 1000, 'after_p99_ms': urgent_time(day)}
+        simulation.planner.queue.remove(job)
+    wave_seconds = time.perf_counter() - began
+    return {
+        'quiet_p99_ms': quiet_p99,
+        'wave_ms': wave_seconds * 1000,
+        'after_p99_ms': urgent_time(simulation),
+    }
 
 
-def bad_worker() -> dict[str, float]:
+def measure_bad_worker() -> dict[str, float]:
     """Return the starts lost to one worker that fails all, within a minute."""
-    day = Day(24)
-    cell = day.planner.cell
-    bad = 'w5'
-    lost = starts = 0
+    simulation = Simulation(24)
+    cell = simulation.planner.cell
+    failing_worker = 'w5'
+    lost_starts = starts = 0
     now = 0.0
     while now < 60:
         for _ in range(8):
-            day.add(run_seconds=5, demand=Resources(1, 1024, 0))
-        day.now = now
-        for one in day.planner.decide(now, 64):
+            simulation.add(run_seconds=5, demand=Resources(1, 1024, 0))
+        simulation.now = now
+        for placement in simulation.planner.decide(now, 64):
             starts += 1
-            if one.workers[0] == bad:
-                lost += 1
-                finish(day.planner, one.work, one.workers)
-                cell.note_failure(cell.worker_by_name[bad], one.work.id, now)
+            if placement.workers[0] == failing_worker:
+                lost_starts += 1
+                release_tasks(simulation.planner, placement.work, placement.workers)
+                cell.note_failure(cell.worker_by_name[failing_worker], placement.work.id, now)
             else:
-                day._start(one)
-        while day.ends and day.ends[0][0] <= now:
-            _, _, work, workers = heapq.heappop(day.ends)
-            finish(day.planner, work, workers)
+                simulation.start_tasks(placement)
+        while simulation.ends and simulation.ends[0][0] <= now:
+            _, _, work, workers = heapq.heappop(simulation.ends)
+            release_tasks(simulation.planner, work, workers)
             cell.note_success(cell.worker_by_name[workers[0]])
         now += 0.1
-    return {'starts': starts, 'lost': lost, 'lost_part': lost / starts}
+    return {'starts': starts, 'lost': lost_starts, 'lost_part': lost_starts / starts}
 
 
-def wrong_declarations() -> dict[str, float]:
+def measure_wrong_declarations() -> dict[str, float]:
     """Return what run times off by up to ten times either way do.
 
     Ends are reported 30 s late: the ledger counts a task until then.
     """
-    day = Day(24)
+    simulation = Simulation(24)
     times = RunTimeEstimator()
-    factor_by_kind = {f'k{index}': 10 ** day.source.uniform(-1, 1) for index in range(12)}
+    factor_by_kind = {f'k{index}': 10 ** simulation.rng.uniform(-1, 1) for index in range(12)}
     ends: list[tuple[float, int, Work, tuple[str, ...]]] = []
-    over_filled = late = starts = 0
+    overallocated = late = starts = 0
     declared_error: list[float] = []
     learned_error: list[float] = []
     now = 0.0
     while now < 1800:
         for _ in range(2):
-            kind = day.source.choice(tuple(factor_by_kind))
-            day.add(kind=kind, customer='c0', run_seconds=30, longest_wait=900)
-        day.now = now
-        for one in day.planner.decide(now, 64):
-            work = one.work
-            actual = 30 * factor_by_kind[work.kind] * day.source.uniform(0.9, 1.1)
+            kind = simulation.rng.choice(tuple(factor_by_kind))
+            simulation.add(kind=kind, customer='c0', run_seconds=30, longest_wait=900)
+        simulation.now = now
+        for placement in simulation.planner.decide(now, 64):
+            work = placement.work
+            actual = 30 * factor_by_kind[work.kind] * simulation.rng.uniform(0.9, 1.1)
             if now > 600:
                 learned = times.estimate('c0', work.kind, 30)
                 learned_error.append(max(learned / actual, actual / learned))
@@ -414,16 +416,16 @@
             starts += 1
             late += now > work.due_at
             times.note('c0', work.kind, actual)
-            heapq.heappush(ends, (now + actual + 30, starts, work, one.workers))
-        for worker in day.planner.cell.worker_by_name.values():
-            over_filled += not worker.used.fits(worker.capacity)
+            heapq.heappush(ends, (now + actual + 30, starts, work, placement.workers))
+        for worker in simulation.planner.cell.worker_by_name.values():
+            overallocated += not worker.used.fits(worker.capacity)
         while ends and ends[0][0] <= now:
             _, _, work, workers = heapq.heappop(ends)
-            finish(day.planner, work, workers)
+            release_tasks(simulation.planner, work, workers)
         now += 1
     return {
         'starts': starts,
-        'over_filled': over_filled,
+        'over_filled': overallocated,
         'past_longest_wait': late,
         'declared_off_median': percentile(declared_error, 0.5),
         'learned_off_median': percentile(learned_error, 0.5),
@@ -431,54 +433,54 @@
     }
 
 
-def gangs() -> dict[str, float]:
+def measure_gangs() -> dict[str, float]:
     """Return how long gangs wait under a steady load of small jobs."""
-    day = Day(24)
+    simulation = Simulation(24)
     for _ in range(2000):
-        day.add(run_seconds=20)
+        simulation.add(run_seconds=20)
     for index in range(200):
         if index % 10 == 0:
-            day.add(
+            simulation.add(
                 tasks=24,
                 demand=Resources(8, 8192, 0),
                 run_seconds=20,
                 id=f'z.g{index}',
                 longest_wait=600,
             )
-        day.add(run_seconds=20)
-        day.step(1)
-    waits = day.waits.get('gang', [0.0])
+        simulation.add(run_seconds=20)
+        simulation.step(1)
+    waits = simulation.waits.get('gang', [0.0])
     return {
         'gangs_started': len(waits),
         'gang_longest_wait_s': max(waits),
-        'small_started': len(day.waits['batch']),
+        'small_started': len(simulation.waits['batch']),
     }
 
 
 def main() -> int:
     """Print all figures, and as JSON in the last line."""
     figures = {}
-    figures['churn'] = [churn(size, 4000) for size in (24, 100, 400, 1300)]
+    figures['churn'] = [measure_churn(size, 4000) for size in (24, 100, 400, 1300)]
     for row in figures['churn']:
-        tell(f'churn: {row}')
+        print_line(f'churn: {row}')
     small, large = figures['churn'][0], figures['churn'][-1]
     growth = small['decisions_per_second'] / large['decisions_per_second']
-    tell(f'cost of a decision grows {growth:.2f} times from 24 to 1300 workers')
-    figures['packing'] = packing(24)
-    tell(f'packing against offline best fit decreasing: {figures["packing"]}')
-    figures['waiting'] = {str(size): urgent_waiting(size) for size in (0.5, 10)}
+    print_line(f'cost of a decision grows {growth:.2f} times from 24 to 1300 workers')
+    figures['packing'] = measure_packing(24)
+    print_line(f'packing against offline best fit decreasing: {figures["packing"]}')
+    figures['waiting'] = {str(size): measure_urgent_waiting(size) for size in (0.5, 10)}
     for size, row in figures['waiting'].items():
-        tell(f'urgent waiting with a backlog of {size} cells: {row}')
+        print_line(f'urgent waiting with a backlog of {size} cells: {row}')
     for name, measure in (
-        ('fairness', fairness),
-        ('cancellations', cancellations),
-        ('bad_worker', bad_worker),
-        ('gangs', gangs),
-        ('wrong_declarations', wrong_declarations),
+        ('fairness', measure_fairness),
+        ('cancellations', measure_cancellations),
+        ('bad_worker', measure_bad_worker),
+        ('gangs', measure_gangs),
+        ('wrong_declarations', measure_wrong_declarations),
     ):
         figures[name] = measure()
-        tell(f'{name}: {figures[name]}')
-    tell(json.dumps(figures))
+        print_line(f'{name}: {figures[name]}')
+    print_line(json.dumps(figures))
     return 0
 
 
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -1,6 +1,6 @@
 """Seeded random faults on entry hosts and their platform: ``make platform-soak``.
 
-Jobs are handed in, asked for and cancelled while hosts are killed, paused and
+Jobs are handed in, record for and cancelled while hosts are killed, paused and
 stopped, links to the store and to runners are cut in one or both directions, the
 store is down, slow or loses answers, runners crash and come back (under other ids, or restart under
 the ids that they had with ``--restarts``), change their room, keys and quotas of client
@@ -37,48 +37,48 @@
     wait_for,
 )
 
-CLIENTS = 3
+CLIENT_COUNT = 3
 #: Seconds between faults, and how long one lasts.
 FAULT_GAP = (0.3, 1.5)
 FAULT_LENGTH = (0.3, 4.0)
 #: Processors that a runner may say it has, in thousandths.
-ROOMS = (3000, 5000, 8000)
+RUNNER_CPUS = (3000, 5000, 8000)
 #: Seconds between two jobs whose tasks crash their runners.
-CULPRIT_GAP = (1.0, 4.0)
+CRASHING_JOB_GAP = (1.0, 4.0)
 #: Runners that one task may crash, and that must have crashed under one that is given up.
-MOST_CRASHES = 5
-FEWEST_CRASHES = 2
-DONE = frozenset(('done', 'unread'))
+MAX_CRASHES = 5
+MIN_CRASHES = 2
+DONE_OUTCOMES = frozenset(('done', 'unread'))
 #: No answer, or one that says that nobody knows.
-UNANSWERED = frozenset((0, 504))
+UNKNOWN_STATUSES = frozenset((0, 504))
 #: An answer that says that the job was not taken.
-REFUSALS = frozenset((401, 429, 503))
-ENDED = frozenset(('completed', 'failed', 'cancelled'))
+REFUSED_STATUSES = frozenset((401, 429, 503))
+FINAL_STATES = frozenset(('completed', 'failed', 'cancelled'))
 
 
 @dataclass
-class Asked:
+class JobRecord:
     """One job and what its client was told."""
 
     path: str
     tasks: int
     gang: bool = False
     #: Whether its tasks crash the runners that start them.
-    culprit: bool = False
+    crashes_runners: bool = False
     #: The number of its client.
     client: int = 0
     accepted: bool = False
-    maybe: bool = False
+    in_doubt: bool = False
     cancelled: bool = False
     #: A cancellation was sent and not answered: it may have taken effect.
-    maybe_cancelled: bool = False
+    cancel_in_doubt: bool = False
 
 
 @dataclass
 class Tally:
     """What a soak has done, and which promises it found broken."""
 
-    jobs: list[Asked] = field(default_factory=list)
+    jobs: list[JobRecord] = field(default_factory=list)
     faults: Counter = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
 
@@ -115,9 +115,9 @@
         self._accounts: SoakAccounts | None = None
         self._cuts: list[Cut] = []
         self._lock = Lock()
-        self._over = Event()
+        self._stopping = Event()
         self._timers: list[Timer] = []
-        self._lives = 0
+        self._runner_restarts = 0
         self.tally = Tally()
 
     def run(self) -> Tally:
@@ -130,19 +130,19 @@
             for name in self._hosts.names:
                 self._hosts.start(name)
             self._hosts.wait_ready()
-            with ThreadPoolExecutor(CLIENTS + 4) as pool:
-                seeds = [self._random.random() for _ in range(CLIENTS)]
+            with ThreadPoolExecutor(CLIENT_COUNT + 4) as pool:
+                seeds = [self._random.random() for _ in range(CLIENT_COUNT)]
                 for number, seed in enumerate(seeds):
-                    pool.submit(self._be_client, number, random.Random(seed))
-                pool.submit(self._disturb_entries)
-                pool.submit(self._change_rooms)
-                pool.submit(self._hand_in_culprits)
+                    pool.submit(self._run_client, number, random.Random(seed))
+                pool.submit(self._write_foreign_entries)
+                pool.submit(self._change_capacities)
+                pool.submit(self._submit_crashing_jobs)
                 if self._accounts is not None:
-                    pool.submit(self._accounts.change_until, self._over)
-                self._break_things()
-                self._over.set()
+                    pool.submit(self._accounts.change_until_stopped, self._stopping)
+                self._inject_faults()
+                self._stopping.set()
             self._heal()
-            self._judge()
+            self._check_results()
             if self.tally.violations:
                 for name in self._hosts.names:
                     sys.stdout.write(f'--- {name}\n{self._hosts.log_of(name)[-200_000:]}')
@@ -154,58 +154,60 @@
         else:
             self._platform.configure()
 
-    def _be_client(self, number: int, draw: random.Random) -> None:
+    def _run_client(self, number: int, rng: random.Random) -> None:
         count = 0
-        while not self._over.is_set():
+        while not self._stopping.is_set():
             count += 1
             job = (number << 32) + count
-            queue = draw.choice(('plain', 'advised'))
-            asked = Asked(f'/{queue}/{job:016x}', draw.randint(1, 4), client=number)
-            self.tally.jobs.append(asked)
-            self._hand_in(asked, draw)
-            if asked.accepted and draw.random() < 0.1:
-                time.sleep(draw.random() * 0.3)
-                host = draw.choice(self._hosts.names)
-                status = self._ask(host, 'DELETE', asked).status
-                asked.cancelled = status == 200
-                asked.maybe_cancelled = status in UNANSWERED
-            time.sleep(draw.random() * 0.3)
-
-    def _hand_in(self, asked: Asked, draw: random.Random) -> None:
-        cpu = draw.choice((500, 1500, 3000))
+            queue = rng.choice(('plain', 'advised'))
+            record = JobRecord(f'/{queue}/{job:016x}', rng.randint(1, 4), client=number)
+            self.tally.jobs.append(record)
+            self._submit(record, rng)
+            if record.accepted and rng.random() < 0.1:
+                time.sleep(rng.random() * 0.3)
+                host = rng.choice(self._hosts.names)
+                status = self._request(host, 'DELETE', record).status
+                record.cancelled = status == 200
+                record.cancel_in_doubt = status in UNKNOWN_STATUSES
+            time.sleep(rng.random() * 0.3)
+
+    def _submit(self, record: JobRecord, rng: random.Random) -> None:
+        cpu = rng.choice((500, 1500, 3000))
         step = {
-            'count': asked.tasks,
+            'count': record.tasks,
             'cpu': cpu,
             'mem_mb': 10,
             'estimate_ms': 200,
         }
-        if draw.random() < 0.3:
-            asked.gang = True
+        if rng.random() < 0.3:
+            record.gang = True
             step['gang'] = True
-        fate = ' crash' if asked.culprit else ''
-        body = {'spec': f'{cpu} {draw.uniform(0.05, 0.8):.2f}{fate}', 'steps': [step]}
+        failure = ' crash' if record.crashes_runners else ''
+        body = {'spec': f'{cpu} {rng.uniform(0.05, 0.8):.2f}{failure}', 'steps': [step]}
         for _ in range(4):
-            reply = self._ask(draw.choice(self._hosts.names), 'POST', asked, body)
+            reply = self._request(rng.choice(self._hosts.names), 'POST', record, body)
             if reply.status == 200:
-                asked.accepted = True
+                record.accepted = True
                 return
-            asked.maybe = asked.maybe or reply.status not in REFUSALS
+            record.in_doubt = record.in_doubt or reply.status not in REFUSED_STATUSES
             time.sleep(0.3)
 
-    def _ask(self, host: str, method: str, asked: Asked, body: dict | None = None) -> Reply:
+    def _request(
+        self, host: str, method: str, record: JobRecord, body: dict | None = None
+    ) -> Reply:
         """Ask as the job's client does, with its key if it has one."""
         if self._accounts is None:
-            return self._hosts.ask(host, method, asked.path, body)
-        account = self._accounts.account_of(asked.client)
-        self._accounts.account_by_job[asked.path.rpartition('/')[2]] = account
+            return self._hosts.ask(host, method, record.path, body)
+        account = self._accounts.account_of(record.client)
+        self._accounts.account_by_job[record.path.rpartition('/')[2]] = account
         key: Key = self._accounts.key_for(account)
         sent_at = time.monotonic()
-        reply = self._hosts.ask(host, method, asked.path, body, key=key.text)
+        reply = self._hosts.ask(host, method, record.path, body, key=key.text)
         self._accounts.check_reply(key, sent_at, reply.status)
         return reply
 
-    def _break_things(self) -> None:
-        until = time.monotonic() + self._seconds
+    def _inject_faults(self) -> None:
+        end_at = time.monotonic() + self._seconds
         faults = (
             self._kill,
             self._pause,
@@ -217,65 +219,65 @@
             self._cut_link,
             self._crash_runner,
         )
-        while time.monotonic() < until:
+        while time.monotonic() < end_at:
             fault = self._random.choice(faults)
             self.tally.faults[fault.__name__.strip('_')] += 1
             fault(self._random.uniform(*FAULT_LENGTH))
             time.sleep(self._random.uniform(*FAULT_GAP))
 
-    def _disturb_entries(self) -> None:
+    def _write_foreign_entries(self) -> None:
         """Let another writer write every now and then.
 
         Its times are drawn apart, so that the other faults of a seed stay what they were.
         """
-        draw = random.Random(f'{self._seed}/entries')
-        while not self._over.wait(draw.uniform(*FAULT_GAP)):
-            writer = self._platform.make_other_writer(f'{self._seed}/{draw.random()}')
+        rng = random.Random(f'{self._seed}/entries')
+        while not self._stopping.wait(rng.uniform(*FAULT_GAP)):
+            writer = self._platform.make_other_writer(f'{self._seed}/{rng.random()}')
             writer.start()
-            self._over.wait(draw.uniform(*FAULT_LENGTH))
+            self._stopping.wait(rng.uniform(*FAULT_LENGTH))
             with self._lock:
                 writer.stop()
             self.tally.faults['other_writer'] += 1
 
-    def _change_rooms(self) -> None:
+    def _change_capacities(self) -> None:
         """Let runners have less room or more, with times drawn apart as for entries."""
-        draw = random.Random(f'{self._seed}/rooms')
-        while not self._over.wait(draw.uniform(*FAULT_GAP)):
-            runner = draw.choice(self._platform.runners)
+        rng = random.Random(f'{self._seed}/rooms')
+        while not self._stopping.wait(rng.uniform(*FAULT_GAP)):
+            runner = rng.choice(self._platform.runners)
             with self._lock:
                 if runner.dark:
                     continue
-                runner.resize(draw.choice(ROOMS))
+                runner.resize(rng.choice(RUNNER_CPUS))
                 self._platform.register(runner)
             self.tally.faults['change_room'] += 1
 
-    def _hand_in_culprits(self) -> None:
+    def _submit_crashing_jobs(self) -> None:
         """Hand in jobs whose tasks crash their runners, with times drawn apart."""
-        draw = random.Random(f'{self._seed}/culprits')
+        rng = random.Random(f'{self._seed}/culprits')
         count = 0
-        while not self._over.wait(draw.uniform(*CULPRIT_GAP)):
+        while not self._stopping.wait(rng.uniform(*CRASHING_JOB_GAP)):
             count += 1
-            job = (CLIENTS << 32) + count
-            asked = Asked(f'/plain/{job:016x}', draw.randint(1, 2), culprit=True)
-            self.tally.jobs.append(asked)
-            self._hand_in(asked, draw)
+            job = (CLIENT_COUNT << 32) + count
+            record = JobRecord(f'/plain/{job:016x}', rng.randint(1, 2), crashes_runners=True)
+            self.tally.jobs.append(record)
+            self._submit(record, rng)
 
-    def _later(self, seconds: float, heal: object, *args: object) -> None:
-        timer = Timer(seconds, heal, args)
+    def _schedule(self, seconds: float, callback: object, *args: object) -> None:
+        timer = Timer(seconds, callback, args)
         self._timers.append(timer)
         timer.start()
 
     def _kill(self, seconds: float) -> None:
         name = self._random.choice(self._hosts.names)
         self._hosts.send(name, signal.SIGKILL)
-        self._later(seconds / 4, self._start_again, name)
+        self._schedule(seconds / 4, self._restart_host, name)
 
     def _stop(self, seconds: float) -> None:
         name = self._random.choice(self._hosts.names)
         self._hosts.send(name, signal.SIGTERM)
-        self._later(5 + seconds / 4, self._start_again, name)
+        self._schedule(5 + seconds / 4, self._restart_host, name)
 
-    def _start_again(self, name: str) -> None:
+    def _restart_host(self, name: str) -> None:
         with self._lock:
             process = self._hosts.process_by_name[name]
             if process.poll() is not None:
@@ -284,26 +286,26 @@
     def _pause(self, seconds: float) -> None:
         name = self._random.choice(self._hosts.names)
         self._hosts.send(name, signal.SIGSTOP)
-        self._later(seconds, self._hosts.send, name, signal.SIGCONT)
+        self._schedule(seconds, self._hosts.send, name, signal.SIGCONT)
 
     def _store_down(self, seconds: float) -> None:
         self._platform.store.faults.down = True
-        self._later(seconds / 2, setattr, self._platform.store.faults, 'down', False)
+        self._schedule(seconds / 2, setattr, self._platform.store.faults, 'down', False)
 
     def _store_lossy(self, seconds: float) -> None:
         self._platform.store.faults.lose_share = 0.3
-        self._later(seconds, setattr, self._platform.store.faults, 'lose_share', 0.0)
+        self._schedule(seconds, setattr, self._platform.store.faults, 'lose_share', 0.0)
 
     def _store_slow(self, seconds: float) -> None:
         self._platform.store.faults.delay = 0.2
-        self._later(seconds, setattr, self._platform.store.faults, 'delay', 0.0)
+        self._schedule(seconds, setattr, self._platform.store.faults, 'delay', 0.0)
 
     def _cut_link(self, seconds: float) -> None:
         link = self._random.choice(self._links)
-        ways = [Cut(ANYONE, link), Cut(link, ANYONE)]
-        cuts = self._random.choice((ways, ways[:1], ways[1:]))
+        directions = [Cut(ANYONE, link), Cut(link, ANYONE)]
+        cuts = self._random.choice((directions, directions[:1], directions[1:]))
         self._change_cuts(cuts, add=True)
-        self._later(seconds, self._change_cuts, cuts)
+        self._schedule(seconds, self._change_cuts, cuts)
 
     def _change_cuts(self, cuts: list[Cut], *, add: bool = False) -> None:
         with self._lock:
@@ -318,84 +320,92 @@
         runner = self._random.choice(self._platform.runners)
         if not runner.dark:
             runner.crash()
-            self._later(seconds, self._revive, runner)
+            self._schedule(seconds, self._restart_runner, runner)
 
-    def _revive(self, runner: PlatformRunner) -> None:
+    def _restart_runner(self, runner: PlatformRunner) -> None:
         with self._lock:
             if runner.tells_incarnation:
                 runner.revive()
                 self._platform.register(runner)
                 return
-            self._lives += 1
+            self._runner_restarts += 1
             self._platform.store.put('keyed.servers', runner.name, None)
-            runner.revive(f'i-again-{self._lives}')
+            runner.revive(f'i-again-{self._runner_restarts}')
             self._platform.register(runner)
 
     def _heal(self) -> None:
         for timer in self._timers:
             timer.join()
         for name in self._hosts.names:
-            self._start_again(name)
+            self._restart_host(name)
         if self._accounts is not None:
-            self._accounts.settle()
+            self._accounts.restore_quotas()
 
-    def _judge(self) -> None:
-        wrong = self.tally.violations
+    def _check_results(self) -> None:
+        violations = self.tally.violations
         if self._accounts is not None:
-            wrong.extend(self._accounts.judge(self._hosts))
+            violations.extend(self._accounts.check_results(self._hosts))
             self.tally.faults['accounts'] = self._accounts.changes
-        for asked in self.tally.jobs:
+        for record in self.tally.jobs:
             try:
-                wait_for(lambda asked=asked: self._has_ended(asked))
+                wait_for(lambda record=record: self._has_ended(record))
             except TimeoutError:
-                if asked.accepted:
-                    wrong.append(f'{asked.path} was accepted and has not ended')
+                if record.accepted:
+                    violations.append(f'{record.path} was accepted and has not ended')
         runs = self._platform.settle()
-        wrong.extend(f'{task} ran twice' for task in doubled_runs(runs))
-        wrong.extend(f'{runner} was overfull' for runner in overfull(runs))
-        over = started_over(runs, self._platform.rooms_by_name)
-        wrong.extend(f'{start} was started over its room' for start in over)
+        violations.extend(f'{task} ran twice' for task in doubled_runs(runs))
+        violations.extend(f'{runner} was overfull' for runner in overfull(runs))
+        starts_over_capacity = started_over(runs, self._platform.rooms_by_name)
+        violations.extend(f'{start} was started over its room' for start in starts_over_capacity)
         crashes = crashes_by_task(runs)
         for task, count in crashes.items():
-            if count > MOST_CRASHES and self._is_culprit(task):
-                wrong.append(f'{task} crashed {count} runners')
+            if count > MAX_CRASHES and self._crashes_runners(task):
+                violations.append(f'{task} crashed {count} runners')
         jobs = {run.task.split('.')[0] for run in runs}
-        for asked in self.tally.jobs:
-            job = asked.path.rpartition('/')[2]
-            most = max((crashes[task] for task in crashes if task.startswith(job)), default=0)
-            given_up = asked.accepted and self._state(asked) == 'failed'
-            if given_up and most < FEWEST_CRASHES:
-                wrong.append(f'{asked.path} was given up after {most} crashes')
-            if asked.culprit and asked.accepted and not given_up:
-                wrong.append(f'{asked.path} crashed {most} runners and is not told as failed')
-            if not asked.accepted and not asked.maybe and job in jobs:
-                wrong.append(f'{asked.path} was refused and ran')
+        for record in self.tally.jobs:
+            job = record.path.rpartition('/')[2]
+            most_crashes = max(
+                (crashes[task] for task in crashes if task.startswith(job)), default=0
+            )
+            given_up = record.accepted and self._reported_state(record) == 'failed'
+            if given_up and most_crashes < MIN_CRASHES:
+                violations.append(f'{record.path} was given up after {most_crashes} crashes')
+            if record.crashes_runners and record.accepted and not given_up:
+                violations.append(
+                    f'{record.path} crashed {most_crashes} runners and is not told as failed'
+                )
+            if not record.accepted and not record.in_doubt and job in jobs:
+                violations.append(f'{record.path} was refused and ran')
             # An end that its runner took with it may have been noted before.
-            done = {run.task for run in runs if run.how in DONE and run.task.startswith(job)}
+            done = {
+                run.task for run in runs if run.how in DONE_OUTCOMES and run.task.startswith(job)
+            }
             # The end of one member stands for its gang.
-            wanted = 1 if asked.gang else asked.tasks
+            expected = 1 if record.gang else record.tasks
             # One under which two runners have crashed may be given up.
-            owed = asked.accepted and not asked.cancelled and not given_up
-            missing = owed and len(done) < wanted
-            if missing and asked.maybe_cancelled:
-                missing = self._state(asked) != 'cancelled'
+            must_be_done = record.accepted and not record.cancelled and not given_up
+            missing = must_be_done and len(done) < expected
+            if missing and record.cancel_in_doubt:
+                missing = self._reported_state(record) != 'cancelled'
             if missing:
-                wrong.append(f'{asked.path}: {len(done)} of {asked.tasks} tasks were done')
+                violations.append(f'{record.path}: {len(done)} of {record.tasks} tasks were done')
 
-    def _is_culprit(self, task: str) -> bool:
+    def _crashes_runners(self, task: str) -> bool:
         job = task.split('.')[0]
-        return any(asked.culprit and asked.path.endswith(job) for asked in self.tally.jobs)
+        return any(
+            record.crashes_runners and record.path.endswith(job) for record in self.tally.jobs
+        )
 
-    def _state(self, asked: Asked) -> str:
+    def _reported_state(self, record: JobRecord) -> str:
         """Return the state that the first host tells."""
-        replies = (self._ask(name, 'GET', asked) for name in self._hosts.names)
+        replies = (self._request(name, 'GET', record) for name in self._hosts.names)
         return next((reply.body['state'] for reply in replies if 'state' in reply.body), '')
 
-    def _has_ended(self, asked: Asked) -> bool:
+    def _has_ended(self, record: JobRecord) -> bool:
         """Return whether a host tells an end, or that there is no such job."""
         for name in self._hosts.names:
-            reply = self._ask(name, 'GET', asked)
-            if reply.status == 410 or reply.body.get('state') in ENDED:
+            reply = self._request(name, 'GET', record)
+            if reply.status == 410 or reply.body.get('state') in FINAL_STATES:
                 return True
         return False
 
@@ -419,7 +429,7 @@
         accounts=options.accounts,
     )
     tally = soak.run()
-    accepted = sum(asked.accepted for asked in tally.jobs)
+    accepted = sum(record.accepted for record in tally.jobs)
     sys.stdout.write(
         f'seed {options.seed}: {len(tally.jobs)} jobs, {accepted} accepted; '
         f'faults {dict(tally.faults)}; {len(tally.violations)} promises broken\n'
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from bench.replay_report import Tally, tell_result
+from bench.replay_report import Tally, print_result
 from dandelionreel.accounts import Account, AccountDirectory, weighted_share
 from dandelionreel.cell.decisions import AdviceRequest, Allocation, Cell, Planner
 from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
@@ -47,45 +47,45 @@
 ORDER_SECONDS = 0.004
 STOP_SECONDS = 0.2
 RESTORE_SECONDS = 0.1
-PLAN_SECONDS = 0.01
-CAPACITY = Demand(32_000, 65_536, 0)
+PLAN_INTERVAL_SECONDS = 0.01
+RUNNER_CAPACITY = Demand(32_000, 65_536, 0)
 #: Seconds by which a lease is shorter when its runner is cut off: half of the time between
 #: looks in the mean.
-LEASE_AGE = 0.75
+MEAN_LEASE_AGE_SECONDS = 0.75
 #: A job earns all in time, a fifth up to three objectives, then nothing.
-LATE_WORTH = 0.2
+LATE_VALUE_SHARE = 0.2
 UNLIMITED_GPU = 2**40
 MILLI = 1000
-LATEST = 3.0
+MAX_LATE_FACTOR = 3.0
 #: How finely shares of accounts are told apart.
-SHARE_STEPS = 10_000
+SHARE_RESOLUTION = 10_000
 #: A large job earns up to this many times what its kind earns in the mean.
-MOST_WEIGHT = 4.0
+MAX_SIZE_FACTOR = 4.0
 
 
 @dataclass(frozen=True)
-class Kind:
+class JobKind:
     """Jobs of one queue; durations in seconds, ``per_second`` arrivals."""
 
     queue: Queue
-    per_second: float
-    worth: float
-    steps: float
-    width: float
-    cpu: float
-    memory_mb: float
-    seconds: float
-    guess: float
-    allowed: float
-    gang: float = 0
-    saves: float = 0
-    fails: float = 0
+    arrivals_per_second: float
+    mean_value: float
+    mean_steps: float
+    mean_tasks: float
+    mean_cpu: float
+    mean_memory_mb: float
+    mean_seconds: float
+    estimate_error: float
+    permit_share: float
+    gang_share: float = 0
+    checkpoint_share: float = 0
+    failure_share: float = 0
     burst: tuple[float, float, float] = (0, 0, 1)
 
-    def rate(self, now: float) -> float:
+    def arrival_rate(self, now: float) -> float:
         """Return the arrivals a second, more during the burst."""
-        begins, ends, times = self.burst
-        return self.per_second * (times if begins <= now < ends else 1)
+        begins, ends, factor = self.burst
+        return self.arrivals_per_second * (factor if begins <= now < ends else 1)
 
 
 def _queue(name: str, priority: int, attempts: int, slack: float, latency: float, *advice: float):
@@ -98,8 +98,8 @@
     """A zone whose runners are out of reach for a while."""
 
     zone: int
-    begins: float
-    seconds: float
+    starts_at: float
+    duration: float
 
 
 @dataclass(frozen=True)
@@ -110,20 +110,20 @@
     """
 
     count: int = 20
-    quota: float = 1.9
-    rate: float = 1.9
+    quota_factor: float = 1.9
+    rate_factor: float = 1.9
     #: The rank of the hot account by size, since when, until when and how many times as much.
-    hot: tuple[int, float, float, float] = (3, 0.0, 0.0, 1.0)
+    overload: tuple[int, float, float, float] = (3, 0.0, 0.0, 1.0)
 
     def shares(self) -> list[float]:
         """Return the part of all jobs that each account usually sends."""
         sizes = [1 / (number + 1) for number in range(self.count)]
         return [size / sum(sizes) for size in sizes]
 
-    def factor(self, number: int, now: float) -> float:
+    def load_factor(self, number: int, now: float) -> float:
         """Return how many times its usual an account sends."""
-        rank, begins, ends, times = self.hot
-        return times if number == rank and begins <= now < ends else 1.0
+        rank, begins, ends, factor = self.overload
+        return factor if number == rank and begins <= now < ends else 1.0
 
 
 @dataclass(frozen=True)
@@ -132,15 +132,15 @@
 
     runners: int
     hosts: int
-    kinds: tuple[Kind, ...]
+    kinds: tuple[JobKind, ...]
     #: Seconds at the beginning in which jobs arrive and nothing starts.
     outage: float = 0.0
     zones: int = 1
-    per_rack: int = 8
+    runners_per_rack: int = 8
     cut: Cut | None = None
     #: When the owner is lost, and for how many seconds nothing is planned then.
     takeover: tuple[float, float] = (0.0, 0.0)
-    capacity: Demand = CAPACITY
+    capacity: Demand = RUNNER_CAPACITY
     accounts: Accounts | None = None
 
 
@@ -150,12 +150,12 @@
     blend = _queue('blend', 2, 3, 4.0, 3.0, 0.13, 0.0018, 2.0)
     check = _queue('check', 0, 2, 1.5, 0.25, 0.012, 0.00017, 2.0)
     quiet = (
-        Kind(settle, 3.0, 8.6, 1.2, 20, 9000, 13_000, 4.0, 0.2, 0.3, 1.0, 0.5, 0.005),
-        Kind(blend, 4.9, 3.2, 1.5, 25, 3500, 5000, 2.7, 0.5, 0.45, 0, 0.8, 0.005),
-        Kind(check, 55, 0.41, 1.0, 3, 5000, 9100, 0.8, 0.9, 0.7, 0.3, 0, 0.05),
+        JobKind(settle, 3.0, 8.6, 1.2, 20, 9000, 13_000, 4.0, 0.2, 0.3, 1.0, 0.5, 0.005),
+        JobKind(blend, 4.9, 3.2, 1.5, 25, 3500, 5000, 2.7, 0.5, 0.45, 0, 0.8, 0.005),
+        JobKind(check, 55, 0.41, 1.0, 3, 5000, 9100, 0.8, 0.9, 0.7, 0.3, 0, 0.05),
     )
     bursts = tuple(
-        Kind(**{**vars(kind), 'burst': (5, 9, 2) if kind.queue is settle else (12, 16, 2)})
+        JobKind(**{**vars(kind), 'burst': (5, 9, 2) if kind.queue is settle else (12, 16, 2)})
         for kind in quiet
     )
     return {
@@ -166,7 +166,7 @@
         'zones': _make_zones_load(),
         'backlog': _make_backlog_load(),
         'accounts': _make_accounts_load(),
-        'hot account': _make_accounts_load(Accounts(hot=(3, 4, 12, 9.0))),
+        'hot account': _make_accounts_load(Accounts(overload=(3, 4, 12, 9.0))),
     }
 
 
@@ -176,9 +176,9 @@
     recon = _queue('recon', 2, 2, 4.0, 3.0, 0.13, 0.00182, 2.0)
     check = _queue('check', 0, 3, 1.5, 0.25, 0.0143, 0.00021, 2.0)
     kinds = (
-        Kind(settle, 2.2, 7.19, 1.2, 20, 4500, 8100, 4.0, 0.2, 0.3, 1, 0.5, 0.01, (19, 23, 1.7)),
-        Kind(recon, 6.4, 2.69, 1.5, 25, 1700, 3200, 2.7, 0.5, 0.45, 0, 0.8, 0.05),
-        Kind(check, 33, 0.421, 1, 3.2, 2500, 2500, 1.0, 0.9, 0.7, 0.3, 0, 0.05, (7, 11, 2)),
+        JobKind(settle, 2.2, 7.19, 1.2, 20, 4500, 8100, 4.0, 0.2, 0.3, 1, 0.5, 0.01, (19, 23, 1.7)),
+        JobKind(recon, 6.4, 2.69, 1.5, 25, 1700, 3200, 2.7, 0.5, 0.45, 0, 0.8, 0.05),
+        JobKind(check, 33, 0.421, 1, 3.2, 2500, 2500, 1.0, 0.9, 0.7, 0.3, 0, 0.05, (7, 11, 2)),
     )
     half = Demand(16_000, 32_768, 0)
     return Load(176, 45, kinds, 0, 4, 12, capacity=half, accounts=accounts)
@@ -190,11 +190,11 @@
     blend = _queue('blend', 2, 3, 4.0, 3.0, 0.182, 0.0026, 2.0)
     check = _queue('check', 0, 2, 1.5, 0.25, 0.026, 0.00036, 2.0)
     kinds = (
-        Kind(settle, 3.6, 5.66, 1.2, 16, 9000, 9400, 6.2, 0.5, 0.3, 1, 0.5, 0.02, (20, 24, 1.8)),
-        Kind(blend, 6.0, 2.12, 1.5, 19, 5500, 7900, 2.7, 0.2, 0.45, 0, 0.8, 0.05),
-        Kind(check, 42, 0.418, 1, 3.1, 7900, 15_000, 1.0, 0.9, 0.7, 0.3, 0, 0.05, (9, 13, 2)),
+        JobKind(settle, 3.6, 5.66, 1.2, 16, 9000, 9400, 6.2, 0.5, 0.3, 1, 0.5, 0.02, (20, 24, 1.8)),
+        JobKind(blend, 6.0, 2.12, 1.5, 19, 5500, 7900, 2.7, 0.2, 0.45, 0, 0.8, 0.05),
+        JobKind(check, 42, 0.418, 1, 3.1, 7900, 15_000, 1.0, 0.9, 0.7, 0.3, 0, 0.05, (9, 13, 2)),
     )
-    cut = Cut(zone=5, begins=33.5, seconds=5.7)
+    cut = Cut(zone=5, starts_at=33.5, duration=5.7)
     return Load(270, 97, kinds, 0, 6, 12, cut, takeover=(14.0, 2.0))
 
 
@@ -204,16 +204,16 @@
     blend = _queue('blend', 2, 2, 4.0, 3.0, 0.13, 0.00182, 1.5)
     check = _queue('check', 0, 2, 1.5, 0.25, 0.0143, 0.00021, 1.5)
     kinds = (
-        Kind(settle, 2.9, 7.1, 1.2, 20, 18_000, 33_000, 4.0, 0.9, 0.25, 1, 0.5, 0.005),
-        Kind(blend, 4.8, 2.7, 1.5, 25, 6900, 7100, 2.7, 0.2, 0.45, 0, 0.8, 0.02),
-        Kind(check, 43, 0.42, 1, 3.2, 9900, 14_000, 1.0, 0.2, 0.7, 0.3, 0, 0.02, (6, 10, 2)),
+        JobKind(settle, 2.9, 7.1, 1.2, 20, 18_000, 33_000, 4.0, 0.9, 0.25, 1, 0.5, 0.005),
+        JobKind(blend, 4.8, 2.7, 1.5, 25, 6900, 7100, 2.7, 0.2, 0.45, 0, 0.8, 0.02),
+        JobKind(check, 43, 0.42, 1, 3.2, 9900, 14_000, 1.0, 0.2, 0.7, 0.3, 0, 0.02, (6, 10, 2)),
     )
-    cut = Cut(zone=1, begins=33.5, seconds=5.2)
+    cut = Cut(zone=1, starts_at=33.5, duration=5.2)
     large = Demand(64_000, 131_072, 0)
     return Load(176, 33, kinds, 0, 3, 12, cut, takeover=(18.0, 4.2), capacity=large)
 
 
-class Arrival(WaitingOrder):
+class ArrivalOrder(WaitingOrder):
     """Whoever came first is served first."""
 
     def rank(self, urgency: RankInputs) -> Rank:
@@ -222,23 +222,23 @@
         return Rank(False, False, 0, 0, job.accepted_at, job.id, urgency.step.name)
 
 
-class FirstCome(Planner):
+class ArrivalOrderPlanner(Planner):
     """A baseline: whoever came first is served first."""
 
     def __init__(self, cell: Cell) -> None:
         """Place the tasks of that cell."""
-        super().__init__(cell, Arrival())
+        super().__init__(cell, ArrivalOrder())
 
 
 class NoPreemption(Preemption):
     """Nothing is stopped for anybody."""
 
-    def plan_preemption(self, *asked: object) -> PreemptionPlan | None:
+    def plan_preemption(self, *arguments: object) -> PreemptionPlan | None:
         """Return that there is no room."""
         return None
 
 
-class Patient(Planner):
+class NoPreemptionPlanner(Planner):
     """A baseline: gangs wait until their seats come free."""
 
     def __init__(self, cell: Cell) -> None:
@@ -247,7 +247,7 @@
         self._preemption = NoPreemption(cell)
 
 
-class NoShares(WithinRateFirst):
+class IgnoreAccountRates(WithinRateFirst):
     """Accounts do not matter: priority, then the earliest objective."""
 
     def rank(self, urgency: RankInputs) -> Rank:
@@ -255,48 +255,50 @@
         return super().rank(urgency)._replace(beyond_rate=False)
 
 
-class SharesWithinQueues(WaitingOrder):
+class ShareOrderWithinQueues(WaitingOrder):
     """Strict order of queues; in each of them, the account with the least use for its weight."""
 
     def __init__(self, cell: Cell) -> None:
         """Share out that cell."""
         self._cell = cell
-        self._whole = Demand()
+        self._total_capacity = Demand()
         self._now = -1.0
 
     def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step; its account's share stands for its lateness."""
         rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
-        return rank._replace(lateness=int(SHARE_STEPS * self.share(urgency)))
+        return rank._replace(lateness=int(SHARE_RESOLUTION * self.share(urgency)))
 
     def share(self, urgency: RankInputs) -> float:
         """Return the weighted dominant share of a step's account."""
         if urgency.now != self._now:
             self._now = urgency.now
-            self._whole = self._cell.capacity()
+            self._total_capacity = self._cell.capacity()
         account = self._cell.configuration.find_account(urgency.job.account)
         weight = account.weight if account else 1.0
-        return weighted_share(self._cell.quotas.used(urgency.job.account), self._whole, weight)
+        return weighted_share(
+            self._cell.quotas.used(urgency.job.account), self._total_capacity, weight
+        )
 
 
-class WeightedShares(SharesWithinQueues):
+class ShareOrder(ShareOrderWithinQueues):
     """The account with the least use for its weight, over all queues."""
 
     def rank(self, urgency: RankInputs) -> Rank:
         """Return the place of a step; its account's share goes before its queue."""
         rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
         return rank._replace(
-            priority=int(SHARE_STEPS * self.share(urgency)), lateness=rank.priority
+            priority=int(SHARE_RESOLUTION * self.share(urgency)), lateness=rank.priority
         )
 
 
 POLICIES: dict[str, Callable[[Cell], Planner]] = {
     'as built': Planner,
-    'no preemption': Patient,
-    'first come, first served': FirstCome,
-    'no shares': lambda cell: Planner(cell, NoShares()),
-    'shares within queues': lambda cell: Planner(cell, SharesWithinQueues(cell)),
-    'weighted shares': lambda cell: Planner(cell, WeightedShares(cell)),
+    'no preemption': NoPreemptionPlanner,
+    'first come, first served': ArrivalOrderPlanner,
+    'no shares': lambda cell: Planner(cell, IgnoreAccountRates()),
+    'shares within queues': lambda cell: Planner(cell, ShareOrderWithinQueues(cell)),
+    'weighted shares': lambda cell: Planner(cell, ShareOrder(cell)),
 }
 
 
@@ -315,36 +317,38 @@
         self.tally_by_account: dict[str, Tally] = {}
         self.planner = policy(self.cell)
         self.tally_by_queue = {kind.queue.name: Tally() for kind in load.kinds}
-        self.wasted = 0.0
+        self.wasted_core_seconds = 0.0
         self.plan_seconds: list[float] = []
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._seed = seed
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[..., None], tuple]] = []
-        self._order = itertools.count()
-        self._waiting: list[tuple[int, int, AdviceRequest]] = []
-        self._busy = {True: 0, False: 0}
-        self._weight_by_job: dict[str, float] = {}
+        self._sequence = itertools.count()
+        self._waiting_requests: list[tuple[int, int, AdviceRequest]] = []
+        self._busy_hosts_by_urgency = {True: 0, False: 0}
+        self._value_by_job: dict[str, float] = {}
         #: Of each job that is owed, what it is worth and how many core-seconds it takes.
-        self._owed_work: list[tuple[float, float]] = []
-        self._begun: set[str] = set()
+        self._attainable_work: list[tuple[float, float]] = []
+        self._started_jobs: set[str] = set()
         #: Runs at work by runner: when each began, how long it takes, what was saved.
-        self._work: dict[str, dict[tuple, tuple[float, float, float]]] = {}
-        self._ends = itertools.count(1)
+        self._runs_by_runner: dict[str, dict[tuple, tuple[float, float, float]]] = {}
+        self._end_numbers = itertools.count(1)
         #: What runners out of reach have ended meanwhile.
-        self._unseen_by_runner: dict[str, list[EndedRun]] = {}
+        self._unseen_ends_by_runner: dict[str, list[EndedRun]] = {}
         self._add_runners()
 
     def play(self, seconds: float) -> None:
         """Let jobs arrive for that long, and go on until the last objectives are over."""
         for kind in self.load.kinds:
-            self._later(self._random.expovariate(kind.rate(0)), self._arrive, kind, seconds)
-        self._later(max(PLAN_SECONDS, self.load.outage), self._plan, 3 * seconds)
+            self._schedule(
+                self._rng.expovariate(kind.arrival_rate(0)), self._submit_job, kind, seconds
+            )
+        self._schedule(max(PLAN_INTERVAL_SECONDS, self.load.outage), self._plan, 3 * seconds)
         if self.load.cut is not None:
-            self._later(self.load.cut.begins, self._cut_off, self.load.cut)
+            self._schedule(self.load.cut.starts_at, self._start_cut, self.load.cut)
         while self._events:
-            self._now, _, act, values = heapq.heappop(self._events)
-            act(*values)
+            self._now, _, callback, values = heapq.heappop(self._events)
+            callback(*values)
 
     @property
     def bound(self) -> float:
@@ -352,93 +356,93 @@
 
         All arrivals are known to it, and work can be split: the most worthwhile goes first.
         """
-        room = self.load.runners * self.load.capacity.cpu / MILLI * (self._now or 1.0)
+        core_seconds_left = self.load.runners * self.load.capacity.cpu / MILLI * (self._now or 1.0)
         earned = 0.0
-        for weight, work in sorted(self._owed_work, key=_worth_a_core_second):
-            part = min(1.0, room / max(work, 1e-9))
-            room -= part * work
-            earned += part * weight
+        for value, work in sorted(self._attainable_work, key=_negative_value_density):
+            part = min(1.0, core_seconds_left / max(work, 1e-9))
+            core_seconds_left -= part * work
+            earned += part * value
         return earned
 
-    def _later(self, delay: float, act: Callable[..., None], *values: object) -> None:
-        heapq.heappush(self._events, (self._now + delay, next(self._order), act, values))
+    def _schedule(self, delay: float, callback: Callable[..., None], *values: object) -> None:
+        heapq.heappush(self._events, (self._now + delay, next(self._sequence), callback, values))
 
     def _add_runners(self) -> None:
         registrations = {}
         for number in range(self.load.runners):
             zone = number * self.load.zones // self.load.runners
-            labels = ('a', f'r-{number // self.load.per_rack}')
+            labels = ('a', f'r-{number // self.load.runners_per_rack}')
             name = f'w{number}'
             registrations[name] = Registration(
                 name, 'desk', '10.0.0.1', number, f'zone-{zone}', self.load.capacity, labels, False
             )
-            self._work[name] = {}
+            self._runs_by_runner[name] = {}
         self.cell.update_runners(registrations, 0)
         for name, state in self.cell.runner_by_id.items():
             state.recorded = True
             self._poll_once(name)
 
     def _poll_once(self, runner: str, *ended: EndedRun) -> None:
-        running = tuple(RunningTask(*run, '', 0, 0) for run in self._work[runner])
+        running = tuple(RunningTask(*run, '', 0, 0) for run in self._runs_by_runner[runner])
         view = RunnerView(self._now, running, ended)
         self.cell.handle_view(self.cell.runner_by_id[runner], view, self._now, self._now)
 
-    def _cut_off(self, cut: Cut) -> None:
+    def _start_cut(self, cut: Cut) -> None:
         for state in self.cell.runner_by_id.values():
             if state.registration.zone == f'zone-{cut.zone}':
                 state.suspect = True
-                self._unseen_by_runner[state.id] = []
-        self._later(LEASE_SECONDS - LEASE_AGE, self._lapse)
-        self._later(lease_upper_bound(LEASE_SECONDS), self._expire_leases)
-        self._later(cut.seconds, self._reconnect)
-
-    def _lapse(self) -> None:
-        for runner in self._unseen_by_runner:
-            for run, (began, _, _) in tuple(self._work[runner].items()):
+                self._unseen_ends_by_runner[state.id] = []
+        self._schedule(LEASE_SECONDS - MEAN_LEASE_AGE_SECONDS, self._stop_unreachable_runs)
+        self._schedule(lease_upper_bound(LEASE_SECONDS), self._expire_leases)
+        self._schedule(cut.duration, self._end_cut)
+
+    def _stop_unreachable_runs(self) -> None:
+        for runner in self._unseen_ends_by_runner:
+            for run, (began, _, _) in tuple(self._runs_by_runner[runner].items()):
                 allocation = self.cell.runner_by_id[runner].allocation_by_run[run]
-                self.wasted += (self._now - began) * allocation.demand.cpu / 1000
-            self._work[runner].clear()
+                self.wasted_core_seconds += (self._now - began) * allocation.demand.cpu / 1000
+            self._runs_by_runner[runner].clear()
 
     def _expire_leases(self) -> None:
-        for runner in self._unseen_by_runner:
+        for runner in self._unseen_ends_by_runner:
             self.cell.handle_lapsed_runner(runner)
 
-    def _reconnect(self) -> None:
-        ends_by_runner = self._unseen_by_runner
-        self._unseen_by_runner = {}
+    def _end_cut(self) -> None:
+        ends_by_runner = self._unseen_ends_by_runner
+        self._unseen_ends_by_runner = {}
         for runner, ends in ends_by_runner.items():
             self._poll_once(runner, *ends)
             for ended in ends:
-                self._settle_if_over(ended.task.job)
+                self._record_if_ended(ended.task.job)
 
-    def _arrive(self, kind: Kind, until: float) -> None:
-        if self._now >= until:
+    def _submit_job(self, kind: JobKind, end_at: float) -> None:
+        if self._now >= end_at:
             return
         steps = tuple(self._draw_steps(kind))
         work = sum(step.count * step.demand.cpu * step.estimate for step in steps)
-        usual = kind.steps * kind.width * kind.cpu * kind.seconds
-        job_id = f'{next(self._order):016x}'
+        mean_work = kind.mean_steps * kind.mean_tasks * kind.mean_cpu * kind.mean_seconds
+        job_id = f'{next(self._sequence):016x}'
         account = self._draw_account()
         spec = JobSpec('', steps)
         submission = Submission(kind.queue.name, 'desk', self._now, spec, '', account)
         self.cell.update_job(StoredJob(job_id, submission, False, None), self._now, self._now)
-        weight = kind.worth * min(MOST_WEIGHT, 0.3 + 0.7 * work / usual)
+        value = kind.mean_value * min(MAX_SIZE_FACTOR, 0.3 + 0.7 * work / mean_work)
         if not self.cell.job_by_id[job_id].exceeds_account_rate:
-            self._weight_by_job[job_id] = weight
-            self._owed_work.append((weight, work / MILLI))
+            self._value_by_job[job_id] = value
+            self._attainable_work.append((value, work / MILLI))
             for tally in self._tallies(kind.queue.name, account):
                 tally.jobs += 1
-                tally.owed += weight
-        rate = kind.rate(self._now) * self._rush()
-        self._later(self._random.expovariate(rate), self._arrive, kind, until)
+                tally.attainable += value
+        rate = kind.arrival_rate(self._now) * self._load_factor()
+        self._schedule(self._rng.expovariate(rate), self._submit_job, kind, end_at)
 
-    def _rush(self) -> float:
+    def _load_factor(self) -> float:
         """Return how many times as much as usual comes from all accounts together."""
         accounts = self.load.accounts
         if accounts is None:
             return 1.0
         shares = enumerate(accounts.shares())
-        return sum(share * accounts.factor(number, self._now) for number, share in shares)
+        return sum(share * accounts.load_factor(number, self._now) for number, share in shares)
 
     def _draw_account(self) -> str:
         accounts = self.load.accounts
@@ -446,10 +450,10 @@
             return ''
         numbers = range(accounts.count)
         sizes = [
-            share * accounts.factor(number, self._now)
+            share * accounts.load_factor(number, self._now)
             for number, share in enumerate(accounts.shares())
         ]
-        return f'account-{self._random.choices(numbers, sizes)[0]}'
+        return f'account-{self._rng.choices(numbers, sizes)[0]}'
 
     def _tallies(self, queue: str, account: str) -> list[Tally]:
         tallies = [self.tally_by_queue[queue]]
@@ -457,99 +461,113 @@
             tallies.append(self.tally_by_account.setdefault(account, Tally()))
         return tallies
 
-    def _draw_steps(self, kind: Kind) -> Iterable[Step]:
-        draw = self._random
+    def _draw_steps(self, kind: JobKind) -> Iterable[Step]:
+        rng = self._rng
         capacity = self.load.capacity
-        count = 1 + (draw.random() < kind.steps - 1)
+        count = 1 + (rng.random() < kind.mean_steps - 1)
         for number in range(count):
-            seconds = kind.seconds * draw.lognormvariate(-0.12, 0.5)
+            seconds = kind.mean_seconds * rng.lognormvariate(-0.12, 0.5)
             yield Step(
-                max(1, round(kind.width * draw.lognormvariate(-0.25, 0.7))),
+                max(1, round(kind.mean_tasks * rng.lognormvariate(-0.25, 0.7))),
                 Demand(
-                    int(min(capacity.cpu, kind.cpu * draw.lognormvariate(-0.08, 0.4))),
-                    int(min(capacity.memory_mb, kind.memory_mb * draw.lognormvariate(-0.12, 0.5))),
+                    int(min(capacity.cpu, kind.mean_cpu * rng.lognormvariate(-0.08, 0.4))),
+                    int(
+                        min(
+                            capacity.memory_mb, kind.mean_memory_mb * rng.lognormvariate(-0.12, 0.5)
+                        )
+                    ),
                     0,
                 ),
-                seconds * draw.uniform(1 - kind.guess / 2, 1 + kind.guess),
+                seconds * rng.uniform(1 - kind.estimate_error / 2, 1 + kind.estimate_error),
                 (number - 1,) if number else (),
-                gang=draw.random() < kind.gang,
-                checkpointing=draw.random() < kind.saves,
+                gang=rng.random() < kind.gang_share,
+                checkpointing=rng.random() < kind.checkpoint_share,
             )
 
-    def _plan(self, until: float) -> None:
-        lost_at, absent = self.load.takeover
-        if lost_at <= self._now < lost_at + absent:
-            self._later(PLAN_SECONDS, self._plan, until)
+    def _plan(self, end_at: float) -> None:
+        lost_at, absence = self.load.takeover
+        if lost_at <= self._now < lost_at + absence:
+            self._schedule(PLAN_INTERVAL_SECONDS, self._plan, end_at)
             return
         began = time.perf_counter()
-        waiting = sum(priority > 0 for priority, _, _ in self._waiting)
-        free = int(NON_URGENT_SHARE * self.load.hosts) - self._busy[False] - waiting
-        made = self.planner.plan(self._now, self._now, free)
+        waiting = sum(priority > 0 for priority, _, _ in self._waiting_requests)
+        free = (
+            int(NON_URGENT_SHARE * self.load.hosts) - self._busy_hosts_by_urgency[False] - waiting
+        )
+        plan = self.planner.plan(self._now, self._now, free)
         self.plan_seconds.append(time.perf_counter() - began)
         for allocation in self.cell.take_stops():
-            self._later(STOP_SECONDS, self._stop, allocation)
-        for allocation in made.starts:
-            self._later(ORDER_SECONDS, self._start, allocation)
-        for question in made.advice_requests:
-            heapq.heappush(self._waiting, (question.priority, next(self._order), question))
-        self._ask()
-        if self._now < until:
-            self._later(PLAN_SECONDS, self._plan, until)
-
-    def _ask(self) -> None:
-        while self._waiting:
-            urgent = self._waiting[0][0] == 0
-            most = int(NON_URGENT_SHARE * self.load.hosts)
-            if sum(self._busy.values()) >= self.load.hosts or (
-                not urgent and self._busy[False] >= most
+            self._schedule(STOP_SECONDS, self._stop, allocation)
+        for allocation in plan.starts:
+            self._schedule(ORDER_SECONDS, self._start, allocation)
+        for request in plan.advice_requests:
+            heapq.heappush(
+                self._waiting_requests, (request.priority, next(self._sequence), request)
+            )
+        self._send_advice_requests()
+        if self._now < end_at:
+            self._schedule(PLAN_INTERVAL_SECONDS, self._plan, end_at)
+
+    def _send_advice_requests(self) -> None:
+        while self._waiting_requests:
+            urgent = self._waiting_requests[0][0] == 0
+            max_busy = int(NON_URGENT_SHARE * self.load.hosts)
+            if sum(self._busy_hosts_by_urgency.values()) >= self.load.hosts or (
+                not urgent and self._busy_hosts_by_urgency[False] >= max_busy
             ):
                 return
-            question = heapq.heappop(self._waiting)[2]
-            self._busy[urgent] += 1
-            takes = question.advice.decision_seconds + question.advice.seconds_per_runner * len(
-                question.runners
+            request = heapq.heappop(self._waiting_requests)[2]
+            self._busy_hosts_by_urgency[urgent] += 1
+            duration = request.advice.decision_seconds + request.advice.seconds_per_runner * len(
+                request.runners
             )
-            self._later(takes, self._answer, question, urgent)
+            self._schedule(duration, self._handle_advice, request, urgent)
 
-    def _answer(self, question: AdviceRequest, urgent: bool) -> None:
-        self._busy[urgent] -= 1
-        share = self._kind_of(question.step.job).allowed
+    def _handle_advice(self, request: AdviceRequest, urgent: bool) -> None:
+        self._busy_hosts_by_urgency[urgent] -= 1
+        share = self._kind_of(request.step.job).permit_share
         permits = [
             Permit(runner, 'ticket')
-            for runner in question.runners
-            if random.Random(f'{question.step}{runner}{self._seed}').random() < share
+            for runner in request.runners
+            if random.Random(f'{request.step}{runner}{self._seed}').random() < share
         ]
-        until = self._now + question.advice.valid_seconds
-        self.cell.tickets.note_answer(question.step, question.runners, permits, until)
-        self._ask()
+        end_at = self._now + request.advice.valid_seconds
+        self.cell.tickets.note_answer(request.step, request.runners, permits, end_at)
+        self._send_advice_requests()
 
-    def _kind_of(self, job_id: str) -> Kind:
+    def _kind_of(self, job_id: str) -> JobKind:
         queue = self.cell.job_by_id[job_id].submission.queue
         return next(kind for kind in self.load.kinds if kind.queue.name == queue)
 
     def _start(self, allocation: Allocation) -> None:
-        if not self.cell.may_start(allocation) or allocation.runner in self._unseen_by_runner:
+        if not self.cell.may_start(allocation) or allocation.runner in self._unseen_ends_by_runner:
             self.cell.release_start(allocation)
             return
         job = self.cell.job_by_id[allocation.task.job]
         kind = self._kind_of(job.id)
-        if job.id not in self._begun:
-            self._begun.add(job.id)
-            waits = self.tally_by_queue[kind.queue.name].first_waits
-            waits.append(self._now - job.accepted_at)
+        if job.id not in self._started_jobs:
+            self._started_jobs.add(job.id)
+            start_delays = self.tally_by_queue[kind.queue.name].start_delays
+            start_delays.append(self._now - job.accepted_at)
         step = job.find_step(allocation.task)
         # Members of a gang end together; else each task has a duration of its own.
         name = step.name if step.step.gang else allocation.task
-        draw = random.Random(f'{name}{self._seed}')
-        whole = kind.seconds / (1 + kind.guess / 4) if step is None else step.step.estimate
-        whole *= draw.uniform(0.7, 1.2)
-        saved = float(allocation.checkpoint or 0)
-        takes = max(0.01, whole - saved) + (RESTORE_SECONDS if saved else 0)
-        fails = random.Random(f'{name}{allocation.run}{self._seed}').random() < kind.fails
+        rng = random.Random(f'{name}{self._seed}')
+        full_duration = (
+            kind.mean_seconds / (1 + kind.estimate_error / 4)
+            if step is None
+            else step.step.estimate
+        )
+        full_duration *= rng.uniform(0.7, 1.2)
+        saved_seconds = float(allocation.checkpoint or 0)
+        duration = max(0.01, full_duration - saved_seconds) + (
+            RESTORE_SECONDS if saved_seconds else 0
+        )
+        fails = random.Random(f'{name}{allocation.run}{self._seed}').random() < kind.failure_share
         run = (allocation.task, allocation.run)
-        self._work[allocation.runner][run] = (self._now, takes, saved)
+        self._runs_by_runner[allocation.runner][run] = (self._now, duration, saved_seconds)
         self.cell.handle_start_reply(allocation, StartReply.STARTED, self._now)
-        self._later(takes, self._end, allocation, Outcome.FAILED if fails else Outcome.DONE)
+        self._schedule(duration, self._end, allocation, Outcome.FAILED if fails else Outcome.DONE)
 
     def _stop(self, allocation: Allocation) -> None:
         self.cell.handle_stop_reply(allocation, self._now)
@@ -557,49 +575,49 @@
 
     def _end(self, allocation: Allocation, outcome: Outcome) -> None:
         run = (allocation.task, allocation.run)
-        work = self._work[allocation.runner].pop(run, None)
-        if work is None:
+        running = self._runs_by_runner[allocation.runner].pop(run, None)
+        if running is None:
             return
-        began, _, saved = work
-        worked = self._now - began
+        began, _, saved_seconds = running
+        run_seconds = self._now - began
         job = self.cell.job_by_id.get(allocation.task.job)
         step = None if job is None else job.find_step(allocation.task)
         checkpoint = ''
         if outcome is Outcome.STOPPED and step is not None and step.step.checkpointing:
-            checkpoint = str(saved + worked)
+            checkpoint = str(saved_seconds + run_seconds)
         elif outcome is not Outcome.DONE:
-            self.wasted += worked * allocation.demand.cpu / 1000
-        ended = EndedRun(next(self._ends), *run, outcome, checkpoint)
-        if allocation.runner in self._unseen_by_runner:
-            self._unseen_by_runner[allocation.runner].append(ended)
+            self.wasted_core_seconds += run_seconds * allocation.demand.cpu / 1000
+        ended = EndedRun(next(self._end_numbers), *run, outcome, checkpoint)
+        if allocation.runner in self._unseen_ends_by_runner:
+            self._unseen_ends_by_runner[allocation.runner].append(ended)
             return
         self._poll_once(allocation.runner, ended)
-        self._settle_if_over(allocation.task.job)
+        self._record_if_ended(allocation.task.job)
 
-    def _settle_if_over(self, job_id: str) -> None:
+    def _record_if_ended(self, job_id: str) -> None:
         job = self.cell.job_by_id.get(job_id)
         if job is not None and job.state in {JobState.COMPLETED, JobState.FAILED}:
-            self._settle(job_id)
+            self._record_result(job_id)
 
-    def _settle(self, job_id: str) -> None:
+    def _record_result(self, job_id: str) -> None:
         """Count what a job earned, once; one that failed too often earns nothing."""
-        weight = self._weight_by_job.pop(job_id, None)
-        if weight is None:
+        value = self._value_by_job.pop(job_id, None)
+        if value is None:
             return
         job = self.cell.job_by_id[job_id]
         kind = self._kind_of(job_id)
-        took = (self._now - job.accepted_at) / self.cell.objective_of(job)
+        lateness = (self._now - job.accepted_at) / self.cell.objective_of(job)
         for tally in self._tallies(kind.queue.name, job.account):
-            if job.state is JobState.COMPLETED and took <= 1:
+            if job.state is JobState.COMPLETED and lateness <= 1:
                 tally.in_time += 1
-                tally.earned += weight
-            elif job.state is JobState.COMPLETED and took <= LATEST:
+                tally.value_earned += value
+            elif job.state is JobState.COMPLETED and lateness <= MAX_LATE_FACTOR:
                 tally.late += 1
-                tally.earned += weight * LATE_WORTH
+                tally.value_earned += value * LATE_VALUE_SHARE
 
 
-def _worth_a_core_second(entry: tuple[float, float]) -> float:
-    return -entry[0] / max(entry[1], 1e-9)
+def _negative_value_density(value_and_work: tuple[float, float]) -> float:
+    return -value_and_work[0] / max(value_and_work[1], 1e-9)
 
 
 def make_accounts(load: Load) -> list[Account[Demand]]:
@@ -607,17 +625,17 @@
     accounts = load.accounts or Accounts()
     cores = memory_mb = rate = 0.0
     for kind in load.kinds:
-        tasks = kind.per_second * kind.steps * kind.width * kind.seconds
-        cores += tasks * kind.cpu
-        memory_mb += tasks * kind.memory_mb
-        rate += kind.per_second
+        tasks = kind.arrivals_per_second * kind.mean_steps * kind.mean_tasks * kind.mean_seconds
+        cores += tasks * kind.mean_cpu
+        memory_mb += tasks * kind.mean_memory_mb
+        rate += kind.arrivals_per_second
     return [
         Account(
             f'account-{number}',
-            max(1.0, share * rate * accounts.rate),
+            max(1.0, share * rate * accounts.rate_factor),
             Demand(
-                int(share * cores * accounts.quota),
-                int(share * memory_mb * accounts.quota),
+                int(share * cores * accounts.quota_factor),
+                int(share * memory_mb * accounts.quota_factor),
                 UNLIMITED_GPU,
             ),
         )
@@ -632,13 +650,13 @@
     parser.add_argument('--seconds', type=float, default=20)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--policy', choices=sorted(POLICIES), action='append')
-    asked = parser.parse_args()
+    options = parser.parse_args()
     for name, policy in POLICIES.items():
-        if asked.policy and name not in asked.policy:
+        if options.policy and name not in options.policy:
             continue
-        replay = Replay(make_loads()[asked.load], policy, asked.seed)
-        replay.play(asked.seconds)
-        tell_result(name, replay)
+        replay = Replay(make_loads()[options.load], policy, options.seed)
+        replay.play(options.seconds)
+        print_result(name, replay)
     return 0
 
 
--- a/bench/replay_report.py
+++ b/bench/replay_report.py
@@ -9,22 +9,22 @@
 class Tally:
     """What became of one kind's jobs."""
 
-    owed: float = 0
-    earned: float = 0
+    attainable: float = 0
+    value_earned: float = 0
     jobs: int = 0
     in_time: int = 0
     late: int = 0
-    first_waits: list[float] = field(default_factory=list)
+    start_delays: list[float] = field(default_factory=list)
 
 
-class Played(Protocol):
+class ReplayResult(Protocol):
     """The part of a replay that is told."""
 
     tally_by_queue: dict[str, Tally]
     tally_by_account: dict[str, Tally]
     bound: float
     plan_seconds: list[float]
-    wasted: float
+    wasted_core_seconds: float
 
 
 @dataclass(frozen=True)
@@ -39,38 +39,42 @@
     plan_p99: float
 
 
-def score(replay: 'Played') -> Score:
+def score(replay: 'ReplayResult') -> Score:
     """Return what a play came to."""
     tallies = replay.tally_by_queue.values()
-    owed = sum(tally.owed for tally in tallies)
-    earned = sorted(
-        tally.earned / tally.owed for tally in replay.tally_by_account.values() if tally.owed
+    attainable = sum(tally.attainable for tally in tallies)
+    account_shares = sorted(
+        tally.value_earned / tally.attainable
+        for tally in replay.tally_by_account.values()
+        if tally.attainable
     )
-    worst = earned[: max(1, len(earned) // 10)]
-    plans = sorted(replay.plan_seconds)
+    worst_shares = account_shares[: max(1, len(account_shares) // 10)]
+    plan_times = sorted(replay.plan_seconds)
     return Score(
-        sum(tally.earned for tally in tallies) / owed,
-        sum(worst) / len(worst) if worst else 1.0,
-        replay.bound / owed,
-        plans[int(0.99 * len(plans))],
+        sum(tally.value_earned for tally in tallies) / attainable,
+        sum(worst_shares) / len(worst_shares) if worst_shares else 1.0,
+        replay.bound / attainable,
+        plan_times[int(0.99 * len(plan_times))],
     )
 
 
-def tell_result(name: str, replay: 'Played') -> None:
+def print_result(name: str, replay: 'ReplayResult') -> None:
     """Print one policy's table."""
     tallies = replay.tally_by_queue.values()
-    worth = sum(tally.earned for tally in tallies) / sum(tally.owed for tally in tallies)
-    plans = sorted(replay.plan_seconds)
+    worth = sum(tally.value_earned for tally in tallies) / sum(
+        tally.attainable for tally in tallies
+    )
+    plan_times = sorted(replay.plan_seconds)
     sys.stdout.write(
-        f'{name}: worth {worth:.3f}, {replay.wasted:.0f} core-seconds thrown away, '
-        f'a plan takes {1000 * plans[len(plans) // 2]:.1f} ms, '
-        f'99 of 100 up to {1000 * plans[int(0.99 * len(plans))]:.1f} ms\n'
+        f'{name}: worth {worth:.3f}, {replay.wasted_core_seconds:.0f} core-seconds thrown away, '
+        f'a plan takes {1000 * plan_times[len(plan_times) // 2]:.1f} ms, '
+        f'99 of 100 up to {1000 * plan_times[int(0.99 * len(plan_times))]:.1f} ms\n'
     )
     for queue, tally in replay.tally_by_queue.items():
-        waits = sorted(tally.first_waits) or [0.0]
+        delays = sorted(tally.start_delays) or [0.0]
         sys.stdout.write(
             f'    {queue:8} {tally.jobs:5} jobs, {tally.in_time:5} in time, {tally.late:4} late, '
-            f'worth {tally.earned / max(tally.owed, 1e-9):.3f}, first start within '
-            f'{waits[len(waits) // 2]:.2f} s for half, {waits[int(0.95 * len(waits))]:.2f} s '
+            f'worth {tally.value_earned / max(tally.attainable, 1e-9):.3f}, first start within '
+            f'{delays[len(delays) // 2]:.2f} s for half, {delays[int(0.95 * len(delays))]:.2f} s '
             'for 95 of 100\n'
         )
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -14,26 +14,28 @@
 from standins import Cluster, Layout
 
 REQUESTS = 1500
-LOADS = (1, 4, 8, 16)
+CALLER_COUNTS = (1, 4, 8, 16)
 TIMINGS: dict[str, float] = {}
 
 
-def tell(text: str) -> None:
+def print_line(text: str) -> None:
     """Write one line."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
-def timed(address: str, port: int, path: str, headers: dict[str, str], count: int) -> list[float]:
+def time_requests(
+    address: str, port: int, path: str, headers: dict[str, str], count: int
+) -> list[float]:
     """Return the seconds of each of ``count`` requests on one connection."""
     connection = http.client.HTTPConnection(address, port, timeout=20)
     times = []
     for _ in range(count):
         began = time.perf_counter()
         connection.request('POST', path, b'x' * 200, headers)
-        answer = connection.getresponse()
-        answer.read()
-        if answer.status == 200:
+        response = connection.getresponse()
+        response.read()
+        if response.status == 200:
             times.append(time.perf_counter() - began)
     connection.close()
     return times
@@ -45,35 +47,42 @@
     runner = next(one for one in cell.hosts if one.kind == 'endpoint')
     headers = {'dandelionreel-customer': 'khangai', 'dandelionreel-idempotent': 'true'}
     rows = []
-    for load in LOADS:
-        each = REQUESTS // load
+    for load in CALLER_COUNTS:
+        requests_per_caller = REQUESTS // load
         with ThreadPoolExecutor(load) as pool:
-            direct = run(pool, load, runner.address, runner.port, '/echo', headers, each)
-            through = run(
+            direct = run_callers(
+                pool, load, runner.address, runner.port, '/echo', headers, requests_per_caller
+            )
+            proxied = run_callers(
                 pool,
                 load,
                 daemon.address,
                 daemon.callers,
                 '/v1/services/booking/echo',
                 headers,
-                each,
+                requests_per_caller,
             )
         rows.append(
             {
                 'callers': load,
                 'direct_median_ms': percentile(direct, 0.5) * 1000,
                 'direct_p99_ms': percentile(direct, 0.99) * 1000,
-                'through_median_ms': percentile(through, 0.5) * 1000,
-                'through_p99_ms': percentile(through, 0.99) * 1000,
-                'answered': len(through),
+                'through_median_ms': percentile(proxied, 0.5) * 1000,
+                'through_p99_ms': percentile(proxied, 0.99) * 1000,
+                'answered': len(proxied),
             },
         )
     return rows
 
 
-def run(pool, load: int, address: str, port: int, path: str, headers, each: int) -> list[float]:
+def run_callers(
+    pool, load: int, address: str, port: int, path: str, headers, requests_per_caller: int
+) -> list[float]:
     """Return all times of ``load`` callers at once."""
-    futures = [pool.submit(timed, address, port, path, headers, each) for _ in range(load)]
+    futures = [
+        pool.submit(time_requests, address, port, path, headers, requests_per_caller)
+        for _ in range(load)
+    ]
     return [seconds for future in futures for seconds in future.result()]
 
 
@@ -85,10 +94,10 @@
             cell.publish(contract())
             time.sleep(2)
             for row in measure(cell):
-                added = row['through_median_ms'] - row['direct_median_ms']
-                tail = row['through_p99_ms'] - row['direct_p99_ms']
-                tell(f'log {name}: {json.dumps(row)}')
-                tell(f'  adds {added:.2f} ms at the median, {tail:.2f} ms at p99')
+                added_median = row['through_median_ms'] - row['direct_median_ms']
+                added_p99 = row['through_p99_ms'] - row['direct_p99_ms']
+                print_line(f'log {name}: {json.dumps(row)}')
+                print_line(f'  adds {added_median:.2f} ms at the median, {added_p99:.2f} ms at p99')
     return 0
 
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -34,12 +34,12 @@
 )
 
 ZONES = ('ub-east', 'ub-west')
-FINAL = ('succeeded', 'failed', 'cancelled', 'uncertain', 'parked')
+FINAL_STATES = ('succeeded', 'failed', 'cancelled', 'uncertain', 'parked')
 LEAVING_SECONDS = 5.0
 
 
 @dataclass
-class Asked:
+class RequestRecord:
     """One request and its answer."""
 
     mark: str
@@ -47,18 +47,18 @@
     idempotent: bool
     status: int = 0
     verdict: str = ''
-    own: bool = False
+    echoed: bool = False
 
 
 @dataclass
 class Tally:
     """What the run has done and found."""
 
-    requests: list[Asked] = field(default_factory=list)
+    requests: list[RequestRecord] = field(default_factory=list)
     accepted: dict[str, bool] = field(default_factory=dict)
     refused: Counter = field(default_factory=Counter)
     faults: Counter = field(default_factory=Counter)
-    versions: dict[str, int] = field(default_factory=dict)
+    version_by_member: dict[str, int] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     left_at: dict[str, float] = field(default_factory=dict)
     lock: Lock = field(default_factory=Lock)
@@ -72,11 +72,11 @@
         self.random = random.Random(seed)
         self.seconds = seconds
         self.tally = Tally()
-        self.stop = Event()
+        self.stopping = Event()
         layout = Layout(ZONES, daemons, 2, 2, cuttable=True)
         self.cell = Cluster(layout)
         self.version = 1
-        self.down: set[str] = set()
+        self.down_daemons: set[str] = set()
 
     def run(self) -> Tally:
         """Run to the end and judge."""
@@ -85,91 +85,97 @@
             if reply.status != 200:
                 raise RuntimeError(f'no contract: {reply.body!r}')
             with ThreadPoolExecutor(8) as pool:
-                loads = [pool.submit(self.load, index) for index in range(6)]
+                loads = [pool.submit(self.run_load, index) for index in range(6)]
                 loads.append(pool.submit(self.watch_versions))
-                self.make_faults()
+                self.inject_faults()
                 self.heal()
-                self.stop.set()
+                self.stopping.set()
                 for load in loads:
                     load.result()
-            self.finish()
-            self.judge()
+            self.wait_for_jobs()
+            self.check_results()
         return self.tally
 
     # Load.
 
-    def load(self, index: int) -> None:
+    def run_load(self, index: int) -> None:
         """Send requests and jobs until told to stop."""
-        source = random.Random(f'{index}')
-        while not self.stop.is_set():
-            names = [name for name in self.cell.daemons if name not in self.down]
-            name = source.choice(names)
+        rng = random.Random(f'{index}')
+        while not self.stopping.is_set():
+            names = [name for name in self.cell.daemons if name not in self.down_daemons]
+            name = rng.choice(names)
             try:
-                if source.random() < 0.3:
-                    self.submit(name, source)
+                if rng.random() < 0.3:
+                    self.submit(name, rng)
                 else:
-                    self.ask(name, source)
+                    self.send_request(name, rng)
             except OSError:
                 with self.tally.lock:
                     self.tally.refused['no answer'] += 1
             time.sleep(0.02)
 
-    def ask(self, name: str, source: random.Random) -> None:
+    def send_request(self, name: str, rng: random.Random) -> None:
         """Send one request and keep its answer."""
-        asked = Asked(os.urandom(8).hex(), os.urandom(200), source.random() < 0.6)
+        record = RequestRecord(os.urandom(8).hex(), os.urandom(200), rng.random() < 0.6)
         with self.tally.lock:
-            self.tally.requests.append(asked)
+            self.tally.requests.append(record)
         reply = self.cell.callers(
             name,
             'POST',
-            f'/v1/services/booking/echo?seconds={source.choice((0.01, 0.05, 0.4))}',
-            asked.body,
+            f'/v1/services/booking/echo?seconds={rng.choice((0.01, 0.05, 0.4))}',
+            record.body,
             {
                 'dandelionreel-customer': 'khangai',
-                'dandelionreel-idempotent': 'true' if asked.idempotent else 'false',
-                'dandelionreel-deadline-ms': str(source.choice((300, 1000, 3000))),
-                'mark': asked.mark,
+                'dandelionreel-idempotent': 'true' if record.idempotent else 'false',
+                'dandelionreel-deadline-ms': str(rng.choice((300, 1000, 3000))),
+                'mark': record.mark,
             },
             timeout=12,
         )
-        asked.status = reply.status
-        asked.verdict = reply.headers.get('dandelionreel-verdict', '')
-        asked.own = reply.headers.get('mark') == asked.mark and reply.body == asked.body
+        record.status = reply.status
+        record.verdict = reply.headers.get('dandelionreel-verdict', '')
+        record.echoed = reply.headers.get('mark') == record.mark and reply.body == record.body
 
-    def submit(self, name: str, source: random.Random) -> None:
+    def submit(self, name: str, rng: random.Random) -> None:
         """Submit one job, some of them twice with the same key."""
-        once = source.random() < 0.5
-        demand = {'processors': source.choice((2, 6, 12)), 'memory_mb': 1024}
-        spec = job(f'run {source.choice((0.1, 0.5, 2))}', demand=demand, idempotent=not once)
+        at_most_once = rng.random() < 0.5
+        demand = {'processors': rng.choice((2, 6, 12)), 'memory_mb': 1024}
+        spec = job(f'run {rng.choice((0.1, 0.5, 2))}', demand=demand, idempotent=not at_most_once)
         key = os.urandom(6).hex()
-        for _ in range(source.choice((1, 1, 2))):
+        for _ in range(rng.choice((1, 1, 2))):
             reply = self.cell.submit(name, spec, key)
             with self.tally.lock:
                 if reply.status == 202:
-                    self.tally.accepted[reply.json()['id']] = once
+                    self.tally.accepted[reply.json()['id']] = at_most_once
                 else:
                     self.tally.refused[reply.json()['type'].rsplit(':', 1)[1]] += 1
 
     def watch_versions(self) -> None:
         """Note a contract version that goes back at a daemon that lives on."""
-        while not self.stop.is_set():
+        while not self.stopping.is_set():
             for name, daemon in self.cell.daemons.items():
-                reply = self.cell.try_get(daemon, '/v1/status') if name not in self.down else None
+                reply = (
+                    self.cell.try_get(daemon, '/v1/status')
+                    if name not in self.down_daemons
+                    else None
+                )
                 if reply is None or reply.status != 200:
                     continue
                 status = reply.json()
                 version = status['contracts'].get('khangai', 0)
                 member = status['member']
-                if version < self.tally.versions.get(member, 0):
+                if version < self.tally.version_by_member.get(member, 0):
                     self.tally.violations.append(f'version went back at {member}')
-                self.tally.versions[member] = max(version, self.tally.versions.get(member, 0))
+                self.tally.version_by_member[member] = max(
+                    version, self.tally.version_by_member.get(member, 0)
+                )
             time.sleep(0.3)
 
     # Faults.
 
-    def make_faults(self) -> None:
+    def inject_faults(self) -> None:
         """Bring faults about until the time is over, some of them together."""
-        until = time.monotonic() + self.seconds
+        end_at = time.monotonic() + self.seconds
         faults: tuple[Callable[[], None], ...] = (
             self.kill,
             self.pause,
@@ -186,7 +192,7 @@
             self.publish,
             self.publish_race,
         )
-        while time.monotonic() < until:
+        while time.monotonic() < end_at:
             fault = self.random.choice(faults)
             self.tally.faults[fault.__name__] += 1
             fault()
@@ -194,24 +200,24 @@
             if self.random.random() < 0.5:
                 self.heal()
 
-    def some_daemon(self) -> str:
+    def pick_daemon(self) -> str:
         """Return a running daemon."""
         running = [name for name, daemon in self.cell.daemons.items() if daemon.is_running]
         return self.random.choice(running)
 
     def kill(self) -> None:
         """Kill a daemon at once and start it again later."""
-        name = self.some_daemon()
-        self.down.add(name)
+        name = self.pick_daemon()
+        self.down_daemons.add(name)
         self.cell.kill(name)
         time.sleep(self.random.uniform(0, 2))
         self.cell.start(name)
-        self.down.discard(name)
+        self.down_daemons.discard(name)
 
     def planned_stop(self) -> None:
         """Stop a daemon in order and start it again."""
-        name = self.some_daemon()
-        self.down.add(name)
+        name = self.pick_daemon()
+        self.down_daemons.add(name)
         time.sleep(0.1)
         self.cell.signal(name, signal.SIGTERM)
         process = self.cell.daemons[name].process
@@ -219,11 +225,11 @@
             self.tally.violations.append(f'{name} did not stop in time')
             self.cell.kill(name)
         self.cell.start(name)
-        self.down.discard(name)
+        self.down_daemons.discard(name)
 
     def pause(self) -> None:
         """Freeze a daemon for less or more than its authority lasts."""
-        name = self.some_daemon()
+        name = self.pick_daemon()
         self.cell.signal(name, signal.SIGSTOP)
         time.sleep(self.random.choice((0.3, 1, 2, 4)))
         self.cell.signal(name, signal.SIGCONT)
@@ -244,48 +250,48 @@
 
     def cut_daemon(self) -> None:
         """Cut a daemon off from everything."""
-        name = self.some_daemon()
+        name = self.pick_daemon()
         self.cell.cut((name, '*'), ('*', name))
         time.sleep(self.random.uniform(0.5, 5))
 
     def cut_zone(self) -> None:
         """Cut a zone off from the rest and from the log."""
         zone = self.random.choice(ZONES)
-        inside = [one.name for one in self.cell.daemons.values() if one.zone == zone]
-        outside = [one.name for one in self.cell.daemons.values() if one.zone != zone]
-        pairs = [(one, other) for one in inside for other in (*outside, 'log')]
-        self.cell.cut(*pairs, *[(other, one) for one, other in pairs])
+        inside = [daemon.name for daemon in self.cell.daemons.values() if daemon.zone == zone]
+        outside = [daemon.name for daemon in self.cell.daemons.values() if daemon.zone != zone]
+        pairs = [(inner, outer) for inner in inside for outer in (*outside, 'log')]
+        self.cell.cut(*pairs, *[(outer, inner) for inner, outer in pairs])
         time.sleep(self.random.uniform(0.5, 4))
 
     def one_way(self) -> None:
         """Cut one direction of one link."""
-        target = self.random.choice(('log', self.some_daemon()))
-        self.cell.cut((self.some_daemon(), target))
+        target = self.random.choice(('log', self.pick_daemon()))
+        self.cell.cut((self.pick_daemon(), target))
         time.sleep(self.random.uniform(0.5, 3))
 
-    def some_host(self, kind: str) -> str:
+    def pick_host(self, kind: str) -> str:
         """Return a worker or an endpoint."""
-        return self.random.choice([one.name for one in self.cell.hosts if one.kind == kind])
+        return self.random.choice([host.name for host in self.cell.hosts if host.kind == kind])
 
     def fail_worker(self) -> None:
         """Let a worker answer nothing for a while."""
-        name = self.some_host('worker')
+        name = self.pick_host('worker')
         self.cell.set_host_faults(name, outage=True)
         time.sleep(self.random.uniform(0.2, 3))
         self.cell.set_host_faults(name)
 
     def cut_endpoint(self) -> None:
         """Let an endpoint drop its connections for a while."""
-        name = self.some_host('endpoint')
+        name = self.pick_host('endpoint')
         self.cell.set_host_faults(name, outage=True)
         time.sleep(self.random.uniform(0.2, 2))
         self.cell.set_host_faults(name)
 
     def leave_endpoint(self) -> None:
         """List an endpoint as leaving, and judge what it still gets."""
-        name = self.some_host('endpoint')
+        name = self.pick_host('endpoint')
         left_at = time.monotonic()
-        self.list_hosts(leaving=name)
+        self.publish_hosts(leaving=name)
         time.sleep(LEAVING_SECONDS + 1.5)
         late = [
             request
@@ -294,19 +300,19 @@
         ]
         if late:
             self.tally.violations.append(f'{name} got {len(late)} requests while leaving')
-        self.list_hosts()
+        self.publish_hosts()
 
-    def list_hosts(self, leaving: str = '') -> None:
+    def publish_hosts(self, leaving: str = '') -> None:
         """Replace the platform's list."""
         hosts = [
-            msgspec.structs.replace(one, state='leaving') if one.name == leaving else one
-            for one in self.cell.hosts
+            msgspec.structs.replace(host, state='leaving') if host.name == leaving else host
+            for host in self.cell.hosts
         ]
         self.cell.list_hosts(hosts)
 
     def publish(self) -> None:
         """Publish the next version through some daemon."""
-        self.publish_by(self.some_daemon())
+        self.publish_by(self.pick_daemon())
 
     def publish_by(self, name: str) -> None:
         """Publish through that daemon; failures are the system's to judge."""
@@ -320,13 +326,13 @@
     def publish_race(self) -> None:
         """Let two operators publish the same version at once."""
         with ThreadPoolExecutor(2) as pool:
-            first, second = self.some_daemon(), self.some_daemon()
+            first, second = self.pick_daemon(), self.pick_daemon()
             version = self.version
             replies = list(pool.map(lambda name: self.try_publish(name, version), (first, second)))
-        won = [reply for reply in replies if reply == 200]
-        if len(won) > 1 and first != second:
+        accepted = [reply for reply in replies if reply == 200]
+        if len(accepted) > 1 and first != second:
             self.tally.violations.append('two operators both won')
-        self.version = max(self.tally.versions.values(), default=1)
+        self.version = max(self.tally.version_by_member.values(), default=1)
 
     def try_publish(self, name: str, version: int) -> int:
         """Return the status of one publication, 0 without an answer."""
@@ -339,10 +345,10 @@
         """End all faults."""
         self.cell.cut()
         self.cell.set_log_faults()
-        self.list_hosts()
-        for one in self.cell.hosts:
-            if one.kind != 'entry':
-                self.cell.set_host_faults(one.name)
+        self.publish_hosts()
+        for host in self.cell.hosts:
+            if host.kind != 'entry':
+                self.cell.set_host_faults(host.name)
         for name, daemon in self.cell.daemons.items():
             self.cell.signal(name, signal.SIGCONT)
             if not daemon.is_running:
@@ -351,66 +357,68 @@
 
     # Judging.
 
-    def finish(self) -> None:
+    def wait_for_jobs(self) -> None:
         """Wait until every accepted job is in a final state."""
         for name in self.cell.daemons:
             self.cell.wait_ready(name)
-        missing = set(self.tally.accepted)
+        unfinished = set(self.tally.accepted)
 
-        def all_final() -> bool:
+        def all_finished() -> bool:
             for zone in ZONES:
                 name = f'{zone}-d0'
-                for state in FINAL:
-                    missing.difference_update(self.listed(name, state))
-            return not missing
+                for state in FINAL_STATES:
+                    unfinished.difference_update(self.list_jobs(name, state))
+            return not unfinished
 
-        if not wait_until(all_final, 60, 0.5):
+        if not wait_until(all_finished, 60, 0.5):
             self.tally.violations.append(
-                f'{len(missing)} accepted jobs did not end: {sorted(missing)[:3]}'
+                f'{len(unfinished)} accepted jobs did not end: {sorted(unfinished)[:3]}'
             )
-            for one in sorted(missing)[:3]:
-                shown = self.cell.admin(f'{ZONES[0]}-d0', 'GET', f'/v1/jobs/{one}')
+            for job_id in sorted(unfinished)[:3]:
+                shown = self.cell.admin(f'{ZONES[0]}-d0', 'GET', f'/v1/jobs/{job_id}')
                 self.tally.violations.append(shown.body.decode())
 
-    def listed(self, name: str, state: str) -> set[str]:
+    def list_jobs(self, name: str, state: str) -> set[str]:
         """Return the jobs of a daemon's zone in a state."""
-        found: set[str] = set()
+        job_ids: set[str] = set()
         after = ''
         while True:
             path = f'/v1/jobs?state={state}&limit=1000&after={after}'
             page: dict[str, Any] = self.cell.admin(name, 'GET', path).json()
-            found.update(view['id'] for view in page['jobs'])
+            job_ids.update(view['id'] for view in page['jobs'])
             after = page['next_after']
             if not after:
-                return found
+                return job_ids
 
-    def judge(self) -> None:
+    def check_results(self) -> None:
         """Check all promises by the workers' and runners' own records."""
         tally = self.tally
         workers = self.cell.records('worker')
         endpoints = self.cell.records('endpoint')
         runs = [run for record in workers for run in record['runs']]
-        once = {name for name, is_once in tally.accepted.items() if is_once}
-        tally.violations.extend(f'over-filled {one}' for one in over_filled(workers))
-        tally.violations.extend(f'over slots {one}' for one in over_slots(endpoints))
-        tally.violations.extend(f'in two places {one}' for one in overlapping(runs))
-        tally.violations.extend(f'run twice {one}' for one in repeated(runs, once))
-        tally.violations.extend(self.judge_requests(requests_by_mark(endpoints)))
+        at_most_once = {name for name, is_at_most_once in tally.accepted.items() if is_at_most_once}
+        tally.violations.extend(f'over-filled {item}' for item in over_filled(workers))
+        tally.violations.extend(f'over slots {item}' for item in over_slots(endpoints))
+        tally.violations.extend(f'in two places {item}' for item in overlapping(runs))
+        tally.violations.extend(f'run twice {item}' for item in repeated(runs, at_most_once))
+        tally.violations.extend(self.check_requests(requests_by_mark(endpoints)))
         self.starts = len(runs)
-        self.worked = sum(len(record['requests']) for record in endpoints)
+        self.handled_requests = sum(len(record['requests']) for record in endpoints)
 
-    def judge_requests(self, worked: dict[str, list[dict[str, Any]]]) -> list[str]:
+    def check_requests(self, handled_by_mark: dict[str, list[dict[str, Any]]]) -> list[str]:
         """Return what is wrong with answers and verdicts."""
-        wrong = []
-        for asked in self.tally.requests:
-            done = worked.get(asked.mark, [])
-            if asked.status == 200 and not asked.own:
-                wrong.append(f'answer of another: {asked.mark}')
-            if asked.verdict == 'not_run' and done:
-                wrong.append(f'not_run that ran: {asked.mark}')
-            if not asked.idempotent and len(done) > 1:
-                wrong.append(f'non-idempotent request ran {len(done)} times: {asked.mark}')
-        return wrong
+        violations = []
+        for record in self.tally.requests:
+            executions = handled_by_mark.get(record.mark, [])
+            if record.status == 200 and not record.echoed:
+                violations.append(f'answer of another: {record.mark}')
+            if record.verdict == 'not_run' and executions:
+                violations.append(f'not_run that ran: {record.mark}')
+            if not record.idempotent and len(executions) > 1:
+                violations.append(
+                    f'non-idempotent request ran {len(executions)} times: {record.mark}'
+                )
+        return violations
 
 
 def main() -> int:
@@ -422,10 +430,11 @@
     options = parser.parse_args()
     soak = Soak(options.seed, options.seconds, options.daemons)
     tally = soak.run()
-    verdicts = Counter(asked.verdict or 'none' for asked in tally.requests)
+    verdicts = Counter(record.verdict or 'none' for record in tally.requests)
     sys.stdout.write(
         f'seed {options.seed}, {options.seconds:.0f} s of faults: {dict(tally.faults)}\n'
-        f'requests {len(tally.requests)} with verdicts {dict(verdicts)}; worked on {soak.worked}\n'
+        f'requests {len(tally.requests)} with verdicts {dict(verdicts)}; worked on '
+        f'{soak.handled_requests}\n'
         f'jobs accepted {len(tally.accepted)}, task starts {soak.starts}, '
         f'submissions refused {dict(tally.refused)}\n'
         f'promises broken: {len(tally.violations)}\n',
--- a/bench/soak_accounts.py
+++ b/bench/soak_accounts.py
@@ -7,17 +7,17 @@
 
 from standins import AccountRow, EntryHosts, UsersPlatform, started_over_quota, wait_for
 
-NAMES = ('blue', 'red', 'green')
+ACCOUNT_NAMES = ('blue', 'red', 'green')
 #: Quotas that an account may be given, in thousandths of a core; 0 is none.
 QUOTAS = (0, 2000, 4000, 8000, 16_000)
 #: The quota of the last configuration: work of any size gets through.
-LAST_QUOTA = 16_000
+FINAL_QUOTA = 16_000
 #: Seconds between two changes.
 CHANGE_GAP = (0.8, 2.5)
 #: Seconds after which a key that was added is known to every host that can know it, whatever
 #: the store is through: 2 s, and 5 s while it is not stable.
-KNOWN_SECONDS = 8.0
-UNKNOWN_KEY = 401
+KEY_PROPAGATION_SECONDS = 8.0
+UNKNOWN_KEY_STATUS = 401
 
 
 @dataclass
@@ -38,66 +38,73 @@
         self._random = random.Random(f'{seed}/accounts')
         self._lock = Lock()
         self._version = 0
-        self._row_by_name = {name: AccountRow(name, (f'{name}-0',), 8000) for name in NAMES}
+        self._row_by_name = {name: AccountRow(name, (f'{name}-0',), 8000) for name in ACCOUNT_NAMES}
         now = time.monotonic()
-        self._keys_by_name = {name: [Key(f'{name}-0', now)] for name in NAMES}
+        self._keys_by_name = {name: [Key(f'{name}-0', now)] for name in ACCOUNT_NAMES}
         self.account_by_job: dict[str, str] = {}
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.changes = 0
         self._write()
 
     def account_of(self, client: int) -> str:
         """Return the account of a client."""
-        return NAMES[client % len(NAMES)]
+        return ACCOUNT_NAMES[client % len(ACCOUNT_NAMES)]
 
     def key_for(self, account: str) -> Key:
         """Return the key that a client uses now: one that every host may know."""
         now = time.monotonic()
         with self._lock:
-            known = [key for key in self._keys_by_name[account] if key.removed_at is None]
-        settled = [key for key in known if now - key.added_at >= KNOWN_SECONDS]
-        return (settled or known)[-1 if settled else 0]
+            active_keys = [key for key in self._keys_by_name[account] if key.removed_at is None]
+        propagated_keys = [
+            key for key in active_keys if now - key.added_at >= KEY_PROPAGATION_SECONDS
+        ]
+        return (propagated_keys or active_keys)[-1 if propagated_keys else 0]
 
     def check_reply(self, key: Key, sent_at: float, status: int) -> None:
         """Judge an answer: a key that is in force is not refused."""
-        if status != UNKNOWN_KEY or sent_at - key.added_at < KNOWN_SECONDS:
+        if status != UNKNOWN_KEY_STATUS or sent_at - key.added_at < KEY_PROPAGATION_SECONDS:
             return
         if key.removed_at is None or key.removed_at > time.monotonic():
-            self.wrong.append(
+            self.violations.append(
                 f'the key {key.text} was refused {sent_at - key.added_at:.1f} s after'
             )
 
-    def change_until(self, over: Event) -> None:
+    def change_until_stopped(self, stopping: Event) -> None:
         """Change something every now and then."""
-        while not over.wait(self._random.uniform(*CHANGE_GAP)):
-            name = self._random.choice(NAMES)
+        while not stopping.wait(self._random.uniform(*CHANGE_GAP)):
+            name = self._random.choice(ACCOUNT_NAMES)
             change = self._random.choice((self._add_key, self._remove_key, self._set_quota))
             with self._lock:
                 change(name)
                 self._write()
             self.changes += 1
 
-    def settle(self) -> None:
+    def restore_quotas(self) -> None:
         """Give every account a quota that lets all its work through."""
         with self._lock:
-            for name in NAMES:
-                self._row_by_name[name] = replace(self._row_by_name[name], cpu=LAST_QUOTA)
+            for name in ACCOUNT_NAMES:
+                self._row_by_name[name] = replace(self._row_by_name[name], cpu=FINAL_QUOTA)
             self._write()
 
-    def judge(self, hosts: EntryHosts) -> list[str]:
+    def check_results(self, hosts: EntryHosts) -> list[str]:
         """Return what was wrong, once all has healed."""
-        wrong = list(self.wrong)
-        for name in NAMES:
+        violations = list(self.violations)
+        for name in ACCOUNT_NAMES:
             for key in self._keys_by_name[name]:
-                wanted = 200 if key.removed_at is None else UNKNOWN_KEY
+                expected_status = 200 if key.removed_at is None else UNKNOWN_KEY_STATUS
                 try:
-                    wait_for(lambda key=key, wanted=wanted: _is_answered(hosts, key, wanted), 20)
+                    wait_for(
+                        lambda key=key, expected_status=expected_status: _is_answered(
+                            hosts, key, expected_status
+                        ),
+                        20,
+                    )
                 except TimeoutError:
-                    wrong.append(f'the key {key.text} is not answered with {wanted}')
+                    violations.append(f'the key {key.text} is not answered with {expected_status}')
         runs = self._platform.settle()
-        over = started_over_quota(runs, self.account_by_job, self._platform.quotas)
-        wrong.extend(f'over its quota: {start}' for start in over)
-        return wrong
+        starts_over_quota = started_over_quota(runs, self.account_by_job, self._platform.quotas)
+        violations.extend(f'over its quota: {start}' for start in starts_over_quota)
+        return violations
 
     def _add_key(self, name: str) -> None:
         text = f'{name}-{self._version}'
@@ -108,10 +115,10 @@
     def _remove_key(self, name: str) -> None:
         """Take the oldest key away once clients use a later one."""
         now = time.monotonic()
-        known = [key for key in self._keys_by_name[name] if key.removed_at is None]
-        if sum(now - key.added_at >= KNOWN_SECONDS + 1 for key in known) < 2:
+        active_keys = [key for key in self._keys_by_name[name] if key.removed_at is None]
+        if sum(now - key.added_at >= KEY_PROPAGATION_SECONDS + 1 for key in active_keys) < 2:
             return
-        known[0].removed_at = now
+        active_keys[0].removed_at = now
         row = self._row_by_name[name]
         self._row_by_name[name] = replace(row, keys=row.keys[1:])
 
@@ -124,7 +131,8 @@
         self._platform.configure(self._version, list(self._row_by_name.values()))
 
 
-def _is_answered(hosts: EntryHosts, key: Key, wanted: int) -> bool:
+def _is_answered(hosts: EntryHosts, key: Key, expected_status: int) -> bool:
     return all(
-        hosts.ask(name, 'GET', '/plain/', key=key.text).status == wanted for name in hosts.names
+        hosts.ask(name, 'GET', '/plain/', key=key.text).status == expected_status
+        for name in hosts.names
     )
--- a/spec/_model.py
+++ b/spec/_model.py
@@ -17,14 +17,14 @@
 
     def __init__(self, fields: tuple[str, ...], values: tuple) -> None:
         """Start from ``values``."""
-        self.now = dict(zip(fields, values, strict=True))
+        self.state = dict(zip(fields, values, strict=True))
         self._fields = fields
-        self.found: list[tuple[str, tuple]] = []
+        self.successors: list[tuple[str, tuple]] = []
 
     def step(self, label: str, **changes: Any) -> None:
         """Add one step."""
-        after = {**self.now, **changes}
-        self.found.append((label, tuple(after[field] for field in self._fields)))
+        after = {**self.state, **changes}
+        self.successors.append((label, tuple(after[field] for field in self._fields)))
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
 
     name: str
     initial: State
-    moves: Callable[..., None]
+    add_steps: Callable[..., None]
     invariants: dict[str, Callable[[State], bool]]
     mutants: dict[str, dict[str, Any]]
 
@@ -43,8 +43,8 @@
 
         def transitions(values: tuple) -> list:
             steps = Steps(fields, values)
-            self.moves(steps, **weakened)
-            return steps.found
+            self.add_steps(steps, **weakened)
+            return steps.successors
 
         return Protocol(
             name=self.name,
@@ -56,12 +56,12 @@
         )
 
 
-def failing(outcome: dict[str, Any]) -> list[str]:
+def find_violations(outcome: dict[str, Any]) -> list[str]:
     """Return the invariants that do not hold."""
     return [name for name, found in outcome['properties'].items() if found['holds'] is not True]
 
 
-def trace(outcome: dict[str, Any]) -> list[str]:
+def get_counterexample(outcome: dict[str, Any]) -> list[str]:
     """Return the steps of the first counterexample."""
     for found in outcome['properties'].values():
         if found['holds'] is False:
@@ -71,23 +71,23 @@
 
 def check(spec: Spec, *, show_traces: bool = False, **bounds: Any) -> list[str]:
     """Check a specification and its mutants; return what is not as it should be."""
-    wrong = []
+    problems = []
     began = time.monotonic()
     outcome = check_safety(spec.build(**bounds), max_states=MAX_STATES)
-    holds = not failing(outcome)
+    holds = not find_violations(outcome)
     states = outcome.get('reachable_states')
     took = time.monotonic() - began
     sys.stdout.write(f'{spec.name}: holds={holds}, {states} states, {took:.1f} s\n')
     if not holds:
-        wrong.append(f'{spec.name} does not hold: {trace(outcome)}')
+        problems.append(f'{spec.name} does not hold: {get_counterexample(outcome)}')
     for name, weakened in spec.mutants.items():
         outcome = check_safety(spec.build(**{**bounds, **weakened}), max_states=MAX_STATES)
-        steps = trace(outcome)
+        steps = get_counterexample(outcome)
         killed = bool(steps)
         sys.stdout.write(f'  mutant {name}: killed={killed}, {len(steps)} steps\n')
         if show_traces:
             sys.stdout.write(''.join(f'      {label}\n' for label in steps))
         if not killed:
-            wrong.append(f'{spec.name}: mutant {name} was not killed')
+            problems.append(f'{spec.name}: mutant {name} was not killed')
     sys.stdout.flush()
-    return wrong
+    return problems
--- a/spec/attempts.py
+++ b/spec/attempts.py
@@ -15,100 +15,111 @@
 INITIAL = {
     'epoch': 1,  # dispatch epoch in the log
     'worker_epoch': 1,  # as the worker's owner has read it
-    'append': False,  # A's intent is under way to the log
-    'a_told': False,  # A knows that its intent is valid
-    'a_ordered': False,
-    'a_left': 1,
-    'first': NONE,  # what won attempt 1: an intent or the move
-    'order': False,  # A's order is under way to the worker's owner
-    'judged': '',  # what B made of A's attempt
+    'a_append_pending': False,  # A's intent is under way to the log
+    'a_confirmed': False,  # A knows that its intent is valid
+    'a_order_sent': False,
+    'a_appends_left': 1,
+    'winner': NONE,  # what won attempt 1: an intent or the move
+    'order_pending': False,  # A's order is under way to the worker's owner
+    'b_verdict': '',  # what B made of A's attempt
     'starts': 0,
-    'move_left': 1,
+    'moves_left': 1,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
     read_back: bool = True,
     owner_checks_epoch: bool = True,
-    report_knows_epoch: bool = True,
-    never_again: bool = True,
+    report_has_new_epoch: bool = True,
+    never_restarts: bool = True,
     one_winner: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    _former(steps, read_back)
+    _former_dispatcher(steps, read_back)
     _log(steps, one_winner)
-    _owner(steps, owner_checks_epoch)
-    _successor(steps, report_knows_epoch, never_again)
+    _worker_owner(steps, owner_checks_epoch)
+    _successor_dispatcher(steps, report_has_new_epoch, never_restarts)
 
 
-def _former(steps: Steps, read_back: bool) -> None:
+def _former_dispatcher(steps: Steps, read_back: bool) -> None:
     """A looks at no clock: it may be paused anywhere, for any time."""
-    now = steps.now
-    if now['a_left']:
-        sent = {} if read_back else {'order': True}
-        steps.step('A appends its intent', append=True, a_left=0, **sent)
-    if now['first'] == A_INTENT and not now['a_told']:
-        steps.step('A reads its intent back', a_told=True)
-    if read_back and now['a_told'] and not now['order'] and not now['a_ordered']:
-        steps.step('A sends the order', order=True, a_ordered=True)
+    state = steps.state
+    if state['a_appends_left']:
+        unconfirmed_order = {} if read_back else {'order_pending': True}
+        steps.step(
+            'A appends its intent', a_append_pending=True, a_appends_left=0, **unconfirmed_order
+        )
+    if state['winner'] == A_INTENT and not state['a_confirmed']:
+        steps.step('A reads its intent back', a_confirmed=True)
+    if (
+        read_back
+        and state['a_confirmed']
+        and not state['order_pending']
+        and not state['a_order_sent']
+    ):
+        steps.step('A sends the order', order_pending=True, a_order_sent=True)
 
 
 def _log(steps: Steps, one_winner: bool) -> None:
-    now = steps.now
-    if now['append']:
-        valid = now['first'] == NONE and now['epoch'] == 1
-        steps.step("A's intent lands", append=False, first=A_INTENT if valid else now['first'])
-        steps.step("A's intent is lost", append=False)
-    if now['epoch'] == 1:
+    state = steps.state
+    if state['a_append_pending']:
+        valid = state['winner'] == NONE and state['epoch'] == 1
+        steps.step(
+            "A's intent lands",
+            a_append_pending=False,
+            winner=A_INTENT if valid else state['winner'],
+        )
+        steps.step("A's intent is lost", a_append_pending=False)
+    if state['epoch'] == 1:
         steps.step('B takes the dispatch over', epoch=2)
-    if now['move_left']:
-        free = now['first'] == NONE or not one_winner
-        after = MOVED if now['first'] == NONE else now['first']
-        steps.step('the move lands too late', move_left=0)
-        if free:
+    if state['moves_left']:
+        can_win = state['winner'] == NONE or not one_winner
+        winner = MOVED if state['winner'] == NONE else state['winner']
+        steps.step('the move lands too late', moves_left=0)
+        if can_win:
             steps.step(
                 'the job is moved, Z starts it',
-                move_left=0,
-                first=after,
-                starts=min(now['starts'] + 1, 2),
+                moves_left=0,
+                winner=winner,
+                starts=min(state['starts'] + 1, 2),
             )
 
 
-def _owner(steps: Steps, owner_checks_epoch: bool) -> None:
-    now = steps.now
-    if now['worker_epoch'] < now['epoch']:
-        steps.step("the worker's owner reads the log", worker_epoch=now['epoch'])
-    if not now['order']:
+def _worker_owner(steps: Steps, owner_checks_epoch: bool) -> None:
+    state = steps.state
+    if state['worker_epoch'] < state['epoch']:
+        steps.step("the worker's owner reads the log", worker_epoch=state['epoch'])
+    if not state['order_pending']:
         return
-    steps.step('the order is lost', order=False)
-    if now['worker_epoch'] == 1 or not owner_checks_epoch:
+    steps.step('the order is lost', order_pending=False)
+    if state['worker_epoch'] == 1 or not owner_checks_epoch:
         steps.step(
             "the worker's owner starts it",
-            order=False,
-            starts=min(now['starts'] + 1, 2),
+            order_pending=False,
+            starts=min(state['starts'] + 1, 2),
         )
     else:
-        steps.step("the worker's owner refuses it", order=False)
+        steps.step("the worker's owner refuses it", order_pending=False)
 
 
-def _successor(steps: Steps, report_knows_epoch: bool, never_again: bool) -> None:
-    now = steps.now
-    if now['epoch'] != 2:
+def _successor_dispatcher(steps: Steps, report_has_new_epoch: bool, never_restarts: bool) -> None:
+    state = steps.state
+    if state['epoch'] != 2:
         return
-    if now['first'] == NONE:
-        steps.step('B intends attempt 1', first=B_INTENT)
-    if now['first'] == B_INTENT and now['judged'] == '':
-        steps.step('B starts it', judged='own', starts=min(now['starts'] + 1, 2))
-    if now['first'] != A_INTENT or now['judged']:
+    if state['winner'] == NONE:
+        steps.step('B intends attempt 1', winner=B_INTENT)
+    if state['winner'] == B_INTENT and state['b_verdict'] == '':
+        steps.step('B starts it', b_verdict='own', starts=min(state['starts'] + 1, 2))
+    if state['winner'] != A_INTENT or state['b_verdict']:
         return
-    if now['starts']:
-        steps.step('the report shows it', judged='running')
-    elif now['worker_epoch'] == 2 or not report_knows_epoch:
-        steps.step('the report lacks it, B starts attempt 2', judged='again', starts=1)
-    if not never_again:
-        steps.step('B starts it although it may have run', judged='again', starts=2)
+    if state['starts']:
+        steps.step('the report shows it', b_verdict='running')
+    elif state['worker_epoch'] == 2 or not report_has_new_epoch:
+        steps.step('the report lacks it, B starts attempt 2', b_verdict='again', starts=1)
+    if not never_restarts:
+        steps.step('B starts it although it may have run', b_verdict='again', starts=2)
 
 
 def at_most_once(state: dict) -> bool:
@@ -119,13 +130,13 @@
 ATTEMPTS = Spec(
     'attempts',
     INITIAL,
-    moves,
+    add_steps,
     {'at most once': at_most_once},
     {
         'started before the intent is read back': {'read_back': False},
         'owners obey former dispatchers': {'owner_checks_epoch': False},
-        'reports of owners that do not know the successor': {'report_knows_epoch': False},
-        'an unknown attempt is started again': {'never_again': False},
+        'reports of owners that do not know the successor': {'report_has_new_epoch': False},
+        'an unknown attempt is started again': {'never_restarts': False},
         'intent and move both win': {'one_winner': False},
     },
 )
--- a/spec/behind_a_cut.py
+++ b/spec/behind_a_cut.py
@@ -10,167 +10,185 @@
 
 from spec._model import Spec, Steps
 
-CUTS = 2
+MAX_CUTS = 2
 HOSTS = ('w', 'v')
 
 INITIAL = {
     'cut': False,
-    'cuts': CUTS,
+    'cuts_left': MAX_CUTS,
     #: The task at the runner: ``runs``, ``done`` or ``lapsed``.
     'task': 'runs',
     'crashed': False,
     #: Whether O has been without the runner for so long that its lease has run out.
-    'lapsed': False,
+    'lease_expired': False,
     #: What each host of the zone knows, whether it believes to be cut off, and how O's
     #: question to it stands: ``unasked``, ``asked`` or ``missed``.
-    **{f'{host}_knows': False for host in HOSTS},
-    **{f'{host}_cut': False for host in HOSTS},
-    **{f'{host}_asked': 'unasked' for host in HOSTS},
+    **{f'{host}_knows_end': False for host in HOSTS},
+    **{f'{host}_believes_cut': False for host in HOSTS},
+    **{f'{host}_queried': 'unasked' for host in HOSTS},
     #: Whether W has seen the end, and whether V was ever told.
-    'saw': False,
-    'word': False,
-    'shown': False,
-    'knows': False,
-    'again': False,
+    'w_saw_end': False,
+    'v_was_told': False,
+    'shown_to_client': False,
+    'o_knows_end': False,
+    'restarted': False,
     #: Whether the word was lost when the task was started again.
-    'lost': False,
+    'evidence_lost': False,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
-    waits: bool = True,
-    asks: bool = True,
-    tells_first: bool = True,
-    takes_if_cut: bool = True,
-    stops_when_asked: bool = True,
-    looks_first: bool = True,
+    waits_for_zone: bool = True,
+    queries_hosts: bool = True,
+    tells_peer_first: bool = True,
+    accepts_only_if_cut: bool = True,
+    stops_when_queried: bool = True,
+    polls_runner_first: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    now = steps.now
+    state = steps.state
     _cut(steps)
     _runner(steps)
     for host in HOSTS:
-        if now[f'{host}_knows'] or now[f'{host}_cut']:
-            gone = {f'{host}_knows': False, f'{host}_cut': False}
-            steps.step(f'{host} is killed', **gone, **({'saw': False} if host == 'w' else {}))
-    _behind(steps, tells_first, takes_if_cut)
-    _outside(steps, waits, asks, stops_when_asked, looks_first)
+        if state[f'{host}_knows_end'] or state[f'{host}_believes_cut']:
+            reset = {f'{host}_knows_end': False, f'{host}_believes_cut': False}
+            steps.step(
+                f'{host} is killed', **reset, **({'w_saw_end': False} if host == 'w' else {})
+            )
+    _zone_hosts(steps, tells_peer_first, accepts_only_if_cut)
+    _owner(steps, waits_for_zone, queries_hosts, stops_when_queried, polls_runner_first)
 
 
 def _cut(steps: Steps) -> None:
-    now = steps.now
-    if now['cut']:
+    state = steps.state
+    if state['cut']:
         steps.step('the cut heals', cut=False)
         for host in HOSTS:
-            steps.step(f'{host} finds that it is cut off', **{f'{host}_cut': True})
-        steps.step('the lease runs out for O', lapsed=True)
-    elif now['cuts']:
-        unasked = {f'{host}_asked': 'unasked' for host in HOSTS}
+            steps.step(f'{host} finds that it is cut off', **{f'{host}_believes_cut': True})
+        steps.step('the lease runs out for O', lease_expired=True)
+    elif state['cuts_left']:
+        unqueried = {f'{host}_queried': 'unasked' for host in HOSTS}
         # What W has seen it tells at once or looks again: no cut heals and comes back meanwhile.
-        steps.step('the zone is cut off', cut=True, cuts=now['cuts'] - 1, saw=False, **unasked)
+        steps.step(
+            'the zone is cut off',
+            cut=True,
+            cuts_left=state['cuts_left'] - 1,
+            w_saw_end=False,
+            **unqueried,
+        )
 
 
 def _runner(steps: Steps) -> None:
-    now = steps.now
-    if now['crashed']:
+    state = steps.state
+    if state['crashed']:
         return
-    if now['task'] == 'runs':
+    if state['task'] == 'runs':
         steps.step('the task is done', task='done')
-        if now['lapsed']:
-            steps.step('the runner kills it, as its lease is over', task='lapsed')
+        if state['lease_expired']:
+            steps.step('the runner kills it, as its lease is over', task='lease_expired')
     steps.step('the runner crashes', crashed=True)
 
 
-def _behind(steps: Steps, tells_first: bool, takes_if_cut: bool) -> None:
-    now = steps.now
-    if now['w_cut'] and now['task'] == 'done' and not now['crashed']:
-        steps.step('w sees the end', saw=True)
-    if not now['saw'] or not now['w_cut']:
+def _zone_hosts(steps: Steps, tells_peer_first: bool, accepts_only_if_cut: bool) -> None:
+    state = steps.state
+    if state['w_believes_cut'] and state['task'] == 'done' and not state['crashed']:
+        steps.step('w sees the end', w_saw_end=True)
+    if not state['w_saw_end'] or not state['w_believes_cut']:
         return
-    if tells_first and (now['v_cut'] or not takes_if_cut):
+    if tells_peer_first and (state['v_believes_cut'] or not accepts_only_if_cut):
         steps.step(
             'w tells v, and shows that it is done',
-            w_knows=True,
-            v_knows=True,
-            word=True,
-            shown=True,
+            w_knows_end=True,
+            v_knows_end=True,
+            v_was_told=True,
+            shown_to_client=True,
         )
-        steps.step('w tells v, whose answer is lost', v_knows=True, word=True)
-    if not tells_first:
-        steps.step('w shows that it is done', w_knows=True, shown=True)
+        steps.step('w tells v, whose answer is lost', v_knows_end=True, v_was_told=True)
+    if not tells_peer_first:
+        steps.step('w shows that it is done', w_knows_end=True, shown_to_client=True)
 
 
-def _outside(
+def _owner(
     steps: Steps,
-    waits: bool,
-    asks: bool,
-    stops_when_asked: bool,
-    looks_first: bool,
+    waits_for_zone: bool,
+    queries_hosts: bool,
+    stops_when_queried: bool,
+    polls_runner_first: bool,
 ) -> None:
-    now = steps.now
-    if not now['cut']:
+    state = steps.state
+    if not state['cut']:
         for host in HOSTS:
-            if now[f'{host}_asked'] == 'unasked':
-                _ask(steps, host, asks, stops_when_asked)
-            if now[f'{host}_knows']:
-                steps.step(f'{host} reports to O', knows=True)
-        if now['task'] == 'done' and not now['crashed']:
-            steps.step('O looks at the runner', knows=True)
-    if now['knows']:
+            if state[f'{host}_queried'] == 'unasked':
+                _query(steps, host, queries_hosts, stops_when_queried)
+            if state[f'{host}_knows_end']:
+                steps.step(f'{host} reports to O', o_knows_end=True)
+        if state['task'] == 'done' and not state['crashed']:
+            steps.step('O looks at the runner', o_knows_end=True)
+    if state['o_knows_end']:
         return
     # Some host of the zone has answered, so the zone is not cut off any more, and all that
     # did not answer by then were waited for.
-    settled = all(now[f'{host}_asked'] != 'unasked' for host in HOSTS)
-    answered = settled and any(now[f'{host}_asked'] == 'asked' for host in HOSTS)
-    lost = now['crashed'] and not now['cut']
-    if (answered or not waits) and (lost or (now['lapsed'] and now['cut'])):
-        steps.step('O starts the task elsewhere', again=True, lost=_is_lost(now))
-    over = now['task'] == 'lapsed' or now['crashed'] or not looks_first
-    if answered and now['lapsed'] and not now['cut'] and over:
-        steps.step('O starts the task elsewhere after the cut', again=True, lost=_is_lost(now))
+    all_queried = all(state[f'{host}_queried'] != 'unasked' for host in HOSTS)
+    answered = all_queried and any(state[f'{host}_queried'] == 'asked' for host in HOSTS)
+    lost = state['crashed'] and not state['cut']
+    if (answered or not waits_for_zone) and (lost or (state['lease_expired'] and state['cut'])):
+        steps.step(
+            'O starts the task elsewhere', restarted=True, evidence_lost=_is_evidence_lost(state)
+        )
+    not_running = state['task'] == 'lease_expired' or state['crashed'] or not polls_runner_first
+    if answered and state['lease_expired'] and not state['cut'] and not_running:
+        steps.step(
+            'O starts the task elsewhere after the cut',
+            restarted=True,
+            evidence_lost=_is_evidence_lost(state),
+        )
 
 
-def _ask(steps: Steps, host: str, asks: bool, stops_when_asked: bool) -> None:
-    now = steps.now
-    cut = now[f'{host}_cut'] and not stops_when_asked
-    word = now['knows'] or (asks and now[f'{host}_knows'])
-    steps.step(f'O asks {host}', knows=word, **{f'{host}_asked': 'asked', f'{host}_cut': cut})
-    steps.step(f'O does not reach {host}', **{f'{host}_asked': 'missed'})
+def _query(steps: Steps, host: str, queries_hosts: bool, stops_when_queried: bool) -> None:
+    state = steps.state
+    cut = state[f'{host}_believes_cut'] and not stops_when_queried
+    knows_end = state['o_knows_end'] or (queries_hosts and state[f'{host}_knows_end'])
+    steps.step(
+        f'O asks {host}',
+        o_knows_end=knows_end,
+        **{f'{host}_queried': 'asked', f'{host}_believes_cut': cut},
+    )
+    steps.step(f'O does not reach {host}', **{f'{host}_queried': 'missed'})
 
 
-def _is_lost(state: dict) -> bool:
+def _is_evidence_lost(state: dict) -> bool:
     """Return whether the runner and all hosts that knew the end, and were reached, are lost."""
-    kept = any(state[f'{host}_knows'] and state[f'{host}_asked'] == 'asked' for host in HOSTS)
-    return state['crashed'] and state['word'] and not kept
+    kept = any(state[f'{host}_knows_end'] and state[f'{host}_queried'] == 'asked' for host in HOSTS)
+    return state['crashed'] and state['v_was_told'] and not kept
 
 
-def not_taken_back(state: dict) -> bool:
+def is_never_retracted(state: dict) -> bool:
     """What was shown behind the cut does not start again, whichever hosts are killed.
 
     Only with the runner that listed the end and all hosts that knew it, of those that O
     reached, the word is lost.
     """
-    return not (state['shown'] and state['again']) or state['lost']
+    return not (state['shown_to_client'] and state['restarted']) or state['evidence_lost']
 
 
-def is_true(state: dict) -> bool:
+def shows_only_ended_tasks(state: dict) -> bool:
     """What is shown has happened."""
-    return not state['shown'] or state['task'] == 'done'
+    return not state['shown_to_client'] or state['task'] == 'done'
 
 
 BEHIND_A_CUT = Spec(
     'behind a cut',
     INITIAL,
-    moves,
-    {'not taken back': not_taken_back, 'is true': is_true},
+    add_steps,
+    {'not taken back': is_never_retracted, 'is true': shows_only_ended_tasks},
     {
-        'leases that run out behind a cut count at once': {'waits': False},
-        'hosts of the zone are not asked': {'asks': False},
-        'shown by one host alone': {'tells_first': False},
-        'a host that is not cut off takes such a word': {'takes_if_cut': False},
-        'a host that was asked goes on showing': {'stops_when_asked': False},
-        'the runner is not looked at after the cut': {'looks_first': False},
+        'leases that run out behind a cut count at once': {'waits_for_zone': False},
+        'hosts of the zone are not asked': {'queries_hosts': False},
+        'shown by one host alone': {'tells_peer_first': False},
+        'a host that is not cut off takes such a word': {'accepts_only_if_cut': False},
+        'a host that was asked goes on showing': {'stops_when_queried': False},
+        'the runner is not looked at after the cut': {'polls_runner_first': False},
     },
 )
--- a/spec/cancelling.py
+++ b/spec/cancelling.py
@@ -11,168 +11,182 @@
 
 #: Ticks that a lease, and the deadline of a start under way, last; more than LIMIT, or
 #: leases alone would end each task in time.
-LEASE = 5
+LEASE_TICKS = 5
 #: Ticks within which the task must have ended.
-LIMIT = 2
-OWNERS = 3
+MAX_OVERRUN = 2
+MAX_OWNERS = 3
 
 INITIAL = {
     'cancelled': False,
     #: What the store keeps of the job no longer says that it has such a task.
-    'dropped': False,
+    'store_dropped_job': False,
     'owner': 1,
-    'alive': True,
-    'held': 'nothing',
-    'attends': True,
-    'named': True,
-    'listed': True,
-    'reached': True,
-    'looked': False,
-    'sent': False,
-    'flight': 0,
-    'run': False,
-    'lease': 0,
-    'fence': 1,
-    'forbidden': False,
-    'faulty': True,
+    'owner_alive': True,
+    'owner_view': 'nothing',
+    'polls_runner': True,
+    'runner_stored': True,
+    'runner_registered': True,
+    'runner_reachable': True,
+    'polled': False,
+    'start_sent': False,
+    'start_ticks_left': 0,
+    'task_runs': False,
+    'lease_ticks_left': 0,
+    'fence_epoch': 1,
+    'start_forbidden': False,
+    'stop_may_fail': True,
     'overrun': 0,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
     stops_unknown: bool = True,
     repeats_stops: bool = True,
-    attends_unlisted: bool = True,
-    keeps_names: bool = True,
+    polls_unregistered: bool = True,
+    stores_unregistered: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    _surroundings(steps)
+    _environment(steps)
     _runner(steps)
     _tick(steps)
-    _take_over(steps, attends_unlisted, keeps_names)
-    if steps.now['alive']:
+    _take_over(steps, polls_unregistered, stores_unregistered)
+    if steps.state['owner_alive']:
         _start(steps)
         _stop(steps)
-        if steps.now['attends'] and steps.now['reached']:
-            _look(steps, stops_unknown, repeats_stops)
+        if steps.state['polls_runner'] and steps.state['runner_reachable']:
+            _poll(steps, stops_unknown, repeats_stops)
 
 
-def _surroundings(steps: Steps) -> None:
-    now = steps.now
-    if not now['cancelled']:
+def _environment(steps: Steps) -> None:
+    state = steps.state
+    if not state['cancelled']:
         steps.step('a client cancels the job', cancelled=True)
-    if now['cancelled'] and not now['dropped']:
-        steps.step('the store drops the job', dropped=True)
-    if now['listed']:
-        steps.step("the runner's entry expires", listed=False, overrun=0)
-    steps.step('the way to the runner changes', reached=not now['reached'], overrun=0)
+    if state['cancelled'] and not state['store_dropped_job']:
+        steps.step('the store drops the job', store_dropped_job=True)
+    if state['runner_registered']:
+        steps.step("the runner's entry expires", runner_registered=False, overrun=0)
+    steps.step(
+        'the way to the runner changes', runner_reachable=not state['runner_reachable'], overrun=0
+    )
 
 
 def _runner(steps: Steps) -> None:
-    now = steps.now
-    if now['flight'] and not now['run']:
-        taken = now['fence'] == 1 and not now['forbidden']
-        changes = {'run': True, 'lease': now['flight'], 'overrun': 0} if taken else {}
-        steps.step('the start arrives', flight=0, **changes)
-    if now['run'] and not now['cancelled']:
-        steps.step('the task ends', run=False, lease=0, forbidden=True)
+    state = steps.state
+    if state['start_ticks_left'] and not state['task_runs']:
+        accepted = state['fence_epoch'] == 1 and not state['start_forbidden']
+        changes = (
+            {'task_runs': True, 'lease_ticks_left': state['start_ticks_left'], 'overrun': 0}
+            if accepted
+            else {}
+        )
+        steps.step('the start arrives', start_ticks_left=0, **changes)
+    if state['task_runs'] and not state['cancelled']:
+        steps.step('the task ends', task_runs=False, lease_ticks_left=0, start_forbidden=True)
 
 
 def _tick(steps: Steps) -> None:
-    now = steps.now
-    in_touch = now['alive'] and now['reached']
-    due = not now['looked'] or now['held'] == 'stopping'
-    if in_touch and now['attends'] and due:
+    state = steps.state
+    can_act = state['owner_alive'] and state['runner_reachable']
+    must_act_first = not state['polled'] or state['owner_view'] == 'stopping'
+    if can_act and state['polls_runner'] and must_act_first:
         return
-    left = max(0, now['lease'] - 1)
-    run = now['run'] and left > 0
-    counts = run and now['cancelled'] and in_touch
+    lease_left = max(0, state['lease_ticks_left'] - 1)
+    task_runs = state['task_runs'] and lease_left > 0
+    overruns = task_runs and state['cancelled'] and can_act
     steps.step(
         'tick',
-        lease=left,
-        run=run,
-        flight=max(0, now['flight'] - 1),
-        looked=False,
-        overrun=min(now['overrun'] + 1, LIMIT + 1) if counts else 0,
+        lease_ticks_left=lease_left,
+        task_runs=task_runs,
+        start_ticks_left=max(0, state['start_ticks_left'] - 1),
+        polled=False,
+        overrun=min(state['overrun'] + 1, MAX_OVERRUN + 1) if overruns else 0,
     )
 
 
-def _take_over(steps: Steps, attends_unlisted: bool, keeps_names: bool) -> None:
-    now = steps.now
-    if now['alive'] and now['owner'] < OWNERS:
-        steps.step('the owner is killed', alive=False, held='nothing', overrun=0)
-    if not now['alive']:
-        attends = now['listed'] or (now['named'] and attends_unlisted)
+def _take_over(steps: Steps, polls_unregistered: bool, stores_unregistered: bool) -> None:
+    state = steps.state
+    if state['owner_alive'] and state['owner'] < MAX_OWNERS:
+        steps.step('the owner is killed', owner_alive=False, owner_view='nothing', overrun=0)
+    if not state['owner_alive']:
+        polls_runner = state['runner_registered'] or (state['runner_stored'] and polls_unregistered)
         steps.step(
             'another host takes over',
-            owner=now['owner'] + 1,
-            alive=True,
-            attends=attends,
+            owner=state['owner'] + 1,
+            owner_alive=True,
+            polls_runner=polls_runner,
             # It names the runner as soon as it attends to it, not once it has seen it.
-            named=attends if keeps_names else now['listed'],
-            looked=False,
-            sent=False,
+            runner_stored=polls_runner if stores_unregistered else state['runner_registered'],
+            polled=False,
+            start_sent=False,
         )
 
 
 def _start(steps: Steps) -> None:
-    now = steps.now
-    if now['owner'] == 1 and not now['sent'] and not now['cancelled']:
-        steps.step('a start is sent', sent=True, flight=LEASE, held='starting')
-    if now['held'] == 'starting':
-        steps.step('the start is taken for refused', held='nothing')
-        steps.step('the start is not answered', held='stopping')
-    if now['cancelled'] and now['held'] in {'starting', 'running'}:
-        steps.step('the owner hears of the cancellation', held='stopping')
+    state = steps.state
+    if state['owner'] == 1 and not state['start_sent'] and not state['cancelled']:
+        steps.step(
+            'a start is sent', start_sent=True, start_ticks_left=LEASE_TICKS, owner_view='starting'
+        )
+    if state['owner_view'] == 'starting':
+        steps.step('the start is taken for refused', owner_view='nothing')
+        steps.step('the start is not answered', owner_view='stopping')
+    if state['cancelled'] and state['owner_view'] in {'starting', 'running'}:
+        steps.step('the owner hears of the cancellation', owner_view='stopping')
 
 
 def _stop(steps: Steps) -> None:
-    now = steps.now
-    if now['held'] != 'stopping' or not now['reached']:
+    state = steps.state
+    if state['owner_view'] != 'stopping' or not state['runner_reachable']:
         return
     steps.step(
         'the stop is answered',
-        held='stopped',
-        run=False,
-        lease=0,
-        forbidden=True,
-        fence=now['owner'],
+        owner_view='stopped',
+        task_runs=False,
+        lease_ticks_left=0,
+        start_forbidden=True,
+        fence_epoch=state['owner'],
     )
-    if now['faulty']:
-        steps.step('the stop is answered without effect', held='stopped', faulty=False)
+    if state['stop_may_fail']:
+        steps.step('the stop is answered without effect', owner_view='stopped', stop_may_fail=False)
 
 
-def _look(steps: Steps, stops_unknown: bool, repeats_stops: bool) -> None:
+def _poll(steps: Steps, stops_unknown: bool, repeats_stops: bool) -> None:
     """The owner takes what the runner lists, and renews its lease."""
-    now = steps.now
-    held = now['held']
-    if not now['run']:
-        held = held if held in {'starting', 'stopping'} else 'nothing'
-    elif held == 'stopped':
-        held = 'stopping' if repeats_stops else 'stopped'
-    elif held != 'stopping':
-        unwanted = now['cancelled'] and (stops_unknown or not now['dropped'])
-        held = 'stopping' if unwanted else 'running'
-    lease = LEASE if now['run'] else 0
-    steps.step('a look', looked=True, held=held, lease=lease, fence=now['owner'])
+    state = steps.state
+    owner_view = state['owner_view']
+    if not state['task_runs']:
+        owner_view = owner_view if owner_view in {'starting', 'stopping'} else 'nothing'
+    elif owner_view == 'stopped':
+        owner_view = 'stopping' if repeats_stops else 'stopped'
+    elif owner_view != 'stopping':
+        unwanted = state['cancelled'] and (stops_unknown or not state['store_dropped_job'])
+        owner_view = 'stopping' if unwanted else 'running'
+    lease = LEASE_TICKS if state['task_runs'] else 0
+    steps.step(
+        'a look',
+        polled=True,
+        owner_view=owner_view,
+        lease_ticks_left=lease,
+        fence_epoch=state['owner'],
+    )
 
 
 def ends_in_time(state: dict) -> bool:
     """The task of a cancelled job is gone in time."""
-    return state['overrun'] <= LIMIT
+    return state['overrun'] <= MAX_OVERRUN
 
 
 CANCELLING = Spec(
     'cancelling',
     INITIAL,
-    moves,
+    add_steps,
     {'ends in time': ends_in_time},
     {
         'runs of jobs that nobody knows are left alone': {'stops_unknown': False},
         'a stop that was answered is never repeated': {'repeats_stops': False},
-        'a successor looks only at runners that are listed': {'attends_unlisted': False},
-        'a successor names only runners that are listed': {'keeps_names': False},
+        'a successor looks only at runners that are listed': {'polls_unregistered': False},
+        'a successor names only runners that are listed': {'stores_unregistered': False},
     },
 )
--- a/spec/cell.py
+++ b/spec/cell.py
@@ -8,22 +8,22 @@
 
 #: Ticks for which A renews leases after its last answered append, and for which a
 #: lease, and the deadline of a start under way, last.
-AUTHORITY = 2
-LEASE = 2
+AUTHORITY_TICKS = 2
+LEASE_TICKS = 2
 #: B takes an unseen runner's tasks for gone that long after its claim.
-WAIT = AUTHORITY + LEASE
+WAIT_TICKS = AUTHORITY_TICKS + LEASE_TICKS
 RUNNERS = (1, 2)
 
 INITIAL = {
-    'age': 0,
-    'placed': 0,
-    'flight': 0,
-    'flight_left': 0,
-    'claimed': False,
-    'waited': 0,
-    'followed': 0,
-    'done': False,
-    'again': False,
+    'a_append_age': 0,
+    'a_placed_on': 0,
+    'start_sent_to': 0,
+    'start_ticks_left': 0,
+    'b_claimed': False,
+    'b_waited': 0,
+    'b_placed_on': 0,
+    'b_noted_done': False,
+    'started_after_done': False,
     **{f'fence_{runner}': 1 for runner in RUNNERS},
     **{f'run_{runner}': 0 for runner in RUNNERS},
     **{f'lease_{runner}': 0 for runner in RUNNERS},
@@ -33,66 +33,77 @@
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
-    fences: bool = True,
-    wait: int = WAIT,
-    stores_first: bool = True,
+    checks_fence: bool = True,
+    wait: int = WAIT_TICKS,
+    stores_before_start: bool = True,
     starts_expire: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
     _tick(steps, starts_expire)
-    now = steps.now
-    if not now['claimed']:
-        steps.step("A's append is answered", age=0)
-        if now['age']:
-            steps.step('B claims', claimed=True)
+    state = steps.state
+    if not state['b_claimed']:
+        steps.step("A's append is answered", a_append_age=0)
+        if state['a_append_age']:
+            steps.step('B claims', b_claimed=True)
     for runner in RUNNERS:
-        _former_owner(steps, runner, fences, stores_first)
+        _former_owner(steps, runner, checks_fence, stores_before_start)
         _runner(steps, runner)
-        if now['claimed']:
+        if state['b_claimed']:
             _successor(steps, runner, wait)
 
 
 def _tick(steps: Steps, starts_expire: bool) -> None:
-    now = steps.now
+    state = steps.state
     changes = {
-        'age': min(now['age'] + 1, AUTHORITY),
-        'waited': min(now['waited'] + 1, WAIT) if now['claimed'] else 0,
+        'a_append_age': min(state['a_append_age'] + 1, AUTHORITY_TICKS),
+        'b_waited': min(state['b_waited'] + 1, WAIT_TICKS) if state['b_claimed'] else 0,
     }
-    if now['flight'] and starts_expire:
-        changes['flight_left'] = now['flight_left'] - 1
-        changes['flight'] = now['flight'] if changes['flight_left'] else 0
+    if state['start_sent_to'] and starts_expire:
+        changes['start_ticks_left'] = state['start_ticks_left'] - 1
+        changes['start_sent_to'] = state['start_sent_to'] if changes['start_ticks_left'] else 0
     for runner in RUNNERS:
-        left = max(0, now[f'lease_{runner}'] - 1)
-        changes[f'lease_{runner}'] = left
-        changes[f'run_{runner}'] = now[f'run_{runner}'] if left else 0
+        lease_left = max(0, state[f'lease_{runner}'] - 1)
+        changes[f'lease_{runner}'] = lease_left
+        changes[f'run_{runner}'] = state[f'run_{runner}'] if lease_left else 0
     steps.step('tick', **changes)
 
 
-def _former_owner(steps: Steps, runner: int, fences: bool, stores_first: bool) -> None:
-    now = steps.now
-    mine = now[f'fence_{runner}'] == 1
-    if not now['claimed'] and not now[f'stored_{runner}']:
+def _former_owner(steps: Steps, runner: int, checks_fence: bool, stores_before_start: bool) -> None:
+    state = steps.state
+    obeys_a = state[f'fence_{runner}'] == 1
+    if not state['b_claimed'] and not state[f'stored_{runner}']:
         steps.step(f'A stores that the task may run on {runner}', **{f'stored_{runner}': True})
-    may_start = now['age'] < AUTHORITY and (now[f'stored_{runner}'] or not stores_first)
-    if may_start and not now['placed'] and not now['flight']:
-        steps.step(f'A sends a start to {runner}', placed=runner, flight=runner, flight_left=LEASE)
-    if now['flight'] == runner and (mine or not fences):
-        _start(steps, f'the start arrives at {runner}', runner, 1, flight=0)
-    if now['flight'] == runner:
-        steps.step('the start is lost', flight=0)
-    if mine and now[f'run_{runner}'] and now['age'] < AUTHORITY:
-        steps.step(f'A renews the lease on {runner}', **{f'lease_{runner}': LEASE})
-    gone = not now[f'run_{runner}'] and not now[f'ended_{runner}'] and now['flight'] != runner
-    if now['placed'] == runner and mine and gone:
-        steps.step(f'A finds that {runner} does not have it', placed=0)
+    may_start = state['a_append_age'] < AUTHORITY_TICKS and (
+        state[f'stored_{runner}'] or not stores_before_start
+    )
+    if may_start and not state['a_placed_on'] and not state['start_sent_to']:
+        steps.step(
+            f'A sends a start to {runner}',
+            a_placed_on=runner,
+            start_sent_to=runner,
+            start_ticks_left=LEASE_TICKS,
+        )
+    if state['start_sent_to'] == runner and (obeys_a or not checks_fence):
+        _start(steps, f'the start arrives at {runner}', runner, 1, start_sent_to=0)
+    if state['start_sent_to'] == runner:
+        steps.step('the start is lost', start_sent_to=0)
+    if obeys_a and state[f'run_{runner}'] and state['a_append_age'] < AUTHORITY_TICKS:
+        steps.step(f'A renews the lease on {runner}', **{f'lease_{runner}': LEASE_TICKS})
+    is_missing = (
+        not state[f'run_{runner}']
+        and not state[f'ended_{runner}']
+        and state['start_sent_to'] != runner
+    )
+    if state['a_placed_on'] == runner and obeys_a and is_missing:
+        steps.step(f'A finds that {runner} does not have it', a_placed_on=0)
 
 
 def _runner(steps: Steps, runner: int) -> None:
-    now = steps.now
-    if now[f'run_{runner}']:
+    state = steps.state
+    if state[f'run_{runner}']:
         steps.step(
             f'the task is done on {runner}',
             **{f'run_{runner}': 0, f'lease_{runner}': 0, f'ended_{runner}': True},
@@ -100,33 +111,38 @@
 
 
 def _successor(steps: Steps, runner: int, wait: int) -> None:
-    now = steps.now
-    running = bool(now[f'run_{runner}'])
+    state = steps.state
+    running = bool(state[f'run_{runner}'])
     steps.step(
         f'B looks at {runner}',
-        followed=runner if running else now['followed'],
-        done=now['done'] or now[f'ended_{runner}'],
+        b_placed_on=runner if running else state['b_placed_on'],
+        b_noted_done=state['b_noted_done'] or state[f'ended_{runner}'],
         **{f'fence_{runner}': 2, f'seen_{runner}': True},
     )
-    known = all(
-        now[f'seen_{other}'] or not now[f'stored_{other}'] or now['waited'] >= wait
+    all_accounted_for = all(
+        state[f'seen_{other}'] or not state[f'stored_{other}'] or state['b_waited'] >= wait
         for other in RUNNERS
     )
-    if known and now[f'seen_{runner}'] and not now['followed'] and not now['done']:
-        _start(steps, f'B starts it on {runner}', runner, 2, followed=runner)
-    if now['followed'] == runner and now[f'seen_{runner}'] and running:
-        steps.step(f'B renews the lease on {runner}', **{f'lease_{runner}': LEASE})
-    if now['followed'] == runner and not running and not now[f'ended_{runner}']:
-        steps.step(f'B finds that {runner} does not have it', followed=0)
+    if (
+        all_accounted_for
+        and state[f'seen_{runner}']
+        and not state['b_placed_on']
+        and not state['b_noted_done']
+    ):
+        _start(steps, f'B starts it on {runner}', runner, 2, b_placed_on=runner)
+    if state['b_placed_on'] == runner and state[f'seen_{runner}'] and running:
+        steps.step(f'B renews the lease on {runner}', **{f'lease_{runner}': LEASE_TICKS})
+    if state['b_placed_on'] == runner and not running and not state[f'ended_{runner}']:
+        steps.step(f'B finds that {runner} does not have it', b_placed_on=0)
 
 
 def _start(steps: Steps, label: str, runner: int, epoch: int, **changes: int) -> None:
     """A start takes effect; ``again`` notes one after B has seen the task done."""
-    now = steps.now
+    state = steps.state
     steps.step(
         label,
-        again=now['again'] or now['done'],
-        **{f'run_{runner}': epoch, f'lease_{runner}': LEASE},
+        started_after_done=state['started_after_done'] or state['b_noted_done'],
+        **{f'run_{runner}': epoch, f'lease_{runner}': LEASE_TICKS},
         **changes,
     )
 
@@ -138,19 +154,19 @@
 
 def not_after_done(state: dict) -> bool:
     """The task does not start after its owner has noted it as done."""
-    return not state['again']
+    return not state['started_after_done']
 
 
 CELL = Spec(
     'cell',
     INITIAL,
-    moves,
+    add_steps,
     {'runs once': runs_once, 'not after done': not_after_done},
     {
-        'runners take orders of a former owner': {'fences': False},
+        'runners take orders of a former owner': {'checks_fence': False},
         'no wait for unseen runners': {'wait': 0},
-        'one lease as the wait for an owner that may renew': {'wait': LEASE},
-        'starts on runners that the store does not name': {'stores_first': False},
+        'one lease as the wait for an owner that may renew': {'wait': LEASE_TICKS},
+        'starts on runners that the store does not name': {'stores_before_start': False},
         'starts without a deadline': {'starts_expire': False},
     },
 )
