--- a/spec/completions.py
+++ b/spec/completions.py
@@ -16,131 +16,144 @@
     'task': 'runs',
     'crashed': False,
     #: Whether A acts, and has seen the end.
-    'acts': True,
-    'saw': False,
-    'stored': False,
-    'shown': False,
+    'a_alive': True,
+    'a_saw_end': False,
+    'end_stored': False,
+    'shown_to_client': False,
     #: Whether any peer was ever told.
-    'word': False,
+    'any_peer_told': False,
     #: Whether a peer has been told, and how B's question to it stands: ``unasked``,
     #: ``asked``, or ``missed``.
     **{f'told_{peer}': False for peer in PEERS},
-    **{f'asked_{peer}': 'unasked' for peer in PEERS},
-    'claimed': False,
+    **{f'queried_{peer}': 'unasked' for peer in PEERS},
+    'b_claimed': False,
     #: Whether B has looked at the runner, and knows the task to be done.
-    'looked': False,
-    'knows': False,
-    'again': False,
+    'b_polled': False,
+    'b_knows_end': False,
+    'restarted': False,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
-    tells_first: bool = True,
-    asks: bool = True,
-    fences: bool = True,
-    stores_first: bool = True,
-    looks_first: bool = True,
-    own_view: bool = True,
+    tells_peer_first: bool = True,
+    queries_peers: bool = True,
+    peers_fence_former: bool = True,
+    stores_before_ack: bool = True,
+    polls_before_start: bool = True,
+    only_listed_ends: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    now = steps.now
+    state = steps.state
     _runner(steps)
-    if now['acts']:
-        _see(steps, own_view)
-        if now['saw']:
-            _show(steps, tells_first, fences, stores_first)
+    if state['a_alive']:
+        _former_owner_learns(steps, only_listed_ends)
+        if state['a_saw_end']:
+            _former_owner_reports(steps, tells_peer_first, peers_fence_former, stores_before_ack)
     for peer in PEERS:
-        if now[f'told_{peer}']:
-            steps.step(f'peer {peer} shows that it is done', shown=True)
+        if state[f'told_{peer}']:
+            steps.step(f'peer {peer} shows that it is done', shown_to_client=True)
             steps.step(f'peer {peer} is killed', **{f'told_{peer}': False})
-    if now['claimed']:
-        _succeed(steps, asks, looks_first)
+    if state['b_claimed']:
+        _successor(steps, queries_peers, polls_before_start)
     else:
         # All that stands in the store has been read then.
-        steps.step('B claims', claimed=True, knows=now['stored'])
+        steps.step('B claims', b_claimed=True, b_knows_end=state['end_stored'])
 
 
 def _runner(steps: Steps) -> None:
-    now = steps.now
-    if now['crashed']:
+    state = steps.state
+    if state['crashed']:
         return
-    if now['task'] == 'runs':
+    if state['task'] == 'runs':
         steps.step('the task is done', task='done')
     steps.step('the runner crashes', crashed=True)
 
 
-def _see(steps: Steps, own_view: bool) -> None:
-    now = steps.now
-    steps.step('A is killed', acts=False, saw=False)
+def _former_owner_learns(steps: Steps, only_listed_ends: bool) -> None:
+    state = steps.state
+    steps.step('A is killed', a_alive=False, a_saw_end=False)
     # Once B has looked, the runner does nothing for A any more.
-    if now['crashed'] or now['looked']:
+    if state['crashed'] or state['b_polled']:
         return
-    if now['task'] == 'done':
-        steps.step('A sees the end', saw=True)
-    elif not own_view:
-        steps.step('A takes a task that must soon be done for done', saw=True)
+    if state['task'] == 'done':
+        steps.step('A sees the end', a_saw_end=True)
+    elif not only_listed_ends:
+        steps.step('A takes a task that must soon be done for done', a_saw_end=True)
 
 
-def _show(steps: Steps, tells_first: bool, fences: bool, stores_first: bool) -> None:
-    now = steps.now
-    if not now['claimed']:
-        steps.step('the store takes the end', stored=True)
+def _former_owner_reports(
+    steps: Steps, tells_peer_first: bool, peers_fence_former: bool, stores_before_ack: bool
+) -> None:
+    state = steps.state
+    if not state['b_claimed']:
+        steps.step('the store takes the end', end_stored=True)
     for peer in PEERS:
-        if now[f'asked_{peer}'] != 'asked' or not fences:
-            steps.step(f'A tells peer {peer}', **{f'told_{peer}': True}, word=True, shown=True)
-    if now['stored'] or not tells_first:
-        steps.step('A shows that it is done', shown=True)
-    if (now['stored'] or not stores_first) and not now['crashed'] and not now['looked']:
+        if state[f'queried_{peer}'] != 'asked' or not peers_fence_former:
+            steps.step(
+                f'A tells peer {peer}',
+                **{f'told_{peer}': True},
+                any_peer_told=True,
+                shown_to_client=True,
+            )
+    if state['end_stored'] or not tells_peer_first:
+        steps.step('A shows that it is done', shown_to_client=True)
+    if (
+        (state['end_stored'] or not stores_before_ack)
+        and not state['crashed']
+        and not state['b_polled']
+    ):
         steps.step('A acknowledges the end', task='forgotten')
 
 
-def _succeed(steps: Steps, asks: bool, looks_first: bool) -> None:
-    now = steps.now
+def _successor(steps: Steps, queries_peers: bool, polls_before_start: bool) -> None:
+    state = steps.state
     for peer in PEERS:
-        if now[f'asked_{peer}'] == 'unasked':
-            word = now['knows'] or (asks and now[f'told_{peer}'])
-            steps.step(f'B asks peer {peer}', knows=word, **{f'asked_{peer}': 'asked'})
-            steps.step(f'B does not reach peer {peer}', **{f'asked_{peer}': 'missed'})
-    if not now['looked']:
-        listed = now['task'] == 'done' and not now['crashed']
-        steps.step('B looks at the runner', looked=True, knows=now['knows'] or listed)
-    running = now['task'] == 'runs' and not now['crashed']
-    asked = all(now[f'asked_{peer}'] != 'unasked' for peer in PEERS)
-    may_start = asked and (now['looked'] or not looks_first)
-    if may_start and not now['knows'] and not running:
-        steps.step('B starts the task again', again=True)
-
-
-def not_taken_back(state: dict) -> bool:
+        if state[f'queried_{peer}'] == 'unasked':
+            knows_end = state['b_knows_end'] or (queries_peers and state[f'told_{peer}'])
+            steps.step(f'B asks peer {peer}', b_knows_end=knows_end, **{f'queried_{peer}': 'asked'})
+            steps.step(f'B does not reach peer {peer}', **{f'queried_{peer}': 'missed'})
+    if not state['b_polled']:
+        lists_end = state['task'] == 'done' and not state['crashed']
+        steps.step(
+            'B looks at the runner', b_polled=True, b_knows_end=state['b_knows_end'] or lists_end
+        )
+    running = state['task'] == 'runs' and not state['crashed']
+    all_queried = all(state[f'queried_{peer}'] != 'unasked' for peer in PEERS)
+    may_start = all_queried and (state['b_polled'] or not polls_before_start)
+    if may_start and not state['b_knows_end'] and not running:
+        steps.step('B starts the task again', restarted=True)
+
+
+def is_never_retracted(state: dict) -> bool:
     """What was shown does not start again, whichever hosts are killed.
 
     The word is lost only with the runner that listed the end, and with all hosts that had
     been told of it and were in reach of the new owner.
     """
-    if not (state['shown'] and state['again']):
+    if not (state['shown_to_client'] and state['restarted']):
         return True
-    kept = any(state[f'told_{peer}'] and state[f'asked_{peer}'] == 'asked' for peer in PEERS)
-    return state['crashed'] and state['word'] and not kept
+    kept = any(state[f'told_{peer}'] and state[f'queried_{peer}'] == 'asked' for peer in PEERS)
+    return state['crashed'] and state['any_peer_told'] and not kept
 
 
-def is_true(state: dict) -> bool:
+def shows_only_ended_tasks(state: dict) -> bool:
     """What is shown has happened."""
-    return not state['shown'] or state['task'] != 'runs'
+    return not state['shown_to_client'] or state['task'] != 'runs'
 
 
 COMPLETIONS = Spec(
     'completions',
     INITIAL,
-    moves,
-    {'not taken back': not_taken_back, 'is true': is_true},
+    add_steps,
+    {'not taken back': is_never_retracted, 'is true': shows_only_ended_tasks},
     {
-        'shown by its owner alone': {'tells_first': False},
-        'a new owner asks nobody': {'asks': False},
-        'peers take the word of a former owner': {'fences': False},
-        'an end is acknowledged before it is stored': {'stores_first': False},
-        'a new owner starts before it has looked': {'looks_first': False},
-        'an end that nobody listed': {'own_view': False},
+        'shown by its owner alone': {'tells_peer_first': False},
+        'a new owner asks nobody': {'queries_peers': False},
+        'peers take the word of a former owner': {'peers_fence_former': False},
+        'an end is acknowledged before it is stored': {'stores_before_ack': False},
+        'a new owner starts before it has looked': {'polls_before_start': False},
+        'an end that nobody listed': {'only_listed_ends': False},
     },
 )
--- a/spec/crashes.py
+++ b/spec/crashes.py
@@ -8,18 +8,18 @@
 from spec._model import Spec, Steps
 
 #: Crashes that the owner counts before it gives the task up.
-LIMIT = 3
+GIVE_UP_LIMIT = 3
 #: Starts that may crash a runner at the most: three, and two more.
-MOST = 5
+MAX_CRASHES = 5
 #: Crashes without which no task may be given up.
-FEWEST = 2
-KILLS = 3
-CUTS = 2
+MIN_CRASHES = 2
+MAX_KILLS = 3
+MAX_CUTS = 2
 
 INITIAL = {
-    'alive': True,
-    'kills': KILLS,
-    'cuts': CUTS,
+    'owner_alive': True,
+    'kills_left': MAX_KILLS,
+    'cuts_left': MAX_CUTS,
     #: The number of the latest start, and where it stands: ``idle``, ``storing``,
     #: ``ready``, ``sent``, ``crashed`` or ``cut``.
     'run': 0,
@@ -27,157 +27,171 @@
     'crashes': 0,
     #: The last run that crashed its runner, and whether the owner has learned it.
     'crashed_run': 0,
-    'learned': True,
-    'counted': 0,
+    'crash_learned': True,
+    'crashes_counted': 0,
     #: The last run that was counted: an end is learned by several looks.
-    'last': 0,
-    'doubtful': False,
+    'last_counted_run': 0,
+    'count_incomplete': False,
     'given_up': False,
     #: What the store has of the four: of the first one, by the runners that it names.
-    'kept_learned': 0,
-    'kept': 0,
-    'kept_last': 0,
-    'kept_doubtful': False,
+    'stored_learned': 0,
+    'stored_count': 0,
+    'stored_last_run': 0,
+    'stored_incomplete': False,
     #: The start that stands in the store.
-    'kept_run': 0,
+    'stored_run': 0,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
-    counts: bool = True,
-    stores_together: bool = True,
+    counts_crashes: bool = True,
+    stores_counts_with_runners: bool = True,
     stores_starts: bool = True,
-    doubts: bool = True,
-    counts_by_run: bool = True,
-    proves: bool = True,
+    marks_incomplete: bool = True,
+    counts_once_per_run: bool = True,
+    requires_proof: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    now = steps.now
+    state = steps.state
     _runner(steps)
-    if not now['alive']:
-        _take_over(steps, doubts, counts_by_run, proves)
+    if not state['owner_alive']:
+        _take_over(steps, marks_incomplete, counts_once_per_run, requires_proof)
         return
-    if now['kills']:
-        steps.step('the owner is lost', alive=False, kills=now['kills'] - 1)
-    if not now['given_up']:
-        _store(steps, stores_together)
+    if state['kills_left']:
+        steps.step('the owner is lost', owner_alive=False, kills_left=state['kills_left'] - 1)
+    if not state['given_up']:
+        _store(steps, stores_counts_with_runners)
         _start(steps, stores_starts)
-        _learn(steps, counts, counts_by_run, proves)
+        _learn(steps, counts_crashes, counts_once_per_run, requires_proof)
 
 
 def _runner(steps: Steps) -> None:
-    now = steps.now
-    if now['phase'] == 'sent':
+    state = steps.state
+    if state['phase'] == 'sent':
         steps.step(
             'the runner crashes',
             phase='crashed',
-            crashes=min(now['crashes'] + 1, MOST + 1),
-            crashed_run=now['run'],
-            learned=False,
+            crashes=min(state['crashes'] + 1, MAX_CRASHES + 1),
+            crashed_run=state['run'],
+            crash_learned=False,
         )
-        if now['cuts']:
-            steps.step('the start is lost in a cut', phase='cut', cuts=now['cuts'] - 1)
+        if state['cuts_left']:
+            steps.step('the start is lost in a cut', phase='cut', cuts_left=state['cuts_left'] - 1)
 
 
-def _store(steps: Steps, stores_together: bool) -> None:
+def _store(steps: Steps, stores_counts_with_runners: bool) -> None:
     """A heartbeat names the runners that are attended to, and has what else is news."""
-    now = steps.now
-    news = {'kept': now['counted'], 'kept_last': now['last'], 'kept_doubtful': now['doubtful']}
-    named = {'kept_learned': now['crashed_run']} if now['learned'] else {}
-    if stores_together:
-        steps.step('a heartbeat is stored', **news, **named)
+    state = steps.state
+    counts = {
+        'stored_count': state['crashes_counted'],
+        'stored_last_run': state['last_counted_run'],
+        'stored_incomplete': state['count_incomplete'],
+    }
+    learned = {'stored_learned': state['crashed_run']} if state['crash_learned'] else {}
+    if stores_counts_with_runners:
+        steps.step('a heartbeat is stored', **counts, **learned)
         return
-    steps.step('runners are stored', **named)
-    steps.step('counts are stored', **news)
+    steps.step('runners are stored', **learned)
+    steps.step('counts are stored', **counts)
 
 
 def _start(steps: Steps, stores_starts: bool) -> None:
-    now = steps.now
-    run = now['run'] + 1
-    if now['phase'] == 'idle':
-        if now['counted'] or now['doubtful']:
+    state = steps.state
+    run = state['run'] + 1
+    if state['phase'] == 'idle':
+        if state['crashes_counted'] or state['count_incomplete']:
             steps.step('a start is about to be stored', run=run, phase='storing')
         else:
             steps.step('a first start is ready', run=run, phase='ready')
-    if now['phase'] == 'storing':
+    if state['phase'] == 'storing':
         steps.step(
             'the count and the start are stored',
             phase='ready',
-            kept=now['counted'],
-            kept_last=now['last'],
-            kept_doubtful=now['doubtful'],
-            kept_run=now['run'] if stores_starts else 0,
+            stored_count=state['crashes_counted'],
+            stored_last_run=state['last_counted_run'],
+            stored_incomplete=state['count_incomplete'],
+            stored_run=state['run'] if stores_starts else 0,
         )
-    if now['phase'] == 'ready':
+    if state['phase'] == 'ready':
         steps.step('the start is sent', phase='sent')
 
 
-def _learn(steps: Steps, counts: bool, counts_by_run: bool, proves: bool) -> None:
+def _learn(
+    steps: Steps, counts_crashes: bool, counts_once_per_run: bool, requires_proof: bool
+) -> None:
     """Another life answers at the address, or the leases on a silent runner run out."""
-    now = steps.now
-    if now['phase'] == 'crashed':
-        counted = _count(now, now['run'], counts_by_run) if counts else {}
-        steps.step('another life answers', phase='idle', learned=True, **counted)
-        if not counts_by_run:
+    state = steps.state
+    if state['phase'] == 'crashed':
+        counted = _count(state, state['run'], counts_once_per_run) if counts_crashes else {}
+        steps.step('another life answers', phase='idle', crash_learned=True, **counted)
+        if not counts_once_per_run:
             steps.step('another life answers, to one look of several', **counted)
-    if now['phase'] == 'cut':
-        counted = {} if proves else _count(now, now['run'], counts_by_run)
+    if state['phase'] == 'cut':
+        counted = {} if requires_proof else _count(state, state['run'], counts_once_per_run)
         steps.step('the leases run out', phase='idle', **counted)
 
 
-def _take_over(steps: Steps, doubts: bool, counts_by_run: bool, proves: bool) -> None:
+def _take_over(
+    steps: Steps, marks_incomplete: bool, counts_once_per_run: bool, requires_proof: bool
+) -> None:
     """The successor knows what the store tells, and looks at the runners that it names."""
-    now = steps.now
-    if now['phase'] == 'sent':
+    state = steps.state
+    if state['phase'] == 'sent':
         return
-    known = {
-        'counted': now['kept'],
-        'last': now['kept_last'],
-        'doubtful': now['kept_doubtful'],
-        'given_up': now['kept'] >= LIMIT,
-        'learned': True,
+    restored = {
+        'crashes_counted': state['stored_count'],
+        'last_counted_run': state['stored_last_run'],
+        'count_incomplete': state['stored_incomplete'],
+        'given_up': state['stored_count'] >= GIVE_UP_LIMIT,
+        'crash_learned': True,
     }
-    gone = now['crashed_run'] if now['kept_learned'] < now['crashed_run'] else 0
-    if now['phase'] == 'cut' and not proves:
-        gone = now['run']
-    found: dict = {}
-    if gone or now['phase'] == 'cut':
-        found['doubtful'] = doubts or now['kept_doubtful']
-    if gone and now['kept_run'] == gone:
-        found |= _count({**now, **known}, gone, counts_by_run)
-    steps.step('another host takes over', alive=True, phase='idle', **{**known, **found})
-
-
-def _count(now: dict, run: int, counts_by_run: bool) -> dict:
-    if counts_by_run and now['last'] == run:
+    lost_run = state['crashed_run'] if state['stored_learned'] < state['crashed_run'] else 0
+    if state['phase'] == 'cut' and not requires_proof:
+        lost_run = state['run']
+    changes: dict = {}
+    if lost_run or state['phase'] == 'cut':
+        changes['count_incomplete'] = marks_incomplete or state['stored_incomplete']
+    if lost_run and state['stored_run'] == lost_run:
+        changes |= _count({**state, **restored}, lost_run, counts_once_per_run)
+    steps.step('another host takes over', owner_alive=True, phase='idle', **{**restored, **changes})
+
+
+def _count(state: dict, run: int, counts_once_per_run: bool) -> dict:
+    if counts_once_per_run and state['last_counted_run'] == run:
         return {}
-    counted = min(now['counted'] + 1, LIMIT)
-    return {'counted': counted, 'last': run, 'given_up': counted >= LIMIT}
+    counted = min(state['crashes_counted'] + 1, GIVE_UP_LIMIT)
+    return {
+        'crashes_counted': counted,
+        'last_counted_run': run,
+        'given_up': counted >= GIVE_UP_LIMIT,
+    }
 
 
-def few_starts(state: dict) -> bool:
+def limits_crashes(state: dict) -> bool:
     """No task crashes more runners than may be."""
-    return state['crashes'] <= MOST
+    return state['crashes'] <= MAX_CRASHES
 
 
-def given_up_for_cause(state: dict) -> bool:
+def gives_up_only_after_crashes(state: dict) -> bool:
     """Only a task under which two runners have crashed is given up."""
-    return not state['given_up'] or state['crashes'] >= FEWEST
+    return not state['given_up'] or state['crashes'] >= MIN_CRASHES
 
 
 CRASHES = Spec(
     'crashes',
     INITIAL,
-    moves,
-    {'few starts': few_starts, 'given up for cause': given_up_for_cause},
+    add_steps,
+    {'few starts': limits_crashes, 'given up for cause': gives_up_only_after_crashes},
     {
-        'runs lost with their runner are not counted': {'counts': False},
-        'the runners that are gone are stored without the counts': {'stores_together': False},
+        'runs lost with their runner are not counted': {'counts_crashes': False},
+        'the runners that are gone are stored without the counts': {
+            'stores_counts_with_runners': False
+        },
         'starts after a crash are not stored': {'stores_starts': False},
-        'first starts of a lost owner raise no doubt': {'doubts': False},
-        'one crash counts with each look': {'counts_by_run': False},
-        'leases that run out count as a crash': {'proves': False},
+        'first starts of a lost owner raise no doubt': {'marks_incomplete': False},
+        'one crash counts with each look': {'counts_once_per_run': False},
+        'leases that run out count as a crash': {'requires_proof': False},
     },
 )
--- a/spec/incarnations.py
+++ b/spec/incarnations.py
@@ -17,25 +17,25 @@
     'process': 1,
     'task': 'none',
     #: What the newest entry tells.
-    'entry': 1,
+    'entry_process': 1,
     #: The owner: the incarnation that it knows, the process that its connection reaches (0
     #: for none), the last end that it noted, and what it believes of the task.
-    'known': 1,
-    'reached': 0,
-    'noted': 1,
-    'believes': 'waiting',
+    'known_process': 1,
+    'connected_process': 0,
+    'last_noted_end': 1,
+    'owner_view': 'waiting',
     'held_on': 0,
     'owner': 'A',
     #: The incarnation that has not been seen yet, 0 for none.
-    'unseen': 0,
+    'unseen_process': 0,
     #: Whether a start broke a rule: beside a run, or behind an end that was forgotten.
-    'twice': False,
+    'started_twice': False,
     #: Whether an end was forgotten that nobody has noted.
-    'unread': False,
+    'end_lost': False,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
     checks_connection: bool = True,
@@ -45,118 +45,131 @@
     waits_for_unseen: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    now = steps.now
+    state = steps.state
     _runner(steps)
-    _entries(steps, counts_by_incarnation)
-    if now['reached']:
-        _call(steps, waits_for_unseen)
+    _registrations(steps, counts_by_incarnation)
+    if state['connected_process']:
+        _owner_requests(steps, waits_for_unseen)
     else:
         _connect(steps, checks_connection, proves_in_order)
-    if now['owner'] == 'A':
+    if state['owner'] == 'A':
         _take_over(steps)
-    if not proves_by_answer and now['unseen'] and now['known'] > now['unseen']:
-        steps.step('a later entry is read', unseen=0)
+    if (
+        not proves_by_answer
+        and state['unseen_process']
+        and state['known_process'] > state['unseen_process']
+    ):
+        steps.step('a later entry is read', unseen_process=0)
 
 
 def _runner(steps: Steps) -> None:
-    now = steps.now
-    if now['task'] == 'runs':
+    state = steps.state
+    if state['task'] == 'runs':
         steps.step('the task ends', task='listed')
-    if now['process'] < PROCESSES:
-        steps.step('the runner restarts', process=now['process'] + 1, task='none', reached=0)
+    if state['process'] < PROCESSES:
+        steps.step(
+            'the runner restarts', process=state['process'] + 1, task='none', connected_process=0
+        )
 
 
-def _entries(steps: Steps, counts_by_incarnation: bool) -> None:
-    now = steps.now
-    for told in range(1, PROCESSES + 1):
-        if told != now['entry']:
-            steps.step(f'an entry of process {told} lands', entry=told)
-    if now['entry'] == now['known']:
+def _registrations(steps: Steps, counts_by_incarnation: bool) -> None:
+    state = steps.state
+    for process in range(1, PROCESSES + 1):
+        if process != state['entry_process']:
+            steps.step(f'an entry of process {process} lands', entry_process=process)
+    if state['entry_process'] == state['known_process']:
         return
-    fresh = {'noted': 0} if counts_by_incarnation else {}
-    steps.step('the owner reads the entry', known=now['entry'], reached=0, **fresh)
+    reset = {'last_noted_end': 0} if counts_by_incarnation else {}
+    steps.step(
+        'the owner reads the entry',
+        known_process=state['entry_process'],
+        connected_process=0,
+        **reset,
+    )
 
 
 def _connect(steps: Steps, checks_connection: bool, proves_in_order: bool) -> None:
     """Open a connection; what is at its end is asked before anything else is sent."""
-    now = steps.now
-    reached = now['process']
-    if reached == now['known'] or not checks_connection:
-        found = {'reached': reached}
-        if now['unseen'] and reached == now['known'] > now['unseen']:
-            found['unseen'] = 0
-        steps.step('a connection opens', **found)
+    state = steps.state
+    reached = state['process']
+    if reached == state['known_process'] or not checks_connection:
+        changes = {'connected_process': reached}
+        if state['unseen_process'] and reached == state['known_process'] > state['unseen_process']:
+            changes['unseen_process'] = 0
+        steps.step('a connection opens', **changes)
         return
-    over = now['held_on'] == now['known']
-    found = {'believes': 'waiting', 'held_on': 0} if over else {}
-    if now['unseen'] and (now['unseen'] == now['known'] or not proves_in_order):
-        found['unseen'] = 0
-    steps.step('another incarnation answers', **found)
-
-
-def _call(steps: Steps, waits_for_unseen: bool) -> None:
-    now = steps.now
-    free = not now['unseen'] or not waits_for_unseen
-    if now['believes'] == 'waiting' and free:
+    held_run_is_over = state['held_on'] == state['known_process']
+    changes = {'owner_view': 'waiting', 'held_on': 0} if held_run_is_over else {}
+    if state['unseen_process'] and (
+        state['unseen_process'] == state['known_process'] or not proves_in_order
+    ):
+        changes['unseen_process'] = 0
+    steps.step('another incarnation answers', **changes)
+
+
+def _owner_requests(steps: Steps, waits_for_unseen: bool) -> None:
+    state = steps.state
+    may_start = not state['unseen_process'] or not waits_for_unseen
+    if state['owner_view'] == 'waiting' and may_start:
         steps.step(
             'the task is started',
             task='runs',
-            believes='held',
-            held_on=now['known'],
-            twice=now['twice'] or now['task'] != 'none',
+            owner_view='held',
+            held_on=state['known_process'],
+            started_twice=state['started_twice'] or state['task'] != 'none',
         )
-    _look(steps)
+    _poll(steps)
 
 
-def _look(steps: Steps) -> None:
+def _poll(steps: Steps) -> None:
     """A look acknowledges what was noted, and lists the rest."""
-    now = steps.now
-    number = 2 if now['process'] == 1 else 1
-    task = now['task']
-    unread = now['unread']
-    if task == 'listed' and number <= now['noted']:
+    state = steps.state
+    number = 2 if state['process'] == 1 else 1
+    task = state['task']
+    unread = state['end_lost']
+    if task == 'listed' and number <= state['last_noted_end']:
         task = 'forgotten'
-        unread = unread or now['believes'] != 'done'
-    seen = {'unseen': 0} if now['unseen'] == now['known'] else {}
+        unread = unread or state['owner_view'] != 'done'
+    changes = {'unseen_process': 0} if state['unseen_process'] == state['known_process'] else {}
     if task == 'listed':
-        seen.update(noted=number, believes='done', held_on=0)
-    elif task == 'runs' and now['believes'] == 'waiting' and seen:
-        seen.update(believes='held', held_on=now['known'])
-    elif task in {'none', 'forgotten'} and now['held_on'] == now['known']:
-        seen.update(believes='waiting', held_on=0)
-    steps.step('the owner looks', task=task, unread=unread, **seen)
+        changes.update(last_noted_end=number, owner_view='done', held_on=0)
+    elif task == 'runs' and state['owner_view'] == 'waiting' and changes:
+        changes.update(owner_view='held', held_on=state['known_process'])
+    elif task in {'none', 'forgotten'} and state['held_on'] == state['known_process']:
+        changes.update(owner_view='waiting', held_on=0)
+    steps.step('the owner looks', task=task, end_lost=unread, **changes)
 
 
 def _take_over(steps: Steps) -> None:
-    now = steps.now
-    unseen = now['held_on'] if now['believes'] == 'held' else 0
-    believes = 'done' if now['believes'] == 'done' else 'waiting'
+    state = steps.state
+    unseen = state['held_on'] if state['owner_view'] == 'held' else 0
+    owner_view = 'done' if state['owner_view'] == 'done' else 'waiting'
     steps.step(
         'B takes over',
         owner='B',
-        reached=0,
-        noted=0,
-        known=now['entry'],
-        believes=believes,
+        connected_process=0,
+        last_noted_end=0,
+        known_process=state['entry_process'],
+        owner_view=owner_view,
         held_on=0,
-        unseen=unseen,
+        unseen_process=unseen,
     )
 
 
 def never_twice(state: dict) -> bool:
     """No start beside a run, and none behind an end that its runner lists or has forgotten."""
-    return not state['twice']
+    return not state['started_twice']
 
 
 def ends_are_read(state: dict) -> bool:
     """No runner forgets an end that its owner has not noted."""
-    return not state['unread']
+    return not state['end_lost']
 
 
 INCARNATIONS = Spec(
     'incarnations',
     INITIAL,
-    moves,
+    add_steps,
     {'never twice': never_twice, 'ends are read': ends_are_read},
     {
         'connections are not checked': {'checks_connection': False},
--- a/spec/ownership.py
+++ b/spec/ownership.py
@@ -6,88 +6,90 @@
 
 from spec._model import Spec, Steps
 
-AUTHORITY = 2
-FLIGHT = 1
-ROOM = 2
-HALF = 1
-SLACK = 1
-WAIT = AUTHORITY + SLACK + FLIGHT
+AUTHORITY_TICKS = 2
+FLIGHT_TICKS = 1
+CAPACITY = 2
+HALF_CAPACITY = 1
+DRIFT_TICKS = 1
+WAIT_TICKS = AUTHORITY_TICKS + DRIFT_TICKS + FLIGHT_TICKS
 NO_READ = -1
 
 INITIAL = {
     'log_age': 0,
     'promise_age': 0,
-    'read': NO_READ,  # age of a log read under way that saw no claim
-    'slow_left': 1,  # ticks that O's clock may still lose
+    'pending_read_age': NO_READ,  # age of a log read under way that saw no claim
+    'lost_ticks_left': 1,  # ticks that O's clock may still lose
     'claim_seen': False,
     'yielded': False,
     'released': False,
     'paused': False,
     'dead': False,
-    'checked': False,  # only for the mutant that checks early
-    'flight': 0,
+    'checked_early': False,  # only for the mutant that checks early
+    'start_ticks_left': 0,
     'owner_runs': 0,
     'claimant_runs': 0,
     'claim_age': 0,
     'promised_age': 0,
     'proof_age': 0,
     'log_up': True,
-    'members': True,
+    'members_up': True,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
-    wait: int = WAIT,
-    proof_wait: int = FLIGHT + 1,
+    wait: int = WAIT_TICKS,
+    proof_wait: int = FLIGHT_TICKS + 1,
     owner_half: bool = True,
     claimant_half: bool = True,
     promises_end: bool = True,
     check_at_send: bool = True,
-    age_from_asking: bool = True,
-    whole_needs_proof: bool = True,
-    yield_when_quiet: bool = True,
+    age_from_request: bool = True,
+    full_needs_proof: bool = True,
+    yield_when_idle: bool = True,
     drift: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    now = steps.now
+    state = steps.state
     _environment(steps, wait, drift)
-    if not now['paused'] and not now['dead'] and not now['released']:
-        _owner(steps, owner_half, promises_end, check_at_send, age_from_asking, yield_when_quiet)
-    if now['flight']:
-        steps.step('start arrives', flight=0, owner_runs=now['owner_runs'] + 1)
-        steps.step('start lost', flight=0)
-    if now['owner_runs']:
-        steps.step("O's task ends", owner_runs=now['owner_runs'] - 1)
-    if now['claimant_runs']:
-        steps.step("P's task ends", claimant_runs=now['claimant_runs'] - 1)
-    _claimant(steps, wait, proof_wait, claimant_half, whole_needs_proof)
+    if not state['paused'] and not state['dead'] and not state['released']:
+        _owner(steps, owner_half, promises_end, check_at_send, age_from_request, yield_when_idle)
+    if state['start_ticks_left']:
+        steps.step('start arrives', start_ticks_left=0, owner_runs=state['owner_runs'] + 1)
+        steps.step('start lost', start_ticks_left=0)
+    if state['owner_runs']:
+        steps.step("O's task ends", owner_runs=state['owner_runs'] - 1)
+    if state['claimant_runs']:
+        steps.step("P's task ends", claimant_runs=state['claimant_runs'] - 1)
+    _claimant(steps, wait, proof_wait, claimant_half, full_needs_proof)
 
 
 def _environment(steps: Steps, wait: int, drift: bool) -> None:
-    now = steps.now
-    steps.step('toggle log', log_up=not now['log_up'])
-    steps.step('toggle members', members=not now['members'])
-    if not now['dead']:
-        steps.step('pause or resume', paused=not now['paused'])
-        steps.step('O dies', dead=True, read=NO_READ, checked=False)
-    if now['flight'] == 1:  # a start under way ends within FLIGHT
+    state = steps.state
+    steps.step('toggle log', log_up=not state['log_up'])
+    steps.step('toggle members', members_up=not state['members_up'])
+    if not state['dead']:
+        steps.step('pause or resume', paused=not state['paused'])
+        steps.step('O dies', dead=True, pending_read_age=NO_READ, checked_early=False)
+    if state['start_ticks_left'] == 1:  # a start under way ends within FLIGHT
         return
     ages = {
-        'flight': max(now['flight'] - 1, 0),
-        'claim_age': min(now['claim_age'] + 1, wait + 1) if now['claim_age'] else 0,
-        'promised_age': min(now['promised_age'] + 1, wait + 1),
-        'proof_age': min(now['proof_age'] + 1, FLIGHT + 2) if now['proof_age'] else 0,
+        'start_ticks_left': max(state['start_ticks_left'] - 1, 0),
+        'claim_age': min(state['claim_age'] + 1, wait + 1) if state['claim_age'] else 0,
+        'promised_age': min(state['promised_age'] + 1, wait + 1),
+        'proof_age': min(state['proof_age'] + 1, FLIGHT_TICKS + 2) if state['proof_age'] else 0,
     }
-    own = {
-        'log_age': min(now['log_age'] + 1, AUTHORITY),
-        'promise_age': min(now['promise_age'] + 1, AUTHORITY),
-        'read': min(now['read'] + 1, AUTHORITY) if now['read'] != NO_READ else NO_READ,
+    owner_ages = {
+        'log_age': min(state['log_age'] + 1, AUTHORITY_TICKS),
+        'promise_age': min(state['promise_age'] + 1, AUTHORITY_TICKS),
+        'pending_read_age': min(state['pending_read_age'] + 1, AUTHORITY_TICKS)
+        if state['pending_read_age'] != NO_READ
+        else NO_READ,
     }
-    steps.step('tick', **ages, **own)
-    if drift and now['slow_left']:
-        steps.step("tick that O's clock loses", slow_left=0, **ages)
+    steps.step('tick', **ages, **owner_ages)
+    if drift and state['lost_ticks_left']:
+        steps.step("tick that O's clock loses", lost_ticks_left=0, **ages)
 
 
 def _owner(
@@ -95,35 +97,42 @@
     owner_half: bool,
     promises_end: bool,
     check_at_send: bool,
-    age_from_asking: bool,
-    yield_when_quiet: bool,
+    age_from_request: bool,
+    yield_when_idle: bool,
 ) -> None:
-    now = steps.now
-    if now['log_up'] and now['claim_age']:
-        steps.step('O reads the claim', claim_seen=True, log_age=AUTHORITY, read=NO_READ)
-    if now['log_up'] and not now['claim_age'] and now['read'] == NO_READ:
-        steps.step('the log serves a read', read=0)
-    if now['read'] != NO_READ:
-        age = now['read'] if age_from_asking else 0
-        steps.step('O gets the read', read=NO_READ, log_age=min(now['log_age'], age))
-    if now['members'] and not (now['claim_age'] and promises_end):
+    state = steps.state
+    if state['log_up'] and state['claim_age']:
+        steps.step(
+            'O reads the claim', claim_seen=True, log_age=AUTHORITY_TICKS, pending_read_age=NO_READ
+        )
+    if state['log_up'] and not state['claim_age'] and state['pending_read_age'] == NO_READ:
+        steps.step('the log serves a read', pending_read_age=0)
+    if state['pending_read_age'] != NO_READ:
+        age = state['pending_read_age'] if age_from_request else 0
+        steps.step('O gets the read', pending_read_age=NO_READ, log_age=min(state['log_age'], age))
+    if state['members_up'] and not (state['claim_age'] and promises_end):
         steps.step('P promises', promise_age=0, promised_age=0)
-    if now['claim_seen']:
-        quiet = not now['flight'] or not yield_when_quiet
-        if quiet and not now['yielded']:
+    if state['claim_seen']:
+        is_idle = not state['start_ticks_left'] or not yield_when_idle
+        if is_idle and not state['yielded']:
             steps.step('O yields', yielded=True)
         return
-    fresh = min(now['log_age'], now['promise_age']) < AUTHORITY
-    runs = now['owner_runs']
-    limit = ROOM if fresh or not owner_half else HALF
+    fresh = min(state['log_age'], state['promise_age']) < AUTHORITY_TICKS
+    runs = state['owner_runs']
+    limit = CAPACITY if fresh or not owner_half else HALF_CAPACITY
     if not check_at_send:
-        if not now['checked'] and fresh:
-            steps.step('O checks early', checked=True)
-        limit = ROOM if now['checked'] else HALF
-    if not now['flight'] and runs < limit:
-        steps.step('O sends a start', flight=FLIGHT + 1, checked=False)
-    quiet = not now['flight'] or not yield_when_quiet
-    if quiet and now['log_up'] and not now['claim_age'] and now['read'] == NO_READ:
+        if not state['checked_early'] and fresh:
+            steps.step('O checks early', checked_early=True)
+        limit = CAPACITY if state['checked_early'] else HALF_CAPACITY
+    if not state['start_ticks_left'] and runs < limit:
+        steps.step('O sends a start', start_ticks_left=FLIGHT_TICKS + 1, checked_early=False)
+    is_idle = not state['start_ticks_left'] or not yield_when_idle
+    if (
+        is_idle
+        and state['log_up']
+        and not state['claim_age']
+        and state['pending_read_age'] == NO_READ
+    ):
         steps.step('O releases', released=True)
 
 
@@ -132,51 +141,51 @@
     wait: int,
     proof_wait: int,
     claimant_half: bool,
-    whole_needs_proof: bool,
+    full_needs_proof: bool,
 ) -> None:
-    now = steps.now
-    if now['dead'] and now['members'] and not now['proof_age']:
+    state = steps.state
+    if state['dead'] and state['members_up'] and not state['proof_age']:
         steps.step('P is refused: O has ended', proof_age=1)
-    silent = not now['members'] or now['proof_age'] or now['released']
-    if now['log_up'] and not now['claim_age'] and silent:
+    may_claim = not state['members_up'] or state['proof_age'] or state['released']
+    if state['log_up'] and not state['claim_age'] and may_claim:
         steps.step('P claims', claim_age=1)
-    if not now['claim_age']:
+    if not state['claim_age']:
         return
-    proven = now['proof_age'] > proof_wait
-    waited = now['claim_age'] > wait and now['promised_age'] >= wait
-    clean = now['released']
-    if not (waited or proven or clean):
+    proven = state['proof_age'] > proof_wait
+    waited = state['claim_age'] > wait and state['promised_age'] >= wait
+    released = state['released']
+    if not (waited or proven or released):
         return
-    settled = proven or clean or now['yielded'] or not whole_needs_proof
-    limit = ROOM if settled or not claimant_half else HALF
-    room = now['owner_runs'] + now['claimant_runs'] < ROOM
+    owner_is_done = proven or released or state['yielded'] or not full_needs_proof
+    limit = CAPACITY if owner_is_done or not claimant_half else HALF_CAPACITY
+    has_capacity = state['owner_runs'] + state['claimant_runs'] < CAPACITY
     # What O may still start by its half stays free for it until it is settled.
-    if not settled:
-        room = max(now['owner_runs'], HALF) + now['claimant_runs'] < ROOM
-    if room and now['claimant_runs'] < limit:
-        steps.step('P starts', claimant_runs=now['claimant_runs'] + 1)
+    if not owner_is_done:
+        has_capacity = max(state['owner_runs'], HALF_CAPACITY) + state['claimant_runs'] < CAPACITY
+    if has_capacity and state['claimant_runs'] < limit:
+        steps.step('P starts', claimant_runs=state['claimant_runs'] + 1)
 
 
 def fits(state: dict) -> bool:
     """The worker is never given more than it has."""
-    return state['owner_runs'] + state['claimant_runs'] <= ROOM
+    return state['owner_runs'] + state['claimant_runs'] <= CAPACITY
 
 
 OWNERSHIP = Spec(
     'ownership',
     INITIAL,
-    moves,
+    add_steps,
     {'fits': fits},
     {
         'no wait': {'wait': 1},
-        'no slack for drift': {'wait': AUTHORITY + FLIGHT},
+        'no slack for drift': {'wait': AUTHORITY_TICKS + FLIGHT_TICKS},
         'no half for the owner': {'owner_half': False},
-        'no half for the claimant': {'claimant_half': False, 'whole_needs_proof': False},
+        'no half for the claimant': {'claimant_half': False, 'full_needs_proof': False},
         'promises after the claim': {'promises_end': False},
         'authority checked early': {'check_at_send': False},
-        'evidence counted from the answer': {'age_from_asking': False},
-        'whole without proof of the end': {'whole_needs_proof': False},
+        'evidence counted from the answer': {'age_from_request': False},
+        'whole without proof of the end': {'full_needs_proof': False},
         'proof without waiting for the last start': {'proof_wait': 0},
-        'yields or releases with a start under way': {'yield_when_quiet': False},
+        'yields or releases with a start under way': {'yield_when_idle': False},
     },
 )
--- a/spec/publication.py
+++ b/spec/publication.py
@@ -13,106 +13,111 @@
     'staged_y': False,
     'x_reads': 0,  # 0: old; 1: proposal read; 2: outcome read
     'y_reads': 0,
-    'x_force': 1,
-    'y_force': 1,
-    'y_log': True,
-    'peers': True,
+    'x_version': 1,
+    'y_version': 1,
+    'y_log_up': True,
+    'peers_up': True,
     'y_ended': False,
     'highest_y': 1,
     'reset': False,
 }
 
 
-def moves(
+def add_steps(
     steps: Steps,
     *,
     all_must_stage: bool = True,
     first_outcome_wins: bool = True,
-    peers_pass_committed: bool = True,
+    peers_forward_only_committed: bool = True,
     versions_only_grow: bool = True,
-    stricter_between: bool = True,
+    enforces_both_when_staged: bool = True,
 ) -> None:
     """Add all steps from one state; each argument weakens one guard."""
-    now = steps.now
-    steps.step("toggle Y's log", y_log=not now['y_log'])
-    steps.step('toggle peers', peers=not now['peers'])
-    if not now['proposed']:
+    state = steps.state
+    steps.step("toggle Y's log", y_log_up=not state['y_log_up'])
+    steps.step('toggle peers', peers_up=not state['peers_up'])
+    if not state['proposed']:
         steps.step('X proposes', proposed=True)
         return
-    _stage(steps, stricter_between)
+    _stage(steps, enforces_both_when_staged)
     _decide(steps, all_must_stage, first_outcome_wins)
-    _learn(steps, peers_pass_committed, versions_only_grow)
+    _learn(steps, peers_forward_only_committed, versions_only_grow)
 
 
-def _stage(steps: Steps, stricter_between: bool) -> None:
-    now = steps.now
-    if now['x_reads'] == 0:
+def _stage(steps: Steps, enforces_both_when_staged: bool) -> None:
+    state = steps.state
+    if state['x_reads'] == 0:
         steps.step('X reads the proposal', x_reads=1)
-    if now['x_reads'] >= 1 and not now['staged_x'] and not now['outcome']:
+    if state['x_reads'] >= 1 and not state['staged_x'] and not state['outcome']:
         steps.step('X stages', staged_x=True)
-    if now['y_ended']:
+    if state['y_ended']:
         return
-    if now['y_reads'] == 0 and now['y_log']:
+    if state['y_reads'] == 0 and state['y_log_up']:
         steps.step('Y reads the proposal', y_reads=1)
-    ready = now['y_reads'] >= 1 or not stricter_between
-    if ready and now['y_log'] and not now['staged_y'] and not now['outcome']:
+    may_stage = state['y_reads'] >= 1 or not enforces_both_when_staged
+    if may_stage and state['y_log_up'] and not state['staged_y'] and not state['outcome']:
         steps.step('Y stages', staged_y=True)
 
 
 def _decide(steps: Steps, all_must_stage: bool, first_outcome_wins: bool) -> None:
-    now = steps.now
-    all_staged = now['staged_x'] and (now['staged_y'] or now['y_ended'])
+    state = steps.state
+    all_staged = state['staged_x'] and (state['staged_y'] or state['y_ended'])
     if not all_must_stage:
-        all_staged = now['staged_x']
-    free = not now['outcome'] or not first_outcome_wins
-    if free and all_staged:
+        all_staged = state['staged_x']
+    may_decide = not state['outcome'] or not first_outcome_wins
+    if may_decide and all_staged:
         steps.step('the last stage stands in the log', outcome='committed')
-    if free and not (all_staged and first_outcome_wins):
+    if may_decide and not (all_staged and first_outcome_wins):
         steps.step('the deadline passes: abort', outcome='aborted')
 
 
-def _learn(steps: Steps, peers_pass_committed: bool, versions_only_grow: bool) -> None:
-    now = steps.now
-    if now['outcome'] and now['x_reads'] == 1:
-        force = 2 if now['outcome'] == 'committed' else 1
-        steps.step('X reads the outcome', x_reads=2, x_force=force)
-    if now['y_ended']:
+def _learn(steps: Steps, peers_forward_only_committed: bool, versions_only_grow: bool) -> None:
+    state = steps.state
+    if state['outcome'] and state['x_reads'] == 1:
+        version = 2 if state['outcome'] == 'committed' else 1
+        steps.step('X reads the outcome', x_reads=2, x_version=version)
+    if state['y_ended']:
         return
-    if now['outcome'] and now['y_reads'] == 1 and now['y_log']:
-        force = 2 if now['outcome'] == 'committed' else now['y_force']
+    if state['outcome'] and state['y_reads'] == 1 and state['y_log_up']:
+        version = 2 if state['outcome'] == 'committed' else state['y_version']
         steps.step(
-            'Y reads the outcome', y_reads=2, y_force=force, highest_y=max(force, now['highest_y'])
+            'Y reads the outcome',
+            y_reads=2,
+            y_version=version,
+            highest_y=max(version, state['highest_y']),
         )
-    knows = now['x_force'] == 2 or (not peers_pass_committed and now['x_reads'] >= 1)
-    if now['peers'] and knows and now['y_force'] < 2:
-        steps.step('a peer tells Y', y_force=2, highest_y=2)
-    if now['y_force'] == 2 and not versions_only_grow:
-        steps.step("Y's log is truncated and read again", y_force=1)
+    may_forward = state['x_version'] == 2 or (
+        not peers_forward_only_committed and state['x_reads'] >= 1
+    )
+    if state['peers_up'] and may_forward and state['y_version'] < 2:
+        steps.step('a peer tells Y', y_version=2, highest_y=2)
+    if state['y_version'] == 2 and not versions_only_grow:
+        steps.step("Y's log is truncated and read again", y_version=1)
 
 
 def never_reverts(state: dict) -> bool:
     """No member goes back to an older version."""
-    return state['y_ended'] or state['y_force'] >= state['highest_y']
+    return state['y_ended'] or state['y_version'] >= state['highest_y']
 
 
 def all_or_nothing(state: dict) -> bool:
     """While X acts on the new version, Y knows at least of it and keeps to both."""
-    if state['x_force'] != 2 or state['y_ended']:
+    if state['x_version'] != 2 or state['y_ended']:
         return True
-    return state['y_reads'] >= 1 or state['y_force'] == 2
+    return state['y_reads'] >= 1 or state['y_version'] == 2
 
 
 def only_committed(state: dict) -> bool:
     """Nobody acts on a version that was aborted."""
     if state['outcome'] == 'committed':
         return True
-    return state['x_force'] == 1 and state['y_force'] == 1
+    return state['x_version'] == 1 and state['y_version'] == 1
 
 
 PUBLICATION = Spec(
     'publication',
     INITIAL,
-    moves,
+    add_steps,
     {
         'never reverts': never_reverts,
         'everywhere or not at all': all_or_nothing,
@@ -121,8 +126,8 @@
     {
         'commits before all have staged': {'all_must_stage': False},
         'a later outcome replaces the first': {'first_outcome_wins': False},
-        'peers pass on what is only staged': {'peers_pass_committed': False},
+        'peers pass on what is only staged': {'peers_forward_only_committed': False},
         'a new reading of the log brings an old version back': {'versions_only_grow': False},
-        'stages without enforcing both': {'stricter_between': False},
+        'stages without enforcing both': {'enforces_both_when_staged': False},
     },
 )
--- a/spec/run.py
+++ b/spec/run.py
@@ -34,12 +34,12 @@
 
 def main() -> int:
     """Return 0 when every design holds and every mutant is killed."""
-    wrong = []
+    problems = []
     for spec in SPECS:
-        wrong.extend(check(spec, show_traces='--traces' in sys.argv))
-    for line in wrong:
+        problems.extend(check(spec, show_traces='--traces' in sys.argv))
+    for line in problems:
         sys.stdout.write(f'WRONG {line}\n')
-    return 1 if wrong else 0
+    return 1 if problems else 0
 
 
 if __name__ == '__main__':
