--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements and the demo; speed is shown here, never asserted in CI."""
+"""Benchmarks, soak tests and the demo. Speed is reported here and never asserted in CI."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,7 @@
-"""Slopes of a daemon's idle cost, and what they come to: ``make capacity``.
+"""Fits a daemon's idle cost against the size of its cell, and extrapolates: ``make capacity``.
 
-Runs real daemons at several sizes, fits a plane through each cost by least
-squares, prints the slopes and the cost at the size of letter 1, and draws
-docs/capacity.png.
+Runs real daemons at several sizes, fits a linear model to each cost by least squares, prints
+the coefficients and the predicted cost at the target size, and draws docs/capacity.png.
 """
 
 import sys
@@ -15,7 +14,10 @@
 from bench.cell import SIZES, measure_idle, print_figures
 
 COSTS = ('cpu_percent', 'memory_mb', 'control_bytes')
+#: What the cost of a daemon grows with: daemons in its own and in other zones, workers that it
+#: owns and in its zone, and running tasks on its own workers.
 SIZE_FIELDS = ('near', 'far', 'owned_workers', 'zone_workers', 'owned_tasks')
+#: The required limit of each idle cost of one daemon, and the target size of the cell.
 LIMIT_BY_COST = {'cpu_percent': 1.4, 'memory_mb': 32.0, 'control_bytes': 6000.0}
 ZONES = 7
 WORKERS = 1300
@@ -24,7 +26,7 @@
 
 
 def target_size(entry_hosts: int) -> dict[str, float]:
-    """Return a daemon's surroundings at the target with so many entry hosts."""
+    """Return the size as one daemon sees it, at the target with ``entry_hosts`` daemons."""
     hosts_per_zone = entry_hosts / ZONES
     return {
         'near': hosts_per_zone - 1,
@@ -36,7 +38,7 @@
 
 
 def fit(rows: list[dict[str, Any]], cost: str) -> dict[str, float]:
-    """Return the base and the slope for each part of the size, none below 0."""
+    """Return the constant term and the slope per size field; no slope is negative."""
     fields = list(SIZE_FIELDS)
     while True:
         matrix = np.array([[1.0, *(row[field] for field in fields)] for row in rows])
@@ -44,19 +46,19 @@
         solution, *_ = np.linalg.lstsq(matrix, values, rcond=None)
         slopes = dict(zip(['base', *fields], map(float, solution), strict=True))
         lowest = min(fields, key=lambda field: slopes[field], default='')
-        # More of anything never costs less: such a slope is noise.
+        # A larger cell never costs less: a negative slope is noise, so drop the field.
         if not lowest or slopes[lowest] >= 0:
             return slopes
         fields.remove(lowest)
 
 
 def predict(slopes: dict[str, float], size: dict[str, float]) -> float:
-    """Return the cost at a size."""
+    """Return the predicted cost at a size."""
     return slopes['base'] + sum(slopes.get(field, 0) * size[field] for field in SIZE_FIELDS)
 
 
 def draw_plot(rows: list[dict[str, Any]], slopes_by_cost: dict[str, dict[str, float]]) -> None:
-    """Draw measured against fitted cost, with the limit of letter 1."""
+    """Plot measured against predicted cost, with the required limit."""
     figure = Figure(figsize=(12, 4))
     axes = figure.subplots(1, len(COSTS))
     for axis, cost in zip(axes, COSTS, strict=True):
@@ -70,7 +72,7 @@
             marker='x',
             label='target, 14 to 70 entry hosts',
         )
-        axis.axhline(LIMIT_BY_COST[cost], color='red', label='limit of letter 1')
+        axis.axhline(LIMIT_BY_COST[cost], color='red', label='required limit')
         axis.set_xlabel('fitted')
         axis.set_ylabel(cost)
         axis.legend(fontsize=7)
@@ -79,7 +81,7 @@
 
 
 def main() -> int:
-    """Measure, fit, print and draw."""
+    """Measure all sizes, fit each cost, print and plot the results."""
     rows = [measure_idle(*size) for size in SIZES]
     slopes_by_cost = {cost: fit(rows, cost) for cost in COSTS}
     for cost, slopes in slopes_by_cost.items():
--- a/bench/cell.py
+++ b/bench/cell.py
@@ -1,7 +1,7 @@
-"""What a cell costs and how fast it acts: ``make bench-cell``.
+"""Benchmarks of a cell of real daemons with default timings: ``make bench-cell``.
 
-Idle cost against the cell's size, control bytes by kind, take-over times,
-publication times, appends in a burst; real daemons, default timings.
+Measures idle cost by cell size, bytes of peer messages by kind, take-over times, publication
+times, and appends to the log during a burst of jobs.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
 IDLE_SECONDS = 15.0
-#: Zones, daemons and workers in each, running tasks in all.
+#: Zones, daemons per zone, workers per zone, and running tasks in all.
 SIZES = (
     (1, 1, 1, 0),
     (1, 1, 24, 0),
@@ -33,7 +33,7 @@
 
 
 def print_figures(name: str, **fields) -> None:
-    """Write one line of figures."""
+    """Print one line of figures, rounded."""
     rounded = {
         key: round(field, 3) if isinstance(field, float) else field for key, field in fields.items()
     }
@@ -42,14 +42,14 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time of a process, in seconds."""
     with open(f'/proc/{pid}/stat', encoding='ascii') as stat:
         fields = stat.read().rsplit(')', 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
-    """Return a process's resident memory, and the part that is its own, in megabytes."""
+    """Return a process's resident memory in megabytes, 0 if unknown."""
     with open(f'/proc/{pid}/status', encoding='ascii') as status:
         for line in status:
             if line.startswith('VmRSS'):
@@ -58,7 +58,7 @@
 
 
 def control_bytes(cell: Cluster, name: str) -> dict[str, float]:
-    """Return the bytes of peer messages by kind so far."""
+    """Return the bytes of peer messages so far, by kind."""
     text = cell.admin(name, 'GET', '/metrics').body.decode()
     bytes_by_kind = {}
     for line in text.splitlines():
@@ -69,7 +69,7 @@
 
 
 def measure_idle(zones: int, daemons: int, workers: int, running: int) -> dict[str, Any]:
-    """Return the idle cost of a daemon in a cell of that size, and print it."""
+    """Print and return the idle cost of a daemon in a cell of the given size."""
     names = ('ub-a', 'ub-b', 'ub-c', 'ub-d')[:zones]
     layout = Layout(names, daemons, workers, min(workers, 8), timings={})
     with Cluster(layout) as cell:
@@ -111,7 +111,7 @@
 
 
 def start_running(cell: Cluster, count: int) -> None:
-    """Have ``count`` long tasks running."""
+    """Submit ``count`` long jobs and wait until they run."""
     demand = {'processors': 0.5, 'memory_mb': 64}
     spec = job('run 600', demand=demand, idempotent=True, run_seconds=600)
 
@@ -125,7 +125,7 @@
 
 
 def measure_takeover(kind: str, signal_number: signal.Signals, rounds: int) -> None:
-    """Print how long a shard is without an acting owner after a failure."""
+    """Print how long shards lack an acting owner after one daemon fails."""
     times = []
     for _ in range(rounds):
         with Cluster(Layout(('ub-east',), 3, 4, 4, timings={})) as cell:
@@ -148,7 +148,7 @@
 
 
 def measure_publication(rounds: int) -> None:
-    """Print how long a version takes to be in force everywhere."""
+    """Print how long a contract version takes to be in force on all daemons."""
     with Cluster(Layout(('ub-a', 'ub-b', 'ub-c'), 3, 1, 1, timings={})) as cell:
         cell.publish(contract())
         healthy_times = []
@@ -174,7 +174,7 @@
 
 
 def is_in_force(cell: Cluster, version: int) -> bool:
-    """Return whether all running daemons enforce the version."""
+    """Return whether all running daemons enforce the contract version."""
     for daemon in cell.daemons.values():
         if not daemon.is_running:
             continue
@@ -185,7 +185,7 @@
 
 
 def measure_burst(jobs: int) -> None:
-    """Print how many appends a burst of jobs takes."""
+    """Print throughput and log appends for a burst of short jobs."""
     with Cluster(Layout(('ub-east',), 3, 8, 1, timings={})) as cell:
         cell.publish(contract(quota={'processors': 1e6, 'memory_mb': 1e9}))
         time.sleep(2)
@@ -222,7 +222,7 @@
 
 
 def main() -> int:
-    """Print all figures."""
+    """Run all benchmarks."""
     for size in (
         (1, 1, 1, 0),
         (1, 3, 8, 0),
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback: ``make demo``."""
+"""Demo of a whole cell on loopback: ``make demo``."""
 
 import json
 import sys
@@ -15,20 +15,20 @@
 
 
 def print_line(text: str) -> None:
-    """Write one line."""
+    """Print one line at once."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
 def main() -> int:
-    """Show a contract, an urgent request and a job; return the exit status."""
+    """Publish a contract, send urgent requests and run a job; return the exit status."""
     print_line('starting a log service, a host list, 4 workers, 4 runners and 4 daemons in 2 zones')
     with Cluster(Layout(daemons=2)) as cell:
         return run_demo(cell)
 
 
 def run_demo(cell: Cluster) -> int:
-    """Go through the path on a running cell."""
+    """Run the demo on a running cell; return the exit status."""
     names = list(cell.daemons)
     began = time.monotonic()
     reply = cell.publish(contract())
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,7 +1,7 @@
-"""Compares ways of deciding on the same drawn days: ``make experiment``.
+"""Compares scheduling policies on the same generated loads: ``make experiment``.
 
-Every way plays every load with every seed, several at a time; the table has the mean of the
-seeds with its 95% confidence interval, and the plot shows the same.
+Each policy (``--way``) is simulated on each load with each seed, several at a time. The table
+and the plot have the mean over the seeds with its 95% confidence interval.
 """
 
 import argparse
@@ -15,15 +15,15 @@
 from bench.replay import POLICIES, Replay, make_loads
 from bench.replay_report import Score, score
 
-#: Two-sided 95% quantiles of Student's t, by the number of seeds.
+#: Two-sided 95% quantiles of Student's t distribution, by the number of seeds.
 QUANTILE_BY_SEEDS = {2: 12.71, 3: 4.30, 4: 3.18, 5: 2.78, 6: 2.57, 8: 2.36, 10: 2.26}
-USUAL_QUANTILE = 2.0
+DEFAULT_QUANTILE = 2.0
 MEASURES = ('worth', 'worst_accounts', 'plan_p99')
 
 
 @dataclass(frozen=True)
 class Trial:
-    """One play."""
+    """One simulation: a policy on a load with a seed, for some seconds of virtual time."""
 
     way: str
     load: str
@@ -32,22 +32,22 @@
 
 
 def run_trial(trial: Trial) -> Score:
-    """Return what one play came to."""
+    """Run a simulation and return its score."""
     replay = Replay(make_loads()[trial.load], POLICIES[trial.way], trial.seed)
     replay.play(trial.seconds)
     return score(replay)
 
 
 def confidence_half_width(values: list[float]) -> float:
-    """Return half of the 95% confidence interval of a mean."""
+    """Return half the width of the 95% confidence interval of a mean."""
     if len(values) < 2:
         return 0.0
-    quantile = QUANTILE_BY_SEEDS.get(len(values), USUAL_QUANTILE)
+    quantile = QUANTILE_BY_SEEDS.get(len(values), DEFAULT_QUANTILE)
     return quantile * stdev(values) / len(values) ** 0.5
 
 
 def print_table(scores_by_case: dict[tuple[str, str], list[Score]]) -> None:
-    """Print a table."""
+    """Print a table with a line for each load and policy."""
     header = f'{"load":14}{"way":28}{"worth":>16}{"worst accounts":>16}{"bound":>8}{"plan p99":>10}'
     sys.stdout.write(f'{header}\n')
     for (load, way), scores in scores_by_case.items():
@@ -63,7 +63,7 @@
 
 
 def draw_plot(scores_by_case: dict[tuple[str, str], list[Score]], path: Path) -> None:
-    """Draw the worth of each way on each load."""
+    """Plot the worth of each policy on each load."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(9, 0.4 * len(scores_by_case) + 1))
@@ -80,7 +80,7 @@
 
 
 def main() -> int:
-    """Play all cases and show them."""
+    """Simulate all cases and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--load', action='append', choices=sorted(make_loads()))
     parser.add_argument('--way', action='append', choices=sorted(POLICIES))
--- a/bench/explain.py
+++ b/bench/explain.py
@@ -1,7 +1,7 @@
-"""How long the story of a job takes on generated logs: ``make bench-explain``.
+"""Benchmark of the tool's ``explain`` command on generated logs: ``make bench-explain``.
 
-Three logs of 100 MB: lines of a large site at work, one job's lines only, and one line
-without an end. Each is told by the tool in a process of its own.
+Three logs of 100 MB: lines of a large busy site, lines of one job only, and one endless line.
+Each log is read by the tool in a process of its own, to measure its peak memory.
 """
 
 import json
@@ -18,13 +18,13 @@
 SEED = 7
 HOSTS = [f'entry-{zone}-{number}' for zone in 'abcd' for number in range(1, 10)]
 JOB = '8b344bac49d1ac6d'
-#: One line of so many is cut somewhere.
+#: Every so many lines, one is truncated at a random place.
 CUT_EVERY = 997
 MB = 1_000_000
 
 
 def make_fields(number: int, job: str, runner: str) -> dict[str, object]:
-    """Return what one line of ten tells, in the shapes and shares of real logs."""
+    """Return the fields of a log line; over ten lines, the kinds occur as often as in real logs."""
     run = {'job': job, 'task': f'0.1.{number % 50}', 'run': 3001, 'epoch': 3, 'runner': runner}
     kinds = (
         ('jobs: POST {job}: 200 by a peer.', {'job': job, 'book_age': 0.2, 'epoch': 3}),
@@ -39,7 +39,7 @@
 
 
 def generate_lines(one_job: bool) -> Iterator[bytes]:
-    """Return lines of 36 hosts and 3,000 jobs, or of one job, cut ones among them."""
+    """Yield log lines of 36 hosts and 3,000 jobs, or of one job; some are truncated."""
     rng = random.Random(SEED)
     jobs = [JOB] if one_job else [JOB, *(f'{rng.getrandbits(64):016x}' for _ in range(2999))]
     number = 0
@@ -62,14 +62,14 @@
 
 
 def generate_endless_line() -> Iterator[bytes]:
-    """Return a line of the job, then one that has no end."""
+    """Yield a line of the job, then chunks of a line that has no end."""
     yield next(generate_lines(one_job=True))
     while True:
         yield b'{"host":"a"' * 1000
 
 
 def write(path: Path, chunks: Iterator[bytes]) -> None:
-    """Write chunks up to the size."""
+    """Write chunks until the file has LOG_BYTES."""
     left = LOG_BYTES
     with path.open('wb') as file:
         while left > 0:
@@ -77,7 +77,7 @@
 
 
 def measure(name: str, path: Path) -> None:
-    """Tell the job's story from one log, and write what it took."""
+    """Explain the job from one log, and print the time and memory that it took."""
     began = time.monotonic()
     done = subprocess.run(
         [sys.executable, '-m', 'bench.explain', 'tell', JOB, str(path)],
@@ -95,7 +95,7 @@
 
 
 def run_explain(arguments: list[str]) -> int:
-    """Run the tool's command here; write the peak of memory and what was read."""
+    """Run the command in this process; print its peak memory and what it has read."""
     from io import StringIO
 
     from dandelionreel.cli._tool import main as run_tool
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -1,7 +1,8 @@
-"""Weakens one guard at a time on a scratch copy; its features must fail: ``make guards``.
+"""Mutation test of safety guards: ``make guards``.
 
-A check that cannot fail proves nothing. Each line names the guard, the text
-that stands for it, what replaces it, and the feature that has to notice.
+Weakens one guard at a time in a scratch copy of the repository; the scenario named with it
+must then fail, since a check that cannot fail proves nothing. Each entry has the guard, the
+source text that implements it, its replacement, and the scenario that must notice.
 """
 
 import shutil
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Guard:
-    """One guard and the feature that fails without it."""
+    """A guard, and the scenario that fails without it (``file.feature:WORD``)."""
 
     name: str
     file: str
@@ -192,6 +193,7 @@
         'incarnations.feature:RESTARTED',
     ),
 )
+#: The part of a scenario title that each WORD of ``Guard.feature`` stands for.
 TITLE_PART_BY_WORD = {
     'TWICE': 'stands twice',
     'MIDDLE': 'begins in the middle',
@@ -217,7 +219,7 @@
 
 
 def find_scenario(feature: str) -> str:
-    """Return ``file:line`` of the scenario that a guard names."""
+    """Return ``file:line`` of the scenario given as ``file.feature:WORD``."""
     name, _, word = feature.partition(':')
     path = ROOT / 'features' / name
     for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -227,7 +229,7 @@
 
 
 def try_guard(guard: Guard) -> tuple[Guard, bool]:
-    """Return whether the feature fails without the guard."""
+    """Return the guard and whether its scenario fails without it."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / 'tree'
         ignored = shutil.ignore_patterns('.git', '.venv', '*cache*', '*.egg-info')
@@ -235,7 +237,7 @@
         path = copy / 'dandelionreel' / guard.file
         text = path.read_text()
         if guard.text not in text:
-            raise LookupError(f'{guard.file} does not hold {guard.text!r}')
+            raise LookupError(f'{guard.file} does not contain {guard.text!r}')
         path.write_text(text.replace(guard.text, guard.weakened))
         completed = subprocess.run(
             [sys.executable, '-m', 'features.run', '--one', find_scenario(guard.feature)],
@@ -250,7 +252,7 @@
 
 
 def main() -> int:
-    """Print each guard and whether its feature notices; 0 when all do."""
+    """Print each guard and whether its scenario notices; return 0 if all do."""
     with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
         results = list(pool.map(try_guard, GUARDS))
     for guard, noticed in results:
--- a/bench/make_examples.py
+++ b/bench/make_examples.py
@@ -10,7 +10,7 @@
 
 
 def make_settings(zones: tuple[str, ...], zone_index: int, number: int) -> dict[str, Any]:
-    """Return one daemon's settings."""
+    """Return the settings of one daemon of a zone."""
     zone = zones[zone_index]
     address = f'10.{20 + zone_index}.0.{10 + number}'
     return {
@@ -28,7 +28,7 @@
 
 
 def khangai_contract() -> dict[str, Any]:
-    """Return Khangai's contract: entry checks first, settlements may wait."""
+    """Return the contract of Khangai: entry checks are urgent, settlements may wait."""
     return {
         'customer': 'khangai',
         'version': 1,
@@ -46,7 +46,7 @@
 
 
 def kingston_contract() -> dict[str, Any]:
-    """Return Kingston's contract: maps first, basin charts overnight."""
+    """Return the contract of Kingston: map requests are urgent, basin charts run overnight."""
     return {
         'customer': 'caribsea-charts',
         'version': 1,
@@ -91,7 +91,7 @@
 
 
 def make_job(customer: str, command: str, *, idempotent: bool) -> dict[str, Any]:
-    """Return a job to submit."""
+    """Return the body of a job submission."""
     return {
         'customer': customer,
         'command': command,
@@ -104,7 +104,7 @@
 
 
 def write_json(path: Path, content: dict[str, Any]) -> None:
-    """Write one JSON file."""
+    """Write a JSON file and create its folder."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(content, indent=2) + '\n')
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,7 +1,7 @@
-"""Placement decisions under load: ``make bench-placement``.
+"""Benchmark of placement decisions: ``make bench-placement``.
 
-Drives the real queue, cell, planner and policies with generated work in
-virtual time; nothing is sent. Baselines run in the same program.
+Drives the real queue, cell, planner and policies with generated work in virtual time; no
+messages are sent. Baseline policies run in the same program.
 """
 
 import gc
@@ -34,19 +34,19 @@
 
 
 def print_line(text: str) -> None:
-    """Write one line."""
+    """Print one line at once."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value that ``part`` of the sorted values do not exceed."""
+    """Return the percentile of the values; ``share`` is between 0 and 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
 def make_cell(workers: int, rng: random.Random) -> Cell:
-    """Return workers of 32 cores and 64 GB, a quarter of them with 8 accelerators."""
+    """Return a cell of workers with 32 cores and 64 GB, a quarter of them with 8 accelerators."""
     cell = Cell(rng)
     for index in range(workers):
         accelerators = 8 if index % 4 == 3 else 0
@@ -81,7 +81,7 @@
 
 
 def release_tasks(planner: Planner, work: Work, workers: tuple[str, ...]) -> None:
-    """Release all tasks of a job."""
+    """Release the resources of all tasks of a job."""
     for task_id, name in zip(task_ids(work.id, work.attempt, work.tasks), workers, strict=True):
         worker = planner.cell.worker_by_name.get(name)
         if worker is not None:
@@ -89,14 +89,14 @@
 
 
 class FirstFit:
-    """Baseline: arrival order, the first worker that fits, no fairness."""
+    """Baseline: jobs in arrival order, each on the first worker that fits; no fairness."""
 
     def __init__(self, cell: Cell) -> None:
-        """Place on ``cell``."""
+        """Place tasks on the workers of ``cell``."""
         self.cell = cell
 
     def choose(self, work: Work) -> str:
-        """Return the first worker with room."""
+        """Return the first worker on which the task fits, or an empty name."""
         for name, worker in self.cell.worker_by_name.items():
             if self.cell.fits(worker, work.demand):
                 return name
@@ -104,10 +104,10 @@
 
 
 class LeastLoaded(FirstFit):
-    """Baseline: the worker with the most free processors."""
+    """Baseline: each task on the worker with the most free processors."""
 
     def choose(self, work: Work) -> str:
-        """Return the emptiest worker with room."""
+        """Return the worker with the most free processors that fits, or an empty name."""
         best, most = '', -1.0
         for name, worker in self.cell.worker_by_name.items():
             if worker.free.processors > most and self.cell.fits(worker, work.demand):
@@ -116,7 +116,7 @@
 
 
 def measure_churn(workers: int, rounds: int) -> dict[str, float]:
-    """Return decision times with a full complement of running tasks."""
+    """Return decision times in a full cell in which tasks end and arrive all the time."""
     rng = random.Random(SEED)
     planner = Planner(make_cell(workers, rng), FairQueue(default_terms), RunTimeEstimator())
     running: list[tuple[Work, tuple[str, ...]]] = []
@@ -148,7 +148,7 @@
             if not placed:
                 break
             times.append(seconds)
-            running.extend((placement.work, placement.workers) for placement in placed)
+            running.extend((decision.work, decision.workers) for decision in placed)
         now += 0.01
     gc.unfreeze()
     return {
@@ -161,7 +161,7 @@
 
 
 def best_fit_decreasing(workers: int, jobs: list[Work]) -> float:
-    """Return the processors placed by an offline pass over the sorted work."""
+    """Return the processors placed by offline best fit on jobs sorted by size."""
     cell = make_cell(workers, random.Random(SEED))
     placed = 0.0
     for work in sorted(
@@ -184,14 +184,14 @@
 
 
 def add_task(cell: Cell, name: str, work: Work) -> None:
-    """Count one task."""
+    """Allocate one task to a worker."""
     worker = cell.worker_by_name[name]
     running = RunningTask(f'{work.id}.1.0', work.id, work.customer, 'batch', work.demand, 0, 60)
     cell.add_task(worker, running)
 
 
 def measure_packing(workers: int) -> dict[str, float]:
-    """Return how much of the offline pass's packing each way reaches."""
+    """Return the processors that each policy places, relative to offline best fit."""
     rng = random.Random(SEED)
     jobs = [make_work(index, rng, index) for index in range(int(workers * 14))]
     offline_total = best_fit_decreasing(workers, jobs)
@@ -218,10 +218,10 @@
 
 
 class Simulation:
-    """Virtual time over a planner: arrivals, ends, and what waited how long."""
+    """Simulates a planner in virtual time, and records how long jobs wait."""
 
     def __init__(self, workers: int, terms: Callable[[str], CustomerTerms] = default_terms) -> None:
-        """Start with empty workers."""
+        """Create a planner for a cell of idle workers."""
         self.rng = random.Random(SEED)
         self.planner = Planner(make_cell(workers, self.rng), FairQueue(terms), RunTimeEstimator())
         self.now = 0.0
@@ -232,14 +232,14 @@
         self.decide_times: list[float] = []
 
     def add(self, **changes) -> Work:
-        """Let a job arrive."""
+        """Queue a new job."""
         work = make_work(self.index, self.rng, self.now, **changes)
         self.index += 1
         self.planner.queue.add(work)
         return work
 
     def step(self, seconds: float) -> None:
-        """Let time pass, tasks end, and decisions be made."""
+        """Advance the time; end tasks that are due, and plan after each end."""
         until = self.now + seconds
         self.decide()
         while self.ends and self.ends[0][0] <= until:
@@ -252,7 +252,7 @@
         self.now = until
 
     def decide(self) -> None:
-        """Make decisions; victims stop at once and wait again."""
+        """Plan until no more tasks can be placed; preempted tasks stop at once and wait."""
         while True:
             began = time.perf_counter()
             placed = self.planner.decide(self.now, 64)
@@ -277,7 +277,7 @@
 
 
 def measure_urgent_waiting(backlog: float) -> dict[str, float]:
-    """Return urgent work's waiting with a batch backlog of so many cells' work."""
+    """Return waiting times of urgent jobs; ``backlog`` is the queued batch work, in full cells."""
     simulation = Simulation(24)
     cell_jobs = int(24 * CORES_PER_WORKER / 3.14)
     for _ in range(int(cell_jobs * backlog)):
@@ -304,7 +304,7 @@
 
 
 def measure_fairness() -> dict[str, float]:
-    """Return the largest deviation of shares from weights while all are backlogged."""
+    """Return the deviation of customers' shares from their weights while all have a backlog."""
     weights = {'c0': 1.0, 'c1': 1.0, 'c2': 2.0, 'c3': 4.0}
     simulation = Simulation(200, lambda customer: CustomerTerms(weight=weights[customer]))
     for index in range(60_000):
@@ -328,7 +328,7 @@
 
 
 def measure_cancellations() -> dict[str, float]:
-    """Return urgent decision time around a wave of 5,000 cancellations."""
+    """Return decision times for urgent jobs before and after 5,000 cancellations."""
 
     def urgent_time(simulation: Simulation) -> float:
         times = []
@@ -362,7 +362,7 @@
 
 
 def measure_bad_worker() -> dict[str, float]:
-    """Return the starts lost to one worker that fails all, within a minute."""
+    """Return the starts lost within a minute to one worker on which all tasks fail."""
     simulation = Simulation(24)
     cell = simulation.planner.cell
     failing_worker = 'w5'
@@ -389,9 +389,9 @@
 
 
 def measure_wrong_declarations() -> dict[str, float]:
-    """Return what run times off by up to ten times either way do.
+    """Return the effects of declared run times that are wrong by up to ten times either way.
 
-    Ends are reported 30 s late: the ledger counts a task until then.
+    The end of a task is reported 30 s late; until then its resources count as used.
     """
     simulation = Simulation(24)
     times = RunTimeEstimator()
@@ -458,7 +458,7 @@
 
 
 def main() -> int:
-    """Print all figures, and as JSON in the last line."""
+    """Run all benchmarks; the last line has all figures as JSON."""
     figures = {}
     figures['churn'] = [measure_churn(size, 4000) for size in (24, 100, 400, 1300)]
     for row in figures['churn']:
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -1,13 +1,12 @@
 """Seeded random faults on entry hosts and their platform: ``make platform-soak``.
 
-Jobs are handed in, record for and cancelled while hosts are killed, paused and
-stopped, links to the store and to runners are cut in one or both directions, the
-store is down, slow or loses answers, runners crash and come back (under other ids, or restart under
-the ids that they had with ``--restarts``), change their room, keys and quotas of client
-accounts change with ``--accounts``, or runners
-are crashed by tasks, and another writer fills the runners' topic with bad entries. Faults
-overlap. Then all heals, every accepted job must end, and the runners' own records and the
-clients' answers judge.
+Jobs are submitted, queried and cancelled while hosts are killed, paused and stopped, links to
+the store and to runners are cut in one or both directions, the store is down, slow or loses
+replies, runners crash and come back (under other ids, or under the same ids with
+``--restarts``), runners change their capacity or are crashed by tasks, another writer fills
+the topic of the runners with invalid entries, and keys and quotas of client accounts change
+(with ``--accounts``). Faults overlap. Then all faults end, every accepted job must end, and
+the guarantees are checked against the runners' own records and the replies to the clients.
 """
 
 import argparse
@@ -41,24 +40,24 @@
 #: Seconds between faults, and how long one lasts.
 FAULT_GAP = (0.3, 1.5)
 FAULT_LENGTH = (0.3, 4.0)
-#: Processors that a runner may say it has, in thousandths.
+#: CPU capacities that a runner may report, in thousandths of a core.
 RUNNER_CPUS = (3000, 5000, 8000)
 #: Seconds between two jobs whose tasks crash their runners.
 CRASHING_JOB_GAP = (1.0, 4.0)
-#: Runners that one task may crash, and that must have crashed under one that is given up.
+#: Most runners that one task may crash, and fewest crashes before a task is given up.
 MAX_CRASHES = 5
 MIN_CRASHES = 2
 DONE_OUTCOMES = frozenset(('done', 'unread'))
-#: No answer, or one that says that nobody knows.
+#: Statuses that leave the outcome unknown; 0 is no reply.
 UNKNOWN_STATUSES = frozenset((0, 504))
-#: An answer that says that the job was not taken.
+#: Statuses that say that the job was not accepted.
 REFUSED_STATUSES = frozenset((401, 429, 503))
 FINAL_STATES = frozenset(('completed', 'failed', 'cancelled'))
 
 
 @dataclass
 class JobRecord:
-    """One job and what its client was told."""
+    """One job and the replies to its client."""
 
     path: str
     tasks: int
@@ -68,15 +67,16 @@
     #: The number of its client.
     client: int = 0
     accepted: bool = False
+    #: A submission had no clear reply: the job may have been accepted.
     in_doubt: bool = False
     cancelled: bool = False
-    #: A cancellation was sent and not answered: it may have taken effect.
+    #: A cancellation had no clear reply: it may have taken effect.
     cancel_in_doubt: bool = False
 
 
 @dataclass
 class Tally:
-    """What a soak has done, and which promises it found broken."""
+    """Jobs and faults of a run, and the violations that it found."""
 
     jobs: list[JobRecord] = field(default_factory=list)
     faults: Counter = field(default_factory=Counter)
@@ -84,7 +84,7 @@
 
 
 class PlatformSoak:
-    """One run; ``seed`` draws all faults and all work."""
+    """One soak run; ``seed`` determines all faults and all jobs."""
 
     def __init__(
         self,
@@ -96,9 +96,10 @@
         restarts: bool = False,
         accounts: bool = False,
     ) -> None:
-        """Prepare the platform and the hosts; with ``restarts`` runners keep their ids.
+        """Prepare the platform and the hosts.
 
-        With ``accounts`` each client has one, whose keys and quota change all the while.
+        With ``restarts`` runners keep their ids; with ``accounts`` each client has an account,
+        whose keys and quota change during the run.
         """
         self._seed = seed
         self._random = random.Random(seed)
@@ -121,7 +122,7 @@
         self.tally = Tally()
 
     def run(self) -> Tally:
-        """Run, heal, judge."""
+        """Run load and faults, end all faults, and check the guarantees."""
         with ExitStack() as stack:
             self._platform.start()
             stack.callback(self._platform.stop)
@@ -195,7 +196,7 @@
     def _request(
         self, host: str, method: str, record: JobRecord, body: dict | None = None
     ) -> Reply:
-        """Ask as the job's client does, with its key if it has one."""
+        """Send a request as the client of the job, with its API key if it has an account."""
         if self._accounts is None:
             return self._hosts.ask(host, method, record.path, body)
         account = self._accounts.account_of(record.client)
@@ -226,9 +227,10 @@
             time.sleep(self._random.uniform(*FAULT_GAP))
 
     def _write_foreign_entries(self) -> None:
-        """Let another writer write every now and then.
+        """Run another writer now and then.
 
-        Its times are drawn apart, so that the other faults of a seed stay what they were.
+        Its times come from a generator of their own, so that they do not change the other
+        faults of a seed.
         """
         rng = random.Random(f'{self._seed}/entries')
         while not self._stopping.wait(rng.uniform(*FAULT_GAP)):
@@ -240,7 +242,7 @@
             self.tally.faults['other_writer'] += 1
 
     def _change_capacities(self) -> None:
-        """Let runners have less room or more, with times drawn apart as for entries."""
+        """Change the capacity of runners, at times from a generator of their own."""
         rng = random.Random(f'{self._seed}/rooms')
         while not self._stopping.wait(rng.uniform(*FAULT_GAP)):
             runner = rng.choice(self._platform.runners)
@@ -252,7 +254,7 @@
             self.tally.faults['change_room'] += 1
 
     def _submit_crashing_jobs(self) -> None:
-        """Hand in jobs whose tasks crash their runners, with times drawn apart."""
+        """Submit jobs whose tasks crash their runners, at times from a generator of their own."""
         rng = random.Random(f'{self._seed}/culprits')
         count = 0
         while not self._stopping.wait(rng.uniform(*CRASHING_JOB_GAP)):
@@ -351,12 +353,14 @@
                 wait_for(lambda record=record: self._has_ended(record))
             except TimeoutError:
                 if record.accepted:
-                    violations.append(f'{record.path} was accepted and has not ended')
+                    violations.append(f'{record.path} was accepted but has not ended')
         runs = self._platform.settle()
         violations.extend(f'{task} ran twice' for task in doubled_runs(runs))
-        violations.extend(f'{runner} was overfull' for runner in overfull(runs))
+        violations.extend(f'{runner} was overallocated' for runner in overfull(runs))
         starts_over_capacity = started_over(runs, self._platform.rooms_by_name)
-        violations.extend(f'{start} was started over its room' for start in starts_over_capacity)
+        violations.extend(
+            f'{start} was started over the capacity of its runner' for start in starts_over_capacity
+        )
         crashes = crashes_by_task(runs)
         for task, count in crashes.items():
             if count > MAX_CRASHES and self._crashes_runners(task):
@@ -372,17 +376,17 @@
                 violations.append(f'{record.path} was given up after {most_crashes} crashes')
             if record.crashes_runners and record.accepted and not given_up:
                 violations.append(
-                    f'{record.path} crashed {most_crashes} runners and is not told as failed'
+                    f'{record.path} crashed {most_crashes} runners and is not reported as failed'
                 )
             if not record.accepted and not record.in_doubt and job in jobs:
-                violations.append(f'{record.path} was refused and ran')
-            # An end that its runner took with it may have been noted before.
+                violations.append(f'{record.path} was refused but ran')
+            # An end that the runner lost in a crash (unread) may have been noted by the owner.
             done = {
                 run.task for run in runs if run.how in DONE_OUTCOMES and run.task.startswith(job)
             }
-            # The end of one member stands for its gang.
+            # The end of one task counts for its whole gang.
             expected = 1 if record.gang else record.tasks
-            # One under which two runners have crashed may be given up.
+            # A job may be given up once its tasks have crashed MIN_CRASHES runners.
             must_be_done = record.accepted and not record.cancelled and not given_up
             missing = must_be_done and len(done) < expected
             if missing and record.cancel_in_doubt:
@@ -397,12 +401,12 @@
         )
 
     def _reported_state(self, record: JobRecord) -> str:
-        """Return the state that the first host tells."""
+        """Return the state of a job according to the first host that knows it."""
         replies = (self._request(name, 'GET', record) for name in self._hosts.names)
         return next((reply.body['state'] for reply in replies if 'state' in reply.body), '')
 
     def _has_ended(self, record: JobRecord) -> bool:
-        """Return whether a host tells an end, or that there is no such job."""
+        """Return whether a host reports a final state, or 410: the job is gone."""
         for name in self._hosts.names:
             reply = self._request(name, 'GET', record)
             if reply.status == 410 or reply.body.get('state') in FINAL_STATES:
@@ -411,7 +415,7 @@
 
 
 def main() -> int:
-    """Run one seed; return the exit status."""
+    """Run the soak with one seed; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--seconds', type=float, default=30)
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,8 +1,8 @@
-"""Plays drawn arrivals against the cell's own decisions, in virtual time.
+"""Simulates random job arrivals in virtual time: ``make bench-replay``.
 
-``make bench-replay``: the real ``Cell`` and ``Planner`` decide; runners, the policy
-service and the hosts that ask it are played here. Prints, for each policy, what the
-jobs earned, how late they were by kind, and what was thrown away.
+The real ``Cell`` and ``Planner`` decide; the runners, the advice service and the hosts that
+query it are simulated here. Prints, for each policy, the value that the jobs earned, how late
+they were by queue, and the work that was wasted.
 """
 
 import argparse
@@ -43,29 +43,33 @@
 from dandelionreel.cell.owner._predecessor_leases import lease_upper_bound
 from dandelionreel.cell.store import StoredJob
 
-#: Seconds: an order's way, a stop, a restart from a checkpoint, and between plans.
+#: Seconds to deliver an order, to stop a task, to restore a checkpoint, and between plans.
 ORDER_SECONDS = 0.004
 STOP_SECONDS = 0.2
 RESTORE_SECONDS = 0.1
 PLAN_INTERVAL_SECONDS = 0.01
 RUNNER_CAPACITY = Demand(32_000, 65_536, 0)
-#: Seconds by which a lease is shorter when its runner is cut off: half of the time between
-#: looks in the mean.
+#: Mean age of a lease when its runner is cut off: half of the interval between polls.
 MEAN_LEASE_AGE_SECONDS = 0.75
-#: A job earns all in time, a fifth up to three objectives, then nothing.
+#: A job that ends within its objective earns its value, up to MAX_LATE_FACTOR times the
+#: objective this share of it, then nothing.
 LATE_VALUE_SHARE = 0.2
 UNLIMITED_GPU = 2**40
 MILLI = 1000
 MAX_LATE_FACTOR = 3.0
-#: How finely shares of accounts are told apart.
+#: Steps between a share of 0 and of 1 when shares of accounts are compared.
 SHARE_RESOLUTION = 10_000
-#: A large job earns up to this many times what its kind earns in the mean.
+#: A large job is worth up to this many times the mean value of its kind.
 MAX_SIZE_FACTOR = 4.0
 
 
 @dataclass(frozen=True)
 class JobKind:
-    """Jobs of one queue; durations in seconds, ``per_second`` arrivals."""
+    """Distribution of the jobs of one queue; CPU is in thousandths of a core.
+
+    ``mean_tasks`` is for each step; ``permit_share`` is the part of the runners that advice
+    permits; ``burst`` has the begin, the end and the factor of a burst of arrivals.
+    """
 
     queue: Queue
     arrivals_per_second: float
@@ -83,7 +87,7 @@
     burst: tuple[float, float, float] = (0, 0, 1)
 
     def arrival_rate(self, now: float) -> float:
-        """Return the arrivals a second, more during the burst."""
+        """Return the arrivals per second, which rise during the burst."""
         begins, ends, factor = self.burst
         return self.arrivals_per_second * (factor if begins <= now < ends else 1)
 
@@ -95,7 +99,7 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """A zone whose runners are out of reach for a while."""
+    """A network cut: the runners of a zone are unreachable for some seconds."""
 
     zone: int
     starts_at: float
@@ -104,48 +108,49 @@
 
 @dataclass(frozen=True)
 class Accounts:
-    """Client accounts of very different sizes, of which one sends much more for a while.
+    """Client accounts of very different sizes, of which one may overload the cell for a while.
 
-    Each may run ``quota`` times its usual, and expects so many times its usual rate.
+    The quota and the rate of each account are ``quota_factor`` and ``rate_factor`` times what
+    it usually sends.
     """
 
     count: int = 20
     quota_factor: float = 1.9
     rate_factor: float = 1.9
-    #: The rank of the hot account by size, since when, until when and how many times as much.
+    #: The overloading account by rank of size, begin, end, and factor of its arrivals.
     overload: tuple[int, float, float, float] = (3, 0.0, 0.0, 1.0)
 
     def shares(self) -> list[float]:
-        """Return the part of all jobs that each account usually sends."""
+        """Return the share of all jobs that each account usually sends."""
         sizes = [1 / (number + 1) for number in range(self.count)]
         return [size / sum(sizes) for size in sizes]
 
     def load_factor(self, number: int, now: float) -> float:
-        """Return how many times its usual an account sends."""
+        """Return the factor by which an account exceeds its usual arrivals."""
         rank, begins, ends, factor = self.overload
         return factor if number == rank and begins <= now < ends else 1.0
 
 
 @dataclass(frozen=True)
 class Load:
-    """A cell and what comes to it."""
+    """A cell, the jobs that arrive and the faults that occur."""
 
     runners: int
     hosts: int
     kinds: tuple[JobKind, ...]
-    #: Seconds at the beginning in which jobs arrive and nothing starts.
+    #: Seconds at the beginning in which jobs arrive but nothing starts.
     outage: float = 0.0
     zones: int = 1
     runners_per_rack: int = 8
     cut: Cut | None = None
-    #: When the owner is lost, and for how many seconds nothing is planned then.
+    #: When the owner is lost, and the seconds until its successor plans.
     takeover: tuple[float, float] = (0.0, 0.0)
     capacity: Demand = RUNNER_CAPACITY
     accounts: Accounts | None = None
 
 
 def make_loads() -> dict[str, Load]:
-    """Return the loads by name: nine tenths of the cores in use in the mean."""
+    """Return the loads by name; on average nine tenths of the cores are in use."""
     settle = _queue('settle', 1, 4, 2.2, 1.0, 0.44, 0.0064, 2.0)
     blend = _queue('blend', 2, 3, 4.0, 3.0, 0.13, 0.0018, 2.0)
     check = _queue('check', 0, 2, 1.5, 0.25, 0.012, 0.00017, 2.0)
@@ -161,7 +166,7 @@
     return {
         'quiet': Load(176, 35, quiet),
         'bursts': Load(176, 35, bursts),
-        # The store is away for 6 s, and a quarter of the hosts for longer.
+        # The store is unavailable for 6 s, and a quarter of the hosts for longer.
         'outage': Load(176, 26, bursts, outage=6.0),
         'zones': _make_zones_load(),
         'backlog': _make_backlog_load(),
@@ -171,7 +176,7 @@
 
 
 def _make_accounts_load(accounts: Accounts = Accounts()) -> Load:
-    """Return a cell of 20 accounts, with bursts of one kind and then of another."""
+    """Return a cell with 20 accounts, and a burst of checks, then one of settlements."""
     settle = _queue('settle', 1, 2, 2.2, 1.0, 0.455, 0.0065, 2.0)
     recon = _queue('recon', 2, 2, 4.0, 3.0, 0.13, 0.00182, 2.0)
     check = _queue('check', 0, 3, 1.5, 0.25, 0.0143, 0.00021, 2.0)
@@ -185,7 +190,7 @@
 
 
 def _make_zones_load() -> Load:
-    """Return a cell of six zones: an owner is lost in a burst, then a zone is cut off."""
+    """Return a cell of six zones: its owner is lost after a burst, then a zone is cut off."""
     settle = _queue('settle', 1, 4, 2.2, 1.0, 0.637, 0.0091, 2.0)
     blend = _queue('blend', 2, 3, 4.0, 3.0, 0.182, 0.0026, 2.0)
     check = _queue('check', 0, 2, 1.5, 0.25, 0.026, 0.00036, 2.0)
@@ -199,7 +204,7 @@
 
 
 def _make_backlog_load() -> Load:
-    """Return a cell in which nothing starts for 4 s, and then a zone of three is cut off."""
+    """Return a cell in which nothing starts for 4.2 s; later one of its three zones is cut off."""
     settle = _queue('settle', 1, 2, 2.2, 1.0, 0.442, 0.00637, 1.5)
     blend = _queue('blend', 2, 2, 4.0, 3.0, 0.13, 0.00182, 1.5)
     check = _queue('check', 0, 2, 1.5, 0.25, 0.0143, 0.00021, 1.5)
@@ -214,58 +219,58 @@
 
 
 class ArrivalOrder(WaitingOrder):
-    """Whoever came first is served first."""
+    """Orders steps by the acceptance time of their jobs."""
 
     def rank(self, urgency: RankInputs) -> Rank:
-        """Return the place of a step."""
+        """Return the rank of a step."""
         job = urgency.job
         return Rank(False, False, 0, 0, job.accepted_at, job.id, urgency.step.name)
 
 
 class ArrivalOrderPlanner(Planner):
-    """A baseline: whoever came first is served first."""
+    """Baseline: places steps in the order in which their jobs arrived."""
 
     def __init__(self, cell: Cell) -> None:
-        """Place the tasks of that cell."""
+        """Plan for that cell."""
         super().__init__(cell, ArrivalOrder())
 
 
 class NoPreemption(Preemption):
-    """Nothing is stopped for anybody."""
+    """Never preempts a task."""
 
     def plan_preemption(self, *arguments: object) -> PreemptionPlan | None:
-        """Return that there is no room."""
+        """Return no plan."""
         return None
 
 
 class NoPreemptionPlanner(Planner):
-    """A baseline: gangs wait until their seats come free."""
+    """Baseline without preemption: gangs wait until enough capacity is free."""
 
     def __init__(self, cell: Cell) -> None:
-        """Place the tasks of that cell."""
+        """Plan for that cell."""
         super().__init__(cell)
         self._preemption = NoPreemption(cell)
 
 
 class IgnoreAccountRates(WithinRateFirst):
-    """Accounts do not matter: priority, then the earliest objective."""
+    """Ignores the rates of accounts: orders by priority, then by the earliest objective."""
 
     def rank(self, urgency: RankInputs) -> Rank:
-        """Return the place of a step."""
+        """Return the rank of a step."""
         return super().rank(urgency)._replace(beyond_rate=False)
 
 
 class ShareOrderWithinQueues(WaitingOrder):
-    """Strict order of queues; in each of them, the account with the least use for its weight."""
+    """Strict priority of queues; within a queue, the account with the lowest weighted share."""
 
     def __init__(self, cell: Cell) -> None:
-        """Share out that cell."""
+        """Compute shares of the capacity of that cell."""
         self._cell = cell
         self._total_capacity = Demand()
         self._now = -1.0
 
     def rank(self, urgency: RankInputs) -> Rank:
-        """Return the place of a step; its account's share stands for its lateness."""
+        """Return the rank of a step, with its account's share in place of its lateness."""
         rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
         return rank._replace(lateness=int(SHARE_RESOLUTION * self.share(urgency)))
 
@@ -282,10 +287,10 @@
 
 
 class ShareOrder(ShareOrderWithinQueues):
-    """The account with the least use for its weight, over all queues."""
+    """The account with the lowest weighted share goes first, over all queues."""
 
     def rank(self, urgency: RankInputs) -> Rank:
-        """Return the place of a step; its account's share goes before its queue."""
+        """Return the rank of a step, with its account's share before the priority of its queue."""
         rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
         return rank._replace(
             priority=int(SHARE_RESOLUTION * self.share(urgency)), lateness=rank.priority
@@ -303,10 +308,10 @@
 
 
 class Replay:
-    """One policy on one load."""
+    """Simulation of one policy on one load."""
 
     def __init__(self, load: Load, policy: Callable[[Cell], Planner], seed: int) -> None:
-        """Draw from ``seed``; the draws do not depend on the policy."""
+        """Create the cell; random draws depend on ``seed`` and not on the policy."""
         self.load = load
         self.cell = Cell(1, 3.0)
         queues = tuple(kind.queue for kind in load.kinds)
@@ -327,18 +332,19 @@
         self._waiting_requests: list[tuple[int, int, AdviceRequest]] = []
         self._busy_hosts_by_urgency = {True: 0, False: 0}
         self._value_by_job: dict[str, float] = {}
-        #: Of each job that is owed, what it is worth and how many core-seconds it takes.
+        #: Value and core-seconds of each job that is within the rate of its account.
         self._attainable_work: list[tuple[float, float]] = []
         self._started_jobs: set[str] = set()
-        #: Runs at work by runner: when each began, how long it takes, what was saved.
+        #: Runs in progress by runner: start time, duration, and seconds of work restored from a
+        #: checkpoint.
         self._runs_by_runner: dict[str, dict[tuple, tuple[float, float, float]]] = {}
         self._end_numbers = itertools.count(1)
-        #: What runners out of reach have ended meanwhile.
+        #: Runs that ended on runners while these are cut off.
         self._unseen_ends_by_runner: dict[str, list[EndedRun]] = {}
         self._add_runners()
 
     def play(self, seconds: float) -> None:
-        """Let jobs arrive for that long, and go on until the last objectives are over."""
+        """Simulate arrivals for ``seconds``, and go on for twice as long until jobs have ended."""
         for kind in self.load.kinds:
             self._schedule(
                 self._rng.expovariate(kind.arrival_rate(0)), self._submit_job, kind, seconds
@@ -352,9 +358,10 @@
 
     @property
     def bound(self) -> float:
-        """Return what would be earned if runners lost no moment to waiting and to packing.
+        """Return the value that would be earned if no core were ever idle.
 
-        All arrivals are known to it, and work can be split: the most worthwhile goes first.
+        This upper bound assumes that all arrivals are known in advance and that work can be
+        split arbitrarily; jobs with the highest value per core-second go first.
         """
         core_seconds_left = self.load.runners * self.load.capacity.cpu / MILLI * (self._now or 1.0)
         earned = 0.0
@@ -437,7 +444,7 @@
         self._schedule(self._rng.expovariate(rate), self._submit_job, kind, end_at)
 
     def _load_factor(self) -> float:
-        """Return how many times as much as usual comes from all accounts together."""
+        """Return the factor by which all accounts together exceed their usual arrivals."""
         accounts = self.load.accounts
         if accounts is None:
             return 1.0
@@ -550,7 +557,7 @@
             start_delays = self.tally_by_queue[kind.queue.name].start_delays
             start_delays.append(self._now - job.accepted_at)
         step = job.find_step(allocation.task)
-        # Members of a gang end together; else each task has a duration of its own.
+        # The tasks of a gang end together; otherwise each task has a duration of its own.
         name = step.name if step.step.gang else allocation.task
         rng = random.Random(f'{name}{self._seed}')
         full_duration = (
@@ -600,7 +607,7 @@
             self._record_result(job_id)
 
     def _record_result(self, job_id: str) -> None:
-        """Count what a job earned, once; one that failed too often earns nothing."""
+        """Record once the value that a job earned; a failed job earns nothing."""
         value = self._value_by_job.pop(job_id, None)
         if value is None:
             return
@@ -621,7 +628,7 @@
 
 
 def make_accounts(load: Load) -> list[Account[Demand]]:
-    """Return the accounts of a load, their quotas and rates by what they usually send."""
+    """Return the accounts of a load, with quotas and rates derived from their usual arrivals."""
     accounts = load.accounts or Accounts()
     cores = memory_mb = rate = 0.0
     for kind in load.kinds:
@@ -644,7 +651,7 @@
 
 
 def main() -> int:
-    """Play all policies on one load."""
+    """Simulate all policies, or the given ones, on one load."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--load', choices=sorted(make_loads()), default='bursts')
     parser.add_argument('--seconds', type=float, default=20)
--- a/bench/replay_report.py
+++ b/bench/replay_report.py
@@ -1,4 +1,4 @@
-"""What a replay earned, as a table."""
+"""Score and table of a replay."""
 
 import sys
 from dataclasses import dataclass, field
@@ -7,7 +7,11 @@
 
 @dataclass
 class Tally:
-    """What became of one kind's jobs."""
+    """Results of the jobs of one queue or account.
+
+    ``attainable`` is the value of all jobs within the rate of their account, and
+    ``value_earned`` the part that was earned, which depends on when each job ended.
+    """
 
     attainable: float = 0
     value_earned: float = 0
@@ -18,7 +22,7 @@
 
 
 class ReplayResult(Protocol):
-    """The part of a replay that is told."""
+    """The results of a replay that are reported."""
 
     tally_by_queue: dict[str, Tally]
     tally_by_account: dict[str, Tally]
@@ -29,18 +33,18 @@
 
 @dataclass(frozen=True)
 class Score:
-    """What one play came to: shares of what was owed, and seconds."""
+    """Result of one replay: earned shares of the attainable value, and seconds."""
 
     worth: float
-    #: The mean of the tenth of accounts that was served worst.
+    #: The mean share of the tenth of the accounts with the lowest shares.
     worst_accounts: float
-    #: No way of deciding could have earned more.
+    #: An upper bound that no scheduling policy can exceed.
     bound: float
     plan_p99: float
 
 
 def score(replay: 'ReplayResult') -> Score:
-    """Return what a play came to."""
+    """Return the score of a replay."""
     tallies = replay.tally_by_queue.values()
     attainable = sum(tally.attainable for tally in tallies)
     account_shares = sorted(
@@ -59,7 +63,7 @@
 
 
 def print_result(name: str, replay: 'ReplayResult') -> None:
-    """Print one policy's table."""
+    """Print the results of one policy, with a line for each queue."""
     tallies = replay.tally_by_queue.values()
     worth = sum(tally.value_earned for tally in tallies) / sum(
         tally.attainable for tally in tallies
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -1,6 +1,6 @@
-"""What a daemon adds to a request: ``make bench-requests``.
+"""Latency that a daemon adds to a request: ``make bench-requests``.
 
-The same runner is called directly and through a daemon, in turns, in one run.
+Calls the same runner directly and through a daemon, alternately in one run.
 """
 
 import http.client
@@ -19,7 +19,7 @@
 
 
 def print_line(text: str) -> None:
-    """Write one line."""
+    """Print one line at once."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
@@ -27,7 +27,7 @@
 def time_requests(
     address: str, port: int, path: str, headers: dict[str, str], count: int
 ) -> list[float]:
-    """Return the seconds of each of ``count`` requests on one connection."""
+    """Return the seconds that each of ``count`` requests on one connection took."""
     connection = http.client.HTTPConnection(address, port, timeout=20)
     times = []
     for _ in range(count):
@@ -42,7 +42,7 @@
 
 
 def measure(cell: Cluster) -> list[dict[str, float]]:
-    """Return medians and tails at rising load."""
+    """Return medians and 99th percentiles for rising numbers of concurrent callers."""
     daemon = cell.daemons['ub-east-d0']
     runner = next(one for one in cell.hosts if one.kind == 'endpoint')
     headers = {'dandelionreel-customer': 'khangai', 'dandelionreel-idempotent': 'true'}
@@ -78,7 +78,7 @@
 def run_callers(
     pool, load: int, address: str, port: int, path: str, headers, requests_per_caller: int
 ) -> list[float]:
-    """Return all times of ``load`` callers at once."""
+    """Return the times of all requests of ``load`` concurrent callers."""
     futures = [
         pool.submit(time_requests, address, port, path, headers, requests_per_caller)
         for _ in range(load)
@@ -87,7 +87,7 @@
 
 
 def main() -> int:
-    """Print figures with the log written and with it thinned out."""
+    """Measure with all log lines written, and with one line in 100."""
     for name, logs in (('every line', {}), ('one line in 100', {'sample_every': 100})):
         layout = Layout(('ub-east',), 1, 1, 2, logs=logs, timings=TIMINGS)
         with Cluster(layout) as cell:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
 """Seeded random faults on a whole cell: ``make soak`` or ``--seed N --seconds S``.
 
 Requests and jobs go on while daemons die and pause, links are cut, the log is
-out, slow or loses answers, and workers and endpoints fail. Then everything
-heals, all accepted jobs must end, and the workers' and runners' own records
-judge every promise.
+unavailable, slow or loses replies, and workers and endpoints fail. Then all faults
+end, all accepted jobs must end, and every guarantee is checked against the records
+that the workers and endpoints keep themselves.
 """
 
 import argparse
@@ -52,7 +52,7 @@
 
 @dataclass
 class Tally:
-    """What the run has done and found."""
+    """Requests, jobs and faults of a run, and the violations that it found."""
 
     requests: list[RequestRecord] = field(default_factory=list)
     accepted: dict[str, bool] = field(default_factory=dict)
@@ -65,10 +65,10 @@
 
 
 class Soak:
-    """One run on one cell."""
+    """One soak run on one cell."""
 
     def __init__(self, seed: int, seconds: float, daemons: int) -> None:
-        """Prepare a run; the seed decides the faults and their times."""
+        """Prepare a run; the seed determines the faults and their times."""
         self.random = random.Random(seed)
         self.seconds = seconds
         self.tally = Tally()
@@ -79,11 +79,11 @@
         self.down_daemons: set[str] = set()
 
     def run(self) -> Tally:
-        """Run to the end and judge."""
+        """Run load and faults, wait for all jobs to end and check the guarantees."""
         with self.cell:
             reply = self.cell.publish(contract(1))
             if reply.status != 200:
-                raise RuntimeError(f'no contract: {reply.body!r}')
+                raise RuntimeError(f'the contract was not published: {reply.body!r}')
             with ThreadPoolExecutor(8) as pool:
                 loads = [pool.submit(self.run_load, index) for index in range(6)]
                 loads.append(pool.submit(self.watch_versions))
@@ -99,7 +99,7 @@
     # Load.
 
     def run_load(self, index: int) -> None:
-        """Send requests and jobs until told to stop."""
+        """Send requests and jobs until the run stops."""
         rng = random.Random(f'{index}')
         while not self.stopping.is_set():
             names = [name for name in self.cell.daemons if name not in self.down_daemons]
@@ -137,7 +137,7 @@
         record.echoed = reply.headers.get('mark') == record.mark and reply.body == record.body
 
     def submit(self, name: str, rng: random.Random) -> None:
-        """Submit one job, some of them twice with the same key."""
+        """Submit one job, sometimes twice with the same idempotency key."""
         at_most_once = rng.random() < 0.5
         demand = {'processors': rng.choice((2, 6, 12)), 'memory_mb': 1024}
         spec = job(f'run {rng.choice((0.1, 0.5, 2))}', demand=demand, idempotent=not at_most_once)
@@ -151,7 +151,7 @@
                     self.tally.refused[reply.json()['type'].rsplit(':', 1)[1]] += 1
 
     def watch_versions(self) -> None:
-        """Note a contract version that goes back at a daemon that lives on."""
+        """Record a violation if the contract version of a running daemon decreases."""
         while not self.stopping.is_set():
             for name, daemon in self.cell.daemons.items():
                 reply = (
@@ -165,7 +165,7 @@
                 version = status['contracts'].get('khangai', 0)
                 member = status['member']
                 if version < self.tally.version_by_member.get(member, 0):
-                    self.tally.violations.append(f'version went back at {member}')
+                    self.tally.violations.append(f'contract version decreased at {member}')
                 self.tally.version_by_member[member] = max(
                     version, self.tally.version_by_member.get(member, 0)
                 )
@@ -174,7 +174,7 @@
     # Faults.
 
     def inject_faults(self) -> None:
-        """Bring faults about until the time is over, some of them together."""
+        """Inject random faults until the time is over; some of them overlap."""
         end_at = time.monotonic() + self.seconds
         faults: tuple[Callable[[], None], ...] = (
             self.kill,
@@ -201,7 +201,7 @@
                 self.heal()
 
     def pick_daemon(self) -> str:
-        """Return a running daemon."""
+        """Return a random running daemon."""
         running = [name for name, daemon in self.cell.daemons.items() if daemon.is_running]
         return self.random.choice(running)
 
@@ -215,7 +215,7 @@
         self.down_daemons.discard(name)
 
     def planned_stop(self) -> None:
-        """Stop a daemon in order and start it again."""
+        """Stop a daemon gracefully and start it again."""
         name = self.pick_daemon()
         self.down_daemons.add(name)
         time.sleep(0.1)
@@ -228,24 +228,24 @@
         self.down_daemons.discard(name)
 
     def pause(self) -> None:
-        """Freeze a daemon for less or more than its authority lasts."""
+        """Pause a daemon, for shorter or longer than its authority lasts."""
         name = self.pick_daemon()
         self.cell.signal(name, signal.SIGSTOP)
         time.sleep(self.random.choice((0.3, 1, 2, 4)))
         self.cell.signal(name, signal.SIGCONT)
 
     def log_outage(self) -> None:
-        """Let the log answer nothing."""
+        """Make the log unavailable for a while."""
         self.cell.set_log_faults(outage=True)
         time.sleep(self.random.uniform(0.5, 4))
         self.cell.set_log_faults()
 
     def log_slow(self) -> None:
-        """Let the log answer slowly."""
+        """Slow the log down."""
         self.cell.set_log_faults(slow=self.random.uniform(0.1, 0.6))
 
     def lose_answers(self) -> None:
-        """Lose some answers of the log after it has written."""
+        """Drop some replies of the log after it has written the records."""
         self.cell.set_log_faults(lose_answers=self.random.randrange(1, 6))
 
     def cut_daemon(self) -> None:
@@ -264,31 +264,31 @@
         time.sleep(self.random.uniform(0.5, 4))
 
     def one_way(self) -> None:
-        """Cut one direction of one link."""
+        """Cut a link in one direction only."""
         target = self.random.choice(('log', self.pick_daemon()))
         self.cell.cut((self.pick_daemon(), target))
         time.sleep(self.random.uniform(0.5, 3))
 
     def pick_host(self, kind: str) -> str:
-        """Return a worker or an endpoint."""
+        """Return a random host of that kind: a worker or an endpoint."""
         return self.random.choice([host.name for host in self.cell.hosts if host.kind == kind])
 
     def fail_worker(self) -> None:
-        """Let a worker answer nothing for a while."""
+        """Make a worker unresponsive for a while."""
         name = self.pick_host('worker')
         self.cell.set_host_faults(name, outage=True)
         time.sleep(self.random.uniform(0.2, 3))
         self.cell.set_host_faults(name)
 
     def cut_endpoint(self) -> None:
-        """Let an endpoint drop its connections for a while."""
+        """Make an endpoint drop its connections for a while."""
         name = self.pick_host('endpoint')
         self.cell.set_host_faults(name, outage=True)
         time.sleep(self.random.uniform(0.2, 2))
         self.cell.set_host_faults(name)
 
     def leave_endpoint(self) -> None:
-        """List an endpoint as leaving, and judge what it still gets."""
+        """List an endpoint as leaving, and check that it gets no requests after that."""
         name = self.pick_host('endpoint')
         left_at = time.monotonic()
         self.publish_hosts(leaving=name)
@@ -303,7 +303,7 @@
         self.publish_hosts()
 
     def publish_hosts(self, leaving: str = '') -> None:
-        """Replace the platform's list."""
+        """Publish the platform's host list, with one host marked as leaving."""
         hosts = [
             msgspec.structs.replace(host, state='leaving') if host.name == leaving else host
             for host in self.cell.hosts
@@ -311,11 +311,11 @@
         self.cell.list_hosts(hosts)
 
     def publish(self) -> None:
-        """Publish the next version through some daemon."""
+        """Publish the next contract version through a random daemon."""
         self.publish_by(self.pick_daemon())
 
     def publish_by(self, name: str) -> None:
-        """Publish through that daemon; failures are the system's to judge."""
+        """Publish through that daemon; a failed publication is no violation."""
         try:
             reply = self.cell.publish(contract(self.version + 1), self.version, name)
         except OSError:
@@ -324,14 +324,14 @@
             self.version += 1
 
     def publish_race(self) -> None:
-        """Let two operators publish the same version at once."""
+        """Publish the same version twice at once; at most one publication may succeed."""
         with ThreadPoolExecutor(2) as pool:
             first, second = self.pick_daemon(), self.pick_daemon()
             version = self.version
             replies = list(pool.map(lambda name: self.try_publish(name, version), (first, second)))
         accepted = [reply for reply in replies if reply == 200]
         if len(accepted) > 1 and first != second:
-            self.tally.violations.append('two operators both won')
+            self.tally.violations.append('two publications of the same version both succeeded')
         self.version = max(self.tally.version_by_member.values(), default=1)
 
     def try_publish(self, name: str, version: int) -> int:
@@ -342,7 +342,7 @@
             return 0
 
     def heal(self) -> None:
-        """End all faults."""
+        """End all faults and restart stopped daemons."""
         self.cell.cut()
         self.cell.set_log_faults()
         self.publish_hosts()
@@ -355,10 +355,10 @@
                 self.cell.kill(name)
                 self.cell.start(name)
 
-    # Judging.
+    # Checks.
 
     def wait_for_jobs(self) -> None:
-        """Wait until every accepted job is in a final state."""
+        """Wait until every accepted job is in a final state; record those that are not."""
         for name in self.cell.daemons:
             self.cell.wait_ready(name)
         unfinished = set(self.tally.accepted)
@@ -379,7 +379,7 @@
                 self.tally.violations.append(shown.body.decode())
 
     def list_jobs(self, name: str, state: str) -> set[str]:
-        """Return the jobs of a daemon's zone in a state."""
+        """Return the ids of the jobs in a state, in the zone of a daemon."""
         job_ids: set[str] = set()
         after = ''
         while True:
@@ -391,29 +391,33 @@
                 return job_ids
 
     def check_results(self) -> None:
-        """Check all promises by the workers' and runners' own records."""
+        """Check all guarantees against the records of the workers and endpoints."""
         tally = self.tally
         workers = self.cell.records('worker')
         endpoints = self.cell.records('endpoint')
         runs = [run for record in workers for run in record['runs']]
         at_most_once = {name for name, is_at_most_once in tally.accepted.items() if is_at_most_once}
-        tally.violations.extend(f'over-filled {item}' for item in over_filled(workers))
-        tally.violations.extend(f'over slots {item}' for item in over_slots(endpoints))
-        tally.violations.extend(f'in two places {item}' for item in overlapping(runs))
-        tally.violations.extend(f'run twice {item}' for item in repeated(runs, at_most_once))
+        tally.violations.extend(f'worker overallocated: {item}' for item in over_filled(workers))
+        tally.violations.extend(
+            f'endpoint over its slots: {item}' for item in over_slots(endpoints)
+        )
+        tally.violations.extend(f'ran in two places: {item}' for item in overlapping(runs))
+        tally.violations.extend(
+            f'started more than once: {item}' for item in repeated(runs, at_most_once)
+        )
         tally.violations.extend(self.check_requests(requests_by_mark(endpoints)))
         self.starts = len(runs)
         self.handled_requests = sum(len(record['requests']) for record in endpoints)
 
     def check_requests(self, handled_by_mark: dict[str, list[dict[str, Any]]]) -> list[str]:
-        """Return what is wrong with answers and verdicts."""
+        """Return the violations found in replies and verdicts."""
         violations = []
         for record in self.tally.requests:
             executions = handled_by_mark.get(record.mark, [])
             if record.status == 200 and not record.echoed:
-                violations.append(f'answer of another: {record.mark}')
+                violations.append(f'got the reply of another request: {record.mark}')
             if record.verdict == 'not_run' and executions:
-                violations.append(f'not_run that ran: {record.mark}')
+                violations.append(f'ran with verdict not_run: {record.mark}')
             if not record.idempotent and len(executions) > 1:
                 violations.append(
                     f'non-idempotent request ran {len(executions)} times: {record.mark}'
@@ -422,7 +426,7 @@
 
 
 def main() -> int:
-    """Run, print the seed and the counts, and return 0 when no promise broke."""
+    """Run, print the seed and the counts, and return 0 if there are no violations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=random.SystemRandom().randrange(10**6))
     parser.add_argument('--seconds', type=float, default=60)
--- a/bench/soak_accounts.py
+++ b/bench/soak_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts for the soak: keys that are rotated and quotas that change under faults."""
+"""Client accounts for the platform soak: rotates keys and changes quotas during faults."""
 
 import random
 import time
@@ -8,21 +8,21 @@
 from standins import AccountRow, EntryHosts, UsersPlatform, started_over_quota, wait_for
 
 ACCOUNT_NAMES = ('blue', 'red', 'green')
-#: Quotas that an account may be given, in thousandths of a core; 0 is none.
+#: Quotas that an account may get, in thousandths of a core; 0 means no limit.
 QUOTAS = (0, 2000, 4000, 8000, 16_000)
-#: The quota of the last configuration: work of any size gets through.
+#: The quota of the last configuration, large enough for every job.
 FINAL_QUOTA = 16_000
 #: Seconds between two changes.
 CHANGE_GAP = (0.8, 2.5)
-#: Seconds after which a key that was added is known to every host that can know it, whatever
-#: the store is through: 2 s, and 5 s while it is not stable.
+#: Seconds after which every host that can know a new key knows it, whatever faults the store
+#: has: 2 s, and 5 s while the store is not stable.
 KEY_PROPAGATION_SECONDS = 8.0
 UNKNOWN_KEY_STATUS = 401
 
 
 @dataclass
 class Key:
-    """An API key, and when it was added and taken away (monotonic seconds)."""
+    """An API key, and when it was added and removed (monotonic seconds)."""
 
     text: str
     added_at: float
@@ -30,10 +30,10 @@
 
 
 class SoakAccounts:
-    """Writes configurations with ever other keys and quotas, and judges what came of them."""
+    """Writes configurations with changing keys and quotas, and checks that they are enforced."""
 
     def __init__(self, platform: UsersPlatform, seed: int) -> None:
-        """Draw from ``seed``."""
+        """Write the first configuration; ``seed`` determines the changes."""
         self._platform = platform
         self._random = random.Random(f'{seed}/accounts')
         self._lock = Lock()
@@ -51,7 +51,7 @@
         return ACCOUNT_NAMES[client % len(ACCOUNT_NAMES)]
 
     def key_for(self, account: str) -> Key:
-        """Return the key that a client uses now: one that every host may know."""
+        """Return the newest key that every host knows by now, or else the oldest one."""
         now = time.monotonic()
         with self._lock:
             active_keys = [key for key in self._keys_by_name[account] if key.removed_at is None]
@@ -61,16 +61,16 @@
         return (propagated_keys or active_keys)[-1 if propagated_keys else 0]
 
     def check_reply(self, key: Key, sent_at: float, status: int) -> None:
-        """Judge an answer: a key that is in force is not refused."""
+        """Record a violation if a key in force was refused."""
         if status != UNKNOWN_KEY_STATUS or sent_at - key.added_at < KEY_PROPAGATION_SECONDS:
             return
         if key.removed_at is None or key.removed_at > time.monotonic():
             self.violations.append(
-                f'the key {key.text} was refused {sent_at - key.added_at:.1f} s after'
+                f'the key {key.text} was refused {sent_at - key.added_at:.1f} s after it was added'
             )
 
     def change_until_stopped(self, stopping: Event) -> None:
-        """Change something every now and then."""
+        """Add a key, remove a key or change a quota now and then."""
         while not stopping.wait(self._random.uniform(*CHANGE_GAP)):
             name = self._random.choice(ACCOUNT_NAMES)
             change = self._random.choice((self._add_key, self._remove_key, self._set_quota))
@@ -80,14 +80,14 @@
             self.changes += 1
 
     def restore_quotas(self) -> None:
-        """Give every account a quota that lets all its work through."""
+        """Give every account a quota that is large enough for all its jobs."""
         with self._lock:
             for name in ACCOUNT_NAMES:
                 self._row_by_name[name] = replace(self._row_by_name[name], cpu=FINAL_QUOTA)
             self._write()
 
     def check_results(self, hosts: EntryHosts) -> list[str]:
-        """Return what was wrong, once all has healed."""
+        """Return all violations, once all faults have ended."""
         violations = list(self.violations)
         for name in ACCOUNT_NAMES:
             for key in self._keys_by_name[name]:
@@ -100,7 +100,7 @@
                         20,
                     )
                 except TimeoutError:
-                    violations.append(f'the key {key.text} is not answered with {expected_status}')
+                    violations.append(f'the key {key.text} does not get status {expected_status}')
         runs = self._platform.settle()
         starts_over_quota = started_over_quota(runs, self.account_by_job, self._platform.quotas)
         violations.extend(f'over its quota: {start}' for start in starts_over_quota)
@@ -113,7 +113,7 @@
         self._row_by_name[name] = replace(row, keys=(*row.keys, text))
 
     def _remove_key(self, name: str) -> None:
-        """Take the oldest key away once clients use a later one."""
+        """Remove the oldest key if clients already use a later one."""
         now = time.monotonic()
         active_keys = [key for key in self._keys_by_name[name] if key.removed_at is None]
         if sum(now - key.added_at >= KEY_PROPAGATION_SECONDS + 1 for key in active_keys) < 2:
--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Small specifications of the core protocols, checked by minicheck."""
+"""Models of the core protocols, checked exhaustively with the model checker minicheck."""
--- a/spec/_model.py
+++ b/spec/_model.py
@@ -1,4 +1,4 @@
-"""What all specifications share: steps from a state, and the run with mutants."""
+"""Shared by all models: transitions from a state, and the check of a model with its mutants."""
 
 import sys
 import time
@@ -13,23 +13,27 @@
 
 
 class Steps:
-    """Collects the steps that lead on from one state."""
+    """Collects the transitions from one state; ``state`` holds its fields by name."""
 
     def __init__(self, fields: tuple[str, ...], values: tuple) -> None:
-        """Start from ``values``."""
+        """Start from a state, given as the values of ``fields``."""
         self.state = dict(zip(fields, values, strict=True))
         self._fields = fields
         self.successors: list[tuple[str, tuple]] = []
 
     def step(self, label: str, **changes: Any) -> None:
-        """Add one step."""
+        """Add a transition that sets the given fields and leaves the others as they are."""
         after = {**self.state, **changes}
         self.successors.append((label, tuple(after[field] for field in self._fields)))
 
 
 @dataclass(frozen=True)
 class Spec:
-    """One specification: ``build`` takes the guards to weaken as arguments."""
+    """A model with its invariants, and mutants that must each break one of them.
+
+    ``add_steps`` adds all transitions from a state. Its keyword arguments are the guards of the
+    protocol; a mutant maps some of them to the value that weakens them.
+    """
 
     name: str
     initial: State
@@ -38,7 +42,7 @@
     mutants: dict[str, dict[str, Any]]
 
     def build(self, **weakened: Any) -> Protocol:
-        """Return the protocol with some guards weakened."""
+        """Return the protocol for minicheck, with the given guards weakened."""
         fields = tuple(self.initial)
 
         def transitions(values: tuple) -> list:
@@ -57,12 +61,12 @@
 
 
 def find_violations(outcome: dict[str, Any]) -> list[str]:
-    """Return the invariants that do not hold."""
+    """Return the invariants that do not hold or were not checked in full."""
     return [name for name, found in outcome['properties'].items() if found['holds'] is not True]
 
 
 def get_counterexample(outcome: dict[str, Any]) -> list[str]:
-    """Return the steps of the first counterexample."""
+    """Return the labels of the first counterexample."""
     for found in outcome['properties'].values():
         if found['holds'] is False:
             return [entry['label'] for entry in found['counterexample'] if entry['label']]
@@ -70,7 +74,7 @@
 
 
 def check(spec: Spec, *, show_traces: bool = False, **bounds: Any) -> list[str]:
-    """Check a specification and its mutants; return what is not as it should be."""
+    """Check a model and its mutants; return the violations and the mutants that survived."""
     problems = []
     began = time.monotonic()
     outcome = check_safety(spec.build(**bounds), max_states=MAX_STATES)
--- a/spec/attempts.py
+++ b/spec/attempts.py
@@ -1,8 +1,9 @@
-"""One non-idempotent job: former dispatcher A, successor B, another zone Z, the log.
+"""At-most-once start of a non-idempotent job, across a change of dispatcher and a move.
 
-Appends may land late or their answers get lost; A may be paused anywhere and
-for any time: no clock is looked at. An intent counts only if its epoch is the
-one in force at its place in the log.
+Dispatcher A is replaced by B, and the job may be moved to another zone Z. Appends to the log
+may be delayed or their replies lost. The model has no clock, as A may be paused at any point
+and for any time. An intent is valid only if its epoch is the one in force at its position in
+the log.
 """
 
 from spec._model import Spec, Steps
@@ -13,15 +14,15 @@
 MOVED = 3
 
 INITIAL = {
-    'epoch': 1,  # dispatch epoch in the log
-    'worker_epoch': 1,  # as the worker's owner has read it
-    'a_append_pending': False,  # A's intent is under way to the log
-    'a_confirmed': False,  # A knows that its intent is valid
+    'epoch': 1,  # dispatch epoch according to the log
+    'worker_epoch': 1,  # dispatch epoch that the worker's owner has read
+    'a_append_pending': False,  # A's intent is on its way to the log
+    'a_confirmed': False,  # A has read its intent back as valid
     'a_order_sent': False,
     'a_appends_left': 1,
-    'winner': NONE,  # what won attempt 1: an intent or the move
-    'order_pending': False,  # A's order is under way to the worker's owner
-    'b_verdict': '',  # what B made of A's attempt
+    'winner': NONE,  # first valid record for attempt 1: an intent or the move
+    'order_pending': False,  # A's start order is on its way to the worker's owner
+    'b_verdict': '',  # what B concluded about A's attempt: 'own', 'running' or 'again'
     'starts': 0,
     'moves_left': 1,
 }
@@ -36,7 +37,7 @@
     never_restarts: bool = True,
     one_winner: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     _former_dispatcher(steps, read_back)
     _log(steps, one_winner)
     _worker_owner(steps, owner_checks_epoch)
@@ -44,7 +45,7 @@
 
 
 def _former_dispatcher(steps: Steps, read_back: bool) -> None:
-    """A looks at no clock: it may be paused anywhere, for any time."""
+    """Steps of A; no step depends on time, as A may be paused at any point."""
     state = steps.state
     if state['a_appends_left']:
         unconfirmed_order = {} if read_back else {'order_pending': True}
@@ -67,17 +68,17 @@
     if state['a_append_pending']:
         valid = state['winner'] == NONE and state['epoch'] == 1
         steps.step(
-            "A's intent lands",
+            "A's intent is appended",
             a_append_pending=False,
             winner=A_INTENT if valid else state['winner'],
         )
         steps.step("A's intent is lost", a_append_pending=False)
     if state['epoch'] == 1:
-        steps.step('B takes the dispatch over', epoch=2)
+        steps.step('B takes over as dispatcher', epoch=2)
     if state['moves_left']:
         can_win = state['winner'] == NONE or not one_winner
         winner = MOVED if state['winner'] == NONE else state['winner']
-        steps.step('the move lands too late', moves_left=0)
+        steps.step('the move is appended too late', moves_left=0)
         if can_win:
             steps.step(
                 'the job is moved, Z starts it',
@@ -109,7 +110,7 @@
     if state['epoch'] != 2:
         return
     if state['winner'] == NONE:
-        steps.step('B intends attempt 1', winner=B_INTENT)
+        steps.step('B appends an intent for attempt 1', winner=B_INTENT)
     if state['winner'] == B_INTENT and state['b_verdict'] == '':
         steps.step('B starts it', b_verdict='own', starts=min(state['starts'] + 1, 2))
     if state['winner'] != A_INTENT or state['b_verdict']:
@@ -123,7 +124,7 @@
 
 
 def at_most_once(state: dict) -> bool:
-    """The job is started once at the most."""
+    """The job is started at most once."""
     return state['starts'] <= 1
 
 
--- a/spec/behind_a_cut.py
+++ b/spec/behind_a_cut.py
@@ -1,11 +1,12 @@
-"""A zone is cut off; its hosts tell its clients what its runners have done, and O owns the cell.
-
-One task has been started on a runner of the zone. Behind the cut host W sees its end there,
-tells host V of the same zone, and shows it. O is outside: it hears nothing, its lease on the
-runner runs out, and it would start the task elsewhere. The cut may begin and heal twice; W
-and V may be killed and come back knowing nothing, the runner may crash once, and any message
-is lost by a step that is not taken. A host believes that it is cut off until O asks it; one
-that does not takes no word of what others have seen behind a cut.
+"""Hosts of a partitioned zone report ended tasks to clients, while owner O is outside the zone.
+
+One task has been started on a runner of the zone. During the partition host W sees the task
+end, tells host V of the same zone, and reports the end to a client. O does not learn of it:
+its lease on the runner expires, and it may start the task elsewhere. The partition may begin
+and heal twice; W and V may be killed and restart without memory; the runner may crash once;
+a lost message is modelled as a step that is not taken. A host assumes that it is cut off
+until O queries it; a host that does not assume so rejects reports of what others have seen
+during a partition.
 """
 
 from spec._model import Spec, Steps
@@ -16,23 +17,24 @@
 INITIAL = {
     'cut': False,
     'cuts_left': MAX_CUTS,
-    #: The task at the runner: ``runs``, ``done`` or ``lapsed``.
+    #: The task on the runner: ``runs``, ``done`` or ``lease_expired`` (stopped by the runner).
     'task': 'runs',
     'crashed': False,
-    #: Whether O has been without the runner for so long that its lease has run out.
+    #: Whether O has not reached the runner for longer than its lease lasts.
     'lease_expired': False,
-    #: What each host of the zone knows, whether it believes to be cut off, and how O's
-    #: question to it stands: ``unasked``, ``asked`` or ``missed``.
+    #: Per host of the zone: whether it knows that the task has ended, whether it assumes that
+    #: it is cut off, and the state of O's query: ``unasked``, ``asked`` or ``missed``.
     **{f'{host}_knows_end': False for host in HOSTS},
     **{f'{host}_believes_cut': False for host in HOSTS},
     **{f'{host}_queried': 'unasked' for host in HOSTS},
-    #: Whether W has seen the end, and whether V was ever told.
+    #: Whether W has seen the task end, whether V was ever told, whether a client was told,
+    #: whether O knows, and whether O has started the task again.
     'w_saw_end': False,
     'v_was_told': False,
     'shown_to_client': False,
     'o_knows_end': False,
     'restarted': False,
-    #: Whether the word was lost when the task was started again.
+    #: Whether all evidence of the end was lost when the task was started again.
     'evidence_lost': False,
 }
 
@@ -47,7 +49,7 @@
     stops_when_queried: bool = True,
     polls_runner_first: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     _cut(steps)
     _runner(steps)
@@ -67,10 +69,11 @@
         steps.step('the cut heals', cut=False)
         for host in HOSTS:
             steps.step(f'{host} finds that it is cut off', **{f'{host}_believes_cut': True})
-        steps.step('the lease runs out for O', lease_expired=True)
+        steps.step('the lease expires for O', lease_expired=True)
     elif state['cuts_left']:
         unqueried = {f'{host}_queried': 'unasked' for host in HOSTS}
-        # What W has seen it tells at once or looks again: no cut heals and comes back meanwhile.
+        # W reports what it has seen at once or polls again, so it forgets it here: no
+        # partition heals and comes back in between.
         steps.step(
             'the zone is cut off',
             cut=True,
@@ -87,7 +90,7 @@
     if state['task'] == 'runs':
         steps.step('the task is done', task='done')
         if state['lease_expired']:
-            steps.step('the runner kills it, as its lease is over', task='lease_expired')
+            steps.step('the runner stops the task, as its lease has expired', task='lease_expired')
     steps.step('the runner crashes', crashed=True)
 
 
@@ -99,7 +102,7 @@
         return
     if tells_peer_first and (state['v_believes_cut'] or not accepts_only_if_cut):
         steps.step(
-            'w tells v, and shows that it is done',
+            'w tells v, and reports the end to a client',
             w_knows_end=True,
             v_knows_end=True,
             v_was_told=True,
@@ -107,7 +110,7 @@
         )
         steps.step('w tells v, whose answer is lost', v_knows_end=True, v_was_told=True)
     if not tells_peer_first:
-        steps.step('w shows that it is done', w_knows_end=True, shown_to_client=True)
+        steps.step('w reports the end to a client', w_knows_end=True, shown_to_client=True)
 
 
 def _owner(
@@ -125,11 +128,11 @@
             if state[f'{host}_knows_end']:
                 steps.step(f'{host} reports to O', o_knows_end=True)
         if state['task'] == 'done' and not state['crashed']:
-            steps.step('O looks at the runner', o_knows_end=True)
+            steps.step('O polls the runner', o_knows_end=True)
     if state['o_knows_end']:
         return
-    # Some host of the zone has answered, so the zone is not cut off any more, and all that
-    # did not answer by then were waited for.
+    # Once a host of the zone has answered, the zone is no longer cut off; O has then waited
+    # for the answers of the others as well.
     all_queried = all(state[f'{host}_queried'] != 'unasked' for host in HOSTS)
     answered = all_queried and any(state[f'{host}_queried'] == 'asked' for host in HOSTS)
     lost = state['crashed'] and not state['cut']
@@ -159,22 +162,22 @@
 
 
 def _is_evidence_lost(state: dict) -> bool:
-    """Return whether the runner and all hosts that knew the end, and were reached, are lost."""
+    """Return whether the runner and all hosts that knew of the end and were reached are lost."""
     kept = any(state[f'{host}_knows_end'] and state[f'{host}_queried'] == 'asked' for host in HOSTS)
     return state['crashed'] and state['v_was_told'] and not kept
 
 
 def is_never_retracted(state: dict) -> bool:
-    """What was shown behind the cut does not start again, whichever hosts are killed.
+    """A task that was reported as done is not started again, whichever hosts are killed.
 
-    Only with the runner that listed the end and all hosts that knew it, of those that O
-    reached, the word is lost.
+    The exception: the runner that listed the end is lost, and so are all hosts that knew of
+    the end, among those that O reached.
     """
     return not (state['shown_to_client'] and state['restarted']) or state['evidence_lost']
 
 
 def shows_only_ended_tasks(state: dict) -> bool:
-    """What is shown has happened."""
+    """Only tasks that have ended are reported as done."""
     return not state['shown_to_client'] or state['task'] == 'done'
 
 
--- a/spec/cancelling.py
+++ b/spec/cancelling.py
@@ -1,28 +1,29 @@
-"""A job is cancelled while its one task starts, runs or is found on one runner.
+"""A job is cancelled while its only task is starting, running or found running on a runner.
 
-The first owner may be killed and followed twice, the runner cut off and its entry lost,
-a start carried out late, and one stop answered without effect. A tick is about a second,
-two looks: it passes only once whoever owns the cell has looked at a runner in reach and
-has sent the stop that is due. ``overrun`` counts the ticks that the task of the cancelled
-job has run with nothing disturbed.
+The owner may be killed and replaced twice, the runner may be cut off and its registration
+expire, a start may be carried out late, and one stop may be answered without effect. A tick
+is about a second, the time of two polls: it passes only after the current owner has polled a
+reachable runner and has sent the stop that is due. ``overrun`` counts the ticks for which the
+task of the cancelled job has run without any disturbance.
 """
 
 from spec._model import Spec, Steps
 
-#: Ticks that a lease, and the deadline of a start under way, last; more than LIMIT, or
-#: leases alone would end each task in time.
+#: Duration of a lease, and of the deadline of a start order, in ticks. It exceeds MAX_OVERRUN;
+#: otherwise expiring leases alone would end each task in time.
 LEASE_TICKS = 5
-#: Ticks within which the task must have ended.
+#: Ticks within which the task of a cancelled job must end.
 MAX_OVERRUN = 2
 MAX_OWNERS = 3
 
 INITIAL = {
     'cancelled': False,
-    #: What the store keeps of the job no longer says that it has such a task.
+    #: Whether the store no longer lists the task among those of the job.
     'store_dropped_job': False,
     'owner': 1,
     'owner_alive': True,
     'owner_view': 'nothing',
+    #: Whether the owner polls the runner, and whether the store names it as one to poll.
     'polls_runner': True,
     'runner_stored': True,
     'runner_registered': True,
@@ -47,7 +48,7 @@
     polls_unregistered: bool = True,
     stores_unregistered: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     _environment(steps)
     _runner(steps)
     _tick(steps)
@@ -66,9 +67,11 @@
     if state['cancelled'] and not state['store_dropped_job']:
         steps.step('the store drops the job', store_dropped_job=True)
     if state['runner_registered']:
-        steps.step("the runner's entry expires", runner_registered=False, overrun=0)
+        steps.step("the runner's registration expires", runner_registered=False, overrun=0)
     steps.step(
-        'the way to the runner changes', runner_reachable=not state['runner_reachable'], overrun=0
+        'the runner becomes reachable or unreachable',
+        runner_reachable=not state['runner_reachable'],
+        overrun=0,
     )
 
 
@@ -116,7 +119,7 @@
             owner=state['owner'] + 1,
             owner_alive=True,
             polls_runner=polls_runner,
-            # It names the runner as soon as it attends to it, not once it has seen it.
+            # It stores the runner as soon as it polls it, not after the first answer.
             runner_stored=polls_runner if stores_unregistered else state['runner_registered'],
             polled=False,
             start_sent=False,
@@ -130,7 +133,7 @@
             'a start is sent', start_sent=True, start_ticks_left=LEASE_TICKS, owner_view='starting'
         )
     if state['owner_view'] == 'starting':
-        steps.step('the start is taken for refused', owner_view='nothing')
+        steps.step('the owner takes the start for refused', owner_view='nothing')
         steps.step('the start is not answered', owner_view='stopping')
     if state['cancelled'] and state['owner_view'] in {'starting', 'running'}:
         steps.step('the owner hears of the cancellation', owner_view='stopping')
@@ -153,7 +156,7 @@
 
 
 def _poll(steps: Steps, stops_unknown: bool, repeats_stops: bool) -> None:
-    """The owner takes what the runner lists, and renews its lease."""
+    """The owner reads the list of runs of the runner, and renews the lease."""
     state = steps.state
     owner_view = state['owner_view']
     if not state['task_runs']:
@@ -165,7 +168,7 @@
         owner_view = 'stopping' if unwanted else 'running'
     lease = LEASE_TICKS if state['task_runs'] else 0
     steps.step(
-        'a look',
+        'the owner polls the runner',
         polled=True,
         owner_view=owner_view,
         lease_ticks_left=lease,
@@ -174,7 +177,7 @@
 
 
 def ends_in_time(state: dict) -> bool:
-    """The task of a cancelled job is gone in time."""
+    """The task of a cancelled job ends within MAX_OVERRUN ticks."""
     return state['overrun'] <= MAX_OVERRUN
 
 
--- a/spec/cell.py
+++ b/spec/cell.py
@@ -1,16 +1,16 @@
-"""A cell's owner A is followed by B while one task runs on one of two runners.
+"""Owner A of a cell is replaced by B while one task runs on one of two runners.
 
-A may be cut off from the store, from B and from either runner, in any order and for
-any time: a message that is lost is a step that is not taken. Ages are in ticks.
+A may be cut off from the store, from B and from either runner, in any order and for any
+time: a lost message is modelled as a step that is not taken. Ages are in ticks.
 """
 
 from spec._model import Spec, Steps
 
-#: Ticks for which A renews leases after its last answered append, and for which a
-#: lease, and the deadline of a start under way, last.
+#: For how long A may renew leases after its last acknowledged append, and the duration of a
+#: lease and of the deadline of a start order, in ticks.
 AUTHORITY_TICKS = 2
 LEASE_TICKS = 2
-#: B takes an unseen runner's tasks for gone that long after its claim.
+#: Ticks after its claim at which B assumes that the tasks on a runner it has not polled ended.
 WAIT_TICKS = AUTHORITY_TICKS + LEASE_TICKS
 RUNNERS = (1, 2)
 
@@ -41,7 +41,7 @@
     stores_before_start: bool = True,
     starts_expire: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     _tick(steps, starts_expire)
     state = steps.state
     if not state['b_claimed']:
--- a/spec/completions.py
+++ b/spec/completions.py
@@ -1,10 +1,11 @@
-"""A client is told that a task is done before the store has it, and hosts and a runner are lost.
-
-One task has been started on one runner, and the store says so. Owner A sees its end in the
-runner's list, tells two peers, and shows it once one has taken the word. All hosts may be
-killed at any moment and come back knowing nothing; the runner may crash once, and a look at
-it shows that; any message is lost by a step that is not taken. B claims next and asks the
-peers what they were told; one that has answered takes no word of a former owner any more.
+"""A client is told that a task is done before the store has the end, and hosts are lost.
+
+One task has been started on one runner, and the store records that. Owner A sees the end in
+the list of the runner, tells two peers, and reports it to a client once one peer has accepted
+it. All hosts may be killed at any moment and restart without memory; the runner may crash
+once, which a poll detects; a lost message is modelled as a step that is not taken. B claims
+the cell next and queries the peers for what they were told; a peer that has answered B
+accepts no more reports of a former owner.
 """
 
 from spec._model import Spec, Steps
@@ -12,22 +13,22 @@
 PEERS = (1, 2)
 
 INITIAL = {
-    #: The task: ``runs``, ``done`` (and listed until that is acknowledged), ``forgotten``.
+    #: The task: ``runs``, ``done`` (listed by the runner until acknowledged), ``forgotten``.
     'task': 'runs',
     'crashed': False,
-    #: Whether A acts, and has seen the end.
+    #: Whether A is alive, and has seen the end.
     'a_alive': True,
     'a_saw_end': False,
     'end_stored': False,
     'shown_to_client': False,
-    #: Whether any peer was ever told.
+    #: Whether any peer was ever told of the end.
     'any_peer_told': False,
-    #: Whether a peer has been told, and how B's question to it stands: ``unasked``,
+    #: Per peer: whether it knows of the end, and the state of B's query: ``unasked``,
     #: ``asked``, or ``missed``.
     **{f'told_{peer}': False for peer in PEERS},
     **{f'queried_{peer}': 'unasked' for peer in PEERS},
     'b_claimed': False,
-    #: Whether B has looked at the runner, and knows the task to be done.
+    #: Whether B has polled the runner, and knows that the task is done.
     'b_polled': False,
     'b_knows_end': False,
     'restarted': False,
@@ -44,7 +45,7 @@
     polls_before_start: bool = True,
     only_listed_ends: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     _runner(steps)
     if state['a_alive']:
@@ -53,12 +54,12 @@
             _former_owner_reports(steps, tells_peer_first, peers_fence_former, stores_before_ack)
     for peer in PEERS:
         if state[f'told_{peer}']:
-            steps.step(f'peer {peer} shows that it is done', shown_to_client=True)
+            steps.step(f'peer {peer} reports the end to a client', shown_to_client=True)
             steps.step(f'peer {peer} is killed', **{f'told_{peer}': False})
     if state['b_claimed']:
         _successor(steps, queries_peers, polls_before_start)
     else:
-        # All that stands in the store has been read then.
+        # At its claim B has read everything in the store.
         steps.step('B claims', b_claimed=True, b_knows_end=state['end_stored'])
 
 
@@ -74,13 +75,13 @@
 def _former_owner_learns(steps: Steps, only_listed_ends: bool) -> None:
     state = steps.state
     steps.step('A is killed', a_alive=False, a_saw_end=False)
-    # Once B has looked, the runner does nothing for A any more.
+    # Once B has polled the runner, the runner rejects requests of A.
     if state['crashed'] or state['b_polled']:
         return
     if state['task'] == 'done':
         steps.step('A sees the end', a_saw_end=True)
     elif not only_listed_ends:
-        steps.step('A takes a task that must soon be done for done', a_saw_end=True)
+        steps.step('A assumes the end of a task that still runs', a_saw_end=True)
 
 
 def _former_owner_reports(
@@ -88,7 +89,7 @@
 ) -> None:
     state = steps.state
     if not state['b_claimed']:
-        steps.step('the store takes the end', end_stored=True)
+        steps.step('the end is stored', end_stored=True)
     for peer in PEERS:
         if state[f'queried_{peer}'] != 'asked' or not peers_fence_former:
             steps.step(
@@ -98,7 +99,7 @@
                 shown_to_client=True,
             )
     if state['end_stored'] or not tells_peer_first:
-        steps.step('A shows that it is done', shown_to_client=True)
+        steps.step('A reports the end to a client', shown_to_client=True)
     if (
         (state['end_stored'] or not stores_before_ack)
         and not state['crashed']
@@ -117,7 +118,7 @@
     if not state['b_polled']:
         lists_end = state['task'] == 'done' and not state['crashed']
         steps.step(
-            'B looks at the runner', b_polled=True, b_knows_end=state['b_knows_end'] or lists_end
+            'B polls the runner', b_polled=True, b_knows_end=state['b_knows_end'] or lists_end
         )
     running = state['task'] == 'runs' and not state['crashed']
     all_queried = all(state[f'queried_{peer}'] != 'unasked' for peer in PEERS)
@@ -127,10 +128,10 @@
 
 
 def is_never_retracted(state: dict) -> bool:
-    """What was shown does not start again, whichever hosts are killed.
+    """A task that was reported as done is not started again, whichever hosts are killed.
 
-    The word is lost only with the runner that listed the end, and with all hosts that had
-    been told of it and were in reach of the new owner.
+    The exception: the runner that listed the end is lost, and so are all hosts that had been
+    told of the end and were reachable by the new owner.
     """
     if not (state['shown_to_client'] and state['restarted']):
         return True
@@ -139,7 +140,7 @@
 
 
 def shows_only_ended_tasks(state: dict) -> bool:
-    """What is shown has happened."""
+    """Only tasks that have ended are reported as done."""
     return not state['shown_to_client'] or state['task'] != 'runs'
 
 
--- a/spec/crashes.py
+++ b/spec/crashes.py
@@ -1,17 +1,17 @@
-"""A task crashes each runner that starts it, while its owners are lost one after the other.
+"""A task crashes each runner that starts it, while owners of the cell are lost in turn.
 
-A start may also be lost in a cut, where the runner lives and its entry stays. Appends of an
-owner that is lost may have landed or not: it is lost before or after each of them. Only one
-start is under way at a time, as everywhere.
+A start may also be lost in a network cut; then the runner survives and stays registered. The
+last append of a lost owner may have been stored or not: the owner is lost before or after
+each append. Only one start of a task is in progress at a time, as in the implementation.
 """
 
 from spec._model import Spec, Steps
 
-#: Crashes that the owner counts before it gives the task up.
+#: Counted crashes after which the owner gives the task up.
 GIVE_UP_LIMIT = 3
-#: Starts that may crash a runner at the most: three, and two more.
+#: Most runners that one task may crash: GIVE_UP_LIMIT, and two more.
 MAX_CRASHES = 5
-#: Crashes without which no task may be given up.
+#: Fewest crashes after which a task may be given up.
 MIN_CRASHES = 2
 MAX_KILLS = 3
 MAX_CUTS = 2
@@ -20,8 +20,8 @@
     'owner_alive': True,
     'kills_left': MAX_KILLS,
     'cuts_left': MAX_CUTS,
-    #: The number of the latest start, and where it stands: ``idle``, ``storing``,
-    #: ``ready``, ``sent``, ``crashed`` or ``cut``.
+    #: The number of the latest run, and its phase: ``idle``, ``storing``, ``ready``,
+    #: ``sent``, ``crashed`` or ``cut``.
     'run': 0,
     'phase': 'idle',
     'crashes': 0,
@@ -29,16 +29,17 @@
     'crashed_run': 0,
     'crash_learned': True,
     'crashes_counted': 0,
-    #: The last run that was counted: an end is learned by several looks.
+    #: The last run whose crash was counted; several polls may report the same end.
     'last_counted_run': 0,
     'count_incomplete': False,
     'given_up': False,
-    #: What the store has of the four: of the first one, by the runners that it names.
+    #: Stored copies of crash_learned (the last crashed run whose runner the store no longer
+    #: names), crashes_counted, last_counted_run and count_incomplete.
     'stored_learned': 0,
     'stored_count': 0,
     'stored_last_run': 0,
     'stored_incomplete': False,
-    #: The start that stands in the store.
+    #: The run whose start is in the store, 0 for none.
     'stored_run': 0,
 }
 
@@ -53,7 +54,7 @@
     counts_once_per_run: bool = True,
     requires_proof: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     _runner(steps)
     if not state['owner_alive']:
@@ -82,7 +83,7 @@
 
 
 def _store(steps: Steps, stores_counts_with_runners: bool) -> None:
-    """A heartbeat names the runners that are attended to, and has what else is news."""
+    """A heartbeat stores the runners that the owner polls, and the counts that changed."""
     state = steps.state
     counts = {
         'stored_count': state['crashes_counted'],
@@ -121,22 +122,22 @@
 def _learn(
     steps: Steps, counts_crashes: bool, counts_once_per_run: bool, requires_proof: bool
 ) -> None:
-    """Another life answers at the address, or the leases on a silent runner run out."""
+    """A new incarnation answers at the address, or the leases on a silent runner expire."""
     state = steps.state
     if state['phase'] == 'crashed':
         counted = _count(state, state['run'], counts_once_per_run) if counts_crashes else {}
-        steps.step('another life answers', phase='idle', crash_learned=True, **counted)
+        steps.step('a new incarnation answers', phase='idle', crash_learned=True, **counted)
         if not counts_once_per_run:
-            steps.step('another life answers, to one look of several', **counted)
+            steps.step('a new incarnation answers one of several polls', **counted)
     if state['phase'] == 'cut':
         counted = {} if requires_proof else _count(state, state['run'], counts_once_per_run)
-        steps.step('the leases run out', phase='idle', **counted)
+        steps.step('the leases expire', phase='idle', **counted)
 
 
 def _take_over(
     steps: Steps, marks_incomplete: bool, counts_once_per_run: bool, requires_proof: bool
 ) -> None:
-    """The successor knows what the store tells, and looks at the runners that it names."""
+    """The successor restores the state from the store, and polls the runners named there."""
     state = steps.state
     if state['phase'] == 'sent':
         return
@@ -170,12 +171,12 @@
 
 
 def limits_crashes(state: dict) -> bool:
-    """No task crashes more runners than may be."""
+    """No task crashes more than MAX_CRASHES runners."""
     return state['crashes'] <= MAX_CRASHES
 
 
 def gives_up_only_after_crashes(state: dict) -> bool:
-    """Only a task under which two runners have crashed is given up."""
+    """A task is given up only after at least MIN_CRASHES crashes of runners."""
     return not state['given_up'] or state['crashes'] >= MIN_CRASHES
 
 
--- a/spec/escrow.py
+++ b/spec/escrow.py
@@ -1,12 +1,15 @@
-"""Two zones share a quota of 4 parts; one gives a part, its record may land late."""
+"""Two zones share a quota of 4 parts; one gives parts to the other by records in the log.
+
+An append may be delayed, and its reply may be lost although the record is in the log.
+"""
 
 from spec._model import Spec, Steps
 
 QUOTA_PARTS = 4
 
 INITIAL = {
-    'giver_share': 3,  # the giver's part by its own reading of the log
-    'giver_promised': 0,  # promised away, not yet read back
+    'giver_share': 3,  # the giver's share according to the log as far as it has read it
+    'giver_promised': 0,  # parts given away but not yet read back from the log
     'taker_share': 1,
     'moves_in_log': 0,  # parts moved by records in the log
     'giver_read': 0,
@@ -20,21 +23,21 @@
 def add_steps(
     steps: Steps, *, gives_before_append: bool = True, counts_unknown_outcome: bool = True
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     usable = state['giver_share'] - state['giver_promised']
     if usable > state['giver_used'] and not state['append_pending']:
         promised = state['giver_promised'] + 1 if gives_before_append else state['giver_promised']
-        steps.step('the giver writes a move', append_pending=1, giver_promised=promised)
+        steps.step('the giver appends a move', append_pending=1, giver_promised=promised)
     if state['append_pending']:
-        steps.step('the move lands', append_pending=0, moves_in_log=state['moves_in_log'] + 1)
+        steps.step('the move is appended', append_pending=0, moves_in_log=state['moves_in_log'] + 1)
         still_promised = (
             state['giver_promised']
             if counts_unknown_outcome
             else max(0, state['giver_promised'] - 1)
         )
         steps.step(
-            'the answer is lost, it lands',
+            'the move is appended, the reply is lost',
             append_pending=0,
             moves_in_log=state['moves_in_log'] + 1,
             giver_promised=still_promised,
--- a/spec/incarnations.py
+++ b/spec/incarnations.py
@@ -1,10 +1,11 @@
-"""A runner restarts under its id while a task is started on it, ends, and its owner is lost.
-
-Processes are numbered in the order in which they start; each numbers its ends from 1. The first
-one has listed and forgotten an end of another task before. A connection reaches one process and
-ends with it. The entry may be of an earlier process, as heartbeats land late, or of one that
-never was, as others write there too. B takes over from A once, and knows what the store tells:
-the incarnation on which A may have started the task.
+"""A runner restarts under the same id while a task starts and ends on it and its owner is lost.
+
+Processes (incarnations) of the runner are numbered in the order in which they start; each
+numbers its ended runs from 1. The first process has already listed and forgotten an end of
+another task. A connection reaches one process and closes with it. The registration may come
+from an earlier process, as heartbeats may be delayed, or from one that never existed, as
+others write there too. B takes over from A once, and knows from the store the incarnation on
+which A may have started the task.
 """
 
 from spec._model import Spec, Steps
@@ -12,25 +13,27 @@
 PROCESSES = 3
 
 INITIAL = {
-    #: The process that runs now, and what it has of the task: ``none``, ``runs``, ``listed``
-    #: or ``forgotten``.
+    #: The current process, and the task there: ``none``, ``runs``, ``listed`` (as ended) or
+    #: ``forgotten``.
     'process': 1,
     'task': 'none',
-    #: What the newest entry tells.
+    #: The process that the latest registration names.
     'entry_process': 1,
-    #: The owner: the incarnation that it knows, the process that its connection reaches (0
-    #: for none), the last end that it noted, and what it believes of the task.
+    #: The owner: the process that it knows, the process that its connection reaches (0 for
+    #: none), the number of the last end that it noted, its view of the task (``waiting``,
+    #: ``held`` or ``done``), the process on which it holds the task, and who the owner is.
     'known_process': 1,
     'connected_process': 0,
     'last_noted_end': 1,
     'owner_view': 'waiting',
     'held_on': 0,
     'owner': 'A',
-    #: The incarnation that has not been seen yet, 0 for none.
+    #: The process on which the former owner may have started the task and which the owner has
+    #: not polled yet, 0 for none.
     'unseen_process': 0,
-    #: Whether a start broke a rule: beside a run, or behind an end that was forgotten.
+    #: Whether the task was started while it ran, or after an end that was listed or forgotten.
     'started_twice': False,
-    #: Whether an end was forgotten that nobody has noted.
+    #: Whether the runner has forgotten an end that no owner has noted.
     'end_lost': False,
 }
 
@@ -44,7 +47,7 @@
     proves_in_order: bool = True,
     waits_for_unseen: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     _runner(steps)
     _registrations(steps, counts_by_incarnation)
@@ -59,7 +62,7 @@
         and state['unseen_process']
         and state['known_process'] > state['unseen_process']
     ):
-        steps.step('a later entry is read', unseen_process=0)
+        steps.step('a later registration is read', unseen_process=0)
 
 
 def _runner(steps: Steps) -> None:
@@ -76,12 +79,12 @@
     state = steps.state
     for process in range(1, PROCESSES + 1):
         if process != state['entry_process']:
-            steps.step(f'an entry of process {process} lands', entry_process=process)
+            steps.step(f'a registration of process {process} is stored', entry_process=process)
     if state['entry_process'] == state['known_process']:
         return
     reset = {'last_noted_end': 0} if counts_by_incarnation else {}
     steps.step(
-        'the owner reads the entry',
+        'the owner reads the registration',
         known_process=state['entry_process'],
         connected_process=0,
         **reset,
@@ -89,7 +92,7 @@
 
 
 def _connect(steps: Steps, checks_connection: bool, proves_in_order: bool) -> None:
-    """Open a connection; what is at its end is asked before anything else is sent."""
+    """Open a connection; the process there is identified before anything else is sent."""
     state = steps.state
     reached = state['process']
     if reached == state['known_process'] or not checks_connection:
@@ -122,7 +125,7 @@
 
 
 def _poll(steps: Steps) -> None:
-    """A look acknowledges what was noted, and lists the rest."""
+    """A poll acknowledges the ends that were noted, and returns the others."""
     state = steps.state
     number = 2 if state['process'] == 1 else 1
     task = state['task']
@@ -137,7 +140,7 @@
         changes.update(owner_view='held', held_on=state['known_process'])
     elif task in {'none', 'forgotten'} and state['held_on'] == state['known_process']:
         changes.update(owner_view='waiting', held_on=0)
-    steps.step('the owner looks', task=task, end_lost=unread, **changes)
+    steps.step('the owner polls the runner', task=task, end_lost=unread, **changes)
 
 
 def _take_over(steps: Steps) -> None:
@@ -157,7 +160,7 @@
 
 
 def never_twice(state: dict) -> bool:
-    """No start beside a run, and none behind an end that its runner lists or has forgotten."""
+    """No start while the task runs, nor after an end that its runner lists or has forgotten."""
     return not state['started_twice']
 
 
--- a/spec/joining.py
+++ b/spec/joining.py
@@ -1,7 +1,8 @@
-"""A newcomer N joins a zone of owner O and member M while O has lost the log.
+"""A new member N joins a zone with owner O and member M while O is cut off from the log.
 
-O acts on promises alone: of M, and of N once it knows N. N may claim only
-when both have named it in their views.
+O acts only on promises of the members that they do not claim the worker: those of M, and of
+N once O knows N. N may claim only after both have named it in their membership views.
+A worker has room for CAPACITY tasks; without fresh promises O starts up to half of that.
 """
 
 from spec._model import Spec, Steps
@@ -12,15 +13,15 @@
 HALF_CAPACITY = 1
 
 INITIAL = {
-    'age_m': 0,
+    'age_m': 0,  # ticks since the last promise of M, and of N, to O
     'age_n': AUTHORITY_TICKS,
-    'o_knows': False,
+    'o_knows': False,  # O, or M, knows that N is a member
     'm_knows': False,
-    'acked_o': False,
+    'acked_o': False,  # N has heard that O, or M, names it
     'acked_m': False,
     'n_joined': False,
-    'n_claim_age': 0,
-    'n_promise_age': WAIT_TICKS,
+    'n_claim_age': 0,  # ticks since N's claim, 0 without one
+    'n_promise_age': WAIT_TICKS,  # ticks since N made a promise
     'link_om': True,
     'link_on': True,
     'link_mn': True,
@@ -36,7 +37,7 @@
     views_are_forwarded: bool = True,
     known_must_promise: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     for link in ('link_om', 'link_on', 'link_mn'):
         steps.step(f'toggle {link}', **{link: not state[link]})
@@ -54,7 +55,7 @@
 def _messages(steps: Steps, views_are_forwarded: bool) -> None:
     state = steps.state
     if not state['n_joined']:
-        steps.step('N writes its join')
+        steps.step('N appends its join')
         steps.step('N joins', n_joined=True)
     if state['link_om']:
         learns_of_n = state['o_knows'] or (state['m_knows'] and views_are_forwarded)
@@ -91,7 +92,7 @@
 
 
 def fits(state: dict) -> bool:
-    """The worker is never given more than it has."""
+    """The worker is never allocated more than its capacity."""
     return state['owner_runs'] + state['newcomer_runs'] <= CAPACITY
 
 
--- a/spec/ownership.py
+++ b/spec/ownership.py
@@ -1,7 +1,8 @@
-"""One worker with room for two: its owner O, a claimant P, the log.
+"""Ownership of one worker that can run two tasks: its owner O, a claimant P, and the log.
 
-Covers cuts, pauses, late answers of the log, clock drift, a crash, its proof,
-yielding and release. Ages are in ticks and stop growing at their cap.
+Covers network cuts, pauses, late replies of the log, clock drift, a crash, the proof that the
+owner has ended, yielding and release. While its authority is fresh O may use the whole worker,
+otherwise half of it. Ages are in ticks and are capped.
 """
 
 from spec._model import Spec, Steps
@@ -15,24 +16,24 @@
 NO_READ = -1
 
 INITIAL = {
-    'log_age': 0,
-    'promise_age': 0,
-    'pending_read_age': NO_READ,  # age of a log read under way that saw no claim
-    'lost_ticks_left': 1,  # ticks that O's clock may still lose
+    'log_age': 0,  # ticks since O's latest evidence from the log that there is no claim
+    'promise_age': 0,  # ticks since P's last promise to O, by O's clock
+    'pending_read_age': NO_READ,  # age of a log read in progress that saw no claim
+    'lost_ticks_left': 1,  # ticks by which O's clock may still fall behind
     'claim_seen': False,
     'yielded': False,
     'released': False,
     'paused': False,
     'dead': False,
-    'checked_early': False,  # only for the mutant that checks early
-    'start_ticks_left': 0,
+    'checked_early': False,  # used only by the mutant that checks its authority early
+    'start_ticks_left': 0,  # of a start order on its way to the worker
     'owner_runs': 0,
     'claimant_runs': 0,
-    'claim_age': 0,
-    'promised_age': 0,
-    'proof_age': 0,
+    'claim_age': 0,  # ticks since P's claim, 0 without one
+    'promised_age': 0,  # ticks since P's last promise, by P's clock
+    'proof_age': 0,  # ticks since P has proof that O has ended, 0 without
     'log_up': True,
-    'members_up': True,
+    'members_up': True,  # O and P reach each other
 }
 
 
@@ -50,7 +51,7 @@
     yield_when_idle: bool = True,
     drift: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     _environment(steps, wait, drift)
     if not state['paused'] and not state['dead'] and not state['released']:
@@ -72,7 +73,7 @@
     if not state['dead']:
         steps.step('pause or resume', paused=not state['paused'])
         steps.step('O dies', dead=True, pending_read_age=NO_READ, checked_early=False)
-    if state['start_ticks_left'] == 1:  # a start under way ends within FLIGHT
+    if state['start_ticks_left'] == 1:  # a pending start arrives or is lost within FLIGHT_TICKS
         return
     ages = {
         'start_ticks_left': max(state['start_ticks_left'] - 1, 0),
@@ -89,7 +90,7 @@
     }
     steps.step('tick', **ages, **owner_ages)
     if drift and state['lost_ticks_left']:
-        steps.step("tick that O's clock loses", lost_ticks_left=0, **ages)
+        steps.step("tick that O's clock misses", lost_ticks_left=0, **ages)
 
 
 def _owner(
@@ -159,7 +160,7 @@
     owner_is_done = proven or released or state['yielded'] or not full_needs_proof
     limit = CAPACITY if owner_is_done or not claimant_half else HALF_CAPACITY
     has_capacity = state['owner_runs'] + state['claimant_runs'] < CAPACITY
-    # What O may still start by its half stays free for it until it is settled.
+    # Until O is known to have stopped, the half that it may still use stays reserved for it.
     if not owner_is_done:
         has_capacity = max(state['owner_runs'], HALF_CAPACITY) + state['claimant_runs'] < CAPACITY
     if has_capacity and state['claimant_runs'] < limit:
@@ -167,7 +168,7 @@
 
 
 def fits(state: dict) -> bool:
-    """The worker is never given more than it has."""
+    """The worker is never allocated more than its capacity."""
     return state['owner_runs'] + state['claimant_runs'] <= CAPACITY
 
 
--- a/spec/publication.py
+++ b/spec/publication.py
@@ -1,24 +1,25 @@
-"""A contract version is published in a cell of members X and Y; Y may be cut off.
+"""A contract version is published to members X and Y of a cell; Y may be cut off.
 
-The old version allows 2, the new one 1, then a third allows 2 again. Nobody may
-act on a version while another member could still act against it.
+No member may act on a version while another member could still act against it. A member that
+has staged a new version enforces the stricter of both until it learns the outcome. Version 1, the
+old one, allows 2, and version 2, the proposed one, 1; a third would allow 2 again.
 """
 
 from spec._model import Spec, Steps
 
 INITIAL = {
-    'outcome': '',  # by the log: '', committed, aborted
+    'outcome': '',  # according to the log: '', committed, aborted
     'proposed': False,
     'staged_x': False,
     'staged_y': False,
     'x_reads': 0,  # 0: old; 1: proposal read; 2: outcome read
     'y_reads': 0,
-    'x_version': 1,
+    'x_version': 1,  # the version in force at X, and at Y
     'y_version': 1,
     'y_log_up': True,
     'peers_up': True,
-    'y_ended': False,
-    'highest_y': 1,
+    'y_ended': False,  # Y is no longer a member
+    'highest_y': 1,  # the highest version that was ever in force at Y
     'reset': False,
 }
 
@@ -32,7 +33,7 @@
     versions_only_grow: bool = True,
     enforces_both_when_staged: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     steps.step("toggle Y's log", y_log_up=not state['y_log_up'])
     steps.step('toggle peers', peers_up=not state['peers_up'])
@@ -66,7 +67,7 @@
         all_staged = state['staged_x']
     may_decide = not state['outcome'] or not first_outcome_wins
     if may_decide and all_staged:
-        steps.step('the last stage stands in the log', outcome='committed')
+        steps.step('the last staging is in the log: commit', outcome='committed')
     if may_decide and not (all_staged and first_outcome_wins):
         steps.step('the deadline passes: abort', outcome='aborted')
 
@@ -90,25 +91,25 @@
         not peers_forward_only_committed and state['x_reads'] >= 1
     )
     if state['peers_up'] and may_forward and state['y_version'] < 2:
-        steps.step('a peer tells Y', y_version=2, highest_y=2)
+        steps.step('a peer forwards the version to Y', y_version=2, highest_y=2)
     if state['y_version'] == 2 and not versions_only_grow:
         steps.step("Y's log is truncated and read again", y_version=1)
 
 
 def never_reverts(state: dict) -> bool:
-    """No member goes back to an older version."""
+    """No member returns to an older version."""
     return state['y_ended'] or state['y_version'] >= state['highest_y']
 
 
 def all_or_nothing(state: dict) -> bool:
-    """While X acts on the new version, Y knows at least of it and keeps to both."""
+    """While X acts on the new version, Y has at least read its proposal and enforces both."""
     if state['x_version'] != 2 or state['y_ended']:
         return True
     return state['y_reads'] >= 1 or state['y_version'] == 2
 
 
 def only_committed(state: dict) -> bool:
-    """Nobody acts on a version that was aborted."""
+    """No member acts on a version that was not committed."""
     if state['outcome'] == 'committed':
         return True
     return state['x_version'] == 1 and state['y_version'] == 1
--- a/spec/quotas.py
+++ b/spec/quotas.py
@@ -1,8 +1,9 @@
-"""A quota of two tasks, then one, for one account: two runners, an owner and its successor.
+"""Quota of one client account, with two tasks, two runners, an owner and its successor.
 
-Owners are killed with starts on their way, which are carried out late or lost; answers are
-lost; a runner is out of reach; tasks are cancelled; the quota is lowered to one task. A start
-breaks the quota if more may be at work with it than the quota that is in force allows.
+Owners are killed while start orders are on their way, which are carried out late or lost;
+replies are lost; runner 2 becomes unreachable; tasks are cancelled; the quota is lowered from
+two tasks to one. A start violates the quota if with it more tasks may be running than the
+quota in force allows.
 """
 
 from spec._model import Spec, Steps
@@ -12,13 +13,15 @@
 MAX_OWNERS = 2
 QUOTA = 2
 
-#: Of each task: where it is (``at``), which owner sent it there, how the owner at work counts
-#: it, on which runner the store says that it may be, and where the store says that runs of it
-#: were left when it was cancelled.
+#: Of each task: its phase and runner (``at``: ``idle``, ``sent N``, ``runs N``, ``ended N`` or
+#: ``done``); the owner that sent it there; how the current owner counts it (``no``, ``start``
+#: or ``stop``); the runner on which it may be according to the store; and the runner on which
+#: the store says that a run was left over when the task was cancelled.
+#: Of each runner: whether the current owner has polled it, and the owner's epoch that it obeys.
 INITIAL = {
     'owner': 1,
     'owner_alive': True,
-    'quota': QUOTA,
+    'quota': QUOTA,  # the quota in force
     'quota_exceeded': False,
     'runner_2_reachable': True,
     **{f'seen_{runner}': True for runner in RUNNERS},
@@ -43,11 +46,14 @@
     leaves_unseen: bool = True,
     uses_quota_in_force: bool = True,
 ) -> None:
-    """Add all steps from one state; each argument weakens one guard."""
+    """Add all transitions from one state; each guard can be switched off."""
     state = steps.state
     if state['quota'] == QUOTA:
         steps.step('the quota is lowered', quota=1)
-    steps.step('the way to runner 2 changes', runner_2_reachable=not state['runner_2_reachable'])
+    steps.step(
+        'runner 2 becomes reachable or unreachable',
+        runner_2_reachable=not state['runner_2_reachable'],
+    )
     if state['owner_alive'] and state['owner'] < MAX_OWNERS:
         steps.step('the owner is killed', owner_alive=False)
     if not state['owner_alive']:
@@ -70,7 +76,7 @@
 
 
 def _count(state: dict, counts_unseen: bool, counts_leftovers: bool) -> int:
-    """Return how many tasks the owner takes to be at work, or to be so perhaps."""
+    """Return how many tasks are running, or may be, in the view of the owner."""
     count = 0
     for task in TASKS:
         stored, leftover = state[f'stored_{task}'], state[f'leftover_{task}']
@@ -97,7 +103,7 @@
 
 
 def _runner(steps: Steps, task: int) -> None:
-    """A start is carried out or lost, a run ends."""
+    """A start is carried out or lost, or a run ends."""
     state = steps.state
     phase, _, location = state[f'at_{task}'].partition(' ')
     if phase == 'sent':
@@ -111,7 +117,7 @@
 
 
 def _start(steps: Steps, task: int) -> None:
-    """The owner starts a task that waits, on a runner that it has seen."""
+    """The owner starts a waiting task on a runner that it has polled."""
     state = steps.state
     stored = state[f'stored_{task}']
     blocked = stored and not state[f'seen_{stored}']
@@ -141,14 +147,14 @@
 
 
 def _stop(steps: Steps, task: int) -> None:
-    """A runner takes a stop: the run ends, and a start that comes later is refused."""
+    """A runner carries out a stop: the run ends, and a start that arrives later is refused."""
     state = steps.state
     phase, _, location = state[f'at_{task}'].partition(' ')
     if state[f'owner_view_{task}'] != 'stop' or phase not in {'sent', 'runs'}:
         return
     if location == '1' or state['runner_2_reachable']:
         after = 'idle' if phase == 'sent' else f'ended {location}'
-        steps.step(f'stop {task} is taken', **{f'at_{task}': after})
+        steps.step(f'stop {task} is carried out', **{f'at_{task}': after})
 
 
 def _cancel(
@@ -176,7 +182,7 @@
 
 
 def _poll(steps: Steps, runner: int) -> None:
-    """The owner learns what a runner has; what it does not have is not there any more."""
+    """The owner polls a runner; a run that the runner does not list is not there."""
     state = steps.state
     changes: dict = {f'seen_{runner}': True, f'fence_{runner}': state['owner']}
     for task in TASKS:
@@ -195,11 +201,11 @@
             changes[f'owner_view_{task}'] = 'no'
         elif phase in {'idle', 'done'} and state[f'stored_{task}'] == runner:
             changes[f'owner_view_{task}'] = 'no'
-    steps.step(f'a look at {runner}', **changes)
+    steps.step(f'the owner polls runner {runner}', **changes)
 
 
 def within_quota(state: dict) -> bool:
-    """No start brings the account over the quota in force."""
+    """No start takes the account over the quota in force."""
     return not state['quota_exceeded']
 
 
--- a/spec/run.py
+++ b/spec/run.py
@@ -1,4 +1,4 @@
-"""Checks all specifications and their mutants: ``make spec``."""
+"""Checks all models and their mutants: ``make spec``; ``--traces`` prints counterexamples."""
 
 import sys
 
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Return 0 when every design holds and every mutant is killed."""
+    """Return 0 if every model holds and every mutant is killed."""
     problems = []
     for spec in SPECS:
         problems.extend(check(spec, show_traces='--traces' in sys.argv))
