--- a/bench/demo.py
+++ b/bench/demo.py
@@ -43,7 +43,9 @@
         f'in force on all {len(names)} daemons: {in_force}, {time.monotonic() - began:.3f} s'
     )
     for name in names:
-        response = cell.callers(name, 'POST', '/v1/services/booking/echo', b'pass 4711', HEADERS)
+        response = cell.request_as_caller(
+            name, 'POST', '/v1/services/booking/echo', b'pass 4711', HEADERS
+        )
         verdict = response.headers.get('dandelionreel-verdict')
         print_line(
             f'entry check by {name}: {response.status}, verdict {verdict}, {response.body!r}'
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -22,17 +22,17 @@
 
 from bench.soak_accounts import Key, SoakAccounts
 from standins import (
-    ANYONE,
+    ANY_NAME,
     Cut,
     Cuts,
     EntryHosts,
     PlatformRunner,
     Reply,
     UsersPlatform,
-    crashes_by_task,
-    doubled_runs,
-    overfull,
-    started_over,
+    count_crashes_by_task,
+    find_duplicate_runs,
+    find_overallocated_runners,
+    find_starts_over_capacity,
     wait_for,
 )
 
@@ -104,12 +104,12 @@
         self._seed = seed
         self._random = random.Random(seed)
         self._seconds = seconds
-        self._platform = UsersPlatform(runners, seed, tells_incarnation=restarts)
+        self._platform = UsersPlatform(runners, seed, reports_incarnation=restarts)
         self._hosts = EntryHosts(self._platform, hosts, block=2 + seed % 200)
         for name in self._hosts.names:
-            self._platform.relay(f'store-{name}', 'store')
+            self._platform.add_relay(f'store-{name}', 'store')
         for runner in self._platform.runners:
-            self._platform.relay(f'relay-{runner.name}', runner.name)
+            self._platform.add_relay(f'relay-{runner.name}', runner.name)
         self._links = [f'store-{name}' for name in self._hosts.names]
         self._links += [f'relay-{runner.name}' for runner in self._platform.runners]
         self._has_accounts = accounts
@@ -247,7 +247,7 @@
         while not self._stopping.wait(rng.uniform(*FAULT_GAP)):
             runner = rng.choice(self._platform.runners)
             with self._lock:
-                if runner.dark:
+                if runner.is_down:
                     continue
                 runner.resize(rng.choice(RUNNER_CPUS))
                 self._platform.register(runner)
@@ -304,7 +304,7 @@
 
     def _cut_link(self, seconds: float) -> None:
         link = self._random.choice(self._links)
-        directions = [Cut(ANYONE, link), Cut(link, ANYONE)]
+        directions = [Cut(ANY_NAME, link), Cut(link, ANY_NAME)]
         cuts = self._random.choice((directions, directions[:1], directions[1:]))
         self._change_cuts(cuts, add=True)
         self._schedule(seconds, self._change_cuts, cuts)
@@ -316,23 +316,23 @@
                     self._cuts.append(cut)
                 else:
                     self._cuts.remove(cut)
-            self._platform.wire.replace(Cuts(tuple(self._cuts)))
+            self._platform.link_faults.replace(Cuts(tuple(self._cuts)))
 
     def _crash_runner(self, seconds: float) -> None:
         runner = self._random.choice(self._platform.runners)
-        if not runner.dark:
+        if not runner.is_down:
             runner.crash()
             self._schedule(seconds, self._restart_runner, runner)
 
     def _restart_runner(self, runner: PlatformRunner) -> None:
         with self._lock:
-            if runner.tells_incarnation:
-                runner.revive()
+            if runner.reports_incarnation:
+                runner.restart()
                 self._platform.register(runner)
                 return
             self._runner_restarts += 1
             self._platform.store.put('keyed.servers', runner.name, None)
-            runner.revive(f'i-again-{self._runner_restarts}')
+            runner.restart(f'i-again-{self._runner_restarts}')
             self._platform.register(runner)
 
     def _heal(self) -> None:
@@ -354,14 +354,18 @@
             except TimeoutError:
                 if record.accepted:
                     violations.append(f'{record.path} was accepted but has not ended')
-        runs = self._platform.settle()
-        violations.extend(f'{task} ran twice' for task in doubled_runs(runs))
-        violations.extend(f'{runner} was overallocated' for runner in overfull(runs))
-        starts_over_capacity = started_over(runs, self._platform.rooms_by_name)
+        runs = self._platform.collect_runs()
+        violations.extend(f'{task} ran twice' for task in find_duplicate_runs(runs))
+        violations.extend(
+            f'{runner} was overallocated' for runner in find_overallocated_runners(runs)
+        )
+        starts_over_capacity = find_starts_over_capacity(
+            runs, self._platform.capacity_changes_by_name
+        )
         violations.extend(
             f'{start} was started over the capacity of its runner' for start in starts_over_capacity
         )
-        crashes = crashes_by_task(runs)
+        crashes = count_crashes_by_task(runs)
         for task, count in crashes.items():
             if count > MAX_CRASHES and self._crashes_runners(task):
                 violations.append(f'{task} crashed {count} runners')
@@ -382,7 +386,9 @@
                 violations.append(f'{record.path} was refused but ran')
             # An end that the runner lost in a crash (unread) may have been noted by the owner.
             done = {
-                run.task for run in runs if run.how in DONE_OUTCOMES and run.task.startswith(job)
+                run.task
+                for run in runs
+                if run.outcome in DONE_OUTCOMES and run.task.startswith(job)
             }
             # The end of one task counts for its whole gang.
             expected = 1 if record.gang else record.tasks
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -25,10 +25,10 @@
 from standins import (
     Cluster,
     Layout,
-    over_filled,
-    over_slots,
-    overlapping,
-    repeated,
+    find_overallocated_workers,
+    find_overlapping_runs,
+    find_overloaded_runners,
+    find_repeated_starts,
     requests_by_mark,
     wait_until,
 )
@@ -73,7 +73,7 @@
         self.seconds = seconds
         self.tally = Tally()
         self.stopping = Event()
-        layout = Layout(ZONES, daemons, 2, 2, cuttable=True)
+        layout = Layout(ZONES, daemons, 2, 2, has_relays=True)
         self.cell = Cluster(layout)
         self.version = 1
         self.down_daemons: set[str] = set()
@@ -119,7 +119,7 @@
         record = RequestRecord(os.urandom(8).hex(), os.urandom(200), rng.random() < 0.6)
         with self.tally.lock:
             self.tally.requests.append(record)
-        reply = self.cell.callers(
+        reply = self.cell.request_as_caller(
             name,
             'POST',
             f'/v1/services/booking/echo?seconds={rng.choice((0.01, 0.05, 0.4))}',
@@ -308,7 +308,7 @@
             msgspec.structs.replace(host, state='leaving') if host.name == leaving else host
             for host in self.cell.hosts
         ]
-        self.cell.list_hosts(hosts)
+        self.cell.replace_hosts(hosts)
 
     def publish(self) -> None:
         """Publish the next contract version through a random daemon."""
@@ -397,13 +397,17 @@
         endpoints = self.cell.records('endpoint')
         runs = [run for record in workers for run in record['runs']]
         at_most_once = {name for name, is_at_most_once in tally.accepted.items() if is_at_most_once}
-        tally.violations.extend(f'worker overallocated: {item}' for item in over_filled(workers))
         tally.violations.extend(
-            f'endpoint over its slots: {item}' for item in over_slots(endpoints)
+            f'worker overallocated: {item}' for item in find_overallocated_workers(workers)
         )
-        tally.violations.extend(f'ran in two places: {item}' for item in overlapping(runs))
         tally.violations.extend(
-            f'started more than once: {item}' for item in repeated(runs, at_most_once)
+            f'endpoint over its slots: {item}' for item in find_overloaded_runners(endpoints)
+        )
+        tally.violations.extend(
+            f'ran in two places: {item}' for item in find_overlapping_runs(runs)
+        )
+        tally.violations.extend(
+            f'started more than once: {item}' for item in find_repeated_starts(runs, at_most_once)
         )
         tally.violations.extend(self.check_requests(requests_by_mark(endpoints)))
         self.starts = len(runs)
--- a/bench/soak_accounts.py
+++ b/bench/soak_accounts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from threading import Event, Lock
 
-from standins import AccountRow, EntryHosts, UsersPlatform, started_over_quota, wait_for
+from standins import AccountRow, EntryHosts, UsersPlatform, find_starts_over_quota, wait_for
 
 ACCOUNT_NAMES = ('blue', 'red', 'green')
 #: Quotas that an account may get, in thousandths of a core; 0 means no limit.
@@ -101,8 +101,8 @@
                     )
                 except TimeoutError:
                     violations.append(f'the key {key.text} does not get status {expected_status}')
-        runs = self._platform.settle()
-        starts_over_quota = started_over_quota(runs, self.account_by_job, self._platform.quotas)
+        runs = self._platform.collect_runs()
+        starts_over_quota = find_starts_over_quota(runs, self.account_by_job, self._platform.quotas)
         violations.extend(f'over its quota: {start}' for start in starts_over_quota)
         return violations
 
--- a/dandelionreel/backing/_resources.py
+++ b/dandelionreel/backing/_resources.py
@@ -1,8 +1,8 @@
-"""What a task asks of a worker, and what a worker has."""
+"""Resource amounts: demands of tasks and capacities of workers."""
 
 from msgspec import Struct
 
-#: Room for rounding when fractions of processors are summed.
+#: Tolerance for rounding errors when fractions of processors are summed.
 EPSILON = 1e-6
 
 
@@ -37,16 +37,16 @@
             self.accelerators * factor,
         )
 
-    def fits(self, room: 'Resources') -> bool:
-        """Return whether this is within ``room`` in every dimension."""
+    def fits(self, capacity: 'Resources') -> bool:
+        """Return whether no dimension exceeds ``capacity``."""
         return (
-            self.processors <= room.processors + EPSILON
-            and self.memory_mb <= room.memory_mb + EPSILON
-            and self.accelerators <= room.accelerators + EPSILON
+            self.processors <= capacity.processors + EPSILON
+            and self.memory_mb <= capacity.memory_mb + EPSILON
+            and self.accelerators <= capacity.accelerators + EPSILON
         )
 
     def at_most(self, other: 'Resources') -> 'Resources':
-        """Return the smaller of both in each dimension."""
+        """Return the minimum of both in each dimension."""
         return Resources(
             min(self.processors, other.processors),
             min(self.memory_mb, other.memory_mb),
@@ -54,25 +54,25 @@
         )
 
     def at_least(self, other: 'Resources') -> 'Resources':
-        """Return the larger of both in each dimension."""
+        """Return the maximum of both in each dimension."""
         return Resources(
             max(self.processors, other.processors),
             max(self.memory_mb, other.memory_mb),
             max(self.accelerators, other.accelerators),
         )
 
-    def dominant_share(self, whole: 'Resources') -> float:
-        """Return the largest fraction of ``whole`` over the dimensions."""
+    def dominant_share(self, total: 'Resources') -> float:
+        """Return the largest fraction of ``total`` that any dimension takes up."""
         return max(
-            _fraction(self.processors, whole.processors),
-            _fraction(self.memory_mb, whole.memory_mb),
-            _fraction(self.accelerators, whole.accelerators),
+            _fraction(self.processors, total.processors),
+            _fraction(self.memory_mb, total.memory_mb),
+            _fraction(self.accelerators, total.accelerators),
         )
 
 
-def _fraction(part: float, whole: float) -> float:
-    if whole > 0:
-        return part / whole
+def _fraction(amount: float, total: float) -> float:
+    if total > 0:
+        return amount / total
     return 0
 
 
--- a/dandelionreel/cli/_daemon.py
+++ b/dandelionreel/cli/_daemon.py
@@ -7,7 +7,7 @@
 
 from dandelionreel import __version__
 from dandelionreel.daemon import Daemon
-from dandelionreel.http import use_source
+from dandelionreel.http import set_source_address
 from dandelionreel.kernel import (
     Environment,
     ExitStatus,
@@ -19,16 +19,16 @@
 PROGRAM = 'dandelionreeld'
 DESCRIPTION = (
     'Run one daemon of the scheduler until SIGTERM. The first SIGTERM drains: the '
-    'daemon turns unready, hands its shards over and finishes what is in flight. '
-    'A second one ends sooner.'
+    'daemon turns unready, hands its shards over and finishes requests in flight. '
+    'A second one skips the waiting.'
 )
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the daemon's one option.
+    """Return the parser of the daemon's options.
 
-    The tool's command line is by defopt. Importing that here would take 7 MB
-    of the daemon's 32 (docs/DEPENDENCIES.md).
+    It uses argparse, unlike the tool: importing defopt would take 7 MB of the
+    daemon's 32 MB (docs/DEPENDENCIES.md).
     """
     parser = argparse.ArgumentParser(prog=PROGRAM, description=DESCRIPTION)
     parser.add_argument('--version', action='version', version=f'{PROGRAM} {__version__}')
@@ -51,7 +51,7 @@
     path = make_parser().parse_args(argv).settings
     try:
         settings = load_settings(path.read_bytes())
-        use_source(settings.source_address)
+        set_source_address(settings.source_address)
         daemon = Daemon(settings, environment)
     except OSError as error:
         environment.tell_error(f'{path}: {error.strerror}; name a readable settings file')
--- a/dandelionreel/http/_server.py
+++ b/dandelionreel/http/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server: one task per connection, written straight down."""
+"""HTTP server with one task per connection."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """Bounds on one server: bytes, seconds and open connections."""
+    """Limits of a server: sizes in bytes, timeouts in seconds, open connections."""
 
     body_bytes: int = 1_048_576
     header_bytes: int = 16_384
@@ -33,54 +33,54 @@
 
 
 class BadMessage(Exception):
-    """What the caller sent is not a request that can be served."""
+    """The client sent an invalid request or one that exceeds a limit."""
 
     def __init__(self, status: int, cause: str, detail: str) -> None:
-        """Keep an HTTP status, a cause code and a sentence."""
+        """Set the HTTP status, the cause code and the error text."""
         super().__init__(detail)
         self.problem = Problem(Verdict.NOT_RUN, status, cause, detail)
 
 
 class CloseConnection(Exception):
-    """A handler gives no answer: the connection is closed instead."""
+    """Raised by a handler to close the connection without a response."""
 
 
-def _never() -> bool:
+def _never_draining() -> bool:
     return False
 
 
 class Server:
-    """Listens, reads whole requests and writes whole answers."""
+    """Reads complete requests and passes each to a handler that returns the response."""
 
     def __init__(
         self,
         handler: Handler,
         limits: ServerLimits | None = None,
-        leaves: Callable[[], bool] = _never,
+        is_draining: Callable[[], bool] = _never_draining,
     ) -> None:
-        """Serve every request by ``handler``.
+        """Call ``handler`` for every request.
 
-        While ``leaves()`` holds, each connection is closed after its current answer.
+        While ``is_draining()`` is true, each connection is closed after its current response.
         """
         self._handler = handler
-        self._leaves = leaves
+        self._is_draining = is_draining
         self._limits = limits or ServerLimits()
         self._open = 0
         self._closing = False
         self._tasks: set[Any] = set()
-        self.busy = 0
+        self.requests_in_progress = 0
         self.port = 0
 
     async def start(self, stack: AsyncExitStack, address: str, port: int) -> None:
-        """Bind at once and accept in the background until the stack closes."""
+        """Bind at once and accept connections in the background until ``stack`` closes."""
         sock = listen(address, port)
         stack.push_async_callback(sock.close)
         self.port = sock.getsockname()[1]
         stack.push_async_callback(self._cancel_all)
         await start_task(stack, self._accept, sock)
 
-    def finish(self) -> None:
-        """Close each connection after its current answer from now on."""
+    def disable_keep_alive(self) -> None:
+        """Close each connection after its current response from now on."""
         self._closing = True
 
     async def _accept(self, sock: Any) -> None:
@@ -116,7 +116,7 @@
             try:
                 request = await self._read_request(client, http)
             except BadMessage as error:
-                await self._refuse(client, http, error.problem)
+                await self._send_problem(client, http, error.problem)
                 return
             except h11.RemoteProtocolError as error:
                 problem = Problem(
@@ -125,16 +125,16 @@
                     'bad-http',
                     f'{error}',
                 )
-                await self._refuse(client, http, problem)
+                await self._send_problem(client, http, problem)
                 return
             if request is None:
                 return
-            self.busy += 1
+            self.requests_in_progress += 1
             try:
                 answer = await self._handle(request)
                 await self._write(client, http, answer)
             finally:
-                self.busy -= 1
+                self.requests_in_progress -= 1
             if http.our_state is h11.MUST_CLOSE:
                 return
             http.start_next_cycle()
@@ -159,8 +159,8 @@
             return answer_problem(problem)
 
     async def _read_request(self, client: Any, http: Any) -> Request | None:
-        """Return the next whole request, ``None`` when the caller has gone."""
-        first = await self._read_first(client, http)
+        """Return the next complete request, ``None`` if the client closed the connection."""
+        first = await self._read_head(client, http)
         if not isinstance(first, h11.Request):
             return None
         headers = _decode_headers(first.headers)
@@ -178,16 +178,17 @@
             bytes(body),
         )
 
-    async def _read_first(self, client: Any, http: Any) -> Any:
-        # A caller that sends its head byte by byte would hold a connection
-        # for ever; the whole head shares one allowance of time.
+    async def _read_head(self, client: Any, http: Any) -> Any:
+        # An idle connection may wait for its next request for ``idle_seconds``. Once a
+        # request has begun, each read has ``read_seconds``, so that a client that stops
+        # within the head cannot hold the connection forever.
         started = False
         while True:
             event = http.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            allowed = self._limits.read_seconds if started else self._limits.idle_seconds
-            received = await curio.ignore_after(allowed, client.recv, READ_SIZE)
+            read_timeout = self._limits.read_seconds if started else self._limits.idle_seconds
+            received = await curio.ignore_after(read_timeout, client.recv, READ_SIZE)
             if not received:
                 if started and received is None:
                     raise BadMessage(HTTP_TIMEOUT, 'slow-sender', 'the head took too long')
@@ -200,8 +201,8 @@
             event = http.next_event()
             if event is h11.NEED_DATA:
                 if http.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await client.sendall(http.send(go_on))
+                    continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                    await client.sendall(http.send(continue_response))
                 http.receive_data(await client.recv(READ_SIZE))
                 continue
             if isinstance(event, h11.Data):
@@ -216,7 +217,7 @@
             return
 
     def _check_head(self, headers: Headers) -> None:
-        lengths = [text for name, text in headers if name == 'content-length']
+        lengths = [content for name, content in headers if name == 'content-length']
         if lengths and int(lengths[0]) > self._limits.body_bytes:
             raise BadMessage(
                 HTTP_TOO_LARGE,
@@ -224,7 +225,7 @@
                 f'the body is over {self._limits.body_bytes} bytes',
             )
 
-    async def _refuse(self, client: Any, http: Any, problem: Problem) -> None:
+    async def _send_problem(self, client: Any, http: Any, problem: Problem) -> None:
         if http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
         answer = answer_problem(problem)
@@ -239,12 +240,12 @@
         last: bool = False,
     ) -> None:
         headers = [
-            (name, text)
-            for name, text in answer.headers
+            (name, content)
+            for name, content in answer.headers
             if name not in {'connection', 'transfer-encoding', 'content-length'}
         ]
         headers.append(('content-length', str(len(answer.body))))
-        if last or self._closing or self._leaves():
+        if last or self._closing or self._is_draining():
             headers.append(('connection', 'close'))
         payload = http.send(h11.Response(status_code=answer.status, headers=headers))
         if answer.body:
--- /dev/null
+++ b/dandelionreel/records/_log_event.py
@@ -0,0 +1,83 @@
+"""One log event: a decoded log line with the fields that reports use."""
+
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+
+from dandelionreel.records._event_kinds import EventKind, classify_event
+from dandelionreel.records._lines import DECODE_ERRORS
+
+#: Fields that have attributes of their own, or say nothing about the job.
+_OWN_FIELDS = frozenset(
+    (
+        'host',
+        'text',
+        'timestamp',
+        'message_type',
+        'task_uuid',
+        'task_level',
+        'job',
+        'jobs',
+        'task',
+        'run',
+        'epoch',
+        'runner',
+    ),
+)
+
+
+@dataclass(frozen=True)
+class LogEvent:
+    """A log event; ``at`` is its host's wall clock in seconds."""
+
+    at: float
+    host: str
+    kind: EventKind
+    text: str
+    task: str = ''
+    run: int | None = None
+    epoch: int | None = None
+    runner: str = ''
+    #: All other fields, unchanged.
+    more: dict[str, Any] = field(default_factory=dict)
+    #: Number of equal lines that were merged into this one.
+    count: int = 1
+
+    @property
+    def sentence(self) -> str:
+        """Return the text without the prefix that names its logging part."""
+        return self.text.partition(': ')[2] or self.text
+
+
+def decode_event(content: bytes, count: int = 1) -> LogEvent | None:
+    """Return the event of a line; ``None`` if one of its fields is broken.
+
+    The line's header was decoded before, which does not check the encoding and the
+    nesting of its other fields.
+    """
+    try:
+        fields = msgspec.json.decode(content)
+    except DECODE_ERRORS:
+        return None
+    text = fields['text']
+    return LogEvent(
+        float(fields['timestamp']),
+        fields['host'],
+        classify_event(text),
+        text,
+        _text_or_empty(fields.get('task')),
+        _number_or_none(fields.get('run')),
+        _number_or_none(fields.get('epoch')),
+        _text_or_empty(fields.get('runner')),
+        {name: field_value for name, field_value in fields.items() if name not in _OWN_FIELDS},
+        count,
+    )
+
+
+def _text_or_empty(found: Any) -> str:
+    return found if isinstance(found, str) else ''
+
+
+def _number_or_none(found: Any) -> int | None:
+    return found if isinstance(found, int) else None
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -11,9 +11,9 @@
     VERDICT_HEADER,
     Answer,
     ExchangeError,
-    ForbiddenError,
     ProblemDocument,
     Request,
+    SendForbiddenError,
     answer_problem,
 )
 from dandelionreel.kernel import (
@@ -322,7 +322,7 @@
 
     def _check_retry(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
         """Return if another attempt is allowed; raises ``RequestError`` otherwise."""
-        if isinstance(error, ForbiddenError):
+        if isinstance(error, SendForbiddenError):
             return
         may_repeat = call.idempotent or not error.sent
         in_time = self._clock.monotonic() + ANSWER_MARGIN_SECONDS < call.deadline
@@ -347,7 +347,7 @@
             # daemon must not claim it again.
             answer = await self._forward(call, state, _max_hops(call))
         except PeerError as error:
-            state.gossip = replace(state.gossip, rooms=())
+            state.gossip = replace(state.gossip, service_slots=())
             if error.verdict is Verdict.NOT_RUN:
                 return None
             history.may_have_run = True
@@ -360,7 +360,7 @@
                 f'{state.member} received the request and did not answer',
             ) from error
         if answer is None:
-            state.gossip = replace(state.gossip, rooms=())
+            state.gossip = replace(state.gossip, service_slots=())
         return answer
 
     async def _forward(self, call: ServiceCall, state: PeerState, hops: int) -> Answer | None:
@@ -369,7 +369,7 @@
         Raises ``PeerError``.
         """
         remaining = call.deadline - self._clock.monotonic()
-        state.sent_since += 1
+        state.forwards_since_gossip += 1
         self._journal.tell_frequent(
             Part.ROUTING,
             f'forwards a request for {call.service} to {state.member}; it has free slots.',
@@ -404,7 +404,7 @@
         best = None
         most_free = 0
         for state in states:
-            free_slots = _free_slots_of(state, call.service) - state.sent_since
+            free_slots = _free_slots_of(state, call.service) - state.forwards_since_gossip
             if free_slots > most_free and not state.gossip.draining:
                 best, most_free = state, free_slots
         return best
@@ -519,7 +519,7 @@
 
 
 def _free_slots_of(state: PeerState, service: str) -> int:
-    for service_slots in state.gossip.rooms:
+    for service_slots in state.gossip.service_slots:
         if service_slots.service == service:
             return service_slots.free_slots
     return 0
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -11,9 +11,9 @@
     Answer,
     Connection,
     ExchangeError,
-    ForbiddenError,
     RefusedError,
     Request,
+    SendForbiddenError,
 )
 from dandelionreel.kernel import Clock
 from dandelionreel.ownership import Grant, GrantLevel
@@ -234,7 +234,7 @@
 
     def record_failure(self, error: ExchangeError) -> None:
         """Update health from a failure; a refused connection means the endpoint may leave."""
-        if isinstance(error, ForbiddenError):
+        if isinstance(error, SendForbiddenError):
             return
         if isinstance(error, RefusedError):
             self.leaving_seen_at = self._clock.monotonic()
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs all stand-ins that a plan names in one process."""
+"""Runs all stand-ins of a plan file in one process."""
 
 import logging
 import sys
@@ -13,20 +13,20 @@
 from standins._hosts import HostsStandIn
 from standins._log import LogStandIn
 from standins._plan import Plan
-from standins._relay import Relay, Wire
+from standins._relay import LinkFaults, Relay
 from standins._runner import RunnerStandIn
 from standins._worker import WorkerStandIn
 
-CONTROL_WIRE = '/control/cuts'
+CONTROL_CUTS = '/control/cuts'
 
 
 class StandIns:
     """The log, the host list, workers, endpoints and relays of one plan."""
 
     def __init__(self, plan: Plan) -> None:
-        """Make what the plan names."""
+        """Create the servers of the plan."""
         self._plan = plan
-        self._wire = Wire(plan.name_by_address)
+        self._link_faults = LinkFaults(plan.name_by_address)
         self._log = LogStandIn()
         self._hosts = HostsStandIn(plan.hosts)
 
@@ -40,9 +40,11 @@
             for entry in plan.hosts:
                 await self._start_host(stack, entry)
             for relay in plan.relays:
-                listens = (relay.address, relay.port)
-                reaches = (relay.to_address, relay.to_port)
-                await Relay(self._wire, relay.target, listens, reaches).start(stack)
+                listen_address = (relay.address, relay.port)
+                target_address = (relay.to_address, relay.to_port)
+                await Relay(self._link_faults, relay.target, listen_address, target_address).start(
+                    stack
+                )
             sys.stdout.write('ready\n')
             sys.stdout.flush()
             await curio.sleep(plan.seconds)
@@ -54,13 +56,13 @@
             await RunnerStandIn(entry).start(stack)
 
     async def _control(self, request: Request) -> Answer:
-        if request.path == CONTROL_WIRE:
-            return self._wire.handle(request)
+        if request.path == CONTROL_CUTS:
+            return self._link_faults.handle(request)
         return answer_json({})
 
 
 def main() -> None:
-    """Read the plan that the first argument names, and serve it."""
+    """Load the plan file named by the first argument and run its stand-ins."""
     logging.getLogger('curio').addHandler(logging.NullHandler())
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)
     curio.run(StandIns(plan).run)
--- a/standins/_evidence.py
+++ b/standins/_evidence.py
@@ -1,15 +1,15 @@
-"""Judges promises by the workers' and runners' own records, never by our logs."""
+"""Checks guarantees by the records of the stand-ins, never by the logs of the daemons."""
 
 from typing import Any
 
 Run = dict[str, Any]
 RESOURCES = ('processors', 'memory_mb', 'accelerators')
 ROUNDING = 1e-6
-STILL = float('inf')
+STILL_RUNNING = float('inf')
 
 
-def over_filled(records: list[dict[str, Any]]) -> list[str]:
-    """Return the workers that were at some time given more than they have."""
+def find_overallocated_workers(records: list[dict[str, Any]]) -> list[str]:
+    """Return the workers whose tasks exceeded their capacity at some time."""
     found = []
     for record in records:
         for name in RESOURCES:
@@ -19,7 +19,7 @@
     return found
 
 
-def over_slots(records: list[dict[str, Any]]) -> list[str]:
+def find_overloaded_runners(records: list[dict[str, Any]]) -> list[str]:
     """Return the runners that worked on more requests at once than they have slots."""
     return [
         f'{record["runner"]}: {record["most"]} of {record["slots"]}'
@@ -28,22 +28,22 @@
     ]
 
 
-def overlapping(runs: list[Run]) -> list[str]:
+def find_overlapping_runs(runs: list[Run]) -> list[str]:
     """Return tasks that ran in two places, or twice, at the same time."""
     found = []
     runs_by_task: dict[str, list[Run]] = {}
     for run in runs:
         index = run['task'].rsplit('.', 1)[1]
         runs_by_task.setdefault(f'{run["job"]}#{index}', []).append(run)
-    for task, same in runs_by_task.items():
-        same.sort(key=_start)
-        for former, later in zip(same, same[1:], strict=False):
-            if later['started_at'] < _end(former):
-                found.append(f'{task}: {former["worker"]} and {later["worker"]}')
+    for task, task_runs in runs_by_task.items():
+        task_runs.sort(key=_get_start)
+        for earlier, later in zip(task_runs, task_runs[1:], strict=False):
+            if later['started_at'] < _get_end(earlier):
+                found.append(f'{task}: {earlier["worker"]} and {later["worker"]}')
     return found
 
 
-def repeated(runs: list[Run], jobs: set[str]) -> list[str]:
+def find_repeated_starts(runs: list[Run], jobs: set[str]) -> list[str]:
     """Return those of ``jobs`` that were started more than once."""
     starts_by_task: dict[str, int] = {}
     for run in runs:
@@ -55,7 +55,7 @@
 
 
 def requests_by_mark(records: list[dict[str, Any]]) -> dict[str, list[dict[str, Any]]]:
-    """Return the requests that runners worked on, by the mark that their callers sent."""
+    """Return the requests that runners received, by the ``mark`` header of their callers."""
     found: dict[str, list[dict[str, Any]]] = {}
     for record in records:
         for request in record['requests']:
@@ -63,9 +63,9 @@
     return found
 
 
-def _start(run: Run) -> float:
+def _get_start(run: Run) -> float:
     return run['started_at']
 
 
-def _end(run: Run) -> float:
-    return run['ended_at'] or STILL
+def _get_end(run: Run) -> float:
+    return run['ended_at'] or STILL_RUNNING
