--- a/bench/explain.py
+++ b/bench/explain.py
@@ -70,10 +70,10 @@
 
 def write(path: Path, chunks: Iterator[bytes]) -> None:
     """Write chunks until the file has LOG_BYTES."""
-    left = LOG_BYTES
+    bytes_left = LOG_BYTES
     with path.open('wb') as file:
-        while left > 0:
-            left -= file.write(next(chunks))
+        while bytes_left > 0:
+            bytes_left -= file.write(next(chunks))
 
 
 def measure(name: str, path: Path) -> None:
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -221,10 +221,10 @@
 class ArrivalOrder(WaitingOrder):
     """Orders steps by the acceptance time of their jobs."""
 
-    def rank(self, urgency: RankInputs) -> Rank:
+    def rank(self, inputs: RankInputs) -> Rank:
         """Return the rank of a step."""
-        job = urgency.job
-        return Rank(False, False, 0, 0, job.accepted_at, job.id, urgency.step.name)
+        job = inputs.job
+        return Rank(False, False, 0, 0, job.accepted_at, job.id, inputs.step.name)
 
 
 class ArrivalOrderPlanner(Planner):
@@ -255,9 +255,9 @@
 class IgnoreAccountRates(WithinRateFirst):
     """Ignores the rates of accounts: orders by priority, then by the earliest objective."""
 
-    def rank(self, urgency: RankInputs) -> Rank:
+    def rank(self, inputs: RankInputs) -> Rank:
         """Return the rank of a step."""
-        return super().rank(urgency)._replace(beyond_rate=False)
+        return super().rank(inputs)._replace(beyond_rate=False)
 
 
 class ShareOrderWithinQueues(WaitingOrder):
@@ -269,31 +269,31 @@
         self._total_capacity = Demand()
         self._now = -1.0
 
-    def rank(self, urgency: RankInputs) -> Rank:
+    def rank(self, inputs: RankInputs) -> Rank:
         """Return the rank of a step, with its account's share in place of its lateness."""
-        rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
-        return rank._replace(lateness=int(SHARE_RESOLUTION * self.share(urgency)))
+        rank = WithinRateFirst().rank(inputs)._replace(beyond_rate=False)
+        return rank._replace(lateness=int(SHARE_RESOLUTION * self.share(inputs)))
 
-    def share(self, urgency: RankInputs) -> float:
+    def share(self, inputs: RankInputs) -> float:
         """Return the weighted dominant share of a step's account."""
-        if urgency.now != self._now:
-            self._now = urgency.now
+        if inputs.now != self._now:
+            self._now = inputs.now
             self._total_capacity = self._cell.capacity()
-        account = self._cell.configuration.find_account(urgency.job.account)
+        account = self._cell.configuration.find_account(inputs.job.account)
         weight = account.weight if account else 1.0
         return weighted_share(
-            self._cell.quotas.used(urgency.job.account), self._total_capacity, weight
+            self._cell.quotas.used(inputs.job.account), self._total_capacity, weight
         )
 
 
 class ShareOrder(ShareOrderWithinQueues):
     """The account with the lowest weighted share goes first, over all queues."""
 
-    def rank(self, urgency: RankInputs) -> Rank:
+    def rank(self, inputs: RankInputs) -> Rank:
         """Return the rank of a step, with its account's share before the priority of its queue."""
-        rank = WithinRateFirst().rank(urgency)._replace(beyond_rate=False)
+        rank = WithinRateFirst().rank(inputs)._replace(beyond_rate=False)
         return rank._replace(
-            priority=int(SHARE_RESOLUTION * self.share(urgency)), lateness=rank.priority
+            priority=int(SHARE_RESOLUTION * self.share(inputs)), lateness=rank.priority
         )
 
 
--- a/spec/joining.py
+++ b/spec/joining.py
@@ -13,12 +13,12 @@
 HALF_CAPACITY = 1
 
 INITIAL = {
-    'age_m': 0,  # ticks since the last promise of M, and of N, to O
-    'age_n': AUTHORITY_TICKS,
-    'o_knows': False,  # O, or M, knows that N is a member
-    'm_knows': False,
-    'acked_o': False,  # N has heard that O, or M, names it
-    'acked_m': False,
+    'm_promise_age': 0,  # ticks since the last promise of M, and of N, to O
+    'n_promise_age_at_o': AUTHORITY_TICKS,
+    'o_knows_n': False,  # O, or M, knows that N is a member
+    'm_knows_n': False,
+    'o_named_n': False,  # N has heard that O, or M, names it
+    'm_named_n': False,
     'n_joined': False,
     'n_claim_age': 0,  # ticks since N's claim, 0 without one
     'n_promise_age': WAIT_TICKS,  # ticks since N made a promise
@@ -43,8 +43,8 @@
         steps.step(f'toggle {link}', **{link: not state[link]})
     steps.step(
         'tick',
-        age_m=min(state['age_m'] + 1, AUTHORITY_TICKS),
-        age_n=min(state['age_n'] + 1, AUTHORITY_TICKS),
+        m_promise_age=min(state['m_promise_age'] + 1, AUTHORITY_TICKS),
+        n_promise_age_at_o=min(state['n_promise_age_at_o'] + 1, AUTHORITY_TICKS),
         n_claim_age=min(state['n_claim_age'] + 1, WAIT_TICKS + 1) if state['n_claim_age'] else 0,
         n_promise_age=min(state['n_promise_age'] + 1, WAIT_TICKS),
     )
@@ -58,29 +58,29 @@
         steps.step('N appends its join')
         steps.step('N joins', n_joined=True)
     if state['link_om']:
-        learns_of_n = state['o_knows'] or (state['m_knows'] and views_are_forwarded)
-        steps.step('M promises O', age_m=0, o_knows=learns_of_n)
+        learns_of_n = state['o_knows_n'] or (state['m_knows_n'] and views_are_forwarded)
+        steps.step('M promises O', m_promise_age=0, o_knows_n=learns_of_n)
     if state['link_on'] and state['n_joined']:
-        steps.step('O hears N and names it', o_knows=True, acked_o=True)
+        steps.step('O hears N and names it', o_knows_n=True, o_named_n=True)
         if not state['n_claim_age']:
-            steps.step('N promises O', age_n=0, n_promise_age=0, o_knows=True)
+            steps.step('N promises O', n_promise_age_at_o=0, n_promise_age=0, o_knows_n=True)
     if state['link_mn'] and state['n_joined']:
-        steps.step('M hears N and names it', m_knows=True, acked_m=True)
+        steps.step('M hears N and names it', m_knows_n=True, m_named_n=True)
 
 
 def _starts_and_claims(steps: Steps, all_must_know: bool, known_must_promise: bool) -> None:
     state = steps.state
-    fresh = state['age_m'] < AUTHORITY_TICKS
-    if state['o_knows'] and known_must_promise:
-        fresh = fresh and state['age_n'] < AUTHORITY_TICKS
+    fresh = state['m_promise_age'] < AUTHORITY_TICKS
+    if state['o_knows_n'] and known_must_promise:
+        fresh = fresh and state['n_promise_age_at_o'] < AUTHORITY_TICKS
     limit = CAPACITY if fresh else HALF_CAPACITY
     if state['owner_runs'] < limit:
         steps.step('O starts', owner_runs=state['owner_runs'] + 1)
     if state['owner_runs']:
         steps.step("O's task ends", owner_runs=state['owner_runs'] - 1)
-    known_to_all = state['acked_o'] and state['acked_m']
+    known_to_all = state['o_named_n'] and state['m_named_n']
     if not all_must_know:
-        known_to_all = state['acked_m']
+        known_to_all = state['m_named_n']
     if state['n_joined'] and known_to_all and not state['n_claim_age'] and not state['link_on']:
         steps.step('N claims', n_claim_age=1)
     waited = state['n_claim_age'] > WAIT_TICKS and state['n_promise_age'] >= WAIT_TICKS
