--- a/bench/placement.py
+++ b/bench/placement.py
@@ -415,7 +415,7 @@
                 declared_error.append(max(30 / actual, actual / 30))
             starts += 1
             late += now > work.due_at
-            times.note('c0', work.kind, actual)
+            times.add_run('c0', work.kind, actual)
             heapq.heappush(ends, (now + actual + 30, starts, work, placement.workers))
         for worker in simulation.planner.cell.worker_by_name.values():
             overallocated += not worker.used.fits(worker.capacity)
--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -29,8 +29,8 @@
 GANG_OVERSAMPLING_FACTOR = 4.0
 #: Runners in each part of a gang's request.
 MAX_RUNNERS_PER_GANG_REQUEST = 45
-#: Free slots above which a runner is not preferred further: more tasks of one step seldom start
-#: there, as other steps use the capacity in the meantime.
+#: A runner with more free slots than this is not preferred over others: more tasks of one step
+#: seldom start there, as other steps use the capacity in the meantime.
 SUFFICIENT_SLOTS = 2
 #: Seconds before the start of a reservation at which its tickets should have arrived.
 TICKET_LEAD_SECONDS = 0.25
@@ -67,19 +67,19 @@
         before the capacity is free.
         """
         tickets = self._cell.tickets.of(step.name)
-        if not tickets.may_ask(now):
+        if not tickets.may_request(now):
             return []
         demand = counted_demand(step)
         slots_and_runners = [
             (count_slots(demand, runner.free_capacity), runner)
             for runner in runners
-            if runner.id not in tickets.asked
+            if runner.id not in tickets.asked_runners
         ]
         if step.step.gang:
             slots_and_runners.sort(key=_by_slots(zone))
         else:
             slots_and_runners = [entry for entry in slots_and_runners if entry[0]]
-            slots_and_runners.sort(key=_by_step_hash(step.name, zone))
+            slots_and_runners.sort(key=_by_job_hash(step.name, zone))
         unasked = [runner for _, runner in slots_and_runners]
         return self._split(queue, step, unasked[: self._runners_to_ask(step)])
 
@@ -91,9 +91,12 @@
         now: float,
         zone: str = '',
     ) -> list[AdviceRequest]:
-        """Return requests for new tickets on allowed runners with free slots, ``zone`` first."""
+        """Return requests for new tickets on allowed runners with free slots.
+
+        Runners in ``zone`` come first.
+        """
         tickets = self._cell.tickets.of(step.name)
-        if not tickets.may_ask(now):
+        if not tickets.may_request(now):
             return []
         demand = counted_demand(step)
         limit = step.step.max_per_runner
@@ -119,7 +122,7 @@
         plan.
         """
         tickets = self._cell.tickets.of(step.name)
-        if not tickets.may_ask(now) or queue.advice is None:
+        if not tickets.may_request(now) or queue.advice is None:
             return []
         valid = tickets.valid(reservation.at)
         if reservation.runners <= valid.keys():
@@ -187,7 +190,7 @@
     return sort_key
 
 
-def _by_step_hash(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
+def _by_job_hash(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
     """Return a sort key: runners in ``zone``, then with free slots, then by a hash of the job.
 
     With the same order for all, jobs would compete for the same few runners and their tickets.
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -86,7 +86,7 @@
         return None if account is None else account.quota
 
     def objective_of(self, job: JobRun) -> float:
-        """Return the job's target completion time in seconds after its acceptance."""
+        """Return the job's latency objective in seconds from its acceptance."""
         return job.objective(self.queue_of(job), self.quota_of(job))
 
     def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
@@ -113,32 +113,32 @@
             return bool(self.unseen_runners)
         return not self.unseen_runners.isdisjoint(job.runners)
 
-    def update_job(self, booked: StoredJob, now: float, wall: float) -> None:
+    def update_job(self, stored_job: StoredJob, now: float, wall: float) -> None:
         """Apply what the store holds for a job, new or known.
 
         An unreadable job that is not known here is not started. The ends of its runs are not
         acknowledged: the runners would forget them, and a task that is done would be started
         again once the job can be read.
         """
-        job = self.job_by_id.get(booked.id)
-        if booked.unreadable and job is None:
-            self.unreadable_jobs.add(booked.id)
-        elif booked.id in self.unreadable_jobs:
-            self.unreadable_jobs.remove(booked.id)
+        job = self.job_by_id.get(stored_job.id)
+        if stored_job.unreadable and job is None:
+            self.unreadable_jobs.add(stored_job.id)
+        elif stored_job.id in self.unreadable_jobs:
+            self.unreadable_jobs.remove(stored_job.id)
             for runner in self.runner_by_id.values():
                 runner.reprocess_ends()
-        if job is None and booked.submission is not None and not booked.unreadable:
-            age = max(0.0, wall - booked.submission.accepted_at)
-            job = JobRun(booked.id, booked.submission, now - age)
+        if job is None and stored_job.submission is not None and not stored_job.unreadable:
+            age = max(0.0, wall - stored_job.submission.accepted_at)
+            job = JobRun(stored_job.id, stored_job.submission, now - age)
             job.exceeds_account_rate = self._is_beyond_rate(job)
-            if booked.progress is not None:
-                job.restore(booked.progress)
-            self.job_by_id[booked.id] = job
-            self.unfinished_job_by_id[booked.id] = job
-        elif job is not None and job.apply_final_state(booked.progress):
+            if stored_job.progress is not None:
+                job.restore(stored_job.progress)
+            self.job_by_id[stored_job.id] = job
+            self.unfinished_job_by_id[stored_job.id] = job
+        elif job is not None and job.apply_final_state(stored_job.progress):
             self._allocations.stop_job(job.id)
-        if booked.cancelled:
-            self.cancel(booked.id)
+        if stored_job.cancelled:
+            self.cancel(stored_job.id)
 
     def cancel(self, job_id: str) -> None:
         """Stop a job whose cancellation is stored."""
@@ -148,15 +148,15 @@
 
     def mark_complete(self, jobs: Iterable[str]) -> list[str]:
         """Mark jobs that earlier owners report as complete; return those that were not yet."""
-        taken = []
+        marked = []
         for job_id in jobs:
             job = self.job_by_id.get(job_id)
             if job is None or not job.note_complete():
                 continue
             self._allocations.dirty.add(job_id)
             self._allocations.stop_job(job.id)
-            taken.append(job_id)
-        return taken
+            marked.append(job_id)
+        return marked
 
     def forget_job(self, job_id: str, wall: float) -> None:
         """Remove a job whose records the store has dropped."""
@@ -169,21 +169,21 @@
 
     def drop_finished_jobs(self, wall: float) -> None:
         """Drop finished jobs from planning, so that its cost depends on unfinished jobs only."""
-        over = [job for job in self.unfinished_job_by_id.values() if job.is_over]
-        for job in over:
+        finished = [job for job in self.unfinished_job_by_id.values() if job.is_over]
+        for job in finished:
             self.quotas.keep_leftovers(job, wall)
             self.unfinished_job_by_id.pop(job.id)
 
     def take_dirty_jobs(self) -> list[JobRun]:
-        """Return the jobs with unsaved progress and mark them as saved."""
-        taken = []
+        """Return the jobs with unsaved progress, each only once: the caller has to save it."""
+        unsaved = []
         for job_id in self._allocations.dirty:
             job = self.job_by_id.get(job_id)
             if job is not None and job.dirty:
                 job.dirty = False
-                taken.append(job)
+                unsaved.append(job)
         self._allocations.dirty.clear()
-        return taken
+        return unsaved
 
     def mark_dirty(self, job: JobRun) -> None:
         """Mark a job's progress as unsaved after a failed write to the store."""
@@ -206,20 +206,20 @@
         for runner_id, registration in registrations.items():
             if runner_id in self._ended_runners:
                 continue
-            known = self.runner_by_id.get(runner_id)
-            if known is None:
+            state = self.runner_by_id.get(runner_id)
+            if state is None:
                 # A runner that was never used runs none of our tasks, so there is no reason
                 # to poll an address from an entry that cannot be used.
                 if not registration.usable:
                     continue
-                known = RunnerState(registration)
-                self.runner_by_id[runner_id] = known
-                new_runners.append(known)
-            known.note_registration(registration, now)
-            known.listed = True
-        for runner_id, known in self.runner_by_id.items():
+                state = RunnerState(registration)
+                self.runner_by_id[runner_id] = state
+                new_runners.append(state)
+            state.note_registration(registration, now)
+            state.listed = True
+        for runner_id, state in self.runner_by_id.items():
             if runner_id not in registrations:
-                known.listed = False
+                state.listed = False
         return new_runners
 
     def forget_runner(self, runner_id: str) -> None:
@@ -270,15 +270,17 @@
         return {unseen: self.runner_by_id[later] for unseen, later in later_by_unseen.items()}
 
     def drop_unseen_runners(self, runners: Iterable[str]) -> list[Crash]:
-        """Stop waiting for runs of earlier owners on unseen runners; their leases have expired.
+        """Stop waiting for runs that earlier owners may have started on unseen runners.
 
-        Counts crashes only for runners whose entry is gone: others may just be unreachable.
+        The caller knows that these runs have ended: their leases have expired, or a later
+        incarnation of the runner answers. Crashes are counted only for runners that are not
+        listed: others may just be unreachable.
         """
         crashes = []
         dropped = self.unseen_runners.intersection(runners)
         for runner_id in dropped:
-            known = self.runner_by_id.get(runner_id)
-            if known is not None and known.listed:
+            state = self.runner_by_id.get(runner_id)
+            if state is not None and state.listed:
                 continue
             crashes.extend(self._losses.note_unseen(runner_id))
         self.unseen_runners -= dropped
@@ -321,7 +323,7 @@
             quarantined=task.quarantined,
             account=job.account,
         )
-        self._allocations.hold(runner, allocation)
+        self._allocations.add_allocation(runner, allocation)
         step.place(task, runner.id, run)
         return allocation
 
@@ -432,7 +434,7 @@
         account = self._account_of(job)
         if account is None:
             return False
-        return not self._rates.take(account.name, account.weight, job.submission.accepted_at)
+        return not self._rates.take_token(account.name, account.weight, job.submission.accepted_at)
 
     def _cancel(self, job: JobRun) -> None:
         job.cancelled = True
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -26,14 +26,14 @@
 class JobRun:
     """One job: its steps by occurrence, its failures and the state shown to clients.
 
-    ``accepted`` is in seconds on this process's monotonic clock.
+    ``accepted_at`` is in seconds on this process's monotonic clock.
     """
 
-    def __init__(self, job: str, submission: Submission, accepted: float) -> None:
+    def __init__(self, job: str, submission: Submission, accepted_at: float) -> None:
         """Create a job without progress."""
         self.id = job
         self.submission = submission
-        self.accepted_at = accepted
+        self.accepted_at = accepted_at
         self.cancelled = False
         self.has_started = False
         self.state = JobState.QUEUED
@@ -43,7 +43,7 @@
         self._failed_runs: set[FailedRun] = set()
         self.crashes = JobCrashes()
         self._objective: tuple[Queue | None, Demand | None, float] | None = None
-        #: Whether it exceeds the rate of jobs that its account is guaranteed.
+        #: Whether it is beyond the job rate of its account, and ranks behind jobs within the rate.
         self.exceeds_account_rate = False
         #: Why it is not started, as last logged.
         self.hold_reason = ''
@@ -85,14 +85,14 @@
 
     def steps(self, occurrence: int) -> list[StepRun]:
         """Return the steps of one occurrence, created on first use."""
-        known = self._steps_by_occurrence.get(occurrence)
-        if known is None:
-            known = [
+        cached = self._steps_by_occurrence.get(occurrence)
+        if cached is None:
+            cached = [
                 StepRun(StepName(self.id, occurrence, number), step)
                 for number, step in enumerate(self.spec.steps)
             ]
-            self._steps_by_occurrence[occurrence] = known
-        return known
+            self._steps_by_occurrence[occurrence] = cached
+        return cached
 
     def find_step(self, name: TaskName | StepName) -> StepRun | None:
         """Return the step of a task, ``None`` if the job has no such step."""
@@ -110,15 +110,15 @@
         return step, step.tasks[name.index]
 
     def objective(self, queue: Queue | None, quota: Demand | None = None) -> float:
-        """Return the job's target completion time in seconds, cached for each configuration.
+        """Return the job's latency objective in seconds, cached for each configuration.
 
         ``quota`` limits what its account may have running.
         """
-        known = self._objective
-        if known is None or known[0] is not queue or known[1] is not quota:
-            known = (queue, quota, objective(queue, self.spec, quota))
-            self._objective = known
-        return known[2]
+        cached = self._objective
+        if cached is None or cached[0] is not queue or cached[1] is not quota:
+            cached = (queue, quota, objective(queue, self.spec, quota))
+            self._objective = cached
+        return cached[2]
 
     def remaining_demand(self, wall: float) -> Demand:
         """Return the total demand of the waiting tasks of all due occurrences."""
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -5,7 +5,7 @@
 
 from dandelionreel.cell.clients import ClientApi
 from dandelionreel.cell.membership import (
-    CompletionAnswers,
+    CompletionMessageHandler,
     ConfigurationExchange,
     Election,
     LocalAdvisor,
@@ -34,10 +34,10 @@
 async def listen_peers(
     stack: AsyncExitStack,
     address: Address,
-    front: ClientApi,
+    client_api: ClientApi,
     election: Election,
     advisor: LocalAdvisor,
-    completions: CompletionAnswers,
+    completions: CompletionMessageHandler,
     exchange: ConfigurationExchange,
     answer_owner_query: OwnerQueryHandler,
     clock: Clock,
@@ -49,7 +49,7 @@
     """
     peers = PeerServer(election.incarnation, clock, PeerClocks(), journal, TrafficCounter())
     handlers = (
-        (Forward, front.handle_relayed),
+        (Forward, client_api.handle_relayed),
         (OwnerFailing, election.handle_owner_failing),
         (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer),
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -111,18 +111,18 @@
     async def run(self) -> None:
         """Dispatch while this daemon owns the dispatch shard, forever."""
         while True:
-            seen = self._state.wake.count
+            change_count = self._state.wake.count
             if self._authority.may_dispatch(DISPATCH_SHARD):
                 await self._round()
             else:
                 self._stop_dispatching()
-            await self._state.wake.wait(seen, ROUND_SECONDS)
+            await self._state.wake.wait(change_count, ROUND_SECONDS)
 
     async def follow_log(self) -> None:
         """Wake the dispatcher after every batch of log records, forever."""
         while True:
-            seen = self._reader.changed.count
-            await self._reader.changed.wait(seen, LOG_WAIT_SECONDS)
+            change_count = self._reader.changed.count
+            await self._reader.changed.wait(change_count, LOG_WAIT_SECONDS)
             await self._state.wake.notify()
 
     async def handle_report(self, report: WorkerReport) -> None:
@@ -133,8 +133,8 @@
     async def _round(self) -> None:
         self._take_over_if_new()
         self._queue_updater.update()
-        await self._finalizer.finalize_ended()
-        self._finalizer.stop_unwanted()
+        await self._finalizer.finalize_ended_attempts()
+        self._finalizer.stop_unwanted_attempts()
         placements = self.planner.decide(self._clock.wall(), MAX_DECISIONS_PER_ROUND)
         for placement in placements:
             await self._starter.start(placement)
--- a/dandelionreel/ownership/_records.py
+++ b/dandelionreel/ownership/_records.py
@@ -18,7 +18,7 @@
 
 
 class Joined(Struct, frozen=True, tag='joined'):
-    """A daemon is listening at this address; restated before the record expires."""
+    """A daemon is listening at this address; written again before the record expires."""
 
     member: str
     host: str
@@ -34,14 +34,14 @@
 
 
 class Ended(Struct, frozen=True, tag='ended'):
-    """A daemon is proven to have ended; ``proof`` tells by what."""
+    """A daemon is proven to have ended; ``proof`` is the kind of proof."""
 
     member: str
     proof: str
 
 
 class Alive(Struct, frozen=True, tag='alive'):
-    """Tells peers that may not hear a daemon that it is alive."""
+    """A daemon is alive; written for peers that may not receive its heartbeats."""
 
     member: str
 
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -111,7 +111,7 @@
     'without a capacity': make_entry(capacity=None),
     'a service that is a number': make_entry(service=7),
     'a state that is a list': make_entry(state=['ready']),
-    'labels that are no list': make_entry(labels='a'),
+    'labels that are not a list': make_entry(labels='a'),
     'a capacity that is text': make_entry(capacity='32000'),
     'an empty service': make_entry(service=''),
     'a service that is not configured': make_entry(service='elsewhere'),
@@ -122,23 +122,23 @@
     'a capacity with a fraction': make_entry_with_capacity(cpu=1.5),
     'port 0': make_entry(address='10.0.0.1:0'),
     'port 99999': make_entry(address='10.0.0.1:99999'),
-    'a port of other digits': make_entry(address='10.0.0.1:\u0667\u0668'),
-    'a port of superscripts': make_entry(address='10.0.0.1:\u00b2'),
+    'a port of non-ASCII digits': make_entry(address='10.0.0.1:\u0667\u0668'),
+    'a port of superscript digits': make_entry(address='10.0.0.1:\u00b2'),
     'an address without a port': make_entry(address='10.0.0.1'),
     'an address of 300 characters': make_entry(address='a' * 300 + ':7000'),
     'an address with a zero byte': make_entry(address='10.0.0\x00.1:7000'),
-    'time left below zero': make_entry(state='draining', remaining_ms=-5),
-    'nothing but null': b'null',
+    'a negative remaining time': make_entry(state='draining', remaining_ms=-5),
+    'a null document': b'null',
     'a list': b'[]',
     'a number': b'7',
-    'no JSON': b'ready',
-    'cut short': make_entry()[:-9],
-    'two values': make_entry() + make_entry(),
+    'invalid JSON': b'ready',
+    'truncated': make_entry()[:-9],
+    'two JSON values': make_entry() + make_entry(),
     'nested deeply': DEEP_JSON,
     'nested deeply in a field': make_entry(labels=None)[:-1] + b',"more":' + DEEP_JSON + b'}',
-    'bytes that are no text': b'\xff\xfe\x00\x01',
-    'text of another encoding': make_entry().decode().encode('utf-16'),
-    'a field that is no text': make_entry(zone='north').replace(b'north', b'n\xffrth'),
+    'bytes that are not UTF-8': b'\xff\xfe\x00\x01',
+    'UTF-16 text': make_entry().decode().encode('utf-16'),
+    'a field that is not UTF-8': make_entry(zone='north').replace(b'north', b'n\xffrth'),
     'an unpaired surrogate': make_entry().replace(b'north', b'\\ud800'),
 }
 
@@ -151,10 +151,10 @@
 
 #: Records without a valid key, each with its length prefix.
 BAD_FRAMES = {
-    'a record of no bytes': LENGTH.pack(0),
+    'an empty record': LENGTH.pack(0),
     'a record of one byte': LENGTH.pack(1) + b'\x00',
-    'a key of no bytes': encode_record(b'', make_entry()),
-    'a key that is no text': encode_record(b'\xff\xfe', make_entry()),
+    'an empty key': encode_record(b'', make_entry()),
+    'a key that is not UTF-8': encode_record(b'\xff\xfe', make_entry()),
     'a key longer than its record': LENGTH.pack(4) + b'\x09abc',
 }
 
@@ -231,7 +231,7 @@
             self.configuration.has_service,
             self.make_unreadable_log('runners', Part.WORKERS, journal),
         )
-        self.jobs = CellProjection(
+        self.cell = CellProjection(
             self.clock, journal, self.make_unreadable_log('cell', Part.LOG, journal)
         )
 
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -65,7 +65,7 @@
     )
     term = Term(2, 'me/1', WriterFence(2, 1), host.clock.monotonic(), False, False)
     context.dispatcher = make_dispatcher(host, term, topic, host.clock)
-    runners = context.dispatcher._parts.runners
+    runners = context.dispatcher._dependencies.runners
     runners._codec = SharedAddressCodec()
     runners.fold(RecordBatch(context.entries, 2, 2))
     context.dispatcher._load_state()
@@ -101,13 +101,15 @@
     context.dispatcher = make_dispatcher(
         host, term, topic, host.clock, lambda registration: Unreachable()
     )
-    context.runners = context.dispatcher._parts.runners
+    context.runners = context.dispatcher._dependencies.runners
     context.runners._codec = SharedAddressCodec()
     read_entry(context, 'w9', b'{}', 5)
     cell = context.dispatcher.cell
     (state,) = cell.update_runners(context.runners.registration_by_id, 0.0)
     context.task = task('j1')
-    state.hold(Allocation(context.task, 1001, 'w9', Demand(), 0.0, phase=AllocationPhase.RUNNING))
+    state.add_allocation(
+        Allocation(context.task, 1001, 'w9', Demand(), 0.0, phase=AllocationPhase.RUNNING)
+    )
 
 
 def read_entry(context, runner, content, offset):
