--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -1,7 +1,7 @@
 """Authenticates client calls by API key before any other work is done for them.
 
-Load pattern: any number of calls with unknown keys. Each costs a digest and a lookup, and all of
-them share one round of queries to peers.
+Load pattern: any number of calls with unknown keys. Each costs a digest and a lookup; together they
+cause only one round of queries to peers at a time.
 """
 
 import enum
@@ -28,15 +28,15 @@
         self,
         configuration: ConfigurationProjection,
         exchange: ConfigurationExchange,
-        longest_age: float | None,
+        max_age: float | None,
     ) -> None:
-        """Accept keys by a configuration that is at most ``longest_age`` seconds old.
+        """Accept keys by a configuration that is at most ``max_age`` seconds old.
 
         With ``None`` any age is accepted, so that a zone that is cut off keeps serving.
         """
         self._configuration = configuration
         self._exchange = exchange
-        self._longest_age = longest_age
+        self._max_age = max_age
 
     async def identify(
         self,
@@ -58,7 +58,7 @@
         digest = read_bearer(request.headers) if forwarded is None else forwarded.key_digest
         if not digest:
             return Denied.UNKNOWN_KEY
-        if self._longest_age is not None and self._exchange.age() > self._longest_age:
+        if self._max_age is not None and self._exchange.age() > self._max_age:
             return Denied.UNDECIDED
         known_caller = self._find_caller(digest)
         if known_caller is not None:
--- a/dandelionreel/cell/owner/_parts.py
+++ b/dandelionreel/cell/owner/_dependencies.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class DispatcherParts:
+class DispatcherDependencies:
     """Dependencies and settings of a dispatcher; built once per process, reused in every term."""
 
     topic: Topic
@@ -32,7 +32,7 @@
     journal: Journal
     host: str
     gang_timeout: float
-    longest_lease: float
-    status_kept: float
+    max_lease: float
+    status_retention: float
     #: Returns the age of the local copy of the runner list, in seconds.
     get_runner_list_age: GetRunnerListAge = always_fresh
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -58,12 +58,12 @@
         cell: Cell,
         topic: Topic,
         make_runner: MakeRunner,
-        longest_lease: float,
+        max_lease: float,
         clock: Clock,
         journal: Journal,
         get_runner_list_age: GetRunnerListAge = always_fresh,
     ) -> None:
-        """Create the context of ``term``; leases last at most ``longest_lease`` seconds.
+        """Create the context of ``term``; leases last at most ``max_lease`` seconds.
 
         ``get_runner_list_age`` returns the age of the runner list in seconds.
         """
@@ -71,7 +71,7 @@
         self.cell = cell
         self.clock = clock
         self.journal = journal
-        self.lease = min(LEASE_SECONDS, longest_lease)
+        self.lease = min(LEASE_SECONDS, max_lease)
         self.writer = GroupWriter(topic, clock, journal, term.fence)
         claimed_at = term.claimed_at
         self.writer.stored_at = clock.monotonic() if claimed_at is None else claimed_at
@@ -164,9 +164,9 @@
         meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
         although it is not in the store.
         """
-        given_up = self.writer.given_up
+        abandoned_before = self.writer.abandoned_count
         outcome = await self.store_progress(self.cell.take_dirty_jobs())
-        return outcome if self.writer.given_up == given_up else WriteOutcome.UNKNOWN
+        return outcome if self.writer.abandoned_count == abandoned_before else WriteOutcome.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -54,7 +54,7 @@
         """Ask peers to take over while this host still serves the cell; return whether one has.
 
         After a release no task starts until a successor has read it, claimed the cell and read its
-        claim back. A peer that claims the cell from an active owner fences it only at that point.
+        claim back. An owner that stays active is fenced only by the claim, so that gap is avoided.
         """
         members = self._cell_state.member_by_host
         others = [host for host in rank_hosts(members) if host != self._host][:PEERS_PER_REQUEST]
@@ -126,7 +126,7 @@
         Right after a partition it has not read the runner list yet and could start no tasks.
         """
         try:
-            frame = await self._links.ask(member, OwnerAsked(''), READY_TIMEOUT)
+            frame = await self._links.request(member, OwnerAsked(''), READY_TIMEOUT)
         except PeerError as error:
             cause = f'{error}'
         else:
@@ -141,7 +141,7 @@
     async def _send_takeover_request(self, member: Member) -> bool:
         """Ask a host to take over; return whether it acknowledged. A claim shows in the store."""
         try:
-            frame = await self._links.ask(
+            frame = await self._links.request(
                 member, OwnerFailing(self._owner_context.term.term), REQUEST_RETRY_SECONDS
             )
         except PeerError:
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -10,7 +10,7 @@
 
 from dandelionreel.cell.clients import PartitionReads, Relay
 from dandelionreel.cell.membership import (
-    CompletionAnswers,
+    CompletionMessageHandler,
     CompletionReports,
     Completions,
     ConfigurationExchange,
@@ -22,7 +22,7 @@
     make_incarnation_id,
 )
 from dandelionreel.cell.model import MEMBER_PREFIX, Member, Registration, Runner, make_record
-from dandelionreel.cell.owner import Dispatcher, DispatcherParts
+from dandelionreel.cell.owner import Dispatcher, DispatcherDependencies
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.entry_clients import make_client_api
 from dandelionreel.entry_metrics import EntryMetrics
@@ -84,7 +84,7 @@
             settings.host,
             settings.store,
             lambda: self._dispatcher is not None,
-            self._metrics.note_unreadable,
+            self._metrics.count_unreadable,
             self._clock,
             self._journal,
         )
@@ -100,7 +100,7 @@
             self._reads.cell_follower,
             self._cell_projection,
             incarnation,
-            self._peer_links.ask,
+            self._peer_links.request,
             self._clock,
             self._journal,
         )
@@ -243,7 +243,7 @@
             self._client_api,
             self._election,
             self._advisor,
-            CompletionAnswers(
+            CompletionMessageHandler(
                 self._completions, self._partition_detector, self._accept_completions
             ),
             self._configuration_exchange,
@@ -251,7 +251,7 @@
             self._clock,
             self._journal,
         )
-        await self._client_server.start(stack, settings.callers.host, settings.callers.port)
+        await self._client_server.start(stack, settings.clients.host, settings.clients.port)
 
     async def _answer_owner_query(self, frame: Frame) -> Message:
         dispatcher = self._dispatcher
@@ -291,7 +291,7 @@
     async def _run_terms(self) -> None:
         """Dispatch the cell's jobs during each term that this host wins."""
         settings = self._settings
-        parts = DispatcherParts(
+        dependencies = DispatcherDependencies(
             topic=self._owner_topic,
             follower=self._reads.cell_follower,
             jobs=self._cell_projection,
@@ -306,13 +306,13 @@
             journal=self._journal,
             host=settings.host,
             gang_timeout=settings.gang_timeout,
-            longest_lease=settings.max_lease,
-            status_kept=settings.status_retention,
+            max_lease=settings.max_lease,
+            status_retention=settings.status_retention,
             get_runner_list_age=lambda: self._reads.runners_follower.age(self._clock.monotonic()),
         )
         while True:
             term = await self._election.wait_for_term(self._may_claim)
-            self._dispatcher = Dispatcher(parts, term)
+            self._dispatcher = Dispatcher(dependencies, term)
             # The list of runners may be outdated on a host that did not own the cell.
             await self._reads.runners_follower.read_now()
             try:
@@ -337,14 +337,14 @@
 
     async def _handle_signal(self, number: int) -> None:
         if number == signal.SIGHUP:
-            self._reload()
+            self._check_settings_file()
             return
         self._stopping = True
         self._readiness.stop()
         await self._stop_requested.set()
 
-    def _reload(self) -> None:
-        """Check the settings file again; the addresses in use stay those of the start."""
+    def _check_settings_file(self) -> None:
+        """Log whether the settings file is valid; its changes apply after a restart."""
         try:
             load_host_settings(self._settings_path)
         except (SettingsError, OSError) as error:
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -11,7 +11,7 @@
 MIN_RUNS = 5
 #: A pessimistic estimate: nine in ten runs ended sooner.
 QUANTILE = 0.9
-#: Multiplies the declared time while there are too few runs.
+#: While there are too few runs, the declared time may be this many times too short.
 DECLARED_FACTOR = 3.0
 DEFAULT_RUN_SECONDS = 3600.0
 
@@ -23,7 +23,7 @@
         """Start without any runs."""
         self._runs_by_kind: OrderedDict[tuple[str, str], deque[float]] = OrderedDict()
 
-    def note(self, customer: str, kind: str, seconds: float) -> None:
+    def add_run(self, customer: str, kind: str, seconds: float) -> None:
         """Add the run time of a successful run."""
         key = (customer, kind)
         runs = self._runs_by_kind.get(key)
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -27,7 +27,7 @@
 #: Seconds within which the task of a cancelled job has to be stopped.
 STOP_LIMIT_SECONDS = 3.0
 #: Seconds for which a runner is unreachable.
-PARTITION_SECONDS = 1.5
+UNREACHABLE_SECONDS = 1.5
 #: A run that the previous owner has started.
 EARLIER_RUN = (task('j1'), 1001)
 #: A lease that never expires.
@@ -214,12 +214,12 @@
     assert not small.runs_on('w1')
 
 
-@given('a runner that runs a task of a cancelled job, {reached}')
-def earlier_run(context, reached):
+@given('a runner that runs a task of a cancelled job, {condition}')
+def earlier_run(context, condition):
     context.owner = OneRunnerOwner(MemoryTopic())
     context.owner.runner.running[EARLIER_RUN] = FOREVER
-    context.owner.runner.reachable = not reached.startswith('unreachable')
-    if reached == 'no longer listed':
+    context.owner.runner.reachable = not condition.startswith('unreachable')
+    if condition == 'no longer listed':
         context.owner.remove_entry()
 
 
@@ -262,7 +262,7 @@
 async def wait_until_gone(owner):
     """Make the runner reachable again after the partition, and wait for its task to end."""
     if not owner.runner.reachable:
-        await curio.sleep(PARTITION_SECONDS)
+        await curio.sleep(UNREACHABLE_SECONDS)
         owner.runner.reachable = True
     owner.reachable_at = owner.clock.monotonic()
     await curio.ignore_after(LONG_TIMEOUT, until, lambda: not owner.runner.running)
