--- a/dandelionreel/backing/__init__.py
+++ b/dandelionreel/backing/__init__.py
@@ -18,7 +18,7 @@
 )
 from dandelionreel.backing._memory_log import MemoryLog, MemoryStream
 from dandelionreel.backing._memory_worker import MemoryTask, MemoryWorker
-from dandelionreel.backing._resources import EPSILON, NOTHING, Resources
+from dandelionreel.backing._resources import EPSILON, NO_RESOURCES, Resources
 from dandelionreel.backing._stream import (
     Envelope,
     Position,
@@ -40,7 +40,7 @@
 __all__ = (
     'ENDED',
     'EPSILON',
-    'NOTHING',
+    'NO_RESOURCES',
     'AppendBody',
     'AppendResult',
     'Envelope',
--- a/dandelionreel/backing/_host_watch.py
+++ b/dandelionreel/backing/_host_watch.py
@@ -72,9 +72,9 @@
         for name, entry in entry_by_name.items():
             previous = self.entry_by_name.get(name)
             if previous is not None and previous.is_live and not entry.is_live:
-                self._journal.tell(Part.LIFE, f'host {name} is leaving.', name=name)
+                self._journal.log(Part.LIFE, f'host {name} is leaving.', name=name)
         for name in self.entry_by_name:
             if name not in entry_by_name:
-                self._journal.tell(
+                self._journal.log(
                     Part.LIFE, f'host {name} was removed from the host list.', name=name
                 )
--- a/dandelionreel/backing/_hosts.py
+++ b/dandelionreel/backing/_hosts.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from dandelionreel.backing._resources import NOTHING, Resources
+from dandelionreel.backing._resources import NO_RESOURCES, Resources
 from dandelionreel.http import Channel, ExchangeError, Request
 from dandelionreel.kernel import Endpoint, PluginKind, StaticHost, plugins
 
@@ -25,7 +25,7 @@
     port: int
     state: str = 'live'
     rack: str = ''
-    capacity: Resources = NOTHING
+    capacity: Resources = NO_RESOURCES
     service: str = ''
     slots: int = 0
     connections: int = 0
--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -16,7 +16,7 @@
 HTTP_OK = 200
 HTTP_GONE = 410
 REFUSED_STATUSES = frozenset((429, 503))
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class AppendBody(msgspec.Struct, frozen=True):
@@ -70,7 +70,10 @@
 
     async def read(self, stream: str, offset: int, wait: float) -> LogBatch:
         """Return records from ``offset`` on, waiting up to ``wait`` seconds for the first."""
-        target = f'/v1/streams/{stream}/records?offset={offset}&wait_ms={int(wait * MILLISECONDS)}'
+        target = (
+            f'/v1/streams/{stream}/records'
+            f'?offset={offset}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
+        )
         request = Request('GET', target)
         answer = await self._exchange(self._read_channel_by_stream, stream, request, wait)
         if answer.status not in {HTTP_OK, HTTP_GONE}:
--- a/dandelionreel/backing/_memory_worker.py
+++ b/dandelionreel/backing/_memory_worker.py
@@ -12,7 +12,7 @@
 import curio
 
 from dandelionreel.backing._hosts import HostEntry
-from dandelionreel.backing._resources import NOTHING, Resources
+from dandelionreel.backing._resources import NO_RESOURCES, Resources
 from dandelionreel.backing._workers import (
     ENDED,
     LeaseRenewal,
@@ -24,7 +24,7 @@
 )
 from dandelionreel.kernel import ChangeNotifier, Clock, PluginKind, SystemClock, Verdict, plugins
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 POLL_SECONDS = 0.2
 RUNNING = 'running'
 SUCCEEDED = 'succeeded'
@@ -98,7 +98,7 @@
             raise WorkerError(f'task {task_id} was started or stopped before', Verdict.NOT_RUN)
         if not check():
             raise WorkerError('the authority to start tasks has expired', Verdict.NOT_RUN)
-        lease_until = self._clock.monotonic() + order.lease_ms / MILLISECONDS
+        lease_until = self._clock.monotonic() + order.lease_ms / MILLISECONDS_PER_SECOND
         task = MemoryTask(task_id, order, lease_until, order.owner)
         self._task_by_id[task_id] = task
         await self._publish_change(task)
@@ -108,7 +108,7 @@
         """Return the task list, waiting up to ``wait`` seconds for a change."""
         if wait and after == self._revision:
             await self._changed.wait(self._changed.count, wait)
-        history_ms = int((self._clock.monotonic() - self._started_at) * MILLISECONDS)
+        history_ms = int((self._clock.monotonic() - self._started_at) * MILLISECONDS_PER_SECOND)
         if after == self._revision:
             return TaskList(self._revision, (), history_ms, unchanged=True)
         statuses = tuple(
@@ -129,7 +129,7 @@
         for task_id in renewal.task_ids:
             task = self._task_by_id.get(task_id)
             if task is not None and task.state == RUNNING:
-                lease = renewal.lease_ms / MILLISECONDS
+                lease = renewal.lease_ms / MILLISECONDS_PER_SECOND
                 task.lease_until = self._clock.monotonic() + lease
                 task.renewed_by = renewal.holder
 
@@ -185,7 +185,7 @@
 def measure_usage(task: MemoryTask) -> Resources:
     """Return the simulated usage of a task."""
     if task.state != RUNNING:
-        return NOTHING
+        return NO_RESOURCES
     demand = task.order.demand
     within_demand = task.command_name == 'grow' and task.throttled
     if task.command_name not in OVERUSING_COMMANDS or within_demand:
--- a/dandelionreel/backing/_resources.py
+++ b/dandelionreel/backing/_resources.py
@@ -76,4 +76,4 @@
     return 0
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
--- a/dandelionreel/backing/_workers.py
+++ b/dandelionreel/backing/_workers.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from dandelionreel.backing._hosts import HostEntry
-from dandelionreel.backing._resources import NOTHING, Resources
+from dandelionreel.backing._resources import NO_RESOURCES, Resources
 from dandelionreel.http import Answer, Channel, ExchangeError, Request
 from dandelionreel.kernel import PluginKind, Verdict, plugins
 
 HTTP_OK = 200
 HTTP_CREATED = 201
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 ENDED = 'ended'
 
 
@@ -45,7 +45,7 @@
     state: str
     order: TaskOrder
     outcome: str = ''
-    used: Resources = NOTHING
+    used: Resources = NO_RESOURCES
     renewed_by: str = ''
 
     @property
@@ -151,7 +151,7 @@
 
     async def tasks(self, after: int, wait: float) -> TaskList:
         """Return the task list, waiting up to ``wait`` seconds for a change."""
-        target = f'/v1/tasks?after={after}&wait_ms={int(wait * MILLISECONDS)}'
+        target = f'/v1/tasks?after={after}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
         answer = await self._exchange(
             self._watch_channel, Request('GET', target), self._timeout + wait
         )
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -331,7 +331,7 @@
             call, job_id
         ):
             return answer_unavailable(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.JOBS,
             f'a client asked for unknown job {job_id}.',
             job=job_id,
@@ -349,7 +349,7 @@
         return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
 
     def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.JOBS,
             f'{request.method} {job_id}: {outcome}.',
             job=job_id,
--- a/dandelionreel/cell/clients/_client_call.py
+++ b/dandelionreel/cell/clients/_client_call.py
@@ -16,7 +16,7 @@
 #: or the client reaches another host.
 RETRY_AFTER_SECONDS = 1.0
 HTTP_UNAVAILABLE = 503
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: Header with the cause of a refusal, for the peer that forwarded the request.
 CAUSE_HEADER = 'dandelionreel-cause'
 STORE_UNAVAILABLE_CAUSE = 'store-out-of-reach'
@@ -40,7 +40,9 @@
     def timeout(self) -> float:
         """Return the seconds from ``received_at`` within which the call must be answered."""
         text = self.request.header(DEADLINE_HEADER)
-        timeout = float(text) / MILLISECONDS if text.isdigit() else DEFAULT_TIMEOUT_SECONDS
+        timeout = (
+            float(text) / MILLISECONDS_PER_SECOND if text.isdigit() else DEFAULT_TIMEOUT_SECONDS
+        )
         return min(timeout, DEFAULT_TIMEOUT_SECONDS) * TIMEOUT_SHARE
 
 
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -87,7 +87,7 @@
         ):
             return False
         self._completions.add_zone_completions([job])
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.JOBS,
             'shown as complete inside a partition.',
             jobs=[job],
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -180,7 +180,7 @@
 
     def _avoid(self, host: str, cause: str, seconds: float) -> None:
         self._backoff_until_by_host[host] = self._clock.monotonic() + seconds
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.PEERS, f'no requests are forwarded to {host} for now: {cause}.', peer=host
         )
 
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -175,7 +175,7 @@
         try:
             permits = await self._request_permits(host, request, timeout)
         except (AdviceError, PeerError) as error:
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.PLACEMENT,
                 f'no advice by {host}: {error}.',
                 job=request.step.job,
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -66,7 +66,7 @@
             # The partition may persist, which the partition detector logs.
             return
         if isinstance(frame.message, Done):
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.JOBS,
                 'reported to the owner jobs that were shown as complete inside a partition.',
                 jobs=list(jobs[:MAX_LOGGED]),
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -131,7 +131,7 @@
         try:
             frame = await self._links.request(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.PEERS,
                 f'{host} did not reply with its configuration: {error}.',
                 peer=host,
@@ -149,7 +149,7 @@
 
     def _adopt(self, host: str, reply: ConfigurationGiven) -> None:
         if self._projection.adopt(reply.document, host):
-            self._journal.tell(
+            self._journal.log(
                 Part.CONTRACTS,
                 f'adopted a newer configuration from {host}.',
                 version=reply.version,
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -202,7 +202,7 @@
     async def handle_owner_failing(self, frame: Frame) -> Message:
         """Handle an owner's request for a successor because the store does not serve it."""
         failing: Any = frame.message
-        self._journal.tell(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
+        self._journal.log(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
         self.suspect_owner(failing.term)
         return Done()
 
@@ -308,12 +308,12 @@
         try:
             frame = await self._query_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
-            self._journal.tell(
+            self._journal.log(
                 Part.OWNERSHIP, f'{owner.host} did not reply to an ownership query: {error}.'
             )
             return False
         alive = isinstance(frame.message, Done)
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             f'{owner.host} is silent in the store; it says that it {"acts" if alive else "ended"}.',
             epoch=owner.epoch,
@@ -345,7 +345,7 @@
         heard_at = self._projection.owner_heartbeat_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             'claims the cell.',
             epoch=fence.epoch,
@@ -417,13 +417,13 @@
         except ConflictError:
             raise
         except StoreError as error:
-            self._journal.tell(Part.OWNERSHIP, f'a claim failed: {error}.', epoch=fence.epoch)
+            self._journal.log(Part.OWNERSHIP, f'a claim failed: {error}.', epoch=fence.epoch)
             # The claim may be stored although its reply was lost.
             return error.verdict is not Verdict.NOT_RUN
         return True
 
     def _log_ownership(self, epoch: int, former: Owner | None, heard_at: float) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             'owns the cell.',
             epoch=epoch,
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -47,7 +47,7 @@
                 await curio.sleep(POLL_SECONDS)
                 continue
             if await self._is_dead(owner, member):
-                self._journal.tell(
+                self._journal.log(
                     Part.OWNERSHIP,
                     f'{owner.host} refuses connections.',
                     epoch=owner.epoch,
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -122,7 +122,7 @@
             return
         self._logged_cut_off = self.cut_off
         sentence = 'is cut off' if self._logged_cut_off else 'is not cut off any more'
-        self._journal.tell(
+        self._journal.log(
             Part.PEERS,
             f'{sentence}: from the store and all other zones.',
             zones=sorted(self._other_zones()),
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -120,7 +120,7 @@
             return
         self._lines_in_window += 1
         name = key[:MAX_TEXT_CHARACTERS]
-        self._journal.tell(
+        self._journal.log(
             self._part,
             f'the record of {name!r} in {self._topic} {outcome}.',
             key=name,
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -102,7 +102,7 @@
         new_jobs = [job for job in jobs if not self._completions.contains(job)]
         self._completions.add(new_jobs)
         if new_jobs:
-            self._owner_context.journal.tell_frequent(
+            self._owner_context.journal.log_sampled(
                 Part.JOBS,
                 'shown as complete before the store knows it.',
                 jobs=new_jobs[:MAX_LOGGED],
@@ -119,7 +119,7 @@
         try:
             frame = await self._links.request(member, query, ANSWER_TIMEOUT)
         except PeerError as error:
-            self._owner_context.journal.tell(
+            self._owner_context.journal.log(
                 Part.OWNERSHIP, f'{host} has not reported its completed jobs: {error}.'
             )
             return False
@@ -129,7 +129,7 @@
         self._completions.add(reply.jobs)
         completed = self._owner_context.cell.mark_complete(reply.jobs)
         if completed:
-            self._owner_context.journal.tell(
+            self._owner_context.journal.log(
                 Part.JOBS,
                 f'{host} reports completed jobs that are not completed in the store.',
                 jobs=completed[:MAX_LOGGED],
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -130,7 +130,7 @@
                 and not await self._periodic_checks.request_takeover()
             ):
                 await self._release()
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             f'does not own the cell any more: {self._owner_context.end_reason}.',
             epoch=self._owner_context.term.epoch,
@@ -174,7 +174,7 @@
         completed = self.cell.mark_complete(jobs)
         if not completed:
             return
-        self._journal.tell(
+        self._journal.log(
             Part.JOBS,
             'marked jobs complete that were shown to clients during a partition.',
             jobs=completed[:MAX_LOGGED],
@@ -195,7 +195,7 @@
 
     def _log_rate_exceeded(self, job: JobRun) -> None:
         if job.exceeds_account_rate:
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.JOBS,
                 f"job {job.id} is beyond its account's share: it is queued behind other jobs.",
                 job=job.id,
@@ -334,7 +334,7 @@
     def _forget_job(self, job_id: str, stored_job: StoredJob | None) -> None:
         job = self.cell.job_by_id.get(job_id)
         if job is not None and not job.is_over:
-            self._journal.tell(
+            self._journal.log(
                 Part.JOBS,
                 f'job {job_id} is unfinished here but over in the store.',
                 job=job_id,
@@ -381,7 +381,7 @@
 
     def _log_preempted(self, plan: Plan) -> None:
         for allocation in plan.preempted:
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.PLACEMENT,
                 f'stops a task on {allocation.runner} to make room for a gang.',
                 job=allocation.task.job,
@@ -392,7 +392,7 @@
     def _log_quota_blocked(self, plan: Plan) -> None:
         for job in plan.quota_blocked:
             used, quota = self.cell.quotas.used(job.account), self.cell.quota_of(job)
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.PLACEMENT,
                 f'job {job.id} waits for {job.hold_reason}.',
                 job=job.id,
@@ -412,7 +412,7 @@
         until: float,
     ) -> None:
         self.cell.tickets.note_answer(request.step, request.runners, permits, until)
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.PLACEMENT,
             f'{len(permits)} of {len(request.runners)} runners are allowed.',
             job=request.step.job,
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -62,7 +62,7 @@
             return
         runners = self._cell.runner_by_id.values()
         usable = [runner for runner in runners if runner.usable(now)]
-        self._journal.tell(
+        self._journal.log(
             Part.PLACEMENT,
             'tasks are waiting.',
             epoch=epoch,
@@ -85,7 +85,7 @@
 
     def _log_stalled(self, now: float, wall: float, epoch: int) -> None:
         for stalled in self._stalled.find(now, wall):
-            self._journal.tell(
+            self._journal.log(
                 Part.PLACEMENT,
                 f'job {stalled.job} makes no progress.',
                 job=stalled.job,
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -100,14 +100,14 @@
         cell = self._owner_context.cell
         cell.zone_reachability.note_answer(state.registration.zone)
         cell.handle_stop_reply(allocation, self._owner_context.clock.monotonic())
-        self._owner_context.journal.tell_frequent(
+        self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'{allocation.runner} has taken a stop.',
             **self._log_fields(allocation),
         )
 
     def _log_unanswered_stop(self, allocation: Allocation, error: RunnerError) -> None:
-        self._owner_context.journal.tell_frequent(
+        self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'a stop was not answered: {error}.',
             **self._log_fields(allocation),
@@ -184,7 +184,7 @@
         now = self._owner_context.clock.monotonic()
         found = job.find_task(allocation.task)
         configuration = self._owner_context.cell.configuration
-        self._owner_context.journal.tell_frequent(
+        self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'starts a task on {state.id}.',
             **self._log_fields(allocation),
@@ -273,7 +273,7 @@
         )
 
     def _log_unanswered_start(self, allocation: Allocation, error: RunnerError) -> None:
-        self._owner_context.journal.tell_frequent(
+        self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'a start was not answered: {error}.',
             **self._log_fields(allocation),
@@ -282,7 +282,7 @@
 
     def _log_slow_start(self, allocation: Allocation, reply: StartReply, seconds: float) -> None:
         if reply is StartReply.STARTED and seconds > SLOW_START_SECONDS:
-            self._owner_context.journal.tell_frequent(
+            self._owner_context.journal.log_sampled(
                 Part.PLACEMENT,
                 f'{allocation.runner} has taken a start late.',
                 **self._log_fields(allocation),
@@ -325,7 +325,7 @@
             now = self._owner_context.clock.monotonic()
             self._owner_context.cell.handle_start_reply(allocation, reply, now, in_doubt=in_doubt)
         if reply is not StartReply.STARTED:
-            self._owner_context.journal.tell(
+            self._owner_context.journal.log(
                 Part.PLACEMENT,
                 f'a start was refused: {reply.value}.',
                 **self._log_fields(allocation),
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -170,7 +170,7 @@
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
-        self.journal.tell(
+        self.journal.log(
             Part.WORKERS,
             f'{state.id} has ended: {cause}.',
             runner=state.id,
@@ -181,7 +181,7 @@
 
     def expire_runner_leases(self, state: RunnerState) -> None:
         """Treat all runs on a silent runner as ended, since its leases have expired."""
-        self.journal.tell(
+        self.journal.log(
             Part.WORKERS,
             f'the leases on {state.id} have run out.',
             runner=state.id,
@@ -195,7 +195,7 @@
         """Log the runs during which a runner crashed, and whether their job is given up."""
         for crash in crashes:
             outcome = 'its job is given up' if crash.given_up else 'it will be retried'
-            self.journal.tell(
+            self.journal.log(
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
                 **self.run_fields(crash.runner, crash.task, crash.run),
@@ -242,7 +242,7 @@
         """
         now = self.clock.monotonic()
         for allocation in tuple(state.allocation_by_run.values())[:MAX_LOGGED]:
-            self.journal.tell(
+            self.journal.log(
                 Part.WORKERS,
                 f'a run was lost with {state.id}.',
                 **self.run_fields(state.id, allocation.task, allocation.run),
@@ -260,7 +260,7 @@
             progress = job.progress(self.term.epoch, wall, leftovers)
             progress_by_job[job] = progress
             if job.is_over:
-                self.journal.tell(
+                self.journal.log(
                     Part.JOBS,
                     f'job {job.id} is {progress.state.value}.',
                     job=job.id,
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -97,7 +97,7 @@
             return
         self._runner_list_was_fresh = is_fresh
         outcome = 'starts tasks again' if is_fresh else 'starts nothing'
-        self._journal.tell(
+        self._journal.log(
             Part.PLACEMENT,
             f'{outcome}, by the age of the list of runners.',
             epoch=self._owner_context.term.epoch,
@@ -135,7 +135,7 @@
                 replaced.append(incarnation)
         if not replaced:
             return
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             'runners have restarted since the previous owner used them.',
             epoch=self._owner_context.term.epoch,
@@ -151,7 +151,7 @@
         return await self._owner_context.confirm_zone(registration.zone, self._term_began_at)
 
     def _log_unseen(self, sentence: str, now: float) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             sentence,
             epoch=self._owner_context.term.epoch,
@@ -165,14 +165,14 @@
     def _apply_preventive_stops(self, now: float) -> None:
         """Stop gangs that stay incomplete, and tasks on runners that are draining."""
         for step in stop_incomplete_gangs(self._cell, now, self._clock.wall()):
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.PLACEMENT,
                 'stopped a gang that was not completely started in time.',
                 job=step.name.job,
                 step=step.name.step,
             )
         for allocation in stop_on_draining_runners(self._cell, now):
-            self._journal.tell_frequent(
+            self._journal.log_sampled(
                 Part.PLACEMENT,
                 f'moves a task off the draining runner {allocation.runner}.',
                 job=allocation.task.job,
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -140,7 +140,7 @@
         outcome: WriteOutcome,
         started_at: float,
     ) -> None:
-        self._owner_context.journal.tell_frequent(
+        self._owner_context.journal.log_sampled(
             Part.WORKERS,
             f'ends on {state.id}: {outcome.value}.',
             runner=state.id,
@@ -159,7 +159,7 @@
             error.connection_broken or now - state.answered_at > SUSPECT_SECONDS
         ):
             state.suspect = True
-            self._owner_context.journal.tell(
+            self._owner_context.journal.log(
                 Part.WORKERS,
                 f'{state.id} does not answer: {error}.',
                 runner=state.id,
@@ -201,7 +201,7 @@
             return
         state.readable = view.complete
         outcome = 'is readable again' if view.complete else 'is only partly readable'
-        self._owner_context.journal.tell(
+        self._owner_context.journal.log(
             Part.WORKERS,
             f'the answer of {state.id} {outcome}.',
             runner=state.id,
@@ -212,7 +212,7 @@
     def _log_effect(self, state: RunnerState, effect: PollEffect, now: float) -> None:
         for ended, allocation in effect.ended:
             started = allocation.started_at if allocation else None
-            self._owner_context.journal.tell_frequent(
+            self._owner_context.journal.log_sampled(
                 Part.WORKERS,
                 f'a run has ended {ended.outcome.value}.',
                 **self._owner_context.run_fields(state.id, ended.task, ended.run),
@@ -220,7 +220,7 @@
                 seconds=round(now - started, 3) if started else None,
             )
         for lost in effect.lost:
-            self._owner_context.journal.tell(
+            self._owner_context.journal.log(
                 Part.WORKERS,
                 f'{state.id} does not have a run that it should have.',
                 **self._owner_context.run_fields(state.id, lost.task, lost.run),
@@ -237,7 +237,7 @@
             for allocation in state.allocation_by_run.values()
             if allocation.placed_at == now
         ]
-        self._owner_context.journal.tell(
+        self._owner_context.journal.log(
             Part.WORKERS,
             f'found {count} tasks on {state.id}.',
             runner=state.id,
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -58,7 +58,7 @@
         """
         members = self._cell_state.member_by_host
         others = [host for host in rank_hosts(members) if host != self._host][:PEERS_PER_REQUEST]
-        self._owner_context.journal.tell(
+        self._owner_context.journal.log(
             Part.OWNERSHIP,
             'asks peers to take over: this host gives the cell up.',
             epoch=self._owner_context.term.epoch,
@@ -85,7 +85,7 @@
         ):
             return
         self._last_request_at = now
-        self._owner_context.journal.tell(
+        self._owner_context.journal.log(
             Part.OWNERSHIP,
             'asks peers to take over: the store does not serve this host.',
             epoch=self._owner_context.term.epoch,
@@ -111,7 +111,7 @@
             if not await self._is_ready(host, members[host]):
                 continue
             self._election.note_hand_over()
-            self._owner_context.journal.tell(
+            self._owner_context.journal.log(
                 Part.OWNERSHIP,
                 f'hands the cell over to larger hosts: {host} is ready.',
                 epoch=self._owner_context.term.epoch,
@@ -133,7 +133,7 @@
             if isinstance(frame.message, Done):
                 return True
             cause = 'it is not ready'
-        self._owner_context.journal.tell(
+        self._owner_context.journal.log(
             Part.OWNERSHIP, f'{host} does not take the cell over: {cause}.'
         )
         return False
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -67,7 +67,7 @@
         if zone in self._lost_zones:
             return
         self._lost_zones.add(zone)
-        self._owner_context.journal.tell(
+        self._owner_context.journal.log(
             Part.OWNERSHIP,
             f'zone {zone} counts as lost: no host there has answered for too long.',
             epoch=self._owner_context.term.epoch,
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -159,7 +159,7 @@
             try:
                 await self._follow_once()
             except RecordsExpired as error:
-                self._journal.tell(Part.LOG, f'starts again from a snapshot: {error}.')
+                self._journal.log(Part.LOG, f'starts again from a snapshot: {error}.')
                 self._offset = None
                 # Pages of a snapshot are read one after the other: a job that ended meanwhile
                 # may be in none of them, and counted as unknown (clients were answered 410)
@@ -209,10 +209,10 @@
         self.answered_at = self._clock.monotonic()
         if self.reachable_since == NEVER:
             self.reachable_since = self._clock.monotonic()
-            self._journal.tell(Part.LOG, f'reaches the store: {self._name}.')
+            self._journal.log(Part.LOG, f'reaches the store: {self._name}.')
 
     def _note_failure(self, error: StoreError) -> None:
         self.failed_at = self._clock.monotonic()
         if self.reachable_since != NEVER:
-            self._journal.tell(Part.LOG, f'has lost the store: {self._name}: {error}.')
+            self._journal.log(Part.LOG, f'has lost the store: {self._name}: {error}.')
         self.reachable_since = NEVER
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -85,7 +85,7 @@
         self.content = record.content or b''
         self._services.update(decoded.services)
         accounts = decoded.accounts
-        self._journal.tell(
+        self._journal.log(
             Part.CONTRACTS,
             'a configuration is in force.',
             version=decoded.version,
@@ -99,7 +99,7 @@
 
     def _log_problems(self, version: int, problems: list[str]) -> None:
         for problem in problems[:MAX_LOGGED_PROBLEMS]:
-            self._journal.tell(
+            self._journal.log(
                 Part.CONTRACTS,
                 f'the configuration is partly unusable: {problem}.',
                 version=version,
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -65,7 +65,7 @@
         self._fold_records(snapshot, log_each=not first)
         if first:
             registrations = self.registration_by_id.values()
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 'has read the list of runners.',
                 runners=len(registrations),
@@ -138,7 +138,7 @@
             self._retire(runner)
             self._log_restart(previous, registration)
         elif log and (previous is None or previous.draining != registration.draining):
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 f'{incarnation} is {"draining" if registration.draining else "ready"}.',
                 runner=incarnation,
@@ -149,7 +149,7 @@
         self.removed_by_id.pop(incarnation, None)
 
     def _log_restart(self, previous: Registration, registration: Registration) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.WORKERS,
             f'{registration.runner} has taken the place of {previous.runner}.',
             runner=registration.runner,
@@ -161,7 +161,7 @@
         self._unreadable.forget(runner)
         incarnation = self._retire(runner)
         if incarnation:
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS, f'the entry of {incarnation} has gone.', runner=incarnation
             )
 
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -183,12 +183,12 @@
             try:
                 await self._topic.append(batch, self._timeout, self._fence)
             except FencedError as error:
-                self._journal.tell(Part.LOG, f'the store has fenced off this writer: {error}.')
+                self._journal.log(Part.LOG, f'the store has fenced off this writer: {error}.')
                 self.fenced = True
                 await _complete(writes, WriteOutcome.FENCED)
                 return
             except StoreError as error:
-                self._journal.tell_frequent(
+                self._journal.log_sampled(
                     Part.LOG,
                     f'an append failed: {error}.',
                     verdict=error.verdict.value,
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -108,7 +108,7 @@
             try:
                 await self._run_once()
             except LogError as error:
-                self._journal.tell(Part.CONTRACTS, f'could not write to the log: {error}.')
+                self._journal.log(Part.CONTRACTS, f'could not write to the log: {error}.')
             await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
 
     async def handle_gossip(self, state: PeerState) -> None:
@@ -144,10 +144,10 @@
         try:
             contract = load_contract(document)
         except ContractError as error:
-            self._journal.tell(Part.CONTRACTS, f'rejected a contract from {peer}: {error}.')
+            self._journal.log(Part.CONTRACTS, f'rejected a contract from {peer}: {error}.')
             return
         if self._contracts.adopt(contract):
-            self._journal.tell(
+            self._journal.log(
                 Part.CONTRACTS,
                 f'version {contract.version} of {contract.customer} is in force; '
                 f'received from {peer}.',
@@ -178,7 +178,7 @@
         # read the proposal (ContractProjection.effective); the record says so.
         customer = pending.contract.customer
         await self._writer.write(Staged(customer, pending.nonce, self._me), WRITE_TIMEOUT_SECONDS)
-        self._journal.tell(
+        self._journal.log(
             Part.CONTRACTS,
             f'staged version {pending.contract.version} of {customer}.',
             customer=customer,
@@ -216,7 +216,7 @@
         return encode_contract(self._contracts.in_force(customer))
 
     def _log_outcome(self, outcome: ProposalOutcome) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.CONTRACTS,
             f'version {outcome.version} of {outcome.customer} is {outcome.state}; '
             f'{outcome.detail}.',
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -88,7 +88,7 @@
 ALIVE_CHECKS_PER_PERIOD = 8
 INCARNATION_BYTES = 3
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 CellRecord = MembershipRecord | ContractRecord
 ZoneRecord = MembershipRecord | ShardRecord | JobRecord | RequestRecord
@@ -427,7 +427,7 @@
         await self._peer_server.start(stack, settings.peers.address, settings.peers.port)
         await self._admin_server.start(stack, settings.admin.address, settings.admin.port)
         await self._callers_server.start(stack, settings.callers.address, settings.callers.port)
-        self._journal.tell(
+        self._journal.log(
             Part.LIFE,
             f'listens for callers on port {self._callers_server.port}.',
             callers=self._callers_server.port,
@@ -478,7 +478,7 @@
         while not self._life.stopping and not self._was_declared_ended():
             await curio.ignore_after(0.5, self._life.stop_requested.wait)
         if self._was_declared_ended():
-            self._journal.tell(Part.LIFE, 'exits: the log records this member as ended.')
+            self._journal.log(Part.LIFE, 'exits: the log records this member as ended.')
             return
         in_flight = InFlightCounter()
         in_flight.add(lambda: self._router.in_flight)
@@ -512,7 +512,7 @@
         while True:
             for writer in (self._zone_writer, self._cell_writer):
                 await _write_until_done(writer, joined)
-            self._journal.tell(Part.OWNERSHIP, f'joined as {self.me}.')
+            self._journal.log(Part.OWNERSHIP, f'joined as {self.me}.')
             await self._write_alive_records(rejoin_after)
 
     async def _write_alive_records(self, seconds: float) -> None:
@@ -589,4 +589,4 @@
 
 def _make_incarnation(wall: float) -> str:
     """Return an id that sorts after those of earlier starts on the host."""
-    return f'{int(wall * MILLISECONDS):013x}{os.urandom(INCARNATION_BYTES).hex()}'
+    return f'{int(wall * MILLISECONDS_PER_SECOND):013x}{os.urandom(INCARNATION_BYTES).hex()}'
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -203,7 +203,7 @@
 
     async def _start(self, stack: AsyncExitStack) -> None:
         settings = self._settings
-        self._journal.tell(
+        self._journal.log(
             Part.LIFE,
             'starts.',
             zone=settings.zone,
@@ -286,7 +286,7 @@
         )
         record = make_record(MEMBER_PREFIX + settings.host, member)
         while await self._writer.write([record], MEMBER_WRITE_TIMEOUT) is not WriteOutcome.STORED:
-            self._journal.tell(Part.PEERS, 'has not published its member record yet; trying again.')
+            self._journal.log(Part.PEERS, 'has not published its member record yet; trying again.')
 
     async def _run_terms(self) -> None:
         """Dispatch the cell's jobs during each term that this host wins."""
@@ -348,14 +348,14 @@
         try:
             load_host_settings(self._settings_path)
         except (SettingsError, OSError) as error:
-            self._journal.tell(Part.LIFE, f'the settings file is invalid and ignored: {error}.')
+            self._journal.log(Part.LIFE, f'the settings file is invalid and ignored: {error}.')
             return
-        self._journal.tell(Part.LIFE, 'the settings file is valid; changes apply after a restart.')
+        self._journal.log(Part.LIFE, 'the settings file is valid; changes apply after a restart.')
 
     async def _stop(self) -> None:
         """Hand over the cell, wait for the balancer to notice, and finish open requests."""
         stop_began_at = self._clock.monotonic()
-        self._journal.tell(Part.LIFE, 'is stopping; it is not ready any more.')
+        self._journal.log(Part.LIFE, 'is stopping; it is not ready any more.')
         if self._dispatcher is not None:
             await self._dispatcher.end()
         deadline = stop_began_at + self._settings.stop_grace - EXIT_MARGIN_SECONDS
@@ -364,7 +364,7 @@
         self._client_server.disable_keep_alive()
         while self._client_server.requests_in_progress and self._clock.monotonic() < deadline:
             await curio.sleep(POLL_SECONDS)
-        self._journal.tell(
+        self._journal.log(
             Part.LIFE, 'has stopped.', unanswered=self._client_server.requests_in_progress
         )
 
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -59,7 +59,7 @@
         if reason == self._last_reason:
             return
         self._last_reason = reason
-        self._journal.tell(
+        self._journal.log(
             Part.LIFE,
             f'asks for no clients: {reason}.' if reason else 'asks for clients.',
             store_age=seconds_or_none(inputs.store_age),
--- a/dandelionreel/http/_sockets.py
+++ b/dandelionreel/http/_sockets.py
@@ -6,7 +6,7 @@
 
 from curio import socket
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class _OutgoingAddress:
@@ -55,7 +55,7 @@
     sock.setsockopt(
         std_socket.IPPROTO_TCP,
         std_socket.TCP_USER_TIMEOUT,
-        int(user_timeout * MILLISECONDS),
+        int(user_timeout * MILLISECONDS_PER_SECOND),
     )
 
 
--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -88,7 +88,7 @@
     async def _finalize(self, tracked: TrackedAttempt, epoch: int) -> None:
         outcome = self._classify_outcome(tracked)
         record = AttemptEnded(tracked.job, tracked.number, epoch, outcome.value)
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.JOBS,
             f'attempt {tracked.number} of {tracked.job} ended; {outcome.value}.',
             job=tracked.job,
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -127,7 +127,7 @@
         try:
             await self._writer.write(record, OUTAGE_WRITE_TIMEOUT_SECONDS)
         except LogError as error:
-            self._journal.tell(Part.JOBS, f'a record could not be written; {error}.')
+            self._journal.log(Part.JOBS, f'a record could not be written; {error}.')
 
     async def _start_task(self, work: Work, task: TrackedTask, epoch: int) -> None:
         order = PlaceOrder(
@@ -167,7 +167,7 @@
             self._clock.monotonic() + AVOID_WORKER_SECONDS,
             avoided | {task.worker},
         )
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.PLACEMENT,
             f'{task.worker} did not start {task.task_id}; {cause}.',
             task=task.task_id,
@@ -176,7 +176,7 @@
 
     async def _preempt(self, victim: RunningTask, epoch: int) -> None:
         worker = self._worker_of(victim)
-        self._journal.tell(
+        self._journal.log(
             Part.PLACEMENT,
             f'stops {victim.task_id} on {worker}; an urgent job needs its resources.',
             task=victim.task_id,
@@ -232,7 +232,7 @@
 
     def _log_placement(self, placement: Placement) -> None:
         work = placement.work
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.PLACEMENT,
             f'places {work.id} on {", ".join(sorted(set(placement.workers)))}; {placement.reason}.',
             job=work.id,
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -151,10 +151,10 @@
         self._state.took_over_at = self._clock.monotonic()
         known = (job.id for job in self._jobs.in_state(*JobState))
         self._state.changes.job_ids.update(dict.fromkeys(known))
-        self._journal.tell(Part.JOBS, 'dispatches for the zone.', epoch=epoch)
+        self._journal.log(Part.JOBS, 'dispatches for the zone.', epoch=epoch)
 
     def _stop_dispatching(self) -> None:
         if not self.is_active:
             return
-        self._journal.tell(Part.JOBS, 'stops dispatching for the zone.', epoch=self._state.epoch)
+        self._journal.log(Part.JOBS, 'stops dispatching for the zone.', epoch=self._state.epoch)
         self._state.clear()
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -161,7 +161,7 @@
         missing = tuple(job for job in jobs if self._jobs.get(job) is None)
         if known:
             await self._write(JobsCancelled(known))
-            self._journal.tell(Part.JOBS, f'cancelled {len(known)} jobs.')
+            self._journal.log(Part.JOBS, f'cancelled {len(known)} jobs.')
         return CancelResult(len(known), missing)
 
     async def resolve(self, job_id: str, request: Request) -> Answer:
@@ -197,7 +197,7 @@
                 'job-not-read-back',
                 'the job may be stored; retry with the same idempotency key',
             )
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.JOBS,
             f'accepted {job.id}; its record was read back from the log.',
             job=job.id,
--- a/dandelionreel/jobs/_job_refresher.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -47,7 +47,7 @@
             try:
                 await self.refresh_due()
             except LogError as error:
-                self._journal.tell(Part.JOBS, f'could not refresh job records: {error}.')
+                self._journal.log(Part.JOBS, f'could not refresh job records: {error}.')
 
     async def refresh_due(self) -> None:
         """Rewrite the jobs whose newest record is older than a third of the retention time."""
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -132,7 +132,7 @@
             if job.moved_to == self._zone and not job.ended_at:
                 await self._complete_move(remote, job)
                 moved += 1
-        self._journal.tell(Part.JOBS, f'moved {moved} jobs from {zone} to this zone.')
+        self._journal.log(Part.JOBS, f'moved {moved} jobs from {zone} to this zone.')
         return MoveResult(moved)
 
     async def _complete_move(self, remote: _RemoteZone, job: Job) -> None:
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -125,7 +125,7 @@
             try:
                 await self._writer.write(record, RECORD_TIMEOUT_SECONDS)
             except LogError as error:
-                self._journal.tell(Part.JOBS, f'a record could not be written; {error}.')
+                self._journal.log(Part.JOBS, f'a record could not be written; {error}.')
 
     async def _try_stop(self, task_id: str) -> None:
         pending = self._pending_stops.get(task_id)
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -60,9 +60,7 @@
                 await self._write_requests()
                 await self._write_transfers()
             except LogError as error:
-                self._journal.tell(
-                    Part.CONTRACTS, f'could not write a quota share record: {error}.'
-                )
+                self._journal.log(Part.CONTRACTS, f'could not write a quota share record: {error}.')
 
     def _plan_request(self, customer: str, planner: Planner) -> None:
         now = self._clock.monotonic()
@@ -143,7 +141,7 @@
             # The record was read back, so ``_contracts`` already has the reduced share.
             self._pending_transfers.pop(customer)
             self._reserved[customer] = max(0.0, self._reserved.get(customer, 0) - amount)
-            self._journal.tell(
+            self._journal.log(
                 Part.CONTRACTS,
                 f'gave {amount:.3f} of the quota of {customer} to {zone}, which has jobs waiting.',
                 customer=customer,
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -199,7 +199,7 @@
         elif outcome is Outcome.FAILED:
             now = self._clock.wall()
             if self._state.planner.cell.note_failure(worker, tracked.job, now):
-                self._journal.tell(
+                self._journal.log(
                     Part.PLACEMENT,
                     f'quarantines {worker.name}; several different jobs failed there.',
                     worker=worker.name,
--- a/dandelionreel/kernel/_journal.py
+++ b/dandelionreel/kernel/_journal.py
@@ -47,7 +47,7 @@
 class Journal:
     """Writes log lines and samples the frequent ones.
 
-    ``tell_frequent`` writes one of every ``sample_every`` lines; these have the field
+    ``log_sampled`` writes one of every ``sample_every`` lines; these have the field
     ``sampled``, so that a reader can estimate the full count. A part that is listed in
     ``quiet_parts`` writes nothing.
     """
@@ -80,7 +80,7 @@
         """Stop sending eliot's messages to the stream."""
         eliot.remove_destination(self._destination)
 
-    def tell(self, part: Part, sentence: str, **fields: Any) -> None:
+    def log(self, part: Part, sentence: str, **fields: Any) -> None:
         """Write one line, without sampling."""
         if part.value in self._quiet_parts:
             return
@@ -91,11 +91,11 @@
             **fields,
         )
 
-    def tell_frequent(self, part: Part, sentence: str, **fields: Any) -> None:
+    def log_sampled(self, part: Part, sentence: str, **fields: Any) -> None:
         """Write one of every ``sample_every`` lines."""
         self._count += 1
         if self._count % self._sample_every:
             return
         if self._sample_every > 1:
             fields['sampled'] = self._sample_every
-        self.tell(part, sentence, **fields)
+        self.log(part, sentence, **fields)
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -77,7 +77,7 @@
         connection that ends with this process.
         """
         timings = self._settings.timings
-        self._journal.tell(Part.LIFE, 'is stopping and reports not ready.')
+        self._journal.log(Part.LIFE, 'is stopping and reports not ready.')
         await self._wait_unless_skipped(timings.drain_balancer_lag)
         finish_connections()
         claimer.draining = True
@@ -87,7 +87,7 @@
                 break
             await curio.sleep(POLL_SECONDS)
         await self._leave(claimer, zone_writer, cell_writer, me)
-        self._journal.tell(Part.LIFE, 'has stopped.')
+        self._journal.log(Part.LIFE, 'has stopped.')
 
     async def _leave(
         self,
@@ -99,13 +99,13 @@
         # Only a daemon without shards may write that it has left: the next owner of
         # its shards does not wait for the effects of its last messages.
         if claimer.owned_claims():
-            self._journal.tell(Part.LIFE, 'is stopping with shards that were not handed over.')
+            self._journal.log(Part.LIFE, 'is stopping with shards that were not handed over.')
             return
         for writer in (zone_writer, cell_writer):
             try:
                 await writer.write(Left(me), LEFT_WRITE_SECONDS)
             except LogError as error:
-                self._journal.tell(Part.LIFE, f'could not write the leave record: {error}.')
+                self._journal.log(Part.LIFE, f'could not write the leave record: {error}.')
 
     async def _wait_unless_skipped(self, seconds: float) -> None:
         deadline = self._clock.monotonic() + seconds
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -160,7 +160,7 @@
             try:
                 await self.run_once()
             except LogError as error:
-                self._journal.tell(Part.OWNERSHIP, f'could not write to the log: {error}.')
+                self._journal.log(Part.OWNERSHIP, f'could not write to the log: {error}.')
             await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
 
     async def run_once(self) -> None:
@@ -277,7 +277,7 @@
             reason = f'{claim.former_owner} was silent'
             self.takeovers += 1
             self._back_off_takeover(shard)
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             f'claimed {shard}; {reason}.',
             shard=shard,
@@ -303,7 +303,7 @@
                 yielded.append(ShardEpoch(claim.shard, claim.epoch - 1))
         if yielded:
             await self._writer.write(Released(self._me, tuple(yielded)), WRITE_TIMEOUT_SECONDS)
-            self._journal.tell(Part.OWNERSHIP, f'yielded {len(yielded)} shards to claimants.')
+            self._journal.log(Part.OWNERSHIP, f'yielded {len(yielded)} shards to claimants.')
 
     async def _release_surplus(self) -> None:
         claims_to_renew = self._find_surplus()
@@ -321,7 +321,7 @@
         finally:
             for shard_epoch in released:
                 self._authority.suspended.discard(shard_epoch.shard)
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             f'released {len(released)} shards that other hosts should own.',
             shards=[shard_epoch.shard for shard_epoch in released],
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -173,7 +173,7 @@
             try:
                 await self._write_proofs(zone_writer, cell_writer)
             except LogError as error:
-                self._journal.tell(Part.OWNERSHIP, f'could not write a proof of end: {error}.')
+                self._journal.log(Part.OWNERSHIP, f'could not write a proof of end: {error}.')
 
     def _detect_pause(self) -> None:
         now = self._clock.monotonic()
@@ -269,7 +269,7 @@
             if not proof:
                 continue
             await cell_writer.write(Ended(member.key, proof), WRITE_TIMEOUT_SECONDS)
-            self._journal.tell(Part.OWNERSHIP, f'{member.key} has ended; {proof}.')
+            self._journal.log(Part.OWNERSHIP, f'{member.key} has ended; {proof}.')
         for member in self._zone_members.live():
             proof = self._find_proof(member) or self._proof_in_cell_stream(member)
             if proof:
--- a/dandelionreel/peers/_codec.py
+++ b/dandelionreel/peers/_codec.py
@@ -44,7 +44,7 @@
 )
 
 PROTOCOL_VERSION = 3
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: Packing compresses runs of zeros; this bounds the size of an unpacked frame, in words per
 #: packed byte.
 MAX_UNPACKING_FACTOR = 64
@@ -63,8 +63,8 @@
         version=PROTOCOL_VERSION,
         exchange=frame.exchange,
         sender=frame.sender,
-        clock=int(frame.clock * MILLISECONDS),
-        echo=int(frame.echo * MILLISECONDS),
+        clock=int(frame.clock * MILLISECONDS_PER_SECOND),
+        echo=int(frame.echo * MILLISECONDS_PER_SECOND),
     )
     _ENCODERS[type(frame.message)](root, frame.message)
     return root.to_bytes_packed()
@@ -89,8 +89,8 @@
     return Frame(
         root.exchange,
         root.sender,
-        root.clock / MILLISECONDS,
-        root.echo / MILLISECONDS,
+        root.clock / MILLISECONDS_PER_SECOND,
+        root.echo / MILLISECONDS_PER_SECOND,
         message,
     )
 
@@ -172,7 +172,7 @@
             'target': request.target,
             'headers': _encode_headers(request.headers),
             'body': request.body,
-            'remainingMs': max(0, int(message.remaining * MILLISECONDS)),
+            'remainingMs': max(0, int(message.remaining * MILLISECONDS_PER_SECOND)),
             'hops': message.hops,
         }
     )
@@ -189,7 +189,9 @@
 def _decode_forward(root: Any) -> Forward:
     node = root.forward
     request = Request(node.method, node.target, _decode_headers(node.headers), bytes(node.body))
-    return Forward(request, node.remainingMs / MILLISECONDS, node.hops, _decode_caller(node))
+    return Forward(
+        request, node.remainingMs / MILLISECONDS_PER_SECOND, node.hops, _decode_caller(node)
+    )
 
 
 def _decode_caller(node: Any) -> Caller | None:
@@ -306,9 +308,9 @@
             'reachable': message.reachable,
             'room': _encode_resources(message.usable_capacity),
             'tasks': [_encode_task_report(task) for task in message.tasks],
-            'silentMs': int(message.unrenewed_seconds * MILLISECONDS),
-            'remembersMs': int(message.history_seconds * MILLISECONDS),
-            'asOf': int(message.as_of * MILLISECONDS),
+            'silentMs': int(message.unrenewed_seconds * MILLISECONDS_PER_SECOND),
+            'remembersMs': int(message.history_seconds * MILLISECONDS_PER_SECOND),
+            'asOf': int(message.as_of * MILLISECONDS_PER_SECOND),
             'dispatchEpoch': message.dispatch_epoch,
         }
     )
@@ -322,9 +324,9 @@
         node.reachable,
         _decode_resources(node.room),
         tuple(_decode_task_report(task) for task in node.tasks),
-        node.silentMs / MILLISECONDS,
-        node.remembersMs / MILLISECONDS,
-        node.asOf / MILLISECONDS,
+        node.silentMs / MILLISECONDS_PER_SECOND,
+        node.remembersMs / MILLISECONDS_PER_SECOND,
+        node.asOf / MILLISECONDS_PER_SECOND,
         node.dispatchEpoch,
     )
 
@@ -351,7 +353,7 @@
             'occurrence': message.occurrence,
             'step': message.step,
             'runners': list(message.runners),
-            'patienceMs': int(message.patience * MILLISECONDS),
+            'patienceMs': int(message.patience * MILLISECONDS_PER_SECOND),
         }
     )
 
@@ -363,7 +365,7 @@
         node.occurrence,
         node.step,
         tuple(node.runners),
-        node.patienceMs / MILLISECONDS,
+        node.patienceMs / MILLISECONDS_PER_SECOND,
     )
 
 
--- a/dandelionreel/peers/_messages.py
+++ b/dandelionreel/peers/_messages.py
@@ -5,7 +5,7 @@
 import xxhash
 
 from dandelionreel.accounts import Caller
-from dandelionreel.backing import NOTHING, Resources
+from dandelionreel.backing import NO_RESOURCES, Resources
 from dandelionreel.http import Answer, Request
 from dandelionreel.peers._cell_messages import (
     AdviceGiven,
@@ -138,7 +138,7 @@
     running: bool
     outcome: str
     demand: Resources
-    used: Resources = NOTHING
+    used: Resources = NO_RESOURCES
 
 
 @dataclass(frozen=True)
--- a/dandelionreel/peers/_server.py
+++ b/dandelionreel/peers/_server.py
@@ -74,7 +74,7 @@
                 self._peer_clocks.record(frame.sender, frame.clock)
                 await self._spawn_answer(stream, lock, frame)
         except FrameError as error:
-            self._journal.tell(Part.PEERS, f'closed a connection of a peer: {error}.')
+            self._journal.log(Part.PEERS, f'closed a connection of a peer: {error}.')
         except OSError:
             return
         finally:
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from dandelionreel.accounts import Usage
-from dandelionreel.backing import EPSILON, NOTHING, Resources
+from dandelionreel.backing import EPSILON, NO_RESOURCES, Resources
 from dandelionreel.placement._work import RunningTask
 
 #: Different jobs that fail in a row before their worker is quarantined.
@@ -39,7 +39,7 @@
         self.rack = rack
         self.capacity = capacity
         self.usable_capacity = capacity
-        self.used = NOTHING
+        self.used = NO_RESOURCES
         self.free = capacity
         self.running_by_task: dict[str, RunningTask] = {}
         self.failed_jobs: list[str] = []
@@ -92,8 +92,8 @@
         self.random_source = random_source or random.Random()
         self.worker_by_name: dict[str, WorkerView] = {}
         #: Resources in use by customer, over all workers.
-        self.usage: Usage[Resources] = Usage(NOTHING)
-        self.total = NOTHING
+        self.usage: Usage[Resources] = Usage(NO_RESOURCES)
+        self.total = NO_RESOURCES
         self._freed_by_name: dict[str, WorkerView] = {}
         self._without_accelerators = _Buckets()
         self._with_accelerators = _Buckets()
--- a/dandelionreel/placement/_queue.py
+++ b/dandelionreel/placement/_queue.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from dandelionreel.accounts import weighted_share, within_quota
-from dandelionreel.backing import NOTHING, Resources
+from dandelionreel.backing import NO_RESOURCES, Resources
 from dandelionreel.placement._work import URGENT, Shape, Work
 
 #: Fraction of its longest wait after which a job goes first.
@@ -29,7 +29,7 @@
 
     weight: float = 1
     quota: Resources | None = None
-    guaranteed: Resources = NOTHING
+    guaranteed: Resources = NO_RESOURCES
 
 
 class _CustomerQueue:
@@ -182,7 +182,7 @@
     def entitlement(self, customer: str, used: Resources, total: Resources) -> tuple[bool, float]:
         """Return the customer's fair share sort key; the lowest goes first."""
         terms = self._get_terms(customer)
-        below_guarantee = terms.guaranteed != NOTHING and used.fits(terms.guaranteed)
+        below_guarantee = terms.guaranteed != NO_RESOURCES and used.fits(terms.guaranteed)
         return (not below_guarantee, weighted_share(used, total, terms.weight))
 
     def within_quota(self, work: Work, used: Resources) -> bool:
--- a/dandelionreel/platform/_configuration.py
+++ b/dandelionreel/platform/_configuration.py
@@ -9,7 +9,7 @@
 
 #: The key in the operator's topic under which the whole current configuration is stored.
 CONFIGURATION_KEY = 'config'
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: JSON numbers are exact integers up to here. A version above it is rejected: it would prevent
 #: every later version from coming into force.
 JSON_INTEGER_LIMIT = 9_007_199_254_740_992
@@ -87,9 +87,9 @@
     advice = None
     if route.advice is not None:
         advice = AdvicePolicy(
-            route.advice.decision_ms / MILLISECONDS,
-            route.advice.period_ms / MILLISECONDS,
-            route.advice.valid_ms / MILLISECONDS,
+            route.advice.decision_ms / MILLISECONDS_PER_SECOND,
+            route.advice.period_ms / MILLISECONDS_PER_SECOND,
+            route.advice.valid_ms / MILLISECONDS_PER_SECOND,
         )
     return Queue(
         name=route.name,
@@ -99,8 +99,8 @@
         priority=route.priority,
         max_attempts=max(1, route.max_attempts),
         slack=route.slack_factor,
-        latency=route.target_latency_ms / MILLISECONDS,
-        timeout=route.timeout_ms / MILLISECONDS,
+        latency=route.target_latency_ms / MILLISECONDS_PER_SECOND,
+        timeout=route.timeout_ms / MILLISECONDS_PER_SECOND,
         advice=advice,
         public=route.public,
     )
--- a/dandelionreel/platform/_registrations.py
+++ b/dandelionreel/platform/_registrations.py
@@ -14,7 +14,7 @@
 )
 from dandelionreel.platform._settings import SettingsError, parse_address
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: More than any machine has of any resource. A larger amount is an error and would make every
 #: task fit.
 MAX_AMOUNT = 2_147_483_648
@@ -80,6 +80,6 @@
         capacity=Demand(entry.capacity.cpu, entry.capacity.mem_mb, entry.capacity.gpu),
         labels=entry.labels,
         draining=entry.state == 'draining',
-        remaining=None if remaining is None else remaining / MILLISECONDS,
+        remaining=None if remaining is None else remaining / MILLISECONDS_PER_SECOND,
         incarnation=incarnation,
     )
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -54,7 +54,7 @@
 HTTP_CONFLICT = 409
 HTTP_MISDIRECTED = 421
 UNHEALTHY_STATUSES = frozenset((429, 503))
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 _REPLY_BY_REASON = {
     'fence': StartReply.FENCED,
@@ -104,7 +104,7 @@
             'task': encode_task(order.task),
             'run': order.run,
             'spec': order.payload,
-            'deadline_ms': int(order.lease_until * MILLISECONDS),
+            'deadline_ms': int(order.lease_until * MILLISECONDS_PER_SECOND),
             'fencing_token': order.epoch,
         }
         if order.checkpoint:
@@ -149,9 +149,9 @@
         """
         fields: dict[str, object] = {'fencing_token': epoch, 'acked_through': acknowledged}
         if lease_until is not None:
-            fields['deadline_ms'] = int(lease_until * MILLISECONDS)
+            fields['deadline_ms'] = int(lease_until * MILLISECONDS_PER_SECOND)
         if wait:
-            fields['wait_ms'] = int(wait * MILLISECONDS)
+            fields['wait_ms'] = int(wait * MILLISECONDS_PER_SECOND)
         answer = await self._exchange(
             self._poll_channel, POLL_PATH, fields, POLL_TIMEOUT_MARGIN + wait
         )
@@ -234,5 +234,5 @@
     except UnreadableError:
         # The HTTP status alone tells the result of the order.
         return None, ''
-    clock = None if decoded.clock_ms is None else decoded.clock_ms / MILLISECONDS
+    clock = None if decoded.clock_ms is None else decoded.clock_ms / MILLISECONDS_PER_SECOND
     return clock, decoded.reason
--- a/dandelionreel/platform/_settings.py
+++ b/dandelionreel/platform/_settings.py
@@ -95,7 +95,7 @@
 #: File descriptors reserved for files, the store, runners and peers.
 RESERVED_DESCRIPTORS = 1200
 MIN_CONNECTIONS = 256
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: A name or an IPv4 address.
 HOST_PATTERN = re.compile('[0-9A-Za-z._-]{1,253}')
 PORT_PATTERN = re.compile('[0-9]{1,5}')
@@ -148,10 +148,10 @@
         store=parse_address(decoded.platform.address),
         advice=parse_address(decoded.advice) if decoded.advice else None,
         stop_grace=bounds.grace_s,
-        max_lease=bounds.max_hold_ms / MILLISECONDS,
-        gang_timeout=bounds.gang_timeout_ms / MILLISECONDS,
+        max_lease=bounds.max_hold_ms / MILLISECONDS_PER_SECOND,
+        gang_timeout=bounds.gang_timeout_ms / MILLISECONDS_PER_SECOND,
         status_retention=bounds.status_s,
-        max_key_age=bounds.revoke_ms / MILLISECONDS if bounds.revoke_strict else None,
+        max_key_age=bounds.revoke_ms / MILLISECONDS_PER_SECOND if bounds.revoke_strict else None,
         # The share of one core, times the speed of that core relative to a standard one.
         cores=decoded.limits.cpu_share * decoded.limits.cores,
         max_connections=max(MIN_CONNECTIONS, decoded.limits.max_fds - RESERVED_DESCRIPTORS),
--- a/dandelionreel/platform/_store.py
+++ b/dandelionreel/platform/_store.py
@@ -45,7 +45,7 @@
 HTTP_GONE = 410
 HTTP_PRECONDITION = 412
 NOT_EXECUTED_STATUSES = frozenset((400, 403, 404, 429, 503, 507))
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class _AppendReply(msgspec.Struct):
@@ -114,7 +114,7 @@
             'part': 0,
             'from': offset,
             'max_kb': max_bytes // KILOBYTE,
-            'wait_ms': int(wait * MILLISECONDS),
+            'wait_ms': int(wait * MILLISECONDS_PER_SECOND),
         }
         request = Request('GET', f'/v1/log-read?{urlencode(fields)}')
         answer = await _exchange(self._read_channel, request, READ_TIMEOUT + wait)
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -15,7 +15,7 @@
 )
 from dandelionreel.http import Answer, answer_json
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 HTTP_GONE = 410
 MAX_PAYLOAD_BYTES = 4000
 
@@ -64,8 +64,8 @@
         payload=submission.spec,
         steps=tuple(_to_step(step) for step in submission.steps),
         repeat_count=submission.repeat_count,
-        first_run=submission.first_run_ms / MILLISECONDS,
-        interval=submission.interval_ms / MILLISECONDS,
+        first_run=submission.first_run_ms / MILLISECONDS_PER_SECOND,
+        interval=submission.interval_ms / MILLISECONDS_PER_SECOND,
     )
     try:
         check_spec(spec)
@@ -78,7 +78,7 @@
     return Step(
         count=step.count,
         demand=Demand(step.cpu, step.mem_mb, step.gpu),
-        estimate=step.estimate_ms / MILLISECONDS,
+        estimate=step.estimate_ms / MILLISECONDS_PER_SECOND,
         depends_on=step.depends_on,
         checkpointing=step.checkpointing,
         gang=step.gang,
@@ -89,7 +89,7 @@
         speculative=step.speculative,
         long_running=step.long_running,
         image=step.image,
-        target_seconds=step.target_ms / MILLISECONDS,
+        target_seconds=step.target_ms / MILLISECONDS_PER_SECOND,
         fills=step.fills,
         max_unavailable=step.max_unavailable,
     )
--- a/dandelionreel/platform/_views.py
+++ b/dandelionreel/platform/_views.py
@@ -17,7 +17,7 @@
 )
 from dandelionreel.kernel import Verdict
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: JSON numbers are exact integers up to here.
 JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 
@@ -89,7 +89,7 @@
     try:
         view = decode_json(_VIEW_DECODER, raw)
         return RunnerView(
-            view.clock_ms / MILLISECONDS,
+            view.clock_ms / MILLISECONDS_PER_SECOND,
             tuple(_to_running_task(row) for row in view.running),
             tuple(_to_ended_run(row) for row in view.finished),
             complete=len(view.finished) < MAX_LISTED_ENDS,
@@ -114,7 +114,7 @@
             running.append(_to_running_task(decode_json(_RUNNING_DECODER, bytes(row))))
     ended, readable_through = _decode_ends(rows.finished)
     return RunnerView(
-        rows.clock_ms / MILLISECONDS,
+        rows.clock_ms / MILLISECONDS_PER_SECOND,
         tuple(running),
         tuple(ended),
         complete=False,
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -242,7 +242,7 @@
 
     async def _await_former_owner(self, runner: Runner) -> None:
         await runner.await_former_owner()
-        self._journal.tell(
+        self._journal.log(
             Part.ROUTING,
             f'has all slots of {runner.entry.name}; its former owner holds none.',
             runner=runner.entry.name,
@@ -252,7 +252,7 @@
     async def _log_leaving(self) -> None:
         leaving = set(self.leaving())
         for name in leaving - self._logged_leaving:
-            self._journal.tell(
+            self._journal.log(
                 Part.ROUTING, f'sends no more requests to {name}; the endpoint is leaving.'
             )
         self._logged_leaving = leaving
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -192,7 +192,7 @@
     def _report_refusal(self, call: ServiceCall, error: RequestError) -> None:
         problem = error.problem
         self._metrics.count_refusal(call, problem.verdict.value, problem.cause)
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.ROUTING,
             f'refuses a request for {call.service}; {problem.detail}.',
             request=call.id,
@@ -373,7 +373,7 @@
         """
         remaining = call.deadline - self._clock.monotonic()
         state.forwards_since_gossip += 1
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.ROUTING,
             f'forwards a request for {call.service} to {state.member}; it has free slots.',
             request=call.id,
@@ -481,7 +481,7 @@
             )
 
     def _log_choice(self, call: ServiceCall, runner: Runner) -> None:
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.ROUTING,
             f'sends a request for {call.service} to {runner.entry.name}; '
             f'{runner.in_use} of {runner.entry.slots} slots are in use.',
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -217,7 +217,7 @@
             await self._handle_unreachable(error)
             return -1
         if task_list.unchanged and self._has_restarted(task_list):
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 f'{self.entry.name} has restarted.',
                 worker=self.entry.name,
@@ -263,7 +263,7 @@
 
     async def _handle_unreachable(self, error: WorkerError) -> None:
         if self._last_contact.reachable:
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 f'cannot reach {self.entry.name}; {error}.',
                 worker=self.entry.name,
@@ -310,7 +310,7 @@
             self.ledger.release(order.task_id)
             return PlaceAnswer(REFUSED, f'{error}')
         self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, self._clock.monotonic())
-        self._journal.tell(
+        self._journal.log(
             Part.WORKERS,
             f'does not know whether {order.task_id} started on {self.entry.name}; {error}.',
             task=order.task_id,
@@ -347,7 +347,7 @@
         action = {'': THROTTLE, THROTTLE: CHECKPOINT, CHECKPOINT: STOP}.get(last_action)
         if action is None:
             return
-        self._journal.tell(
+        self._journal.log(
             Part.WORKERS,
             f'tells {self.entry.name} to {action} {status.id}; it uses more than it declared.',
             task=status.id,
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -6,7 +6,7 @@
 import enum
 from dataclasses import dataclass, replace
 
-from dandelionreel.backing import NOTHING, Resources, TaskList, TaskStatus
+from dandelionreel.backing import NO_RESOURCES, Resources, TaskList, TaskStatus
 from dandelionreel.ownership import Grant, GrantLevel
 
 HALF_SHARE = 0.5
@@ -51,7 +51,7 @@
 
     def total_demand(self) -> Resources:
         """Return the demand of all allocations."""
-        total = NOTHING
+        total = NO_RESOURCES
         for allocation in self._allocation_by_task.values():
             total += allocation.demand
         return total
@@ -66,7 +66,7 @@
     def usable_capacity(self, grant: Grant) -> Resources:
         """Return how much may be allocated in total, including what already is."""
         if grant.level is GrantLevel.NONE or self.listed_at < grant.since:
-            return NOTHING
+            return NO_RESOURCES
         if grant.level is GrantLevel.WHOLE:
             return self.capacity
         half = self.capacity.times(HALF_SHARE)
@@ -149,7 +149,7 @@
         self._allocation_by_task[status.id] = allocation
 
     def _sum_demand(self, epoch: int, *, is_own: bool) -> Resources:
-        total = NOTHING
+        total = NO_RESOURCES
         for allocation in self._allocation_by_task.values():
             if (allocation.epoch >= epoch) is is_own:
                 total += allocation.demand
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -205,7 +205,7 @@
         super().__init__(io.StringIO(), 'test')
         self._lines = lines
 
-    def tell(self, part, sentence, **fields):
+    def log(self, part, sentence, **fields):
         """Append one line."""
         self._lines.append({'part': part.value, 'text': sentence, **fields})
 
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -21,7 +21,7 @@
     def __init__(self):
         self.entries = []
 
-    def tell(self, part, sentence, **fields):
+    def log(self, part, sentence, **fields):
         """Record a line."""
         self.entries.append((sentence, fields))
 
--- a/standins/_log.py
+++ b/standins/_log.py
@@ -12,7 +12,7 @@
 from dandelionreel.http import Answer, Request, answer_json
 from standins._faults import FaultSwitch
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 HTTP_GONE = 410
 HTTP_NOT_FOUND = 404
 #: Truncates a stream: ``POST /control/truncate?stream=S&first=N``.
@@ -64,7 +64,7 @@
     async def _read(self, stream: str, request: Request) -> Answer:
         self.counts.reads += 1
         query = request.query_by_name
-        wait = int(query.get('wait_ms', '0')) / MILLISECONDS
+        wait = int(query.get('wait_ms', '0')) / MILLISECONDS_PER_SECOND
         offset = int(query['offset'])
         try:
             batch = await self.log.read(stream, offset, wait)
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -23,7 +23,7 @@
 from standins._relay import LinkFaults, Relay
 
 LENGTH_PREFIX = struct.Struct('>I')
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 STOP_SECONDS = 0.1
 POLL_SECONDS = 0.01
 #: Seconds from the start of a task that crashes its runner to the crash, and from the crash
@@ -140,7 +140,7 @@
         return answer_json({'items': entries, 'has_more': False, 'end': len(topic.records)})
 
     async def _read(self, topic: _Topic, offset: int, wait_ms: int) -> Answer:
-        until = time.monotonic() + wait_ms / MILLISECONDS
+        until = time.monotonic() + wait_ms / MILLISECONDS_PER_SECOND
         while len(topic.records) <= offset and time.monotonic() < until:
             await curio.sleep(POLL_SECONDS)
         body = struct.pack('>QQ', len(topic.records), 0)
@@ -229,7 +229,7 @@
         self.name = name
         self.is_down = False
         #: The Unix millisecond at which the current incarnation started.
-        self.started_at_ms = int(time.time() * MILLISECONDS)
+        self.started_at_ms = int(time.time() * MILLISECONDS_PER_SECOND)
         #: Whether the connections to the crashed process are still to be closed.
         self.reset_pending = False
         self.reports_incarnation = reports_incarnation
@@ -319,7 +319,7 @@
         Without a ``name`` it is the next incarnation of its old name.
         """
         self.name = name or self.name
-        self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * MILLISECONDS))
+        self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * MILLISECONDS_PER_SECOND))
         self._clock_zero = time.monotonic()
         self._fencing_token = 0
         self._deadline = 0.0
@@ -347,7 +347,7 @@
             return self._ok()
         if number <= self._highest_run_by_task.get(task, 0):
             return self._reject('old')
-        if order['deadline_ms'] / MILLISECONDS < self.clock():
+        if order['deadline_ms'] / MILLISECONDS_PER_SECOND < self.clock():
             return self._reject('late')
         arguments = order['spec'].split()
         now = time.monotonic()
@@ -373,7 +373,7 @@
             end for end in self._unacknowledged_ends if end[0] > order['acked_through']
         ]
         self._extend_lease(order.get('deadline_ms', 0))
-        until = time.monotonic() + order.get('wait_ms', 0) / MILLISECONDS
+        until = time.monotonic() + order.get('wait_ms', 0) / MILLISECONDS_PER_SECOND
         born = self.started_at_ms
         while not self._unacknowledged_ends and time.monotonic() < until:
             await curio.sleep(POLL_SECONDS)
@@ -393,11 +393,13 @@
         return answer_json(body)
 
     def _extend_lease(self, deadline_ms: int) -> None:
-        requested_deadline = min(deadline_ms / MILLISECONDS, self.clock() + MAX_LEASE_SECONDS)
+        requested_deadline = min(
+            deadline_ms / MILLISECONDS_PER_SECOND, self.clock() + MAX_LEASE_SECONDS
+        )
         self._deadline = max(self._deadline, requested_deadline)
 
     def _clock_ms(self) -> int:
-        return int(self.clock() * MILLISECONDS)
+        return int(self.clock() * MILLISECONDS_PER_SECOND)
 
     def _ok(self) -> Answer:
         return answer_json({'clock_ms': self._clock_ms()})
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dandelionreel.backing import (
-    NOTHING,
+    NO_RESOURCES,
     HostEntry,
     LeaseRenewal,
     MemoryTask,
@@ -22,7 +22,7 @@
 from dandelionreel.kernel import Problem
 from standins._faults import FaultSwitch
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 HTTP_CREATED = 201
 HTTP_CONFLICT = 409
 FAULTS = '/control/faults'
@@ -65,8 +65,8 @@
         self._worker = MemoryWorker(entry)
         self._worker.watch(self._record_change)
         self._run_by_task: dict[str, RunRecord] = {}
-        self._in_use = NOTHING
-        self._peak_usage = NOTHING
+        self._in_use = NO_RESOURCES
+        self._peak_usage = NO_RESOURCES
 
     async def start(self, stack: AsyncExitStack) -> None:
         """Listen until the stack closes."""
@@ -95,7 +95,7 @@
     async def _dispatch(self, request: Request) -> Answer:
         if request.path == TASKS:
             query = request.query_by_name
-            wait = int(query.get('wait_ms', '0')) / MILLISECONDS
+            wait = int(query.get('wait_ms', '0')) / MILLISECONDS_PER_SECOND
             return answer_json(await self._worker.tasks(int(query.get('after', '-1')), wait))
         if request.path == '/v1/leases':
             await self._worker.renew(msgspec.json.decode(request.body, type=LeaseRenewal))
