--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -25,7 +25,7 @@
     Settings,
     Verdict,
     not_run,
-    unknown,
+    outcome_unknown,
     zones_of,
 )
 from dandelionreel.ownership import Membership, member_keys
@@ -87,7 +87,7 @@
             raise _translate_log_error(error) from error
         outcome = await self._await_outcome(nonce)
         if outcome is None:
-            raise unknown(
+            raise outcome_unknown(
                 HTTP_TIMEOUT,
                 'contract-outcome-unknown',
                 'the proposal is in the log but its outcome was not read in time; '
@@ -108,7 +108,7 @@
             try:
                 await self._run_once()
             except LogError as error:
-                self._journal.tell(Part.CONTRACTS, f'could not write to the log: {error}.')
+                self._journal.log(Part.CONTRACTS, f'could not write to the log: {error}.')
             await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
 
     async def handle_gossip(self, state: PeerState) -> None:
@@ -144,10 +144,10 @@
         try:
             contract = load_contract(document)
         except ContractError as error:
-            self._journal.tell(Part.CONTRACTS, f'rejected a contract from {peer}: {error}.')
+            self._journal.log(Part.CONTRACTS, f'rejected a contract from {peer}: {error}.')
             return
         if self._contracts.adopt(contract):
-            self._journal.tell(
+            self._journal.log(
                 Part.CONTRACTS,
                 f'version {contract.version} of {contract.customer} is in force; '
                 f'received from {peer}.',
@@ -178,7 +178,7 @@
         # read the proposal (ContractProjection.effective); the record says so.
         customer = pending.contract.customer
         await self._writer.write(Staged(customer, pending.nonce, self._me), WRITE_TIMEOUT_SECONDS)
-        self._journal.tell(
+        self._journal.log(
             Part.CONTRACTS,
             f'staged version {pending.contract.version} of {customer}.',
             customer=customer,
@@ -216,7 +216,7 @@
         return encode_contract(self._contracts.in_force(customer))
 
     def _log_outcome(self, outcome: ProposalOutcome) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.CONTRACTS,
             f'version {outcome.version} of {outcome.customer} is {outcome.state}; '
             f'{outcome.detail}.',
@@ -238,7 +238,7 @@
             'the log is unavailable; nothing was published',
             retry_after=10,
         )
-    return unknown(
+    return outcome_unknown(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
         'the log did not confirm the proposal; check the contract history before publishing again',
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -28,7 +28,7 @@
     Verdict,
     clip,
     not_run,
-    unknown,
+    outcome_unknown,
     zones_of,
 )
 from dandelionreel.ownership import choose_owner
@@ -161,7 +161,7 @@
         missing = tuple(job for job in jobs if self._jobs.get(job) is None)
         if known:
             await self._write(JobsCancelled(known))
-            self._journal.tell(Part.JOBS, f'cancelled {len(known)} jobs.')
+            self._journal.log(Part.JOBS, f'cancelled {len(known)} jobs.')
         return CancelResult(len(known), missing)
 
     async def resolve(self, job_id: str, request: Request) -> Answer:
@@ -192,12 +192,12 @@
         # Another daemon may have accepted a job with the same key first.
         job = self._jobs.find_by_key(spec.customer, key)
         if job is None:
-            raise unknown(
+            raise outcome_unknown(
                 HTTP_TIMEOUT,
                 'job-not-read-back',
                 'the job may be stored; retry with the same idempotency key',
             )
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.JOBS,
             f'accepted {job.id}; its record was read back from the log.',
             job=job.id,
@@ -293,7 +293,7 @@
             'the log is unreachable; the request was not stored',
             RETRY_AFTER_SECONDS,
         )
-    return unknown(
+    return outcome_unknown(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
         'the log did not confirm the write in time; retry with the same idempotency key',
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -79,7 +79,7 @@
         if not owner:
             return False
         if owner == self._member:
-            return await self._fleet.act(order)
+            return await self._fleet.apply_action(order)
         try:
             frame = await self._directory.request(
                 owner,
@@ -125,7 +125,7 @@
             try:
                 await self._writer.write(record, RECORD_TIMEOUT_SECONDS)
             except LogError as error:
-                self._journal.tell(Part.JOBS, f'a record could not be written; {error}.')
+                self._journal.log(Part.JOBS, f'a record could not be written; {error}.')
 
     async def _try_stop(self, task_id: str) -> None:
         pending = self._pending_stops.get(task_id)
--- a/dandelionreel/kernel/_journal.py
+++ b/dandelionreel/kernel/_journal.py
@@ -1,6 +1,6 @@
 """Structured log of the daemon's decisions, written as eliot events.
 
-Each event has a short sentence that starts with the name of the subsystem.
+The text of each event is a short sentence after the name of the part that wrote it.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class Part(enum.Enum):
-    """The subsystem that writes a log line; its value is the prefix of the sentence."""
+    """The part (subsystem) of the daemon that writes a line; its value is the line's prefix."""
 
     LIFE = 'life'
     LOG = 'log'
@@ -47,9 +47,9 @@
 class Journal:
     """Writes log lines and samples the frequent ones.
 
-    ``tell_frequent`` writes one of every ``sample_every`` lines; these have the field
-    ``sampled``, so that a reader can estimate the full count. A subsystem that is
-    listed in ``quiet_parts`` writes nothing.
+    ``log_sampled`` writes one of every ``sample_every`` lines; these have the field
+    ``sampled``, so that a reader can estimate the full count. A part that is listed in
+    ``quiet_parts`` writes nothing.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         """Stop sending eliot's messages to the stream."""
         eliot.remove_destination(self._destination)
 
-    def tell(self, part: Part, sentence: str, **fields: Any) -> None:
+    def log(self, part: Part, sentence: str, **fields: Any) -> None:
         """Write one line, without sampling."""
         if part.value in self._quiet_parts:
             return
@@ -91,11 +91,11 @@
             **fields,
         )
 
-    def tell_frequent(self, part: Part, sentence: str, **fields: Any) -> None:
+    def log_sampled(self, part: Part, sentence: str, **fields: Any) -> None:
         """Write one of every ``sample_every`` lines."""
         self._count += 1
         if self._count % self._sample_every:
             return
         if self._sample_every > 1:
             fields['sampled'] = self._sample_every
-        self.tell(part, sentence, **fields)
+        self.log(part, sentence, **fields)
