--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -15,8 +15,8 @@
 
 HTTP_OK = 200
 HTTP_GONE = 410
-HTTP_REFUSED = frozenset((429, 503))
-MILLISECONDS = 1000
+REFUSED_STATUSES = frozenset((429, 503))
+MILLISECONDS_PER_SECOND = 1000
 
 
 class AppendBody(msgspec.Struct, frozen=True):
@@ -42,7 +42,7 @@
 
 @plugins.register(PluginKind.LOG, 'http')
 class HttpLog(LogService):
-    """Uses one connection for appends and one for reads of each stream.
+    """Uses two connections for each stream: one for appends and one for reads.
 
     A read waits at the server for new records (long polling), so appends on the
     same connection would wait behind it.
@@ -60,7 +60,7 @@
         body = msgspec.json.encode(AppendBody([msgspec.Raw(text) for text in records]))
         request = Request('POST', f'/v1/streams/{stream}/records', body=body)
         answer = await self._exchange(self._append_channel_by_stream, stream, request, 0)
-        if answer.status in HTTP_REFUSED:
+        if answer.status in REFUSED_STATUSES:
             raise LogError(
                 f'the log service refused the append (status {answer.status})', Verdict.NOT_RUN
             )
@@ -70,7 +70,10 @@
 
     async def read(self, stream: str, offset: int, wait: float) -> LogBatch:
         """Return records from ``offset`` on, waiting up to ``wait`` seconds for the first."""
-        target = f'/v1/streams/{stream}/records?offset={offset}&wait_ms={int(wait * MILLISECONDS)}'
+        target = (
+            f'/v1/streams/{stream}/records'
+            f'?offset={offset}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
+        )
         request = Request('GET', target)
         answer = await self._exchange(self._read_channel_by_stream, stream, request, wait)
         if answer.status not in {HTTP_OK, HTTP_GONE}:
--- a/dandelionreel/backing/_workers.py
+++ b/dandelionreel/backing/_workers.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from dandelionreel.backing._hosts import HostEntry
-from dandelionreel.backing._resources import NOTHING, Resources
+from dandelionreel.backing._resources import NO_RESOURCES, Resources
 from dandelionreel.http import Answer, Channel, ExchangeError, Request
 from dandelionreel.kernel import PluginKind, Verdict, plugins
 
 HTTP_OK = 200
 HTTP_CREATED = 201
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 ENDED = 'ended'
 
 
@@ -45,7 +45,7 @@
     state: str
     order: TaskOrder
     outcome: str = ''
-    used: Resources = NOTHING
+    used: Resources = NO_RESOURCES
     renewed_by: str = ''
 
     @property
@@ -113,7 +113,7 @@
         """Renew the leases of running tasks; unknown tasks are ignored."""
 
     @abc.abstractmethod
-    async def act(self, task_id: str, action: str) -> None:
+    async def apply_action(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task; raises ``WorkerError``."""
 
     @abc.abstractmethod
@@ -151,7 +151,7 @@
 
     async def tasks(self, after: int, wait: float) -> TaskList:
         """Return the task list, waiting up to ``wait`` seconds for a change."""
-        target = f'/v1/tasks?after={after}&wait_ms={int(wait * MILLISECONDS)}'
+        target = f'/v1/tasks?after={after}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
         answer = await self._exchange(
             self._watch_channel, Request('GET', target), self._timeout + wait
         )
@@ -163,7 +163,7 @@
         request = Request('POST', '/v1/leases', body=msgspec.json.encode(renewal))
         self._check_status(await self._exchange(self._order_channel, request, self._timeout))
 
-    async def act(self, task_id: str, action: str) -> None:
+    async def apply_action(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task."""
         request = Request('POST', f'/v1/tasks/{task_id}/{action}')
         self._check_status(await self._exchange(self._order_channel, request, self._timeout))
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -202,7 +202,7 @@
     async def handle_owner_failing(self, frame: Frame) -> Message:
         """Handle an owner's request for a successor because the store does not serve it."""
         failing: Any = frame.message
-        self._journal.tell(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
+        self._journal.log(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
         self.suspect_owner(failing.term)
         return Done()
 
@@ -257,7 +257,7 @@
         )
         return (
             self._is_unreachable(now)
-            and now - self._projection.owner_heard_at >= unreachable_silence
+            and now - self._projection.owner_heartbeat_at >= unreachable_silence
         )
 
     def _owner_was_restarted(self, owner: Owner) -> bool:
@@ -279,7 +279,7 @@
             or self._is_unreachable_and_silent(now)
         ):
             return Vacancy.VACANT
-        heard_at = self._projection.owner_heard_at
+        heard_at = self._projection.owner_heartbeat_at
         silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._projection.average_heartbeat_gap)
         if heard_at < self._follower.reachable_since:
             heard_at, silent = self._follower.reachable_since, SILENT_AFTER_OUTAGE_SECONDS
@@ -302,18 +302,18 @@
         owner = self._projection.state.owner
         member = self._projection.state.member_by_host.get(owner.host) if owner else None
         now = self._clock.monotonic()
-        silent = now - max(self._projection.owner_heard_at, self._follower.reachable_since)
+        silent = now - max(self._projection.owner_heartbeat_at, self._follower.reachable_since)
         if owner is None or member is None or silent > MAX_EXCUSED_SILENCE_SECONDS:
             return False
         try:
             frame = await self._query_peer(member, OwnerAsked(owner.term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
-            self._journal.tell(
+            self._journal.log(
                 Part.OWNERSHIP, f'{owner.host} did not reply to an ownership query: {error}.'
             )
             return False
         alive = isinstance(frame.message, Done)
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             f'{owner.host} is silent in the store; it says that it {"acts" if alive else "ended"}.',
             epoch=owner.epoch,
@@ -342,10 +342,10 @@
     async def _claim_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
         former = self._projection.state.owner
-        heard_at = self._projection.owner_heard_at
+        heard_at = self._projection.owner_heartbeat_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             'claims the cell.',
             epoch=fence.epoch,
@@ -417,13 +417,13 @@
         except ConflictError:
             raise
         except StoreError as error:
-            self._journal.tell(Part.OWNERSHIP, f'a claim failed: {error}.', epoch=fence.epoch)
+            self._journal.log(Part.OWNERSHIP, f'a claim failed: {error}.', epoch=fence.epoch)
             # The claim may be stored although its reply was lost.
             return error.verdict is not Verdict.NOT_RUN
         return True
 
     def _log_ownership(self, epoch: int, former: Owner | None, heard_at: float) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.OWNERSHIP,
             'owns the cell.',
             epoch=epoch,
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -164,13 +164,13 @@
         meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
         although it is not in the store.
         """
-        given_up = self.writer.given_up
+        abandoned_before = self.writer.abandoned_count
         outcome = await self.store_progress(self.cell.take_dirty_jobs())
-        return outcome if self.writer.given_up == given_up else WriteOutcome.UNKNOWN
+        return outcome if self.writer.abandoned_count == abandoned_before else WriteOutcome.UNKNOWN
 
     def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
-        self.journal.tell(
+        self.journal.log(
             Part.WORKERS,
             f'{state.id} has ended: {cause}.',
             runner=state.id,
@@ -181,7 +181,7 @@
 
     def expire_runner_leases(self, state: RunnerState) -> None:
         """Treat all runs on a silent runner as ended, since its leases have expired."""
-        self.journal.tell(
+        self.journal.log(
             Part.WORKERS,
             f'the leases on {state.id} have run out.',
             runner=state.id,
@@ -195,7 +195,7 @@
         """Log the runs during which a runner crashed, and whether their job is given up."""
         for crash in crashes:
             outcome = 'its job is given up' if crash.given_up else 'it will be retried'
-            self.journal.tell(
+            self.journal.log(
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
                 **self.run_fields(crash.runner, crash.task, crash.run),
@@ -242,7 +242,7 @@
         """
         now = self.clock.monotonic()
         for allocation in tuple(state.allocation_by_run.values())[:MAX_LOGGED]:
-            self.journal.tell(
+            self.journal.log(
                 Part.WORKERS,
                 f'a run was lost with {state.id}.',
                 **self.run_fields(state.id, allocation.task, allocation.run),
@@ -260,7 +260,7 @@
             progress = job.progress(self.term.epoch, wall, leftovers)
             progress_by_job[job] = progress
             if job.is_over:
-                self.journal.tell(
+                self.journal.log(
                     Part.JOBS,
                     f'job {job.id} is {progress.state.value}.',
                     job=job.id,
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -1,7 +1,7 @@
 """Projection of the runners' topic, in which each runner has an entry with its registration.
 
-An entry may come from another writer. No tasks are started by an entry that cannot be read, or
-whose service is in no configuration. Tasks that may run on the runner already are still
+An entry may come from another writer. No tasks are started on a runner whose entry cannot be
+read, or has a service that is in no configuration. Tasks that may run there already stay
 attributed to its last known registration: they are counted, the runner is polled, and they are
 not started elsewhere before their leases must have expired.
 """
@@ -37,7 +37,7 @@
         has_service: Callable[[str], bool] = _accept_any_service,
         unreadable: UnreadableLog | None = None,
     ) -> None:
-        """Start without runners; only those of a service for which ``has_service()`` are usable."""
+        """Start without runners; only runners with a service that is known are usable."""
         self._codec = codec
         self._clock = clock
         self._journal = journal
@@ -65,7 +65,7 @@
         self._fold_records(snapshot, log_each=not first)
         if first:
             registrations = self.registration_by_id.values()
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 'has read the list of runners.',
                 runners=len(registrations),
@@ -107,7 +107,7 @@
         return registration
 
     def _check_unchanged(self, runner: str, registration: Registration) -> None:
-        """Refuse an entry that changes an incarnation's address or service, or has none.
+        """Refuse an entry that changes an incarnation's address or service, or has no incarnation.
 
         An incarnation has one address and one service. Of two entries that differ one is
         wrong, and orders are sent to the address of the first one.
@@ -138,7 +138,7 @@
             self._retire(runner)
             self._log_restart(previous, registration)
         elif log and (previous is None or previous.draining != registration.draining):
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 f'{incarnation} is {"draining" if registration.draining else "ready"}.',
                 runner=incarnation,
@@ -149,7 +149,7 @@
         self.removed_by_id.pop(incarnation, None)
 
     def _log_restart(self, previous: Registration, registration: Registration) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.WORKERS,
             f'{registration.runner} has taken the place of {previous.runner}.',
             runner=registration.runner,
@@ -161,7 +161,7 @@
         self._unreadable.forget(runner)
         incarnation = self._retire(runner)
         if incarnation:
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS, f'the entry of {incarnation} has gone.', runner=incarnation
             )
 
@@ -170,7 +170,7 @@
         return self.registration_by_id.get(self._incarnation_by_runner.get(runner, ''))
 
     def _retire(self, runner: str) -> str:
-        """Note the removal of a runner's entry; return its incarnation, empty for none."""
+        """Move a runner's registration to the removed ones; return its incarnation, or ''."""
         incarnation = self._incarnation_by_runner.pop(runner, '')
         registration = self.registration_by_id.pop(incarnation, None)
         if registration is not None:
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -1,6 +1,7 @@
-"""Publishes contracts, stages those of other members and restates them.
+"""Publishes contract versions, and stages those that other members publish.
 
-A contract in force is written again before its records expire from the log.
+A contract in force is restated, that is written again, before the log drops its
+old records.
 """
 
 import os
@@ -24,7 +25,7 @@
     Settings,
     Verdict,
     not_run,
-    unknown,
+    outcome_unknown,
     zones_of,
 )
 from dandelionreel.ownership import Membership, member_keys
@@ -39,8 +40,8 @@
 
 CHECK_INTERVAL_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 5.0
-#: Delay per rank in the sorted list of members before a member aborts a proposal
-#: or restates a contract, so that usually only the first one does.
+#: A member aborts a proposal or restates a contract after this delay times its
+#: position in the sorted list of members, so that usually only one member does.
 RANK_DELAY_SECONDS = 1.0
 NONCE_BYTES = 8
 QUERY_TIMEOUT_SECONDS = 2.0
@@ -83,10 +84,10 @@
         try:
             await self._writer.write(proposal, self._settings.timings.publish_patience)
         except LogError as error:
-            raise _make_request_error(error) from error
+            raise _translate_log_error(error) from error
         outcome = await self._await_outcome(nonce)
         if outcome is None:
-            raise unknown(
+            raise outcome_unknown(
                 HTTP_TIMEOUT,
                 'contract-outcome-unknown',
                 'the proposal is in the log but its outcome was not read in time; '
@@ -101,14 +102,14 @@
         return outcome
 
     async def run(self) -> None:
-        """Stage, abort and restate contracts whenever the log changes."""
+        """Stage, abort and restate contracts when the log changes, or after the check interval."""
         while True:
-            seen = self._reader.changed.count
+            change_count = self._reader.changed.count
             try:
                 await self._run_once()
             except LogError as error:
-                self._journal.tell(Part.CONTRACTS, f'could not write to the log: {error}.')
-            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
+                self._journal.log(Part.CONTRACTS, f'could not write to the log: {error}.')
+            await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
 
     async def handle_gossip(self, state: PeerState) -> None:
         """Query a peer for its contracts if its digest differs from ours.
@@ -125,7 +126,7 @@
         await curio.spawn(self._query_contracts, state, daemon=True)
 
     async def answer_query(self, frame: Frame) -> Message:
-        """Answer a peer's query with the contracts in force."""
+        """Answer a peer's query with the contracts that are in force here."""
         documents = [self._encode_in_force(customer) for customer in self._contracts.customers()]
         return ContractState(self._reader.offset, tuple(documents))
 
@@ -143,10 +144,10 @@
         try:
             contract = load_contract(document)
         except ContractError as error:
-            self._journal.tell(Part.CONTRACTS, f'rejected a contract from {peer}: {error}.')
+            self._journal.log(Part.CONTRACTS, f'rejected a contract from {peer}: {error}.')
             return
         if self._contracts.adopt(contract):
-            self._journal.tell(
+            self._journal.log(
                 Part.CONTRACTS,
                 f'version {contract.version} of {contract.customer} is in force; '
                 f'received from {peer}.',
@@ -155,13 +156,13 @@
             )
 
     async def _await_outcome(self, nonce: str) -> ProposalOutcome | None:
-        until = self._clock.monotonic() + self._settings.timings.publish_patience
-        while self._clock.monotonic() < until:
-            seen = self._reader.changed.count
+        deadline = self._clock.monotonic() + self._settings.timings.publish_patience
+        while self._clock.monotonic() < deadline:
+            change_count = self._reader.changed.count
             outcome = self._contracts.outcome(nonce)
             if outcome is not None:
                 return outcome
-            await self._reader.changed.wait(seen, CHECK_INTERVAL_SECONDS)
+            await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
         return self._contracts.outcome(nonce)
 
     async def _run_once(self) -> None:
@@ -177,7 +178,7 @@
         # read the proposal (ContractProjection.effective); the record says so.
         customer = pending.contract.customer
         await self._writer.write(Staged(customer, pending.nonce, self._me), WRITE_TIMEOUT_SECONDS)
-        self._journal.tell(
+        self._journal.log(
             Part.CONTRACTS,
             f'staged version {pending.contract.version} of {customer}.',
             customer=customer,
@@ -203,8 +204,8 @@
             contract = self._contracts.in_force(customer)
             if contract is None or not self._reader.caught_up:
                 continue
-            stated = Restated(contract, self._contracts.shares(customer))
-            await self._writer.write(stated, WRITE_TIMEOUT_SECONDS)
+            restated = Restated(contract, self._contracts.shares(customer))
+            await self._writer.write(restated, WRITE_TIMEOUT_SECONDS)
 
     def _rank(self) -> int:
         keys = member_keys(self._membership.live())
@@ -215,7 +216,7 @@
         return encode_contract(self._contracts.in_force(customer))
 
     def _log_outcome(self, outcome: ProposalOutcome) -> None:
-        self._journal.tell(
+        self._journal.log(
             Part.CONTRACTS,
             f'version {outcome.version} of {outcome.customer} is {outcome.state}; '
             f'{outcome.detail}.',
@@ -229,7 +230,7 @@
     return msgspec.json.encode(contract)
 
 
-def _make_request_error(error: LogError) -> RequestError:
+def _translate_log_error(error: LogError) -> RequestError:
     if error.verdict is Verdict.NOT_RUN:
         return not_run(
             HTTP_UNAVAILABLE,
@@ -237,7 +238,7 @@
             'the log is unavailable; nothing was published',
             retry_after=10,
         )
-    return unknown(
+    return outcome_unknown(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
         'the log did not confirm the proposal; check the contract history before publishing again',
--- a/dandelionreel/jobs/_job_refresher.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -47,7 +47,7 @@
             try:
                 await self.refresh_due()
             except LogError as error:
-                self._journal.tell(Part.JOBS, f'could not refresh job records: {error}.')
+                self._journal.log(Part.JOBS, f'could not refresh job records: {error}.')
 
     async def refresh_due(self) -> None:
         """Rewrite the jobs whose newest record is older than a third of the retention time."""
@@ -62,10 +62,10 @@
 
     def _find_due(self) -> list[Job]:
         due_before = self._clock.wall() - self._settings.timings.retention / 3
-        live = self._jobs.in_state(
+        unfinished = self._jobs.in_state(
             JobState.WAITING,
             JobState.RUNNING,
             JobState.MOVED,
             *RESOLVABLE_STATES,
         )
-        return [job for job in live if job.written_at < due_before and not job.ended_at]
+        return [job for job in unfinished if job.written_at < due_before and not job.ended_at]
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -25,6 +25,7 @@
 UNKNOWN = 'unknown'
 #: A long poll for changes waits this fraction of a lease at the worker.
 WATCH_LEASE_FRACTION = 2 / 3
+#: Seconds of a long poll while the state of a former owner is unsettled.
 UNSETTLED_WATCH_SECONDS = 1.0
 RETRY_DELAY_SECONDS = 0.5
 #: Without ownership the agent checks this often, or when its grant changes.
@@ -145,15 +146,17 @@
             self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, now)
             raise
 
-    async def act(self, task_id: str, action: str) -> bool:
+    async def apply_action(self, task_id: str, action: str) -> bool:
         """Stop, checkpoint or throttle a task; return whether the worker confirmed it."""
         try:
-            await self._service.act(task_id, action)
+            await self._service.apply_action(task_id, action)
         except WorkerError:
             return False
         return True
 
-    def report(self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int) -> WorkerReport:
+    def make_report(
+        self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int
+    ) -> WorkerReport:
         """Return a report of the worker's current state."""
         grant = self.grant()
         task_list = self._task_list
@@ -177,7 +180,7 @@
             dispatch_epoch,
         )
 
-    async def note_grant(self) -> None:
+    async def notify_grant_change(self) -> None:
         """Notify the waiting tasks of this agent if the grant has changed."""
         grant = self.grant()
         if grant != self._last_grant:
@@ -185,7 +188,7 @@
             await self.changed.notify()
 
     @property
-    def last_answer_at(self) -> float:
+    def last_answered_at(self) -> float:
         """Return when the worker last answered."""
         return self._last_contact.answered_at
 
@@ -196,8 +199,8 @@
     def _start_history_seconds(self) -> float:
         """Return for how many seconds back from now the task list has every start.
 
-        The list may be as old as a long poll, and its history counts back
-        from when it was requested.
+        The list may be old: the last long poll may have taken most of a lease.
+        Its age is counted from when it was requested.
         """
         if self._task_list is None:
             return 0
@@ -211,10 +214,10 @@
         try:
             task_list = await self._service.tasks(last_revision if wait else -1, wait)
         except WorkerError as error:
-            await self._note_unreachable(error)
+            await self._handle_unreachable(error)
             return -1
         if task_list.unchanged and self._has_restarted(task_list):
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 f'{self.entry.name} has restarted.',
                 worker=self.entry.name,
@@ -258,9 +261,9 @@
             return UNSETTLED_WATCH_SECONDS
         return self._settings.timings.lease * WATCH_LEASE_FRACTION
 
-    async def _note_unreachable(self, error: WorkerError) -> None:
+    async def _handle_unreachable(self, error: WorkerError) -> None:
         if self._last_contact.reachable:
-            self._journal.tell(
+            self._journal.log(
                 Part.WORKERS,
                 f'cannot reach {self.entry.name}; {error}.',
                 worker=self.entry.name,
@@ -290,24 +293,24 @@
                 lambda: self._may_send_start(grant),
             )
         except WorkerError as error:
-            return await self._note_failed_start(order, error)
+            return await self._handle_failed_start(order, error)
         self.start_count += 1
         self.ledger.set_state(order.task_id, AllocationState.RUNNING, self._clock.monotonic())
         return PlaceAnswer(STARTED)
 
     def _may_send_start(self, grant: Grant) -> bool:
-        """Return whether a start that the ledger counts may be sent now."""
+        """Return whether a start that the ledger already counts may be sent now."""
         current = self.grant()
         if current.level is GrantLevel.NONE or current.epoch != grant.epoch:
             return False
         return self.ledger.total_demand().fits(self.ledger.usable_capacity(current))
 
-    async def _note_failed_start(self, order: PlaceOrder, error: WorkerError) -> PlaceAnswer:
+    async def _handle_failed_start(self, order: PlaceOrder, error: WorkerError) -> PlaceAnswer:
         if error.verdict is Verdict.NOT_RUN:
             self.ledger.release(order.task_id)
             return PlaceAnswer(REFUSED, f'{error}')
         self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, self._clock.monotonic())
-        self._journal.tell(
+        self._journal.log(
             Part.WORKERS,
             f'does not know whether {order.task_id} started on {self.entry.name}; {error}.',
             task=order.task_id,
@@ -324,7 +327,7 @@
         for allocation in self.ledger.allocations():
             if allocation.state is not AllocationState.DOUBTFUL:
                 continue
-            if await self.act(allocation.task_id, STOP):
+            if await self.apply_action(allocation.task_id, STOP):
                 self.ledger.release(allocation.task_id)
                 await self.changed.notify()
 
@@ -344,12 +347,12 @@
         action = {'': THROTTLE, THROTTLE: CHECKPOINT, CHECKPOINT: STOP}.get(last_action)
         if action is None:
             return
-        self._journal.tell(
+        self._journal.log(
             Part.WORKERS,
             f'tells {self.entry.name} to {action} {status.id}; it uses more than it declared.',
             task=status.id,
         )
-        if await self.act(status.id, action):
+        if await self.apply_action(status.id, action):
             self._last_action_by_task[status.id] = action
 
     def _task_report(self, status: TaskStatus) -> TaskReport:
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -55,7 +55,11 @@
 
 
 class WorkerFleet(ShardUser):
-    """The agents of all workers of the zone; a daemon acts only on workers it owns."""
+    """The agents of all workers of the zone.
+
+    Every daemon has an agent for each worker, but starts and stops tasks only on those
+    that it owns.
+    """
 
     def __init__(
         self,
@@ -87,7 +91,7 @@
         self._report_handler: ReportHandler | None = None
         self.agent_by_worker: dict[str, WorkerAgent] = {}
 
-    def use_report_handler(self, handler: ReportHandler) -> None:
+    def set_report_handler(self, handler: ReportHandler) -> None:
         """Set the handler of reports for when this daemon is the dispatcher itself."""
         self._report_handler = handler
 
@@ -109,7 +113,7 @@
         while True:
             await self._refresh()
             for agent in tuple(self.agent_by_worker.values()):
-                await agent.note_grant()
+                await agent.notify_grant_change()
             await self._hosts.changed.wait(self._hosts.changed.count, POLL_SECONDS)
 
     async def place(self, order: PlaceOrder) -> PlaceAnswer:
@@ -121,20 +125,20 @@
             return PlaceAnswer(REFUSED, 'no such worker')
         return await agent.start(order)
 
-    async def act(self, action: TaskAction) -> bool:
+    async def apply_action(self, action: TaskAction) -> bool:
         """Stop, checkpoint or throttle a task on an owned worker."""
         if action.dispatch_epoch < self._shards.epoch(DISPATCH_SHARD):
             return False
         agent = self.agent_by_worker.get(action.worker)
         if agent is None or agent.grant().level is GrantLevel.NONE:
             return False
-        return await agent.act(action.task_id, action.action)
+        return await agent.apply_action(action.task_id, action.action)
 
     async def answer_place(self, frame: Frame) -> Message:
         """Start a task for the dispatcher, unless its order is too old.
 
         The order may have waited in a paused process or in a socket while
-        another dispatcher took over, so its age is checked on our own clock.
+        another dispatcher took over. The echoed reading of our own clock bounds its age.
         """
         order = frame.message
         if not isinstance(order, PlaceOrder):
@@ -149,7 +153,9 @@
         action = frame.message
         if not isinstance(action, TaskAction):
             return Refused('not a task action')
-        return Done() if await self.act(action) else Refused('the action was not carried out')
+        return (
+            Done() if await self.apply_action(action) else Refused('the action was not carried out')
+        )
 
     def _entries(self) -> tuple[HostEntry, ...]:
         return self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
@@ -204,7 +210,7 @@
             if not target.dispatcher:
                 await agent.changed.wait(agent.changed.count, IDLE_CHECK_SECONDS)
                 continue
-            refresh_due = self._clock.monotonic() - last_sent.at > REPORT_REFRESH_SECONDS
+            refresh_due = self._clock.monotonic() - last_sent.sent_at > REPORT_REFRESH_SECONDS
             if target == last_sent.target and not refresh_due:
                 await agent.changed.wait(target.change_count, IDLE_CHECK_SECONDS)
                 continue
@@ -214,7 +220,7 @@
             await curio.sleep(POLL_SECONDS)
 
     def _find_report_target(self, agent: WorkerAgent) -> '_ReportTarget':
-        """Return the target of a report made now, empty if none is due."""
+        """Return where a report made now would go; empty without a dispatcher or a grant."""
         claim = self._shards.get(DISPATCH_SHARD)
         grant = agent.grant()
         if claim is None or grant.level is GrantLevel.NONE:
@@ -227,10 +233,10 @@
         if dispatcher == self._me:
             if self._report_handler is not None:
                 await self._report_handler(
-                    agent.report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
+                    agent.make_report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
                 )
             return True
-        report = agent.report(
+        report = agent.make_report(
             unrenewed_seconds, self._peer_clocks.get_last(dispatcher), target.epoch
         )
         try:
@@ -248,7 +254,7 @@
         worker that we have not polled yet does not count as silent.
         """
         heard_since = self._peer_monitor.all_heard_since()
-        since = max(agent.last_answer_at, heard_since, agent.grant().since)
+        since = max(agent.last_answered_at, heard_since, agent.grant().since)
         return max(0.0, self._clock.monotonic() - since)
 
     async def _renew_for_others(self, agent: WorkerAgent) -> None:
@@ -277,4 +283,4 @@
     """The target of the last report that was accepted, and when it was sent."""
 
     target: _ReportTarget = _ReportTarget()
-    at: float = float('-inf')
+    sent_at: float = float('-inf')
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -85,13 +85,13 @@
     def raise_timeout(number, frame):
         raise CaseTimeoutError(f'it takes over {CASE_SECONDS} s')
 
-    former = signal.signal(signal.SIGVTALRM, raise_timeout)
+    previous_handler = signal.signal(signal.SIGVTALRM, raise_timeout)
     signal.setitimer(signal.ITIMER_VIRTUAL, CASE_SECONDS)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_VIRTUAL, 0)
-        signal.signal(signal.SIGVTALRM, former)
+        signal.signal(signal.SIGVTALRM, previous_handler)
 
 
 @dataclass
@@ -138,10 +138,10 @@
 
     def insert(self, good):
         at = self.draw.randrange(len(good))
-        more = self.draw.choice(
+        inserted = self.draw.choice(
             (b'\x00', b'\xff', b'"', b'[[[', DEEP_JSON, b'9' * 5000, b'NaN', b',')
         )
-        return good[:at] + more + good[at:]
+        return good[:at] + inserted + good[at:]
 
     def encode(self, good):
         return good.decode().encode(self.draw.choice(('utf-16', 'utf-32', 'cp500')))
@@ -175,7 +175,7 @@
     follower = Follower('raw', topic, projection, projections.clock, None, 0.0, lambda: 0.0)
     follower._offset = offset
 
-    curio.run(follower._step)
+    curio.run(follower._read_once)
     return follower
 
 
@@ -233,7 +233,7 @@
             encode_record(b'i-2', VALID_ENTRY_BYTES.replace(b':7000', b':7001')),
         )
         known = projections.runners.registration_by_id
-        assert {'i-1', 'i-2'} <= known.keys(), 'a neighbour is not known'
+        assert {'i-1', 'i-2'} <= known.keys(), 'a valid record beside the mutated one is not known'
         for registration in known.values():
             check_registration(registration)
         small_cell = SmallCell(())
@@ -265,7 +265,7 @@
         first = self.draw.random() < 0.5
         self.read_records(
             'keyed.cell',
-            projections.jobs,
+            projections.cell,
             projections,
             *([] if first else good),
             mutated,
@@ -276,8 +276,10 @@
             ),
             encode_record(b'j/00000000000000aa', encode(SUBMISSION)),
         )
-        cell_state = projections.jobs.state
-        assert cell_state.find('00000000000000aa') is not None, 'a neighbour is not known'
+        cell_state = projections.cell.state
+        assert cell_state.find('00000000000000aa') is not None, (
+            'a valid record beside the mutated one is not known'
+        )
         assert cell_state.find(JOB) is not None, 'the job is not known'
         cell = Cell(9, 3.0)
         for job in (JOB, '00000000000000aa'):
@@ -320,7 +322,9 @@
             document['items'].insert(self.draw.randrange(3), item)
             raw.pages = [json.dumps(document).encode()]
             read_once(topic, projections.runners, projections, None)
-            assert {'i-1', 'i-2'} <= projections.runners.registration_by_id.keys(), 'a neighbour'
+            assert {'i-1', 'i-2'} <= projections.runners.registration_by_id.keys(), (
+                'a valid item was lost'
+            )
             return
         raw.pages = [self.mutator.content(good), good, good]
         try:
@@ -329,7 +333,7 @@
             read_once(topic, projections.runners, projections, None)
 
     def raw_reads(self):
-        """A whole answer is cut or altered: its complete records count, the rest is read again."""
+        """A whole answer is cut or altered: only its complete records are read, the rest later."""
         projections = HostProjections()
         topic, raw = make_raw_topic()
         raw.frames = [
@@ -372,8 +376,8 @@
     assert 0 < len(registration.address) < 254, 'the address is too long'
     assert registration.address.isascii() and '\x00' not in registration.address, 'the address'
     assert registration.service, 'no service'
-    room = registration.capacity
-    for amount in (room.cpu, room.memory_mb, room.gpu):
+    capacity = registration.capacity
+    for amount in (capacity.cpu, capacity.memory_mb, capacity.gpu):
         assert 0 <= amount < 2**40, 'the capacity is out of range'
     remaining = registration.remaining
     assert remaining is None or 0 <= remaining < 1e9, 'the remaining time is out of range'
