--- a/dandelionreel/backing/_memory_log.py
+++ b/dandelionreel/backing/_memory_log.py
@@ -36,8 +36,8 @@
         if offset < self.first:
             raise LogTruncatedError(self.first)
         start = offset - self.first
-        kept = tuple(self.records[start : start + MAX_RECORDS_PER_READ])
-        return LogBatch(offset, self.tail, kept)
+        batch = tuple(self.records[start : start + MAX_RECORDS_PER_READ])
+        return LogBatch(offset, self.tail, batch)
 
     def truncate(self, first: int) -> None:
         """Drop all records before ``first``, as an expired retention does."""
--- a/dandelionreel/peers/_framing.py
+++ b/dandelionreel/peers/_framing.py
@@ -63,9 +63,9 @@
             if not received:
                 return None
             self._buffer.extend(received)
-        taken = bytes(self._buffer[:count])
+        data = bytes(self._buffer[:count])
         del self._buffer[:count]
-        return taken
+        return data
 
     def _count(self, frame: Frame, length: int) -> None:
         kind = type(frame.message).__name__
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -67,7 +67,7 @@
                 CONCURRENCY_RETRY_SECONDS,
             )
         rate, burst = share_of_rate(terms, share, members)
-        wait = usage.token_bucket.take(rate, burst)
+        wait = usage.token_bucket.take_token(rate, burst)
         if wait:
             raise not_run(
                 HTTP_TOO_MANY_REQUESTS,
--- a/dandelionreel/routing/_budget.py
+++ b/dandelionreel/routing/_budget.py
@@ -15,12 +15,12 @@
     """Token bucket: ``rate`` requests per second, and up to ``burst`` at once."""
 
     def __init__(self, clock: Clock) -> None:
-        """Fill the bucket at the first call of ``take``."""
+        """Fill the bucket at the first call of ``take_token``."""
         self._clock = clock
         self._tokens = -1.0
         self._filled_at = 0.0
 
-    def take(self, rate: float, burst: float) -> float:
+    def take_token(self, rate: float, burst: float) -> float:
         """Take a token and return 0, or return the seconds until one is available."""
         now = self._clock.monotonic()
         if self._tokens < 0:
