--- a/dandelionreel/peers/_framing.py
+++ b/dandelionreel/peers/_framing.py
@@ -63,9 +63,9 @@
             if not received:
                 return None
             self._buffer.extend(received)
-        data = bytes(self._buffer[:count])
+        chunk = bytes(self._buffer[:count])
         del self._buffer[:count]
-        return data
+        return chunk
 
     def _count(self, frame: Frame, length: int) -> None:
         kind = type(frame.message).__name__
