--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -8,7 +8,7 @@
 
 
 def require_contract(contracts: ContractProjection, customer: str, task_class: str) -> Contract:
-    """Return the contract to enforce; raises ``RequestError`` if there is none or it lacks the class."""
+    """Return the contract to enforce; raises ``RequestError`` if none includes the class."""
     contract = contracts.effective(customer)
     if contract is None:
         raise not_run(
--- a/dandelionreel/jobs/_job_projection.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -183,7 +183,7 @@
         return self._job_by_id.get(job) if job else None
 
     def find_ended_id(self, customer: str, key: str) -> str:
-        """Return the id of the ended and dropped job with an idempotency key, or an empty string."""
+        """Return the id of the dropped ended job with an idempotency key, or an empty string."""
         return self._ended_id_by_key_hash.get(hash_key(customer, key), '')
 
     def in_state(self, *states: JobState) -> tuple[Job, ...]:
