--- a/dandelionreel/cell/clients/_readiness.py
+++ b/dandelionreel/cell/clients/_readiness.py
@@ -21,7 +21,7 @@
     stopping: bool
     configured: bool
     cut_off: bool
-    store_takes_nothing: bool
+    store_is_failing: bool
     store_age: float
 
 
@@ -33,7 +33,7 @@
         return 'it knows no configuration'
     if inputs.cut_off:
         return 'it is cut off from the store and all other zones'
-    if inputs.store_takes_nothing:
+    if inputs.store_is_failing:
         return 'the store takes nothing from it'
     if inputs.store_age >= MAX_STORE_AGE_SECONDS:
         return 'it has not read the store for too long'
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -73,6 +73,6 @@
             stopping=self._stopping,
             configured=self._configuration.current is not None,
             cut_off=self._partition_detector.cut_off,
-            store_takes_nothing=self._writer.store_is_failing(now) or owner_store_is_failing,
+            store_is_failing=self._writer.store_is_failing(now) or owner_store_is_failing,
             store_age=self._follower.age(now),
         )
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -66,7 +66,7 @@
 @given('an owner that {answers} when it is asked whether it acts')
 def unreliable_owner(context, answers):
     answering_peer(context, 200)
-    reply_by_name = {'says nothing': None, 'says that it does not': Refused('no')}
+    reply_by_name = {'does not answer': None, 'denies it': Refused('no')}
     context.links = UnreliablePeer(reply_by_name[answers])
     clock = ManualClock(1000)
     context.relay = Relay('me', context.relay._cell_state, context.links, clock, journal())
@@ -78,12 +78,12 @@
     curio.run(context.relay.forward_to_owner, call, seconds)
 
 
-@given('it is deaf to the next question')
+@given('it does not answer the next request')
 def ignoring_once(context):
     context.relay._links.ignores_next = True
 
 
-@then('no job was handed to it')
+@then('no job was forwarded to it')
 def nothing_forwarded(context):
     assert context.links.forwards == 0
 
@@ -110,10 +110,10 @@
 
 @then('the peer {fate}')
 def peer_fate(context, fate):
-    assert context.was_asked_again is (fate == 'is asked')
+    assert context.was_asked_again is (fate == 'is queried')
 
 
-@when('a request is passed on to it')
+@when('a request is forwarded to it')
 def forward_request(context):
     call = make_call('POST', '/new/0123456789abcdef')
     context.relayed = curio.run(context.relay.forward_to_owner, call, 1.0)
@@ -122,5 +122,5 @@
 @then('the client {outcome}')
 def client_outcome(context, outcome):
     relayed = context.relayed
-    assert (relayed.answer is not None) is (outcome == 'is told so')
+    assert (relayed.answer is not None) is (outcome == 'gets that answer')
     assert relayed.in_doubt is (outcome == 'is left in doubt')
--- a/features/store.feature
+++ b/features/store.feature
@@ -187,36 +187,36 @@
   # Guards against relying on a peer with an outdated configuration.
   Scenario Outline: How a peer's answer to a forwarded request is used
     Given a peer that answers <status>
-    When a request is passed on to it
+    When a request is forwarded to it
     Then the client <outcome>
 
     Examples:
-      | status | outcome          |
-      | 200    | is told so       |
-      | 410    | is told so       |
-      | 404    | is served here   |
-      | 503    | is served here   |
-      | 504    | is left in doubt |
+      | status | outcome           |
+      | 200    | gets that answer  |
+      | 410    | gets that answer  |
+      | 404    | is served locally |
+      | 503    | is served locally |
+      | 504    | is left in doubt  |
 
   # Guards against forwarding a job to a peer that cannot act on it.
   Scenario Outline: A job is only forwarded to a peer that confirms that it can act
     Given an owner that <answers> when it is asked whether it acts
-    When a request is passed on to it
-    Then no job was handed to it
-    And the client is served here
+    When a request is forwarded to it
+    Then no job was forwarded to it
+    And the client is served locally
 
     Examples:
-      | answers               |
-      | says nothing          |
-      | says that it does not |
+      | answers         |
+      | does not answer |
+      | denies it       |
 
   # Guards against forwarding no jobs to an owner because one answer was late.
   Scenario: One late answer does not stop the forwarding of jobs
     Given a peer that answers 200
-    And it is deaf to the next question
+    And it does not answer the next request
     When a host asks it for a state and gets no answer in 0.1 s
-    And a request is passed on to it
-    Then the client is told so
+    And a request is forwarded to it
+    Then the client gets that answer
 
   # Guards against querying an unresponsive peer too often.
   Scenario Outline: When an unresponsive peer is queried again
@@ -225,13 +225,13 @@
     Then the peer <fate>
 
     Examples:
-      | misses | seconds | fate        |
-      | 1      | 1.4     | is left out |
-      | 1      | 1.6     | is asked    |
-      | 2      | 2.9     | is left out |
-      | 2      | 3.1     | is asked    |
-      | 9      | 4.1     | is asked    |
-      | 1100   | 4.1     | is asked    |
+      | misses | seconds | fate       |
+      | 1      | 1.4     | is skipped |
+      | 1      | 1.6     | is queried |
+      | 2      | 2.9     | is skipped |
+      | 2      | 3.1     | is queried |
+      | 9      | 4.1     | is queried |
+      | 1100   | 4.1     | is queried |
 
   # Guards against an old owner that takes leases for expired which its successor renews.
   Scenario Outline: Leases of a silent runner, at an owner without an answer of the store
