--- a/bench/guards.py
+++ b/bench/guards.py
@@ -1,7 +1,8 @@
-"""Weakens one guard at a time on a scratch copy; its features must fail: ``make guards``.
+"""Mutation test of safety guards: ``make guards``.
 
-A check that cannot fail proves nothing. Each line names the guard, the text
-that stands for it, what replaces it, and the feature that has to notice.
+Weakens one guard at a time in a scratch copy of the repository; the scenario named with it
+must then fail, since a check that cannot fail proves nothing. Each entry has the guard, the
+source text that implements it, its replacement, and the scenario that must notice.
 """
 
 import shutil
@@ -13,13 +14,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-AT_ONCE = 3
-SECONDS = 280
+PARALLEL_RUNS = 3
+TIMEOUT_SECONDS = 280
 
 
 @dataclass(frozen=True)
 class Guard:
-    """One guard and the feature that fails without it."""
+    """A guard, and the scenario that fails without it (``file.feature:WORD``)."""
 
     name: str
     file: str
@@ -192,12 +193,13 @@
         'incarnations.feature:RESTARTED',
     ),
 )
-WORDS = {
-    'TWICE': 'stands twice',
+#: The part of a scenario title that each WORD of ``Guard.feature`` stands for.
+TITLE_PART_BY_WORD = {
+    'TWICE': 'is in the log twice',
     'MIDDLE': 'begins in the middle',
     'LEDGER': 'A ledger of 8',
-    'GIVEN UP': 'given up has landed',
-    'FORMER': 'of a former dispatcher lands',
+    'GIVEN UP': 'write timed out is appended',
+    'FORMER': 'of a former dispatcher is appended',
     'VIEW': 'known at first hand',
     'LATE': 'Answers come late',
     'SETTLEMENT': 'A worker is lost',
@@ -216,18 +218,18 @@
 }
 
 
-def place_of(feature: str) -> str:
-    """Return ``file:line`` of the scenario that a guard names."""
+def find_scenario(feature: str) -> str:
+    """Return ``file:line`` of the scenario given as ``file.feature:WORD``."""
     name, _, word = feature.partition(':')
     path = ROOT / 'features' / name
     for number, line in enumerate(path.read_text().splitlines(), 1):
-        if 'Scenario' in line and WORDS[word] in line:
+        if 'Scenario' in line and TITLE_PART_BY_WORD[word] in line:
             return f'features/{name}:{number}'
     raise LookupError(feature)
 
 
 def try_guard(guard: Guard) -> tuple[Guard, bool]:
-    """Return whether the feature fails without the guard."""
+    """Return the guard and whether its scenario fails without it."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / 'tree'
         ignored = shutil.ignore_patterns('.git', '.venv', '*cache*', '*.egg-info')
@@ -235,23 +237,23 @@
         path = copy / 'dandelionreel' / guard.file
         text = path.read_text()
         if guard.text not in text:
-            raise LookupError(f'{guard.file} does not hold {guard.text!r}')
+            raise LookupError(f'{guard.file} does not contain {guard.text!r}')
         path.write_text(text.replace(guard.text, guard.weakened))
-        done = subprocess.run(
-            [sys.executable, '-m', 'features.run', '--one', place_of(guard.feature)],
+        completed = subprocess.run(
+            [sys.executable, '-m', 'features.run', '--one', find_scenario(guard.feature)],
             cwd=copy,
             env={'PYTHONPATH': str(copy), 'PATH': ''},
             capture_output=True,
             text=True,
-            timeout=SECONDS,
+            timeout=TIMEOUT_SECONDS,
             check=False,
         )
-    return guard, done.returncode != 0
+    return guard, completed.returncode != 0
 
 
 def main() -> int:
-    """Print each guard and whether its feature notices; 0 when all do."""
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    """Print each guard and whether its scenario notices; return 0 if all do."""
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
         results = list(pool.map(try_guard, GUARDS))
     for guard, noticed in results:
         sys.stdout.write(f'{"noticed" if noticed else "MISSED"}: {guard.name} ({guard.feature})\n')
--- a/bench/make_examples.py
+++ b/bench/make_examples.py
@@ -9,8 +9,8 @@
 KINGSTON_ZONES = ('kin-harbour', 'kin-north', 'kin-portmore')
 
 
-def settings(zones: tuple[str, ...], zone_index: int, number: int) -> dict[str, Any]:
-    """Return one daemon's settings."""
+def make_settings(zones: tuple[str, ...], zone_index: int, number: int) -> dict[str, Any]:
+    """Return the settings of one daemon of a zone."""
     zone = zones[zone_index]
     address = f'10.{20 + zone_index}.0.{10 + number}'
     return {
@@ -27,8 +27,8 @@
     }
 
 
-def khangai() -> dict[str, Any]:
-    """Return Khangai's contract: entry checks first, settlements may wait."""
+def khangai_contract() -> dict[str, Any]:
+    """Return the contract of Khangai: entry checks are urgent, settlements may wait."""
     return {
         'customer': 'khangai',
         'version': 1,
@@ -45,8 +45,8 @@
     }
 
 
-def kingston() -> dict[str, Any]:
-    """Return Kingston's contract: maps first, basin charts overnight."""
+def kingston_contract() -> dict[str, Any]:
+    """Return the contract of Kingston: map requests are urgent, basin charts run overnight."""
     return {
         'customer': 'caribsea-charts',
         'version': 1,
@@ -63,7 +63,7 @@
     }
 
 
-def alone() -> dict[str, Any]:
+def single_host_settings() -> dict[str, Any]:
     """Return settings for one daemon with nothing else, for a first try."""
     return {
         'host': 'alone',
@@ -90,8 +90,8 @@
     }
 
 
-def job(customer: str, command: str, *, idempotent: bool) -> dict[str, Any]:
-    """Return a job to submit."""
+def make_job(customer: str, command: str, *, idempotent: bool) -> dict[str, Any]:
+    """Return the body of a job submission."""
     return {
         'customer': customer,
         'command': command,
@@ -103,33 +103,37 @@
     }
 
 
-def write(path: Path, content: dict[str, Any]) -> None:
-    """Write one JSON file."""
+def write_json(path: Path, content: dict[str, Any]) -> None:
+    """Write a JSON file and create its folder."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(content, indent=2) + '\n')
 
 
 def main() -> None:
     """Write all examples."""
-    for name, zones, each in (('khangai', KHANGAI_ZONES, 2), ('kingston', KINGSTON_ZONES, 3)):
+    for name, zones, hosts_per_zone in (
+        ('khangai', KHANGAI_ZONES, 2),
+        ('kingston', KINGSTON_ZONES, 3),
+    ):
         for index, zone in enumerate(zones):
-            for number in range(each):
+            for number in range(hosts_per_zone):
                 path = FOLDER / name / f'entry-{zone}-{number}.json'
-                write(path, settings(zones, index, number))
-    write(FOLDER / 'khangai' / 'contract.json', khangai())
-    write(FOLDER / 'kingston' / 'contract.json', kingston())
-    write(FOLDER / 'alone' / 'settings.json', alone())
-    write(
+                write_json(path, make_settings(zones, index, number))
+    write_json(FOLDER / 'khangai' / 'contract.json', khangai_contract())
+    write_json(FOLDER / 'kingston' / 'contract.json', kingston_contract())
+    write_json(FOLDER / 'alone' / 'settings.json', single_host_settings())
+    write_json(
         FOLDER / 'alone' / 'contract.json',
-        {**khangai(), 'quota': {'processors': 8, 'memory_mb': 16384}, 'guaranteed': {}},
+        {**khangai_contract(), 'quota': {'processors': 8, 'memory_mb': 16384}, 'guaranteed': {}},
     )
-    write(FOLDER / 'alone' / 'job.json', job('khangai', 'run 2', idempotent=True))
-    write(
-        FOLDER / 'khangai' / 'settlement.json', job('khangai', 'settle partners', idempotent=False)
+    write_json(FOLDER / 'alone' / 'job.json', make_job('khangai', 'run 2', idempotent=True))
+    write_json(
+        FOLDER / 'khangai' / 'settlement.json',
+        make_job('khangai', 'settle partners', idempotent=False),
     )
-    write(
+    write_json(
         FOLDER / 'kingston' / 'basin-chart.json',
-        job('caribsea-charts', 'rebuild basin', idempotent=True),
+        make_job('caribsea-charts', 'rebuild basin', idempotent=True),
     )
 
 
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -20,8 +20,8 @@
     RequestError,
     Settings,
     not_run,
+    outcome_unknown,
     start_task,
-    unknown,
 )
 from dandelionreel.ownership import Membership, ShardProjection
 
@@ -59,7 +59,7 @@
         self.jobs = JobProjection(shards, 0, 0)
         for projection in (members, shards, self.jobs):
             self.reader.add_handler(projection.fold, projection.reset)
-        # Each move needs a new writer name, because its record numbers start over.
+        # A writer numbers its records from the start, so each move needs a new writer name.
         writer = f'{member}+{clock.wall():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
 
@@ -110,7 +110,7 @@
             try:
                 return await self._move(remote, zone)
             except LogError as error:
-                raise unknown(
+                raise outcome_unknown(
                     HTTP_TIMEOUT,
                     'log-outcome-unknown',
                     f'{error}; repeat the move, no job is lost or duplicated',
@@ -132,7 +132,7 @@
             if job.moved_to == self._zone and not job.ended_at:
                 await self._complete_move(remote, job)
                 moved += 1
-        self._journal.tell(Part.JOBS, f'moved {moved} jobs from {zone} to this zone.')
+        self._journal.log(Part.JOBS, f'moved {moved} jobs from {zone} to this zone.')
         return MoveResult(moved)
 
     async def _complete_move(self, remote: _RemoteZone, job: Job) -> None:
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -25,7 +25,7 @@
     Settings,
     Verdict,
     not_run,
-    unknown,
+    outcome_unknown,
     zones_of,
 )
 from dandelionreel.ownership import Membership, choose_owner
@@ -51,7 +51,8 @@
 HTTP_BAD_GATEWAY = 502
 HTTP_UNAVAILABLE = 503
 HTTP_TIMEOUT = 504
-#: Minimum remaining time for a request to be forwarded to another zone.
+#: A round trip to another zone takes at least this long, so a request with less time left
+#: is not forwarded there.
 CROSS_ZONE_MIN_SECONDS = 0.05
 #: Time reserved for the answer to reach the caller.
 ANSWER_MARGIN_SECONDS = 0.01
@@ -60,12 +61,12 @@
 #: A queued request checks the peers for free slots this often.
 PEER_CHECK_SECONDS = 0.1
 #: Poll interval of the router while no request is queued.
-IDLE_SECONDS = 1.0
+IDLE_POLL_SECONDS = 1.0
 #: One hop to a peer with free slots.
 MAX_HOPS = 1
 #: Hop count with which the receiver admits the request as if it came from a caller.
 ADMIT_HOPS = 0
-#: One more hop, to the zone that keeps the idempotency key.
+#: One hop to the zone that keeps the idempotency key, one more to a peer with free slots.
 MAX_KEYED_HOPS = 2
 RETRY_AFTER_SECONDS = 1.0
 NO_ROUTE_RETRY_SECONDS = 5.0
@@ -73,7 +74,7 @@
 
 @dataclass
 class _AttemptHistory:
-    """Outcome of all previous attempts of one request."""
+    """Whether any earlier attempt of one request may have run."""
 
     may_have_run: bool = False
 
@@ -163,7 +164,9 @@
             for service, queue in self._queue_by_service.items():
                 await queue.wake(free_by_service.get(service, 0))
             waiting = any(queue.waiting for queue in self._queue_by_service.values())
-            await self._pool.changed.wait(seen, PEER_CHECK_SECONDS if waiting else IDLE_SECONDS)
+            await self._pool.changed.wait(
+                seen, PEER_CHECK_SECONDS if waiting else IDLE_POLL_SECONDS
+            )
 
     async def _admit(self, call: ServiceCall) -> Answer:
         usage = self._admission.admit(call)
@@ -189,7 +192,7 @@
     def _report_refusal(self, call: ServiceCall, error: RequestError) -> None:
         problem = error.problem
         self._metrics.count_refusal(call, problem.verdict.value, problem.cause)
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.ROUTING,
             f'refuses a request for {call.service}; {problem.detail}.',
             request=call.id,
@@ -219,12 +222,12 @@
         except RequestError as error:
             if error.problem.verdict is not Verdict.NOT_RUN:
                 raise
-            await self._end_keyed(call, nonce, NOT_SENT)
+            await self._record_key_result(call, nonce, NOT_SENT)
             raise
-        await self._end_keyed(call, nonce, answer.status)
+        await self._record_key_result(call, nonce, answer.status)
         return answer
 
-    async def _end_keyed(self, call: ServiceCall, nonce: str, status: int) -> None:
+    async def _record_key_result(self, call: ServiceCall, nonce: str, status: int) -> None:
         # In the background, so that the caller does not wait for the log.
         await curio.spawn(
             self._idempotency_guard.record_result,
@@ -261,7 +264,7 @@
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN:
                     continue
-                raise unknown(
+                raise outcome_unknown(
                     HTTP_TIMEOUT,
                     'peer-silent',
                     'the daemon that received the request did not answer',
@@ -285,7 +288,7 @@
             if not history.may_have_run or problem.verdict is not Verdict.NOT_RUN:
                 raise
             # The last attempt did not run, but an earlier one may have.
-            raise unknown(problem.status, problem.cause, problem.detail) from error
+            raise outcome_unknown(problem.status, problem.cause, problem.detail) from error
 
     async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Answer:
         while True:
@@ -332,7 +335,7 @@
         detail = f'runner {runner.entry.name}: {error}'
         if error.sent:
             status = HTTP_BAD_GATEWAY if in_time else HTTP_TIMEOUT
-            raise unknown(status, 'runner-failed', detail)
+            raise outcome_unknown(status, 'runner-failed', detail)
         raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
 
     async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Answer | None:
@@ -354,7 +357,7 @@
             if call.idempotent and self._admission.use_retry(call):
                 self._metrics.count_retry(call)
                 return None
-            raise unknown(
+            raise outcome_unknown(
                 HTTP_TIMEOUT,
                 'peer-silent',
                 f'{state.member} received the request and did not answer',
@@ -370,7 +373,7 @@
         """
         remaining = call.deadline - self._clock.monotonic()
         state.forwards_since_gossip += 1
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.ROUTING,
             f'forwards a request for {call.service} to {state.member}; it has free slots.',
             request=call.id,
@@ -380,7 +383,7 @@
         frame = await state.link.request(message, max(remaining, ANSWER_MARGIN_SECONDS))
         answer = frame.message
         if not isinstance(answer, ForwardAnswer):
-            raise PeerError('not an answer', Verdict.UNKNOWN)
+            raise PeerError('unexpected message type in the answer', Verdict.UNKNOWN)
         if answer.no_room:
             return None
         raise_problem(answer.answer)
@@ -453,12 +456,12 @@
 
     def _estimate_wait(self, call: ServiceCall, queue: RequestQueue) -> float:
         """Estimate the seconds until an answer, from the queue and the mean answer time."""
-        slots = self._pool.slots(call.service)
-        mean_seconds = self._pool.mean_seconds(call.service)
-        if not slots or not mean_seconds:
+        usable_slots = self._pool.usable_slots(call.service)
+        mean_answer_seconds = self._pool.mean_answer_seconds(call.service)
+        if not usable_slots or not mean_answer_seconds:
             return 0
         requests_ahead = queue.count_ahead(self._priority(call), call.deadline)
-        return (requests_ahead / slots + 1) * mean_seconds
+        return (requests_ahead / usable_slots + 1) * mean_answer_seconds
 
     def _is_service_known(self, service: str) -> bool:
         return any(_free_slots_of(state, service) for state in self._directory.states())
@@ -478,7 +481,7 @@
             )
 
     def _log_choice(self, call: ServiceCall, runner: Runner) -> None:
-        self._journal.tell_frequent(
+        self._journal.log_sampled(
             Part.ROUTING,
             f'sends a request for {call.service} to {runner.entry.name}; '
             f'{runner.in_use} of {runner.entry.slots} slots are in use.',
--- a/spec/run.py
+++ b/spec/run.py
@@ -1,4 +1,4 @@
-"""Checks all specifications and their mutants: ``make spec``."""
+"""Checks all models and their mutants: ``make spec``; ``--traces`` prints counterexamples."""
 
 import sys
 
@@ -33,13 +33,13 @@
 
 
 def main() -> int:
-    """Return 0 when every design holds and every mutant is killed."""
-    wrong = []
+    """Return 0 if every model holds and every mutant is killed."""
+    problems = []
     for spec in SPECS:
-        wrong.extend(check(spec, show_traces='--traces' in sys.argv))
-    for line in wrong:
+        problems.extend(check(spec, show_traces='--traces' in sys.argv))
+    for line in problems:
         sys.stdout.write(f'WRONG {line}\n')
-    return 1 if wrong else 0
+    return 1 if problems else 0
 
 
 if __name__ == '__main__':
