--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -289,6 +289,6 @@
     context.dispatcher._load_state()
 
 
-@then('it leaves jobs on unseen runners alone for {wait:g} s')
+@then('it starts no tasks of jobs on unseen runners for {wait:g} s')
 def blocks_unseen_runners(context, wait):
     assert abs(context.dispatcher._periodic_checks.predecessor_leases.end_at - 1000 - wait) < 0.01
--- a/features/store.feature
+++ b/features/store.feature
@@ -255,7 +255,7 @@
   Scenario Outline: The successor of a killed owner
     Given a former owner that was killed when earlier owners might act for <unsettled> s
     When a host takes over
-    Then it leaves jobs on unseen runners alone for <wait> s
+    Then it starts no tasks of jobs on unseen runners for <wait> s
 
     Examples:
       | unsettled | wait |
