--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -339,7 +339,7 @@
             self._zone_writer,
             self._journal,
         )
-        self._fleet.set_report_handler(self._dispatcher.handle_report)
+        self._fleet.register_report_handler(self._dispatcher.handle_report)
         for user in (self._fleet, self._pool, DispatchShard()):
             self._claimer.add_user(user)
 
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -91,8 +91,8 @@
         self._report_handler: ReportHandler | None = None
         self.agent_by_worker: dict[str, WorkerAgent] = {}
 
-    def set_report_handler(self, handler: ReportHandler) -> None:
-        """Set the handler of reports for when this daemon is the dispatcher itself."""
+    def register_report_handler(self, handler: ReportHandler) -> None:
+        """Register the handler of reports for when this daemon is the dispatcher itself."""
         self._report_handler = handler
 
     def wanted_shards(self) -> Iterable[str]:
