--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -59,7 +59,7 @@
         if reason == self._last_reason:
             return
         self._last_reason = reason
-        self._journal.tell(
+        self._journal.log(
             Part.LIFE,
             f'asks for no clients: {reason}.' if reason else 'asks for clients.',
             store_age=seconds_or_none(inputs.store_age),
@@ -73,6 +73,6 @@
             stopping=self._stopping,
             configured=self._configuration.current is not None,
             cut_off=self._partition_detector.cut_off,
-            store_takes_nothing=self._writer.store_is_failing(now) or owner_store_is_failing,
+            store_is_failing=self._writer.store_is_failing(now) or owner_store_is_failing,
             store_age=self._follower.age(now),
         )
--- a/features/steps/platform_soak_steps.py
+++ b/features/steps/platform_soak_steps.py
@@ -12,5 +12,5 @@
 
 @then('no guarantee was violated')
 def check_guarantees(context):
-    assert any(asked.accepted for asked in context.tally.asked)
-    assert not context.tally.wrong, context.tally.wrong
+    assert any(job.accepted for job in context.tally.jobs)
+    assert not context.tally.violations, context.tally.violations
--- a/spec/_model.py
+++ b/spec/_model.py
@@ -1,4 +1,4 @@
-"""What all specifications share: steps from a state, and the run with mutants."""
+"""Shared by all models: transitions from a state, and the check of a model with its mutants."""
 
 import sys
 import time
@@ -13,38 +13,42 @@
 
 
 class Steps:
-    """Collects the steps that lead on from one state."""
+    """Collects the transitions from one state; ``state`` holds its fields by name."""
 
     def __init__(self, fields: tuple[str, ...], values: tuple) -> None:
-        """Start from ``values``."""
-        self.now = dict(zip(fields, values, strict=True))
+        """Start from a state, given as the values of ``fields``."""
+        self.state = dict(zip(fields, values, strict=True))
         self._fields = fields
-        self.found: list[tuple[str, tuple]] = []
+        self.successors: list[tuple[str, tuple]] = []
 
     def step(self, label: str, **changes: Any) -> None:
-        """Add one step."""
-        after = {**self.now, **changes}
-        self.found.append((label, tuple(after[field] for field in self._fields)))
+        """Add a transition that sets the given fields and leaves the others as they are."""
+        after = {**self.state, **changes}
+        self.successors.append((label, tuple(after[field] for field in self._fields)))
 
 
 @dataclass(frozen=True)
 class Spec:
-    """One specification: ``build`` takes the guards to weaken as arguments."""
+    """A model with its invariants, and mutants that must each break one of them.
+
+    ``add_steps`` adds all transitions from a state. Its keyword arguments are the guards of the
+    protocol; a mutant maps some of them to the value that weakens them.
+    """
 
     name: str
     initial: State
-    moves: Callable[..., None]
+    add_steps: Callable[..., None]
     invariants: dict[str, Callable[[State], bool]]
     mutants: dict[str, dict[str, Any]]
 
     def build(self, **weakened: Any) -> Protocol:
-        """Return the protocol with some guards weakened."""
+        """Return the protocol for minicheck, with the given guards weakened."""
         fields = tuple(self.initial)
 
         def transitions(values: tuple) -> list:
             steps = Steps(fields, values)
-            self.moves(steps, **weakened)
-            return steps.found
+            self.add_steps(steps, **weakened)
+            return steps.successors
 
         return Protocol(
             name=self.name,
@@ -56,13 +60,13 @@
         )
 
 
-def failing(outcome: dict[str, Any]) -> list[str]:
-    """Return the invariants that do not hold."""
+def find_violations(outcome: dict[str, Any]) -> list[str]:
+    """Return the invariants that do not hold or were not checked in full."""
     return [name for name, found in outcome['properties'].items() if found['holds'] is not True]
 
 
-def trace(outcome: dict[str, Any]) -> list[str]:
-    """Return the steps of the first counterexample."""
+def get_counterexample(outcome: dict[str, Any]) -> list[str]:
+    """Return the labels of the first counterexample."""
     for found in outcome['properties'].values():
         if found['holds'] is False:
             return [entry['label'] for entry in found['counterexample'] if entry['label']]
@@ -70,24 +74,24 @@
 
 
 def check(spec: Spec, *, show_traces: bool = False, **bounds: Any) -> list[str]:
-    """Check a specification and its mutants; return what is not as it should be."""
-    wrong = []
+    """Check a model and its mutants; return the violations and the mutants that survived."""
+    problems = []
     began = time.monotonic()
     outcome = check_safety(spec.build(**bounds), max_states=MAX_STATES)
-    holds = not failing(outcome)
+    holds = not find_violations(outcome)
     states = outcome.get('reachable_states')
     took = time.monotonic() - began
     sys.stdout.write(f'{spec.name}: holds={holds}, {states} states, {took:.1f} s\n')
     if not holds:
-        wrong.append(f'{spec.name} does not hold: {trace(outcome)}')
+        problems.append(f'{spec.name} does not hold: {get_counterexample(outcome)}')
     for name, weakened in spec.mutants.items():
         outcome = check_safety(spec.build(**{**bounds, **weakened}), max_states=MAX_STATES)
-        steps = trace(outcome)
+        steps = get_counterexample(outcome)
         killed = bool(steps)
         sys.stdout.write(f'  mutant {name}: killed={killed}, {len(steps)} steps\n')
         if show_traces:
             sys.stdout.write(''.join(f'      {label}\n' for label in steps))
         if not killed:
-            wrong.append(f'{spec.name}: mutant {name} was not killed')
+            problems.append(f'{spec.name}: mutant {name} was not killed')
     sys.stdout.flush()
-    return wrong
+    return problems
