--- a/bench/cell.py
+++ b/bench/cell.py
@@ -59,7 +59,7 @@
 
 def control_bytes(cell: Cluster, name: str) -> dict[str, float]:
     """Return the bytes of peer messages so far, by kind."""
-    text = cell.admin(name, 'GET', '/metrics').body.decode()
+    text = cell.request_as_operator(name, 'GET', '/metrics').body.decode()
     bytes_by_kind = {}
     for line in text.splitlines():
         if line.startswith('dandelionreel_control_bytes_total'):
@@ -135,8 +135,8 @@
             began = time.monotonic()
 
             def all_taken() -> bool:
-                shards = cell.admin('ub-east-d1', 'GET', '/v1/shards').json()
-                shards += cell.admin('ub-east-d2', 'GET', '/v1/shards').json()
+                shards = cell.request_as_operator('ub-east-d1', 'GET', '/v1/shards').json()
+                shards += cell.request_as_operator('ub-east-d2', 'GET', '/v1/shards').json()
                 acting = {shard['shard'] for shard in shards if shard['level'] != 'none'}
                 return len(acting) == 9
 
@@ -178,7 +178,7 @@
     for daemon in cell.daemons.values():
         if not daemon.is_running:
             continue
-        status = cell.admin(daemon.name, 'GET', '/v1/status').json()
+        status = cell.request_as_operator(daemon.name, 'GET', '/v1/status').json()
         if status['contracts'].get('khangai') != version:
             return False
     return True
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -35,7 +35,8 @@
     print_line(f'contract published: {reply.status} {reply.body.decode()}')
     in_force = wait_until(
         lambda: all(
-            cell.admin(name, 'GET', '/v1/status').json()['contracts'].get('khangai') == 1
+            cell.request_as_operator(name, 'GET', '/v1/status').json()['contracts'].get('khangai')
+            == 1
             for name in names
         ),
     )
@@ -54,7 +55,7 @@
     print_line(f'settlement accepted: {submitted["id"]} {submitted["state"]}')
     has_ended = wait_until(
         lambda: (
-            cell.admin(names[0], 'GET', f'/v1/jobs/{submitted["id"]}').json()['state']
+            cell.request_as_operator(names[0], 'GET', f'/v1/jobs/{submitted["id"]}').json()['state']
             == 'succeeded'
         ),
     )
--- a/bench/explain.py
+++ b/bench/explain.py
@@ -80,7 +80,7 @@
     """Explain the job from one log, and print the time and memory that it took."""
     began = time.monotonic()
     done = subprocess.run(
-        [sys.executable, '-m', 'bench.explain', 'tell', JOB, str(path)],
+        [sys.executable, '-m', 'bench.explain', 'run', JOB, str(path)],
         stdout=subprocess.PIPE,
         text=True,
         check=False,
@@ -111,7 +111,7 @@
 
 def main() -> int:
     """Measure all three logs."""
-    if sys.argv[1:2] == ['tell']:
+    if sys.argv[1:2] == ['run']:
         return run_explain(sys.argv[2:])
     with TemporaryDirectory() as folder:
         path = Path(folder) / 'hosts.log'
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -198,12 +198,12 @@
     ) -> Reply:
         """Send a request as the client of the job, with its API key if it has an account."""
         if self._accounts is None:
-            return self._hosts.ask(host, method, record.path, body)
+            return self._hosts.request(host, method, record.path, body)
         account = self._accounts.account_of(record.client)
         self._accounts.account_by_job[record.path.rpartition('/')[2]] = account
         key: Key = self._accounts.key_for(account)
         sent_at = time.monotonic()
-        reply = self._hosts.ask(host, method, record.path, body, key=key.text)
+        reply = self._hosts.request(host, method, record.path, body, key=key.text)
         self._accounts.check_reply(key, sent_at, reply.status)
         return reply
 
@@ -271,12 +271,12 @@
 
     def _kill(self, seconds: float) -> None:
         name = self._random.choice(self._hosts.names)
-        self._hosts.send(name, signal.SIGKILL)
+        self._hosts.send_signal(name, signal.SIGKILL)
         self._schedule(seconds / 4, self._restart_host, name)
 
     def _stop(self, seconds: float) -> None:
         name = self._random.choice(self._hosts.names)
-        self._hosts.send(name, signal.SIGTERM)
+        self._hosts.send_signal(name, signal.SIGTERM)
         self._schedule(5 + seconds / 4, self._restart_host, name)
 
     def _restart_host(self, name: str) -> None:
@@ -287,8 +287,8 @@
 
     def _pause(self, seconds: float) -> None:
         name = self._random.choice(self._hosts.names)
-        self._hosts.send(name, signal.SIGSTOP)
-        self._schedule(seconds, self._hosts.send, name, signal.SIGCONT)
+        self._hosts.send_signal(name, signal.SIGSTOP)
+        self._schedule(seconds, self._hosts.send_signal, name, signal.SIGCONT)
 
     def _store_down(self, seconds: float) -> None:
         self._platform.store.faults.down = True
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -55,6 +55,7 @@
     """Requests, jobs and faults of a run, and the violations that it found."""
 
     requests: list[RequestRecord] = field(default_factory=list)
+    #: Ids of accepted jobs, and whether each may be started only once (is not idempotent).
     accepted: dict[str, bool] = field(default_factory=dict)
     refused: Counter = field(default_factory=Counter)
     faults: Counter = field(default_factory=Counter)
@@ -375,7 +376,7 @@
                 f'{len(unfinished)} accepted jobs did not end: {sorted(unfinished)[:3]}'
             )
             for job_id in sorted(unfinished)[:3]:
-                shown = self.cell.admin(f'{ZONES[0]}-d0', 'GET', f'/v1/jobs/{job_id}')
+                shown = self.cell.request_as_operator(f'{ZONES[0]}-d0', 'GET', f'/v1/jobs/{job_id}')
                 self.tally.violations.append(shown.body.decode())
 
     def list_jobs(self, name: str, state: str) -> set[str]:
@@ -384,7 +385,7 @@
         after = ''
         while True:
             path = f'/v1/jobs?state={state}&limit=1000&after={after}'
-            page: dict[str, Any] = self.cell.admin(name, 'GET', path).json()
+            page: dict[str, Any] = self.cell.request_as_operator(name, 'GET', path).json()
             job_ids.update(view['id'] for view in page['jobs'])
             after = page['next_after']
             if not after:
--- a/bench/soak_accounts.py
+++ b/bench/soak_accounts.py
@@ -133,6 +133,6 @@
 
 def _is_answered(hosts: EntryHosts, key: Key, expected_status: int) -> bool:
     return all(
-        hosts.ask(name, 'GET', '/plain/', key=key.text).status == expected_status
+        hosts.request(name, 'GET', '/plain/', key=key.text).status == expected_status
         for name in hosts.names
     )
--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -81,7 +81,7 @@
         self._me = me
         self._settings = settings
         self._clock = clock
-        self._life = life
+        self._lifecycle = life
         self._registry = registry
         self._reader = reader
         self._members = members
@@ -136,7 +136,7 @@
         return answer_json(Acknowledgement('alive'))
 
     def _show_ready(self) -> Answer:
-        reasons = self._life.reasons_not_ready()
+        reasons = self._lifecycle.reasons_not_ready()
         if reasons:
             raise not_run(HTTP_UNAVAILABLE, 'not-ready', '; '.join(reasons))
         return answer_json(Acknowledgement('ready'))
@@ -146,7 +146,7 @@
         return Answer(HTTP_OK, headers, generate_latest(self._registry))
 
     def _show_status(self) -> Answer:
-        reasons = self._life.reasons_not_ready()
+        reasons = self._lifecycle.reasons_not_ready()
         outage = 0.0
         if self._reader.outage_since is not None:
             outage = self._clock.monotonic() - self._reader.outage_since
@@ -308,7 +308,7 @@
             raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if body.endpoint:
             return self._drain_endpoint(body.endpoint)
-        await self._life.request_stop()
+        await self._lifecycle.request_stop()
         return answer_json(Acknowledgement('this daemon drains and stops'), HTTP_ACCEPTED)
 
     def _drain_endpoint(self, name: str) -> Answer:
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -36,7 +36,7 @@
     ) -> None:
         """Serve callers of the availability zone ``zone``."""
         self._mover = mover
-        self._life = life
+        self._lifecycle = life
         self._zone = zone
         self._router = router
         self._job_api = job_api
@@ -48,7 +48,7 @@
         Until this daemon knows the contracts in force, the load balancer sends
         it no requests; any that arrive are refused with a retry delay.
         """
-        if not self._life.knows_contracts():
+        if not self._lifecycle.knows_contracts():
             raise not_run(
                 HTTP_UNAVAILABLE,
                 'not-ready',
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: builds all parts, runs them, and stops them in order."""
+"""The daemon: builds all components, runs them, and shuts them down in order."""
 
 import gc
 import os
@@ -102,7 +102,7 @@
         return (DISPATCH_SHARD,)
 
     async def prepare_release(self, shard: str) -> bool:
-        """Return True: orders carry epoch and age, so none needs to finish before a release."""
+        """Return True: orders carry epoch and age, so a release need not wait for pending ones."""
         return True
 
 
@@ -242,7 +242,7 @@
             self._cell_writer,
             self._journal,
         )
-        self._life = Lifecycle(
+        self._lifecycle = Lifecycle(
             self._settings,
             self._clock,
             self._cell_reader,
@@ -372,13 +372,13 @@
             job_api,
             job_mover,
             relay,
-            self._life,
+            self._lifecycle,
         )
         admin_api = AdminApi(
             self.me,
             settings,
             self._clock,
-            self._life,
+            self._lifecycle,
             self._metrics.registry,
             self._zone_reader,
             self._cell_members,
@@ -471,19 +471,19 @@
         gc.freeze()
 
     async def _handle_stop_signal(self, number: int) -> None:
-        await self._life.request_stop()
+        await self._lifecycle.request_stop()
 
     async def _serve(self, stack: AsyncExitStack) -> None:
         await start_task(stack, await watch_signals(stack, STOP_SIGNALS, self._handle_stop_signal))
-        while not self._life.stopping and not self._was_declared_ended():
-            await curio.ignore_after(0.5, self._life.stop_requested.wait)
+        while not self._lifecycle.stopping and not self._was_declared_ended():
+            await curio.ignore_after(0.5, self._lifecycle.stop_requested.wait)
         if self._was_declared_ended():
             self._journal.log(Part.LIFE, 'exits: the log records this member as ended.')
             return
         in_flight = InFlightCounter()
         in_flight.add(lambda: self._router.in_flight)
         in_flight.add(lambda: self._callers_server.requests_in_progress)
-        await self._life.drain(
+        await self._lifecycle.drain(
             self._claimer,
             in_flight,
             self._zone_writer,
@@ -493,7 +493,7 @@
         )
 
     def _was_declared_ended(self) -> bool:
-        if self._life.stopping:
+        if self._lifecycle.stopping:
             return False
         return self._zone_members.has_ended(self.me) or self._cell_members.has_ended(self.me)
 
@@ -563,7 +563,7 @@
     async def _handle_gossip(self, state: PeerState) -> None:
         self._pool.record_reported_leaving(state.gossip.leaving)
         if state.gossip.contracts == self._contracts.digest():
-            self._life.peer_contracts_match = True
+            self._lifecycle.peer_contracts_match = True
         if state.gossip.service_slots:
             await self._pool.changed.notify()
 
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -10,7 +10,7 @@
 from dandelionreel.ownership import Left, ShardClaimer
 
 POLL_SECONDS = 0.1
-LEFT_WRITE_SECONDS = 2.0
+LEAVE_WRITE_SECONDS = 2.0
 
 
 class Lifecycle:
@@ -96,14 +96,14 @@
         cell_writer: StreamWriter,
         me: str,
     ) -> None:
-        # Only a daemon without shards may write that it has left: the next owner of
-        # its shards does not wait for the effects of its last messages.
+        # Only a daemon without shards may write that it has left: after that record the
+        # next owner of a shard would not wait for the effects of this daemon's last messages.
         if claimer.owned_claims():
             self._journal.log(Part.LIFE, 'is stopping with shards that were not handed over.')
             return
         for writer in (zone_writer, cell_writer):
             try:
-                await writer.write(Left(me), LEFT_WRITE_SECONDS)
+                await writer.write(Left(me), LEAVE_WRITE_SECONDS)
             except LogError as error:
                 self._journal.log(Part.LIFE, f'could not write the leave record: {error}.')
 
--- a/dandelionreel/records/_event_collector.py
+++ b/dandelionreel/records/_event_collector.py
@@ -24,7 +24,7 @@
 READY_ENDING = ' is ready.'
 RUNNER_LIST_ENDINGS = (' is draining.', ' has gone.')
 
-Key = tuple[str, str, int]
+_ContextKey = tuple[str, str, int]
 
 
 @dataclass
@@ -51,19 +51,19 @@
         self.job_events: list[LogEvent] = []
         self.span_by_host: dict[str, LogSpan] = {}
         #: Lines that were dropped because a limit was reached.
-        self.left_out = 0
+        self.dropped_count = 0
         #: Context lines with a broken field, found only when they are fully decoded.
-        self.unreadable = 0
-        #: Sampling rate of frequent lines: one of this many was written.
-        self.sampled = 1
+        self.unreadable_count = 0
+        #: Of the frequent kinds, a host wrote one of this many lines; the highest number found.
+        self.sampling_interval = 1
         self._job_id = subject.job.encode()
-        self._context_lines: dict[Key, _ContextLine] = {}
+        self._context_lines: dict[_ContextKey, _ContextLine] = {}
 
     def add(self, content: bytes, line: LineHeader) -> bool:
         """Keep a line if it may be relevant; return whether it can be decoded."""
-        self._note_span(line)
+        self._update_span(line)
         if isinstance(line.sampled, int):
-            self.sampled = max(self.sampled, line.sampled)
+            self.sampling_interval = max(self.sampling_interval, line.sampled)
         if self._job_id in content and _contains_word(content, self._job_id):
             return self._add_job_line(content)
         if line.message_type in CONTEXT_PARTS and not line.text.endswith(READY_ENDING):
@@ -72,12 +72,12 @@
 
     def context_events(self) -> list[LogEvent]:
         """Return the events that may be relevant without naming the job."""
-        made = [decode_event(kept.content, kept.count) for kept in self._context_lines.values()]
-        readable = [event for event in made if event is not None]
-        self.unreadable += len(made) - len(readable)
+        decoded = [decode_event(kept.content, kept.count) for kept in self._context_lines.values()]
+        readable = [event for event in decoded if event is not None]
+        self.unreadable_count += len(decoded) - len(readable)
         return readable
 
-    def _note_span(self, line: LineHeader) -> None:
+    def _update_span(self, line: LineHeader) -> None:
         span = self.span_by_host.get(line.host)
         if span is None:
             self.span_by_host[line.host] = LogSpan(line.timestamp, line.timestamp)
@@ -87,7 +87,7 @@
 
     def _add_job_line(self, content: bytes) -> bool:
         if len(self.job_events) >= MAX_JOB_EVENTS:
-            self.left_out += 1
+            self.dropped_count += 1
             return True
         event = decode_event(content)
         if event is None:
@@ -98,12 +98,12 @@
 
     def _filter_listed_runs(self, event: LogEvent) -> bool:
         """Reduce a list of runs to those of the subject; return whether any is left."""
-        found = event.more.get('found')
-        if not isinstance(found, list):
+        listed = event.extra_fields.get('found')
+        if not isinstance(listed, list):
             return True
         prefix = f'{self.subject.name} ' if self.subject.task else f'{self.subject.job}/'
-        event.more['found'] = [text for text in found if f'{text}'.startswith(prefix)]
-        return bool(event.more['found'])
+        event.extra_fields['found'] = [text for text in listed if f'{text}'.startswith(prefix)]
+        return bool(event.extra_fields['found'])
 
     def _add_context_line(self, content: bytes, line: LineHeader) -> None:
         host = '' if line.text.endswith(RUNNER_LIST_ENDINGS) else line.host
@@ -111,7 +111,7 @@
         kept = self._context_lines.get(key)
         if kept is None:
             if len(self._context_lines) >= MAX_CONTEXT_LINES:
-                self.left_out += 1
+                self.dropped_count += 1
                 return
             self._context_lines[key] = _ContextLine(line.timestamp, content)
             return
--- a/dandelionreel/records/_job_histories.py
+++ b/dandelionreel/records/_job_histories.py
@@ -34,7 +34,7 @@
     queue: str = ''
     account: str = ''
     #: When it was first submitted.
-    sent_at: float | None = None
+    submitted_at: float | None = None
     #: When a host first refused it, and which host.
     refused_at: float | None = None
     refused_by: str = ''
@@ -56,9 +56,9 @@
     @property
     def seconds(self) -> float | None:
         """Return the seconds from submission to its visible end, ``None`` if either is unknown."""
-        if self.sent_at is None or self.visible_at is None:
+        if self.submitted_at is None or self.visible_at is None:
             return None
-        return self.visible_at - self.sent_at
+        return self.visible_at - self.submitted_at
 
 
 class JobHistories:
@@ -68,7 +68,7 @@
         """Start without jobs."""
         self.by_job: dict[str, JobHistory] = {}
         #: Events of jobs that were dropped because the limit was reached.
-        self.left_out = 0
+        self.dropped_count = 0
         self._stored_ends: list[tuple[float, str]] = []
 
     def add(self, event: LogEvent, job: str, jobs: Iterable[str]) -> None:
@@ -100,15 +100,17 @@
             if history.accepted_at is None and history.started_at is not None:
                 # Its acceptance is not logged, but it was started.
                 history.accepted_at = history.started_at
-        sent = [history for history in self.by_job.values() if history.sent_at is not None]
-        return sorted(sent, key=_sent_at)
+        submitted_jobs = [
+            history for history in self.by_job.values() if history.submitted_at is not None
+        ]
+        return sorted(submitted_jobs, key=_submitted_at)
 
     def _get_or_create(self, job: str) -> JobHistory | None:
         history = self.by_job.get(job)
         if history is not None or not job:
             return history
         if len(self.by_job) >= MAX_JOBS:
-            self.left_out += 1
+            self.dropped_count += 1
             return None
         return self.by_job.setdefault(job, JobHistory(job))
 
@@ -116,10 +118,10 @@
         history = self._get_or_create(job)
         if history is None:
             return
-        seconds = event.more.get('seconds')
+        seconds = event.extra_fields.get('seconds')
         handling_seconds = seconds if isinstance(seconds, int | float) else 0.0
-        history.sent_at = _earlier(history.sent_at, event.at - handling_seconds)
-        history.queue = history.queue or f'{event.more.get("queue", "")}'
+        history.submitted_at = _earlier(history.submitted_at, event.at - handling_seconds)
+        history.queue = history.queue or f'{event.extra_fields.get("queue", "")}'
         _set_account(history, event)
         if event.kind in {EventKind.ACCEPTED, EventKind.ALREADY_ACCEPTED}:
             history.accepted_at = _earlier(history.accepted_at, event.at)
@@ -131,9 +133,9 @@
         history = self._get_or_create(job)
         if history is None:
             return
-        history.queue = history.queue or f'{event.more.get("queue", "")}'
+        history.queue = history.queue or f'{event.extra_fields.get("queue", "")}'
         _set_account(history, event)
-        objective = event.more.get('objective')
+        objective = event.extra_fields.get('objective')
         if isinstance(objective, int | float):
             history.objective = float(objective)
         if history.finished_at is None or event.at < history.finished_at:
@@ -147,7 +149,7 @@
         history.cancelled = True
     elif event.kind is EventKind.START_SENT:
         history.started_at = _earlier(history.started_at, event.at)
-        zone = event.more.get('zone')
+        zone = event.extra_fields.get('zone')
         if isinstance(zone, str):
             history.zones.add(zone)
     elif event.kind is EventKind.RUN_ENDED:
@@ -157,7 +159,7 @@
 
 
 def _set_account(history: JobHistory, event: LogEvent) -> None:
-    account = event.more.get('account')
+    account = event.extra_fields.get('account')
     if isinstance(account, str):
         history.account = history.account or account
 
@@ -166,5 +168,5 @@
     return at if known is None else min(known, at)
 
 
-def _sent_at(history: JobHistory) -> float:
-    return history.sent_at or 0.0
+def _submitted_at(history: JobHistory) -> float:
+    return history.submitted_at or 0.0
--- a/dandelionreel/records/_lines.py
+++ b/dandelionreel/records/_lines.py
@@ -41,7 +41,7 @@
     name: str = ''
     number: int = 0
 
-    def note_bad(self) -> None:
+    def count_bad_line(self) -> None:
         """Count the current line as bad."""
         self.bad += 1
         self.first_bad = self.first_bad or f'{self.name}:{self.number}'
@@ -69,7 +69,7 @@
         content = stripped[max(0, stripped.find(b'{')) :]
         line = _decode(content)
         if line is None:
-            stats.note_bad()
+            stats.count_bad_line()
             continue
         yield content, line
 
--- a/dandelionreel/records/_log_event.py
+++ b/dandelionreel/records/_log_event.py
@@ -40,7 +40,7 @@
     epoch: int | None = None
     runner: str = ''
     #: All other fields, unchanged.
-    more: dict[str, Any] = field(default_factory=dict)
+    extra_fields: dict[str, Any] = field(default_factory=dict)
     #: Number of equal lines that were merged into this one.
     count: int = 1
 
@@ -67,17 +67,17 @@
         classify_event(text),
         text,
         _text_or_empty(fields.get('task')),
-        _number_or_none(fields.get('run')),
-        _number_or_none(fields.get('epoch')),
+        _int_or_none(fields.get('run')),
+        _int_or_none(fields.get('epoch')),
         _text_or_empty(fields.get('runner')),
         {name: field_value for name, field_value in fields.items() if name not in _OWN_FIELDS},
         count,
     )
 
 
-def _text_or_empty(found: Any) -> str:
-    return found if isinstance(found, str) else ''
+def _text_or_empty(field_value: Any) -> str:
+    return field_value if isinstance(field_value, str) else ''
 
 
-def _number_or_none(found: Any) -> int | None:
-    return found if isinstance(found, int) else None
+def _int_or_none(field_value: Any) -> int | None:
+    return field_value if isinstance(field_value, int) else None
--- a/dandelionreel/records/_outages.py
+++ b/dandelionreel/records/_outages.py
@@ -57,7 +57,7 @@
         self._downtimes_by_host: dict[str, list[TimeSpan]] = defaultdict(list)
         self._last_line_by_host: dict[str, float] = {}
 
-    def note_host(self, host: str, at: float) -> None:
+    def record_line_time(self, host: str, at: float) -> None:
         """Record the time of a host's latest line; each host's lines come in order."""
         self._last_line_by_host[host] = at
 
@@ -69,11 +69,11 @@
         elif text.startswith(LOST_STORE):
             self._begin_store_outage(event.host, event.at)
         elif text.startswith(NOT_READY) and any(cause in text for cause in STORE_CAUSES):
-            self._begin_store_outage(event.host, event.at - _seconds(event, 'store_age'))
+            self._begin_store_outage(event.host, event.at - _get_seconds(event, 'store_age'))
         elif text.startswith((REGAINED_STORE, READY)):
             self._end_store_outage(event.host, event.at)
         if text.startswith(OWNS_CELL):
-            since = event.at - _seconds(event, 'silent_seconds')
+            since = event.at - _get_seconds(event, 'silent_seconds')
             self.takeovers.append(TimeSpan(since, event.at + TAKEOVER_SETTLE_SECONDS))
 
     def find_store_outage_scope(self, since: float, until: float) -> OutageScope | None:
@@ -101,7 +101,7 @@
         starts = sorted(
             (span.until, span.since) for spans in self._downtimes_by_host.values() for span in spans
         )
-        down = []
+        total_outages = []
         for started, _ in starts:
             joint_starts = [
                 (started_at, last)
@@ -110,8 +110,8 @@
             ]
             since = max(last for _, last in joint_starts)
             if len(joint_starts) >= len(self._last_line_by_host) and since < started:
-                down.append(TimeSpan(since, started))
-        return down
+                total_outages.append(TimeSpan(since, started))
+        return total_outages
 
     def _hosts_of(self, zone: str) -> set[str]:
         return {host for host, host_zone in self.zone_by_host.items() if host_zone == zone}
@@ -123,7 +123,7 @@
         )
 
     def _add_host_start(self, event: LogEvent) -> None:
-        zone = event.more.get('zone')
+        zone = event.extra_fields.get('zone')
         if isinstance(zone, str):
             self.zone_by_host[event.host] = zone
         self._end_store_outage(event.host, event.at)
@@ -143,10 +143,10 @@
             spans[-1].until = at
 
 
-def _seconds(event: LogEvent, name: str) -> float:
+def _get_seconds(event: LogEvent, name: str) -> float:
     """Return a field in seconds, 0 if the event lacks it."""
-    found = event.more.get(name)
-    return float(found) if isinstance(found, int | float) else 0.0
+    field_value = event.extra_fields.get(name)
+    return float(field_value) if isinstance(field_value, int | float) else 0.0
 
 
 def is_host_event(kind: EventKind) -> bool:
--- a/dandelionreel/records/_reasons.py
+++ b/dandelionreel/records/_reasons.py
@@ -68,27 +68,31 @@
     )
 
 
-def find_reason(history: JobHistory, outages: Outages, down: list[TimeSpan], last: float) -> Reason:
-    """Return why a job was not in time; ``last`` is when the logs end."""
-    sent = history.sent_at or last
+def find_reason(
+    history: JobHistory, outages: Outages, total_outages: list[TimeSpan], log_end: float
+) -> Reason:
+    """Return why a job was not in time; ``log_end`` is the time of the last line."""
+    submitted = history.submitted_at or log_end
     if history.accepted_at is None:
-        return _explain_not_accepted(sent, history.refused_at or last, outages, down)
+        return _explain_not_accepted(
+            submitted, history.refused_at or log_end, outages, total_outages
+        )
     accepted = history.accepted_at
-    started = history.started_at or history.finished_at or last
-    finished = history.finished_at or last
+    started = history.started_at or history.finished_at or log_end
+    finished = history.finished_at or log_end
     visible = history.visible_at or finished
     seconds_by_phase = {
-        'accepted': accepted - sent,
+        'accepted': accepted - submitted,
         'started': started - accepted,
         'shown': visible - finished,
     }
     longest_phase = max(seconds_by_phase, key=lambda name: seconds_by_phase[name])
     if seconds_by_phase[longest_phase] <= NORMAL_DELAY_SECONDS:
-        return _explain_long_run(history, outages, down, TimeSpan(started, finished))
+        return _explain_long_run(history, outages, total_outages, TimeSpan(started, finished))
     if longest_phase == 'accepted':
-        return _explain_not_accepted(sent, accepted, outages, down)
+        return _explain_not_accepted(submitted, accepted, outages, total_outages)
     if longest_phase == 'started':
-        return _explain_not_started(history, outages, down, TimeSpan(accepted, started))
+        return _explain_not_started(history, outages, total_outages, TimeSpan(accepted, started))
     scope = outages.find_store_outage_scope(finished, visible)
     return Reason.STORE_END_NOT_SHOWN if scope else Reason.STORE_SLOW
 
@@ -97,12 +101,12 @@
     since: float,
     until: float,
     outages: Outages,
-    down: list[TimeSpan],
+    total_outages: list[TimeSpan],
 ) -> Reason:
     scope = outages.find_store_outage_scope(since, max(until, since + NORMAL_DELAY_SECONDS))
     if scope is not None:
         return NOT_ACCEPTED[scope]
-    if _any_overlaps(down, since, until):
+    if _any_overlaps(total_outages, since, until):
         return Reason.ALL_HOSTS_DOWN
     if _any_overlaps(outages.takeovers, since, until):
         return Reason.TAKEOVER
@@ -112,10 +116,10 @@
 def _explain_not_started(
     history: JobHistory,
     outages: Outages,
-    down: list[TimeSpan],
+    total_outages: list[TimeSpan],
     span: TimeSpan,
 ) -> Reason:
-    if _any_overlaps(down, span.since, span.until):
+    if _any_overlaps(total_outages, span.since, span.until):
         return Reason.ALL_HOSTS_DOWN
     if outages.find_store_outage_scope(span.since, span.until) is OutageScope.ALL:
         return Reason.STORE_NOT_STARTED
@@ -132,9 +136,9 @@
 
 
 def _explain_long_run(
-    history: JobHistory, outages: Outages, down: list[TimeSpan], span: TimeSpan
+    history: JobHistory, outages: Outages, total_outages: list[TimeSpan], span: TimeSpan
 ) -> Reason:
-    if _any_overlaps(down, span.since, span.until):
+    if _any_overlaps(total_outages, span.since, span.until):
         return Reason.ALL_HOSTS_DOWN
     if history.zones & outages.partitioned_zones(span.since, span.until):
         return Reason.ZONE_PARTITIONED
--- a/dandelionreel/records/_repeated_starts.py
+++ b/dandelionreel/records/_repeated_starts.py
@@ -137,14 +137,16 @@
 def _shows_run_over(event: LogEvent, run: Run) -> bool:
     if event.kind is EventKind.RUNS_LISTED:
         return _lists_all_but(event, run)
-    never_sent = event.kind is EventKind.START_UNANSWERED and event.more.get('verdict') == 'not_run'
+    never_sent = (
+        event.kind is EventKind.START_UNANSWERED and event.extra_fields.get('verdict') == 'not_run'
+    )
     return event.kind in RUN_OVER_KINDS or never_sent
 
 
 def _lists_all_but(event: LogEvent, run: Run) -> bool:
     """Return whether a new owner's first list of a runner's runs is complete and lacks the run."""
-    listed = event.more.get('found')
-    if event.more.get('first') is not True or not isinstance(listed, list):
+    listed = event.extra_fields.get('found')
+    if event.extra_fields.get('first') is not True or not isinstance(listed, list):
         return False
     is_complete = event.sentence.startswith(f'found {len(listed)} ')
     return is_complete and not any(run_event is event for run_event in run.events)
@@ -155,7 +157,7 @@
     for event in reversed(known_events):
         if LEASES_EXPIRED_TEXT not in event.text:
             continue
-        runner_names = event.more.get('runners')
+        runner_names = event.extra_fields.get('runners')
         if not isinstance(runner_names, list) or runner in runner_names:
             return event
     return None
--- a/dandelionreel/records/_report.py
+++ b/dandelionreel/records/_report.py
@@ -51,9 +51,9 @@
     for name, stream in streams:
         for content, line in read_lines(stream, name, stats):
             if not collector.add(content, line):
-                stats.note_bad()
+                stats.count_bad_line()
     context = sorted(collector.context_events(), key=_event_time)
-    stats.bad += collector.unreadable
+    stats.bad += collector.unreadable_count
     return _build_report(collector, context, stats) if collector.job_events else None
 
 
@@ -121,11 +121,13 @@
             find_submission_time(job_events, runs), job_events, collector.span_by_host
         )
     )
-    if collector.sampled > 1:
-        unknowns.append(f'only one of {collector.sampled} lines of the frequent kinds was written')
-    if collector.left_out:
+    if collector.sampling_interval > 1:
         unknowns.append(
-            f'{collector.left_out} more lines had no room; give fewer logs, or JOB/TASK'
+            f'only one of {collector.sampling_interval} lines of the frequent kinds was written'
+        )
+    if collector.dropped_count:
+        unknowns.append(
+            f'{collector.dropped_count} more lines had no room; give fewer logs, or JOB/TASK'
         )
     return unknowns
 
--- a/dandelionreel/records/_review.py
+++ b/dandelionreel/records/_review.py
@@ -49,7 +49,7 @@
     missed_jobs: tuple[MissedJob, ...]
     takeovers: tuple[TimeSpan, ...]
     #: Events of jobs that were dropped because the limit was reached.
-    left_out: int
+    dropped_count: int
 
 
 def review(streams: Iterable[tuple[str, BinaryIO]]) -> Review | None:
@@ -59,14 +59,14 @@
     """
     stats = ReadStats()
     histories, outages = JobHistories(), Outages()
-    last = 0.0
+    log_end = 0.0
     for name, stream in streams:
         for content, line in read_lines(stream, name, stats):
-            last = max(last, line.timestamp)
+            log_end = max(log_end, line.timestamp)
             if line.message_type in REVIEWED_PARTS and not _add_event(content, histories, outages):
-                stats.note_bad()
-            outages.note_host(line.host, line.timestamp)
-    return _summarize(stats, histories, outages, last) if histories.by_job else None
+                stats.count_bad_line()
+            outages.record_line_time(line.host, line.timestamp)
+    return _summarize(stats, histories, outages, log_end) if histories.by_job else None
 
 
 def _add_event(content: bytes, histories: JobHistories, outages: Outages) -> bool:
@@ -83,22 +83,24 @@
     return True
 
 
-def _summarize(stats: ReadStats, histories: JobHistories, outages: Outages, last: float) -> Review:
-    down = outages.find_total_outages()
+def _summarize(
+    stats: ReadStats, histories: JobHistories, outages: Outages, log_end: float
+) -> Review:
+    total_outages = outages.find_total_outages()
     counts_by_queue: dict[str, Counter[Verdict]] = {}
     counts_by_account: dict[str, Counter[Verdict]] = {}
     missed_jobs = []
-    sent_jobs = histories.finish()
-    for history in sent_jobs:
+    submitted_jobs = histories.finish()
+    for history in submitted_jobs:
         verdict = classify_job(history)
         counts_by_queue.setdefault(history.queue, Counter())[verdict] += 1
         if history.account:
             counts_by_account.setdefault(history.account, Counter())[verdict] += 1
         if verdict in MISSED_VERDICTS:
             missed_jobs.append(
-                MissedJob(history, verdict, find_reason(history, outages, down, last))
+                MissedJob(history, verdict, find_reason(history, outages, total_outages, log_end))
             )
-    began_at = (sent_jobs[0].sent_at or 0.0) if sent_jobs else 0.0
+    began_at = (submitted_jobs[0].submitted_at or 0.0) if submitted_jobs else 0.0
     return Review(
         stats,
         began_at,
@@ -106,25 +108,25 @@
         counts_by_account,
         tuple(missed_jobs),
         tuple(outages.takeovers),
-        histories.left_out,
+        histories.dropped_count,
     )
 
 
 def view_review(summary: Review) -> dict[str, Any]:
     """Return a review as plain values; times are seconds since the first submission."""
-    zero = summary.began_at
+    origin = summary.began_at
     return {
         'read': {
             'files': summary.stats.files,
             'lines': summary.stats.lines,
             'bad': summary.stats.bad,
             'first_bad': summary.stats.first_bad,
-            'left_out': summary.left_out,
+            'left_out': summary.dropped_count,
         },
         'queues': _view_counts('queue', summary.counts_by_queue),
         'accounts': _view_counts('account', summary.counts_by_account),
         'reasons': _view_reasons(summary.missed_jobs),
-        'jobs': [_view_missed_job(missed, zero) for missed in summary.missed_jobs],
+        'jobs': [_view_missed_job(missed, origin) for missed in summary.missed_jobs],
     }
 
 
@@ -146,11 +148,11 @@
     ]
 
 
-def _view_missed_job(missed: MissedJob, zero: float) -> dict[str, Any]:
+def _view_missed_job(missed: MissedJob, origin: float) -> dict[str, Any]:
     history = missed.history
     seconds = history.seconds
     return {
-        'sent': round((history.sent_at or zero) - zero, 3),
+        'sent': round((history.submitted_at or origin) - origin, 3),
         'job': history.job,
         'queue': history.queue,
         'account': history.account,
--- a/dandelionreel/records/_runs.py
+++ b/dandelionreel/records/_runs.py
@@ -80,7 +80,9 @@
 def _find_runs(event: LogEvent, job: str, known: Iterable[Run]) -> list[tuple[str, int, str]]:
     """Return the runs that an event is about: task, number, runner."""
     if event.kind is EventKind.RUNS_LISTED:
-        matches = [_LISTED_RUN.match(f'{text} ') for text in _texts_of(event.more.get('found'))]
+        matches = [
+            _LISTED_RUN.match(f'{text} ') for text in _texts_of(event.extra_fields.get('found'))
+        ]
         return [
             (match[2], int(match[3]), event.runner)
             for match in matches
@@ -95,8 +97,8 @@
     return [(candidates[0].task, event.run, event.runner)] if len(candidates) == 1 else []
 
 
-def _texts_of(found: Any) -> list[str]:
-    return [text for text in found if isinstance(text, str)] if isinstance(found, list) else []
+def _texts_of(listed: Any) -> list[str]:
+    return [text for text in listed if isinstance(text, str)] if isinstance(listed, list) else []
 
 
 def _apply_event(run: Run, event: LogEvent) -> None:
@@ -104,14 +106,18 @@
         run.start_sent_at = event.at
         run.owner = event.host
         run.runner = event.runner
-        run.knowledge = {name: event.more[name] for name in KNOWLEDGE_FIELDS if name in event.more}
-        run.waited = _seconds(event.more.get('waited'))
+        run.knowledge = {
+            name: event.extra_fields[name]
+            for name in KNOWLEDGE_FIELDS
+            if name in event.extra_fields
+        }
+        run.waited = _float_or_none(event.extra_fields.get('waited'))
     elif event.kind is EventKind.RUN_ENDED and run.ended_at is None:
         run.ended_at = event.at
         run.seen_by = event.host
         run.outcome = event.sentence.removeprefix('a run has ended ').rstrip('.')
-        run.seconds = _seconds(event.more.get('seconds'))
-        number = event.more.get('number')
+        run.seconds = _float_or_none(event.extra_fields.get('seconds'))
+        number = event.extra_fields.get('number')
         run.number = number if isinstance(number, int) else None
     elif event.kind in OUTCOME_BY_KIND and run.ended_at is None:
         run.ended_at = event.at
@@ -120,7 +126,7 @@
 
 
 def _apply_stored_ends(event: LogEvent, runs: Iterable[Run]) -> None:
-    last_stored = event.more.get('number')
+    last_stored = event.extra_fields.get('number')
     for run in runs:
         if run.end_stored_at is not None or run.ended_at is None or run.runner != event.runner:
             continue
@@ -129,8 +135,8 @@
             run.events.append(event)
 
 
-def _seconds(found: Any) -> float | None:
-    return float(found) if isinstance(found, int | float) else None
+def _float_or_none(field_value: Any) -> float | None:
+    return float(field_value) if isinstance(field_value, int | float) else None
 
 
 def _sort_key(run: Run) -> tuple[list[int], float, int]:
--- a/dandelionreel/records/_subject.py
+++ b/dandelionreel/records/_subject.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass
 
-TASK = re.compile(r'\d+\.\d+\.\d+')
+TASK_PATTERN = re.compile(r'\d+\.\d+\.\d+')
 
 
 class SubjectError(ValueError):
@@ -30,6 +30,6 @@
 def parse_subject(text: str) -> Subject:
     """Return the subject of ``JOB`` or ``JOB/TASK``; raises ``SubjectError``."""
     job, _, task = text.partition('/')
-    if not job or (task and not TASK.fullmatch(task)) or text.endswith('/'):
+    if not job or (task and not TASK_PATTERN.fullmatch(task)) or text.endswith('/'):
         raise SubjectError(f'{text!r} is not a job; give JOB or JOB/TASK, as in 1f/0.2.13')
     return Subject(job, task)
--- a/dandelionreel/records/_view.py
+++ b/dandelionreel/records/_view.py
@@ -42,7 +42,7 @@
         'run': event.run,
         'epoch': event.epoch,
         'text': event.sentence,
-        'more': event.more,
+        'more': event.extra_fields,
         'count': event.count,
     }
 
--- a/features/cuts.feature
+++ b/features/cuts.feature
@@ -11,7 +11,7 @@
     When all cuts are healed
     And 20 jobs of 4 processors are submitted to ub-east-d0
     Then all submitted jobs end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against shards that move back and forth between daemons that cannot reach each other.
   Scenario: Two daemons lose each other but not the log
@@ -23,7 +23,7 @@
     Then ub-east-d0 keeps its shards
     When all cuts are healed
     Then all submitted jobs end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against overallocating a worker: the isolated owner and its successors could both
   # start tasks there.
@@ -36,7 +36,7 @@
     And all cuts are healed
     Then all submitted jobs end as succeeded
     And every shard has a live owner within 15 seconds
-    And no promise is broken
+    And all guarantees hold
 
   # Bytes pass in one direction only.
   Scenario Outline: A one-way cut from <source> to <target>
@@ -47,7 +47,7 @@
     And 6 seconds pass
     And all cuts are healed
     Then all submitted jobs end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
     Examples:
       | source     | target     |
@@ -70,4 +70,4 @@
     And version 2 is published
     Then the operator is told that it is in force
     And version 2 is in force on every daemon
-    And no promise is broken
+    And all guarantees hold
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -10,7 +10,7 @@
     Then requests to ub-east-d1 are answered within 10 seconds
     And every shard has a live owner within 15 seconds
     And 20 jobs submitted to ub-east-d1 all end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against an owner that resumes after a pause and sends queued starts that its
   # successor does not count.
@@ -20,7 +20,7 @@
     When 120 jobs of 4 processors are submitted to ub-east-d1
     And ub-east-d0 is paused for <seconds> seconds
     Then all submitted jobs end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
     Examples:
       | seconds |
@@ -39,4 +39,4 @@
     Then requests to ub-east-d2 are answered within 5 seconds
     When the log is back
     Then all submitted jobs end as succeeded
-    And no promise is broken
+    And all guarantees hold
--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -9,7 +9,7 @@
     When the log loses the next 6 answers
     And 10 jobs of 1 processors are submitted to ub-east-d0
     Then all submitted jobs end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against losing jobs when all daemons are replaced at once.
   Scenario: All daemons are replaced at once
@@ -20,7 +20,7 @@
     And all daemons are killed and started again
     Then all submitted jobs end as succeeded
     And version 1 is in force on every daemon
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against starting a settlement again when it is unknown whether it was paid.
   Scenario: A worker is lost with a non-idempotent job on it
@@ -31,7 +31,7 @@
     Then the job becomes uncertain within 25 seconds
     When an operator resolves it as ran
     Then the job ends as succeeded
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against claiming shards by the incomplete state of a truncated log.
   Scenario: The log is truncated past a daemon's offset
@@ -43,7 +43,7 @@
     And all records of the zone ub-east expire
     And ub-east-d0 goes on
     Then 10 jobs submitted to ub-east-d0 all end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against losing or repeating settlements when a dispatcher dies at any moment.
   Scenario: Dispatchers are killed at many moments
@@ -51,7 +51,7 @@
     And version 1 of the contract is in force
     When 45 jobs of 4 processors are submitted while the dispatcher is killed 4 times
     Then all submitted jobs end as succeeded
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against tasks whose leases expire because their owner dies while the log is out.
   Scenario: An owner dies while the log is out
@@ -65,4 +65,4 @@
     And the log is back
     Then all submitted jobs end as succeeded
     And none of their leases lapsed
-    And no promise is broken
+    And all guarantees hold
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -26,7 +26,7 @@
     When 20 requests of 1.2 seconds with a deadline of 500 milliseconds are sent
     And 20 more of them are sent while the runners still work
     Then each is answered with its own body or a problem with a true verdict
-    And no promise is broken
+    And all guarantees hold
 
   # With no working runner, a request that is refused as not_run must not have run.
   Scenario: All runners fail
--- a/features/steps/account_host_steps.py
+++ b/features/steps/account_host_steps.py
@@ -44,7 +44,7 @@
 def submit_job(context, host, job, key, body=None):
     path = f'/plain/{job:016x}'
     context.jobs.append(path)
-    reply = context.hosts.ask(host, 'POST', path, body or make_job(), key=key)
+    reply = context.hosts.request(host, 'POST', path, body or make_job(), key=key)
     context.replies.append((reply.status, reply.body.get('title', '')))
     return reply
 
@@ -99,7 +99,7 @@
     for path in context.jobs:
         wait_for(
             lambda path=path: (
-                context.hosts.ask(name, 'GET', path, key=key).body.get('state') == COMPLETED
+                context.hosts.request(name, 'GET', path, key=key).body.get('state') == COMPLETED
             )
         )
 
@@ -115,7 +115,7 @@
 
 
 def get_queue_status(context, name, key):
-    return context.hosts.ask(name, 'GET', '/plain/', key=key).status
+    return context.hosts.request(name, 'GET', '/plain/', key=key).status
 
 
 @then('no log contains a key')
@@ -164,7 +164,7 @@
     submit_job(context, context.hosts.names[0], 1, 'old', make_job(seconds=1.0))
     path = context.jobs[0]
     context.statuses = [
-        context.hosts.ask(name, method, path, key='other').status
+        context.hosts.request(name, method, path, key='other').status
         for name in context.hosts.names
         for method in ('GET', 'DELETE')
     ]
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -109,7 +109,7 @@
 
 @then('{name} keeps its shards')
 def check_keeps_shards(context, name):
-    shards = context.cell.admin(name, 'GET', '/v1/shards').json()
+    shards = context.cell.request_as_operator(name, 'GET', '/v1/shards').json()
     own_shards = [shard for shard in shards if shard['owner'].startswith(name)]
     assert own_shards, shards
     assert {shard['level'] for shard in own_shards} == {'whole'}, own_shards
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -26,14 +26,14 @@
     if written['job'] is None:
         del written['job']
     part = text.partition(':')[0]
-    told = {
+    content = {
         'host': host,
         'text': text,
         **written,
         'timestamp': BASE_TIME + at,
         'message_type': part,
     }
-    return json.dumps(told).replace('ID', JOB).encode()
+    return json.dumps(content).replace('ID', JOB).encode()
 
 
 DAMAGED_CONTENT = {
@@ -90,12 +90,12 @@
 @given('logs of hosts a and b')
 def write_logs(context):
     for row in context.table:
-        told = log_line(float(row['at']), row['host'], row['text'], json.loads(row['fields']))
-        _append_log(context, row['host'], [told])
+        content = log_line(float(row['at']), row['host'], row['text'], json.loads(row['fields']))
+        _append_log(context, row['host'], [content])
 
 
 @given('a log of a completed job that contains {what}')
-def write_broken(context, what):
+def write_damaged_log(context, what):
     lines = [log_line(at, 'a', text, fields) for at, text, fields in COMPLETED_JOB]
     folder = _log_folder(context)
     content = b'\n'.join([*lines[:2], DAMAGED_CONTENT[what](), *lines[2:]])
@@ -103,38 +103,40 @@
 
 
 @given('30 hosts that log that r1 is draining while a task runs there')
-def write_many(context):
+def write_draining_logs(context):
     _append_log(
         context, 'a', [log_line(at, 'a', text, fields) for at, text, fields in COMPLETED_JOB]
     )
     for host in range(30):
-        told = log_line(0.4, f'h{host}', 'workers: r1 is draining.', {'runner': 'r1', 'job': None})
-        _append_log(context, f'h{host}', [told])
+        content = log_line(
+            0.4, f'h{host}', 'workers: r1 is draining.', {'runner': 'r1', 'job': None}
+        )
+        _append_log(context, f'h{host}', [content])
 
 
 @when('the job is explained')
-def tell(context):
+def explain_from_files(context):
     explain_job(context)
     assert context.status == 0, context.err
 
 
 @when('the tool explains the job from standard input')
-def tell_from_input(context):
+def explain_from_stdin(context):
     _run_tool(context, ['explain', JOB], (_log_folder(context) / 'a.log').read_bytes())
 
 
-@then('the timeline has {stages} in this order')
-def check_order(context, stages):
-    wanted = stages.split(', ')
-    told = [row['told'] for row in context.report['timeline']]
-    assert [stage for stage in told if stage in wanted] == wanted, told
+@then('the timeline has {kinds} in this order')
+def check_order(context, kinds):
+    wanted = kinds.split(', ')
+    logged = [row['told'] for row in context.report['timeline']]
+    assert [kind for kind in logged if kind in wanted] == wanted, logged
 
 
 @then('its run {run:d} was started by {owner} on {runner}, ended {outcome} and its end was stored')
 def check_run(context, run, owner, runner, outcome):
     (found,) = context.report['runs']
-    told = (found['run'], found['owner'], found['runner'], found['outcome'])
-    assert told == (run, owner, runner, outcome), found
+    reported = (found['run'], found['owner'], found['runner'], found['outcome'])
+    assert reported == (run, owner, runner, outcome), found
     assert found['noted'] is not None and found['ended'] <= found['noted'], found
 
 
@@ -144,7 +146,7 @@
 
 
 @then('task {task} is reported as started again, which is {judged}: {words}')
-def check_again(context, task, judged, words):
+def check_repeated_start(context, task, judged, words):
     (again,) = context.report['again']
     assert again['task'] == task and again['suspect'] is (judged == 'suspect'), again
     assert words in again['finding'], again['finding']
@@ -160,7 +162,7 @@
 
 
 @then('{owner} had logged {first} and {second} by then')
-def check_written(context, owner, first, second):
+def check_known_events(context, owner, first, second):
     knew = context.report['again'][0]['knew']
     assert {row['host'] for row in knew} == {owner}, knew
     texts = ' '.join(row['text'] for row in knew)
@@ -168,7 +170,7 @@
 
 
 @then('a report on task {task} alone has the same start, and task {other} is not found')
-def check_task(context, task, other):
+def check_task_report(context, task, other):
     before = context.report['again']
     explain_job(context, f'{JOB}/{task}')
     assert context.report['again'] == before, context.report['again']
@@ -178,44 +180,44 @@
 
 @then('its runs are {first} {run:d} noted {at:g} and {second} {other:d} noted {then_at:g}')
 def check_runs(context, first, run, at, second, other, then_at):
-    told = [(row['task'], row['run'], row['noted']) for row in context.report['runs']]
-    assert told == [(first, run, at), (second, other, then_at)], told
+    runs = [(row['task'], row['run'], row['noted']) for row in context.report['runs']]
+    assert runs == [(first, run, at), (second, other, then_at)], runs
 
 
-@then('the timeline of task {task} alone is {stages}')
-def check_alone(context, task, stages):
+@then('the timeline of task {task} alone is {kinds}')
+def check_task_timeline(context, task, kinds):
     explain_job(context, f'{JOB}/{task}')
     assert [run['task'] for run in context.report['runs']] == [task], context.report['runs']
-    told = [row['told'] for row in context.report['timeline']]
-    assert told == stages.split(', '), told
+    logged = [row['told'] for row in context.report['timeline']]
+    assert logged == kinds.split(', '), logged
 
 
 @then('{count:d} lines are counted as bad')
-def check_bad(context, count):
+def check_bad_lines(context, count):
     read = context.report['read']
     assert read['bad'] == count, read
     assert bool(read['first_bad'].endswith('a.log:3')) is bool(count), read
 
 
 @then('it was submitted {seconds:g} s before its start, and waited as long')
-def check_handed_in(context, seconds):
+def check_submission_time(context, seconds):
     assert context.report['runs'][0]['asked'] == seconds, context.report['runs']
     assert [wait['seconds'] for wait in context.report['waits']] == [seconds]
 
 
 @then('the report says that {words}')
-def check_missing(context, words):
-    missing = context.report['not_known']
-    assert any(sentence.startswith(words) for sentence in missing), missing
+def check_unknowns(context, words):
+    unknowns = context.report['not_known']
+    assert any(sentence.startswith(words) for sentence in unknowns), unknowns
 
 
 @then('it waited {seconds:g} s because of: {first}, {second}, {host} has lost the store')
 def check_causes(context, seconds, first, second, host):
     (wait,) = context.report['waits']
     assert wait['seconds'] == seconds, wait
-    told = [(row['host'], row['text']) for row in wait['causes']]
-    assert first in told[0][1] and second in told[1][1] and len(told) == 3, told
-    assert told[2][0] == host and 'has lost the store' in told[2][1], told
+    causes = [(row['host'], row['text']) for row in wait['causes']]
+    assert first in causes[0][1] and second in causes[1][1] and len(causes) == 3, causes
+    assert causes[2][0] == host and 'has lost the store' in causes[2][1], causes
 
 
 @then('one line says that {runner} is draining, logged {count:d} times')
@@ -230,12 +232,12 @@
     (path,) = context.path_by_id.values()
     explain_job(context, path.rpartition('/')[2])
     assert context.status == 0, context.err
-    told = [row['told'] for row in context.report['timeline']]
-    asked = told.index('asked')
-    assert 'accepted' in told[:asked], told
+    logged = [row['told'] for row in context.report['timeline']]
+    start_sent = logged.index('asked')
+    assert 'accepted' in logged[:start_sent], logged
     # A job's final state is logged when it is decided, its ends once they are stored.
     after = ('taken over', 'found', 'ended', 'closed', 'noted')
-    assert tuple(stage for stage in told[asked:] if stage in after) == after, told
+    assert tuple(kind for kind in logged[start_sent:] if kind in after) == after, logged
     (run,) = context.report['runs']
     assert run['owner'] == context.killed and run['outcome'] == 'done', run
     assert run['seen_by'] != context.killed and run['noted'] is not None, run
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -37,7 +37,7 @@
 @given(
     'a cell with relayed links and {zones:d} zones with {daemons:d} daemons, {workers:d} workers and {endpoints:d} endpoints'
 )
-def start_cuttable_cell(context, zones, daemons, workers, endpoints):
+def start_relayed_cell(context, zones, daemons, workers, endpoints):
     layout = Layout(ZONES[:zones], daemons, workers, endpoints, has_relays=True)
     context.cell = context.stack.enter_context(Cluster(layout))
     context.submitted = []
@@ -195,18 +195,19 @@
                 missing.difference_update(view['id'] for view in reply.json()['jobs'])
         return not missing
 
-    assert wait_until(all_ended, 40, 0.3), _describe(context, missing)
+    assert wait_until(all_ended, 40, 0.3), _describe_missing(context, missing)
 
 
-def _describe(context, missing):
+def _describe_missing(context, missing):
     name = _running_daemons(context)[-1]
     replies = [
-        context.cell.admin(name, 'GET', f'/v1/jobs/{job_id}').body for job_id in sorted(missing)[:5]
+        context.cell.request_as_operator(name, 'GET', f'/v1/jobs/{job_id}').body
+        for job_id in sorted(missing)[:5]
     ]
     return f'{len(missing)} missing; {replies}'
 
 
-@then('no promise is broken')
+@then('all guarantees hold')
 def check_guarantees(context):
     workers = context.cell.records('worker')
     runs = [run for record in workers for run in record['runs']]
@@ -250,7 +251,7 @@
 def check_owners(context, seconds):
     def all_owned():
         name = _running_daemons(context)[-1]
-        shards = context.cell.admin(name, 'GET', '/v1/shards').json()
+        shards = context.cell.request_as_operator(name, 'GET', '/v1/shards').json()
         hosts = {shard['owner'].split('/')[0] for shard in shards}
         settled = all(not shard['released'] for shard in shards)
         return settled and hosts <= set(_running_daemons(context))
@@ -283,8 +284,10 @@
 @then('the job becomes uncertain within {seconds:g} seconds')
 def check_uncertain(context, seconds):
     def is_uncertain():
-        shown = context.cell.admin('ub-east-d0', 'GET', '/v1/jobs?state=uncertain').json()
-        return [view['id'] for view in shown['jobs']] == context.jobs
+        page = context.cell.request_as_operator(
+            'ub-east-d0', 'GET', '/v1/jobs?state=uncertain'
+        ).json()
+        return [view['id'] for view in page['jobs']] == context.jobs
 
     assert wait_until(is_uncertain, seconds, 0.3)
 
@@ -292,7 +295,7 @@
 @when('an operator resolves it as {outcome}')
 def resolve(context, outcome):
     path = f'/v1/jobs/{context.jobs[0]}/resolve'
-    reply = context.cell.admin('ub-east-d1', 'POST', path, {'outcome': outcome})
+    reply = context.cell.request_as_operator('ub-east-d1', 'POST', path, {'outcome': outcome})
     assert reply.status == 200, reply
 
 
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -192,7 +192,7 @@
 
     context.runner.reports_incarnation = False
     if 'stops' not in behavior:
-        context.runner.answer = handle
+        context.runner.override_handler = handle
     curio.run(send_call)
 
 
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -67,7 +67,7 @@
 
 @then('the daemon still answers')
 def check_alive(context):
-    assert context.cell.admin(DAEMON_NAME, 'GET', '/readyz').status == 200
+    assert context.cell.request_as_operator(DAEMON_NAME, 'GET', '/readyz').status == 200
 
 
 @when('a request is sent with header {header} set to {text}')
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -17,7 +17,9 @@
 def check_version(context, version, customer):
     def all_enforce():
         return all(
-            context.cell.admin(name, 'GET', '/v1/status').json()['contracts'].get(customer)
+            context.cell.request_as_operator(name, 'GET', '/v1/status')
+            .json()['contracts']
+            .get(customer)
             == version
             for name in context.cell.daemons
         )
@@ -70,7 +72,7 @@
     name = next(iter(context.cell.daemons))
 
     def has_ended():
-        reply = context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}')
+        reply = context.cell.request_as_operator(name, 'GET', f'/v1/jobs/{context.jobs[0]}')
         return reply.status == 200 and reply.json()['state'] == state
 
     assert wait_until(has_ended, 20)
@@ -105,7 +107,10 @@
         assert wait_until(lambda: len(context.cell.runs()) == len(context.jobs), 10)
 
     def is_dropped():
-        return context.cell.admin(name, 'GET', f'/v1/jobs/{context.jobs[0]}').status == 404
+        return (
+            context.cell.request_as_operator(name, 'GET', f'/v1/jobs/{context.jobs[0]}').status
+            == 404
+        )
 
     assert wait_until(is_dropped, 10)
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -49,14 +49,14 @@
     def is_accepted():
         names = [name for name, process in context.hosts.process_by_name.items()]
         name = host or names[(job + len(replies)) % len(names)]
-        replies.append(context.hosts.ask(name, 'POST', path, body))
+        replies.append(context.hosts.request(name, 'POST', path, body))
         return replies[-1].status == 200
 
     wait_for(is_accepted)
 
 
 def get_job_state(context, job, host):
-    return context.hosts.ask(host, 'GET', context.path_by_id[job]).body.get('state')
+    return context.hosts.request(host, 'GET', context.path_by_id[job]).body.get('state')
 
 
 def wait_for_state(context, job, wanted, hosts=None):
@@ -114,7 +114,7 @@
 @when('{method} {path} is requested with {body}')
 def send_invalid_request(context, method, path, body):
     content = None if body == 'nothing' else body
-    context.reply = context.hosts.ask(context.hosts.names[0], method, path, content)
+    context.reply = context.hosts.request(context.hosts.names[0], method, path, content)
 
 
 @then('the answer is {status:d}')
@@ -130,7 +130,7 @@
 @when('a long job is submitted and cancelled while it runs')
 def cancel_running(context):
     submit_long_job(context, 30)
-    reply = context.hosts.ask(context.hosts.names[1], 'DELETE', context.path_by_id[1])
+    reply = context.hosts.request(context.hosts.names[1], 'DELETE', context.path_by_id[1])
     assert reply.status == 200, reply
 
 
@@ -160,7 +160,7 @@
 def cancel_elsewhere(context):
     other = next(name for name in context.hosts.names if name != context.killed)
     path = context.path_by_id[1]
-    wait_for(lambda: context.hosts.ask(other, 'DELETE', path).status == 200)
+    wait_for(lambda: context.hosts.request(other, 'DELETE', path).status == 200)
 
 
 @when('a job is submitted and all hosts are killed and started again')
@@ -181,7 +181,9 @@
     context.refusals = []
     for job in range(10, 16):
         name = context.hosts.names[job % 3]
-        context.refusals.append(context.hosts.ask(name, 'POST', f'/plain/{job:016x}', make_job()))
+        context.refusals.append(
+            context.hosts.request(name, 'POST', f'/plain/{job:016x}', make_job())
+        )
 
 
 @then('each is refused with a Retry-After time, and none of them runs')
@@ -223,7 +225,7 @@
     wait_for(context.hosts.owner)
     context.killed = context.hosts.owner()
     others = [name for name in context.hosts.names if name != context.killed]
-    context.hosts.send(context.killed, signal.SIGTERM)
+    context.hosts.send_signal(context.killed, signal.SIGTERM)
     for job in range(1, 13):
         submit_job(context, job, make_job(), host=others[job % 2])
 
--- a/features/steps/review_steps.py
+++ b/features/steps/review_steps.py
@@ -150,7 +150,7 @@
 
 
 @given('the logs of hosts in three zones, in which {what}')
-def write_case(context, what):
+def write_case_logs(context, what):
     _log_folder(context)
     # A host counts as up until its last line, so each gets one after the submission.
     filler = 'contracts: a configuration is in force.'
@@ -169,13 +169,13 @@
 
 
 @given('a log of a host that only starts')
-def write_start(context):
+def write_host_start(context):
     _log_folder(context)
     _append_log(context, 'a', [log_line(0.0, 'a', 'life: starts.', {'job': None, 'zone': 'north'})])
 
 
 @given("a log with {count:d} lines that can't be read")
-def write_bad(context, count):
+def write_bad_lines(context, count):
     _append_log(context, 'zz', [b'{"host": "a", "text": "jobs: POST'] * count)
 
 
@@ -195,18 +195,18 @@
 
 
 @then('the review reports no late job')
-def check_none(context):
+def check_no_late_job(context):
     assert context.review['jobs'] == [], context.review
     (row,) = context.review['queues']
     assert (row['in time'], row['cancelled']) == (1, 1), row
 
 
 @then('the tool says in one line that no line tells of a job')
-def check_no_job(context):
+def check_no_job_error(context):
     assert context.status == 1, context.status
     assert 'no line tells of a job' in context.err and context.err.count('\n') == 1, context.err
 
 
 @then('the review counts {count:d} bad lines')
-def check_bad(context, count):
+def check_bad_count(context, count):
     assert context.review['read']['bad'] == count, context.review['read']
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -10,7 +10,7 @@
     context.tally = Soak(seed, seconds, 2).run()
 
 
-@then('no promise was broken in the run')
-def check_tally(context):
+@then('no guarantee was violated in the run')
+def check_no_violations(context):
     assert context.tally.requests and context.tally.accepted
     assert not context.tally.violations, context.tally.violations
--- a/features/steps/tool_steps.py
+++ b/features/steps/tool_steps.py
@@ -34,14 +34,14 @@
     _run_tool(context, words.split())
 
 
-@when('the tool asks the cell for {words}')
-def ask_cell(context, words):
+@when('the tool queries the cell for {words}')
+def query_cell(context, words):
     daemon = context.cell.daemons['ub-east-d0']
     _run_tool(context, [*words.split(), '--admin', f'{daemon.address}:{daemon.admin_port}'])
 
 
 @then('it exits with {status:d} and writes {text}')
-def check_written(context, status, text):
+def check_output(context, status, text):
     assert context.status == status, (context.status, context.err)
     assert text in context.out, context.out
     assert not context.err
@@ -63,7 +63,7 @@
 
 
 @when('the tool checks settings with {change}')
-def check_changed(context, change):
+def check_changed_settings(context, change):
     path = context.stack.enter_context(_temporary_settings_path())
     path.write_text(json.dumps({**VALID_SETTINGS, **json.loads(change)}))
     _run_tool(context, ['check-settings', str(path)])
@@ -105,7 +105,7 @@
         for name in ('ub-east-d0', 'ub-west-d0'):
             for state in ('waiting', 'running'):
                 path = f'/v1/jobs?state={state}&limit=1000'
-                page = context.cell.admin(name, 'GET', path).json()
+                page = context.cell.request_as_operator(name, 'GET', path).json()
                 found.update(view['id'] for view in page['jobs'])
         return found & context.submitted_ids
 
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -15,7 +15,7 @@
 @when('the jobs of {source} are moved to {target}')
 def move_jobs(context, source, target):
     body = {'from_zone': source, 'to_zone': target}
-    reply = context.cell.admin(DAEMON, 'POST', '/v1/jobs/move', body)
+    reply = context.cell.request_as_operator(DAEMON, 'POST', '/v1/jobs/move', body)
     assert reply.status == 200, reply
     context.moved = reply.json()['moved']
     assert context.moved > 0
@@ -40,13 +40,16 @@
         job_id for job_id in context.submitted if job_id.startswith('ub-west') and job_id in east
     ]
     assert len(moved) == context.moved, (len(moved), context.moved)
-    shown = context.cell.admin('ub-west-d0', 'GET', f'/v1/jobs/{context.submitted[-1]}')
+    shown = context.cell.request_as_operator(
+        'ub-west-d0', 'GET', f'/v1/jobs/{context.submitted[-1]}'
+    )
     assert shown.json()['state'] == 'succeeded', shown
 
 
 def _get_job_views(context):
     return [
-        context.cell.admin(DAEMON, 'GET', f'/v1/jobs/{job_id}').body for job_id in context.submitted
+        context.cell.request_as_operator(DAEMON, 'GET', f'/v1/jobs/{job_id}').body
+        for job_id in context.submitted
     ]
 
 
@@ -117,7 +120,9 @@
     assert stopped
 
     def is_retried():
-        shown = context.cell.admin(DAEMON, 'GET', f'/v1/jobs/{stopped[0]["job"]}').json()
+        shown = context.cell.request_as_operator(
+            DAEMON, 'GET', f'/v1/jobs/{stopped[0]["job"]}'
+        ).json()
         return shown['state'] in {'waiting', 'running'} and shown['attempts'][0]['outcome']
 
     assert wait_until(is_retried, 10)
--- a/features/tool.feature
+++ b/features/tool.feature
@@ -32,28 +32,28 @@
 
   Scenario: Commands against a cell
     Given a shared cell
-    When the tool asks the cell for status
+    When the tool queries the cell for status
     Then it exits with 0 and writes availability_zone
-    When the tool asks the cell for members
+    When the tool queries the cell for members
     Then it exits with 0 and writes ub-west-d1
-    When the tool asks the cell for shards
+    When the tool queries the cell for shards
     Then it exits with 0 and writes dispatch
-    When the tool asks the cell for workers --json
+    When the tool queries the cell for workers --json
     Then it exits with 0 and writes used_processors
-    When the tool asks the cell for endpoints
+    When the tool queries the cell for endpoints
     Then it exits with 0 and writes booking
-    When the tool asks the cell for contract show khangai
+    When the tool queries the cell for contract show khangai
     Then it exits with 0 and writes quota
-    When the tool asks the cell for contract history khangai
+    When the tool queries the cell for contract history khangai
     Then it exits with 0 and writes committed
-    When the tool asks the cell for job list --limit 5
+    When the tool queries the cell for job list --limit 5
     Then it exits with 0 and writes customer
 
   Scenario: Refusals map to exit statuses
     Given a shared cell
-    When the tool asks the cell for job show ub-east.nothing
+    When the tool queries the cell for job show ub-east.nothing
     Then it exits with 3 and the one line of error names not_run
-    When the tool asks the cell for job resolve ub-east.nothing --outcome ran
+    When the tool queries the cell for job resolve ub-east.nothing --outcome ran
     Then it exits with 3 and the one line of error names nothing
     When the tool is run with status --admin 127.0.0.1:1
     Then it exits with 5 and the one line of error names running
--- a/features/work.feature
+++ b/features/work.feature
@@ -9,7 +9,7 @@
     And the jobs of ub-west are moved to ub-east
     And ub-west-d0 is killed and started again
     Then every job ends as succeeded in one zone or the other
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against starting a part of a gang, whose tasks would occupy workers without progress.
   Scenario: A gang starts all its tasks together
@@ -19,7 +19,7 @@
     And a gang of 6 tasks of 16 processors is submitted
     Then all submitted jobs end as succeeded
     And the tasks of the gang started within 1 second of each other
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against an urgent job that waits while batch jobs occupy every worker.
   Scenario: Urgent work stops batch work that its contract lets be preempted
@@ -29,7 +29,7 @@
     And an urgent job of 8 processors is submitted
     Then the urgent job started within 2.5 seconds
     And the stopped jobs are waiting or running again
-    And no promise is broken
+    And all guarantees hold
 
   # Guards against a task that uses twice the memory that it declared.
   Scenario: A task that exceeds its declared memory is throttled, then stopped
--- a/spec/incarnations.py
+++ b/spec/incarnations.py
@@ -129,10 +129,10 @@
     state = steps.state
     number = 2 if state['process'] == 1 else 1
     task = state['task']
-    unread = state['end_lost']
+    end_lost = state['end_lost']
     if task == 'listed' and number <= state['last_noted_end']:
         task = 'forgotten'
-        unread = unread or state['owner_view'] != 'done'
+        end_lost = end_lost or state['owner_view'] != 'done'
     changes = {'unseen_process': 0} if state['unseen_process'] == state['known_process'] else {}
     if task == 'listed':
         changes.update(last_noted_end=number, owner_view='done', held_on=0)
@@ -140,7 +140,7 @@
         changes.update(owner_view='held', held_on=state['known_process'])
     elif task in {'none', 'forgotten'} and state['held_on'] == state['known_process']:
         changes.update(owner_view='waiting', held_on=0)
-    steps.step('the owner polls the runner', task=task, end_lost=unread, **changes)
+    steps.step('the owner polls the runner', task=task, end_lost=end_lost, **changes)
 
 
 def _take_over(steps: Steps) -> None:
--- a/standins/_cluster.py
+++ b/standins/_cluster.py
@@ -250,7 +250,7 @@
     def owners_in(self, zone: str) -> list[tuple[str, str]]:
         """Return each shard and its owner, or nothing while a shard is missing or released."""
         name = next(daemon.name for daemon in self.daemons.values() if daemon.zone == zone)
-        shards = self.admin(name, 'GET', '/v1/shards').json()
+        shards = self.request_as_operator(name, 'GET', '/v1/shards').json()
         expected = self.layout.workers + self.layout.endpoints + 1
         if len(shards) != expected or any(shard['released'] for shard in shards):
             return []
@@ -269,7 +269,7 @@
         except OSError:
             return None
 
-    def admin(self, name: str, method: str, path: str, body: Any = None) -> Reply:
+    def request_as_operator(self, name: str, method: str, path: str, body: Any = None) -> Reply:
         """Send a request to a daemon's admin port."""
         daemon = self.daemons[name]
         return exchange(daemon.address, daemon.admin_port, method, path, body)
@@ -292,7 +292,7 @@
         name = name or next(iter(self.daemons))
         path = f'/v1/contracts/{contract["customer"]}'
         body = {'contract': contract, 'replaces': replaces, 'author': 'operator'}
-        return self.admin(name, 'POST', path, body)
+        return self.request_as_operator(name, 'POST', path, body)
 
     def submit(self, name: str, job: dict[str, Any], key: str = '') -> Reply:
         """Submit a job."""
--- a/standins/_entry_hosts.py
+++ b/standins/_entry_hosts.py
@@ -90,7 +90,7 @@
                 stderr=log,
             )
 
-    def send(self, name: str, number: int) -> None:
+    def send_signal(self, name: str, number: int) -> None:
         """Send a signal to a host if it still runs."""
         process = self.process_by_name[name]
         if process.poll() is None:
@@ -98,10 +98,10 @@
 
     def kill(self, name: str) -> None:
         """Kill a host and wait for its end."""
-        self.send(name, signal.SIGKILL)
+        self.send_signal(name, signal.SIGKILL)
         self.process_by_name[name].wait()
 
-    def ask(
+    def request(
         self,
         name: str,
         method: str,
--- a/standins/_faults.py
+++ b/standins/_faults.py
@@ -36,13 +36,13 @@
 
 
 class FaultSwitch:
-    """A stand-in whose faults tests set over HTTP."""
+    """Base of the stand-ins whose faults tests set over HTTP."""
 
     def __init__(self) -> None:
         """Start without faults."""
         self.faults = Faults()
 
-    def set(self, request: Request) -> Answer:
+    def replace_faults(self, request: Request) -> Answer:
         """Replace the faults with those in the request body."""
         self.faults = msgspec.json.decode(request.body, type=Faults)
         return answer_json(self.faults)
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -23,7 +23,7 @@
     async def handle(self, request: Request) -> Answer:
         """Answer one request."""
         if request.path == FAULTS:
-            return self.set(request)
+            return self.replace_faults(request)
         if request.path == HOSTS:
             self.hosts = msgspec.json.decode(request.body, type=HostsResult).hosts
             return answer_json(HostsResult(self.hosts))
--- a/standins/_log.py
+++ b/standins/_log.py
@@ -41,7 +41,7 @@
     async def handle(self, request: Request) -> Answer:
         """Answer one request."""
         if request.path == FAULTS:
-            return self.set(request)
+            return self.replace_faults(request)
         if request.path == COUNTS:
             return answer_json(self.counts)
         if request.path == TRUNCATE:
--- a/standins/_relay.py
+++ b/standins/_relay.py
@@ -53,7 +53,7 @@
         self._cuts = msgspec.json.decode(request.body, type=Cuts)
         return answer_json(self._cuts)
 
-    def name(self, address: str) -> str:
+    def name_of(self, address: str) -> str:
         """Return the name that belongs to a source address."""
         return self._name_by_address.get(address, address)
 
@@ -109,7 +109,7 @@
             self._listener = None
 
     async def _serve(self, client: Any, address: tuple[str, int]) -> None:
-        source = self._link_faults.name(address[0])
+        source = self._link_faults.name_of(address[0])
         try:
             upstream = await connect(*self._target_address, 60)
         except OSError:
--- a/standins/_runner.py
+++ b/standins/_runner.py
@@ -66,7 +66,7 @@
     async def handle(self, request: Request) -> Answer:
         """Answer one request."""
         if request.path == FAULTS:
-            return self.set(request)
+            return self.replace_faults(request)
         if request.path == RECORD:
             return answer_json(self.record())
         if request.path == SLOTS:
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -234,7 +234,7 @@
         self.reset_pending = False
         self.reports_incarnation = reports_incarnation
         #: Handles requests instead of the runner if it is set.
-        self.answer: Callable[[Request], Awaitable[Answer]] | None = None
+        self.override_handler: Callable[[Request], Awaitable[Answer]] | None = None
         self._clock_zero = time.monotonic() - INITIAL_CLOCK_SECONDS
         #: The capacities that the runner has reported, the latest last.
         self.capacity_changes: list[CapacityChange] = [(0.0, FULL_CPU)]
@@ -256,8 +256,8 @@
         """Answer an order or a poll."""
         if self.is_down or self.reset_pending:
             raise CloseConnection
-        if self.answer is not None:
-            return await self.answer(request)
+        if self.override_handler is not None:
+            return await self.override_handler(request)
         self.advance()
         order = json.loads(request.body)
         if request.header('x-expected-instance') not in {'', self.name}:
@@ -374,10 +374,10 @@
         ]
         self._extend_lease(order.get('deadline_ms', 0))
         until = time.monotonic() + order.get('wait_ms', 0) / MILLISECONDS_PER_SECOND
-        born = self.started_at_ms
+        incarnation_started_ms = self.started_at_ms
         while not self._unacknowledged_ends and time.monotonic() < until:
             await curio.sleep(POLL_SECONDS)
-            if self.is_down or self.started_at_ms != born:
+            if self.is_down or self.started_at_ms != incarnation_started_ms:
                 # A crash breaks all connections: the next incarnation must not answer a poll
                 # that was sent to this one.
                 raise CloseConnection
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -75,7 +75,7 @@
     async def handle(self, request: Request) -> Answer:
         """Answer one request."""
         if request.path == FAULTS:
-            answer = self.set(request)
+            answer = self.replace_faults(request)
             self._worker.fails_all = self.faults.fail_tasks
             return answer
         if request.path == RECORD:
