--- a/bench/replay.py
+++ b/bench/replay.py
@@ -344,7 +344,7 @@
         self._add_runners()
 
     def play(self, seconds: float) -> None:
-        """Simulate arrivals for ``seconds``, and go on for twice as long until jobs have ended."""
+        """Simulate arrivals for ``seconds``; plan for three times as long, so that jobs can end."""
         for kind in self.load.kinds:
             self._schedule(
                 self._rng.expovariate(kind.arrival_rate(0)), self._submit_job, kind, seconds
--- a/dandelionreel/admin/_views.py
+++ b/dandelionreel/admin/_views.py
@@ -110,7 +110,7 @@
 
 
 class PublishDone(msgspec.Struct, frozen=True):
-    """The outcome of publishing a contract version."""
+    """The answer to a publication once the contract version is in force."""
 
     customer: str
     version: int
--- a/spec/cell.py
+++ b/spec/cell.py
@@ -137,7 +137,7 @@
 
 
 def _start(steps: Steps, label: str, runner: int, epoch: int, **changes: int) -> None:
-    """A start takes effect; ``again`` notes one after B has seen the task done."""
+    """A start takes effect; ``started_after_done`` records one after B saw the task done."""
     state = steps.state
     steps.step(
         label,
--- a/spec/publication.py
+++ b/spec/publication.py
@@ -1,8 +1,8 @@
 """A contract version is published to members X and Y of a cell; Y may be cut off.
 
 No member may act on a version while another member could still act against it. A member that
-has staged a new version enforces the stricter of both until it learns the outcome. Version 1, the
-old one, allows 2, and version 2, the proposed one, 1; a third would allow 2 again.
+has staged a new version enforces the stricter limit of both until it learns the outcome. The old
+version 1 has a limit of 2, the proposed version 2 a limit of 1; a third would allow 2 again.
 """
 
 from spec._model import Spec, Steps
