--- a/bench/replay.py
+++ b/bench/replay.py
@@ -185,8 +185,8 @@
         JobKind(recon, 6.4, 2.69, 1.5, 25, 1700, 3200, 2.7, 0.5, 0.45, 0, 0.8, 0.05),
         JobKind(check, 33, 0.421, 1, 3.2, 2500, 2500, 1.0, 0.9, 0.7, 0.3, 0, 0.05, (7, 11, 2)),
     )
-    half = Demand(16_000, 32_768, 0)
-    return Load(176, 45, kinds, 0, 4, 12, capacity=half, accounts=accounts)
+    half_capacity = Demand(16_000, 32_768, 0)
+    return Load(176, 45, kinds, 0, 4, 12, capacity=half_capacity, accounts=accounts)
 
 
 def _make_zones_load() -> Load:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -29,7 +29,7 @@
     find_overlapping_runs,
     find_overloaded_runners,
     find_repeated_starts,
-    requests_by_mark,
+    group_requests_by_mark,
     wait_until,
 )
 
@@ -410,7 +410,7 @@
         tally.violations.extend(
             f'started more than once: {item}' for item in find_repeated_starts(runs, at_most_once)
         )
-        tally.violations.extend(self.check_requests(requests_by_mark(endpoints)))
+        tally.violations.extend(self.check_requests(group_requests_by_mark(endpoints)))
         self.starts = len(runs)
         self.handled_requests = sum(len(record['requests']) for record in endpoints)
 
--- a/dandelionreel/records/_outages.py
+++ b/dandelionreel/records/_outages.py
@@ -129,7 +129,7 @@
         self._end_store_outage(event.host, event.at)
         last = self._last_line_by_host.get(event.host)
         if last is not None:
-            # The logs don't show how long the host was down before its first line.
+            # Without an earlier line it is unknown since when the host had been down.
             self._downtimes_by_host[event.host].append(TimeSpan(last, event.at))
 
     def _begin_store_outage(self, host: str, at: float) -> None:
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -17,7 +17,7 @@
     find_overlapping_runs,
     find_overloaded_runners,
     find_repeated_starts,
-    requests_by_mark,
+    group_requests_by_mark,
     wait_until,
 )
 
@@ -384,7 +384,7 @@
 
 @then('each is answered with its own body or a problem with a true verdict')
 def check_verdicts(context):
-    received_by_mark = requests_by_mark(context.cell.records('endpoint'))
+    received_by_mark = group_requests_by_mark(context.cell.records('endpoint'))
     verdicts = set()
     for mark, body, reply in context.sent:
         verdict = reply.headers['dandelionreel-verdict']
@@ -407,7 +407,7 @@
 
 @then("each refusal as not_run is true by the runners' records")
 def check_not_run_verdicts(context):
-    received_by_mark = requests_by_mark(context.cell.records('endpoint'))
+    received_by_mark = group_requests_by_mark(context.cell.records('endpoint'))
     for mark, _, reply in context.sent:
         assert reply.status != 200
         if reply.headers['dandelionreel-verdict'] == 'not_run':
@@ -465,7 +465,7 @@
 
 
 def _count_received(context, key):
-    return len(requests_by_mark(context.cell.records('endpoint')).get(key, []))
+    return len(group_requests_by_mark(context.cell.records('endpoint')).get(key, []))
 
 
 @when('the same settlement request is sent to every daemon at once, 3 times over')
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -23,7 +23,7 @@
     find_overlapping_runs,
     find_overloaded_runners,
     find_repeated_starts,
-    requests_by_mark,
+    group_requests_by_mark,
 )
 from standins._memory_topic import MemoryTopic
 from standins._relay import ANY_NAME, Cut, Cuts
--- a/standins/_evidence.py
+++ b/standins/_evidence.py
@@ -54,7 +54,7 @@
     return [name for name, count in starts_by_task.items() if count > 1]
 
 
-def requests_by_mark(records: list[dict[str, Any]]) -> dict[str, list[dict[str, Any]]]:
+def group_requests_by_mark(records: list[dict[str, Any]]) -> dict[str, list[dict[str, Any]]]:
     """Return the requests that runners received, by the ``mark`` header of their callers."""
     found: dict[str, list[dict[str, Any]]] = {}
     for record in records:
