--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -54,7 +54,7 @@
     'find_repeated_starts',
     'find_starts_over_capacity',
     'find_starts_over_quota',
-    'requests_by_mark',
+    'group_requests_by_mark',
     'wait_for',
     'wait_until',
 )
