--- a/bench/soak.py
+++ b/bench/soak.py
@@ -29,7 +29,7 @@
     find_overlapping_runs,
     find_overloaded_runners,
     find_repeated_starts,
-    requests_by_mark,
+    group_requests_by_mark,
     wait_until,
 )
 
@@ -55,6 +55,7 @@
     """Requests, jobs and faults of a run, and the violations that it found."""
 
     requests: list[RequestRecord] = field(default_factory=list)
+    #: Ids of accepted jobs, and whether each may be started only once (is not idempotent).
     accepted: dict[str, bool] = field(default_factory=dict)
     refused: Counter = field(default_factory=Counter)
     faults: Counter = field(default_factory=Counter)
@@ -375,7 +376,7 @@
                 f'{len(unfinished)} accepted jobs did not end: {sorted(unfinished)[:3]}'
             )
             for job_id in sorted(unfinished)[:3]:
-                shown = self.cell.admin(f'{ZONES[0]}-d0', 'GET', f'/v1/jobs/{job_id}')
+                shown = self.cell.request_as_operator(f'{ZONES[0]}-d0', 'GET', f'/v1/jobs/{job_id}')
                 self.tally.violations.append(shown.body.decode())
 
     def list_jobs(self, name: str, state: str) -> set[str]:
@@ -384,7 +385,7 @@
         after = ''
         while True:
             path = f'/v1/jobs?state={state}&limit=1000&after={after}'
-            page: dict[str, Any] = self.cell.admin(name, 'GET', path).json()
+            page: dict[str, Any] = self.cell.request_as_operator(name, 'GET', path).json()
             job_ids.update(view['id'] for view in page['jobs'])
             after = page['next_after']
             if not after:
@@ -409,7 +410,7 @@
         tally.violations.extend(
             f'started more than once: {item}' for item in find_repeated_starts(runs, at_most_once)
         )
-        tally.violations.extend(self.check_requests(requests_by_mark(endpoints)))
+        tally.violations.extend(self.check_requests(group_requests_by_mark(endpoints)))
         self.starts = len(runs)
         self.handled_requests = sum(len(record['requests']) for record in endpoints)
 
