--- a/bench/guards.py
+++ b/bench/guards.py
@@ -31,7 +31,7 @@
 
 GUARDS = (
     Guard(
-        'repeats are folded once',
+        'repeats are applied once',
         'backing/_stream.py',
         'if self.has_seen(envelope.writer, envelope.number):',
         'if False:',
@@ -40,7 +40,7 @@
     Guard(
         'claims wait until a truncated log is covered',
         'backing/_stream.py',
-        'return self._clock.wall() - self._first_wall >= seconds',
+        'return self._clock.unix_time() - self._first_written_at >= seconds',
         'return True',
         'parts.feature:MIDDLE',
     ),
@@ -83,8 +83,8 @@
     Guard(
         'views are not passed on',
         'ownership/_promises.py',
-        '{*self._members_known_first_hand(), self._me}',
-        '{*self.required_members(), self._me}',
+        '{*self._members_known_first_hand(), self._own_member}',
+        '{*self.required_members(), self._own_member}',
         'parts.feature:VIEW',
     ),
     Guard(
--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -26,7 +26,7 @@
     ContractPublisher,
     load_contract,
 )
-from dandelionreel.http import Answer, Request, answer_json
+from dandelionreel.http import Request, Response, json_response
 from dandelionreel.jobs import Dispatcher, JobProjection, JobState
 from dandelionreel.kernel import Clock, RequestError, Settings, clip, not_run
 from dandelionreel.life import Lifecycle
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         settings: Settings,
         clock: Clock,
         life: Lifecycle,
@@ -77,8 +77,8 @@
         router: Router,
         callers: CallerApi,
     ) -> None:
-        """Serve the state of the member ``me``."""
-        self._me = me
+        """Serve the state of the member ``own_member``."""
+        self._own_member = own_member
         self._settings = settings
         self._clock = clock
         self._lifecycle = life
@@ -109,7 +109,7 @@
             '/v1/contracts': self._show_contracts,
         }
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer one request; raises ``RequestError``."""
         path = request.path
         if path.startswith('/v1/jobs'):
@@ -124,28 +124,28 @@
             HTTP_NOT_FOUND, 'no-such-path', f'{request.method} {clip(path)} is not served'
         )
 
-    def _show(self, path: str) -> Answer:
+    def _show(self, path: str) -> Response:
         handler = self._handler_by_path.get(path)
         if handler is not None:
             return handler()
         if path.startswith('/v1/contracts/'):
-            return answer_json(self._view_contract(path.removeprefix('/v1/contracts/')))
+            return json_response(self._view_contract(path.removeprefix('/v1/contracts/')))
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served')
 
-    def _show_health(self) -> Answer:
-        return answer_json(Acknowledgement('alive'))
+    def _show_health(self) -> Response:
+        return json_response(Acknowledgement('alive'))
 
-    def _show_ready(self) -> Answer:
+    def _show_ready(self) -> Response:
         reasons = self._lifecycle.reasons_not_ready()
         if reasons:
             raise not_run(HTTP_UNAVAILABLE, 'not-ready', '; '.join(reasons))
-        return answer_json(Acknowledgement('ready'))
+        return json_response(Acknowledgement('ready'))
 
-    def _show_metrics(self) -> Answer:
+    def _show_metrics(self) -> Response:
         headers = (('content-type', METRICS_TYPE),)
-        return Answer(HTTP_OK, headers, generate_latest(self._registry))
+        return Response(HTTP_OK, headers, generate_latest(self._registry))
 
-    def _show_status(self) -> Answer:
+    def _show_status(self) -> Response:
         reasons = self._lifecycle.reasons_not_ready()
         outage = 0.0
         if self._reader.outage_since is not None:
@@ -154,9 +154,9 @@
         for customer in self._contracts.customers():
             contract = self._contracts.in_force(customer)
             contracts[customer] = contract.version if contract else 0
-        return answer_json(
+        return json_response(
             StatusView(
-                self._me,
+                self._own_member,
                 self._settings.availability_zone,
                 __version__,
                 not reasons,
@@ -173,13 +173,13 @@
             ),
         )
 
-    def _show_members(self) -> Answer:
+    def _show_members(self) -> Response:
         views = []
         now = self._clock.monotonic()
         for member in self._members.live():
             state = self._directory.get_by_member(member.key)
             heard_ago = -1.0
-            if member.key == self._me:
+            if member.key == self._own_member:
                 heard_ago = 0.0
             elif state is not None and state.member == member.key:
                 heard_ago = round(now - state.heard_at, 3)
@@ -191,9 +191,9 @@
                     state.gossip.draining if state else self._claimer.draining,
                 ),
             )
-        return answer_json(views)
+        return json_response(views)
 
-    def _show_shards(self) -> Answer:
+    def _show_shards(self) -> Response:
         views = [
             ShardView(
                 claim.shard,
@@ -205,9 +205,9 @@
             )
             for claim in sorted(self._shards.claims(), key=lambda claim: claim.shard)
         ]
-        return answer_json(views)
+        return json_response(views)
 
-    def _show_workers(self) -> Answer:
+    def _show_workers(self) -> Response:
         views = []
         for name, agent in sorted(self._fleet.agent_by_worker.items()):
             used = agent.ledger.total_demand()
@@ -227,9 +227,9 @@
                     agent.grant().level.value,
                 ),
             )
-        return answer_json(views)
+        return json_response(views)
 
-    def _show_endpoints(self) -> Answer:
+    def _show_endpoints(self) -> Response:
         views = [
             EndpointView(
                 runner.entry.name,
@@ -244,10 +244,10 @@
             )
             for runner in self._pool.runners()
         ]
-        return answer_json(views)
+        return json_response(views)
 
-    def _show_contracts(self) -> Answer:
-        return answer_json([self._view_contract(name) for name in self._contracts.customers()])
+    def _show_contracts(self) -> Response:
+        return json_response([self._view_contract(name) for name in self._contracts.customers()])
 
     def _view_contract(self, customer: str) -> ContractView:
         contract = self._contracts.in_force(customer)
@@ -268,12 +268,12 @@
             pending_view,
             self._contracts.shares(customer),
             tuple(
-                OutcomeView(past.version, past.state, past.detail, past.author, past.wall)
+                OutcomeView(past.version, past.state, past.detail, past.author, past.written_at)
                 for past in history
             ),
         )
 
-    async def _publish(self, request: Request) -> Answer:
+    async def _publish(self, request: Request) -> Response:
         customer = request.path.removeprefix('/v1/contracts/')
         try:
             body = msgspec.json.decode(request.body, type=PublishBody)
@@ -290,7 +290,7 @@
             )
         self._check_version(contract.version, body.replaces)
         outcome = await self._publisher.publish(contract, body.replaces, body.author)
-        return answer_json(PublishDone(customer, outcome.version, outcome.state))
+        return json_response(PublishDone(customer, outcome.version, outcome.state))
 
     def _check_version(self, version: int, replaces: int) -> None:
         if version > replaces:
@@ -301,7 +301,7 @@
             f'version: {version} is not above {replaces}, the one it replaces',
         )
 
-    async def _drain(self, request: Request) -> Answer:
+    async def _drain(self, request: Request) -> Response:
         try:
             body = msgspec.json.decode(request.body or b'{}', type=DrainBody)
         except msgspec.MsgspecError as error:
@@ -309,14 +309,14 @@
         if body.endpoint:
             return self._drain_endpoint(body.endpoint)
         await self._lifecycle.request_stop()
-        return answer_json(Acknowledgement('this daemon drains and stops'), HTTP_ACCEPTED)
+        return json_response(Acknowledgement('this daemon drains and stops'), HTTP_ACCEPTED)
 
-    def _drain_endpoint(self, name: str) -> Answer:
+    def _drain_endpoint(self, name: str) -> Response:
         known = {runner.entry.name for runner in self._pool.runners()}
         if name not in known:
             raise self._unknown_endpoint(name)
         self._pool.drain_endpoint(name)
-        return answer_json(Acknowledgement(f'{name} gets no new work'), HTTP_ACCEPTED)
+        return json_response(Acknowledgement(f'{name} gets no new work'), HTTP_ACCEPTED)
 
     def _unknown_endpoint(self, name: str) -> RequestError:
         return not_run(
--- a/dandelionreel/admin/_views.py
+++ b/dandelionreel/admin/_views.py
@@ -64,7 +64,7 @@
 
 
 class OutcomeView(msgspec.Struct, frozen=True):
-    """How a published version ended; ``wall`` is in epoch seconds."""
+    """How a published version ended; ``wall`` is in Unix time."""
 
     version: int
     state: str
--- a/dandelionreel/backing/_hosts.py
+++ b/dandelionreel/backing/_hosts.py
@@ -86,15 +86,15 @@
         headers = (('if-none-match', self._etag),) if self._etag else ()
         request = Request('GET', self._target, headers)
         try:
-            answer = await self._channel.exchange(request, self._timeout)
+            response = await self._channel.exchange(request, self._timeout)
         except ExchangeError as error:
             raise HostListError(f'{error}') from error
-        if answer.status == HTTP_NOT_MODIFIED:
+        if response.status == HTTP_NOT_MODIFIED:
             return self._last_hosts
-        if answer.status != HTTP_OK:
-            raise HostListError(f'the host list service returned status {answer.status}')
-        self._last_hosts = msgspec.json.decode(answer.body, type=HostsResult).hosts
-        self._etag = answer.header('etag')
+        if response.status != HTTP_OK:
+            raise HostListError(f'the host list service returned status {response.status}')
+        self._last_hosts = msgspec.json.decode(response.body, type=HostsResult).hosts
+        self._etag = response.header('etag')
         return self._last_hosts
 
     async def close(self) -> None:
--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -10,7 +10,7 @@
     LogService,
     LogTruncatedError,
 )
-from dandelionreel.http import Answer, Channel, ExchangeError, Request
+from dandelionreel.http import Channel, ExchangeError, Request, Response
 from dandelionreel.kernel import Endpoint, PluginKind, Verdict, plugins
 
 HTTP_OK = 200
@@ -59,14 +59,14 @@
         """Append the records atomically; return the offset of the first."""
         body = msgspec.json.encode(AppendBody([msgspec.Raw(text) for text in records]))
         request = Request('POST', f'/v1/streams/{stream}/records', body=body)
-        answer = await self._exchange(self._append_channel_by_stream, stream, request, 0)
-        if answer.status in REFUSED_STATUSES:
+        response = await self._exchange(self._append_channel_by_stream, stream, request, 0)
+        if response.status in REFUSED_STATUSES:
             raise LogError(
-                f'the log service refused the append (status {answer.status})', Verdict.NOT_RUN
+                f'the log service refused the append (status {response.status})', Verdict.NOT_RUN
             )
-        if answer.status != HTTP_OK:
-            raise LogError(f'the log service returned status {answer.status}', Verdict.UNKNOWN)
-        return msgspec.json.decode(answer.body, type=AppendResult).offset
+        if response.status != HTTP_OK:
+            raise LogError(f'the log service returned status {response.status}', Verdict.UNKNOWN)
+        return msgspec.json.decode(response.body, type=AppendResult).offset
 
     async def read(self, stream: str, offset: int, wait: float) -> LogBatch:
         """Return records from ``offset`` on, waiting up to ``wait`` seconds for the first."""
@@ -75,11 +75,11 @@
             f'?offset={offset}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
         )
         request = Request('GET', target)
-        answer = await self._exchange(self._read_channel_by_stream, stream, request, wait)
-        if answer.status not in {HTTP_OK, HTTP_GONE}:
-            raise LogError(f'the log service returned status {answer.status}', Verdict.UNKNOWN)
-        decoded = msgspec.json.decode(answer.body, type=ReadResult)
-        if answer.status == HTTP_GONE:
+        response = await self._exchange(self._read_channel_by_stream, stream, request, wait)
+        if response.status not in {HTTP_OK, HTTP_GONE}:
+            raise LogError(f'the log service returned status {response.status}', Verdict.UNKNOWN)
+        decoded = msgspec.json.decode(response.body, type=ReadResult)
+        if response.status == HTTP_GONE:
             raise LogTruncatedError(decoded.first)
         return LogBatch(decoded.offset, decoded.tail, tuple(bytes(raw) for raw in decoded.records))
 
@@ -97,7 +97,7 @@
         stream: str,
         request: Request,
         wait: float,
-    ) -> Answer:
+    ) -> Response:
         channel = channel_by_stream.get(stream)
         if channel is None:
             channel = Channel(self._endpoint.address, self._endpoint.port, 'log')
--- a/dandelionreel/backing/_stream.py
+++ b/dandelionreel/backing/_stream.py
@@ -21,7 +21,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A record as stored: writer, number, time of writing (wall clock) and content."""
+    """A record as stored: writer, number, Unix time of writing and content."""
 
     writer: str
     number: int
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True)
 class Position:
-    """Offset of a record, its writer and the wall-clock time of writing."""
+    """Offset of a record, its writer and the Unix time of writing."""
 
     offset: int
     writer: str
-    wall: float
+    written_at: float
 
 
 RecordHandler = Callable[[msgspec.Struct, Position], None]
@@ -66,7 +66,7 @@
         self.truncations = 0
         #: Offset at which reading began, and when the first record read was written.
         self._first_offset = 0
-        self._first_wall: float | None = None
+        self._first_written_at: float | None = None
         self.unreadable = 0
 
     def add_handler(self, handler: RecordHandler, reset: Callable[[], None]) -> None:
@@ -86,9 +86,9 @@
         """
         if self._first_offset == 0:
             return True
-        if self._first_wall is None:
+        if self._first_written_at is None:
             return False
-        return self._clock.wall() - self._first_wall >= seconds
+        return self._clock.unix_time() - self._first_written_at >= seconds
 
     async def run(self, wait: float) -> None:
         """Follow the stream forever; each read waits up to ``wait`` seconds for records."""
@@ -109,8 +109,8 @@
         except LogTruncatedError as error:
             self._restart_from(error.first)
             return
-        if self._first_wall is None and batch.reached_tail and not batch.records:
-            self._first_wall = self._clock.wall()
+        if self._first_written_at is None and batch.reached_tail and not batch.records:
+            self._first_written_at = self._clock.unix_time()
         if batch.tail < self.offset:
             self._restart_from(0)
             return
@@ -127,8 +127,8 @@
         except msgspec.MsgspecError:
             self.unreadable += 1
             return
-        if self._first_wall is None:
-            self._first_wall = envelope.wall
+        if self._first_written_at is None:
+            self._first_written_at = envelope.wall
         if self.has_seen(envelope.writer, envelope.number):
             return
         self._last_by_writer[envelope.writer] = envelope.number
@@ -149,7 +149,7 @@
         self.truncations += 1
         self.offset = first
         self._first_offset = first
-        self._first_wall = None
+        self._first_written_at = None
         self.caught_up = False
         self._last_by_writer.clear()
         for reset in self._reset_callbacks:
@@ -217,7 +217,7 @@
         envelope = Envelope(
             self._writer,
             self._next_number,
-            round(self._clock.wall(), 3),
+            round(self._clock.unix_time(), 3),
             msgspec.Raw(text),
         )
         entry = _PendingRecord(
--- a/dandelionreel/backing/_workers.py
+++ b/dandelionreel/backing/_workers.py
@@ -7,7 +7,7 @@
 
 from dandelionreel.backing._hosts import HostEntry
 from dandelionreel.backing._resources import NO_RESOURCES, Resources
-from dandelionreel.http import Answer, Channel, ExchangeError, Request
+from dandelionreel.http import Channel, ExchangeError, Request, Response
 from dandelionreel.kernel import PluginKind, Verdict, plugins
 
 HTTP_OK = 200
@@ -143,20 +143,20 @@
     ) -> None:
         """Start a task under a lease; raises ``WorkerError``."""
         request = Request('PUT', f'/v1/tasks/{task_id}', body=msgspec.json.encode(order))
-        answer = await self._exchange(self._order_channel, request, timeout, check)
-        if answer.status not in {HTTP_OK, HTTP_CREATED}:
+        response = await self._exchange(self._order_channel, request, timeout, check)
+        if response.status not in {HTTP_OK, HTTP_CREATED}:
             raise WorkerError(
-                f'the worker refused the start (status {answer.status})', Verdict.NOT_RUN
+                f'the worker refused the start (status {response.status})', Verdict.NOT_RUN
             )
 
     async def tasks(self, after: int, wait: float) -> TaskList:
         """Return the task list, waiting up to ``wait`` seconds for a change."""
         target = f'/v1/tasks?after={after}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
-        answer = await self._exchange(
+        response = await self._exchange(
             self._watch_channel, Request('GET', target), self._timeout + wait
         )
-        self._check_status(answer)
-        return msgspec.json.decode(answer.body, type=TaskList)
+        self._check_status(response)
+        return msgspec.json.decode(response.body, type=TaskList)
 
     async def renew(self, renewal: LeaseRenewal) -> None:
         """Renew the leases of running tasks; unknown tasks are ignored."""
@@ -179,13 +179,13 @@
         request: Request,
         timeout: float,
         check: Callable[[], bool] | None = None,
-    ) -> Answer:
+    ) -> Response:
         try:
             return await channel.exchange(request, timeout, check)
         except ExchangeError as error:
             verdict = Verdict.UNKNOWN if error.sent else Verdict.NOT_RUN
             raise WorkerError(f'{error}', verdict) from error
 
-    def _check_status(self, answer: Answer) -> None:
-        if answer.status != HTTP_OK:
-            raise WorkerError(f'the worker returned status {answer.status}', Verdict.UNKNOWN)
+    def _check_status(self, response: Response) -> None:
+        if response.status != HTTP_OK:
+            raise WorkerError(f'the worker returned status {response.status}', Verdict.UNKNOWN)
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from dandelionreel.callers._relay import Relay
-from dandelionreel.http import Answer, Request, answer_json, answer_problem
+from dandelionreel.http import Request, Response, json_response, problem_response
 from dandelionreel.jobs import CancelResult, JobApi, JobMover, MoveBody, zone_of_job
 from dandelionreel.kernel import RequestError, clip, not_run
 from dandelionreel.life import Lifecycle
@@ -42,7 +42,7 @@
         self._job_api = job_api
         self._relay = relay
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer a caller; raises ``RequestError``.
 
         Until this daemon knows the contracts in force, the load balancer sends
@@ -69,9 +69,9 @@
         try:
             return ForwardAnswer(await self._handle_job_request(message.request, message.hops))
         except RequestError as error:
-            return ForwardAnswer(answer_problem(error.problem))
+            return ForwardAnswer(problem_response(error.problem))
 
-    async def _handle_job_request(self, request: Request, hops: int) -> Answer:
+    async def _handle_job_request(self, request: Request, hops: int) -> Response:
         path = request.path
         if path == JOBS_PATH and request.method == 'POST':
             return await self._submit(request, hops)
@@ -85,22 +85,22 @@
             return await self._handle_job_by_id(request, hops)
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served here')
 
-    async def _submit(self, request: Request, hops: int) -> Answer:
+    async def _submit(self, request: Request, hops: int) -> Response:
         zone = self._job_api.home_zone(request)
         if zone != self._zone and not hops:
             return await self._relay.send(zone, request)
         return await self._job_api.submit(request)
 
-    async def _list(self, request: Request, hops: int) -> Answer:
+    async def _list(self, request: Request, hops: int) -> Response:
         zone = request.query_by_name.get('zone', self._zone)
         if zone != self._zone and not hops:
             return await self._relay.send(zone, request)
         return self._job_api.list_page(request)
 
-    async def _cancel(self, request: Request, hops: int) -> Answer:
+    async def _cancel(self, request: Request, hops: int) -> Response:
         body = self._job_api.decode_cancel(request)
         if hops:
-            return answer_json(await self._job_api.cancel(body.jobs))
+            return json_response(await self._job_api.cancel(body.jobs))
         jobs_by_zone: dict[str, list[str]] = {}
         for job in body.jobs:
             jobs_by_zone.setdefault(zone_of_job(job), []).append(job)
@@ -110,9 +110,9 @@
             cancel_result = await self._cancel_in_zone(zone, tuple(jobs))
             cancelled += cancel_result.cancelled
             missing.extend(cancel_result.unknown)
-        return answer_json(CancelResult(cancelled, tuple(missing)))
+        return json_response(CancelResult(cancelled, tuple(missing)))
 
-    async def _move(self, request: Request) -> Answer:
+    async def _move(self, request: Request) -> Response:
         try:
             body = msgspec.json.decode(request.body, type=MoveBody)
         except msgspec.MsgspecError as error:
@@ -122,14 +122,14 @@
         self._relay.check_zone(body.from_zone)
         if body.to_zone != self._zone:
             return await self._relay.send(body.to_zone, request)
-        return answer_json(await self._mover.move_from(body.from_zone))
+        return json_response(await self._mover.move_from(body.from_zone))
 
     async def _cancel_in_zone(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
         if zone == self._zone:
             return await self._job_api.cancel(jobs)
         return await self._relay.cancel(zone, jobs)
 
-    async def _handle_job_by_id(self, request: Request, hops: int) -> Answer:
+    async def _handle_job_by_id(self, request: Request, hops: int) -> Response:
         job_path = request.path.removeprefix(f'{JOBS_PATH}/')
         job_id = job_path.removesuffix(RESOLVE_SUFFIX)
         zone = zone_of_job(job_id)
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dandelionreel.http import Answer, Request
+from dandelionreel.http import Request, Response
 from dandelionreel.jobs import CancelBody, CancelResult
 from dandelionreel.kernel import Clock, Verdict, clip, not_run, outcome_unknown
 from dandelionreel.peers import Forward, ForwardAnswer, PeerDirectory, PeerError, PeerState
@@ -23,8 +23,8 @@
         self._directory = directory
         self._clock = clock
 
-    async def send(self, zone: str, request: Request) -> Answer:
-        """Return the first answer from the zone; raises ``RequestError``."""
+    async def send(self, zone: str, request: Request) -> Response:
+        """Return the first response from the zone; raises ``RequestError``."""
         self.check_zone(zone)
         for state in sorted(self._directory.states(zone), key=_by_last_heard):
             try:
@@ -41,7 +41,7 @@
                     'retry with the same idempotency key',
                 ) from error
             if isinstance(frame.message, ForwardAnswer):
-                return frame.message.answer
+                return frame.message.response
         raise not_run(
             HTTP_UNAVAILABLE,
             'zone-unreachable',
@@ -61,14 +61,14 @@
         if zone not in self._zones:
             return CancelResult(0, jobs)
         body = msgspec.json.encode(CancelBody(jobs))
-        answer = await self.send(zone, Request('POST', '/v1/jobs/cancel', body=body))
+        response = await self.send(zone, Request('POST', '/v1/jobs/cancel', body=body))
         try:
-            return msgspec.json.decode(answer.body, type=CancelResult)
+            return msgspec.json.decode(response.body, type=CancelResult)
         except msgspec.MsgspecError as error:
             raise outcome_unknown(
-                answer.status,
+                response.status,
                 'zone-refused',
-                f'zone {zone} answered {answer.status}',
+                f'zone {zone} answered {response.status}',
             ) from error
 
 
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -10,8 +10,8 @@
     CAUSE_HEADER,
     STORE_UNAVAILABLE_CAUSE,
     ClientCall,
-    answer_not_run,
-    answer_unavailable,
+    not_run_response,
+    unavailable_response,
 )
 from dandelionreel.cell.clients._client_writes import (
     RETRYABLE_STATUSES,
@@ -37,7 +37,7 @@
 )
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import CellProjection, ConfigurationProjection, Follower, StoredJob
-from dandelionreel.http import Answer, Request
+from dandelionreel.http import Request, Response
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 from dandelionreel.peers import ForwardAnswer, Frame, Message
 
@@ -61,7 +61,7 @@
 HTTP_CONFLICT = 409
 HTTP_TOO_LARGE = 413
 HTTP_TOO_MANY = 429
-#: Header of the answer to a call without a known API key (RFC 6750).
+#: Header of the response to a call without a known API key (RFC 6750).
 CHALLENGE_HEADER = ('www-authenticate', 'Bearer')
 
 
@@ -89,7 +89,7 @@
     ) -> None:
         """Answer clients of ``zone``.
 
-        ``note_answer`` gets the method, status and seconds of each answer, ``note_refusal`` the
+        ``note_answer`` gets the method, status and seconds of each response, ``note_refusal`` the
         account of each refused call.
         """
         self._zone = zone
@@ -109,25 +109,27 @@
         self._note_answer = note_answer
         self._note_refusal = note_refusal
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer one request of a client."""
         received_at = self._clock.monotonic()
-        answer = await self._answer(request, received_at, self._zone)
-        self._note_answer(request.method, answer.status, self._clock.monotonic() - received_at)
-        return answer
+        response = await self._answer(request, received_at, self._zone)
+        self._note_answer(request.method, response.status, self._clock.monotonic() - received_at)
+        return response
 
     async def handle_relayed(self, frame: Frame) -> Message:
         """Answer a request that a peer has forwarded."""
         forward: Any = frame.message
         member = self._jobs.state.member_by_host.get(frame.sender.partition('/')[0])
-        answer = await self._answer(
+        response = await self._answer(
             forward.request,
             self._clock.monotonic(),
             member.zone if member else '',
             forward,
         )
-        # no_room tells the peer to try another host: the store does not serve this one either.
-        return ForwardAnswer(answer, no_room=answer.header(CAUSE_HEADER) == STORE_UNAVAILABLE_CAUSE)
+        # no_room makes the peer try another host: the store does not serve this one either.
+        return ForwardAnswer(
+            response, no_room=response.header(CAUSE_HEADER) == STORE_UNAVAILABLE_CAUSE
+        )
 
     async def _answer(
         self,
@@ -135,25 +137,25 @@
         received_at: float,
         zone: str,
         forward: Any = None,
-    ) -> Answer:
+    ) -> Response:
         configuration = self._configuration.current
         if configuration is None:
-            return answer_unavailable('no-configuration', 'no configuration is known yet')
+            return unavailable_response('no-configuration', 'no configuration is known yet')
         path = request.path
         host = request.header('host').partition(':')[0]
         queue = configuration.find_queue(host, path)
         if queue is None:
             self._log(request, path, 'no such queue', version=configuration.version)
-            return answer_not_run(HTTP_NOT_FOUND, 'unknown-queue', f'no queue at {path}')
+            return not_run_response(HTTP_NOT_FOUND, 'unknown-queue', f'no queue at {path}')
         forwarded = None if forward is None else forward.caller
         caller = await self._access.identify(request, queue, forwarded)
         if isinstance(caller, Denied):
             return self._answer_denied(request, path, caller)
         call = ClientCall(request, caller, zone, received_at, forward is not None)
-        answer = await self._serve(call, configuration, queue, path[len(queue.path_prefix) :])
-        if answer.status in RETRYABLE_STATUSES:
+        response = await self._serve(call, configuration, queue, path[len(queue.path_prefix) :])
+        if response.status in RETRYABLE_STATUSES:
             self._note_refusal(caller.account)
-        return answer
+        return response
 
     async def _serve(
         self,
@@ -161,33 +163,33 @@
         configuration: Configuration,
         queue: Queue,
         job_id: str,
-    ) -> Answer:
+    ) -> Response:
         request = call.request
         if not job_id and request.method == 'GET':
             return await self._answer_waiting_count(queue, call.received_at)
         if not JOB_ID.fullmatch(job_id):
-            return answer_not_run(HTTP_BAD_REQUEST, 'bad-id', 'a job id has 16 hexadecimal digits')
+            return not_run_response(
+                HTTP_BAD_REQUEST, 'bad-id', 'a job id has 16 hexadecimal digits'
+            )
         if request.method == 'POST':
             return await self._submit_job(call, configuration, queue, job_id)
         if request.method == 'GET':
             return await self._answer_state(call, job_id)
         if request.method == 'DELETE':
             return await self._cancel_job(call, job_id)
-        return answer_not_run(HTTP_NOT_ALLOWED, 'bad-method', 'use POST, GET or DELETE')
+        return not_run_response(HTTP_NOT_ALLOWED, 'bad-method', 'use POST, GET or DELETE')
 
-    def _answer_denied(self, request: Request, path: str, denied: Denied) -> Answer:
+    def _answer_denied(self, request: Request, path: str, denied: Denied) -> Response:
         """Refuse a call.
 
-        The answer to an unknown key does not say what is wrong with the key. A key that cannot be
-        checked now gets an answer that asks the client to retry.
+        The response to an unknown key does not say what is wrong with the key. A key that cannot be
+        checked now gets a response that asks the client to retry.
         """
         self._log(request, path, denied.value, version=self._configuration.version)
         if denied is Denied.UNDECIDED:
-            return answer_unavailable(
-                'key-unchecked', 'whether the key is known cannot be told just now'
-            )
-        answer = answer_not_run(HTTP_UNAUTHORIZED, 'unknown-key', 'a known API key is needed')
-        return Answer(answer.status, (*answer.headers, CHALLENGE_HEADER), answer.body)
+            return unavailable_response('key-unchecked', 'the key cannot be checked now')
+        response = not_run_response(HTTP_UNAUTHORIZED, 'unknown-key', 'a known API key is needed')
+        return Response(response.status, (*response.headers, CHALLENGE_HEADER), response.body)
 
     async def _submit_job(
         self,
@@ -195,33 +197,33 @@
         configuration: Configuration,
         queue: Queue,
         job_id: str,
-    ) -> Answer:
+    ) -> Response:
         request = call.request
         if self._get_dispatcher() is not None and not self._follower.complete:
             # The end of a finished job may not have been read yet; the job would run again.
             now = self._clock.monotonic()
             if not await self._follower.wait_fresh(now, LOOKUP_TIMEOUT_SECONDS):
-                return answer_unavailable(
+                return unavailable_response(
                     STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now'
                 )
         if not self._may_see(call, job_id):
             self._log(request, job_id, 'its id is taken by another account')
-            return answer_not_run(HTTP_CONFLICT, 'id-taken', 'choose another job id')
+            return not_run_response(HTTP_CONFLICT, 'id-taken', 'choose another job id')
         stored_job = self._jobs.state.find(job_id)
         if stored_job is not None and not stored_job.may_be_resubmitted:
             self._log(request, job_id, 'accepted before')
             return self._codec.answer_accepted()
         if len(request.body) > configuration.body_bytes:
-            return answer_not_run(HTTP_TOO_LARGE, 'body-too-large', 'the job is too large')
+            return not_run_response(HTTP_TOO_LARGE, 'body-too-large', 'the job is too large')
         try:
             spec = self._codec.decode_submission(request.body)
         except SubmissionError as error:
             self._log(request, job_id, f'not a job: {error}')
-            return answer_not_run(HTTP_BAD_REQUEST, 'bad-job', f'{error}')
+            return not_run_response(HTTP_BAD_REQUEST, 'bad-job', f'{error}')
         if not self._fits_quota(call, configuration, spec):
             return self._answer_over_quota(call, job_id)
         submission = Submission(
-            queue.name, queue.service, self._clock.wall(), spec, call.zone, call.caller.account
+            queue.name, queue.service, self._clock.unix_time(), spec, call.zone, call.caller.account
         )
         return await self._writes.store(
             call,
@@ -239,7 +241,7 @@
             return True
         return all(step.smallest_start.fits(account.quota) for step in spec.steps)
 
-    def _answer_over_quota(self, call: ClientCall, job_id: str) -> Answer:
+    def _answer_over_quota(self, call: ClientCall, job_id: str) -> Response:
         self._log(
             call.request,
             job_id,
@@ -247,11 +249,11 @@
             account=call.caller.account,
         )
         detail = 'a step needs more at once than the account may have running'
-        return answer_not_run(
+        return not_run_response(
             HTTP_TOO_MANY, 'over-account-quota', detail, QUOTA_RETRY_AFTER_SECONDS
         )
 
-    async def _answer_state(self, call: ClientCall, job_id: str) -> Answer:
+    async def _answer_state(self, call: ClientCall, job_id: str) -> Response:
         if not self._may_see(call, job_id):
             return self._answer_unknown_job(call, job_id)
         stored_job = self._jobs.state.find(job_id)
@@ -267,28 +269,28 @@
             return self._codec.answer_state(state)
         timeout = LOOKUP_TIMEOUT_SECONDS if stored_job is None else REFRESH_TIMEOUT_SECONDS
         if self._partition_detector.cut_off:
-            # Only what this zone knows can be told, and waiting would not add to it.
+            # Only what this zone knows can be reported, and waiting would not add to it.
             if await self._partition_reads.is_complete(job_id):
                 return self._codec.answer_state(JobState.COMPLETED)
             timeout = 0.0
         elif dispatcher is None and not call.relayed:
-            answer = await self._get_state_from_peers(call, timeout)
-            if answer is not None:
-                return answer
+            response = await self._get_state_from_peers(call, timeout)
+            if response is not None:
+                return response
         await self._follower.wait_fresh(call.received_at - MAX_STATE_AGE_SECONDS, timeout)
         stored_job = self._find(call, job_id)
         if stored_job is not None:
             return self._codec.answer_state(stored_job.state)
         return self._answer_unknown_job(call, job_id)
 
-    async def _get_state_from_peers(self, call: ClientCall, timeout: float) -> Answer | None:
-        """Return the owner's answer, or that of any peer if this host cannot read the store."""
+    async def _get_state_from_peers(self, call: ClientCall, timeout: float) -> Response | None:
+        """Return the owner's response, or that of any peer if this host cannot read the store."""
         forwarded = await self._relay.forward_to_owner(call, timeout)
-        if forwarded.answer is None and self._follower.age(call.received_at) > STALE_READ_SECONDS:
+        if forwarded.response is None and self._follower.age(call.received_at) > STALE_READ_SECONDS:
             forwarded = await self._relay.forward_to_any_peer(call, timeout)
-        return forwarded.answer
+        return forwarded.response
 
-    async def _cancel_job(self, call: ClientCall, job_id: str) -> Answer:
+    async def _cancel_job(self, call: ClientCall, job_id: str) -> Response:
         stored_job = self._find(call, job_id)
         if stored_job is None:
             await self._follower.wait_fresh(call.received_at, LOOKUP_TIMEOUT_SECONDS)
@@ -298,7 +300,7 @@
         finished = stored_job.state in FINAL_STATES or self._completions.contains(job_id)
         if stored_job.cancelled or finished:
             return self._codec.answer_accepted()
-        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
+        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.unix_time()))
         return await self._writes.store(
             call,
             record,
@@ -322,7 +324,7 @@
             account = dispatcher.account_of(job_id)
         return account in {'', call.caller.account}
 
-    def _answer_unknown_job(self, call: ClientCall, job_id: str) -> Answer:
+    def _answer_unknown_job(self, call: ClientCall, job_id: str) -> Response:
         """Answer that a job does not exist, but only after a current read of the store.
 
         The job of another account does not exist for a caller.
@@ -330,7 +332,9 @@
         if self._follower.fresh_at < call.received_at - MAX_STATE_AGE_SECONDS and self._may_see(
             call, job_id
         ):
-            return answer_unavailable(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
+            return unavailable_response(
+                STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now'
+            )
         self._journal.log_sampled(
             Part.JOBS,
             f'a client asked for unknown job {job_id}.',
@@ -340,12 +344,14 @@
         )
         return self._codec.answer_unknown_job()
 
-    async def _answer_waiting_count(self, queue: Queue, received_at: float) -> Answer:
+    async def _answer_waiting_count(self, queue: Queue, received_at: float) -> Response:
         """Answer with the number of waiting jobs, unless the latest read is too old."""
         if not await self._follower.wait_fresh(
             received_at - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
         ):
-            return answer_unavailable(STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now')
+            return unavailable_response(
+                STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now'
+            )
         return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
 
     def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
--- a/dandelionreel/cell/clients/_client_call.py
+++ b/dandelionreel/cell/clients/_client_call.py
@@ -3,14 +3,14 @@
 from dataclasses import dataclass
 
 from dandelionreel.accounts import Caller
-from dandelionreel.http import Answer, Request, answer_problem
+from dandelionreel.http import Request, Response, problem_response
 from dandelionreel.kernel import Problem, Verdict
 
-#: Header with the time that the client waits for the answer, in milliseconds.
+#: Header with the time that the client waits for the response, in milliseconds.
 DEADLINE_HEADER = 'x-deadline-ms'
 #: Seconds that a client is assumed to wait if it sends no such header, and the upper limit.
 DEFAULT_TIMEOUT_SECONDS = 3.0
-#: Share of the client's time that is spent on its call, so that the answer still reaches it.
+#: Share of the client's time that is spent on its call, so that the response still reaches it.
 TIMEOUT_SHARE = 0.85
 #: Seconds after which a refused client may retry: by then the store usually serves this host again,
 #: or the client reaches another host.
@@ -46,17 +46,19 @@
         return min(timeout, DEFAULT_TIMEOUT_SECONDS) * TIMEOUT_SHARE
 
 
-def answer_not_run(
+def not_run_response(
     status: int,
     cause: str,
     detail: str,
     retry_after: float | None = None,
-) -> Answer:
-    """Return the answer to a call that has had no effect and will have none."""
-    return answer_problem(Problem(Verdict.NOT_RUN, status, cause, detail, retry_after))
+) -> Response:
+    """Return the response to a call that has had no effect and will have none."""
+    return problem_response(Problem(Verdict.NOT_RUN, status, cause, detail, retry_after))
 
 
-def answer_unavailable(cause: str, detail: str, retry_after: float = RETRY_AFTER_SECONDS) -> Answer:
-    """Return the answer that asks a client to retry; a forwarding peer may try another host."""
-    answer = answer_not_run(HTTP_UNAVAILABLE, cause, detail, retry_after)
-    return Answer(answer.status, (*answer.headers, (CAUSE_HEADER, cause)), answer.body)
+def unavailable_response(
+    cause: str, detail: str, retry_after: float = RETRY_AFTER_SECONDS
+) -> Response:
+    """Return the response that asks a client to retry; a forwarding peer may try another host."""
+    response = not_run_response(HTTP_UNAVAILABLE, cause, detail, retry_after)
+    return Response(response.status, (*response.headers, (CAUSE_HEADER, cause)), response.body)
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -9,7 +9,7 @@
     RETRY_AFTER_SECONDS,
     STORE_UNAVAILABLE_CAUSE,
     ClientCall,
-    answer_unavailable,
+    unavailable_response,
 )
 from dandelionreel.cell.clients._readiness import Rotation
 from dandelionreel.cell.clients._relay import Relay, RelayResult
@@ -17,7 +17,7 @@
 from dandelionreel.cell.model import ClientCodec, KeyedRecord
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import Follower, GroupWriter, WriteOutcome
-from dandelionreel.http import Answer, answer_problem
+from dandelionreel.http import Response, problem_response
 from dandelionreel.kernel import Clock, Problem, Verdict
 
 #: Seconds for an append by this host before a peer is asked to do it: more than a slow store needs,
@@ -43,7 +43,7 @@
     outcomes: list[str] = field(default_factory=list)
 
 
-Attempt = Callable[[float, _WriteAttempts], Awaitable[Answer | None]]
+Attempt = Callable[[float, _WriteAttempts], Awaitable[Response | None]]
 StoreAtOwner = Callable[[Dispatcher, float], Awaitable[WriteOutcome]]
 Forwarder = Callable[[ClientCall, float], Awaitable[RelayResult]]
 #: Logs the outcome of a call, with further fields.
@@ -51,7 +51,7 @@
 
 
 class ClientWrites:
-    """Stores records for clients; each answer says if one was stored, not stored or in doubt."""
+    """Stores records for clients; each response says if one was stored, not stored or in doubt."""
 
     def __init__(
         self,
@@ -81,10 +81,10 @@
         store_at_owner: StoreAtOwner,
         log: LogOutcome,
         **fields: str,
-    ) -> Answer:
+    ) -> Response:
         """Store a client's record through the owner, otherwise through this host or a peer.
 
-        A client may rely on the answer that its request was not accepted. So it is given only when
+        A client may rely on a response that says "not accepted". So it is given only when
         no append can have taken place, neither at this host nor at a peer.
         """
         started_at = self._clock.monotonic()
@@ -94,16 +94,16 @@
             remaining = deadline - self._clock.monotonic()
             if remaining <= 0 or await self._is_host_cut_off(attempts):
                 break
-            answer = await attempt(remaining, attempts)
-            if answer is not None and (
-                answer.status not in RETRYABLE_STATUSES or not attempts.in_doubt
+            response = await attempt(remaining, attempts)
+            if response is not None and (
+                response.status not in RETRYABLE_STATUSES or not attempts.in_doubt
             ):
                 log(
-                    f'{answer.status} by {attempts.attempted_by}',
+                    f'{response.status} by {attempts.attempted_by}',
                     **fields,
                     seconds=round(self._clock.monotonic() - started_at, 3),
                 )
-                return answer
+                return response
         log(
             'may be stored' if attempts.in_doubt else 'not stored',
             **fields,
@@ -122,12 +122,12 @@
             return True
         return bool(attempts.outcomes) and await self._partition_detector.check()
 
-    def _answer_failed(self, attempts: _WriteAttempts) -> Answer:
+    def _answer_failed(self, attempts: _WriteAttempts) -> Response:
         if attempts.in_doubt:
             detail = 'what was asked for may have been stored'
-            return answer_problem(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
+            return problem_response(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
         detail = 'the store takes nothing just now; it was not accepted'
-        return answer_unavailable(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
+        return unavailable_response(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
 
     def _retry_after(self) -> float:
         """Return the seconds after which another host is likely to accept a request.
@@ -160,7 +160,7 @@
             yield self._by_peer(call, self._relay.forward_to_any_peer)
 
     def _by_owner(self, dispatcher: Dispatcher, store_at_owner: StoreAtOwner) -> Attempt:
-        async def by_owner(remaining: float, attempts: _WriteAttempts) -> Answer | None:
+        async def by_owner(remaining: float, attempts: _WriteAttempts) -> Response | None:
             attempts.attempted_by = 'the owner'
             if dispatcher.store_is_failing:
                 attempts.outcomes.append('the owner: its store is failing')
@@ -172,7 +172,7 @@
         return by_owner
 
     def _by_this_host(self, record: KeyedRecord) -> Attempt:
-        async def by_this_host(remaining: float, attempts: _WriteAttempts) -> Answer | None:
+        async def by_this_host(remaining: float, attempts: _WriteAttempts) -> Response | None:
             attempts.attempted_by = 'this host'
             outcome = await self._writer.write([record], min(remaining, APPEND_TIMEOUT_SECONDS))
             return self._note_outcome(outcome, attempts)
@@ -180,20 +180,20 @@
         return by_this_host
 
     def _by_peer(self, call: ClientCall, forward: Forwarder) -> Attempt:
-        async def by_peer(remaining: float, attempts: _WriteAttempts) -> Answer | None:
+        async def by_peer(remaining: float, attempts: _WriteAttempts) -> Response | None:
             attempts.attempted_by = 'a peer'
             forwarded = await forward(call, remaining)
             attempts.in_doubt = attempts.in_doubt or forwarded.in_doubt
-            status: Any = forwarded.answer.status if forwarded.answer else 'none could act'
+            status: Any = forwarded.response.status if forwarded.response else 'none could act'
             attempts.outcomes.append(
                 f'a peer: {"may have acted" if forwarded.in_doubt else status}'
             )
-            return forwarded.answer
+            return forwarded.response
 
         return by_peer
 
-    def _note_outcome(self, outcome: WriteOutcome, attempts: _WriteAttempts) -> Answer | None:
-        """Return the answer if the record was stored, else record the outcome."""
+    def _note_outcome(self, outcome: WriteOutcome, attempts: _WriteAttempts) -> Response | None:
+        """Return the response if the record was stored, else record the outcome."""
         if outcome is WriteOutcome.STORED:
             return self._codec.answer_accepted()
         attempts.in_doubt = attempts.in_doubt or outcome is not WriteOutcome.REFUSED
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -2,8 +2,8 @@
 
 Load pattern: a zone is cut off with its hosts, runners and clients, and the clients' jobs end on
 runners of the same zone. Hosts of the zone poll these runners without renewing leases or
-acknowledging ended runs, and tell clients which jobs are complete. The owner outside lets no lease
-in that zone expire before these hosts have told it which jobs are complete. Model:
+acknowledging ended runs, and report complete jobs to clients. The owner outside lets no lease
+in that zone expire before these hosts have reported the complete jobs to it. Model:
 ``spec/behind_a_cut.py``.
 """
 
@@ -29,7 +29,7 @@
 VIEW_CACHE_SECONDS = 0.2
 #: Seconds for the reply of a host of the same zone, and how many of them are tried.
 ANSWER_TIMEOUT = 0.2
-MAX_PEERS_TOLD = 3
+MAX_PEERS_NOTIFIED = 3
 
 MakeRunner = Callable[[Registration], Runner]
 
@@ -45,11 +45,11 @@
 
 
 class PartitionReads:
-    """Tells which jobs are complete while this host's zone is cut off."""
+    """Finds out which jobs are complete while this host's zone is cut off."""
 
     def __init__(
         self,
-        me: str,
+        own_host: str,
         zone: str,
         cell_state: CellState,
         runners: RunnerProjection,
@@ -60,8 +60,8 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Poll the runners of ``zone`` for the host ``me``."""
-        self._me = me
+        """Poll the runners of ``zone`` for the host ``own_host``."""
+        self._own_host = own_host
         self._zone = zone
         self._cell_state = cell_state
         self._runners = runners
@@ -74,7 +74,7 @@
         self._view_by_runner: dict[str, _CachedView] = {}
 
     async def is_complete(self, job: str) -> bool:
-        """Return whether the zone's runners list a job as done and clients may be told so."""
+        """Return whether the zone's runners list a job as done and it may be reported so."""
         queries_before = self._completions.query_count
         if not self._partition_detector.may_serve_reads or not await self._is_done_at_runners(job):
             return False
@@ -143,11 +143,11 @@
         return view.ended
 
     async def _replicate_to_zone(self, job: str) -> bool:
-        """Tell other hosts of this zone that a job is complete, until one accepts it.
+        """Report a complete job to other hosts of this zone, until one accepts it.
 
         Return whether one has.
         """
-        for host in self._zone_hosts()[:MAX_PEERS_TOLD]:
+        for host in self._zone_hosts()[:MAX_PEERS_NOTIFIED]:
             member = self._cell_state.member_by_host[host]
             try:
                 frame = await self._links.request(member, CompletionsSeen((job,)), ANSWER_TIMEOUT)
@@ -162,7 +162,7 @@
         return [
             host
             for host in rank_hosts(members)
-            if members[host].zone == self._zone and host != self._me
+            if members[host].zone == self._zone and host != self._own_host
         ]
 
     def _epoch(self) -> int:
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -13,7 +13,7 @@
 from dandelionreel.cell.membership import OWNER_QUERY_TIMEOUT, PeerLinks, find_zone_writer
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.store import CellState
-from dandelionreel.http import Answer, Request
+from dandelionreel.http import Request, Response
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, OwnerAsked, PeerError
 
@@ -35,9 +35,9 @@
 
 @dataclass(frozen=True)
 class RelayResult:
-    """The answer of a peer, if any, and whether a peer that gave none may have acted."""
+    """The response of a peer, if any, and whether a peer that gave none may have acted."""
 
-    answer: Answer | None
+    response: Response | None
     in_doubt: bool = False
 
 
@@ -50,15 +50,15 @@
 
     def __init__(
         self,
-        me: str,
+        own_host: str,
         cell_state: CellState,
         links: PeerLinks,
         clock: Clock,
         journal: Journal,
         note_query_unanswered: Callable[[str], None] = _ignore_unanswered,
     ) -> None:
-        """Forward requests as the host ``me``; report owners that do not answer, by term."""
-        self._me = me
+        """Forward requests as the host ``own_host``; report owners that do not answer, by term."""
+        self._own_host = own_host
         self._cell_state = cell_state
         self._links = links
         self._clock = clock
@@ -68,14 +68,14 @@
         self._backoff_seconds_by_host: dict[str, float] = {}
 
     async def forward_to_owner(self, call: ClientCall, timeout: float) -> RelayResult:
-        """Return the answer of the cell's owner."""
+        """Return the response of the cell's owner."""
         owner = self._cell_state.owner
-        if owner is None or owner.host == self._me or owner.released:
+        if owner is None or owner.host == self._own_host or owner.released:
             return RelayResult(None)
         return await self._forward_to_first([owner.host], call, timeout)
 
     async def forward_to_zone_writer(self, call: ClientCall, timeout: float) -> RelayResult:
-        """Return the answer of the host that writes for this one, if another host does."""
+        """Return the response of the host that writes for this one, if another host does."""
         zone_writer = self.find_zone_writer()
         return (
             RelayResult(None)
@@ -87,11 +87,11 @@
         """Return the host that writes for this one, or ``None`` if it writes itself."""
         now = self._clock.monotonic()
         excluded = {host for host, until in self._backoff_until_by_host.items() if until > now}
-        return find_zone_writer(self._cell_state.member_by_host, self._me, excluded)
+        return find_zone_writer(self._cell_state.member_by_host, self._own_host, excluded)
 
     async def forward_to_any_peer(self, call: ClientCall, timeout: float) -> RelayResult:
-        """Return the first final answer of any peer, tried in random order."""
-        hosts = [host for host in self._cell_state.member_by_host if host != self._me]
+        """Return the first final response of any peer, tried in random order."""
+        hosts = [host for host in self._cell_state.member_by_host if host != self._own_host]
         random.shuffle(hosts)
         return await self._forward_to_first(hosts, call, timeout)
 
@@ -110,8 +110,8 @@
                 break
             relayed = await self._forward_to_peer(host, member, call, remaining)
             in_doubt = in_doubt or relayed.in_doubt
-            if relayed.answer is not None:
-                return RelayResult(relayed.answer, in_doubt)
+            if relayed.response is not None:
+                return RelayResult(relayed.response, in_doubt)
         return RelayResult(None, in_doubt)
 
     async def _forward_to_peer(
@@ -135,11 +135,11 @@
         if not isinstance(reply, ForwardAnswer) or reply.no_room:
             self._avoid(host, 'the store does not serve it either', PEER_BACKOFF_SECONDS)
             return RelayResult(None)
-        if reply.answer.status in FINAL_STATUSES:
-            return RelayResult(reply.answer)
+        if reply.response.status in FINAL_STATUSES:
+            return RelayResult(reply.response)
         # The peer's configuration may be older, or the outcome of its append may be unknown:
-        # neither is an answer for the client.
-        return RelayResult(None, reply.answer.status == HTTP_TIMEOUT)
+        # neither is a response for the client.
+        return RelayResult(None, reply.response.status == HTTP_TIMEOUT)
 
     async def _can_act(self, host: str, member: Member) -> bool:
         """Query whether a peer can act before sending it a request that is not idempotent.
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -89,9 +89,9 @@
         """Return the job's latency objective in seconds from its acceptance."""
         return job.objective(self.queue_of(job), self.quota_of(job))
 
-    def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
+    def leftovers_of(self, job: JobRun, unix_time: float) -> tuple[Leftover, ...]:
         """Return the resources that runs of a finished job may still use, by runner."""
-        return self.quotas.leftovers_of(job, wall) if job.account else ()
+        return self.quotas.leftovers_of(job, unix_time) if job.account else ()
 
     def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return the allocations of a job on all runners."""
@@ -113,7 +113,7 @@
             return bool(self.unseen_runners)
         return not self.unseen_runners.isdisjoint(job.runners)
 
-    def update_job(self, stored_job: StoredJob, now: float, wall: float) -> None:
+    def update_job(self, stored_job: StoredJob, now: float, unix_time: float) -> None:
         """Apply what the store holds for a job, new or known.
 
         An unreadable job that is not known here is not started. The ends of its runs are not
@@ -128,7 +128,7 @@
             for runner in self.runner_by_id.values():
                 runner.reprocess_ends()
         if job is None and stored_job.submission is not None and not stored_job.unreadable:
-            age = max(0.0, wall - stored_job.submission.accepted_at)
+            age = max(0.0, unix_time - stored_job.submission.accepted_at)
             job = JobRun(stored_job.id, stored_job.submission, now - age)
             job.exceeds_account_rate = self._is_beyond_rate(job)
             if stored_job.progress is not None:
@@ -143,7 +143,7 @@
     def cancel(self, job_id: str) -> None:
         """Stop a job whose cancellation is stored."""
         job = self.job_by_id.get(job_id)
-        if job is not None and not job.is_over:
+        if job is not None and not job.is_finished:
             self._cancel(job)
 
     def mark_complete(self, jobs: Iterable[str]) -> list[str]:
@@ -158,20 +158,20 @@
             marked.append(job_id)
         return marked
 
-    def forget_job(self, job_id: str, wall: float) -> None:
+    def forget_job(self, job_id: str, unix_time: float) -> None:
         """Remove a job whose records the store has dropped."""
         self.unfinished_job_by_id.pop(job_id, None)
         job = self.job_by_id.pop(job_id, None)
         if job is not None:
-            self.quotas.keep_leftovers(job, wall)
+            self.quotas.keep_leftovers(job, unix_time)
             self._allocations.stop_job(job.id)
             self.tickets.drop_job(job_id)
 
-    def drop_finished_jobs(self, wall: float) -> None:
+    def drop_finished_jobs(self, unix_time: float) -> None:
         """Drop finished jobs from planning, so that its cost depends on unfinished jobs only."""
-        finished = [job for job in self.unfinished_job_by_id.values() if job.is_over]
+        finished = [job for job in self.unfinished_job_by_id.values() if job.is_finished]
         for job in finished:
-            self.quotas.keep_leftovers(job, wall)
+            self.quotas.keep_leftovers(job, unix_time)
             self.unfinished_job_by_id.pop(job.id)
 
     def take_dirty_jobs(self) -> list[JobRun]:
@@ -337,7 +337,7 @@
         if allocation.phase is not AllocationPhase.STARTING:
             return False
         job = self.job_by_id.get(allocation.task.job)
-        if job is None or job.is_over:
+        if job is None or job.is_finished:
             return False
         runner = self.runner_by_id.get(allocation.runner)
         if runner is None or not runner.registration.usable or runner.draining:
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -144,7 +144,7 @@
         """Return whether a task may start beside those placed in the same plan.
 
         A quarantined task starts alone: if a runner crashes with two starts in progress, it
-        cannot be told which one caused the crash.
+        is unknown which one caused the crash.
         """
         if self._quarantined:
             return False
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -108,7 +108,7 @@
     def plan(
         self,
         now: float,
-        wall: float,
+        unix_time: float,
         max_deferrable_requests: float = NO_LIMIT,
         max_starts: float = NO_LIMIT,
     ) -> Plan:
@@ -120,10 +120,10 @@
         host, they would keep the order in which they were made, and a gang's first tickets would
         expire before its last ones arrive.
         """
-        candidates = list_candidates(self._cell, self._order.rank, now, wall)
+        candidates = list_candidates(self._cell, self._order.rank, now, unix_time)
         if not candidates:
             return Plan()
-        self._gate.begin_plan(candidates, now, wall)
+        self._gate.begin_plan(candidates, now, unix_time)
         self._preemption.begin_plan()
         usable = self._usable_by_service(now)
         makes_reservations = self._renew_reservations(candidates, usable, now)
--- a/dandelionreel/cell/decisions/_preventive_stops.py
+++ b/dandelionreel/cell/decisions/_preventive_stops.py
@@ -36,20 +36,20 @@
     return stopped
 
 
-def stop_incomplete_gangs(cell: Cell, now: float, wall: float) -> list[StepRun]:
+def stop_incomplete_gangs(cell: Cell, now: float, unix_time: float) -> list[StepRun]:
     """Stop and return the gangs whose members have not all started in time."""
-    incomplete = [*_partly_placed_gangs(cell, wall), *_unstarted_gangs(cell, now)]
+    incomplete = [*_partly_placed_gangs(cell, unix_time), *_unstarted_gangs(cell, now)]
     for step in incomplete:
         cell.stop_members(step)
     return incomplete
 
 
-def _partly_placed_gangs(cell: Cell, wall: float) -> Iterable[StepRun]:
+def _partly_placed_gangs(cell: Cell, unix_time: float) -> Iterable[StepRun]:
     """Return gangs of which only some members are placed."""
     for job in cell.unfinished_job_by_id.values():
-        if job.is_over or not job.has_started or cell.is_blocked(job):
+        if job.is_finished or not job.has_started or cell.is_blocked(job):
             continue
-        for step in job.ready_steps(wall):
+        for step in job.ready_steps(unix_time):
             if step.step.gang and 0 < step.waiting < len(step.tasks):
                 yield step
 
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -70,10 +70,10 @@
         #: Jobs that this plan has begun to block.
         self.newly_blocked: list[JobRun] = []
 
-    def begin_plan(self, candidates: Iterable[Candidate], now: float, wall: float) -> None:
+    def begin_plan(self, candidates: Iterable[Candidate], now: float, unix_time: float) -> None:
         """Begin a plan; gangs that are no longer candidates are forgotten."""
         self._now = now
-        self._cell.quotas.refresh(now, wall)
+        self._cell.quotas.refresh(now, unix_time)
         self._claimed_by_account.clear()
         self.newly_blocked = []
         self._wait_by_gang = {
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -37,9 +37,9 @@
         self._unseen_by_account: dict[str, Demand] = {}
         self._refreshed_at = float('-inf')
 
-    def expect_leftovers(self, job: str, progress: Progress, wall: float) -> None:
+    def expect_leftovers(self, job: str, progress: Progress, unix_time: float) -> None:
         """Count what a finished job may have left running, as an earlier owner stored it."""
-        if wall - progress.ended_at > LEFTOVER_SECONDS:
+        if unix_time - progress.ended_at > LEFTOVER_SECONDS:
             return
         for leftover in progress.leftovers:
             self._leftover_by_job_and_runner[job, leftover.runner] = (
@@ -47,22 +47,22 @@
                 leftover.demand,
             )
 
-    def leftovers_of(self, job: JobRun, wall: float) -> tuple[Leftover, ...]:
+    def leftovers_of(self, job: JobRun, unix_time: float) -> tuple[Leftover, ...]:
         """Return the demand of the runs that a job still has, or may have, by runner."""
         demand_by_runner: dict[str, Demand] = {}
         for held in self._allocations.allocations_of_job(job.id):
             before = demand_by_runner.get(held.runner, Demand())
             demand_by_runner[held.runner] = before + held.demand
-        remaining = job.remaining_demand(wall)
+        remaining = job.remaining_demand(unix_time)
         for runner in self._unseen_runners(job):
             demand_by_runner[runner] = remaining.at_most(self._capacity({runner}))
         return tuple(Leftover(*entry) for entry in sorted(demand_by_runner.items()))
 
-    def keep_leftovers(self, job: JobRun, wall: float) -> None:
+    def keep_leftovers(self, job: JobRun, unix_time: float) -> None:
         """Keep counting what a finished job may have left on unseen runners."""
         if not self._unseen:
             return
-        for leftover in self.leftovers_of(job, wall):
+        for leftover in self.leftovers_of(job, unix_time):
             if leftover.runner in self._unseen:
                 self._leftover_by_job_and_runner[job.id, leftover.runner] = (
                     job.account,
@@ -80,30 +80,30 @@
         """
         return None if quota is None else quota - self.used(account)
 
-    def refresh(self, now: float, wall: float) -> None:
+    def refresh(self, now: float, unix_time: float) -> None:
         """Recount what may run on unseen runners, if that is due."""
         if now < self._refreshed_at + UNSEEN_REFRESH_SECONDS:
             return
         self._refreshed_at = now
         self._unseen_by_account = {}
         if self._unseen:
-            self._count_unseen(wall)
+            self._count_unseen(unix_time)
         for key, (account, demand) in tuple(self._leftover_by_job_and_runner.items()):
             if self._may_still_run(*key):
                 self._count(account, demand)
             else:
                 self._leftover_by_job_and_runner.pop(key)
 
-    def _count_unseen(self, wall: float) -> None:
+    def _count_unseen(self, unix_time: float) -> None:
         """Count the waiting tasks of jobs that may run on unseen runners, up to their capacity."""
         runners_by_account: dict[str, set[str]] = {}
         for job in self._allocations.unfinished_job_by_id.values():
             runners = self._unseen_runners(job)
-            if not job.account or not runners or job.is_over:
+            if not job.account or not runners or job.is_finished:
                 continue
             runners_by_account.setdefault(job.account, set()).update(runners)
             capacity = self._capacity(runners)
-            self._count(job.account, job.remaining_demand(wall).at_most(capacity))
+            self._count(job.account, job.remaining_demand(unix_time).at_most(capacity))
         for account, runners in runners_by_account.items():
             counted = self._unseen_by_account[account]
             self._unseen_by_account[account] = counted.at_most(self._capacity(runners))
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -191,7 +191,7 @@
             allocations.stop(allocation)
             return
         step, task = found
-        if job.is_over or task.phase is TaskPhase.DONE:
+        if job.is_finished or task.phase is TaskPhase.DONE:
             allocations.stop(allocation)
             return
         if task.phase is TaskPhase.PLACED:
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -51,7 +51,7 @@
         self.dirty = False
         #: Whether the submission is stored; nothing starts before.
         self.stored = True
-        #: The stored state, which clients are told.
+        #: The stored state, which is reported to clients.
         self.stored_state = JobState.QUEUED
         #: Runners on which its tasks may have been started, and the stored ones of them.
         self.runners: set[str] = set()
@@ -79,8 +79,8 @@
         return runner in self.stored_runners or ANY_RUNNER in self.stored_runners
 
     @property
-    def is_over(self) -> bool:
-        """Return whether the job has ended, so that nothing more is started."""
+    def is_finished(self) -> bool:
+        """Return whether the job is finished, so that nothing more is started."""
         return self.cancelled or self.state is JobState.COMPLETED or self.state is JobState.FAILED
 
     def steps(self, occurrence: int) -> list[StepRun]:
@@ -120,29 +120,29 @@
             self._objective = cached
         return cached[2]
 
-    def remaining_demand(self, wall: float) -> Demand:
+    def remaining_demand(self, unix_time: float) -> Demand:
         """Return the total demand of the waiting tasks of all due occurrences."""
         total = Demand()
-        for occurrence in range(self._done_occurrences, self.due_occurrences(wall)):
+        for occurrence in range(self._done_occurrences, self.due_occurrences(unix_time)):
             for step in self.steps(occurrence):
                 total += counted_demand(step).times(step.waiting)
         return total
 
-    def due_occurrences(self, wall: float) -> int:
-        """Return how many occurrences are due at the Unix time ``wall``."""
+    def due_occurrences(self, unix_time: float) -> int:
+        """Return how many occurrences are due at the Unix time ``unix_time``."""
         if not self.spec.repeat_count:
             return 1
-        since = wall - self.spec.first_run
+        since = unix_time - self.spec.first_run
         if since < 0:
             return 0
         if not self.spec.interval:
             return self.spec.occurrences
         return min(self.spec.occurrences, int(since / self.spec.interval) + 1)
 
-    def ready_steps(self, wall: float) -> list[StepRun]:
+    def ready_steps(self, unix_time: float) -> list[StepRun]:
         """Return the due steps with waiting tasks whose dependencies are complete."""
         ready = []
-        for occurrence in range(self._done_occurrences, self.due_occurrences(wall)):
+        for occurrence in range(self._done_occurrences, self.due_occurrences(unix_time)):
             steps = self.steps(occurrence)
             for step in steps:
                 if not step.waiting:
@@ -155,13 +155,13 @@
         """Return how many times any task has been placed, released or finished."""
         return sum(step.changes for steps in self._steps_by_occurrence.values() for step in steps)
 
-    def unfinished_steps(self, wall: float) -> list[StepRun]:
+    def unfinished_steps(self, unix_time: float) -> list[StepRun]:
         """Return the due incomplete steps whose dependencies are complete.
 
         A long-running step is left out once all its tasks are placed.
         """
         unfinished = []
-        for occurrence in range(self._done_occurrences, self.due_occurrences(wall)):
+        for occurrence in range(self._done_occurrences, self.due_occurrences(unix_time)):
             steps = self.steps(occurrence)
             for step in steps:
                 if step.complete or (step.step.long_running and not step.waiting):
@@ -195,7 +195,7 @@
         self.dirty = True
         task = step.tasks[index]
         task.failures += 1
-        if task.failures >= max_failures and not step.step.long_running and not self.is_over:
+        if task.failures >= max_failures and not step.step.long_running and not self.is_finished:
             self.state = JobState.FAILED
 
     def note_crashed(self, name: TaskName, run: int, *, during_start: bool) -> bool:
@@ -204,7 +204,7 @@
         After too many crashes the job has failed, even if its step is long-running.
         """
         found = self.find_task(name)
-        if found is None or self.is_over or found[1].phase is TaskPhase.DONE:
+        if found is None or self.is_finished or found[1].phase is TaskPhase.DONE:
             return False
         if not self.crashes.record_crash(name, run, during_start=during_start):
             return False
@@ -216,7 +216,7 @@
 
     def note_complete(self) -> bool:
         """Mark the whole job as complete; return whether it was unfinished."""
-        if self.is_over:
+        if self.is_finished:
             return False
         self.state = JobState.COMPLETED
         self.dirty = True
@@ -283,7 +283,7 @@
         Happens if a client repeats its request while this owner has read only a part of the
         store: the owner then takes a finished job for a new one.
         """
-        if progress is None or self.is_over or progress.state not in FINAL_STATES:
+        if progress is None or self.is_finished or progress.state not in FINAL_STATES:
             return False
         self.restore(progress)
         return True
@@ -291,16 +291,16 @@
     def progress(
         self,
         epoch: int,
-        wall: float,
+        unix_time: float,
         leftovers: tuple[Leftover, ...] = (),
     ) -> Progress:
         """Return the record to store; ``leftovers`` apply to a finished job only."""
-        if self.is_over and not self.ended_at:
-            self.ended_at = wall
+        if self.is_finished and not self.ended_at:
+            self.ended_at = unix_time
         done = []
         # Of a finished job only the state is needed.
         for occurrence, steps in self._steps_by_occurrence.items():
-            if self.is_over:
+            if self.is_finished:
                 break
             for step in steps:
                 if not step.done:
@@ -311,9 +311,9 @@
                     if task.phase is TaskPhase.DONE
                 )
                 done.append(DoneTasks(occurrence, step.name.step, f'{mask:x}'))
-        failed = () if self.is_over else tuple(sorted(self._failed_runs, key=_failed_sort_key))
+        failed = () if self.is_finished else tuple(sorted(self._failed_runs, key=_failed_sort_key))
         state = JobState.CANCELLED if self._shows_cancelled() else self.state
-        if self.is_over:
+        if self.is_finished:
             return Progress(
                 epoch,
                 state,
@@ -348,7 +348,7 @@
 
     def _check_complete(self) -> None:
         self._skip_done_occurrences()
-        if self._done_occurrences == self.spec.occurrences and not self.is_over:
+        if self._done_occurrences == self.spec.occurrences and not self.is_finished:
             self.state = JobState.COMPLETED
 
     def _skip_done_occurrences(self) -> None:
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -50,7 +50,7 @@
         self._progress_by_job: dict[str, _Progress] = {}
         self._checked_at = float('-inf')
 
-    def find(self, now: float, wall: float) -> list[StalledJob]:
+    def find(self, now: float, unix_time: float) -> list[StalledJob]:
         """Return the stalled jobs that are due for a report, longest stall first."""
         if now - self._checked_at < CHECK_INTERVAL_SECONDS:
             return []
@@ -58,7 +58,7 @@
         candidates = sorted(self._find_candidates(now), key=_since)
         stalled: list[StalledJob] = []
         for progress, job in candidates:
-            steps = job.unfinished_steps(wall)
+            steps = job.unfinished_steps(unix_time)
             held = self._cell.allocations_of_job(job.id)
             if len(stalled) == MAX_JOBS:
                 break
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -76,18 +76,18 @@
     cell: Cell,
     make_rank: Callable[[RankInputs], Rank],
     now: float,
-    wall: float,
+    unix_time: float,
 ) -> list[Candidate]:
     """Return the steps that are ready to start, the most urgent first."""
     candidates = []
-    cell.drop_finished_jobs(wall)
+    cell.drop_finished_jobs(unix_time)
     for job in cell.unfinished_job_by_id.values():
-        if job.is_over or cell.is_blocked(job):
+        if job.is_finished or cell.is_blocked(job):
             continue
         queue = cell.queue_of(job)
         priority = queue.priority if queue else 0
         objective = cell.objective_of(job)
-        for step in job.ready_steps(wall):
+        for step in job.ready_steps(unix_time):
             if now < step.not_before:
                 continue
             lateness = _lateness(now + step.step.estimate, job.accepted_at, objective)
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -42,9 +42,9 @@
 class PeerLinks:
     """The connections of this host to the other members, one for each address."""
 
-    def __init__(self, me: str, clock: Clock) -> None:
-        """Send messages as the host ``me``."""
-        self._me = me
+    def __init__(self, own_host: str, clock: Clock) -> None:
+        """Send messages as the host ``own_host``."""
+        self._own_host = own_host
         self._clock = clock
         self._peer_clocks = PeerClocks()
         self._traffic = TrafficCounter()
@@ -55,7 +55,7 @@
         address = (member.address, member.port)
         link = self._link_by_address.get(address)
         if link is None:
-            link = PeerLink(*address, self._me, self._clock, self._peer_clocks, self._traffic)
+            link = PeerLink(*address, self._own_host, self._clock, self._peer_clocks, self._traffic)
             self._link_by_address[address] = link
         return await link.request(message, timeout)
 
@@ -77,7 +77,7 @@
         message: Any = frame.message
         step = StepName(message.job, message.occurrence, message.step)
         try:
-            permits = await self.request(step, message.runners, message.patience)
+            permits = await self.request(step, message.runners, message.timeout)
         except AdviceError:
             return AdviceGiven(answered=False)
         return AdviceGiven(True, tuple((permit.runner, permit.ticket) for permit in permits))
@@ -99,7 +99,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_host: str,
         members: Callable[[], dict[str, Member]],
         links: PeerLinks,
         local: LocalAdvisor,
@@ -109,7 +109,7 @@
         failed: OnFailed,
     ) -> None:
         """Call ``answered`` with each answer and ``failed`` with each request that failed."""
-        self._me = me
+        self._own_host = own_host
         self._members = members
         self._links = links
         self._local = local
@@ -157,8 +157,8 @@
         return max(1, int(NON_URGENT_SHARE * len(self._members())))
 
     def _free_host(self) -> str | None:
-        if self._me not in self._busy:
-            return self._me
+        if self._own_host not in self._busy:
+            return self._own_host
         now = self._clock.monotonic()
         for host in self._members():
             if host in self._busy or self._backoff_until_by_host.get(host, 0) > now:
@@ -197,7 +197,7 @@
         timeout: float,
     ) -> tuple[Permit, ...]:
         step = request.step
-        if host == self._me:
+        if host == self._own_host:
             return await self._local.request(step, request.runners, timeout)
         query = AdviceWanted(step.job, step.occurrence, step.step, request.runners, timeout)
         member = self._members().get(host)
--- a/dandelionreel/cell/membership/_claim_order.py
+++ b/dandelionreel/cell/membership/_claim_order.py
@@ -30,37 +30,39 @@
     return sorted(member_by_host, key=lambda host: (-member_by_host[host].cores, host))
 
 
-def claim_delay(member_by_host: Mapping[str, Member], me: str, former: str) -> float:
-    """Return how many seconds ``me`` waits before it claims the cell from the owner ``former``."""
+def claim_delay(member_by_host: Mapping[str, Member], own_host: str, former: str) -> float:
+    """Return how many seconds ``own_host`` waits before it claims the cell from ``former``."""
     others = [host for host in rank_hosts(member_by_host) if host != former]
-    rank = others.index(me) if me in others else len(others)
+    rank = others.index(own_host) if own_host in others else len(others)
     delay = min(MAX_CLAIM_DELAY_SECONDS, rank * CLAIM_STAGGER_SECONDS)
-    return delay + SMALL_HOST_DELAY_SECONDS if larger_hosts(member_by_host, me) else delay
+    return delay + SMALL_HOST_DELAY_SECONDS if larger_hosts(member_by_host, own_host) else delay
 
 
-def is_successor(member_by_host: Mapping[str, Member], me: str) -> bool:
-    """Return whether ``me`` is one of the first hosts to claim, or is not a member yet."""
-    return me not in member_by_host or me in rank_hosts(member_by_host)[:SUCCESSOR_COUNT]
+def is_successor(member_by_host: Mapping[str, Member], own_host: str) -> bool:
+    """Return whether ``own_host`` is one of the first hosts to claim, or is not a member yet."""
+    return (
+        own_host not in member_by_host or own_host in rank_hosts(member_by_host)[:SUCCESSOR_COUNT]
+    )
 
 
-def follows_runner_list(member_by_host: Mapping[str, Member], me: str) -> bool:
-    """Return whether ``me`` follows the runner list, as a successor or for its zone."""
-    own = member_by_host.get(me)
-    if own is None or is_successor(member_by_host, me):
+def follows_runner_list(member_by_host: Mapping[str, Member], own_host: str) -> bool:
+    """Return whether ``own_host`` follows the runner list, as a successor or for its zone."""
+    own = member_by_host.get(own_host)
+    if own is None or is_successor(member_by_host, own_host):
         return True
     same_zone = [
         host for host in rank_hosts(member_by_host) if _is_same_zone(member_by_host, host, own)
     ]
-    return me in same_zone[:FOLLOWERS_PER_ZONE]
+    return own_host in same_zone[:FOLLOWERS_PER_ZONE]
 
 
 def _is_same_zone(member_by_host: Mapping[str, Member], host: str, own: Member) -> bool:
     return member_by_host[host].zone == own.zone
 
 
-def larger_hosts(member_by_host: Mapping[str, Member], me: str) -> list[str]:
-    """Return the hosts with enough cores to own a large cell if ``me`` has too few, else none."""
-    own = member_by_host.get(me)
+def larger_hosts(member_by_host: Mapping[str, Member], own_host: str) -> list[str]:
+    """Return the hosts that can own a large cell if ``own_host`` has too few cores, else none."""
+    own = member_by_host.get(own_host)
     if own is None or own.cores >= MIN_OWNER_CORES:
         return []
     return [
@@ -70,18 +72,18 @@
 
 def find_zone_writer(
     member_by_host: Mapping[str, Member],
-    me: str,
+    own_host: str,
     excluded: Collection[str],
 ) -> str | None:
-    """Return the host that writes to the store for ``me``, or ``None`` if ``me`` writes itself.
+    """Return the host that writes to the store for ``own_host``; ``None`` if it writes itself.
 
     Hosts in ``excluded`` do not answer or cannot write.
     """
-    own = member_by_host.get(me)
+    own = member_by_host.get(own_host)
     if own is None:
         return None
     for host in rank_hosts(member_by_host):
-        if host == me:
+        if host == own_host:
             return None
         if member_by_host[host].zone == own.zone and host not in excluded:
             return host
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -29,15 +29,15 @@
 
     def __init__(
         self,
-        me: str,
+        own_host: str,
         cell_state: CellState,
         links: PeerLinks,
         completions: Completions,
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Send reports as the host ``me`` for the unreported jobs in ``completions``."""
-        self._me = me
+        """Send reports as the host ``own_host`` for the unreported jobs in ``completions``."""
+        self._own_host = own_host
         self._cell_state = cell_state
         self._links = links
         self._completions = completions
@@ -75,7 +75,7 @@
 
     def _find_owner(self) -> Member | None:
         owner = self._cell_state.owner
-        if owner is None or owner.host == self._me:
+        if owner is None or owner.host == self._own_host:
             return None
         return self._cell_state.member_by_host.get(owner.host)
 
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -1,7 +1,7 @@
 """Jobs that a host knows to be complete before the store does. No I/O.
 
-Load pattern: the store is unavailable or slow while tasks end. The owner tells its peers which
-jobs are complete, and each of them may then answer clients. A takeover does not revert that: the
+Load pattern: the store is unavailable or slow while tasks end. The owner reports complete
+jobs to its peers, and each of them may then answer clients. A takeover does not revert that: the
 next owner reads the ended runs from the runners, which keep them until acknowledged, and queries
 the peers in case a runner has crashed. Model: ``spec/completions.py``.
 """
@@ -17,7 +17,7 @@
 
 
 class Completions:
-    """The completed jobs that this host was told of, or found as the owner."""
+    """The completed jobs that were reported to this host, or that it found as the owner."""
 
     def __init__(self, clock: Clock) -> None:
         """Start with no jobs."""
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_host: str,
         cell_state: CellState,
         links: PeerLinks,
         projection: ConfigurationProjection,
@@ -45,11 +45,11 @@
         journal: Journal,
         seeds: Sequence[Member] = (),
     ) -> None:
-        """Query peers as the host ``me``; ``store_answered_at()`` is in monotonic seconds.
+        """Query peers as the host ``own_host``; ``store_answered_at()`` is in monotonic seconds.
 
         ``seeds`` are queried while no peer is known.
         """
-        self._me = me
+        self._own_host = own_host
         self._cell_state = cell_state
         self._links = links
         self._projection = projection
@@ -122,7 +122,7 @@
 
     def _peers(self) -> list[tuple[str, Member]]:
         members = self._cell_state.member_by_host.items()
-        others = [(host, member) for host, member in members if host != self._me]
+        others = [(host, member) for host, member in members if host != self._own_host]
         return others or [(seed.address, seed) for seed in self._seeds]
 
     async def _query_peer(self, host: str, member: Member) -> None:
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -279,11 +279,11 @@
             or self._is_unreachable_and_silent(now)
         ):
             return Vacancy.VACANT
-        heard_at = self._projection.owner_heartbeat_at
+        heartbeat_at = self._projection.owner_heartbeat_at
         silent = max(SILENT_SECONDS, SILENT_GAP_FACTOR * self._projection.average_heartbeat_gap)
-        if heard_at < self._follower.reachable_since:
-            heard_at, silent = self._follower.reachable_since, SILENT_AFTER_OUTAGE_SECONDS
-        if now - heard_at < silent or now < self._known_alive_until:
+        if heartbeat_at < self._follower.reachable_since:
+            heartbeat_at, silent = self._follower.reachable_since, SILENT_AFTER_OUTAGE_SECONDS
+        if now - heartbeat_at < silent or now < self._known_alive_until:
             return Vacancy.HELD
         return Vacancy.SILENT
 
@@ -342,7 +342,7 @@
     async def _claim_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
         former = self._projection.state.owner
-        heard_at = self._projection.owner_heartbeat_at
+        heartbeat_at = self._projection.owner_heartbeat_at
         fence = self._next_fence(former)
         claimed_at = self._clock.monotonic()
         self._journal.log(
@@ -350,7 +350,7 @@
             'claims the cell.',
             epoch=fence.epoch,
             former=former.term if former else '',
-            silent_seconds=seconds_or_none(claimed_at - heard_at),
+            silent_seconds=seconds_or_none(claimed_at - heartbeat_at),
             usual_gap=round(self._projection.average_heartbeat_gap, 3),
             unheard=self._is_unreachable(claimed_at),
             conditional=expected_end is not None,
@@ -360,12 +360,12 @@
             # Find out who has won first: another claim now would replace the winner.
             await self._catch_up()
             return None
-        self._log_ownership(fence.epoch, former, heard_at)
+        self._log_ownership(fence.epoch, former, heartbeat_at)
         return Term(
             fence.epoch,
             self.incarnation,
             WriterFence(fence.epoch, fence.sequence + 1),
-            heard_at if former else None,
+            heartbeat_at if former else None,
             bool(former and former.released),
             former is not None and self._has_ended(former),
             former.unsettled if former else 0,
@@ -422,13 +422,13 @@
             return error.verdict is not Verdict.NOT_RUN
         return True
 
-    def _log_ownership(self, epoch: int, former: Owner | None, heard_at: float) -> None:
+    def _log_ownership(self, epoch: int, former: Owner | None, heartbeat_at: float) -> None:
         self._journal.log(
             Part.OWNERSHIP,
             'owns the cell.',
             epoch=epoch,
             former=former.host if former else '',
-            silent_seconds=seconds_or_none(self._clock.monotonic() - heard_at),
+            silent_seconds=seconds_or_none(self._clock.monotonic() - heartbeat_at),
         )
 
     async def _confirm_claim(self, epoch: int) -> bool:
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -30,10 +30,10 @@
     """Keeps a connection to the owner's process and reports when it is refused."""
 
     def __init__(
-        self, me: str, cell_state: CellState, election: Election, journal: Journal
+        self, own_host: str, cell_state: CellState, election: Election, journal: Journal
     ) -> None:
         """Report refused connections to ``election``."""
-        self._me = me
+        self._own_host = own_host
         self._cell_state = cell_state
         self._election = election
         self._journal = journal
@@ -43,7 +43,7 @@
         while True:
             owner = self._cell_state.owner
             member = None if owner is None else self._cell_state.member_by_host.get(owner.host)
-            if owner is None or member is None or owner.host == self._me or owner.released:
+            if owner is None or member is None or owner.host == self._own_host or owner.released:
                 await curio.sleep(POLL_SECONDS)
                 continue
             if await self._is_dead(owner, member):
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -22,7 +22,7 @@
 
 
 class PartitionDetector:
-    """Tells whether this host is cut off from the store and all other zones.
+    """Detects whether this host is cut off from the store and all other zones.
 
     Peers are queried only while the store is silent or after a failed attempt to store something,
     and at most once in ``QUERY_INTERVAL_SECONDS``.
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_host: str,
         zone: str,
         cell_state: CellState,
         links: PeerLinks,
@@ -38,8 +38,8 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Run for the host ``me`` in ``zone``; ``store_answered_at()`` is in monotonic seconds."""
-        self._me = me
+        """Run for the host ``own_host`` in ``zone``; ``store_answered_at()`` is monotonic."""
+        self._own_host = own_host
         self._zone = zone
         self._cell_state = cell_state
         self._links = links
--- a/dandelionreel/cell/membership/_zone_contact.py
+++ b/dandelionreel/cell/membership/_zone_contact.py
@@ -41,7 +41,7 @@
     def is_cut_off(self, zones: Iterable[str], store_answered_at: float, now: float) -> bool:
         """Return whether neither the store nor any of the other ``zones`` replies.
 
-        A host that knows no other zone cannot tell, and counts as connected.
+        A host that knows no other zone cannot detect a partition, and counts as connected.
         """
         other_zones = tuple(zones)
         if not other_zones or now - store_answered_at < STORE_SILENT_SECONDS:
--- a/dandelionreel/cell/model/_records.py
+++ b/dandelionreel/cell/model/_records.py
@@ -20,7 +20,7 @@
 MEMBER_PREFIX = 'm/'
 RUNNERS_IN_USE_KEY = 'runners'
 
-#: How long a successor waits for leases of the previous owner that it knows nothing about, as only
+#: How long a successor waits for leases of the former owner that it knows nothing about, as only
 #: that owner renewed them. Also used if the record of the owner cannot be read.
 PREDECESSOR_LEASE_SECONDS = 17.8
 #: No owner writes more; an absurd value would keep its successor from ever starting tasks.
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -14,7 +14,7 @@
     TaskName,
 )
 from dandelionreel.cell.model._unreadable import UnreadableError
-from dandelionreel.http import Answer
+from dandelionreel.http import Response
 from dandelionreel.kernel import Verdict
 
 #: Called right before a request is sent; a false result prevents it.
@@ -294,19 +294,19 @@
         """Decode a job from a request body; raises ``SubmissionError``."""
 
     @abc.abstractmethod
-    def answer_accepted(self) -> Answer:
+    def answer_accepted(self) -> Response:
         """Answer that the request has been stored."""
 
     @abc.abstractmethod
-    def answer_state(self, state: JobState) -> Answer:
+    def answer_state(self, state: JobState) -> Response:
         """Answer with a job's state."""
 
     @abc.abstractmethod
-    def answer_pending(self, count: int) -> Answer:
+    def answer_pending(self, count: int) -> Response:
         """Answer with the number of jobs of a queue that have not started."""
 
     @abc.abstractmethod
-    def answer_unknown_job(self) -> Answer:
+    def answer_unknown_job(self) -> Response:
         """Answer that no such job exists."""
 
 
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -84,7 +84,7 @@
         return [(host, members[host]) for host in first]
 
     async def _announce(self, jobs: tuple[str, ...]) -> None:
-        """Send completions to all successors; one acknowledgement allows clients to be told."""
+        """Send completions to all successors; clients may be informed after one acknowledgement."""
         message = CompletionsTold(self._owner_context.term.epoch, jobs)
         for host, member in self._successors():
             await curio.spawn(partial(self._announce_to, host, member, message), daemon=True)
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -150,7 +150,7 @@
         if known is not None and known.stored:
             return WriteOutcome.STORED
         stored_job = StoredJob(job_id, submission, cancelled=False, progress=None)
-        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
+        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.unix_time())
         job = self.cell.job_by_id[job_id]
         self._log_rate_exceeded(job)
         job.stored = False
@@ -165,7 +165,7 @@
 
     async def cancel(self, job_id: str, timeout: float) -> WriteOutcome:
         """Store a client's cancellation of a job, then stop its tasks."""
-        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.wall()))
+        record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.unix_time()))
         write_task = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
         return await curio.ignore_after(timeout, write_task.join) or WriteOutcome.UNKNOWN
 
@@ -213,7 +213,7 @@
         if outcome is WriteOutcome.STORED:
             job.stored = True
         elif outcome is WriteOutcome.REFUSED and not job.stored:
-            self.cell.forget_job(job.id, self._clock.wall())
+            self.cell.forget_job(job.id, self._clock.unix_time())
         await self._owner_context.plan_needed.notify()
         return outcome
 
@@ -250,9 +250,9 @@
         # In order of acceptance, since an account expects its earlier jobs to be served first.
         for job_id in sorted(cell_state.submission_by_id, key=cell_state.accepted_at):
             self._update_job(job_id)
-        wall = self._clock.wall()
+        unix_time = self._clock.unix_time()
         for job_id, progress in cell_state.progress_by_id.items():
-            self.cell.quotas.expect_leftovers(job_id, progress, wall)
+            self.cell.quotas.expect_leftovers(job_id, progress, unix_time)
 
     def _unsettled_seconds(self) -> float:
         """Return for how many more seconds leases of earlier owners may last on unseen runners.
@@ -276,7 +276,7 @@
                 heartbeat, self._unsettled_seconds(), version=version
             )
             records = [make_record(OWNER_KEY, owner_record)]
-            # Includes runners that only a previous owner has seen: if this owner is killed, its
+            # Includes runners that only a former owner has seen: if this owner is killed, its
             # successor has to wait for them as well.
             runners_in_use = frozenset(self.cell.runner_by_id) | self.cell.unseen_runners
             if runners_in_use != stored:
@@ -323,25 +323,25 @@
     def _update_job(self, job_id: str) -> None:
         stored_job = self._dependencies.jobs.state.find(job_id)
         if stored_job is not None and stored_job.unreadable:
-            self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
+            self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.unix_time())
             return
         if stored_job is None or stored_job.submission is None:
             self._forget_job(job_id, stored_job)
             return
-        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.wall())
+        self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.unix_time())
         self.cell.job_by_id[job_id].stored = True
 
     def _forget_job(self, job_id: str, stored_job: StoredJob | None) -> None:
         job = self.cell.job_by_id.get(job_id)
-        if job is not None and not job.is_over:
+        if job is not None and not job.is_finished:
             self._journal.log(
                 Part.JOBS,
-                f'job {job_id} is unfinished here but over in the store.',
+                f'job {job_id} is unfinished here but finished in the store.',
                 job=job_id,
                 state=job.state.value,
                 stored=stored_job.state.value if stored_job else None,
             )
-        self.cell.forget_job(job_id, self._clock.wall())
+        self.cell.forget_job(job_id, self._clock.unix_time())
 
     async def _run_planner(self) -> None:
         while True:
@@ -361,7 +361,7 @@
         started_at = self._clock.monotonic()
         plan = self._planner.plan(
             started_at,
-            self._clock.wall(),
+            self._clock.unix_time(),
             self._pool.free_for_non_urgent,
             self._order_sender.free_starts,
         )
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -49,15 +49,15 @@
         totals.preempted += len(plan.preempted)
         totals.advice_requests += len(plan.advice_requests)
 
-    def report(self, now: float, wall: float, epoch: int) -> None:
+    def report(self, now: float, unix_time: float, epoch: int) -> None:
         """Log stalled jobs, and the load if tasks wait, unless the last report is too recent."""
         if now < self._reported_at + REPORT_SECONDS:
             return
         self._reported_at = now
         totals = self._totals
         self._totals = _PlanTotals()
-        self._log_stalled(now, wall, epoch)
-        waiting = self._count_waiting(wall)
+        self._log_stalled(now, unix_time, epoch)
+        waiting = self._count_waiting(unix_time)
         if not waiting:
             return
         runners = self._cell.runner_by_id.values()
@@ -83,8 +83,8 @@
             questions=totals.advice_requests,
         )
 
-    def _log_stalled(self, now: float, wall: float, epoch: int) -> None:
-        for stalled in self._stalled.find(now, wall):
+    def _log_stalled(self, now: float, unix_time: float, epoch: int) -> None:
+        for stalled in self._stalled.find(now, unix_time):
             self._journal.log(
                 Part.PLACEMENT,
                 f'job {stalled.job} makes no progress.',
@@ -97,13 +97,13 @@
                 runs=stalled.runs,
             )
 
-    def _count_waiting(self, wall: float) -> Counter[str]:
+    def _count_waiting(self, unix_time: float) -> Counter[str]:
         """Return the number of waiting tasks whose step is ready, by queue."""
         waiting: Counter[str] = Counter()
         for job in self._cell.unfinished_job_by_id.values():
-            if job.is_over:
+            if job.is_finished:
                 continue
-            count = sum(step.waiting for step in job.ready_steps(wall))
+            count = sum(step.waiting for step in job.ready_steps(unix_time))
             if count:
                 waiting[job.submission.queue] += count
             if count and self._cell.is_blocked(job):
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -160,7 +160,7 @@
     async def flush(self) -> WriteOutcome:
         """Store the progress of all changed jobs and wait for writes that are already queued.
 
-        A job whose progress is already queued has nothing more to write. If a write is given up
+        A job whose progress is already queued has nothing more to write. If a write is abandoned
         meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
         although it is not in the store.
         """
@@ -253,13 +253,13 @@
             )
 
     def _make_progress(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
-        wall = self.clock.wall()
+        unix_time = self.clock.unix_time()
         progress_by_job = {}
         for job in jobs:
-            leftovers = self.cell.leftovers_of(job, wall) if job.is_over else ()
-            progress = job.progress(self.term.epoch, wall, leftovers)
+            leftovers = self.cell.leftovers_of(job, unix_time) if job.is_finished else ()
+            progress = job.progress(self.term.epoch, unix_time, leftovers)
             progress_by_job[job] = progress
-            if job.is_over:
+            if job.is_finished:
                 self.journal.log(
                     Part.JOBS,
                     f'job {job.id} is {progress.state.value}.',
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -57,7 +57,7 @@
         self.predecessor_leases = PredecessorLeases(
             context.term, context.lease, dependencies.clock.monotonic()
         )
-        self._term_began_at = dependencies.clock.monotonic()
+        self._term_started_at = dependencies.clock.monotonic()
         self._last_drop_at = float('-inf')
         self._runner_list_was_fresh = True
 
@@ -88,7 +88,7 @@
         await self._update_runners(stack)
         await self._drop_unseen_runners(now)
         self._apply_preventive_stops(now)
-        self._load_report.report(now, self._clock.wall(), self._owner_context.term.epoch)
+        self._load_report.report(now, self._clock.unix_time(), self._owner_context.term.epoch)
         await self._drop_old_jobs()
 
     def _log_runner_list_age(self) -> None:
@@ -119,7 +119,7 @@
             return
         await self._drop_replaced_runners()
         if self.predecessor_leases.shorten_if_ended(self._dependencies.jobs.state, now):
-            self._log_unseen('the previous owner has ended.', now)
+            self._log_unseen('the former owner has ended.', now)
         if now > self.predecessor_leases.end_at:
             unseen = tuple(self._cell.unseen_runners)
             confirmed = [runner for runner in unseen if await self._zone_is_confirmed(runner)]
@@ -131,13 +131,15 @@
         """Treat tasks on runner incarnations as ended that a later incarnation has replaced."""
         replaced = []
         for incarnation, later in self._cell.find_replaced_runners().items():
-            if await self._owner_context.confirm_zone(later.registration.zone, self._term_began_at):
+            if await self._owner_context.confirm_zone(
+                later.registration.zone, self._term_started_at
+            ):
                 replaced.append(incarnation)
         if not replaced:
             return
         self._journal.log(
             Part.OWNERSHIP,
-            'runners have restarted since the previous owner used them.',
+            'runners have restarted since the former owner used them.',
             epoch=self._owner_context.term.epoch,
             runners=replaced,
         )
@@ -148,7 +150,7 @@
         registration = self._dependencies.runners.find(runner)
         if registration is None:
             return True
-        return await self._owner_context.confirm_zone(registration.zone, self._term_began_at)
+        return await self._owner_context.confirm_zone(registration.zone, self._term_started_at)
 
     def _log_unseen(self, sentence: str, now: float) -> None:
         self._journal.log(
@@ -164,7 +166,7 @@
 
     def _apply_preventive_stops(self, now: float) -> None:
         """Stop gangs that stay incomplete, and tasks on runners that are draining."""
-        for step in stop_incomplete_gangs(self._cell, now, self._clock.wall()):
+        for step in stop_incomplete_gangs(self._cell, now, self._clock.unix_time()):
             self._journal.log_sampled(
                 Part.PLACEMENT,
                 'stopped a gang that was not completely started in time.',
@@ -209,7 +211,7 @@
         if now < self._last_drop_at + DROP_CHECK_SECONDS:
             return
         self._last_drop_at = now
-        oldest = self._clock.wall() - self._dependencies.status_retention * 2
+        oldest = self._clock.unix_time() - self._dependencies.status_retention * 2
         records: list[KeyedRecord] = []
         for job_id in self._dependencies.jobs.state.jobs_ended_before(oldest):
             records.extend(
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -22,13 +22,13 @@
 
 
 class PredecessorLeases:
-    """The time at which the leases of all earlier owners are over, computed as a term begins."""
+    """The time at which all leases of earlier owners have expired, computed as a term begins."""
 
     def __init__(self, term: Term, lease: float, now: float) -> None:
         """Compute the end as of ``now``; earlier owners grant leases of ``lease`` seconds."""
-        self._previous_owner = term.former
+        self._former_owner = term.former
         self._lease = lease_upper_bound(lease)
-        # A previous owner that was killed may itself have succeeded one that is partitioned and
+        # A former owner that was killed may itself have succeeded one that is partitioned and
         # still renews leases.
         self._earlier_leases_end_at = now + term.unsettled
         self.silent_seconds = 0.0 if term.silent_since is None else now - term.silent_since
@@ -40,16 +40,12 @@
         self.end_at = max(now + remaining_authority + self._lease, self._earlier_leases_end_at)
 
     def shorten_if_ended(self, cell_state: CellState, now: float) -> bool:
-        """Set an earlier end once the previous owner has ended; return whether that is newly found.
+        """Set an earlier end once the former owner has ended; return whether that is newly found.
 
         If its host is back with a new process, the old process renews no more leases, and only the
         last lease that it granted is left to wait for.
         """
-        if (
-            self.ended
-            or self._previous_owner is None
-            or not cell_state.has_ended(self._previous_owner)
-        ):
+        if self.ended or self._former_owner is None or not cell_state.has_ended(self._former_owner):
             return False
         self.ended = True
         self.end_at = min(self.end_at, max(now + self._lease, self._earlier_leases_end_at))
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -1,4 +1,4 @@
-"""State of the cell, which every host folds from the records of the cell's topic in log order.
+"""State of the cell, built by every host from the records of the cell's topic in log order.
 
 A record that cannot be read leaves the known value of its key unchanged. Where there is none,
 the safe assumption is made: the job exists and must not be started, an owner may be acting,
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class StoredJob:
-    """The stored records of one job; without a submission it is over.
+    """The stored records of one job; without a submission it is finished.
 
     Of an unreadable record only the existence is known. Such a job is shown but not started,
     as it is not known which of its tasks are done.
@@ -68,7 +68,7 @@
 
     @property
     def unreadable(self) -> bool:
-        """Return whether the job is not over and a record needed to run it cannot be read."""
+        """Return whether the job is unfinished and a record needed to run it cannot be read."""
         if self.progress is not None and self.progress.state in FINAL_STATES:
             return False
         return self.submission_unreadable or self.progress_unreadable
@@ -104,7 +104,7 @@
 
 
 class CellState:
-    """Jobs, members and the owner, folded from records in log order.
+    """Jobs, members and the owner, built from records in log order.
 
     ``changed_jobs`` has the ids of jobs whose records changed since the last
     ``take_changed_jobs``.
@@ -115,7 +115,7 @@
         self.clear()
 
     def clear(self) -> None:
-        """Drop everything, before a snapshot is folded."""
+        """Drop everything, before a snapshot is applied."""
         self.submission_by_id: dict[str, Submission] = {}
         self.cancellation_by_id: dict[str, Cancellation] = {}
         self.progress_by_id: dict[str, Progress] = {}
@@ -149,7 +149,7 @@
         return stored if progress is not None and progress.state in FINAL_STATES else None
 
     def accepted_at(self, job: str) -> float:
-        """Return when a stored job was accepted, in wall-clock seconds."""
+        """Return when a stored job was accepted, in Unix time."""
         return self.submission_by_id[job].accepted_at
 
     def jobs_ended_before(self, wall_time: float) -> list[str]:
@@ -212,7 +212,7 @@
         # Clearing makes new collections, so the copy keeps the previous ones.
         previous = copy.copy(self)
         self.clear()
-        errors = self.fold(records)
+        errors = self.apply(records)
         if OWNER_KEY in self.unreadable_keys:
             self.owner = previous.owner or self._unknown_owner()
         if RUNNERS_IN_USE_KEY in self.unreadable_keys:
@@ -225,9 +225,9 @@
                 current[name] = last_known
         return errors
 
-    def fold(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
-        """Fold records in log order; return for each the error if it cannot be read."""
-        return [self._fold_or_mark_unreadable(record) for record in records]
+    def apply(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
+        """Apply records in log order; return for each the error if it cannot be read."""
+        return [self._apply_or_mark_unreadable(record) for record in records]
 
     def _unknown_owner(self) -> Owner:
         """Return a stand-in for an unreadable owner, with the highest epoch of any record.
@@ -239,9 +239,9 @@
             epochs.append(self.runners_in_use.epoch)
         return msgspec.structs.replace(UNKNOWN_OWNER, epoch=max(epochs, default=0))
 
-    def _fold_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
+    def _apply_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
         try:
-            self._fold_one(record)
+            self._apply_one(record)
         except UnreadableError as error:
             self._mark_unreadable(record.key)
             return error
@@ -258,12 +258,12 @@
         if prefix in {SUBMISSION_PREFIX, PROGRESS_PREFIX}:
             self.changed_jobs.add(name)
 
-    def _fold_one(self, record: KeyedRecord) -> None:
+    def _apply_one(self, record: KeyedRecord) -> None:
         if record.error is not None:
             raise record.error
         content = record.content
         if record.key == OWNER_KEY:
-            self._fold_owner(content)
+            self._apply_owner(content)
             return
         if record.key == RUNNERS_IN_USE_KEY:
             if content is not None:
@@ -271,23 +271,23 @@
             return
         prefix, name = record.key[: len(SUBMISSION_PREFIX)], record.key[len(SUBMISSION_PREFIX) :]
         if prefix == SUBMISSION_PREFIX:
-            self._fold_submission(name, content)
+            self._apply_submission(name, content)
         elif prefix == CANCELLATION_PREFIX:
             _set_or_remove(self.cancellation_by_id, name, content, _CANCELLATION)
             self.changed_jobs.add(name)
         elif prefix == PROGRESS_PREFIX:
-            self._fold_progress(name, content)
+            self._apply_progress(name, content)
         elif prefix == MEMBER_PREFIX:
             _set_or_remove(self.member_by_host, name, content, _MEMBER)
 
-    def _fold_owner(self, content: bytes | None) -> None:
+    def _apply_owner(self, content: bytes | None) -> None:
         if content is None:
             return
         owner = decode_json(_OWNER, content)
         if self.owner is None or owner.epoch >= self.owner.epoch:
             self.owner = owner
 
-    def _fold_submission(self, job: str, content: bytes | None) -> None:
+    def _apply_submission(self, job: str, content: bytes | None) -> None:
         if content is None:
             self.submission_by_id.pop(job, None)
         else:
@@ -307,7 +307,7 @@
             self.progress_by_id.pop(job)
             self.unreadable_keys.add(PROGRESS_PREFIX + job)
 
-    def _fold_progress(self, job: str, content: bytes | None) -> None:
+    def _apply_progress(self, job: str, content: bytes | None) -> None:
         if content is None:
             self.progress_by_id.pop(job, None)
         else:
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -32,8 +32,8 @@
         """Replace the state by a snapshot."""
 
     @abc.abstractmethod
-    def fold(self, batch: RecordBatch) -> None:
-        """Fold the next records of the topic."""
+    def apply(self, batch: RecordBatch) -> None:
+        """Apply the next records of the topic."""
 
 
 class ReadSize:
@@ -97,7 +97,7 @@
         self._read_size = ReadSize()
         #: Next offset after the first snapshot that this process has read.
         self.read_from = 0
-        #: Everything that was in the topic at this time has been folded.
+        #: Everything that was in the topic at this time has been applied.
         self.fresh_at = NEVER
         #: Since when all reads have succeeded; ``NEVER`` after a failure.
         self.reachable_since = NEVER
@@ -109,7 +109,7 @@
 
     @property
     def started(self) -> bool:
-        """Return whether a snapshot has been folded."""
+        """Return whether a snapshot has been applied."""
         return self._offset is not None
 
     @property
@@ -124,7 +124,7 @@
 
     @property
     def offset(self) -> int:
-        """Return the offset after the last folded record."""
+        """Return the offset after the last applied record."""
         return self._offset or 0
 
     def age(self, now: float) -> float:
@@ -136,7 +136,7 @@
         await self._read_requested.set()
 
     async def wait_fresh(self, since: float, timeout: float) -> bool:
-        """Wait until all that was in the topic at ``since`` is folded; ``False`` on timeout."""
+        """Wait until all that was in the topic at ``since`` is applied; ``False`` on timeout."""
         deadline = self._clock.monotonic() + timeout
         if self.fresh_at < since:
             await self.read_now()
@@ -201,7 +201,7 @@
             return False
         batch = await self._topic.read(self._offset, self._max_wait, self._read_size.bytes)
         self._read_size.note_answer(reached_end=batch.reached_end)
-        self._projection.fold(batch)
+        self._projection.apply(batch)
         self._offset = batch.next_offset
         return batch.reached_end
 
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -46,9 +46,9 @@
 
     def load_snapshot(self, snapshot: RecordBatch) -> None:
         """Read the newest record of each key."""
-        self.fold(snapshot)
+        self.apply(snapshot)
 
-    def fold(self, batch: RecordBatch) -> None:
+    def apply(self, batch: RecordBatch) -> None:
         """Read the next records of the topic."""
         # Decodes all of them: the last one may be unreadable, or an older version that another
         # writer has appended.
@@ -113,7 +113,7 @@
 
 
 class CellProjection(Projection):
-    """Folds the cell's own records, and notes when the owner's last heartbeat arrived."""
+    """Applies the cell's own records, and notes when the owner's last heartbeat arrived."""
 
     def __init__(
         self,
@@ -141,15 +141,15 @@
         if self.state.owner != previous_owner:
             self.owner_heartbeat_at = self._clock.monotonic()
 
-    def fold(self, batch: RecordBatch) -> None:
-        """Fold the next records of the topic.
+    def apply(self, batch: RecordBatch) -> None:
+        """Apply the next records of the topic.
 
         An ownership record that cannot be read is not a heartbeat: otherwise another writer
         could make a dead owner keep the cell. It does not prove silence either, so an owner
         that was not known before counts as just heard.
         """
         previous_owner = self.state.owner
-        errors = self.state.fold(batch.records)
+        errors = self.state.apply(batch.records)
         self._report_errors(batch.records, errors)
         now = self._clock.monotonic()
         if any(
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -52,7 +52,7 @@
         self.removed_by_id: dict[str, tuple[Registration, float]] = {}
 
     def load_snapshot(self, snapshot: RecordBatch) -> None:
-        """Fold the newest entries, and remove runners without one.
+        """Apply the newest entries, and remove runners without one.
 
         The first snapshot is logged in one line: one for each runner would be 176 lines on each
         host of a large site, and push the latest decisions out of short logs.
@@ -62,7 +62,7 @@
         for runner in tuple(self._incarnation_by_runner):
             if runner not in present:
                 self._remove(runner)
-        self._fold_records(snapshot, log_each=not first)
+        self._apply_records(snapshot, log_each=not first)
         if first:
             registrations = self.registration_by_id.values()
             self._journal.log(
@@ -72,9 +72,9 @@
                 draining=sum(registration.draining for registration in registrations),
             )
 
-    def fold(self, batch: RecordBatch) -> None:
-        """Fold the next records of the topic."""
-        self._fold_records(batch, log_each=True)
+    def apply(self, batch: RecordBatch) -> None:
+        """Apply the next records of the topic."""
+        self._apply_records(batch, log_each=True)
 
     def find(self, incarnation: str) -> Registration | None:
         """Return the last valid registration of an incarnation, removed ones included."""
@@ -83,7 +83,7 @@
             registration, _ = self.removed_by_id[incarnation]
         return registration
 
-    def _fold_records(self, batch: RecordBatch, *, log_each: bool) -> None:
+    def _apply_records(self, batch: RecordBatch, *, log_each: bool) -> None:
         for record in batch.records:
             if record.dropped:
                 self._remove(record.key)
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -121,7 +121,7 @@
         self._pause = RETRY_SECONDS
         self._failed_fast = False
         self.fenced = False
-        #: How many writes were given up: their records are not stored, or may not be.
+        #: How many writes were abandoned: their records are not stored, or may not be.
         self.abandoned_count = 0
         #: Since when no append has succeeded, infinite while appends succeed.
         self.failing_since = float('inf')
@@ -231,7 +231,7 @@
         return kept
 
     async def _abandon_expired(self, now: float) -> None:
-        """Give up writes that have waited too long behind a failing append.
+        """Abandon writes that have waited too long behind a failing append.
 
         They were never sent and are reported as such: only then may the caller ask another host.
         """
--- a/dandelionreel/cli/_client.py
+++ b/dandelionreel/cli/_client.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from dandelionreel.http import Answer, ExchangeError, ProblemDocument, Request, fetch
+from dandelionreel.http import ExchangeError, ProblemDocument, Request, Response, fetch
 from dandelionreel.kernel import ExitStatus, Verdict
 
 TIMEOUT_SECONDS = 45.0
@@ -46,15 +46,15 @@
     return Success((address, int(port)))
 
 
-def send_request(address: str, request: Request) -> Result[Answer, ToolError]:
-    """Return the answer of the daemon at ``IP:PORT``."""
+def send_request(address: str, request: Request) -> Result[Response, ToolError]:
+    """Return the response of the daemon at ``IP:PORT``."""
     return split_address(address).bind(lambda host_and_port: _send(host_and_port, request))
 
 
-def _send(host_and_port: tuple[str, int], request: Request) -> Result[Answer, ToolError]:
+def _send(host_and_port: tuple[str, int], request: Request) -> Result[Response, ToolError]:
     host, port = host_and_port
     try:
-        answer = curio.run(fetch, host, port, request, TIMEOUT_SECONDS)
+        response = curio.run(fetch, host, port, request, TIMEOUT_SECONDS)
     except ExchangeError as error:
         status = ExitStatus.UNKNOWN if error.sent else ExitStatus.UNREACHABLE
         hint = (
@@ -63,16 +63,16 @@
             else 'is it running?'
         )
         return Failure(ToolError(f'{host}:{port}: {error}; {hint}', status))
-    if answer.status >= HTTP_ERROR:
-        return Failure(_read_problem(answer))
-    return Success(answer)
+    if response.status >= HTTP_ERROR:
+        return Failure(_read_problem(response))
+    return Success(response)
 
 
-def _read_problem(answer: Answer) -> ToolError:
+def _read_problem(response: Response) -> ToolError:
     try:
-        document = msgspec.json.decode(answer.body, type=ProblemDocument)
+        document = msgspec.json.decode(response.body, type=ProblemDocument)
     except msgspec.MsgspecError:
-        return ToolError(f'the daemon answered {answer.status}', ExitStatus.ERROR)
+        return ToolError(f'the daemon answered {response.status}', ExitStatus.ERROR)
     status = STATUS_BY_VERDICT.get(document.verdict, ExitStatus.ERROR)
     hint = ''
     if document.retry_after is not None:
@@ -80,6 +80,6 @@
     return ToolError(f'{document.detail} ({document.verdict}){hint}', status)
 
 
-def decode(answer: Answer) -> Any:
-    """Return the plain values of a JSON answer."""
-    return msgspec.json.decode(answer.body)
+def decode(response: Response) -> Any:
+    """Return the plain values of a JSON response."""
+    return msgspec.json.decode(response.body)
--- a/dandelionreel/cli/_commands.py
+++ b/dandelionreel/cli/_commands.py
@@ -302,7 +302,7 @@
     callers: str = DEFAULT_CALLERS,
     json: bool = False,
 ) -> Command:
-    """Send one request to a service and show the whole answer.
+    """Send one request to a service and show the whole response.
 
     :param service: the service's name
     :param path: path at the service
@@ -327,11 +327,11 @@
     target = f'/v1/services/{service}/{path.lstrip("/")}'
     request = Request(method, target, tuple(headers), body.encode())
     return lambda environment: send_request(callers, request).map(
-        lambda answer: CommandResult(
+        lambda response: CommandResult(
             {
-                'status': answer.status,
-                'verdict': answer.header(VERDICT_HEADER),
-                'body': answer.body.decode(errors='replace'),
+                'status': response.status,
+                'verdict': response.header(VERDICT_HEADER),
+                'body': response.body.decode(errors='replace'),
             },
             write_fields,
             json,
--- a/dandelionreel/cli/_shared.py
+++ b/dandelionreel/cli/_shared.py
@@ -64,17 +64,17 @@
     headers = (('idempotency-key', key), ('content-type', 'application/json'))
     request = Request('POST', '/v1/jobs', headers, text)
     return send_request(callers, request).map(
-        lambda answer: CommandResult({**decode(answer), 'key': key}, write_fields, json),
+        lambda response: CommandResult({**decode(response), 'key': key}, write_fields, json),
     )
 
 
 def get_json(address: str, path: str) -> Result[Any, ToolError]:
-    """Return the decoded answer of a daemon to a GET request."""
+    """Return the decoded response of a daemon to a GET request."""
     return send_request(address, Request('GET', path)).map(decode)
 
 
 def post_json(address: str, path: str, body: bytes) -> Result[Any, ToolError]:
-    """Return the decoded answer of a daemon to a POST request."""
+    """Return the decoded response of a daemon to a POST request."""
     headers = (('content-type', 'application/json'),)
     return send_request(address, Request('POST', path, headers, body)).map(decode)
 
--- a/dandelionreel/contracts/_contract_projection.py
+++ b/dandelionreel/contracts/_contract_projection.py
@@ -51,12 +51,12 @@
     author: str
     state: str
     detail: str
-    wall: float
+    written_at: float
 
 
 @dataclass(frozen=True)
 class ContractInForce:
-    """A contract in force and when its record was written (wall seconds)."""
+    """A contract in force and when its record was written (Unix time)."""
 
     contract: Contract
     written_at: float
@@ -103,7 +103,7 @@
         return newest.contract if newest else None
 
     def written_at(self, customer: str) -> float:
-        """Return when the record that holds the contract was written (wall seconds)."""
+        """Return when the record that holds the contract was written (Unix time)."""
         newest = self._find_newest(customer)
         return newest.written_at if newest else 0
 
@@ -169,10 +169,10 @@
         current = self.in_force(contract.customer)
         if current is not None and current.version >= contract.version:
             return False
-        candidate = ContractInForce(contract, self._clock.wall())
+        candidate = ContractInForce(contract, self._clock.unix_time())
         return self._keep_adopted(contract.customer, candidate)
 
-    def fold(self, record: msgspec.Struct, position: Position) -> None:
+    def apply(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, Proposed):
             self._apply_proposed(record, position)
@@ -239,7 +239,7 @@
             if missing:
                 continue
             self._pending_by_customer.pop(customer)
-            self._put_in_force(pending.contract, position.wall)
+            self._put_in_force(pending.contract, position.written_at)
             self._divide_quota(customer, pending.zones)
             self._finish_proposal(pending, 'committed', 'in force', position)
 
@@ -248,7 +248,7 @@
         logged = self._in_force_by_customer.get(customer)
         if logged is not None and logged.contract.version > record.contract.version:
             return
-        self._put_in_force(record.contract, position.wall)
+        self._put_in_force(record.contract, position.written_at)
         if not self.shares(customer):
             for zone_share in record.shares:
                 self._share_by_zone[customer, zone_share.zone] = zone_share.share
@@ -269,8 +269,8 @@
         self._adopted_by_customer[customer] = candidate
         return True
 
-    def _put_in_force(self, contract: Contract, wall: float) -> None:
-        self._in_force_by_customer[contract.customer] = ContractInForce(contract, wall)
+    def _put_in_force(self, contract: Contract, written_at: float) -> None:
+        self._in_force_by_customer[contract.customer] = ContractInForce(contract, written_at)
 
     def _divide_quota(self, customer: str, zones: tuple[str, ...]) -> None:
         if self.shares(customer):
@@ -294,7 +294,7 @@
             record.author,
             state,
             detail,
-            position.wall,
+            position.written_at,
         )
         self._record_outcome(outcome)
 
@@ -308,7 +308,7 @@
             pending.author,
             state,
             detail,
-            position.wall,
+            position.written_at,
         )
         self._record_outcome(outcome)
 
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         settings: Settings,
         clock: Clock,
         contracts: ContractProjection,
@@ -66,8 +66,8 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Act for the member ``me``."""
-        self._me = me
+        """Act for the member ``own_member``."""
+        self._own_member = own_member
         self._settings = settings
         self._clock = clock
         self._contracts = contracts
@@ -167,7 +167,7 @@
 
     async def _run_once(self) -> None:
         for pending in self._contracts.all_pending():
-            if self._me in pending.missing:
+            if self._own_member in pending.missing:
                 await self._stage(pending)
             elif self._is_overdue(pending):
                 await self._abort(pending)
@@ -177,7 +177,9 @@
         # This member has enforced the intersection of both versions since it
         # read the proposal (ContractProjection.effective); the record says so.
         customer = pending.contract.customer
-        await self._writer.write(Staged(customer, pending.nonce, self._me), WRITE_TIMEOUT_SECONDS)
+        await self._writer.write(
+            Staged(customer, pending.nonce, self._own_member), WRITE_TIMEOUT_SECONDS
+        )
         self._journal.log(
             Part.CONTRACTS,
             f'staged version {pending.contract.version} of {customer}.',
@@ -196,7 +198,7 @@
         await self._writer.write(Aborted(customer, pending.nonce, reason), WRITE_TIMEOUT_SECONDS)
 
     async def _restate_expiring(self) -> None:
-        now = self._clock.wall()
+        now = self._clock.unix_time()
         due_after = self._settings.timings.retention / 3 + self._rank() * RANK_DELAY_SECONDS
         for customer in self._contracts.customers():
             if now - self._contracts.written_at(customer) < due_after:
@@ -209,7 +211,7 @@
 
     def _rank(self) -> int:
         keys = member_keys(self._membership.live())
-        return keys.index(self._me) if self._me in keys else len(keys)
+        return keys.index(self._own_member) if self._own_member in keys else len(keys)
 
     def _encode_in_force(self, customer: str) -> bytes:
         # Not cached: encoding is cheap, and queries are rare.
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -119,7 +119,7 @@
             settings.logs.sample_every,
             frozenset(settings.logs.quiet_parts),
         )
-        self.me = f'{settings.host}/{_make_incarnation(self._clock.wall())}'
+        self.own_member = f'{settings.host}/{_make_incarnation(self._clock.unix_time())}'
         self._build_platform()
         self._build_ownership()
         self._build_contracts()
@@ -168,7 +168,7 @@
         return StreamWriter(
             self._log,
             reader,
-            self.me,
+            self.own_member,
             self._clock,
             self._settings.limits.group_records,
         )
@@ -178,9 +178,9 @@
         zone = settings.availability_zone
         self._traffic = TrafficCounter()
         self._peer_clocks = PeerClocks()
-        self._directory = PeerDirectory(self.me, clock, self._peer_clocks, self._traffic)
+        self._directory = PeerDirectory(self.own_member, clock, self._peer_clocks, self._traffic)
         self._peer_server = PeerServer(
-            self.me,
+            self.own_member,
             clock,
             self._peer_clocks,
             self._journal,
@@ -189,9 +189,9 @@
         self._cell_members = Membership(clock)
         self._zone_members = Membership(clock)
         self._shards = ShardProjection(self._zone_members, clock)
-        self._promises = PromiseTracker(self.me, zone, clock, self._zone_members)
+        self._promises = PromiseTracker(self.own_member, zone, clock, self._zone_members)
         self._authority = Authority(
-            self.me,
+            self.own_member,
             clock,
             settings.timings,
             self._zone_reader,
@@ -200,7 +200,7 @@
             self._promises,
         )
         self._peer_monitor = PeerMonitor(
-            self.me,
+            self.own_member,
             settings,
             clock,
             self._directory,
@@ -211,7 +211,7 @@
             self._journal,
         )
         self._claimer = ShardClaimer(
-            self.me,
+            self.own_member,
             zone,
             clock,
             settings.timings,
@@ -225,15 +225,15 @@
             self._zone_writer,
             self._journal,
         )
-        self._cell_reader.add_handler(self._cell_members.fold, self._cell_members.reset)
-        self._zone_reader.add_handler(self._zone_members.fold, self._zone_members.reset)
-        self._zone_reader.add_handler(self._shards.fold, self._shards.reset)
+        self._cell_reader.add_handler(self._cell_members.apply, self._cell_members.reset)
+        self._zone_reader.add_handler(self._zone_members.apply, self._zone_members.reset)
+        self._zone_reader.add_handler(self._shards.apply, self._shards.reset)
 
     def _build_contracts(self) -> None:
         self._contracts = ContractProjection(self._cell_members, self._clock)
-        self._cell_reader.add_handler(self._contracts.fold, self._contracts.reset)
+        self._cell_reader.add_handler(self._contracts.apply, self._contracts.reset)
         self._publisher = ContractPublisher(
-            self.me,
+            self.own_member,
             self._settings,
             self._clock,
             self._contracts,
@@ -254,7 +254,7 @@
     def _build_requests(self) -> None:
         self._metrics = DaemonMetrics(self._traffic)
         self._keys = KeyProjection()
-        self._zone_reader.add_handler(self._keys.fold, self._keys.reset)
+        self._zone_reader.add_handler(self._keys.apply, self._keys.reset)
         self._pool = RunnerPool(
             self._settings,
             self._clock,
@@ -267,7 +267,7 @@
         self._router = Router(
             self._settings,
             self._clock,
-            self.me,
+            self.own_member,
             self._contracts,
             self._zone_members,
             self._pool,
@@ -284,9 +284,9 @@
             settings.limits.known_jobs,
             settings.limits.known_keys,
         )
-        self._zone_reader.add_handler(self._jobs.fold, self._jobs.reset)
+        self._zone_reader.add_handler(self._jobs.apply, self._jobs.reset)
         self._fleet = WorkerFleet(
-            self.me,
+            self.own_member,
             settings,
             clock,
             self._hosts,
@@ -306,7 +306,7 @@
             self._journal,
         )
         self._order_sender = OrderSender(
-            self.me,
+            self.own_member,
             settings,
             clock,
             self._shards,
@@ -316,7 +316,7 @@
             self._journal,
         )
         self._dispatcher = Dispatcher(
-            self.me,
+            self.own_member,
             settings,
             clock,
             self._authority,
@@ -357,7 +357,7 @@
         )
         relay = Relay(zones_of(settings), self._directory, self._clock)
         job_mover = JobMover(
-            self.me,
+            self.own_member,
             settings,
             self._clock,
             self._log,
@@ -375,7 +375,7 @@
             self._lifecycle,
         )
         admin_api = AdminApi(
-            self.me,
+            self.own_member,
             settings,
             self._clock,
             self._lifecycle,
@@ -488,21 +488,23 @@
             in_flight,
             self._zone_writer,
             self._cell_writer,
-            self.me,
+            self.own_member,
             self._callers_server.disable_keep_alive,
         )
 
     def _was_declared_ended(self) -> bool:
         if self._lifecycle.stopping:
             return False
-        return self._zone_members.has_ended(self.me) or self._cell_members.has_ended(self.me)
+        return self._zone_members.has_ended(self.own_member) or self._cell_members.has_ended(
+            self.own_member
+        )
 
     async def _join(self) -> None:
         """Write the join record to both streams, again after each third of the retention."""
         settings = self._settings
         advertised = settings.peers_advertised
         joined = Joined(
-            self.me,
+            self.own_member,
             settings.host,
             settings.availability_zone,
             advertised.address if advertised else settings.peers.address,
@@ -512,7 +514,7 @@
         while True:
             for writer in (self._zone_writer, self._cell_writer):
                 await _write_until_done(writer, joined)
-            self._journal.log(Part.OWNERSHIP, f'joined as {self.me}.')
+            self._journal.log(Part.OWNERSHIP, f'joined as {self.own_member}.')
             await self._write_alive_records(rejoin_after)
 
     async def _write_alive_records(self, seconds: float) -> None:
@@ -528,7 +530,7 @@
             if not self._peer_monitor.has_silent_member():
                 continue
             with suppress(LogError):
-                await self._zone_writer.write(Alive(self.me), period)
+                await self._zone_writer.write(Alive(self.own_member), period)
             await curio.sleep(period / 2)
 
     async def _update_metrics(self) -> None:
@@ -587,6 +589,6 @@
         return
 
 
-def _make_incarnation(wall: float) -> str:
+def _make_incarnation(unix_time: float) -> str:
     """Return an id that sorts after those of earlier starts on the host."""
-    return f'{int(wall * MILLISECONDS_PER_SECOND):013x}{os.urandom(INCARNATION_BYTES).hex()}'
+    return f'{int(unix_time * MILLISECONDS_PER_SECOND):013x}{os.urandom(INCARNATION_BYTES).hex()}'
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -354,12 +354,12 @@
 
     async def _stop(self) -> None:
         """Hand over the cell, wait for the balancer to notice, and finish open requests."""
-        stop_began_at = self._clock.monotonic()
+        stop_started_at = self._clock.monotonic()
         self._journal.log(Part.LIFE, 'is stopping; it is not ready any more.')
         if self._dispatcher is not None:
             await self._dispatcher.end()
-        deadline = stop_began_at + self._settings.stop_grace - EXIT_MARGIN_SECONDS
-        while self._clock.monotonic() < min(deadline, stop_began_at + BALANCER_NOTICE_SECONDS):
+        deadline = stop_started_at + self._settings.stop_grace - EXIT_MARGIN_SECONDS
+        while self._clock.monotonic() < min(deadline, stop_started_at + BALANCER_NOTICE_SECONDS):
             await curio.sleep(POLL_SECONDS)
         self._client_server.disable_keep_alive()
         while self._client_server.requests_in_progress and self._clock.monotonic() < deadline:
--- a/dandelionreel/entry_metrics.py
+++ b/dandelionreel/entry_metrics.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.decisions import AllocationPhase, Cell
 from dandelionreel.cell.model import Configuration
 from dandelionreel.entry_accounts import RefusalCounts, list_accounts
-from dandelionreel.http import Answer, Request, answer_json, control_bytes_by_kind
+from dandelionreel.http import Request, Response, control_bytes_by_kind, json_response
 
 HTTP_OK = 200
 #: Path of the status of client accounts; all other paths serve the metrics.
@@ -96,15 +96,15 @@
         self._update_cell(cell)
         self._update_accounts(cell, configuration)
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Serve all metrics, or the status of client accounts."""
         if request.path == ACCOUNTS_PATH:
-            return answer_json(self._get_accounts_view())
-        return Answer(HTTP_OK, (('content-type', TEXT_TYPE),), generate_latest(self._registry))
+            return json_response(self._get_accounts_view())
+        return Response(HTTP_OK, (('content-type', TEXT_TYPE),), generate_latest(self._registry))
 
     def _update_cell(self, cell: Cell | None) -> None:
         jobs = cell.job_by_id.values() if cell else ()
-        self._jobs.set(sum(not job.is_over for job in jobs))
+        self._jobs.set(sum(not job.is_finished for job in jobs))
         self._crashed_runs.set(cell.crashed_runs if cell else 0)
         count_by_phase = dict.fromkeys(AllocationPhase, 0)
         for runner in cell.runner_by_id.values() if cell else ():
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -6,7 +6,7 @@
 from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import ConfigurationProjection, Follower, GroupWriter
-from dandelionreel.http import Answer, Request
+from dandelionreel.http import Request, Response
 from dandelionreel.kernel import Clock, Journal, Part, seconds_or_none
 
 HTTP_OK = 200
@@ -47,13 +47,13 @@
         """Return whether clients should currently use another host."""
         return bool(find_unready_reason(self._gather_inputs()))
 
-    async def answer(self, request: Request) -> Answer:
+    async def answer(self, request: Request) -> Response:
         """Answer one readiness check."""
         inputs = self._gather_inputs()
         reason = find_unready_reason(inputs)
         self._log_change(reason, inputs)
         self.rotation.note_readiness_check(self._clock.monotonic(), ready=not reason)
-        return Answer(HTTP_UNAVAILABLE if reason else HTTP_OK)
+        return Response(HTTP_UNAVAILABLE if reason else HTTP_OK)
 
     def _log_change(self, reason: str, inputs: ReadinessInputs) -> None:
         if reason == self._last_reason:
--- a/dandelionreel/http/_client.py
+++ b/dandelionreel/http/_client.py
@@ -6,7 +6,7 @@
 import curio
 import h11
 
-from dandelionreel.http._messages import Answer, Headers, Request
+from dandelionreel.http._messages import Headers, Request, Response
 from dandelionreel.http._sockets import connect, shut_down
 
 READ_SIZE = 65_536
@@ -70,7 +70,7 @@
         request: Request,
         timeout: float,
         check: SendCheck | None = None,
-    ) -> Answer:
+    ) -> Response:
         """Send the request and return the complete response.
 
         ``check`` is called right before the first byte is sent; nothing is sent if it
@@ -81,7 +81,7 @@
         progress = _Progress()
         try:
             async with curio.timeout_after(timeout):
-                answer = await self._exchange(request, progress, check)
+                response = await self._exchange(request, progress, check)
         except curio.TaskTimeout as error:
             await self.close()
             raise ExchangeError('no answer in time', sent=progress.sent) from error
@@ -100,7 +100,7 @@
             await self.close()
         else:
             self._http.start_next_cycle()
-        return answer
+        return response
 
     async def close(self) -> None:
         """Close the socket; may be called repeatedly."""
@@ -120,7 +120,7 @@
         request: Request,
         progress: '_Progress',
         check: SendCheck | None,
-    ) -> Answer:
+    ) -> Response:
         headers = [('host', f'{self._address}:{self._port}')]
         headers.extend(_end_to_end_headers(request.headers))
         headers.append(('content-length', str(len(request.body))))
@@ -134,14 +134,14 @@
         progress.sent = True
         self._count(len(payload))
         await self._sock.sendall(payload)
-        return await self._read_answer()
+        return await self._read_response()
 
     def _count(self, size: int) -> None:
         if self._kind:
             former_total = control_bytes_by_kind.get(self._kind, 0)
             control_bytes_by_kind[self._kind] = former_total + size
 
-    async def _read_answer(self) -> Answer:
+    async def _read_response(self) -> Response:
         status = 0
         headers: Headers = ()
         body = bytearray()
@@ -164,7 +164,7 @@
                     raise OSError(f'response body longer than {self._answer_bytes} bytes')
                 continue
             if isinstance(event, h11.EndOfMessage):
-                return Answer(status, headers, bytes(body))
+                return Response(status, headers, bytes(body))
             raise OSError('connection closed before the end of the response')
 
 
@@ -206,7 +206,7 @@
     request: Request,
     timeout: float,
     answer_bytes: int = 16_777_216,
-) -> Answer:
+) -> Response:
     """Make one request on a new connection; raises ``ExchangeError``."""
     connection = Connection(address, port, answer_bytes)
     try:
@@ -253,7 +253,7 @@
         request: Request,
         timeout: float,
         check: SendCheck | None = None,
-    ) -> Answer:
+    ) -> Response:
         """Send the request, opening the connection first if needed.
 
         ``timeout`` applies to the wait for other requests, to connecting and to each
@@ -282,7 +282,9 @@
         else:
             await self._connection.close()
 
-    async def _exchange(self, request: Request, timeout: float, check: SendCheck | None) -> Answer:
+    async def _exchange(
+        self, request: Request, timeout: float, check: SendCheck | None
+    ) -> Response:
         reused = self._connection.is_open
         if not reused:
             await self._open(timeout)
--- a/dandelionreel/http/_messages.py
+++ b/dandelionreel/http/_messages.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class Response:
     """A response with its complete body; header names are in lower case."""
 
     status: int
@@ -70,13 +70,13 @@
     retry_after: float | None = None
 
 
-def answer_json(body: object, status: int = 200, headers: Headers = ()) -> Answer:
+def json_response(body: object, status: int = 200, headers: Headers = ()) -> Response:
     """Return a response with a JSON body."""
     typed = (('content-type', JSON_TYPE), *headers)
-    return Answer(status, typed, msgspec.json.encode(body))
+    return Response(status, typed, msgspec.json.encode(body))
 
 
-def answer_problem(problem: Problem) -> Answer:
+def problem_response(problem: Problem) -> Response:
     """Return an error response; the verdict is in its body and in a header."""
     document = ProblemDocument(
         type=f'{PROBLEM_URN}{problem.cause}',
@@ -92,4 +92,4 @@
     ]
     if problem.retry_after is not None:
         headers.append(('retry-after', str(max(1, round(problem.retry_after)))))
-    return Answer(problem.status, tuple(headers), msgspec.json.encode(document))
+    return Response(problem.status, tuple(headers), msgspec.json.encode(document))
--- a/dandelionreel/http/_server.py
+++ b/dandelionreel/http/_server.py
@@ -10,11 +10,11 @@
 import h11
 
 from dandelionreel.http._client import READ_SIZE, _decode_headers
-from dandelionreel.http._messages import Answer, Headers, Request, answer_problem
+from dandelionreel.http._messages import Headers, Request, Response, problem_response
 from dandelionreel.http._sockets import listen
 from dandelionreel.kernel import Problem, RequestError, Verdict, start_task
 
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = Callable[[Request], Awaitable[Response]]
 
 HTTP_TIMEOUT = 408
 HTTP_TOO_LARGE = 413
@@ -131,21 +131,21 @@
                 return
             self.requests_in_progress += 1
             try:
-                answer = await self._handle(request)
-                await self._send_answer(client, http, answer)
+                response = await self._handle(request)
+                await self._send_response(client, http, response)
             finally:
                 self.requests_in_progress -= 1
             if http.our_state is h11.MUST_CLOSE:
                 return
             http.start_next_cycle()
 
-    async def _handle(self, request: Request) -> Answer:
+    async def _handle(self, request: Request) -> Response:
         try:
             return await self._handler(request)
         except RequestError as error:
-            return answer_problem(error.problem)
+            return problem_response(error.problem)
         except BadMessage as error:
-            return answer_problem(error.problem)
+            return problem_response(error.problem)
         except CloseConnection:
             raise
         except Exception as error:
@@ -156,7 +156,7 @@
                 'internal-error',
                 f'{type(error).__name__}: {error}',
             )
-            return answer_problem(problem)
+            return problem_response(problem)
 
     async def _read_request(self, client: Any, http: Any) -> Request | None:
         """Return the next complete request, ``None`` if the client closed the connection."""
@@ -228,28 +228,28 @@
     async def _send_problem(self, client: Any, http: Any, problem: Problem) -> None:
         if http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
-        answer = answer_problem(problem)
-        await self._send_answer(client, http, answer, last=True)
+        response = problem_response(problem)
+        await self._send_response(client, http, response, last=True)
 
-    async def _send_answer(
+    async def _send_response(
         self,
         client: Any,
         http: Any,
-        answer: Answer,
+        response: Response,
         *,
         last: bool = False,
     ) -> None:
         headers = [
             (name, content)
-            for name, content in answer.headers
+            for name, content in response.headers
             if name not in {'connection', 'transfer-encoding', 'content-length'}
         ]
-        headers.append(('content-length', str(len(answer.body))))
+        headers.append(('content-length', str(len(response.body))))
         if last or self._keep_alive_disabled or self._is_draining():
             headers.append(('connection', 'close'))
-        payload = http.send(h11.Response(status_code=answer.status, headers=headers))
-        if answer.body:
-            payload += http.send(h11.Data(data=answer.body))
+        payload = http.send(h11.Response(status_code=response.status, headers=headers))
+        if response.body:
+            payload += http.send(h11.Data(data=response.body))
         payload += http.send(h11.EndOfMessage())
         async with curio.timeout_after(self._limits.idle_seconds):
             await client.sendall(payload)
--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -112,7 +112,7 @@
         if job is None:
             return tracked.combined_outcome()
         earlier = [attempt for attempt in job.attempts if attempt.number < tracked.number]
-        return classify_lapse(tracked.combined_outcome(), earlier, self._clock.wall())
+        return classify_lapse(tracked.combined_outcome(), earlier, self._clock.unix_time())
 
     def _schedule_retry(self, tracked: TrackedAttempt, outcome: Outcome) -> None:
         """Set the earliest time of the next attempt: exponential backoff with full jitter."""
@@ -127,4 +127,4 @@
         delay = self._random.uniform(0, max_delay)
         if not self._budgets.for_customer(tracked.customer).use_retry():
             delay += OVER_BUDGET_DELAY_SECONDS
-        self._state.not_before[tracked.job] = self._clock.wall() + delay
+        self._state.not_before[tracked.job] = self._clock.unix_time() + delay
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        member: str,
+        own_member: str,
         state: DispatcherState,
         clock: Clock,
         jobs: JobProjection,
@@ -42,8 +42,8 @@
         metrics: JobMetrics,
         journal: Journal,
     ) -> None:
-        """Start attempts for the dispatcher ``member``."""
-        self._member = member
+        """Start attempts for the dispatcher ``own_member``."""
+        self._own_member = own_member
         self._state = state
         self._clock = clock
         self._jobs = jobs
@@ -69,7 +69,7 @@
             work.attempt,
             work.customer,
             work.idempotent,
-            self._clock.wall(),
+            self._clock.unix_time(),
             self._clock.monotonic(),
         )
         ids = task_ids(work.id, work.attempt, work.tasks)
@@ -109,7 +109,7 @@
     async def _write_intent(self, placement: Placement, epoch: int) -> bool:
         """Write the intent; return whether this dispatcher may start the attempt."""
         work = placement.work
-        intent = AttemptIntent(work.id, work.attempt, epoch, self._member, placement.workers)
+        intent = AttemptIntent(work.id, work.attempt, epoch, self._own_member, placement.workers)
         if self._reader.outage_since is not None:
             if not work.idempotent:
                 return False
@@ -220,7 +220,7 @@
         if job.attempts:
             return
         customer = job.spec.customer
-        waited = max(0.0, self._clock.wall() - job.accepted_at)
+        waited = max(0.0, self._clock.unix_time() - job.accepted_at)
         self._metrics.observe_wait(customer, job.spec.task_class, waited)
         contract = self._contracts.effective(customer)
         if contract is not None:
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        member: str,
+        own_member: str,
         settings: Settings,
         clock: Clock,
         authority: Authority,
@@ -45,7 +45,7 @@
         metrics: JobMetrics,
         journal: Journal,
     ) -> None:
-        """Dispatch as ``member`` while it owns the dispatch shard."""
+        """Dispatch as ``own_member`` while it owns the dispatch shard."""
         self._clock = clock
         self._authority = authority
         self._shards = shards
@@ -65,7 +65,7 @@
             hosts,
         )
         self._starter = AttemptStarter(
-            member,
+            own_member,
             self._state,
             clock,
             jobs,
@@ -78,7 +78,7 @@
             journal,
         )
         self._report_handler = ReportHandler(
-            member,
+            own_member,
             self._state,
             clock,
             jobs,
@@ -135,7 +135,7 @@
         self._queue_updater.update()
         await self._finalizer.finalize_ended_attempts()
         self._finalizer.stop_unwanted_attempts()
-        placements = self.planner.decide(self._clock.wall(), MAX_DECISIONS_PER_ROUND)
+        placements = self.planner.decide(self._clock.unix_time(), MAX_DECISIONS_PER_ROUND)
         for placement in placements:
             await self._starter.start(placement)
         self._shares.plan_transfers(self.planner)
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -47,7 +47,7 @@
         self.tracker = AttemptTracker()
         #: The ownership epoch of each worker's last report.
         self.reported_epochs: dict[str, int] = {}
-        #: Per job, the earliest time of its next attempt, in epoch seconds.
+        #: Per job, the earliest time of its next attempt, in Unix time.
         self.not_before: dict[str, float] = {}
         #: Per job, workers to avoid and until when, on the monotonic clock.
         self.avoided_workers: dict[str, tuple[float, frozenset[str]]] = {}
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -7,7 +7,7 @@
 
 from dandelionreel.backing import HostEntry, HostWatch, LogError, StreamReader, StreamWriter
 from dandelionreel.contracts import ContractProjection, require_contract
-from dandelionreel.http import Answer, Request, answer_json
+from dandelionreel.http import Request, Response, json_response
 from dandelionreel.jobs._job_projection import RESOLVABLE_STATES, Job, JobProjection
 from dandelionreel.jobs._records import JobAccepted, JobResolved, JobsCancelled
 from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_spec
@@ -94,7 +94,7 @@
         customer = self._read_spec(request).customer
         return choose_owner(f'job|{customer}|{key}', zones_of(self._settings))
 
-    async def submit(self, request: Request) -> Answer:
+    async def submit(self, request: Request) -> Response:
         """Accept a job into this zone; raises ``RequestError``."""
         spec = self._read_spec(request)
         key = request.header(IDEMPOTENCY_KEY_HEADER) or os.urandom(RANDOM_ID_BYTES).hex()
@@ -110,18 +110,18 @@
                 'key-reused',
                 f'this idempotency key was used for job {known.id}, whose spec differs',
             )
-        return answer_json(view_job(known), HTTP_ACCEPTED)
+        return json_response(view_job(known), HTTP_ACCEPTED)
 
-    def show(self, job_id: str) -> Answer:
+    def show(self, job_id: str) -> Response:
         """Return a job; raises ``RequestError``."""
-        return answer_json(view_job(self._find(job_id)))
+        return json_response(view_job(self._find(job_id)))
 
     def moved_to(self, job_id: str) -> str:
         """Return the zone that a job was moved to, or an empty string."""
         job = self._jobs.get(job_id)
         return job.moved_to if job else ''
 
-    def list_page(self, request: Request) -> Answer:
+    def list_page(self, request: Request) -> Response:
         """Return a page of jobs, filtered by customer and state."""
         query = request.query_by_name
         text = query.get('limit', str(DEFAULT_PAGE_SIZE))
@@ -139,7 +139,7 @@
             query.get('state', ''),
         )
         next_after = jobs[-1].id if len(jobs) == limit else ''
-        return answer_json(JobPage(tuple(view_job(job) for job in jobs), next_after))
+        return json_response(JobPage(tuple(view_job(job) for job in jobs), next_after))
 
     def decode_cancel(self, request: Request) -> CancelBody:
         """Decode a request to cancel jobs; raises ``RequestError``."""
@@ -164,7 +164,7 @@
             self._journal.log(Part.JOBS, f'cancelled {len(known)} jobs.')
         return CancelResult(len(known), missing)
 
-    async def resolve(self, job_id: str, request: Request) -> Answer:
+    async def resolve(self, job_id: str, request: Request) -> Response:
         """Apply an operator's resolution to an uncertain or parked job."""
         job = self._find(job_id)
         try:
--- a/dandelionreel/jobs/_job_projection.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -70,20 +70,20 @@
 class Attempt:
     """An attempt; ``outcome`` is ``None`` while it may run.
 
-    ``intent_wall`` is the time of its intent, in epoch seconds.
+    ``intent_written_at`` is the time of its intent, in Unix time.
     """
 
     number: int
     epoch: int
     member: str
     workers: tuple[str, ...]
-    intent_wall: float
+    intent_written_at: float
     outcome: Outcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A job; times are in epoch seconds, ``written_at`` is that of its newest record."""
+    """A job; times are in Unix time, ``written_at`` is that of its newest record."""
 
     id: str
     key: str
@@ -210,7 +210,7 @@
         found.sort(key=_by_id)
         return tuple(found[:limit])
 
-    def fold(self, record: msgspec.Struct, position: Position) -> None:
+    def apply(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record of the zone's stream."""
         if isinstance(record, JobAccepted):
             self._apply_accepted(record, position)
@@ -245,8 +245,8 @@
                 record.digest,
                 spec,
                 JobState.WAITING,
-                position.wall,
-                position.wall,
+                position.written_at,
+                position.written_at,
             ),
         )
 
@@ -263,14 +263,14 @@
             record.epoch,
             record.member,
             record.workers,
-            position.wall,
+            position.written_at,
         )
         self._put(
             replace(
                 job,
                 state=JobState.RUNNING,
                 attempts=(*job.attempts, attempt),
-                written_at=position.wall,
+                written_at=position.written_at,
             ),
         )
 
@@ -290,7 +290,7 @@
             job,
             attempts=(*job.attempts[:-1], ended),
             detail=record.detail,
-            written_at=position.wall,
+            written_at=position.written_at,
         )
         self._put(self._job_after_attempt(job, outcome, position))
 
@@ -333,7 +333,7 @@
         if record.outcome == 'ran':
             self._put(_end_job(job, JobState.SUCCEEDED, position))
             return
-        self._put(replace(job, state=JobState.WAITING, failures=0, written_at=position.wall))
+        self._put(replace(job, state=JobState.WAITING, failures=0, written_at=position.written_at))
 
     def _apply_move(self, record: JobMoved) -> None:
         job = self._job_by_id.get(record.job)
@@ -345,14 +345,14 @@
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.MOVED:
             return
-        self._put(replace(job, ended_at=position.wall))
+        self._put(replace(job, ended_at=position.written_at))
         self._ended_ids[job.id] = None
         self._drop_oldest_ended()
 
     def _apply_snapshot(self, record: JobSnapshot, position: Position) -> None:
         known = self._job_by_id.get(record.job)
         if known is not None:
-            self._put(replace(known, written_at=position.wall))
+            self._put(replace(known, written_at=position.written_at))
             return
         attempts = tuple(
             Attempt(
@@ -374,7 +374,7 @@
                 record.spec,
                 JobState(record.state),
                 record.accepted_at,
-                position.wall,
+                position.written_at,
                 attempts,
                 record.failures,
                 moved_to=record.moved_to,
@@ -438,7 +438,7 @@
                 attempt.member,
                 attempt.workers,
                 attempt.outcome.value if attempt.outcome else '',
-                attempt.intent_wall,
+                attempt.intent_written_at,
             )
             for attempt in job.attempts
         ),
@@ -447,7 +447,7 @@
 
 
 def _end_job(job: Job, state: JobState, position: Position) -> Job:
-    return replace(job, state=state, ended_at=position.wall, written_at=position.wall)
+    return replace(job, state=state, ended_at=position.written_at, written_at=position.written_at)
 
 
 def _by_id(job: Job) -> str:
--- a/dandelionreel/jobs/_job_refresher.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -61,7 +61,7 @@
             await task.join()
 
     def _find_due(self) -> list[Job]:
-        due_before = self._clock.wall() - self._settings.timings.retention / 3
+        due_before = self._clock.unix_time() - self._settings.timings.retention / 3
         unfinished = self._jobs.in_state(
             JobState.WAITING,
             JobState.RUNNING,
--- a/dandelionreel/jobs/_lapses.py
+++ b/dandelionreel/jobs/_lapses.py
@@ -21,7 +21,7 @@
 def classify_lapse(outcome: Outcome, earlier: Sequence[Attempt], now: float) -> Outcome:
     """Return an attempt's outcome, given the job's earlier attempts.
 
-    ``now`` is in epoch seconds. Attempts that never started are skipped.
+    ``now`` is in Unix time. Attempts that never started are skipped.
     """
     if outcome is not Outcome.LAPSED:
         return outcome
@@ -31,7 +31,7 @@
             continue
         if attempt.outcome not in {Outcome.LAPSED, Outcome.FAILED}:
             break
-        if attempt.intent_wall < now - LAPSE_WINDOW_SECONDS:
+        if attempt.intent_written_at < now - LAPSE_WINDOW_SECONDS:
             break
         recent_losses += 1
     return Outcome.FAILED if recent_losses >= EXCUSED_LAPSES else outcome
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -51,16 +51,16 @@
     """Another zone's log stream and its jobs, read for one move."""
 
     def __init__(
-        self, log: LogService, stream: str, clock: Clock, records: Any, member: str
+        self, log: LogService, stream: str, clock: Clock, records: Any, own_member: str
     ) -> None:
         self.reader = StreamReader(log, stream, clock, records)
         members = Membership(clock)
         shards = ShardProjection(members, clock)
         self.jobs = JobProjection(shards, 0, 0)
         for projection in (members, shards, self.jobs):
-            self.reader.add_handler(projection.fold, projection.reset)
+            self.reader.add_handler(projection.apply, projection.reset)
         # A writer numbers its records from the start, so each move needs a new writer name.
-        writer = f'{member}+{clock.wall():.6f}'
+        writer = f'{own_member}+{clock.unix_time():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
 
 
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        member: str,
+        own_member: str,
         settings: Settings,
         clock: Clock,
         log: LogService,
@@ -82,7 +82,7 @@
 
         ``stream_name`` is a format string that takes the name of a zone.
         """
-        self._member = member
+        self._own_member = own_member
         self._zone = settings.availability_zone
         self._clock = clock
         self._log = log
@@ -102,7 +102,7 @@
                 self._stream_name.format(zone),
                 self._clock,
                 self._records,
-                self._member,
+                self._own_member,
             )
             await start_task(stack, remote.reader.run, ROUND_SECONDS)
             await start_task(stack, remote.writer.run)
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        member: str,
+        own_member: str,
         settings: Settings,
         clock: Clock,
         shards: ShardProjection,
@@ -36,8 +36,8 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Send orders as the dispatcher ``member``."""
-        self._member = member
+        """Send orders as the dispatcher ``own_member``."""
+        self._own_member = own_member
         self._settings = settings
         self._clock = clock
         self._shards = shards
@@ -60,7 +60,7 @@
         owner = self._find_owner(order.worker)
         if not owner:
             return PlaceAnswer(REFUSED, 'the worker has no owner')
-        if owner == self._member:
+        if owner == self._own_member:
             return await self._fleet.place(order)
         timeout = self._settings.timings.start_deadline * 2
         try:
@@ -78,7 +78,7 @@
         owner = self._find_owner(worker)
         if not owner:
             return False
-        if owner == self._member:
+        if owner == self._own_member:
             return await self._fleet.apply_action(order)
         try:
             frame = await self._directory.request(
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -53,7 +53,7 @@
             attempt.number,
             job.spec.customer,
             job.spec.idempotent,
-            attempt.intent_wall,
+            attempt.intent_written_at,
             adopted=True,
         )
         # Reports count at once: their senders know this epoch and refuse any
@@ -117,7 +117,7 @@
     def _enqueue(self, job: Job) -> None:
         if job.id in self._state.planner.queue or job.id in self._state.tracker.attempt_by_job:
             return
-        now = self._clock.wall()
+        now = self._clock.unix_time()
         if self._state.not_before.get(job.id, 0) > now:
             self._state.deferred.add(job.id)
             return
--- a/dandelionreel/jobs/_records.py
+++ b/dandelionreel/jobs/_records.py
@@ -61,7 +61,7 @@
 
 
 class AttemptSnapshot(Struct, frozen=True):
-    """An attempt within a ``JobSnapshot``; ``wall`` is the time of its intent, in epoch seconds."""
+    """An attempt within a ``JobSnapshot``; ``wall`` is the time of its intent, in Unix time."""
 
     number: int
     epoch: int
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        member: str,
+        own_member: str,
         state: DispatcherState,
         clock: Clock,
         jobs: JobProjection,
@@ -31,8 +31,8 @@
         orders: OrderSender,
         journal: Journal,
     ) -> None:
-        """Handle reports for the dispatcher ``member``."""
-        self._member = member
+        """Handle reports for the dispatcher ``own_member``."""
+        self._own_member = own_member
         self._state = state
         self._clock = clock
         self._jobs = jobs
@@ -94,7 +94,7 @@
         that of an own attempt is measured on the monotonic clock.
         """
         if tracked.adopted:
-            return self._clock.wall() - tracked.intent_wall + WALL_CLOCK_MARGIN_SECONDS
+            return self._clock.unix_time() - tracked.intent_written_at + WALL_CLOCK_MARGIN_SECONDS
         return self._clock.monotonic() - tracked.tracked_at + REPORT_MARGIN_SECONDS
 
     def _update_running(
@@ -129,7 +129,7 @@
         contract = self._contracts.effective(customer)
         task_class = job.spec.task_class if job else reported.task_class
         terms = contract.terms(task_class) if contract else None
-        now = self._clock.wall()
+        now = self._clock.unix_time()
         may_stop = bool(job and job.spec.idempotent and job.spec.tasks == 1)
         declared = job.spec.run_seconds if job else 0
         kind = job.spec.kind if job else ''
@@ -169,12 +169,14 @@
             reported.attempt,
             job.spec.customer,
             job.spec.idempotent,
-            self._clock.wall(),
+            self._clock.unix_time(),
             adopted=True,
         )
         task = TrackedTask(reported.id, worker, self._clock.monotonic(), is_running=True)
         self._state.tracker.add(tracked, [task])
-        intent = AttemptIntent(job.id, reported.attempt, self._state.epoch, self._member, (worker,))
+        intent = AttemptIntent(
+            job.id, reported.attempt, self._state.epoch, self._own_member, (worker,)
+        )
         self._orders.queue_record(intent)
 
     def _end_all_tasks(self, worker: str) -> None:
@@ -194,10 +196,10 @@
             return
         if outcome is Outcome.SUCCEEDED:
             self._state.planner.cell.note_success(worker)
-            duration = self._clock.wall() - tracked.intent_wall
+            duration = self._clock.unix_time() - tracked.intent_written_at
             self._state.run_times.add_run(tracked.customer, job.spec.kind, duration)
         elif outcome is Outcome.FAILED:
-            now = self._clock.wall()
+            now = self._clock.unix_time()
             if self._state.planner.cell.note_failure(worker, tracked.job, now):
                 self._journal.log(
                     Part.PLACEMENT,
--- a/dandelionreel/jobs/_tracked_attempts.py
+++ b/dandelionreel/jobs/_tracked_attempts.py
@@ -26,7 +26,7 @@
 class TrackedAttempt:
     """An attempt; ``adopted`` if another dispatcher started it.
 
-    ``intent_wall`` is on the wall clock, ``tracked_at`` on the monotonic clock.
+    ``intent_written_at`` is on the wall clock, ``tracked_at`` on the monotonic clock.
     ``is_finalizing`` while its outcome is being written.
     """
 
@@ -34,7 +34,7 @@
     number: int
     customer: str
     idempotent: bool
-    intent_wall: float
+    intent_written_at: float
     tracked_at: float = 0
     adopted: bool = False
     stop_requested: bool = False
--- a/dandelionreel/jobs/_views.py
+++ b/dandelionreel/jobs/_views.py
@@ -14,7 +14,7 @@
 
 
 class JobView(msgspec.Struct, frozen=True):
-    """A job; times are in epoch seconds."""
+    """A job; times are in Unix time."""
 
     id: str
     customer: str
--- a/dandelionreel/kernel/_clock.py
+++ b/dandelionreel/kernel/_clock.py
@@ -1,18 +1,18 @@
-"""Monotonic and wall clocks behind an interface, so that tests can control time."""
+"""Monotonic clock and Unix time behind an interface, so that tests can control time."""
 
 import abc
 import time
 
 
 class Clock(abc.ABC):
-    """A source of monotonic seconds and of wall-clock seconds."""
+    """A source of monotonic seconds and of Unix time."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
         """Return seconds that never decrease; only differences are meaningful."""
 
     @abc.abstractmethod
-    def wall(self) -> float:
+    def unix_time(self) -> float:
         """Return seconds since the Unix epoch, for display and long retention periods only."""
 
 
@@ -28,7 +28,7 @@
         """Return seconds since boot, suspension included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
-    def wall(self) -> float:
+    def unix_time(self) -> float:
         """Return seconds since the Unix epoch."""
         return time.time()
 
@@ -48,6 +48,6 @@
         """Return the set time."""
         return self.now
 
-    def wall(self) -> float:
+    def unix_time(self) -> float:
         """Return the set time."""
         return self.now
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -67,7 +67,7 @@
         in_flight: 'InFlightCounter',
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
-        me: str,
+        own_member: str,
         finish_connections: Callable[[], None],
     ) -> None:
         """Shut down: turn unready, wait for the balancer, hand over shards, finish, leave.
@@ -86,7 +86,7 @@
             if not in_flight.count() and not claimer.owned_claims():
                 break
             await curio.sleep(POLL_SECONDS)
-        await self._leave(claimer, zone_writer, cell_writer, me)
+        await self._leave(claimer, zone_writer, cell_writer, own_member)
         self._journal.log(Part.LIFE, 'has stopped.')
 
     async def _leave(
@@ -94,7 +94,7 @@
         claimer: ShardClaimer,
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
-        me: str,
+        own_member: str,
     ) -> None:
         # Only a daemon without shards may write that it has left: after that record the
         # next owner of a shard would not wait for the effects of this daemon's last messages.
@@ -103,7 +103,7 @@
             return
         for writer in (zone_writer, cell_writer):
             try:
-                await writer.write(Left(me), LEAVE_WRITE_SECONDS)
+                await writer.write(Left(own_member), LEAVE_WRITE_SECONDS)
             except LogError as error:
                 self._journal.log(Part.LIFE, f'could not write the leave record: {error}.')
 
--- a/dandelionreel/ownership/_authority.py
+++ b/dandelionreel/ownership/_authority.py
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         clock: Clock,
         timings: Timings,
         reader: StreamReader,
@@ -58,8 +58,8 @@
         shards: ShardProjection,
         promises: PromiseTracker,
     ) -> None:
-        """Decide for the member ``me``."""
-        self._me = me
+        """Decide for the member ``own_member``."""
+        self._own_member = own_member
         self._clock = clock
         self._timings = timings
         self._reader = reader
@@ -91,7 +91,7 @@
 
     def is_fresh(self) -> bool:
         """Return whether the evidence is younger than the authority timeout."""
-        if self._membership.has_ended(self._me):
+        if self._membership.has_ended(self._own_member):
             return False
         return self.evidence_age() < self._timings.authority
 
@@ -105,9 +105,9 @@
     def grant(self, shard: str) -> Grant:
         """Return what this daemon may do on the shard at this moment."""
         claim = self._shards.get(shard)
-        if claim is None or claim.owner != self._me or claim.released:
+        if claim is None or claim.owner != self._own_member or claim.released:
             return NO_GRANT
-        if shard in self.suspended or self._membership.has_ended(self._me):
+        if shard in self.suspended or self._membership.has_ended(self._own_member):
             return NO_GRANT
         since = self._active_at(claim)
         if self._clock.monotonic() < since:
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -40,7 +40,7 @@
         """Return whether the member has announced that it is about to leave."""
 
     @abc.abstractmethod
-    def has_acknowledged_me(self, member: str) -> bool:
+    def has_acknowledged_own_member(self, member: str) -> bool:
         """Return whether the member's view contains this daemon.
 
         The member then needs this daemon's promise for its evidence.
@@ -81,7 +81,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         zone: str,
         clock: Clock,
         timings: Timings,
@@ -95,8 +95,8 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Act for the member ``me`` of ``zone``."""
-        self._me = me
+        """Act for the member ``own_member`` of ``zone``."""
+        self._own_member = own_member
         self._zone = zone
         self._clock = clock
         self._timings = timings
@@ -131,7 +131,7 @@
         return tuple(
             claim
             for claim in self._shards.claims()
-            if claim.owner == self._me and not claim.released
+            if claim.owner == self._own_member and not claim.released
         )
 
     def may_claim(self) -> bool:
@@ -140,16 +140,16 @@
         Every live member of the zone must have acknowledged this daemon: only
         then do owners require its promise before they act without the log.
         """
-        if not self._membership.is_live(self._me):
+        if not self._membership.is_live(self._own_member):
             return False
         # A log that was truncated recently may lack the claims of shards that
         # have owners; the owners restate their claims within this time.
         if not self._reader.covers_last(self._restated_within):
             return False
         for member in self._membership.live(self._zone):
-            if member.key == self._me:
+            if member.key == self._own_member:
                 continue
-            if not self._peer_status.has_acknowledged_me(member.key):
+            if not self._peer_status.has_acknowledged_own_member(member.key):
                 return False
         return True
 
@@ -165,7 +165,7 @@
 
     async def run_once(self) -> None:
         """Write all claims, releases and renewals that are due."""
-        if not self._reader.caught_up or not self._membership.is_live(self._me):
+        if not self._reader.caught_up or not self._membership.is_live(self._own_member):
             return
         await self._invalidate_unconfirmed_claims()
         self._resume_promises()
@@ -184,9 +184,9 @@
         hosts = self._candidate_hosts()
         wanted = []
         for shard in self._list_wanted_shards():
-            if self._target_host(shard, hosts) != host_of(self._me):
+            if self._target_host(shard, hosts) != host_of(self._own_member):
                 continue
-            if not self._shards.may_be_claimed(shard, self._me):
+            if not self._shards.may_be_claimed(shard, self._own_member):
                 continue
             claim = self._shards.get(shard)
             if claim is not None and not self._may_take_over(claim):
@@ -208,7 +208,7 @@
             self._withhold_promise(shard)
         claims = tuple(ShardEpoch(shard, self._shards.epoch(shard)) for shard in wanted)
         try:
-            await self._writer.write(Claimed(self._me, claims), WRITE_TIMEOUT_SECONDS)
+            await self._writer.write(Claimed(self._own_member, claims), WRITE_TIMEOUT_SECONDS)
         except LogError as error:
             self._handle_failed_claim(wanted, error)
             raise
@@ -242,7 +242,7 @@
         """
         if not self._unconfirmed_claims:
             return
-        await self._writer.write(Alive(self._me), WRITE_TIMEOUT_SECONDS)
+        await self._writer.write(Alive(self._own_member), WRITE_TIMEOUT_SECONDS)
         for shard in tuple(self._unconfirmed_claims):
             self._unconfirmed_claims.discard(shard)
             _, epoch = self._withheld_by_shard.get(shard, ('', 0))
@@ -259,7 +259,7 @@
             claim = self._shards.get(shard)
             if claim is None or claim.epoch == epoch:
                 continue
-            if claim.owner == self._me and not self._shards.is_settled(claim):
+            if claim.owner == self._own_member and not self._shards.is_settled(claim):
                 continue
             self._resume_promise(shard)
 
@@ -297,12 +297,14 @@
         """
         yielded = []
         for claim in self._shards.claims():
-            if claim.former_owner != self._me:
+            if claim.former_owner != self._own_member:
                 continue
             if await self._prepare_release(claim.shard):
                 yielded.append(ShardEpoch(claim.shard, claim.epoch - 1))
         if yielded:
-            await self._writer.write(Released(self._me, tuple(yielded)), WRITE_TIMEOUT_SECONDS)
+            await self._writer.write(
+                Released(self._own_member, tuple(yielded)), WRITE_TIMEOUT_SECONDS
+            )
             self._journal.log(Part.OWNERSHIP, f'yielded {len(yielded)} shards to claimants.')
 
     async def _release_surplus(self) -> None:
@@ -317,7 +319,9 @@
         if not released:
             return
         try:
-            await self._writer.write(Released(self._me, tuple(released)), WRITE_TIMEOUT_SECONDS)
+            await self._writer.write(
+                Released(self._own_member, tuple(released)), WRITE_TIMEOUT_SECONDS
+            )
         finally:
             for shard_epoch in released:
                 self._authority.suspended.discard(shard_epoch.shard)
@@ -342,7 +346,7 @@
 
     def _belongs_elsewhere(self, claim: ShardClaim, hosts: tuple[str, ...]) -> bool:
         best = self._target_host(claim.shard, hosts)
-        return bool(best) and best != host_of(self._me)
+        return bool(best) and best != host_of(self._own_member)
 
     def _target_host(self, shard: str, hosts: tuple[str, ...]) -> str:
         """Return the host that should own a shard; cached until the hosts change."""
@@ -360,11 +364,11 @@
         return tuple(
             host_of(key)
             for key in keys
-            if (key == self._me and not self.draining) or self._may_own(key)
+            if (key == self._own_member and not self.draining) or self._may_own(key)
         )
 
     def _may_own(self, key: str) -> bool:
-        if key == self._me:
+        if key == self._own_member:
             return False
         return not (self._peer_status.is_silent(key) or self._peer_status.is_draining(key))
 
@@ -392,7 +396,9 @@
                 claims_to_renew.append(ShardEpoch(claim.shard, claim.epoch))
         if not claims_to_renew:
             return
-        await self._writer.write(Renewed(self._me, tuple(claims_to_renew)), WRITE_TIMEOUT_SECONDS)
+        await self._writer.write(
+            Renewed(self._own_member, tuple(claims_to_renew)), WRITE_TIMEOUT_SECONDS
+        )
         for renewed in claims_to_renew:
             self._renewed_at_by_shard[renewed.shard] = (renewed.epoch, now)
 
@@ -404,4 +410,4 @@
 
     def _owns(self, shard: str) -> bool:
         claim = self._shards.get(shard)
-        return claim is not None and claim.owner == self._me and not claim.released
+        return claim is not None and claim.owner == self._own_member and not claim.released
--- a/dandelionreel/ownership/_membership.py
+++ b/dandelionreel/ownership/_membership.py
@@ -57,7 +57,7 @@
         ended = {key: member for key, member in self._member_by_key.items() if member.has_ended}
         self._member_by_key = ended
 
-    def fold(self, record: msgspec.Struct, position: Position) -> None:
+    def apply(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, Joined):
             self._apply_joined(record, position)
@@ -66,7 +66,7 @@
         elif isinstance(record, Ended):
             self._mark_ended(record.member, record.proof)
         elif isinstance(record, Alive):
-            age = max(0.0, self._clock.wall() - position.wall)
+            age = max(0.0, self._clock.unix_time() - position.written_at)
             self.alive_at_by_key[record.member] = self._clock.monotonic() - age
 
     def get(self, key: str) -> Member | None:
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         settings: Settings,
         clock: Clock,
         directory: PeerDirectory,
@@ -59,8 +59,8 @@
         hosts: HostWatch,
         journal: Journal,
     ) -> None:
-        """Exchange heartbeats as the member ``me``."""
-        self._me = me
+        """Exchange heartbeats as the member ``own_member``."""
+        self._own_member = own_member
         self._settings = settings
         self._zone = settings.availability_zone
         self._clock = clock
@@ -107,7 +107,7 @@
         state = self._directory.get_by_member(member)
         return state is not None and state.gossip.draining
 
-    def has_acknowledged_me(self, member: str) -> bool:
+    def has_acknowledged_own_member(self, member: str) -> bool:
         """Return whether the member's view contains this daemon."""
         return member in self._acknowledged_by
 
@@ -119,7 +119,7 @@
         now = self._clock.monotonic()
         latest = float('-inf')
         for member in self._zone_members.live(self._zone):
-            if member.key == self._me:
+            if member.key == self._own_member:
                 continue
             state = self._directory.get_by_member(member.key)
             if state is None or now - state.heard_at > self._settings.timings.silent_after:
@@ -135,7 +135,7 @@
         """
         heard = self._directory.heard_within(self._settings.timings.silent_after / 2)
         return any(
-            member.key not in heard and member.key != self._me
+            member.key not in heard and member.key != self._own_member
             for member in self._zone_members.live(self._zone)
         )
 
@@ -234,7 +234,7 @@
 
     async def _handle_gossip(self, member: str, gossip: Gossip, *, same_zone: bool) -> None:
         state = self._directory.record_gossip(member, gossip)
-        if same_zone and hash_member(self._me) in gossip.view:
+        if same_zone and hash_member(self._own_member) in gossip.view:
             self._acknowledged_by.add(member)
         if state is None:
             return
@@ -281,7 +281,7 @@
         return ''
 
     def _find_proof(self, member: Member) -> str:
-        if member.key == self._me:
+        if member.key == self._own_member:
             return ''
         now = self._clock.monotonic()
         refused_at = self._refused_at_by_member.get(member.key)
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -28,9 +28,9 @@
     members that its sender knows; they must promise too.
     """
 
-    def __init__(self, me: str, zone: str, clock: Clock, membership: Membership) -> None:
-        """Track promises of the member ``me`` of ``zone``."""
-        self._me = me
+    def __init__(self, own_member: str, zone: str, clock: Clock, membership: Membership) -> None:
+        """Track promises of the member ``own_member`` of ``zone``."""
+        self._own_member = own_member
         self._zone = zone
         self._clock = clock
         self._membership = membership
@@ -58,7 +58,7 @@
         all members contain a new member it may claim, so nobody may act
         without its promise.
         """
-        if member != self._me:
+        if member != self._own_member:
             self._heard_members.add(member)
 
     def view(self) -> tuple[int, ...]:
@@ -68,7 +68,9 @@
         circulate forever, and one that nobody can resolve would block all
         evidence.
         """
-        return tuple(sorted(map(hash_member, {*self._members_known_first_hand(), self._me})))
+        return tuple(
+            sorted(map(hash_member, {*self._members_known_first_hand(), self._own_member}))
+        )
 
     def withhold_promise(self, member: str) -> None:
         """Stop promising to a member before a claim on its shards is written."""
@@ -119,7 +121,7 @@
         return tuple(key for key in named if self._may_be_live(key))
 
     def _may_be_live(self, key: str) -> bool:
-        if key == self._me or key in self._refused_members:
+        if key == self._own_member or key in self._refused_members:
             return False
         return not (self._membership.has_ended(key) or self._is_older_incarnation(key))
 
@@ -132,7 +134,7 @@
         known = self._key_by_hash.get(member_hash)
         if known is not None:
             return known
-        for key in (self._me, *self._heard_members, *self._membership.keys()):
+        for key in (self._own_member, *self._heard_members, *self._membership.keys()):
             self._key_by_hash[hash_member(key)] = key
         return self._key_by_hash.get(member_hash, f'#{member_hash}')
 
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -18,7 +18,7 @@
     """The valid claim on a shard.
 
     ``epoch`` is the offset of its record plus one, so it is the same at every
-    reader, wherever reading began. ``former_owner`` is the previous owner, if it
+    reader, wherever reading began. ``former_owner`` is the owner before this one, if it
     had neither released the shard nor ended when the claim was made; cleared
     once it yields. ``released``: the owner has released the shard.
     ``clean_handover``: the former owner had no work in flight when the claim
@@ -74,7 +74,7 @@
             return True
         return self.is_settled(claim) and (claim.owner != member or claim.released)
 
-    def fold(self, record: msgspec.Struct, position: Position) -> None:
+    def apply(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record."""
         if isinstance(record, Claimed):
             for claimed in record.claims:
--- a/dandelionreel/peers/_cell_messages.py
+++ b/dandelionreel/peers/_cell_messages.py
@@ -10,14 +10,14 @@
 class AdviceWanted:
     """Asks a peer to request advice for a step from the policy service.
 
-    ``patience`` is the timeout in seconds.
+    ``timeout`` is in seconds.
     """
 
     job: str
     occurrence: int
     step: int
     runners: tuple[str, ...]
-    patience: float
+    timeout: float
 
 
 @dataclass(frozen=True)
--- a/dandelionreel/peers/_codec.py
+++ b/dandelionreel/peers/_codec.py
@@ -11,7 +11,7 @@
 
 from dandelionreel.accounts import Caller
 from dandelionreel.backing import Resources
-from dandelionreel.http import Answer, Headers, Request
+from dandelionreel.http import Headers, Request, Response
 from dandelionreel.peers._cell_messages import (
     AdviceGiven,
     AdviceWanted,
@@ -120,7 +120,8 @@
         'view': list(gossip.view),
         'heard': list(gossip.heard),
         'rooms': [
-            {'service': room.service, 'freeSlots': room.free_slots} for room in gossip.service_slots
+            {'service': entry.service, 'freeSlots': entry.free_slots}
+            for entry in gossip.service_slots
         ],
         'leaving': list(gossip.leaving),
         'contracts': gossip.contracts,
@@ -132,7 +133,7 @@
     return Gossip(
         tuple(node.view),
         tuple(node.heard),
-        tuple(ServiceSlots(room.service, room.freeSlots) for room in node.rooms),
+        tuple(ServiceSlots(entry.service, entry.freeSlots) for entry in node.rooms),
         tuple(node.leaving),
         node.contracts,
         node.draining,
@@ -203,9 +204,9 @@
 def _encode_forward_answer(root: Any, message: ForwardAnswer) -> None:
     root.init('forwardAnswer').from_dict(
         {
-            'status': message.answer.status,
-            'headers': _encode_headers(message.answer.headers),
-            'body': message.answer.body,
+            'status': message.response.status,
+            'headers': _encode_headers(message.response.headers),
+            'body': message.response.body,
             'noRoom': message.no_room,
         }
     )
@@ -213,7 +214,7 @@
 
 def _decode_forward_answer(root: Any) -> ForwardAnswer:
     node = root.forwardAnswer
-    answer = Answer(node.status, _decode_headers(node.headers), bytes(node.body))
+    answer = Response(node.status, _decode_headers(node.headers), bytes(node.body))
     return ForwardAnswer(answer, node.noRoom)
 
 
@@ -353,7 +354,7 @@
             'occurrence': message.occurrence,
             'step': message.step,
             'runners': list(message.runners),
-            'patienceMs': int(message.patience * MILLISECONDS_PER_SECOND),
+            'patienceMs': int(message.timeout * MILLISECONDS_PER_SECOND),
         }
     )
 
--- a/dandelionreel/peers/_messages.py
+++ b/dandelionreel/peers/_messages.py
@@ -6,7 +6,7 @@
 
 from dandelionreel.accounts import Caller
 from dandelionreel.backing import NO_RESOURCES, Resources
-from dandelionreel.http import Answer, Request
+from dandelionreel.http import Request, Response
 from dandelionreel.peers._cell_messages import (
     AdviceGiven,
     AdviceWanted,
@@ -89,7 +89,7 @@
     ``no_room`` says that the daemon had no capacity and did not run the request.
     """
 
-    answer: Answer
+    response: Response
     no_room: bool = False
 
 
@@ -147,7 +147,7 @@
 
     ``usable_capacity`` is what the owner may currently fill. Nobody can have renewed
     the worker's leases for ``unrenewed_seconds``. The worker's history is complete for
-    the last ``history_seconds``: it lists every task that it was told to start in that
+    the last ``history_seconds``: it lists every task that it was ordered to start in that
     time. ``as_of`` is the receiver's clock as last seen by the sender when it made this
     report: later events are not in it. The sender refuses orders of dispatchers with an
     epoch below ``dispatch_epoch``.
--- a/dandelionreel/platform/_advice.py
+++ b/dandelionreel/platform/_advice.py
@@ -55,13 +55,13 @@
         headers = (('content-type', 'application/json'),)
         request = Request('POST', '/v1/advise', headers, msgspec.json.encode(fields))
         try:
-            answer = await self._channel.exchange(request, timeout)
+            response = await self._channel.exchange(request, timeout)
         except ExchangeError as error:
             raise AdviceError(f'the policy service is unreachable: {error}') from error
-        if answer.status != HTTP_OK:
-            raise AdviceError(f'the policy service answered {answer.status}')
+        if response.status != HTTP_OK:
+            raise AdviceError(f'the policy service answered {response.status}')
         try:
-            decoded = decode_json(_ALLOWED_DECODER, answer.body)
+            decoded = decode_json(_ALLOWED_DECODER, response.body)
         except UnreadableError as error:
             raise AdviceError(f'the policy service sent an unreadable answer: {error}') from error
         return tuple(
