--- a/dandelionreel/platform/_framing.py
+++ b/dandelionreel/platform/_framing.py
@@ -25,7 +25,7 @@
 from dandelionreel.kernel import Verdict
 
 RECORD_LENGTH = struct.Struct('>I')
-#: The answer to a read starts with the end offset of the topic and its first retained offset.
+#: The response to a read starts with the end offset of the topic and its first retained offset.
 READ_HEADER = struct.Struct('>QQ')
 
 
@@ -55,9 +55,9 @@
 
 
 def decode_batch(raw: bytes, offset: int) -> RecordBatch:
-    """Decode the answer to a read from ``offset`` on; raises ``StoreError``.
+    """Decode the response to a read from ``offset`` on; raises ``StoreError``.
 
-    A truncated record at the end of the answer is left to the next read.
+    A truncated record at the end of the response is left to the next read.
     """
     if len(raw) < READ_HEADER.size:
         raise StoreError('the answer to a read is truncated', Verdict.NOT_RUN)
@@ -66,11 +66,11 @@
     records: list[KeyedRecord] = []
     while position + RECORD_LENGTH.size <= len(raw):
         length = RECORD_LENGTH.unpack_from(raw, position)[0]
-        begin = position + RECORD_LENGTH.size
-        if begin + length > len(raw):
+        start = position + RECORD_LENGTH.size
+        if start + length > len(raw):
             break
-        position = begin + length
-        records.append(_decode_record(raw[begin:position], offset + len(records)))
+        position = start + length
+        records.append(_decode_record(raw[start:position], offset + len(records)))
     if position < len(raw) and not records:
         raise StoreError('the answer to a read is truncated', Verdict.NOT_RUN)
     return RecordBatch(tuple(records), offset + len(records), max(end, first))
@@ -87,16 +87,16 @@
 def _split_record(raw: bytes) -> tuple[str, bytes]:
     if not raw:
         raise UnreadableError(Reason.FRAME, 'the record is empty')
-    begin = 1
-    end = begin + raw[0]
+    start = 1
+    end = start + raw[0]
     if end > len(raw):
         raise UnreadableError(
             Reason.FRAME, f'the key has {raw[0]} bytes, the whole record {len(raw)}'
         )
-    if end == begin:
+    if end == start:
         raise UnreadableError(Reason.KEY, 'the key is empty')
     try:
-        return raw[begin:end].decode(), raw[end:]
+        return raw[start:end].decode(), raw[end:]
     except UnicodeDecodeError as error:
         raise UnreadableError(Reason.KEY, f'the key is not UTF-8: {error}') from error
 
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -1,7 +1,7 @@
 """HTTP client of a runner: starts, stops and polls.
 
 Each call either reaches the intended incarnation of the runner or has no effect. A request
-contains only the runner's id, which later incarnations share; only the answer to a poll contains
+contains only the runner's id, which later incarnations share; only the response to a poll contains
 the incarnation. Each new connection is therefore checked with a poll that renews no leases,
 acknowledges nothing and starts nothing: all later calls on the connection reach the process
 that answered it.
@@ -28,12 +28,12 @@
     runner_id,
 )
 from dandelionreel.http import (
-    Answer,
     Channel,
     Connection,
     ConnectionBrokenError,
     ExchangeError,
     Request,
+    Response,
 )
 from dandelionreel.kernel import Verdict
 from dandelionreel.platform._views import decode_view
@@ -112,28 +112,28 @@
         if order.ticket:
             fields['ticket'] = order.ticket
         try:
-            answer = await self._send_order('/v1/run-start', fields, check)
+            response = await self._send_order('/v1/run-start', fields, check)
         except RunnerReplaced:
             return StartAnswer(StartReply.REPLACED, None)
         except RunnerFenced:
             return StartAnswer(StartReply.FENCED, None)
-        clock, reason = _decode_order_reply(answer)
-        if answer.status == HTTP_OK:
+        clock, reason = _decode_order_reply(response)
+        if response.status == HTTP_OK:
             return StartAnswer(StartReply.STARTED, clock)
-        if answer.status == HTTP_CONFLICT:
+        if response.status == HTTP_CONFLICT:
             return StartAnswer(_REPLY_BY_REASON.get(reason, StartReply.INVALID), clock)
-        if answer.status == HTTP_MISDIRECTED:
+        if response.status == HTTP_MISDIRECTED:
             return StartAnswer(StartReply.REPLACED, None)
-        if answer.status in UNHEALTHY_STATUSES:
+        if response.status in UNHEALTHY_STATUSES:
             return StartAnswer(StartReply.UNHEALTHY, clock)
-        if answer.status == HTTP_BAD_REQUEST:
+        if response.status == HTTP_BAD_REQUEST:
             return StartAnswer(StartReply.INVALID, clock)
-        raise RunnerError(f'the runner answered {answer.status}', Verdict.UNKNOWN)
+        raise RunnerError(f'the runner answered {response.status}', Verdict.UNKNOWN)
 
     async def stop(self, task: TaskName, run: int, epoch: int) -> None:
         """Stop a run."""
         fields = {'task': encode_task(task), 'run': run, 'fencing_token': epoch}
-        self._check_answer(await self._send_order('/v1/run-stop', fields))
+        self._check_response(await self._send_order('/v1/run-stop', fields))
 
     async def poll(
         self,
@@ -152,11 +152,11 @@
             fields['deadline_ms'] = int(lease_until * MILLISECONDS_PER_SECOND)
         if wait:
             fields['wait_ms'] = int(wait * MILLISECONDS_PER_SECOND)
-        answer = await self._exchange(
+        response = await self._exchange(
             self._poll_channel, POLL_PATH, fields, POLL_TIMEOUT_MARGIN + wait
         )
-        self._check_answer(answer)
-        view = decode_view(answer.body)
+        self._check_response(response)
+        view = decode_view(response.body)
         self._check_incarnation(view)
         return view
 
@@ -174,10 +174,10 @@
     async def _check_peer(self, connection: Connection) -> None:
         """Raise ``RunnerReplaced`` if a connection leads to another incarnation."""
         fields = {'fencing_token': self._epoch, 'acked_through': 0}
-        answer = await connection.exchange(self._make_request(POLL_PATH, fields), ORDER_TIMEOUT)
-        self._check_answer(answer)
+        response = await connection.exchange(self._make_request(POLL_PATH, fields), ORDER_TIMEOUT)
+        self._check_response(response)
         try:
-            view = decode_view(answer.body)
+            view = decode_view(response.body)
         except RunnerError as error:
             raise RunnerError(f'{error}', Verdict.NOT_RUN) from error
         self._check_incarnation(view)
@@ -192,21 +192,21 @@
     def _make_request(self, path: str, fields: dict[str, Any]) -> Request:
         return Request('POST', path, self._headers, msgspec.json.encode(fields))
 
-    def _check_answer(self, answer: Answer) -> None:
-        if answer.status == HTTP_OK:
+    def _check_response(self, response: Response) -> None:
+        if response.status == HTTP_OK:
             return
-        if answer.status == HTTP_MISDIRECTED:
+        if response.status == HTTP_MISDIRECTED:
             raise RunnerReplaced(self._runner)
-        if answer.status == HTTP_CONFLICT:
-            _, reason = _decode_order_reply(answer)
+        if response.status == HTTP_CONFLICT:
+            _, reason = _decode_order_reply(response)
             if reason == 'fence':
                 raise RunnerFenced(self._runner)
             return
-        raise RunnerError(f'the runner answered {answer.status}', Verdict.NOT_RUN)
+        raise RunnerError(f'the runner answered {response.status}', Verdict.NOT_RUN)
 
     async def _send_order(
         self, path: str, fields: dict[str, Any], check: Check | None = None
-    ) -> Answer:
+    ) -> Response:
         self._next_channel = (self._next_channel + 1) % ORDER_CONNECTIONS
         channel = self._order_channels[self._next_channel]
         return await self._exchange(channel, path, fields, ORDER_TIMEOUT, check)
@@ -218,7 +218,7 @@
         fields: dict[str, Any],
         timeout: float,
         check: Check | None = None,
-    ) -> Answer:
+    ) -> Response:
         self._epoch = fields['fencing_token']
         try:
             return await channel.exchange(self._make_request(path, fields), timeout, check)
@@ -228,9 +228,9 @@
             raise RunnerError(f'{error}', verdict, connection_broken=broken) from error
 
 
-def _decode_order_reply(answer: Answer) -> tuple[float | None, str]:
+def _decode_order_reply(response: Response) -> tuple[float | None, str]:
     try:
-        decoded = decode_json(_ORDER_REPLY_DECODER, answer.body)
+        decoded = decode_json(_ORDER_REPLY_DECODER, response.body)
     except UnreadableError:
         # The HTTP status alone tells the result of the order.
         return None, ''
--- a/dandelionreel/platform/_store.py
+++ b/dandelionreel/platform/_store.py
@@ -17,7 +17,7 @@
     WriterFence,
     decode_json,
 )
-from dandelionreel.http import Answer, Channel, ExchangeError, Request
+from dandelionreel.http import Channel, ExchangeError, Request, Response
 from dandelionreel.kernel import Verdict
 from dandelionreel.platform._framing import (
     RECORD_LENGTH,
@@ -102,10 +102,10 @@
             f'/v1/log-append?{urlencode(fields)}',
             body=encode_records(records),
         )
-        answer = await _exchange(self._append_channel, request, timeout)
-        if answer.status == HTTP_OK:
-            return _decode_append_reply(answer).offset
-        raise _make_append_error(answer)
+        response = await _exchange(self._append_channel, request, timeout)
+        if response.status == HTTP_OK:
+            return _decode_append_reply(response).offset
+        raise _make_append_error(response)
 
     async def read(self, offset: int, wait: float, max_bytes: int) -> RecordBatch:
         """Return records from ``offset`` on, waiting up to ``wait`` seconds for some."""
@@ -117,12 +117,12 @@
             'wait_ms': int(wait * MILLISECONDS_PER_SECOND),
         }
         request = Request('GET', f'/v1/log-read?{urlencode(fields)}')
-        answer = await _exchange(self._read_channel, request, READ_TIMEOUT + wait)
-        if answer.status == HTTP_GONE:
+        response = await _exchange(self._read_channel, request, READ_TIMEOUT + wait)
+        if response.status == HTTP_GONE:
             raise RecordsExpired(f'records of {self._name} at offset {offset} have expired')
-        if answer.status != HTTP_OK:
-            raise _make_read_error(answer)
-        return decode_batch(answer.body, offset)
+        if response.status != HTTP_OK:
+            raise _make_read_error(response)
+        return decode_batch(response.body, offset)
 
     async def snapshot(self) -> RecordBatch:
         """Return the newest record of each key.
@@ -158,13 +158,13 @@
             # Despite its name, the parameter makes the page start after this key.
             fields['depends_on'] = last_key
         request = Request('GET', f'/v1/log-newest?{urlencode(fields)}')
-        answer = await _exchange(self._read_channel, request, READ_TIMEOUT)
-        if answer.status != HTTP_OK:
-            raise _make_read_error(answer)
-        return decode_page(answer.body)
+        response = await _exchange(self._read_channel, request, READ_TIMEOUT)
+        if response.status != HTTP_OK:
+            raise _make_read_error(response)
+        return decode_page(response.body)
 
 
-async def _exchange(channel: Channel, request: Request, timeout: float) -> Answer:
+async def _exchange(channel: Channel, request: Request, timeout: float) -> Response:
     try:
         return await channel.exchange(request, timeout)
     except ExchangeError as error:
@@ -172,31 +172,31 @@
         raise StoreError(f'the store is unreachable: {error}', verdict) from error
 
 
-def _decode_append_reply(answer: Answer) -> _AppendReply:
+def _decode_append_reply(response: Response) -> _AppendReply:
     try:
-        return decode_json(_APPEND_REPLY_DECODER, answer.body)
+        return decode_json(_APPEND_REPLY_DECODER, response.body)
     except UnreadableError as error:
         raise StoreError(
             f'the store sent an unreadable answer: {error}', Verdict.UNKNOWN
         ) from error
 
 
-def _decode_reason(answer: Answer) -> str:
+def _decode_reason(response: Response) -> str:
     try:
-        return decode_json(_APPEND_REPLY_DECODER, answer.body).reason
+        return decode_json(_APPEND_REPLY_DECODER, response.body).reason
     except UnreadableError as error:
         return f'its reason is unreadable: {error}'
 
 
-def _make_append_error(answer: Answer) -> StoreError:
-    if answer.status == HTTP_PRECONDITION:
+def _make_append_error(response: Response) -> StoreError:
+    if response.status == HTTP_PRECONDITION:
         return ConflictError('records were appended to the topic meanwhile', Verdict.NOT_RUN)
-    if answer.status == HTTP_CONFLICT:
-        reason = _decode_reason(answer)
+    if response.status == HTTP_CONFLICT:
+        reason = _decode_reason(response)
         return FencedError(f'fenced off by another writer: {reason}', Verdict.NOT_RUN)
-    verdict = Verdict.NOT_RUN if answer.status in NOT_EXECUTED_STATUSES else Verdict.UNKNOWN
-    return StoreError(f'the store answered {answer.status}', verdict)
+    verdict = Verdict.NOT_RUN if response.status in NOT_EXECUTED_STATUSES else Verdict.UNKNOWN
+    return StoreError(f'the store answered {response.status}', verdict)
 
 
-def _make_read_error(answer: Answer) -> StoreError:
-    return StoreError(f'the store answered {answer.status}', Verdict.NOT_RUN)
+def _make_read_error(response: Response) -> StoreError:
+    return StoreError(f'the store answered {response.status}', Verdict.NOT_RUN)
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -13,7 +13,7 @@
     check_spec,
     decode_json,
 )
-from dandelionreel.http import Answer, answer_json
+from dandelionreel.http import Response, json_response
 
 MILLISECONDS_PER_SECOND = 1000
 HTTP_GONE = 410
@@ -102,18 +102,18 @@
         """Decode a job from a request body; raises ``SubmissionError``."""
         return decode_submission(body)
 
-    def answer_accepted(self) -> Answer:
+    def answer_accepted(self) -> Response:
         """Answer that the request has been stored."""
-        return answer_json({})
+        return json_response({})
 
-    def answer_state(self, state: JobState) -> Answer:
+    def answer_state(self, state: JobState) -> Response:
         """Answer with a job's state; states have the same names on the wire."""
-        return answer_json({'state': state.value})
+        return json_response({'state': state.value})
 
-    def answer_pending(self, count: int) -> Answer:
+    def answer_pending(self, count: int) -> Response:
         """Answer with the number of jobs of a queue that have not started."""
-        return answer_json({'pending': count})
+        return json_response({'pending': count})
 
-    def answer_unknown_job(self) -> Answer:
+    def answer_unknown_job(self) -> Response:
         """Answer that the job does not exist."""
-        return answer_json({}, HTTP_GONE)
+        return json_response({}, HTTP_GONE)
--- a/dandelionreel/platform/_views.py
+++ b/dandelionreel/platform/_views.py
@@ -1,4 +1,4 @@
-"""Decodes a runner's answer to a poll: its running tasks and the ends of runs."""
+"""Decodes a runner's response to a poll: its running tasks and the ends of runs."""
 
 from contextlib import suppress
 from typing import Annotated
@@ -82,7 +82,7 @@
 
 
 def decode_view(raw: bytes) -> RunnerView:
-    """Decode a runner's answer to a poll; raises ``RunnerError`` if nothing is readable.
+    """Decode a runner's response to a poll; raises ``RunnerError`` if nothing is readable.
 
     If a row is unreadable, the view is incomplete, but the other rows are still used.
     """
--- a/dandelionreel/records/_event_collector.py
+++ b/dandelionreel/records/_event_collector.py
@@ -29,7 +29,7 @@
 
 @dataclass
 class LogSpan:
-    """Time of the first and the last line of a host, in seconds of its wall clock."""
+    """Time of the first and the last line of a host, in Unix time by its clock."""
 
     first: float
     last: float
--- a/dandelionreel/records/_job_histories.py
+++ b/dandelionreel/records/_job_histories.py
@@ -28,7 +28,7 @@
 
 @dataclass
 class JobHistory:
-    """One job; times are wall-clock seconds, ``None`` if no event has them."""
+    """One job; times are Unix time, ``None`` if no event has them."""
 
     job: str
     queue: str = ''
--- a/dandelionreel/records/_log_event.py
+++ b/dandelionreel/records/_log_event.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class LogEvent:
-    """A log event; ``at`` is its host's wall clock in seconds."""
+    """A log event; ``at`` is the Unix time at its host."""
 
     at: float
     host: str
--- a/dandelionreel/records/_outages.py
+++ b/dandelionreel/records/_outages.py
@@ -36,7 +36,7 @@
 
 @dataclass
 class TimeSpan:
-    """A time span in wall-clock seconds; ``until`` is infinite while it lasts."""
+    """A time span in Unix time; ``until`` is infinite while it lasts."""
 
     since: float
     until: float = float('inf')
@@ -67,9 +67,9 @@
         if text.startswith(HOST_STARTED):
             self._add_host_start(event)
         elif text.startswith(LOST_STORE):
-            self._begin_store_outage(event.host, event.at)
+            self._start_store_outage(event.host, event.at)
         elif text.startswith(NOT_READY) and any(cause in text for cause in STORE_CAUSES):
-            self._begin_store_outage(event.host, event.at - _get_seconds(event, 'store_age'))
+            self._start_store_outage(event.host, event.at - _get_seconds(event, 'store_age'))
         elif text.startswith((REGAINED_STORE, READY)):
             self._end_store_outage(event.host, event.at)
         if text.startswith(OWNS_CELL):
@@ -132,7 +132,7 @@
             # Without an earlier line it is unknown since when the host had been down.
             self._downtimes_by_host[event.host].append(TimeSpan(last, event.at))
 
-    def _begin_store_outage(self, host: str, at: float) -> None:
+    def _start_store_outage(self, host: str, at: float) -> None:
         spans = self._store_outages_by_host[host]
         if not spans or spans[-1].until < at:
             spans.append(TimeSpan(at))
--- a/dandelionreel/records/_report.py
+++ b/dandelionreel/records/_report.py
@@ -15,7 +15,7 @@
 
 #: Context events are shown from this long before a job's first event to as long after its last.
 MARGIN_SECONDS = 1.0
-#: Fields of a start that tell how current the owner's knowledge was.
+#: Fields of a start that show how current the owner's knowledge was.
 KNOWLEDGE_AGE_FIELDS = ('version', 'store_age', 'runner_age')
 #: Events about a host: shown if the host logged events of the job.
 HOST_KINDS = frozenset((EventKind.STORE, EventKind.HOST))
@@ -173,7 +173,7 @@
     for host in sorted({event.host for event in job_events}):
         late = span_by_host[host].first - first
         if late > MARGIN_SECONDS:
-            unknowns.append(f'the log of {host} begins {late:.1f} s after the job was handed in')
+            unknowns.append(f'the log of {host} begins {late:.1f} s after the job was submitted')
     return unknowns
 
 
--- a/dandelionreel/records/_runs.py
+++ b/dandelionreel/records/_runs.py
@@ -23,7 +23,7 @@
 
 @dataclass
 class Run:
-    """One run of a task; times are wall-clock seconds, ``None`` if no event has them."""
+    """One run of a task; times are Unix time, ``None`` if no event has them."""
 
     task: str
     run: int
--- a/dandelionreel/records/_waits.py
+++ b/dandelionreel/records/_waits.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """A span without runs, in wall-clock seconds."""
+    """A span without runs, in Unix time."""
 
     since: float
     until: float
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -18,14 +18,14 @@
         self,
         settings: Settings,
         clock: Clock,
-        me: str,
+        own_member: str,
         contracts: ContractProjection,
         membership: Membership,
     ) -> None:
-        """Admit as the member ``me``, whose share depends on the zone's live members."""
+        """Admit as the member ``own_member``, whose share depends on the zone's live members."""
         self._zone = settings.availability_zone
         self._clock = clock
-        self._me = me
+        self._own_member = own_member
         self._contracts = contracts
         self._membership = membership
         self._usage_by_customer: dict[str, CustomerUsage] = {}
@@ -55,7 +55,7 @@
         terms = contract.requests
         share = self._contracts.share(contract.customer, self._zone)
         keys = member_keys(self._membership.live(self._zone))
-        rank = keys.index(self._me) if self._me in keys else len(keys)
+        rank = keys.index(self._own_member) if self._own_member in keys else len(keys)
         members = max(1, len(keys))
         allowed = share_of_count(terms.concurrency, share, rank, members)
         if usage.in_flight >= allowed:
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -72,7 +72,7 @@
         """Return the state of a key, ``None`` if it is unused."""
         return self._state_by_key.get((customer, key))
 
-    def fold(self, record: msgspec.Struct, position: Position) -> None:
+    def apply(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record of the stream."""
         if isinstance(record, RequestIntent):
             state = KeyState(record.digest, record.nonce)
--- a/dandelionreel/routing/_metrics.py
+++ b/dandelionreel/routing/_metrics.py
@@ -33,7 +33,7 @@
         )
 
     def count_answer(self, call: ServiceCall, seconds: float) -> None:
-        """Observe the time that an answer took."""
+        """Observe the time that a response took."""
         self._answer_seconds.labels(call.customer, call.task_class).observe(seconds)
 
     def count_refusal(self, call: ServiceCall, verdict: str, cause: str) -> None:
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -169,7 +169,7 @@
         return tuple(ServiceSlots(name, free) for name, free in sorted(free_by_service.items()))
 
     def mean_answer_seconds(self, service: str) -> float:
-        """Return the mean answer time of the service's runners, 0 if none is known."""
+        """Return the mean response time of the service's runners, 0 if none is known."""
         means = [
             runner.latency.mean
             for runner in self._runner_by_name.values()
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -9,12 +9,12 @@
 from dandelionreel.http import (
     PROBLEM_URN,
     VERDICT_HEADER,
-    Answer,
     ExchangeError,
     ProblemDocument,
     Request,
+    Response,
     SendForbiddenError,
-    answer_problem,
+    problem_response,
 )
 from dandelionreel.kernel import (
     Clock,
@@ -54,7 +54,7 @@
 #: A round trip to another zone takes at least this long, so a request with less time left
 #: is not forwarded there.
 CROSS_ZONE_MIN_SECONDS = 0.05
-#: Time reserved for the answer to reach the caller.
+#: Time reserved for the response to reach the caller.
 ANSWER_MARGIN_SECONDS = 0.01
 #: Fraction of the remaining time for writing an intent and reading it back.
 INTENT_TIME_FRACTION = 0.8
@@ -90,7 +90,7 @@
         self,
         settings: Settings,
         clock: Clock,
-        me: str,
+        own_member: str,
         contracts: ContractProjection,
         membership: Membership,
         pool: RunnerPool,
@@ -99,10 +99,10 @@
         metrics: RoutingMetrics,
         journal: Journal,
     ) -> None:
-        """Route as the member ``me``."""
+        """Route as the member ``own_member``."""
         self._settings = settings
         self._clock = clock
-        self._me = me
+        self._own_member = own_member
         self._contracts = contracts
         self._membership = membership
         self._pool = pool
@@ -110,15 +110,15 @@
         self._idempotency_guard = idempotency_guard
         self._metrics = metrics
         self._journal = journal
-        self._admission = Admission(settings, clock, me, contracts, membership)
+        self._admission = Admission(settings, clock, own_member, contracts, membership)
         self._queue_by_service: dict[str, RequestQueue] = {}
         #: Requests in flight, including those that peers forwarded.
         self.in_flight = 0
 
-    async def serve(self, request: Request) -> Answer:
+    async def serve(self, request: Request) -> Response:
         """Serve a caller's request; raises ``RequestError``."""
         call = parse_call(request, self._clock.monotonic(), self._settings.timings.longest_run)
-        if self._membership.is_live(self._me):
+        if self._membership.is_live(self._own_member):
             return await self._admit(call)
         # A daemon that started while the log was unavailable isn't a member,
         # so it has no share of any limit. A peer that is a member admits.
@@ -145,9 +145,9 @@
                 return ForwardAnswer(await self._admit(call))
             return ForwardAnswer(await self._deliver_and_count(call))
         except _NoFreeSlotError:
-            return ForwardAnswer(Answer(HTTP_UNAVAILABLE), no_room=True)
+            return ForwardAnswer(Response(HTTP_UNAVAILABLE), no_room=True)
         except RequestError as error:
-            return ForwardAnswer(answer_problem(error.problem))
+            return ForwardAnswer(problem_response(error.problem))
 
     def queue_lengths(self) -> dict[str, int]:
         """Return the number of queued requests by service."""
@@ -168,7 +168,7 @@
                 seen, PEER_CHECK_SECONDS if waiting else IDLE_POLL_SECONDS
             )
 
-    async def _admit(self, call: ServiceCall) -> Answer:
+    async def _admit(self, call: ServiceCall) -> Response:
         usage = self._admission.admit(call)
         usage.in_flight += 1
         try:
@@ -176,18 +176,18 @@
         finally:
             usage.in_flight -= 1
 
-    async def _deliver_and_count(self, call: ServiceCall) -> Answer:
+    async def _deliver_and_count(self, call: ServiceCall) -> Response:
         self.in_flight += 1
         started_at = self._clock.monotonic()
         try:
-            answer = await self._deliver(call)
+            response = await self._deliver(call)
         except RequestError as error:
             self._report_refusal(call, error)
             raise
         finally:
             self.in_flight -= 1
         self._metrics.count_answer(call, self._clock.monotonic() - started_at)
-        return answer
+        return response
 
     def _report_refusal(self, call: ServiceCall, error: RequestError) -> None:
         problem = error.problem
@@ -201,7 +201,7 @@
             cause=problem.cause,
         )
 
-    async def _deliver(self, call: ServiceCall) -> Answer:
+    async def _deliver(self, call: ServiceCall) -> Response:
         if not call.is_keyed or call.hops >= MAX_KEYED_HOPS:
             return await self._try_all(call)
         zones = zones_of(self._settings)
@@ -210,22 +210,22 @@
             return await self._deliver_to_zone(call, key_zone)
         return await self._deliver_keyed(call)
 
-    async def _deliver_keyed(self, call: ServiceCall) -> Answer:
+    async def _deliver_keyed(self, call: ServiceCall) -> Response:
         remaining = call.deadline - self._clock.monotonic()
-        # The answer may have to reach a peer before the deadline.
+        # The response may have to reach a peer before the deadline.
         timeout = max(ANSWER_MARGIN_SECONDS, remaining * INTENT_TIME_FRACTION)
         nonce = await self._idempotency_guard.claim_key(
             call.customer, call.key, call.request, timeout
         )
         try:
-            answer = await self._try_all(call)
+            response = await self._try_all(call)
         except RequestError as error:
             if error.problem.verdict is not Verdict.NOT_RUN:
                 raise
             await self._record_key_result(call, nonce, NOT_SENT)
             raise
-        await self._record_key_result(call, nonce, answer.status)
-        return answer
+        await self._record_key_result(call, nonce, response.status)
+        return response
 
     async def _record_key_result(self, call: ServiceCall, nonce: str, status: int) -> None:
         # In the background, so that the caller does not wait for the log.
@@ -238,7 +238,7 @@
             daemon=True,
         )
 
-    async def _deliver_to_zone(self, call: ServiceCall, zone: str) -> Answer:
+    async def _deliver_to_zone(self, call: ServiceCall, zone: str) -> Response:
         """Forward a request to the zone that keeps its idempotency key."""
         if call.hops:
             raise not_run(
@@ -254,13 +254,13 @@
         call: ServiceCall,
         states: tuple[PeerState, ...],
         hops: int,
-    ) -> Answer:
-        """Return the answer of the first peer that accepts the request."""
+    ) -> Response:
+        """Return the response of the first peer that accepts the request."""
         for state in states:
             if not state.member:
                 continue
             try:
-                answer = await self._forward(call, state, hops)
+                response = await self._forward(call, state, hops)
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN:
                     continue
@@ -269,8 +269,8 @@
                     'peer-silent',
                     'the daemon that received the request did not answer',
                 ) from error
-            if answer is not None:
-                return answer
+            if response is not None:
+                return response
         raise not_run(
             HTTP_UNAVAILABLE,
             'peers-unreachable',
@@ -278,7 +278,7 @@
             NO_ROUTE_RETRY_SECONDS,
         )
 
-    async def _try_all(self, call: ServiceCall) -> Answer:
+    async def _try_all(self, call: ServiceCall) -> Response:
         """Try runners and peers until one answers; raises ``RequestError``."""
         history = _AttemptHistory()
         try:
@@ -290,25 +290,25 @@
             # The last attempt did not run, but an earlier one may have.
             raise outcome_unknown(problem.status, problem.cause, problem.detail) from error
 
-    async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Answer:
+    async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Response:
         while True:
             self._check_deadline(call)
             runner = self._pool.acquire_slot(call.service, headroom=call.task_class != 'urgent')
             if runner is None:
-                answer = await self._try_peers(call, history)
+                response = await self._try_peers(call, history)
             else:
-                answer = await self._send(call, runner, history)
-            if answer is not None:
-                return answer
+                response = await self._send(call, runner, history)
+            if response is not None:
+                return response
 
     async def _send(
         self, call: ServiceCall, runner: Runner, history: '_AttemptHistory'
-    ) -> Answer | None:
+    ) -> Response | None:
         """Send to a runner; return ``None`` when the request may be retried."""
         self._log_choice(call, runner)
         remaining = call.deadline - self._clock.monotonic()
         try:
-            answer = await runner.send(
+            response = await runner.send(
                 call.make_runner_request(),
                 remaining,
                 self._pool.changed.notify,
@@ -321,7 +321,7 @@
             history.may_have_run = history.may_have_run or error.sent
             self._check_retry(call, runner, error)
             return None
-        return with_verdict(answer, Verdict.RAN)
+        return with_verdict(response, Verdict.RAN)
 
     def _check_retry(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
         """Return if another attempt is allowed; raises ``RequestError`` otherwise."""
@@ -338,7 +338,7 @@
             raise outcome_unknown(status, 'runner-failed', detail)
         raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
 
-    async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Answer | None:
+    async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Response | None:
         state = self._find_peer(call)
         if state is None:
             if call.hops >= _max_hops(call):
@@ -348,7 +348,7 @@
         try:
             # Sent as the last hop: the key is already claimed, and the next
             # daemon must not claim it again.
-            answer = await self._forward(call, state, _max_hops(call))
+            response = await self._forward(call, state, _max_hops(call))
         except PeerError as error:
             state.gossip = replace(state.gossip, service_slots=())
             if error.verdict is Verdict.NOT_RUN:
@@ -362,11 +362,11 @@
                 'peer-silent',
                 f'{state.member} received the request and did not answer',
             ) from error
-        if answer is None:
+        if response is None:
             state.gossip = replace(state.gossip, service_slots=())
-        return answer
+        return response
 
-    async def _forward(self, call: ServiceCall, state: PeerState, hops: int) -> Answer | None:
+    async def _forward(self, call: ServiceCall, state: PeerState, hops: int) -> Response | None:
         """Forward a request to a peer; return ``None`` when it has no free slot.
 
         Raises ``PeerError``.
@@ -381,13 +381,13 @@
         )
         message = Forward(call.request, remaining, hops)
         frame = await state.link.request(message, max(remaining, ANSWER_MARGIN_SECONDS))
-        answer = frame.message
-        if not isinstance(answer, ForwardAnswer):
+        reply = frame.message
+        if not isinstance(reply, ForwardAnswer):
             raise PeerError('unexpected message type in the answer', Verdict.UNKNOWN)
-        if answer.no_room:
+        if reply.no_room:
             return None
-        raise_problem(answer.answer)
-        return answer.answer
+        raise_problem(reply.response)
+        return reply.response
 
     def _find_peer(self, call: ServiceCall) -> PeerState | None:
         if call.hops >= _max_hops(call):
@@ -455,7 +455,7 @@
             )
 
     def _estimate_wait(self, call: ServiceCall, queue: RequestQueue) -> float:
-        """Estimate the seconds until an answer, from the queue and the mean answer time."""
+        """Estimate the seconds until a response, from the queue and the mean response time."""
         usable_slots = self._pool.usable_slots(call.service)
         mean_answer_seconds = self._pool.mean_answer_seconds(call.service)
         if not usable_slots or not mean_answer_seconds:
@@ -491,20 +491,20 @@
         )
 
 
-def with_verdict(answer: Answer, verdict: Verdict) -> Answer:
-    """Return the answer with this verdict, replacing any that the runner set."""
-    headers = tuple(header for header in answer.headers if header[0] != VERDICT_HEADER)
-    return replace(answer, headers=(*headers, (VERDICT_HEADER, verdict.value)))
+def with_verdict(response: Response, verdict: Verdict) -> Response:
+    """Return the response with this verdict, replacing any that the runner set."""
+    headers = tuple(header for header in response.headers if header[0] != VERDICT_HEADER)
+    return replace(response, headers=(*headers, (VERDICT_HEADER, verdict.value)))
 
 
-def raise_problem(answer: Answer) -> None:
-    """Raise the ``RequestError`` that a peer's answer stands for, if any.
+def raise_problem(response: Response) -> None:
+    """Raise the ``RequestError`` that a peer's response stands for, if any.
 
-    An answer of a runner always has the verdict ``ran``.
+    A response of a runner always has the verdict ``ran``.
     """
-    if answer.header(VERDICT_HEADER) in {'', Verdict.RAN.value}:
+    if response.header(VERDICT_HEADER) in {'', Verdict.RAN.value}:
         return
-    document = msgspec.json.decode(answer.body, type=ProblemDocument)
+    document = msgspec.json.decode(response.body, type=ProblemDocument)
     raise RequestError(
         Problem(
             Verdict(document.verdict),
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -8,11 +8,11 @@
 
 from dandelionreel.backing import HostEntry
 from dandelionreel.http import (
-    Answer,
     Connection,
     ExchangeError,
     RefusedError,
     Request,
+    Response,
     SendForbiddenError,
 )
 from dandelionreel.kernel import Clock
@@ -20,16 +20,16 @@
 
 SLOTS_PATH = '/.runner/slots'
 HTTP_OK = 200
-#: Weight of the newest answer time in the moving average of answer times.
+#: Weight of the newest response time in the moving average of response times.
 LATENCY_WEIGHT = 0.1
 #: A runner whose mean latency exceeds its best by this factor gets a lower limit.
 SLOW_FACTOR = 3.0
 LIMIT_DECREASE_FACTOR = 0.9
-#: Factor by which the best answer time rises with each answer.
+#: Factor by which the best response time rises with each response.
 BEST_DRIFT_FACTOR = 1.01
 MIN_LIMIT = 1.0
 #: A quarantined runner gets no requests. The time doubles with each quarantine up to the
-#: maximum, until an answer resets it.
+#: maximum, until a response resets it.
 INITIAL_QUARANTINE_SECONDS = 1.0
 MAX_QUARANTINE_SECONDS = 30.0
 FAILURES_TO_QUARANTINE = 3
@@ -43,7 +43,7 @@
 
 
 class Latency:
-    """Moving average and best of a runner's answer times, in seconds."""
+    """Moving average and best of a runner's response times, in seconds."""
 
     def __init__(self) -> None:
         """Start without a measurement."""
@@ -56,7 +56,7 @@
             self.mean = self.best = seconds
             return
         self.mean += (seconds - self.mean) * LATENCY_WEIGHT
-        # The best rises slowly, so that a single very short answer does not
+        # The best rises slowly, so that a single very short response does not
         # make all later ones count as slow.
         self.best = min(seconds, self.best * BEST_DRIFT_FACTOR)
 
@@ -158,7 +158,7 @@
                 continue
             self.former_owner_slots = max(0, busy - self.in_use)
             # A request of the former owner may have been in transit at the
-            # first idle answer, so two in a row are required.
+            # first idle response, so two in a row are required.
             idle_answers = 0 if self.former_owner_slots else idle_answers + 1
             if idle_answers == 1:
                 self.former_owner_slots = 1
@@ -171,12 +171,12 @@
         *,
         new_connection: bool,
         may_send: Callable[[], bool],
-    ) -> Answer:
-        """Send a request and return its whole answer; raises ``ExchangeError``.
+    ) -> Response:
+        """Send a request and return its whole response; raises ``ExchangeError``.
 
         The caller has counted the slot in ``in_use``. The slot is released,
         and ``on_release`` awaited, once the runner is known to be done: after
-        a timeout that is when the late answer arrives, not when the caller
+        a timeout that is when the late response arrives, not when the caller
         stops waiting.
         """
         exchange = _Exchange(
@@ -184,8 +184,8 @@
         )
         task = await curio.spawn(exchange.run, self._longest_run, daemon=True)
         await curio.ignore_after(timeout, exchange.done.wait)
-        if exchange.answer is not None:
-            return exchange.answer
+        if exchange.response is not None:
+            return exchange.response
         if exchange.error is not None:
             raise exchange.error
         if not exchange.sent:
@@ -229,8 +229,8 @@
         self.open_connections -= 1
         await connection.close()
 
-    def record_answer(self, seconds: float, answer: Answer) -> None:
-        """Update latency, health and the concurrency limit from an answer."""
+    def record_response(self, seconds: float, response: Response) -> None:
+        """Update latency, health and the concurrency limit from a response."""
         self.latency.add(seconds)
         self._consecutive_failures = 0
         self._quarantine_seconds = INITIAL_QUARANTINE_SECONDS
@@ -238,7 +238,7 @@
             self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
         else:
             self._limit = min(float(self.entry.slots), self._limit + 1 / self._limit)
-        if answer.header('connection').lower() == 'close':
+        if response.header('connection').lower() == 'close':
             self.leaving_seen_at = self._clock.monotonic()
 
     def record_failure(self, error: ExchangeError) -> None:
@@ -256,10 +256,10 @@
         connection = Connection(self.entry.address, self.entry.port, self._answer_bytes)
         try:
             await connection.open(SLOT_QUERY_SECONDS, SLOT_QUERY_SECONDS)
-            answer = await connection.exchange(Request('GET', SLOTS_PATH), SLOT_QUERY_SECONDS)
-            if answer.status != HTTP_OK:
+            response = await connection.exchange(Request('GET', SLOTS_PATH), SLOT_QUERY_SECONDS)
+            if response.status != HTTP_OK:
                 return None
-            return msgspec.json.decode(answer.body, type=SlotUsage).busy
+            return msgspec.json.decode(response.body, type=SlotUsage).busy
         except RefusedError:
             return 0
         except (ExchangeError, msgspec.MsgspecError):
@@ -286,7 +286,7 @@
         self._new_connection = new_connection
         self._may_send = may_send
         self.done = curio.Event()
-        self.answer: Answer | None = None
+        self.response: Response | None = None
         self.error: ExchangeError | None = None
         self.sent = False
 
@@ -314,13 +314,13 @@
         connection = await runner.open_connection(new_connection=self._new_connection)
         finished = False
         try:
-            self.answer = await connection.exchange(
+            self.response = await connection.exchange(
                 self._request, longest_run, self._check_may_send
             )
             finished = True
         finally:
             await runner.return_connection(connection, reusable=finished)
-        runner.record_answer(runner._clock.monotonic() - started_at, self.answer)
+        runner.record_response(runner._clock.monotonic() - started_at, self.response)
         await self.done.set()
 
     def _check_may_send(self) -> bool:
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         entry: HostEntry,
         service: WorkerService,
         authority: Authority,
@@ -63,8 +63,8 @@
         clock: Clock,
         journal: Journal,
     ) -> None:
-        """Act as the member ``me`` on the worker of the host list entry ``entry``."""
-        self._me = me
+        """Act as the member ``own_member`` on the worker of the host list entry ``entry``."""
+        self._own_member = own_member
         self.entry = entry
         self._service = service
         self._authority = authority
@@ -110,7 +110,7 @@
             return
         lease_ms = int(self._settings.timings.lease * MILLISECONDS_PER_SECOND)
         try:
-            await self._service.renew(LeaseRenewal(self._me, lease_ms, tuple(task_ids)))
+            await self._service.renew(LeaseRenewal(self._own_member, lease_ms, tuple(task_ids)))
         except WorkerError:
             return
 
@@ -277,7 +277,7 @@
             order.demand,
             order.command,
             int(self._settings.timings.lease * MILLISECONDS_PER_SECOND),
-            self._me,
+            self._own_member,
             grant.epoch,
             order.customer,
             order.job,
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         settings: Settings,
         clock: Clock,
         hosts: HostWatch,
@@ -75,8 +75,8 @@
         peer_clocks: PeerClocks,
         journal: Journal,
     ) -> None:
-        """Act as the member ``me``."""
-        self._me = me
+        """Act as the member ``own_member``."""
+        self._own_member = own_member
         self._settings = settings
         self._clock = clock
         self._hosts = hosts
@@ -177,7 +177,7 @@
             self._settings.timings.start_deadline,
         )
         agent = WorkerAgent(
-            self._me,
+            self._own_member,
             entry,
             service,
             self._authority,
@@ -230,7 +230,7 @@
     async def _send_report(self, agent: WorkerAgent, target: '_ReportTarget') -> bool:
         unrenewed_seconds = self._unrenewed_seconds(agent)
         dispatcher = target.dispatcher
-        if dispatcher == self._me:
+        if dispatcher == self._own_member:
             if self._report_handler is not None:
                 await self._report_handler(
                     agent.make_report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
@@ -261,7 +261,7 @@
         while True:
             await curio.sleep(self._settings.timings.lease / 4)
             claim = self._shards.get(agent.shard)
-            if claim is None or claim.owner == self._me:
+            if claim is None or claim.owner == self._own_member:
                 continue
             log_is_unavailable = self._reader.outage_since is not None
             if log_is_unavailable and self._peer_monitor.is_silent(claim.owner):
--- a/features/entry_parts.py
+++ b/features/entry_parts.py
@@ -28,7 +28,7 @@
 )
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.cell.store._runner_projection import RunnerProjection
-from dandelionreel.http import Answer
+from dandelionreel.http import Response
 from dandelionreel.kernel import Journal, ManualClock, Part
 from dandelionreel.platform import Address, JsonRecordCodec, StoreTopic
 
@@ -171,10 +171,10 @@
     async def exchange(self, request, timeout):
         """Answer the request for a page of newest records, or a read."""
         if request.path == '/v1/log-newest':
-            return Answer(200, (), self.pages.pop(0))
+            return Response(200, (), self.pages.pop(0))
         offset = int(request.query_by_name['from'])
         body = struct.pack('>QQ', len(self.frames), 0) + b''.join(self.frames[offset:])
-        return Answer(200, (), body[: len(body) - self.cut])
+        return Response(200, (), body[: len(body) - self.cut])
 
     async def close(self):
         """Nothing is open."""
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -105,7 +105,7 @@
 def make_exchange(context, projection, reply, store_age):
     """Return an exchange with one peer, of a host whose store answered so many seconds ago."""
     context.cell_state = CellState()
-    context.cell_state.fold([make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 1))])
+    context.cell_state.apply([make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 1))])
     context.links = StubPeers(reply)
     clock = ManualClock(NOW)
     return ConfigurationExchange(
@@ -267,7 +267,7 @@
     request = Request('GET', '/plain/', (('host', 'h'),))
     authenticated = Caller(caller, digest_key(key), version)
     frame = Frame(1, 'peer/1', 0, 0, Forward(request, 1.0, 1, authenticated))
-    context.answer = curio.run(context.client_api.handle_relayed, frame).answer
+    context.answer = curio.run(context.client_api.handle_relayed, frame).response
 
 
 @given('a job of {owner} that is {state}')
@@ -278,7 +278,7 @@
         record = make_record(SUBMISSION_PREFIX + JOB, submission)
     else:
         record = make_record(PROGRESS_PREFIX + JOB, Progress(1, JobState(state), account=account))
-    context.cell_projection.fold(RecordBatch((record,), 1, 1))
+    context.cell_projection.apply(RecordBatch((record,), 1, 1))
 
 
 @when('{caller} asks by {method}')
@@ -382,7 +382,7 @@
 
 @when('it reads that the owner has the newer configuration')
 def read_newer_owner(context):
-    context.cell_state.fold([make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1', version=6))])
+    context.cell_state.apply([make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1', version=6))])
     check_configuration(context)
 
 
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -56,7 +56,7 @@
     host = Host('me', topic)
     submission = Submission('urgent', 'desk', 0.0, JobSpec('payload', (step(),)))
     progress = Progress(1, JobState.RUNNING, runners=('w9',))
-    host.projection.state.fold(
+    host.projection.state.apply(
         [
             make_record(f'{SUBMISSION_PREFIX}j1', submission),
             make_record(f'{PROGRESS_PREFIX}j1', progress),
@@ -67,7 +67,7 @@
     context.dispatcher = make_dispatcher(host, term, topic, host.clock)
     runners = context.dispatcher._dependencies.runners
     runners._codec = SharedAddressCodec()
-    runners.fold(RecordBatch(context.entries, 2, 2))
+    runners.apply(RecordBatch(context.entries, 2, 2))
     context.dispatcher._load_state()
 
 
@@ -113,7 +113,7 @@
 
 
 def read_entry(context, runner, content, offset):
-    context.runners.fold(RecordBatch((KeyedRecord(runner, content, offset),), offset, offset))
+    context.runners.apply(RecordBatch((KeyedRecord(runner, content, offset),), offset, offset))
 
 
 def run_update(context):
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -125,9 +125,9 @@
         meanwhile = lambda: context.completions.answer(2)  # noqa: E731
     context.links = ZonePeerLinks(peer == 'a host that is cut off as well', meanwhile)
     context.cell_state = CellState()
-    context.cell_state.fold([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
+    context.cell_state.apply([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
     if peer != 'no other host':
-        context.cell_state.fold(
+        context.cell_state.apply(
             [make_record(f'{MEMBER_PREFIX}peer', Member('south', '127.0.0.1', 2))]
         )
 
@@ -136,7 +136,7 @@
 def zone_runner(context, runner):
     submission = Submission('urgent', 'desk', 0.0, JobSpec('x', (step(),)))
     progress = Progress(1, JobState.RUNNING, runners=('w1',))
-    context.cell_state.fold(
+    context.cell_state.apply(
         [
             make_record(SUBMISSION_PREFIX + JOB, submission),
             make_record(PROGRESS_PREFIX + JOB, progress),
@@ -271,7 +271,7 @@
     complete = fate.endswith('its job as complete')
     assert (job.state is JobState.COMPLETED) is complete, job.state
     if not is_kept:
-        assert bool(job.ready_steps(0)) is True and job.is_over is complete
+        assert bool(job.ready_steps(0)) is True and job.is_finished is complete
 
 
 @then('{count:d} queries were sent to the zone')
@@ -317,7 +317,7 @@
         records.append(make_record(OWNER_KEY, Owner(2, owner, f'{owner}/1')))
     if shows == 'already shows':
         records.append(make_record(PROGRESS_PREFIX + JOB, Progress(2, JobState.COMPLETED)))
-    context.cell_state.fold(records)
+    context.cell_state.apply(records)
     clock = context.completions._clock
     context.links = OwnerLinks(answers == 'accepts the report')
     reports = CompletionReports(
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -81,7 +81,7 @@
     host.follower._offset = 1
     for gap in gaps:
         clock.advance(gap)
-        host.projection.fold(RecordBatch((claim,), 2, 2))
+        host.projection.apply(RecordBatch((claim,), 2, 2))
     clock.advance(seconds)
     host.follower.fresh_at = clock.monotonic()
     host.follower.reachable_since = clock.monotonic() - 5
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -68,7 +68,7 @@
         peer_completions.answer(2)
     context.peer = PeerLinks(peer_completions)
     cell_state = CellState()
-    cell_state.fold([PEER])
+    cell_state.apply([PEER])
     context.completions = Completions(clock)
     context.gossip = CompletionGossip(
         context.owner, cell_state, context.peer, context.completions, 'me'
@@ -144,7 +144,7 @@
     job = context.cell.job_by_id[JOB]
     assert context.blocked_at_first, 'it could be started before the peers had replied'
     assert not context.cell.is_blocked(job)
-    waits = bool(job.ready_steps(0)) and not job.is_over
+    waits = bool(job.ready_steps(0)) and not job.is_finished
     assert waits is (outcome == 'started again'), job.state
     if not waits:
         assert [dirty.id for dirty in context.cell.take_dirty_jobs()] == [JOB]
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -14,7 +14,7 @@
 from dandelionreel.cell.model._records import MEMBER_PREFIX, Member, make_record
 from dandelionreel.cell.store._cell_state import CellState
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
-from dandelionreel.http import Answer, Channel, Request, Server
+from dandelionreel.http import Channel, Request, Response, Server
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import PeerError
 from features.cell_parts import QUEUES
@@ -100,7 +100,7 @@
 def make_detector(clock, links, store_answered_at):
     cell_state = CellState()
     for host, zone in (('me', 'north'), ('s-1', 'south'), ('s-2', 'south'), ('w-1', 'west')):
-        cell_state.fold([make_record(f'{MEMBER_PREFIX}{host}', Member(zone, '127.0.0.1', 1))])
+        cell_state.apply([make_record(f'{MEMBER_PREFIX}{host}', Member(zone, '127.0.0.1', 1))])
     return PartitionDetector(
         'me', 'north', cell_state, links, lambda: store_answered_at, clock, journal()
     )
@@ -220,7 +220,7 @@
 @when('a client sends it a request')
 def send_one(context):
     async def answer(request):
-        return Answer(200)
+        return Response(200)
 
     async def send():
         async with AsyncExitStack() as stack:
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -268,7 +268,7 @@
 def claims(context):
     context.cell_state = CellState()
     for epoch, beat in ((1, 0), (2, 0), (1, 5)):
-        context.cell_state.fold([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
+        context.cell_state.apply([make_record(OWNER_KEY, Owner(epoch, 'h', f'h/{epoch}', beat))])
 
 
 @then('the owner is that of epoch 2')
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -181,7 +181,7 @@
     cell = dispatcher.cell
     job = cell.job_by_id.get(JOB)
     startable = (
-        job is not None and not job.is_over and bool(job.ready_steps(context.host.clock.now))
+        job is not None and not job.is_finished and bool(job.ready_steps(context.host.clock.now))
     )
     assert startable is (handled == 'started'), (stored_job, job)
 
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -102,7 +102,7 @@
         return await topic.snapshot()
 
     context.cell_state = CellState()
-    context.cell_state.fold(curio.run(store_heartbeats).records)
+    context.cell_state.apply(curio.run(store_heartbeats).records)
 
 
 @then('tasks are placed on the new runner only if the store lists it')
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -27,7 +27,7 @@
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
 from dandelionreel.cell.store._runner_projection import RunnerProjection
-from dandelionreel.http import Answer, Server, answer_json
+from dandelionreel.http import Response, Server, json_response
 from dandelionreel.kernel import ManualClock, Verdict
 from dandelionreel.ownership import Grant, GrantLevel
 from dandelionreel.platform import Address, HttpAdvice, HttpRunner, JsonRecordCodec
@@ -183,8 +183,8 @@
 def answer_invalidly(context, behavior, call):
     async def handle(request):
         if 'half' in behavior:
-            return Answer(200, (), b'{"clock_ms": 5')
-        return answer_json({'clock_ms': 5, 'born': 'soon', 'running': [], 'finished': []})
+            return Response(200, (), b'{"clock_ms": 5')
+        return json_response({'clock_ms': 5, 'born': 'soon', 'running': [], 'finished': []})
 
     async def send_call():
         context.result = await send(context.client, call, context.runner.clock())
@@ -231,7 +231,7 @@
 
 
 def read_entry_record(context, entry):
-    context.projection.fold(RecordBatch((make_record(entry),), 1, 1))
+    context.projection.apply(RecordBatch((make_record(entry),), 1, 1))
 
 
 @given('a host that knows i-1 from {entry}')
@@ -436,7 +436,7 @@
     async def answer(request):
         context.requested_runners = json.loads(request.body)['workers']
         allowed = [[runner, f't-{runner}'] for runner in context.requested_runners]
-        return answer_json({'allowed': [*allowed, ['i-3', 't-strange']]})
+        return json_response({'allowed': [*allowed, ['i-3', 't-strange']]})
 
     async def ask():
         async with AsyncExitStack() as stack:
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -29,13 +29,13 @@
     """Apply an intent for the job's next attempt; return its number."""
     number = context.jobs.get('j1').next_attempt
     intent = AttemptIntent('j1', number, EPOCH, MEMBER, ('w1',))
-    context.jobs.fold(intent, next_position(context, wall))
+    context.jobs.apply(intent, next_position(context, wall))
     return number
 
 
 def end_attempt(context, number, outcome, wall):
     record = AttemptEnded('j1', number, EPOCH, outcome.value)
-    context.jobs.fold(record, next_position(context, wall))
+    context.jobs.apply(record, next_position(context, wall))
 
 
 def classify(context, number):
@@ -49,10 +49,10 @@
     clock = ManualClock()
     shards = ShardProjection(Membership(clock), clock)
     claim = Claimed(MEMBER, (ShardEpoch(DISPATCH_SHARD, 0),))
-    shards.fold(claim, Position(0, MEMBER, 0))
+    shards.apply(claim, Position(0, MEMBER, 0))
     context.jobs = JobProjection(shards, 10, 10)
     accepted = JobAccepted('j1', 'key', 'digest', load_spec(SPEC))
-    context.jobs.fold(accepted, next_position(context, NOW))
+    context.jobs.apply(accepted, next_position(context, NOW))
     wall = NOW - HOUR if 'an hour before' in earlier else NOW
     for word in earlier.split():
         value = word.strip(',')
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from curio import socket
 
-from dandelionreel.http import Answer, Channel, ExchangeError, Request
+from dandelionreel.http import Channel, ExchangeError, Request, Response
 from dandelionreel.kernel import Journal, SystemClock, Verdict
 from dandelionreel.peers import (
     Forward,
@@ -76,7 +76,7 @@
         server = make_server()
 
         async def answer(frame):
-            return ForwardAnswer(Answer(200))
+            return ForwardAnswer(Response(200))
 
         server.add_handler(Forward, answer)
         await server.start(stack, '127.0.0.1', 0)
@@ -173,7 +173,7 @@
     context.server = make_server()
 
     async def answer(frame):
-        return ForwardAnswer(Answer(200, (), b'x' * LARGE_ANSWER_BYTES))
+        return ForwardAnswer(Response(200, (), b'x' * LARGE_ANSWER_BYTES))
 
     context.server.add_handler(Forward, answer)
 
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -121,7 +121,7 @@
 def _join(context, member):
     host = member.partition('/')[0]
     record = Joined(member, host, 'z', '127.0.0.1', 1)
-    context.members.fold(record, Position(0, member, 0))
+    context.members.apply(record, Position(0, member, 0))
 
 
 @given('a member that knows of one other')
@@ -173,7 +173,7 @@
 
 def _claim(context, member, replaced, offset):
     record = Claimed(member, (ShardEpoch(DISPATCH_SHARD, replaced),))
-    context.shards.fold(record, Position(offset, member, 0))
+    context.shards.apply(record, Position(offset, member, 0))
 
 
 @given('a job and a dispatcher of epoch 1')
@@ -183,7 +183,7 @@
     context.job_projection = JobProjection(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
     accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
-    context.job_projection.fold(accepted, Position(1, 'a/1', 0))
+    context.job_projection.apply(accepted, Position(1, 'a/1', 0))
 
 
 def _make_intent(worker):
@@ -193,7 +193,7 @@
 @when('its intent for w1 is appended, and then one for w2 with the same attempt')
 def append_both_intents(context):
     for offset, worker in enumerate(('w1', 'w2'), 2):
-        context.job_projection.fold(_make_intent(worker), Position(offset, 'a/1', 0))
+        context.job_projection.apply(_make_intent(worker), Position(offset, 'a/1', 0))
 
 
 @then('the job matches the intent for w1 and not the one for w2')
@@ -208,10 +208,10 @@
 )
 def append_late_intent(context):
     released = Released('a/1', (ShardEpoch(DISPATCH_SHARD, 1),))
-    context.shards.fold(released, Position(2, 'a/1', 0))
+    context.shards.apply(released, Position(2, 'a/1', 0))
     _claim(context, 'b/1', 1, 3)
     assert context.shards.epoch(DISPATCH_SHARD) == 4
-    context.job_projection.fold(_make_intent('w1'), Position(4, 'a/1', 0))
+    context.job_projection.apply(_make_intent('w1'), Position(4, 'a/1', 0))
 
 
 @then('the job still waits')
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -442,7 +442,7 @@
             queue = rng.choice(('urgent', 'gangs', 'batch'))
             small.hand_in(account, steps, queue)
         elif event_draw < 0.7:
-            jobs = [job for job in small.cell.job_by_id.values() if not job.is_over]
+            jobs = [job for job in small.cell.job_by_id.values() if not job.is_finished]
             if jobs:
                 small.cell.cancel(rng.choice(jobs).id)
         elif event_draw < 0.8:
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -12,7 +12,7 @@
     make_record,
 )
 from dandelionreel.cell.store._cell_state import CellState
-from dandelionreel.http import Answer
+from dandelionreel.http import Response
 from dandelionreel.kernel import ManualClock, SystemClock, Verdict
 from dandelionreel.peers import Done, Forward, ForwardAnswer, Frame, OwnerAsked, PeerError, Refused
 from features.client_parts import make_call
@@ -33,14 +33,14 @@
             raise PeerError('no answer in time', Verdict.UNKNOWN)
         if isinstance(message, OwnerAsked):
             return Frame(1, 'peer/1', 0, 0, Done())
-        answer = ForwardAnswer(Answer(self._status))
+        answer = ForwardAnswer(Response(self._status))
         return Frame(1, 'peer/1', 0, 0, answer)
 
 
 @given('a peer that answers {status:d}')
 def answering_peer(context, status):
     cell_state = CellState()
-    cell_state.fold(
+    cell_state.apply(
         [
             make_record(OWNER_KEY, Owner(1, 'peer', 'peer/1')),
             make_record(f'{MEMBER_PREFIX}peer', Member('north', '127.0.0.1', 1)),
@@ -122,5 +122,5 @@
 @then('the client {outcome}')
 def client_outcome(context, outcome):
     relayed = context.relayed
-    assert (relayed.answer is not None) is (outcome == 'gets that answer')
+    assert (relayed.response is not None) is (outcome == 'gets that answer')
     assert relayed.in_doubt is (outcome == 'is left in doubt')
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -29,7 +29,7 @@
     context.host = Host('me', context.topic)
     cell_state = context.host.projection.state
     running = make_record(f'{PROGRESS_PREFIX}j1', Progress(1, JobState.RUNNING, runners=('w1',)))
-    cell_state.fold([make_record(f'{SUBMISSION_PREFIX}j1', JOB), running])
+    cell_state.apply([make_record(f'{SUBMISSION_PREFIX}j1', JOB), running])
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
     context.dispatcher._load_state()
@@ -52,8 +52,8 @@
 
     assert curio.run(submit_again) is WriteOutcome.STORED
     cell_state = context.host.projection.state
-    cell_state.fold(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
-    cell_state.fold(context.topic.records)
+    cell_state.apply(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
+    cell_state.apply(context.topic.records)
     for job_id in cell_state.take_changed_jobs():
         context.dispatcher._update_job(job_id)
 
@@ -61,6 +61,6 @@
 @then('no task of the job is started again')
 def nothing_again(context):
     job = context.dispatcher.cell.job_by_id.get('j1')
-    assert job is None or job.is_over, (
+    assert job is None or job.is_finished, (
         f'{job.id} is {job.state.value} at the owner and finished in the store'
     )
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -346,7 +346,7 @@
     snapshot = curio.run(context.topic.snapshot)
     kept = [record for record in snapshot.records if record.content]
     cell_state = CellState()
-    cell_state.fold(snapshot.records)
+    cell_state.apply(snapshot.records)
     assert len(kept) == count, kept
     assert cell_state.find('j1').state is JobState(state)
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -70,7 +70,7 @@
         return await context.topic.snapshot()
 
     context.cell_state = CellState()
-    context.cell_state.fold(curio.run(store_heartbeats).records)
+    context.cell_state.apply(curio.run(store_heartbeats).records)
 
 
 @then('w9 is among them')
@@ -125,7 +125,7 @@
         3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset
     ).owner_record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
-    context.cell_state.fold(
+    context.cell_state.apply(
         [make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)]
     )
 
@@ -135,7 +135,7 @@
 )
 def member_record(context, offset):
     member = Member('north', '10.0.0.9', 7, 'other/1', read_from=offset)
-    context.cell_state.fold([make_record(f'{MEMBER_PREFIX}other', member)])
+    context.cell_state.apply([make_record(f'{MEMBER_PREFIX}other', member)])
 
 
 @then('the owner is considered {fate}')
@@ -179,7 +179,7 @@
         return await context.topic.snapshot()
 
     context.cell_state = CellState()
-    context.cell_state.fold(curio.run(race).records)
+    context.cell_state.apply(curio.run(race).records)
 
 
 @then('the store says that the job is {state} with {done:d} tasks done')
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dandelionreel.backing import HostEntry
-from dandelionreel.http import Answer, Request, Server, answer_json
+from dandelionreel.http import Request, Response, Server, json_response
 from standins._hosts import HostsStandIn
 from standins._log import LogStandIn
 from standins._plan import Plan
@@ -55,10 +55,10 @@
         elif entry.kind == 'endpoint':
             await RunnerStandIn(entry).start(stack)
 
-    async def _control(self, request: Request) -> Answer:
+    async def _control(self, request: Request) -> Response:
         if request.path == CONTROL_CUTS:
             return self._link_faults.handle(request)
-        return answer_json({})
+        return json_response({})
 
 
 def main() -> None:
--- a/standins/_faults.py
+++ b/standins/_faults.py
@@ -3,7 +3,7 @@
 import curio
 import msgspec
 
-from dandelionreel.http import Answer, CloseConnection, Request, answer_json
+from dandelionreel.http import CloseConnection, Request, Response, json_response
 
 
 class Faults(msgspec.Struct):
@@ -42,7 +42,7 @@
         """Start without faults."""
         self.faults = Faults()
 
-    def replace_faults(self, request: Request) -> Answer:
+    def replace_faults(self, request: Request) -> Response:
         """Replace the faults with those in the request body."""
         self.faults = msgspec.json.decode(request.body, type=Faults)
-        return answer_json(self.faults)
+        return json_response(self.faults)
--- a/standins/_hosts.py
+++ b/standins/_hosts.py
@@ -4,7 +4,7 @@
 import xxhash
 
 from dandelionreel.backing import HostEntry, HostsResult
-from dandelionreel.http import Answer, Request, answer_json
+from dandelionreel.http import Request, Response, json_response
 from standins._faults import FaultSwitch
 
 FAULTS = '/control/faults'
@@ -20,17 +20,17 @@
         super().__init__()
         self.hosts = hosts
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer one request."""
         if request.path == FAULTS:
             return self.replace_faults(request)
         if request.path == HOSTS:
             self.hosts = msgspec.json.decode(request.body, type=HostsResult).hosts
-            return answer_json(HostsResult(self.hosts))
+            return json_response(HostsResult(self.hosts))
         await self.faults.apply_before()
         return self._list(request)
 
-    def _list(self, request: Request) -> Answer:
+    def _list(self, request: Request) -> Response:
         zone = request.query_by_name.get('availability_zone', '')
         listed = tuple(
             host
@@ -40,5 +40,5 @@
         body = msgspec.json.encode(HostsResult(listed))
         entity_tag = f'"{xxhash.xxh64_hexdigest(body)}"'
         if request.header('if-none-match') == entity_tag:
-            return Answer(HTTP_NOT_MODIFIED, (('etag', entity_tag),))
-        return answer_json(HostsResult(listed), headers=(('etag', entity_tag),))
+            return Response(HTTP_NOT_MODIFIED, (('etag', entity_tag),))
+        return json_response(HostsResult(listed), headers=(('etag', entity_tag),))
--- a/standins/_log.py
+++ b/standins/_log.py
@@ -9,7 +9,7 @@
     MemoryLog,
     ReadResult,
 )
-from dandelionreel.http import Answer, Request, answer_json
+from dandelionreel.http import Request, Response, json_response
 from standins._faults import FaultSwitch
 
 MILLISECONDS_PER_SECOND = 1000
@@ -38,12 +38,12 @@
         self.log = MemoryLog()
         self.counts = LogCounts()
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer one request."""
         if request.path == FAULTS:
             return self.replace_faults(request)
         if request.path == COUNTS:
-            return answer_json(self.counts)
+            return json_response(self.counts)
         if request.path == TRUNCATE:
             return self._truncate(request)
         await self.faults.apply_before()
@@ -52,16 +52,16 @@
             return await self._append(stream, request)
         return await self._read(stream, request)
 
-    async def _append(self, stream: str, request: Request) -> Answer:
+    async def _append(self, stream: str, request: Request) -> Response:
         body = msgspec.json.decode(request.body, type=AppendBody)
         records = [bytes(raw) for raw in body.records]
         offset = await self.log.append(stream, records)
         self.counts.appends += 1
         self.counts.records += len(records)
         self.faults.apply_after()
-        return answer_json(AppendResult(offset))
+        return json_response(AppendResult(offset))
 
-    async def _read(self, stream: str, request: Request) -> Answer:
+    async def _read(self, stream: str, request: Request) -> Response:
         self.counts.reads += 1
         query = request.query_by_name
         wait = int(query.get('wait_ms', '0')) / MILLISECONDS_PER_SECOND
@@ -69,14 +69,14 @@
         try:
             batch = await self.log.read(stream, offset, wait)
         except LogTruncatedError as error:
-            return answer_json(ReadResult(error.first, error.first, error.first, []), HTTP_GONE)
+            return json_response(ReadResult(error.first, error.first, error.first, []), HTTP_GONE)
         await self.faults.apply_before()
         records = [msgspec.Raw(text) for text in batch.records]
         first = self.log.stream(stream).first
-        return answer_json(ReadResult(first, batch.tail, batch.offset, records))
+        return json_response(ReadResult(first, batch.tail, batch.offset, records))
 
-    def _truncate(self, request: Request) -> Answer:
+    def _truncate(self, request: Request) -> Response:
         query = request.query_by_name
         stream = self.log.stream(query['stream'])
         stream.truncate(int(query.get('first', stream.tail)))
-        return answer_json({'first': stream.first})
+        return json_response({'first': stream.first})
--- a/standins/_relay.py
+++ b/standins/_relay.py
@@ -11,7 +11,7 @@
 import msgspec
 from curio import socket
 
-from dandelionreel.http import Answer, Request, answer_json, connect, listen
+from dandelionreel.http import Request, Response, connect, json_response, listen
 
 READ_SIZE = 65_536
 #: Stands for every source or every target of a cut.
@@ -48,10 +48,10 @@
         """Replace all cuts."""
         self._cuts = cuts
 
-    def handle(self, request: Request) -> Answer:
+    def handle(self, request: Request) -> Response:
         """Replace the cuts with those in the request body."""
         self._cuts = msgspec.json.decode(request.body, type=Cuts)
-        return answer_json(self._cuts)
+        return json_response(self._cuts)
 
     def name_of(self, address: str) -> str:
         """Return the name that belongs to a source address."""
--- a/standins/_runner.py
+++ b/standins/_runner.py
@@ -12,12 +12,12 @@
 
 from dandelionreel.backing import HostEntry
 from dandelionreel.http import (
-    Answer,
     CloseConnection,
     Request,
+    Response,
     Server,
     ServerLimits,
-    answer_json,
+    json_response,
 )
 from standins._faults import FaultSwitch
 
@@ -63,16 +63,16 @@
         server = Server(self.handle, ServerLimits(connections=self.entry.connections + 16))
         await server.start(stack, self.entry.address, self.entry.port)
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer one request."""
         if request.path == FAULTS:
             return self.replace_faults(request)
         if request.path == RECORD:
-            return answer_json(self.record())
+            return json_response(self.record())
         if request.path == SLOTS:
             if self.faults.outage:
                 raise CloseConnection
-            return answer_json({'busy': self._busy})
+            return json_response({'busy': self._busy})
         await self.faults.apply_before()
         return await self._work(request)
 
@@ -80,7 +80,7 @@
         """Return the requests that this runner has handled."""
         return RunnerRecord(self.entry.name, self.entry.slots, self._peak_busy, 0, self._requests)
 
-    async def _work(self, request: Request) -> Answer:
+    async def _work(self, request: Request) -> Response:
         record = RequestRecord(
             self.entry.name,
             request.header('dandelionreel-request-id'),
@@ -101,4 +101,4 @@
         headers.append(('mark', request.header('mark')))
         if self.faults.leaving:
             headers.append(('connection', 'close'))
-        return Answer(200, tuple(headers), request.body)
+        return Response(200, tuple(headers), request.body)
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -17,7 +17,14 @@
 
 import curio
 
-from dandelionreel.http import Answer, CloseConnection, Request, Server, ServerLimits, answer_json
+from dandelionreel.http import (
+    CloseConnection,
+    Request,
+    Response,
+    Server,
+    ServerLimits,
+    json_response,
+)
 from dandelionreel.kernel import start_task
 from standins._other_writer import OtherWriter
 from standins._relay import LinkFaults, Relay
@@ -77,18 +84,18 @@
         """Write arbitrary bytes as a record, as another writer may."""
         self._topic(topic).records.append(record)
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer a request, or fail as ``faults`` says."""
         if self.faults.delay:
             await curio.sleep(self.faults.delay)
         if self.faults.down:
-            return Answer(503)
+            return Response(503)
         answer = await self._answer(request)
         if request.method == 'POST' and self._random.random() < self.faults.lose_share:
             raise CloseConnection
         return answer
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _answer(self, request: Request) -> Response:
         fields = request.query_by_name
         topic = self._topic(fields['topic'])
         if request.path == '/v1/log-append':
@@ -97,17 +104,17 @@
             return self._newest(topic)
         return await self._read(topic, int(fields['from']), int(fields.get('wait_ms', 0)))
 
-    def _append(self, topic: _Topic, fields: dict[str, str], body: bytes) -> Answer:
+    def _append(self, topic: _Topic, fields: dict[str, str], body: bytes) -> Response:
         if 'producer' in fields:
             epoch, sequence = int(fields['epoch']), int(fields['sequence'])
             if epoch < topic.epoch:
-                return answer_json({'reason': 'fenced'}, 409)
+                return json_response({'reason': 'fenced'}, 409)
             if epoch == topic.epoch and sequence in topic.answer_by_sequence:
-                return answer_json(topic.answer_by_sequence[sequence])
+                return json_response(topic.answer_by_sequence[sequence])
             if epoch == topic.epoch and sequence != topic.next_sequence:
-                return answer_json({'reason': 'seq'}, 409)
+                return json_response({'reason': 'seq'}, 409)
         if 'at' in fields and int(fields['at']) != len(topic.records):
-            return answer_json({'end': len(topic.records)}, 412)
+            return json_response({'end': len(topic.records)}, 412)
         done = {'offset': len(topic.records)}
         position = 0
         while position < len(body):
@@ -121,9 +128,9 @@
             topic.epoch = epoch
             topic.next_sequence = sequence + 1
             topic.answer_by_sequence[sequence] = done
-        return answer_json(done)
+        return json_response(done)
 
-    def _newest(self, topic: _Topic) -> Answer:
+    def _newest(self, topic: _Topic) -> Response:
         newest: dict[bytes, tuple[int, bytes]] = {}
         for offset, record in enumerate(topic.records):
             length = record[0] if record else 0
@@ -137,16 +144,16 @@
             for key, (offset, content) in newest.items()
             if content
         ]
-        return answer_json({'items': entries, 'has_more': False, 'end': len(topic.records)})
+        return json_response({'items': entries, 'has_more': False, 'end': len(topic.records)})
 
-    async def _read(self, topic: _Topic, offset: int, wait_ms: int) -> Answer:
+    async def _read(self, topic: _Topic, offset: int, wait_ms: int) -> Response:
         until = time.monotonic() + wait_ms / MILLISECONDS_PER_SECOND
         while len(topic.records) <= offset and time.monotonic() < until:
             await curio.sleep(POLL_SECONDS)
         body = struct.pack('>QQ', len(topic.records), 0)
         for record in topic.records[offset:]:
             body += LENGTH_PREFIX.pack(len(record)) + record
-        return Answer(200, (), body)
+        return Response(200, (), body)
 
     def _topic(self, name: str) -> _Topic:
         return self._topic_by_name.setdefault(name, _Topic())
@@ -234,7 +241,7 @@
         self.reset_pending = False
         self.reports_incarnation = reports_incarnation
         #: Handles requests instead of the runner if it is set.
-        self.override_handler: Callable[[Request], Awaitable[Answer]] | None = None
+        self.override_handler: Callable[[Request], Awaitable[Response]] | None = None
         self._clock_zero = time.monotonic() - INITIAL_CLOCK_SECONDS
         #: The capacities that the runner has reported, the latest last.
         self.capacity_changes: list[CapacityChange] = [(0.0, FULL_CPU)]
@@ -252,7 +259,7 @@
         """Return what the runner's clock shows, in seconds."""
         return time.monotonic() - self._clock_zero
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer an order or a poll."""
         if self.is_down or self.reset_pending:
             raise CloseConnection
@@ -261,7 +268,7 @@
         self.advance()
         order = json.loads(request.body)
         if request.header('x-expected-instance') not in {'', self.name}:
-            return answer_json({}, 421)
+            return json_response({}, 421)
         if order['fencing_token'] < self._fencing_token:
             return self._reject('fence')
         self._fencing_token = order['fencing_token']
@@ -339,7 +346,7 @@
                 await curio.spawn(self.on_crash, self, daemon=True)
         raise CloseConnection
 
-    def _start(self, order: dict) -> Answer:
+    def _start(self, order: dict) -> Response:
         self._extend_lease(order['deadline_ms'])
         task, number = order['task'], order['run']
         known = self._run_by_task.get(task)
@@ -358,7 +365,7 @@
         self._runs.append(run)
         return self._ok()
 
-    def _stop(self, order: dict) -> Answer:
+    def _stop(self, order: dict) -> Response:
         task, number = order['task'], order['run']
         self._highest_run_by_task[task] = max(self._highest_run_by_task.get(task, 0), number)
         run = self._run_by_task.get(task)
@@ -368,7 +375,7 @@
             run.planned_end = min(run.planned_end, time.monotonic() + STOP_SECONDS)
         return self._ok()
 
-    async def _renew_and_poll(self, order: dict) -> Answer:
+    async def _renew_and_poll(self, order: dict) -> Response:
         self._unacknowledged_ends = [
             end for end in self._unacknowledged_ends if end[0] > order['acked_through']
         ]
@@ -390,7 +397,7 @@
         }
         if self.reports_incarnation:
             body['born'] = self.started_at_ms
-        return answer_json(body)
+        return json_response(body)
 
     def _extend_lease(self, deadline_ms: int) -> None:
         requested_deadline = min(
@@ -401,11 +408,11 @@
     def _clock_ms(self) -> int:
         return int(self.clock() * MILLISECONDS_PER_SECOND)
 
-    def _ok(self) -> Answer:
-        return answer_json({'clock_ms': self._clock_ms()})
+    def _ok(self) -> Response:
+        return json_response({'clock_ms': self._clock_ms()})
 
-    def _reject(self, reason: str) -> Answer:
-        return answer_json({'clock_ms': self._clock_ms(), 'reason': reason}, 409)
+    def _reject(self, reason: str) -> Response:
+        return json_response({'clock_ms': self._clock_ms(), 'reason': reason}, 409)
 
 
 class ResettableServer(Server):
@@ -584,7 +591,7 @@
         await Relay(self.link_faults, name, ('127.0.0.1', port), target_address).start(stack)
         self.port_by_name[name] = port
 
-    async def _advise(self, request: Request) -> Answer:
+    async def _advise(self, request: Request) -> Response:
         workers = json.loads(request.body)['workers']
         await curio.sleep(0.005)
-        return answer_json({'allowed': [[worker, f't-{worker}'] for worker in workers]})
+        return json_response({'allowed': [[worker, f't-{worker}'] for worker in workers]})
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -18,7 +18,7 @@
     TaskOrder,
     WorkerError,
 )
-from dandelionreel.http import Answer, Request, Server, answer_json, answer_problem
+from dandelionreel.http import Request, Response, Server, json_response, problem_response
 from dandelionreel.kernel import Problem
 from standins._faults import FaultSwitch
 
@@ -72,7 +72,7 @@
         """Listen until the stack closes."""
         await Server(self.handle).start(stack, self.entry.address, self.entry.port)
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Answer one request."""
         if request.path == FAULTS:
             answer = self.replace_faults(request)
@@ -80,7 +80,7 @@
             return answer
         if request.path == RECORD:
             runs = list(self._run_by_task.values())
-            return answer_json(
+            return json_response(
                 WorkerRecord(self.entry.name, self.entry.capacity, self._peak_usage, runs),
             )
         await self.faults.apply_before()
@@ -88,26 +88,26 @@
             answer = await self._dispatch(request)
         except WorkerError as error:
             problem = Problem(error.verdict, HTTP_CONFLICT, 'refused', f'{error}')
-            return answer_problem(problem)
+            return problem_response(problem)
         self.faults.apply_after()
         return answer
 
-    async def _dispatch(self, request: Request) -> Answer:
+    async def _dispatch(self, request: Request) -> Response:
         if request.path == TASKS:
             query = request.query_by_name
             wait = int(query.get('wait_ms', '0')) / MILLISECONDS_PER_SECOND
-            return answer_json(await self._worker.tasks(int(query.get('after', '-1')), wait))
+            return json_response(await self._worker.tasks(int(query.get('after', '-1')), wait))
         if request.path == '/v1/leases':
             await self._worker.renew(msgspec.json.decode(request.body, type=LeaseRenewal))
-            return answer_json({})
+            return json_response({})
         task_path = request.path.removeprefix(f'{TASKS}/')
         if request.method == 'PUT':
             order = msgspec.json.decode(request.body, type=TaskOrder)
             await self._worker.start(task_path, order, 0, _always)
-            return answer_json({}, HTTP_CREATED)
+            return json_response({}, HTTP_CREATED)
         task_id, _, action = task_path.rpartition('/')
         await self._worker.apply_action(task_id, action)
-        return answer_json({})
+        return json_response({})
 
     def _record_change(self, task: MemoryTask) -> None:
         order = task.order
