--- a/bench/placement.py
+++ b/bench/placement.py
@@ -23,7 +23,7 @@
     RunningTask,
     RunTimeEstimator,
     Work,
-    task_ids,
+    make_task_ids,
 )
 
 CORES_PER_WORKER = 32
@@ -51,7 +51,7 @@
     for index in range(workers):
         accelerators = 8 if index % 4 == 3 else 0
         capacity = Resources(CORES_PER_WORKER, MEMORY_MB, accelerators)
-        cell.add(f'w{index}', f'rack{index // 6}', capacity)
+        cell.add_worker(f'w{index}', f'rack{index // 6}', capacity)
     return cell
 
 
@@ -82,7 +82,9 @@
 
 def release_tasks(planner: Planner, work: Work, workers: tuple[str, ...]) -> None:
     """Release the resources of all tasks of a job."""
-    for task_id, name in zip(task_ids(work.id, work.attempt, work.tasks), workers, strict=True):
+    for task_id, name in zip(
+        make_task_ids(work.id, work.attempt, work.tasks), workers, strict=True
+    ):
         worker = planner.cell.worker_by_name.get(name)
         if worker is not None:
             planner.cell.remove_task(worker, task_id)
@@ -98,7 +100,7 @@
     def choose(self, work: Work) -> str:
         """Return the first worker on which the task fits, or an empty name."""
         for name, worker in self.cell.worker_by_name.items():
-            if self.cell.fits(worker, work.demand):
+            if self.cell.fits_worker(worker, work.demand):
                 return name
         return ''
 
@@ -110,7 +112,7 @@
         """Return the worker with the most free processors that fits, or an empty name."""
         best, most = '', -1.0
         for name, worker in self.cell.worker_by_name.items():
-            if worker.free.processors > most and self.cell.fits(worker, work.demand):
+            if worker.free.processors > most and self.cell.fits_worker(worker, work.demand):
                 best, most = name, worker.free.processors
         return best
 
@@ -124,7 +126,7 @@
     while len(running) < workers * TASKS_PER_WORKER:
         planner.queue.add(make_work(index, rng, 0))
         index += 1
-        for placement in planner.decide(0, 1):
+        for placement in planner.decide_placements(0, 1):
             running.append((placement.work, placement.workers))
     for _ in range(200):
         planner.queue.add(make_work(index, rng, 0))
@@ -143,7 +145,7 @@
             index += 1
         while True:
             began = time.perf_counter()
-            placed = planner.decide(now, 1)
+            placed = planner.decide_placements(now, 1)
             seconds = time.perf_counter() - began
             if not placed:
                 break
@@ -170,7 +172,7 @@
     ):
         best, least = None, float('inf')
         for worker in cell.worker_by_name.values():
-            if not cell.fits(worker, work.demand):
+            if not cell.fits_worker(worker, work.demand):
                 continue
             if worker.accelerators and not work.demand.accelerators and least != float('inf'):
                 continue
@@ -200,7 +202,7 @@
         planner.queue.add(work)
     planner_total = 0.0
     while True:
-        placed = planner.decide(0, 64)
+        placed = planner.decide_placements(0, 64)
         if not placed:
             break
         planner_total += sum(placement.work.demand.processors for placement in placed)
@@ -255,7 +257,7 @@
         """Plan until no more tasks can be placed; preempted tasks stop at once and wait."""
         while True:
             began = time.perf_counter()
-            placed = self.planner.decide(self.now, 64)
+            placed = self.planner.decide_placements(self.now, 64)
             self.decide_times.append(time.perf_counter() - began)
             for placement in placed:
                 self.start_tasks(placement)
@@ -315,7 +317,7 @@
         if simulation.now < 30:
             continue
         usage = simulation.planner.cell.usage
-        total = simulation.planner.cell.total
+        total = simulation.planner.cell.total_capacity
         shares = {name: usage.of(name).dominant_share(total) for name in weights}
         whole = sum(shares.values())
         deviations.append(
@@ -372,18 +374,20 @@
         for _ in range(8):
             simulation.add(run_seconds=5, demand=Resources(1, 1024, 0))
         simulation.now = now
-        for placement in simulation.planner.decide(now, 64):
+        for placement in simulation.planner.decide_placements(now, 64):
             starts += 1
             if placement.workers[0] == failing_worker:
                 lost_starts += 1
                 release_tasks(simulation.planner, placement.work, placement.workers)
-                cell.note_failure(cell.worker_by_name[failing_worker], placement.work.id, now)
+                cell.record_task_failure(
+                    cell.worker_by_name[failing_worker], placement.work.id, now
+                )
             else:
                 simulation.start_tasks(placement)
         while simulation.ends and simulation.ends[0][0] <= now:
             _, _, work, workers = heapq.heappop(simulation.ends)
             release_tasks(simulation.planner, work, workers)
-            cell.note_success(cell.worker_by_name[workers[0]])
+            cell.record_task_success(cell.worker_by_name[workers[0]])
         now += 0.1
     return {'starts': starts, 'lost': lost_starts, 'lost_part': lost_starts / starts}
 
@@ -406,11 +410,11 @@
             kind = simulation.rng.choice(tuple(factor_by_kind))
             simulation.add(kind=kind, customer='c0', run_seconds=30, longest_wait=900)
         simulation.now = now
-        for placement in simulation.planner.decide(now, 64):
+        for placement in simulation.planner.decide_placements(now, 64):
             work = placement.work
             actual = 30 * factor_by_kind[work.kind] * simulation.rng.uniform(0.9, 1.1)
             if now > 600:
-                learned = times.estimate('c0', work.kind, 30)
+                learned = times.estimate_run_seconds('c0', work.kind, 30)
                 learned_error.append(max(learned / actual, actual / learned))
                 declared_error.append(max(30 / actual, actual / 30))
             starts += 1
--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -152,7 +152,7 @@
             outage = self._clock.monotonic() - self._reader.outage_since
         contracts = {}
         for customer in self._contracts.customers():
-            contract = self._contracts.in_force(customer)
+            contract = self._contracts.contract_in_force(customer)
             contracts[customer] = contract.version if contract else 0
         return json_response(
             StatusView(
@@ -161,14 +161,14 @@
                 __version__,
                 not reasons,
                 reasons,
-                self._claimer.may_claim(),
+                self._claimer.may_claim_shards(),
                 self._claimer.draining,
                 self._dispatcher.is_active,
                 min(self._authority.evidence_age(), MAX_AGE_SECONDS),
                 outage,
                 len(self._claimer.owned_claims()),
                 self._router.in_flight,
-                {state.value: self._jobs.count(state) for state in JobState},
+                {state.value: self._jobs.count_in_state(state) for state in JobState},
                 contracts,
             ),
         )
@@ -176,7 +176,7 @@
     def _show_members(self) -> Response:
         views = []
         now = self._clock.monotonic()
-        for member in self._members.live():
+        for member in self._members.live_members():
             state = self._directory.get_by_member(member.key)
             heard_ago = -1.0
             if member.key == self._own_member:
@@ -201,7 +201,7 @@
                 claim.epoch,
                 '' if self._shards.is_settled(claim) else claim.former_owner,
                 claim.released,
-                self._authority.grant(claim.shard).level.value,
+                self._authority.current_grant(claim.shard).level.value,
             )
             for claim in sorted(self._shards.claims(), key=lambda claim: claim.shard)
         ]
@@ -224,7 +224,7 @@
                     used.memory_mb,
                     used.accelerators,
                     len(agent.ledger.allocations()),
-                    agent.grant().level.value,
+                    agent.current_grant().level.value,
                 ),
             )
         return json_response(views)
@@ -234,13 +234,13 @@
             EndpointView(
                 runner.entry.name,
                 runner.entry.service,
-                'leaving' if self._pool.is_leaving(runner.entry) else 'live',
+                'leaving' if self._pool.is_endpoint_leaving(runner.entry) else 'live',
                 runner.entry.slots,
                 runner.in_use,
                 runner.former_owner_slots,
                 runner.limit,
                 runner.open_connections,
-                self._authority.grant(runner_shard(runner.entry.name)).level.value,
+                self._authority.current_grant(runner_shard(runner.entry.name)).level.value,
             )
             for runner in self._pool.runners()
         ]
@@ -250,9 +250,9 @@
         return json_response([self._view_contract(name) for name in self._contracts.customers()])
 
     def _view_contract(self, customer: str) -> ContractView:
-        contract = self._contracts.in_force(customer)
-        pending = self._contracts.pending(customer)
-        history = self._contracts.history(customer)
+        contract = self._contracts.contract_in_force(customer)
+        pending = self._contracts.pending_proposal(customer)
+        history = self._contracts.proposal_history(customer)
         if contract is None and pending is None and not history:
             raise not_run(
                 HTTP_NOT_FOUND,
@@ -266,7 +266,7 @@
         return ContractView(
             contract,
             pending_view,
-            self._contracts.shares(customer),
+            self._contracts.zone_shares(customer),
             tuple(
                 OutcomeView(past.version, past.state, past.detail, past.author, past.written_at)
                 for past in history
@@ -289,7 +289,7 @@
                 f'customer: {contract.customer!r} is not the {clip(customer)!r} of the path',
             )
         self._check_version(contract.version, body.replaces)
-        outcome = await self._publisher.publish(contract, body.replaces, body.author)
+        outcome = await self._publisher.publish_contract(contract, body.replaces, body.author)
         return json_response(PublishDone(customer, outcome.version, outcome.state))
 
     def _check_version(self, version: int, replaces: int) -> None:
--- a/dandelionreel/callers/__init__.py
+++ b/dandelionreel/callers/__init__.py
@@ -1,6 +1,6 @@
 """HTTP API for callers: requests to services, and jobs."""
 
 from dandelionreel.callers._caller_api import CallerApi
-from dandelionreel.callers._relay import Relay
+from dandelionreel.callers._relay import ZoneRelay
 
-__all__ = ('CallerApi', 'Relay')
+__all__ = ('CallerApi', 'ZoneRelay')
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dandelionreel.callers._relay import Relay
+from dandelionreel.callers._relay import ZoneRelay
 from dandelionreel.http import Request, Response, json_response, problem_response
 from dandelionreel.jobs import CancelResult, JobApi, JobMover, MoveBody, zone_of_job
 from dandelionreel.kernel import RequestError, clip, not_run
@@ -23,7 +23,10 @@
 
 
 class CallerApi:
-    """Dispatches each path to its handler, in the availability zone responsible for it."""
+    """Handles each request in the availability zone that is responsible for it.
+
+    That is this daemon's zone, or another one to which the request is forwarded.
+    """
 
     def __init__(
         self,
@@ -31,7 +34,7 @@
         router: Router,
         job_api: JobApi,
         mover: JobMover,
-        relay: Relay,
+        relay: ZoneRelay,
         life: Lifecycle,
     ) -> None:
         """Serve callers of the availability zone ``zone``."""
@@ -56,7 +59,7 @@
                 NOT_READY_RETRY_SECONDS,
             )
         if request.path.startswith(SERVICES_PREFIX):
-            return await self._router.serve(request)
+            return await self._router.serve_request(request)
         return await self._handle_job_request(request, hops=0)
 
     async def answer_forward(self, frame: Frame) -> Message:
@@ -74,31 +77,31 @@
     async def _handle_job_request(self, request: Request, hops: int) -> Response:
         path = request.path
         if path == JOBS_PATH and request.method == 'POST':
-            return await self._submit(request, hops)
+            return await self._submit_job(request, hops)
         if path == JOBS_PATH and request.method == 'GET':
-            return await self._list(request, hops)
+            return await self._list_jobs(request, hops)
         if path == CANCEL_PATH and request.method == 'POST':
-            return await self._cancel(request, hops)
+            return await self._cancel_jobs(request, hops)
         if path == MOVE_PATH and request.method == 'POST':
-            return await self._move(request)
+            return await self._move_jobs(request)
         if path.startswith(f'{JOBS_PATH}/'):
             return await self._handle_job_by_id(request, hops)
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served here')
 
-    async def _submit(self, request: Request, hops: int) -> Response:
-        zone = self._job_api.home_zone(request)
+    async def _submit_job(self, request: Request, hops: int) -> Response:
+        zone = self._job_api.find_home_zone(request)
         if zone != self._zone and not hops:
-            return await self._relay.send(zone, request)
+            return await self._relay.send_to_zone(zone, request)
         return await self._job_api.submit(request)
 
-    async def _list(self, request: Request, hops: int) -> Response:
+    async def _list_jobs(self, request: Request, hops: int) -> Response:
         zone = request.query_by_name.get('zone', self._zone)
         if zone != self._zone and not hops:
-            return await self._relay.send(zone, request)
-        return self._job_api.list_page(request)
+            return await self._relay.send_to_zone(zone, request)
+        return self._job_api.list_jobs_page(request)
 
-    async def _cancel(self, request: Request, hops: int) -> Response:
-        body = self._job_api.decode_cancel(request)
+    async def _cancel_jobs(self, request: Request, hops: int) -> Response:
+        body = self._job_api.decode_cancel_body(request)
         if hops:
             return json_response(await self._job_api.cancel(body.jobs))
         jobs_by_zone: dict[str, list[str]] = {}
@@ -107,40 +110,40 @@
         cancelled = 0
         missing: list[str] = []
         for zone, jobs in sorted(jobs_by_zone.items()):
-            cancel_result = await self._cancel_in_zone(zone, tuple(jobs))
+            cancel_result = await self._cancel_jobs_in_zone(zone, tuple(jobs))
             cancelled += cancel_result.cancelled
             missing.extend(cancel_result.unknown)
         return json_response(CancelResult(cancelled, tuple(missing)))
 
-    async def _move(self, request: Request) -> Response:
+    async def _move_jobs(self, request: Request) -> Response:
         try:
             body = msgspec.json.decode(request.body, type=MoveBody)
         except msgspec.MsgspecError as error:
             raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if body.from_zone == body.to_zone:
             raise not_run(HTTP_BAD_REQUEST, 'bad-body', 'to_zone: must differ from from_zone')
-        self._relay.check_zone(body.from_zone)
+        self._relay.check_zone_is_known(body.from_zone)
         if body.to_zone != self._zone:
-            return await self._relay.send(body.to_zone, request)
-        return json_response(await self._mover.move_from(body.from_zone))
+            return await self._relay.send_to_zone(body.to_zone, request)
+        return json_response(await self._mover.move_jobs_from(body.from_zone))
 
-    async def _cancel_in_zone(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
+    async def _cancel_jobs_in_zone(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
         if zone == self._zone:
             return await self._job_api.cancel(jobs)
-        return await self._relay.cancel(zone, jobs)
+        return await self._relay.cancel_jobs(zone, jobs)
 
     async def _handle_job_by_id(self, request: Request, hops: int) -> Response:
         job_path = request.path.removeprefix(f'{JOBS_PATH}/')
         job_id = job_path.removesuffix(RESOLVE_SUFFIX)
         zone = zone_of_job(job_id)
         if zone != self._zone and not hops:
-            return await self._relay.send(zone, request)
+            return await self._relay.send_to_zone(zone, request)
         if job_path.endswith(RESOLVE_SUFFIX) and request.method == 'POST':
             return await self._job_api.resolve(job_id, request)
         if request.method == 'GET':
-            moved_to = self._job_api.moved_to(job_id)
+            moved_to = self._job_api.zone_moved_to(job_id)
             if moved_to:
-                return await self._relay.send(moved_to, request)
+                return await self._relay.send_to_zone(moved_to, request)
             return self._job_api.show(job_id)
         raise not_run(
             HTTP_METHOD_NOT_ALLOWED, 'method', f'{request.method} is not served on {JOBS_PATH}/ID'
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -1,4 +1,4 @@
-"""Forwards job requests to a daemon of the zone that stores the job."""
+"""Forwards requests about jobs to a daemon of the zone that stores the job."""
 
 import msgspec
 
@@ -14,8 +14,8 @@
 HTTP_TIMEOUT = 504
 
 
-class Relay:
-    """Tries the daemons of a zone, the most recently heard ones first."""
+class ZoneRelay:
+    """Forwards a request to a daemon of a zone, trying the most recently heard ones first."""
 
     def __init__(self, zones: tuple[str, ...], directory: PeerDirectory, clock: Clock) -> None:
         """Look up the daemons of each zone in ``directory``."""
@@ -23,10 +23,13 @@
         self._directory = directory
         self._clock = clock
 
-    async def send(self, zone: str, request: Request) -> Response:
-        """Return the first response from the zone; raises ``RequestError``."""
-        self.check_zone(zone)
-        for state in sorted(self._directory.states(zone), key=_by_last_heard):
+    async def send_to_zone(self, zone: str, request: Request) -> Response:
+        """Return the response of the first daemon of the zone that answers.
+
+        Raises ``RequestError`` if none does.
+        """
+        self.check_zone_is_known(zone)
+        for state in sorted(self._directory.states(zone), key=_last_heard_first):
             try:
                 frame = await state.link.request(
                     Forward(request, RELAY_TIMEOUT_SECONDS, 1), RELAY_TIMEOUT_SECONDS
@@ -49,19 +52,19 @@
             RETRY_AFTER_SECONDS,
         )
 
-    def check_zone(self, zone: str) -> None:
+    def check_zone_is_known(self, zone: str) -> None:
         """Raise ``RequestError`` for a zone that is not in the settings."""
         if zone not in self._zones:
             raise not_run(
                 HTTP_NOT_FOUND, 'unknown-zone', f'zone {clip(zone)!r} is not in the settings'
             )
 
-    async def cancel(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
+    async def cancel_jobs(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
         """Cancel jobs of another zone; raises ``RequestError``."""
         if zone not in self._zones:
             return CancelResult(0, jobs)
         body = msgspec.json.encode(CancelBody(jobs))
-        response = await self.send(zone, Request('POST', '/v1/jobs/cancel', body=body))
+        response = await self.send_to_zone(zone, Request('POST', '/v1/jobs/cancel', body=body))
         try:
             return msgspec.json.decode(response.body, type=CancelResult)
         except msgspec.MsgspecError as error:
@@ -72,5 +75,5 @@
             ) from error
 
 
-def _by_last_heard(state: PeerState) -> float:
+def _last_heard_first(state: PeerState) -> float:
     return -state.heard_at
--- a/dandelionreel/cli/_shared.py
+++ b/dandelionreel/cli/_shared.py
@@ -14,7 +14,7 @@
 from dandelionreel.cli._output import write_fields, write_table
 from dandelionreel.contracts import ContractError, load_contract
 from dandelionreel.http import Request
-from dandelionreel.jobs import JobSpecError, load_spec
+from dandelionreel.jobs import JobSpecError, load_job_spec
 from dandelionreel.kernel import ExitStatus
 
 
@@ -58,7 +58,7 @@
 def submit(file: Path, text: bytes, key: str, callers: str, json: bool) -> CommandOutcome:
     """Check a job and submit it."""
     try:
-        load_spec(text)
+        load_job_spec(text)
     except JobSpecError as error:
         return Failure(ToolError(f'{file}: {error}', ExitStatus.USAGE))
     headers = (('idempotency-key', key), ('content-type', 'application/json'))
--- a/dandelionreel/contracts/_document.py
+++ b/dandelionreel/contracts/_document.py
@@ -15,7 +15,7 @@
 Priority = Annotated[int, Meta(ge=0, le=1000)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 
-#: Classes of jobs, each with its own placement policy.
+#: Classes of jobs and requests; jobs of each class have their own placement policy.
 TASK_CLASSES = ('urgent', 'service', 'batch')
 
 
@@ -66,7 +66,7 @@
     services: tuple[Name, ...] = ()
     jobs_waiting: Count = 10_000
 
-    def terms(self, name: str) -> ClassTerms | None:
+    def class_terms(self, name: str) -> ClassTerms | None:
         """Return the terms for a class, ``None`` if the contract doesn't include it."""
         for terms in self.classes:
             if terms.name == name:
@@ -84,12 +84,12 @@
         contract = msgspec.json.decode(text, type=Contract)
     except msgspec.MsgspecError as error:
         raise ContractError(str(error)) from error
-    _check_classes(contract)
-    _check_guarantee(contract)
+    _check_class_names(contract)
+    _check_guarantee_within_quota(contract)
     return contract
 
 
-def _check_classes(contract: Contract) -> None:
+def _check_class_names(contract: Contract) -> None:
     seen = set()
     for terms in contract.classes:
         if terms.name not in TASK_CLASSES:
@@ -102,7 +102,7 @@
         raise ContractError('classes: is empty; at least one class is needed')
 
 
-def _check_guarantee(contract: Contract) -> None:
+def _check_guarantee_within_quota(contract: Contract) -> None:
     guaranteed = contract.guaranteed.resources()
     quota = contract.quota.resources()
     if not guaranteed.fits(quota):
@@ -112,15 +112,16 @@
 
 
 def intersect_contracts(old: Contract, new: Contract) -> Contract:
-    """Return a contract that keeps to the limits of both versions.
+    """Return a contract with the stricter of each limit of ``old`` and ``new``.
 
-    It is enforced from staging until the outcome of the proposal is known.
+    It is enforced from the time the proposal of ``new`` is read until its outcome
+    is known.
     """
     return msgspec.structs.replace(
         old,
-        classes=_intersect_classes(old, new),
-        quota=_minimum(old.quota, new.quota),
-        guaranteed=_minimum(old.guaranteed, new.guaranteed),
+        classes=_intersect_class_terms(old, new),
+        quota=_minimum_amounts(old.quota, new.quota),
+        guaranteed=_minimum_amounts(old.guaranteed, new.guaranteed),
         requests=RequestTerms(
             rate=min(old.requests.rate, new.requests.rate),
             burst=min(old.requests.burst, new.requests.burst),
@@ -132,7 +133,7 @@
     )
 
 
-def _minimum(first: Amounts, second: Amounts) -> Amounts:
+def _minimum_amounts(first: Amounts, second: Amounts) -> Amounts:
     return Amounts(
         min(first.processors, second.processors),
         min(first.memory_mb, second.memory_mb),
@@ -140,10 +141,10 @@
     )
 
 
-def _intersect_classes(old: Contract, new: Contract) -> tuple[ClassTerms, ...]:
+def _intersect_class_terms(old: Contract, new: Contract) -> tuple[ClassTerms, ...]:
     common_classes = []
     for terms in old.classes:
-        other = new.terms(terms.name)
+        other = new.class_terms(terms.name)
         if other is None:
             continue
         common_classes.append(
--- a/dandelionreel/contracts/_records.py
+++ b/dandelionreel/contracts/_records.py
@@ -6,10 +6,11 @@
 
 
 class Proposed(Struct, frozen=True, tag='proposed'):
-    """Proposes a version; valid if ``replaces`` is in force and nothing is pending.
+    """Proposes a version of a contract.
 
-    ``zones`` are all zones of the cell: the first version of a contract
-    divides its quota equally among them.
+    Valid if the version ``replaces`` is in force and no other proposal for the
+    customer is pending. ``zones`` are all zones of the cell: the first version
+    of a contract divides its quota equally among them.
     """
 
     contract: Contract
@@ -20,7 +21,7 @@
 
 
 class Staged(Struct, frozen=True, tag='staged'):
-    """A member has read the proposal and enforces the intersection of both versions."""
+    """A member enforces the stricter limits of the version in force and the proposed one."""
 
     customer: str
     nonce: str
@@ -28,7 +29,7 @@
 
 
 class Aborted(Struct, frozen=True, tag='aborted'):
-    """Withdraws the proposal; ignored if all members had staged it before."""
+    """Aborts a proposal; ignored if all members had staged it before."""
 
     customer: str
     nonce: str
@@ -50,7 +51,7 @@
 
 
 class ShareWanted(Struct, frozen=True, tag='share_wanted'):
-    """A zone's waiting work needs ``share`` more of the quota than the zone holds."""
+    """A zone's waiting jobs need ``share`` more of the quota than the zone holds."""
 
     customer: str
     zone: str
@@ -58,7 +59,7 @@
 
 
 class ShareMoved(Struct, frozen=True, tag='share_moved'):
-    """Moves a share between zones; the taker may use it once it has read this."""
+    """Moves a share between zones; ``taker`` may use it once it has read this record."""
 
     customer: str
     giver: str
--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -8,15 +8,18 @@
 
 
 def require_contract(contracts: ContractProjection, customer: str, task_class: str) -> Contract:
-    """Return the contract to enforce; raises ``RequestError`` if there is none for the class."""
-    contract = contracts.effective(customer)
+    """Return the customer's contract to enforce.
+
+    Raises ``RequestError`` if there is no contract or it does not include the class.
+    """
+    contract = contracts.effective_contract(customer)
     if contract is None:
         raise not_run(
             HTTP_FORBIDDEN,
             'unknown-customer',
             f'no contract for customer {customer!r} is in force',
         )
-    if contract.terms(task_class) is None:
+    if contract.class_terms(task_class) is None:
         raise not_run(
             HTTP_FORBIDDEN,
             'class-not-in-contract',
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -9,7 +9,7 @@
 
 from dandelionreel.admin import AdminApi
 from dandelionreel.backing import HostWatch, LogError, StreamReader, StreamWriter
-from dandelionreel.callers import CallerApi, Relay
+from dandelionreel.callers import CallerApi, ZoneRelay
 from dandelionreel.contracts import ContractProjection, ContractPublisher, ContractRecord
 from dandelionreel.http import Server, ServerLimits
 from dandelionreel.jobs import (
@@ -341,7 +341,7 @@
         )
         self._fleet.register_report_handler(self._dispatcher.handle_report)
         for user in (self._fleet, self._pool, DispatchShard()):
-            self._claimer.add_user(user)
+            self._claimer.add_shard_user(user)
 
     def _build_apis(self) -> None:
         settings = self._settings
@@ -355,7 +355,7 @@
             self._zone_writer,
             self._journal,
         )
-        relay = Relay(zones_of(settings), self._directory, self._clock)
+        relay = ZoneRelay(zones_of(settings), self._directory, self._clock)
         job_mover = JobMover(
             self.own_member,
             settings,
@@ -413,10 +413,10 @@
         server = self._peer_server
         server.add_handler(Heartbeat, self._peer_monitor.answer_heartbeat)
         server.add_handler(Forward, caller_api.answer_forward)
-        server.add_handler(PlaceOrder, self._fleet.answer_place)
-        server.add_handler(TaskAction, self._fleet.answer_action)
+        server.add_handler(PlaceOrder, self._fleet.answer_place_order)
+        server.add_handler(TaskAction, self._fleet.answer_task_action)
         server.add_handler(WorkerReport, self._answer_report)
-        server.add_handler(ContractsWanted, self._publisher.answer_query)
+        server.add_handler(ContractsWanted, self._publisher.answer_contracts_query)
 
     # Running.
 
@@ -447,7 +447,7 @@
         await start_task(stack, self._peer_monitor.run, stack)
         await start_task(
             stack,
-            self._peer_monitor.run_end_detection,
+            self._peer_monitor.detect_ended_members,
             self._zone_writer,
             self._cell_writer,
         )
@@ -554,17 +554,17 @@
         zone = self._settings.availability_zone
         heard = self._directory.heard_within(period, zone)
         return Gossip(
-            view=self._promises.view() if same_zone else (),
+            view=self._promises.make_view() if same_zone else (),
             heard=tuple(map(hash_member, heard)) if same_zone else (),
             service_slots=self._pool.free_slots_by_service(),
-            leaving=self._pool.observed_leaving() if same_zone else (),
-            contracts=self._contracts.digest(),
+            leaving=self._pool.observed_leaving_endpoints() if same_zone else (),
+            contracts=self._contracts.versions_digest(),
             draining=self._claimer.draining,
         )
 
     async def _handle_gossip(self, state: PeerState) -> None:
-        self._pool.record_reported_leaving(state.gossip.leaving)
-        if state.gossip.contracts == self._contracts.digest():
+        self._pool.record_reported_leaving_endpoints(state.gossip.leaving)
+        if state.gossip.contracts == self._contracts.versions_digest():
             self._lifecycle.peer_contracts_match = True
         if state.gossip.service_slots:
             await self._pool.changed.notify()
--- a/dandelionreel/jobs/__init__.py
+++ b/dandelionreel/jobs/__init__.py
@@ -19,7 +19,7 @@
     JobsCancelled,
     JobSnapshot,
 )
-from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_spec
+from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_job_spec
 from dandelionreel.jobs._tracked_attempts import AttemptTracker, TrackedAttempt
 from dandelionreel.jobs._views import (
     CancelBody,
@@ -63,7 +63,7 @@
     'QuotaShareBalancer',
     'ResolveBody',
     'TrackedAttempt',
-    'load_spec',
+    'load_job_spec',
     'view_job',
     'zone_of_job',
 )
--- a/dandelionreel/jobs/_attempt_finalizer.py
+++ b/dandelionreel/jobs/_attempt_finalizer.py
@@ -28,7 +28,7 @@
     """The retry budgets of the customers in this zone."""
 
     def __init__(self) -> None:
-        """Start with no budgets."""
+        """Start without budgets; one is created for each customer on first use."""
         self._budget_by_customer: dict[str, RetryBudget] = {}
 
     def for_customer(self, customer: str) -> RetryBudget:
@@ -62,7 +62,7 @@
         self._random = random.Random()
 
     async def finalize_ended_attempts(self) -> None:
-        """Start writing the outcome of each ended attempt, once."""
+        """Start writing the outcome of each ended attempt, unless that is already under way."""
         for tracked in tuple(self._state.tracker.attempt_by_job.values()):
             if not tracked.has_ended or tracked.is_finalizing:
                 continue
@@ -72,7 +72,7 @@
                     self._state.tracker.drop(tracked.job)
                     continue
             tracked.is_finalizing = True
-            await curio.spawn(self._finalize, tracked, self._state.epoch, daemon=True)
+            await curio.spawn(self._finalize_attempt, tracked, self._state.epoch, daemon=True)
 
     def stop_unwanted_attempts(self) -> None:
         """Stop cancelled attempts, and the remaining tasks of a gang of which one has failed."""
@@ -83,9 +83,9 @@
                 continue
             tracked.stop_requested = True
             for task in tracked.unfinished_tasks():
-                self._orders.queue_stop(self._state.epoch, task.worker, task.task_id)
+                self._orders.queue_task_stop(self._state.epoch, task.worker, task.task_id)
 
-    async def _finalize(self, tracked: TrackedAttempt, epoch: int) -> None:
+    async def _finalize_attempt(self, tracked: TrackedAttempt, epoch: int) -> None:
         outcome = self._classify_outcome(tracked)
         record = AttemptEnded(tracked.job, tracked.number, epoch, outcome.value)
         self._journal.log_sampled(
@@ -104,7 +104,7 @@
             return
         self._state.tracker.drop(tracked.job)
         self._state.changes.job_ids[tracked.job] = None
-        self._metrics.count_end(tracked.customer, outcome.value)
+        self._metrics.count_attempt_end(tracked.customer, outcome.value)
         await self._state.wake.notify()
 
     def _classify_outcome(self, tracked: TrackedAttempt) -> Outcome:
@@ -127,4 +127,4 @@
         delay = self._random.uniform(0, max_delay)
         if not self._budgets.for_customer(tracked.customer).use_retry():
             delay += OVER_BUDGET_DELAY_SECONDS
-        self._state.not_before[tracked.job] = self._clock.unix_time() + delay
+        self._state.earliest_retry_by_job[tracked.job] = self._clock.unix_time() + delay
--- a/dandelionreel/jobs/_attempt_starter.py
+++ b/dandelionreel/jobs/_attempt_starter.py
@@ -1,4 +1,8 @@
-"""Carries out placements: writes intents, preempts and starts tasks."""
+"""Starts the attempts of jobs that were placed on workers.
+
+For each attempt: writes its intent, the log record that announces the start; preempts
+the tasks whose resources it needs; then sends the start of each task.
+"""
 
 import curio
 
@@ -13,7 +17,7 @@
 from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import PlaceOrder
-from dandelionreel.placement import Placement, RunningTask, Work, task_ids
+from dandelionreel.placement import Placement, RunningTask, Work, make_task_ids
 from dandelionreel.workers import REFUSED, STARTED
 
 WRITE_TIMEOUT_SECONDS = 10.0
@@ -55,15 +59,15 @@
         self._metrics = metrics
         self._journal = journal
 
-    async def start(self, placement: Placement) -> None:
+    async def start_attempt(self, placement: Placement) -> None:
         """Track the attempt of a placement, and start it in the background."""
         work = placement.work
         job = self._jobs.get(work.id)
         if job is None:
-            self._release_capacity(placement)
+            self._release_placed_tasks(placement)
             return
-        self._log_placement(placement)
-        self._record_wait(job)
+        self._log_placement_reason(placement)
+        self._record_waiting_time(job)
         tracked = TrackedAttempt(
             work.id,
             work.attempt,
@@ -72,7 +76,7 @@
             self._clock.unix_time(),
             self._clock.monotonic(),
         )
-        ids = task_ids(work.id, work.attempt, work.tasks)
+        ids = make_task_ids(work.id, work.attempt, work.tasks)
         not_yet = float('inf')
         tasks = [
             TrackedTask(task_id, worker, not_yet)
@@ -87,17 +91,17 @@
         self, placement: Placement, tracked: TrackedAttempt, epoch: int
     ) -> None:
         for victim in placement.victims:
-            await curio.spawn(self._preempt, victim, epoch, daemon=True)
+            await curio.spawn(self._preempt_task, victim, epoch, daemon=True)
         if not await self._write_intent(placement, epoch):
             self._state.tracker.drop(placement.work.id)
-            self._release_capacity(placement)
+            self._release_placed_tasks(placement)
             job = self._jobs.get(placement.work.id)
             if job is not None:
                 self._state.changes.job_ids[job.id] = None
             await self._state.wake.notify()
             return
         if placement.victims:
-            await self._wait_for_victims(placement)
+            await self._wait_for_preempted_tasks(placement)
         starts = [
             await curio.spawn(self._start_task, placement.work, task, epoch, daemon=True)
             for task in tracked.task_by_id.values()
@@ -107,23 +111,28 @@
         await self._state.wake.notify()
 
     async def _write_intent(self, placement: Placement, epoch: int) -> bool:
-        """Write the intent; return whether this dispatcher may start the attempt."""
+        """Write the attempt's intent; return whether this dispatcher may start the attempt."""
         work = placement.work
         intent = AttemptIntent(work.id, work.attempt, epoch, self._own_member, placement.workers)
         if self._reader.outage_since is not None:
             if not work.idempotent:
                 return False
-            # Without the log, ownership alone permits the start of an idempotent job.
-            await curio.spawn(self._write_after_outage, intent, daemon=True)
-            return self._state.may_act(epoch)
+            # During a log outage no intent can be written first. To start an idempotent
+            # job it is enough to own the dispatch shard, since a second run does no harm.
+            await curio.spawn(self._write_intent_after_outage, intent, daemon=True)
+            return self._state.may_dispatch_in_epoch(epoch)
         try:
             await self._writer.write(intent, WRITE_TIMEOUT_SECONDS)
         except LogError:
             return False
         job = self._jobs.get(work.id)
-        return job is not None and job.matches_intent(intent) and self._state.may_act(epoch)
+        return (
+            job is not None
+            and job.matches_intent(intent)
+            and self._state.may_dispatch_in_epoch(epoch)
+        )
 
-    async def _write_after_outage(self, record: AttemptIntent) -> None:
+    async def _write_intent_after_outage(self, record: AttemptIntent) -> None:
         try:
             await self._writer.write(record, OUTAGE_WRITE_TIMEOUT_SECONDS)
         except LogError as error:
@@ -135,17 +144,17 @@
             task.worker,
             task.task_id,
             work.demand,
-            self._get_command(work.id),
+            self._get_job_command(work.id),
             work.customer,
             work.id,
             work.attempt,
             work.task_class,
         )
         answer = None
-        if self._state.may_act(epoch):
-            answer = await self._orders.place(order)
+        if self._state.may_dispatch_in_epoch(epoch):
+            answer = await self._orders.place_task(order)
         if answer is None or answer.outcome == REFUSED:
-            self._handle_refusal(
+            self._handle_refused_start(
                 work, task, answer.cause if answer else 'this daemon may no longer dispatch'
             )
             return
@@ -153,17 +162,17 @@
         if answer.outcome == STARTED:
             task.is_running = True
             task.absent_after = now
-            self._metrics.count_start(work.customer, work.task_class)
+            self._metrics.count_task_start(work.customer, work.task_class)
             return
-        # The order may still be in transit. Only reports after that time prove that
-        # the task did not start.
+        # The order may still be in transit for up to ``max_order_seconds``. Only a report
+        # made after that time proves that the task did not start.
         task.absent_after = now + self._state.max_order_seconds
 
-    def _handle_refusal(self, work: Work, task: TrackedTask, cause: str) -> None:
+    def _handle_refused_start(self, work: Work, task: TrackedTask, cause: str) -> None:
         task.outcome = Outcome.NOT_STARTED
-        self._state.release(task)
-        _, avoided = self._state.avoided_workers.get(work.id, (0.0, frozenset()))
-        self._state.avoided_workers[work.id] = (
+        self._state.release_task(task)
+        _, avoided = self._state.avoided_workers_by_job.get(work.id, (0.0, frozenset()))
+        self._state.avoided_workers_by_job[work.id] = (
             self._clock.monotonic() + AVOID_WORKER_SECONDS,
             avoided | {task.worker},
         )
@@ -174,18 +183,18 @@
             worker=task.worker,
         )
 
-    async def _preempt(self, victim: RunningTask, epoch: int) -> None:
-        worker = self._worker_of(victim)
+    async def _preempt_task(self, victim: RunningTask, epoch: int) -> None:
+        worker = self._find_worker_of_task(victim)
         self._journal.log(
             Part.PLACEMENT,
             f'stops {victim.task_id} on {worker}; an urgent job needs its resources.',
             task=victim.task_id,
         )
-        await self._orders.send_action(epoch, worker, victim.task_id, 'checkpoint')
-        await self._orders.send_action(epoch, worker, victim.task_id, 'stop')
+        await self._orders.send_task_action(epoch, worker, victim.task_id, 'checkpoint')
+        await self._orders.send_task_action(epoch, worker, victim.task_id, 'stop')
 
-    async def _wait_for_victims(self, placement: Placement) -> None:
-        """Wait until reports show that the preempted tasks have ended, or until the timeout."""
+    async def _wait_for_preempted_tasks(self, placement: Placement) -> None:
+        """Wait until worker reports show that the preempted tasks have ended, or a timeout."""
         deadline = self._clock.monotonic() + PREEMPTION_TIMEOUT_SECONDS
         names = set(placement.workers)
         while self._clock.monotonic() < deadline:
@@ -193,44 +202,46 @@
             remaining = [
                 victim
                 for victim in placement.victims
-                if any(victim.task_id in self._running_tasks_on(name) for name in names)
+                if any(victim.task_id in self._running_tasks_on_worker(name) for name in names)
             ]
             if not remaining:
                 return
             await self._state.wake.wait(change_count, PREEMPTION_POLL_SECONDS)
 
-    def _running_tasks_on(self, name: str) -> dict[str, RunningTask]:
+    def _running_tasks_on_worker(self, name: str) -> dict[str, RunningTask]:
         worker = self._state.find_worker(name)
         return worker.running_by_task if worker else {}
 
-    def _worker_of(self, victim: RunningTask) -> str:
+    def _find_worker_of_task(self, victim: RunningTask) -> str:
         tracked = self._state.tracker.attempt_by_job.get(victim.job)
         task = tracked.task_by_id.get(victim.task_id) if tracked else None
         return task.worker if task else ''
 
-    def _release_capacity(self, placement: Placement) -> None:
+    def _release_placed_tasks(self, placement: Placement) -> None:
         work = placement.work
-        ids = task_ids(work.id, work.attempt, work.tasks)
+        ids = make_task_ids(work.id, work.attempt, work.tasks)
         for task_id, name in zip(ids, placement.workers, strict=True):
             worker = self._state.find_worker(name)
             if worker is not None:
                 self._state.planner.cell.remove_task(worker, task_id)
 
-    def _record_wait(self, job: Job) -> None:
+    def _record_waiting_time(self, job: Job) -> None:
         if job.attempts:
             return
         customer = job.spec.customer
         waited = max(0.0, self._clock.unix_time() - job.accepted_at)
-        self._metrics.observe_wait(customer, job.spec.task_class, waited)
-        contract = self._contracts.effective(customer)
+        self._metrics.observe_waiting_time(customer, job.spec.task_class, waited)
+        contract = self._contracts.effective_contract(customer)
         if contract is not None:
-            self._budgets.for_customer(customer).add_attempt(contract.requests.retry_budget)
+            self._budgets.for_customer(customer).record_first_attempt(
+                contract.requests.retry_budget
+            )
 
-    def _get_command(self, job_id: str) -> str:
+    def _get_job_command(self, job_id: str) -> str:
         job = self._jobs.get(job_id)
         return job.spec.command if job else ''
 
-    def _log_placement(self, placement: Placement) -> None:
+    def _log_placement_reason(self, placement: Placement) -> None:
         work = placement.work
         self._journal.log_sampled(
             Part.PLACEMENT,
--- a/dandelionreel/jobs/_dispatcher.py
+++ b/dandelionreel/jobs/_dispatcher.py
@@ -1,6 +1,7 @@
 """A zone's dispatcher: places jobs, writes intents, starts tasks and finalizes attempts.
 
-Every daemon has one; only the one that owns the zone's dispatch shard is active.
+Every daemon has a dispatcher; only that of the daemon that owns the zone's dispatch
+shard is active.
 """
 
 from dandelionreel.backing import HostWatch, StreamReader, StreamWriter
@@ -19,9 +20,9 @@
 from dandelionreel.peers import WorkerReport
 from dandelionreel.placement import Planner
 
-ROUND_SECONDS = 0.5
+ROUND_INTERVAL_SECONDS = 0.5
 LOG_WAIT_SECONDS = 60.0
-#: Limits a round, so that reports and heartbeats are handled in between.
+#: Limits the placements of one round, so that reports and heartbeats are handled in between.
 MAX_DECISIONS_PER_ROUND = 64
 
 
@@ -53,7 +54,7 @@
         self._reader = reader
         self._shares = shares
         self._journal = journal
-        self._state = DispatcherState(settings, authority, jobs.subscribe())
+        self._state = DispatcherState(settings, authority, jobs.subscribe_to_changes())
         budgets = RetryBudgets()
         self._queue_updater = QueueUpdater(
             self._state,
@@ -100,7 +101,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Return whether this daemon currently dispatches."""
+        """Return whether this daemon is currently the zone's dispatcher."""
         return bool(self._state.epoch)
 
     @property
@@ -113,10 +114,10 @@
         while True:
             change_count = self._state.wake.count
             if self._authority.may_dispatch(DISPATCH_SHARD):
-                await self._round()
+                await self._run_dispatch_round()
             else:
                 self._stop_dispatching()
-            await self._state.wake.wait(change_count, ROUND_SECONDS)
+            await self._state.wake.wait(change_count, ROUND_INTERVAL_SECONDS)
 
     async def follow_log(self) -> None:
         """Wake the dispatcher after every batch of log records, forever."""
@@ -126,30 +127,32 @@
             await self._state.wake.notify()
 
     async def handle_report(self, report: WorkerReport) -> None:
-        """Process a report of a worker's owner on the tasks there."""
+        """Process the report of a worker's owner on the tasks of the worker."""
         if self.is_active:
-            await self._report_handler.handle(report)
+            await self._report_handler.handle_report(report)
 
-    async def _round(self) -> None:
-        self._take_over_if_new()
+    async def _run_dispatch_round(self) -> None:
+        self._start_new_dispatch_epoch()
         self._queue_updater.update()
         await self._finalizer.finalize_ended_attempts()
         self._finalizer.stop_unwanted_attempts()
-        placements = self.planner.decide(self._clock.unix_time(), MAX_DECISIONS_PER_ROUND)
+        placements = self.planner.decide_placements(
+            self._clock.unix_time(), MAX_DECISIONS_PER_ROUND
+        )
         for placement in placements:
-            await self._starter.start(placement)
-        self._shares.plan_transfers(self.planner)
+            await self._starter.start_attempt(placement)
+        self._shares.plan_share_transfers(self.planner)
         if len(placements) == MAX_DECISIONS_PER_ROUND:
             await self._state.wake.notify()
 
-    def _take_over_if_new(self) -> None:
+    def _start_new_dispatch_epoch(self) -> None:
         epoch = self._shards.epoch(DISPATCH_SHARD)
         if epoch == self._state.epoch:
             return
         self._stop_dispatching()
         self._state.epoch = epoch
         self._state.took_over_at = self._clock.monotonic()
-        known = (job.id for job in self._jobs.in_state(*JobState))
+        known = (job.id for job in self._jobs.jobs_in_state(*JobState))
         self._state.changes.job_ids.update(dict.fromkeys(known))
         self._journal.log(Part.JOBS, 'dispatches for the zone.', epoch=epoch)
 
--- a/dandelionreel/jobs/_dispatcher_state.py
+++ b/dandelionreel/jobs/_dispatcher_state.py
@@ -13,7 +13,7 @@
     WorkerView,
 )
 
-#: Margin after a lease's expiry before its task counts as ended.
+#: A task counts as ended this long after its lease has expired.
 LAPSE_MARGIN_SECONDS = 2.0
 
 
@@ -30,50 +30,50 @@
         authority: Authority,
         changes: JobChanges,
     ) -> None:
-        """Start inactive, with dispatch epoch 0."""
+        """Start inactive; the dispatch epoch 0 means that this daemon is not the dispatcher."""
         self._settings = settings
         self._authority = authority
-        self._terms: dict[str, CustomerTerms] = {}
+        self._terms_by_customer: dict[str, CustomerTerms] = {}
         self.changes = changes
         self.wake = ChangeNotifier()
-        self.run_times = RunTimeEstimator()
+        self.run_time_estimator = RunTimeEstimator()
         self.epoch = 0
         self.took_over_at = 0.0
         self.clear()
 
     def clear(self) -> None:
-        """Clear the state, except for the learned run times."""
+        """Clear the state, except for the run times of finished tasks."""
         self.epoch = 0
         self.tracker = AttemptTracker()
         #: The ownership epoch of each worker's last report.
-        self.reported_epochs: dict[str, int] = {}
-        #: Per job, the earliest time of its next attempt, in Unix time.
-        self.not_before: dict[str, float] = {}
-        #: Per job, workers to avoid and until when, on the monotonic clock.
-        self.avoided_workers: dict[str, tuple[float, frozenset[str]]] = {}
-        #: Waiting jobs that can't be queued yet, such as during the delay of a retry.
-        self.deferred: set[str] = set()
-        self.planner = Planner(Cell(), FairQueue(self.terms), self.run_times)
+        self.reported_epoch_by_worker: dict[str, int] = {}
+        #: The earliest time of a job's next attempt, in Unix time.
+        self.earliest_retry_by_job: dict[str, float] = {}
+        #: Until when (on the monotonic clock) a job avoids workers, and which ones.
+        self.avoided_workers_by_job: dict[str, tuple[float, frozenset[str]]] = {}
+        #: Jobs that wait but can't be queued yet, for example until a retry is due.
+        self.deferred_job_ids: set[str] = set()
+        self.planner = Planner(Cell(), FairQueue(self.customer_terms), self.run_time_estimator)
 
-    def terms(self, customer: str) -> CustomerTerms:
+    def customer_terms(self, customer: str) -> CustomerTerms:
         """Return a customer's contract terms, updated in each round of the dispatcher."""
-        return self._terms.get(customer, CustomerTerms())
+        return self._terms_by_customer.get(customer, CustomerTerms())
 
-    def replace_terms(self, terms_by_customer: dict[str, CustomerTerms]) -> None:
+    def replace_customer_terms(self, terms_by_customer: dict[str, CustomerTerms]) -> None:
         """Replace the contract terms of all customers."""
-        self._terms = terms_by_customer
+        self._terms_by_customer = terms_by_customer
 
     def find_worker(self, name: str) -> WorkerView | None:
         """Return a worker of the cell, or ``None`` if it is unknown."""
         return self.planner.cell.worker_by_name.get(name)
 
-    def release(self, task: TrackedTask) -> None:
-        """Release the resources of a task in the cell."""
+    def release_task(self, task: TrackedTask) -> None:
+        """Release the resources that a task occupies on its worker."""
         worker = self.find_worker(task.worker)
         if worker is not None:
             self.planner.cell.remove_task(worker, task.task_id)
 
-    def may_act(self, epoch: int) -> bool:
+    def may_dispatch_in_epoch(self, epoch: int) -> bool:
         """Return whether this daemon is still the dispatcher of ``epoch``."""
         return self.epoch == epoch and self._authority.may_dispatch(DISPATCH_SHARD)
 
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -10,7 +10,7 @@
 from dandelionreel.http import Request, Response, json_response
 from dandelionreel.jobs._job_projection import RESOLVABLE_STATES, Job, JobProjection
 from dandelionreel.jobs._records import JobAccepted, JobResolved, JobsCancelled
-from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_spec
+from dandelionreel.jobs._spec import JobSpec, JobSpecError, load_job_spec
 from dandelionreel.jobs._views import (
     CancelBody,
     CancelResult,
@@ -32,7 +32,7 @@
     zones_of,
 )
 from dandelionreel.ownership import choose_owner
-from dandelionreel.placement import count_fitting
+from dandelionreel.placement import count_fitting_tasks
 
 IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 RANDOM_ID_BYTES = 8
@@ -52,7 +52,7 @@
 
 
 def zone_of_job(job: str) -> str:
-    """Return the zone in a job's id."""
+    """Return the zone part of a job's id, which has the form ``zone.random``."""
     zone, _, _ = job.rpartition('.')
     return zone
 
@@ -82,11 +82,12 @@
         self._writer = writer
         self._journal = journal
 
-    def home_zone(self, request: Request) -> str:
-        """Return the zone that stores the job's idempotency key.
+    def find_home_zone(self, request: Request) -> str:
+        """Return the zone that accepts and stores a submitted job.
 
-        All daemons must choose the same zone, or a repeated submission would
-        be accepted twice. Without a key, any zone will do.
+        The zone is derived from the customer and the idempotency key: all daemons
+        must choose the same zone, or a repeated submission would be accepted
+        twice. Without a key it is the zone of this daemon.
         """
         key = request.header(IDEMPOTENCY_KEY_HEADER)
         if not key:
@@ -102,8 +103,8 @@
         known = self._jobs.find_by_key(spec.customer, key)
         if known is None:
             self._check_key_not_of_ended_job(spec.customer, key)
-            self._check_admission(spec)
-            known = await self._accept(spec, key, digest)
+            self._check_job_admission(spec)
+            known = await self._accept_job(spec, key, digest)
         if known.digest != digest:
             raise not_run(
                 HTTP_INVALID,
@@ -114,14 +115,14 @@
 
     def show(self, job_id: str) -> Response:
         """Return a job; raises ``RequestError``."""
-        return json_response(view_job(self._find(job_id)))
+        return json_response(view_job(self._find_job(job_id)))
 
-    def moved_to(self, job_id: str) -> str:
+    def zone_moved_to(self, job_id: str) -> str:
         """Return the zone that a job was moved to, or an empty string."""
         job = self._jobs.get(job_id)
         return job.moved_to if job else ''
 
-    def list_page(self, request: Request) -> Response:
+    def list_jobs_page(self, request: Request) -> Response:
         """Return a page of jobs, filtered by customer and state."""
         query = request.query_by_name
         text = query.get('limit', str(DEFAULT_PAGE_SIZE))
@@ -132,7 +133,7 @@
                 f'limit: {clip(text)!r} is not allowed; give 1 to {MAX_PAGE_SIZE}',
             )
         limit = int(text)
-        jobs = self._jobs.page(
+        jobs = self._jobs.list_jobs_page(
             query.get('after', ''),
             limit,
             query.get('customer', ''),
@@ -141,7 +142,7 @@
         next_after = jobs[-1].id if len(jobs) == limit else ''
         return json_response(JobPage(tuple(view_job(job) for job in jobs), next_after))
 
-    def decode_cancel(self, request: Request) -> CancelBody:
+    def decode_cancel_body(self, request: Request) -> CancelBody:
         """Decode a request to cancel jobs; raises ``RequestError``."""
         try:
             body = msgspec.json.decode(request.body, type=CancelBody)
@@ -156,17 +157,21 @@
         return body
 
     async def cancel(self, jobs: tuple[str, ...]) -> CancelResult:
-        """Cancel jobs of this zone with one log record; raises ``RequestError``."""
+        """Cancel jobs of this zone by a single log record; raises ``RequestError``."""
         known = tuple(job for job in jobs if self._jobs.get(job) is not None)
         missing = tuple(job for job in jobs if self._jobs.get(job) is None)
         if known:
-            await self._write(JobsCancelled(known))
+            await self._write_record(JobsCancelled(known))
             self._journal.log(Part.JOBS, f'cancelled {len(known)} jobs.')
         return CancelResult(len(known), missing)
 
     async def resolve(self, job_id: str, request: Request) -> Response:
-        """Apply an operator's resolution to an uncertain or parked job."""
-        job = self._find(job_id)
+        """Apply an operator's resolution to a job.
+
+        Only a job that may have run (``uncertain``) or has failed too often
+        (``parked``) can be resolved.
+        """
+        job = self._find_job(job_id)
         try:
             body = msgspec.json.decode(request.body, type=ResolveBody)
         except msgspec.MsgspecError as error:
@@ -183,12 +188,12 @@
                 'job-not-open',
                 f'job {job_id} is {job.state.value}; only uncertain or parked jobs can be resolved',
             )
-        await self._write(JobResolved(job_id, body.outcome))
+        await self._write_record(JobResolved(job_id, body.outcome))
         return self.show(job_id)
 
-    async def _accept(self, spec: JobSpec, key: str, digest: str) -> Job:
+    async def _accept_job(self, spec: JobSpec, key: str, digest: str) -> Job:
         job_id = f'{self._zone}.{os.urandom(RANDOM_ID_BYTES).hex()}'
-        await self._write(JobAccepted(job_id, key, digest, spec))
+        await self._write_record(JobAccepted(job_id, key, digest, spec))
         # Another daemon may have accepted a job with the same key first.
         job = self._jobs.find_by_key(spec.customer, key)
         if job is None:
@@ -205,7 +210,7 @@
         )
         return job
 
-    async def _write(self, record: msgspec.Struct) -> None:
+    async def _write_record(self, record: msgspec.Struct) -> None:
         if self._reader.outage_since is not None:
             raise not_run(
                 HTTP_UNAVAILABLE,
@@ -220,18 +225,18 @@
 
     def _read_spec(self, request: Request) -> JobSpec:
         try:
-            return load_spec(request.body)
+            return load_job_spec(request.body)
         except JobSpecError as error:
             raise not_run(HTTP_BAD_REQUEST, 'bad-job', f'{error}') from error
 
-    def _find(self, job_id: str) -> Job:
+    def _find_job(self, job_id: str) -> Job:
         job = self._jobs.get(job_id)
         if job is None:
             raise not_run(HTTP_NOT_FOUND, 'unknown-job', f'job {clip(job_id)!r} is unknown')
         return job
 
     def _check_key_not_of_ended_job(self, customer: str, key: str) -> None:
-        ended_id = self._jobs.find_ended_id(customer, key)
+        ended_id = self._jobs.find_ended_job_id(customer, key)
         if not ended_id:
             return
         raise RequestError(
@@ -243,7 +248,7 @@
             ),
         )
 
-    def _check_admission(self, spec: JobSpec) -> None:
+    def _check_job_admission(self, spec: JobSpec) -> None:
         contract = require_contract(self._contracts, spec.customer, spec.task_class)
         total = spec.resources.times(spec.tasks)
         if not total.fits(contract.quota.resources()):
@@ -253,7 +258,7 @@
                 f'demand: {total} exceeds the quota of {spec.customer}, '
                 f'{contract.quota.resources()}; the job could never run',
             )
-        if self._jobs.count_live(spec.customer) >= contract.jobs_waiting:
+        if self._jobs.count_live_jobs(spec.customer) >= contract.jobs_waiting:
             raise not_run(
                 HTTP_TOO_MANY,
                 'too-many-jobs',
@@ -268,11 +273,12 @@
         if not workers:
             return
         capacity_in_tasks = sum(
-            min(spec.tasks, count_fitting(spec.resources, worker.capacity)) for worker in workers
+            min(spec.tasks, count_fitting_tasks(spec.resources, worker.capacity))
+            for worker in workers
         )
         if capacity_in_tasks >= spec.tasks:
             return
-        largest = max(workers, key=_by_processors).capacity
+        largest = max(workers, key=_processor_capacity).capacity
         raise not_run(
             HTTP_INVALID,
             'never-fits',
@@ -281,7 +287,7 @@
         )
 
 
-def _by_processors(entry: HostEntry) -> float:
+def _processor_capacity(entry: HostEntry) -> float:
     return entry.capacity.processors
 
 
--- a/dandelionreel/jobs/_job_projection.py
+++ b/dandelionreel/jobs/_job_projection.py
@@ -1,8 +1,9 @@
 """All jobs of one zone, computed from the records of its log stream.
 
-Conflicts are decided by log order alone: only the first valid intent for an
-attempt counts, and an intent is ignored if its dispatch epoch is older than
-the one in force at the intent's position in the log.
+A dispatcher writes an intent before it starts an attempt. If intents conflict,
+log order alone decides: only the first valid intent for an attempt counts, and
+an intent is ignored if its dispatch epoch is older than the epoch in force at
+the intent's position in the log.
 """
 
 import enum
@@ -30,9 +31,9 @@
 class JobState(enum.Enum):
     """The state of a job.
 
-    ``uncertain``: not idempotent, and it may have run. ``parked``: it failed
-    ``max_attempts`` times. An operator resolves both.
-    ``moved``: it belongs to another zone.
+    ``uncertain``: the job is not idempotent and may have run. ``parked``: it
+    failed ``max_attempts`` times. An operator resolves jobs in these two states.
+    ``moved``: the job belongs to another zone.
     """
 
     WAITING = 'waiting'
@@ -48,8 +49,9 @@
 class Outcome(enum.Enum):
     """How an attempt ended.
 
-    ``not_started``: no task ran. ``stopped``: stopped on request.
-    ``lapsed``: ended when its lease expired. ``lost``: the result is unknown.
+    ``not_started``: no task of the attempt ran. ``stopped``: the attempt was
+    stopped on request. ``lapsed``: it ended because the worker's lease expired.
+    ``lost``: its result is unknown.
     """
 
     SUCCEEDED = 'succeeded'
@@ -68,9 +70,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """An attempt; ``outcome`` is ``None`` while it may run.
+    """An attempt to run a job; ``outcome`` is ``None`` while the attempt may be running.
 
-    ``intent_written_at`` is the time of its intent, in Unix time.
+    ``intent_written_at`` is when its intent was written to the log, in Unix time.
     """
 
     number: int
@@ -83,7 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A job; times are in Unix time, ``written_at`` is that of its newest record."""
+    """A job; ``written_at`` is when its newest record was written. Times are in Unix time.
+
+    ``key`` is the idempotency key, ``digest`` the hash of the spec.
+    """
 
     id: str
     key: str
@@ -107,10 +112,11 @@
     def matches_intent(self, intent: AttemptIntent) -> bool:
         """Return whether the job's running attempt comes from exactly this intent.
 
-        The same dispatcher may have written an earlier intent whose append
-        timed out but took effect, with other workers. If that one counts, a
-        successor looks for the tasks on those workers, does not find them and
-        starts them again.
+        An earlier intent of the same dispatcher, which names other workers, may
+        be in the log although its write timed out. Then the earlier intent
+        counts, and the tasks of this one must not start: the next dispatcher
+        would look for them on the workers of the earlier intent, not find them
+        and start them again.
         """
         last = self.last_attempt
         if last is None or self.state is not JobState.RUNNING:
@@ -119,8 +125,8 @@
         return identity == (last.number, last.epoch, last.member, last.workers)
 
     @property
-    def next_attempt(self) -> int:
-        """Return the number that the next attempt has."""
+    def next_attempt_number(self) -> int:
+        """Return the number of the next attempt; the first is 1."""
         return len(self.attempts) + 1
 
 
@@ -143,8 +149,8 @@
     def __init__(self, shards: ShardProjection, max_ended: int, max_keys: int) -> None:
         """Check intents against the dispatch epoch of ``shards``.
 
-        Keeps ``max_ended`` ended jobs (1.2 KB each), and of older ones only
-        the idempotency keys, at most ``max_keys``.
+        Keeps ``max_ended`` ended jobs (1.2 KB each). Of ended jobs before these
+        it keeps only the idempotency keys, at most ``max_keys``.
         """
         self._shards = shards
         self._max_ended = max_ended
@@ -155,10 +161,10 @@
         self._ended_ids: dict[str, None] = {}
         self._ids_by_state: dict[JobState, dict[str, None]] = {state: {} for state in JobState}
         self._subscriptions: list[JobChanges] = []
-        self._live_by_customer: dict[str, int] = {}
+        self._live_count_by_customer: dict[str, int] = {}
 
-    def subscribe(self) -> JobChanges:
-        """Return a collector of changed jobs, which starts with all known jobs."""
+    def subscribe_to_changes(self) -> JobChanges:
+        """Return an object that collects the ids of changed jobs, at first those of all jobs."""
         changes = JobChanges(dict.fromkeys(self._job_by_id))
         self._subscriptions.append(changes)
         return changes
@@ -168,7 +174,7 @@
         self._job_by_id.clear()
         self._id_by_key.clear()
         self._ended_ids.clear()
-        self._live_by_customer.clear()
+        self._live_count_by_customer.clear()
         self._ended_id_by_key_hash.clear()
         for ids in self._ids_by_state.values():
             ids.clear()
@@ -182,23 +188,23 @@
         job = self._id_by_key.get((customer, key))
         return self._job_by_id.get(job) if job else None
 
-    def find_ended_id(self, customer: str, key: str) -> str:
+    def find_ended_job_id(self, customer: str, key: str) -> str:
         """Return the id of the dropped ended job with an idempotency key, or an empty string."""
-        return self._ended_id_by_key_hash.get(hash_key(customer, key), '')
+        return self._ended_id_by_key_hash.get(hash_idempotency_key(customer, key), '')
 
-    def in_state(self, *states: JobState) -> tuple[Job, ...]:
+    def jobs_in_state(self, *states: JobState) -> tuple[Job, ...]:
         """Return the jobs in the given states, ordered by when they entered their state."""
         return tuple(self._job_by_id[job] for state in states for job in self._ids_by_state[state])
 
-    def count(self, state: JobState) -> int:
+    def count_in_state(self, state: JobState) -> int:
         """Return how many jobs are in a state."""
         return len(self._ids_by_state[state])
 
-    def count_live(self, customer: str) -> int:
+    def count_live_jobs(self, customer: str) -> int:
         """Return how many jobs of a customer are waiting or running."""
-        return self._live_by_customer.get(customer, 0)
+        return self._live_count_by_customer.get(customer, 0)
 
-    def page(self, after: str, limit: int, customer: str, state: str) -> tuple[Job, ...]:
+    def list_jobs_page(self, after: str, limit: int, customer: str, state: str) -> tuple[Job, ...]:
         """Return up to ``limit`` jobs with ids above ``after``, by id; empty filters match all."""
         found = [
             job
@@ -207,38 +213,38 @@
             and customer in {'', job.spec.customer}
             and state in {'', job.state.value}
         ]
-        found.sort(key=_by_id)
+        found.sort(key=_job_id)
         return tuple(found[:limit])
 
     def apply(self, record: msgspec.Struct, position: Position) -> None:
         """Apply one record of the zone's stream."""
         if isinstance(record, JobAccepted):
-            self._apply_accepted(record, position)
+            self._apply_job_accepted(record, position)
         elif isinstance(record, AttemptIntent):
-            self._apply_intent(record, position)
+            self._apply_attempt_intent(record, position)
         elif isinstance(record, AttemptEnded):
             self._apply_attempt_end(record, position)
         elif isinstance(record, JobsCancelled):
             for job_id in record.jobs:
-                self._apply_cancellation(job_id, position)
+                self._apply_job_cancellation(job_id, position)
         elif isinstance(record, JobResolved):
-            self._apply_resolution(record, position)
+            self._apply_job_resolution(record, position)
         elif isinstance(record, JobMoved):
-            self._apply_move(record)
+            self._apply_job_moved(record)
         elif isinstance(record, JobArrived):
-            self._apply_arrival(record, position)
+            self._apply_job_arrived(record, position)
         elif isinstance(record, JobSnapshot):
-            self._apply_snapshot(record, position)
+            self._apply_job_snapshot(record, position)
 
-    def _apply_accepted(self, record: JobAccepted, position: Position) -> None:
+    def _apply_job_accepted(self, record: JobAccepted, position: Position) -> None:
         spec = record.spec
         known = self._id_by_key.get((spec.customer, record.key))
         if record.job in self._job_by_id or known is not None:
             return
-        if self.find_ended_id(spec.customer, record.key):
+        if self.find_ended_job_id(spec.customer, record.key):
             return
         self._id_by_key[spec.customer, record.key] = record.job
-        self._put(
+        self._store_job(
             Job(
                 record.job,
                 record.key,
@@ -250,11 +256,11 @@
             ),
         )
 
-    def _apply_intent(self, record: AttemptIntent, position: Position) -> None:
+    def _apply_attempt_intent(self, record: AttemptIntent, position: Position) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.WAITING:
             return
-        if record.attempt != job.next_attempt:
+        if record.attempt != job.next_attempt_number:
             return
         if record.epoch != self._shards.epoch(DISPATCH_SHARD):
             return
@@ -265,7 +271,7 @@
             record.workers,
             position.written_at,
         )
-        self._put(
+        self._store_job(
             replace(
                 job,
                 state=JobState.RUNNING,
@@ -280,8 +286,8 @@
             return
         if record.attempt != job.last_attempt.number:
             return
-        # A replaced dispatcher may be wrong about the outcome: its successor
-        # may have seen the task run.
+        # A dispatcher that has been replaced may be wrong about the outcome: the
+        # new dispatcher may have seen the task run.
         if record.epoch != self._shards.epoch(DISPATCH_SHARD):
             return
         outcome = Outcome(record.outcome)
@@ -292,7 +298,7 @@
             detail=record.detail,
             written_at=position.written_at,
         )
-        self._put(self._job_after_attempt(job, outcome, position))
+        self._store_job(self._job_after_attempt(job, outcome, position))
 
     def _job_after_attempt(self, job: Job, outcome: Outcome, position: Position) -> Job:
         if outcome is Outcome.SUCCEEDED and job.spec.task_class != 'service':
@@ -315,44 +321,46 @@
             return _end_job(job, JobState.FAILED, position)
         return replace(job, state=JobState.UNCERTAIN)
 
-    def _apply_cancellation(self, job_id: str, position: Position) -> None:
+    def _apply_job_cancellation(self, job_id: str, position: Position) -> None:
         job = self._job_by_id.get(job_id)
         if job is None or job.state not in UNFINISHED_STATES:
             return
         if job.state is JobState.RUNNING:
-            self._put(replace(job, cancelled=True))
+            self._store_job(replace(job, cancelled=True))
             return
         if job.state is JobState.UNCERTAIN:
             return
-        self._put(_end_job(job, JobState.CANCELLED, position))
+        self._store_job(_end_job(job, JobState.CANCELLED, position))
 
-    def _apply_resolution(self, record: JobResolved, position: Position) -> None:
+    def _apply_job_resolution(self, record: JobResolved, position: Position) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state not in RESOLVABLE_STATES:
             return
         if record.outcome == 'ran':
-            self._put(_end_job(job, JobState.SUCCEEDED, position))
+            self._store_job(_end_job(job, JobState.SUCCEEDED, position))
             return
-        self._put(replace(job, state=JobState.WAITING, failures=0, written_at=position.written_at))
+        self._store_job(
+            replace(job, state=JobState.WAITING, failures=0, written_at=position.written_at)
+        )
 
-    def _apply_move(self, record: JobMoved) -> None:
+    def _apply_job_moved(self, record: JobMoved) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.WAITING:
             return
-        self._put(replace(job, state=JobState.MOVED, moved_to=record.zone))
+        self._store_job(replace(job, state=JobState.MOVED, moved_to=record.zone))
 
-    def _apply_arrival(self, record: JobArrived, position: Position) -> None:
+    def _apply_job_arrived(self, record: JobArrived, position: Position) -> None:
         job = self._job_by_id.get(record.job)
         if job is None or job.state is not JobState.MOVED:
             return
-        self._put(replace(job, ended_at=position.written_at))
+        self._store_job(replace(job, ended_at=position.written_at))
         self._ended_ids[job.id] = None
-        self._drop_oldest_ended()
+        self._drop_oldest_ended_jobs()
 
-    def _apply_snapshot(self, record: JobSnapshot, position: Position) -> None:
+    def _apply_job_snapshot(self, record: JobSnapshot, position: Position) -> None:
         known = self._job_by_id.get(record.job)
         if known is not None:
-            self._put(replace(known, written_at=position.written_at))
+            self._store_job(replace(known, written_at=position.written_at))
             return
         attempts = tuple(
             Attempt(
@@ -366,7 +374,7 @@
             for attempt in record.attempts
         )
         self._id_by_key[record.spec.customer, record.key] = record.job
-        self._put(
+        self._store_job(
             Job(
                 record.job,
                 record.key,
@@ -381,7 +389,7 @@
             ),
         )
 
-    def _put(self, job: Job) -> None:
+    def _store_job(self, job: Job) -> None:
         previous = self._job_by_id.get(job.id)
         if previous is not None and previous.state is not job.state:
             self._ids_by_state[previous.state].pop(job.id, None)
@@ -392,36 +400,36 @@
             changes.job_ids[job.id] = None
         if job.state not in UNFINISHED_STATES:
             self._ended_ids[job.id] = None
-            self._drop_oldest_ended()
+            self._drop_oldest_ended_jobs()
 
     def _update_live_count(self, previous: Job | None, job: Job) -> None:
         was_live = previous is not None and previous.state in LIVE_STATES
         is_live = job.state in LIVE_STATES
         if was_live != is_live:
             customer = job.spec.customer
-            count = self._live_by_customer.get(customer, 0)
-            self._live_by_customer[customer] = count + (1 if is_live else -1)
+            count = self._live_count_by_customer.get(customer, 0)
+            self._live_count_by_customer[customer] = count + (1 if is_live else -1)
 
-    def _drop_oldest_ended(self) -> None:
+    def _drop_oldest_ended_jobs(self) -> None:
         while len(self._ended_ids) > self._max_ended:
             oldest = next(iter(self._ended_ids))
             self._ended_ids.pop(oldest)
             job = self._job_by_id.pop(oldest)
             self._ids_by_state[job.state].pop(oldest, None)
             self._id_by_key.pop((job.spec.customer, job.key), None)
-            # A non-idempotent job that is submitted again after thousands of
-            # others have ended must still be recognized as one that ran.
-            self._ended_id_by_key_hash[hash_key(job.spec.customer, job.key)] = job.id
+            # If a non-idempotent job is submitted again after thousands of other jobs
+            # have ended, its key must still show that it ran.
+            self._ended_id_by_key_hash[hash_idempotency_key(job.spec.customer, job.key)] = job.id
             if len(self._ended_id_by_key_hash) > self._max_keys:
                 self._ended_id_by_key_hash.pop(next(iter(self._ended_id_by_key_hash)))
 
 
-def hash_key(customer: str, key: str) -> int:
+def hash_idempotency_key(customer: str, key: str) -> int:
     """Return a 64-bit hash of a customer's idempotency key."""
     return xxhash.xxh3_64_intdigest(f'{customer}|{key}'.encode())
 
 
-def make_snapshot(job: Job) -> JobSnapshot:
+def make_job_snapshot(job: Job) -> JobSnapshot:
     """Return the record with the full state of an unfinished job."""
     return JobSnapshot(
         job.id,
@@ -450,5 +458,5 @@
     return replace(job, state=state, ended_at=position.written_at, written_at=position.written_at)
 
 
-def _by_id(job: Job) -> str:
+def _job_id(job: Job) -> str:
     return job.id
--- a/dandelionreel/jobs/_job_refresher.py
+++ b/dandelionreel/jobs/_job_refresher.py
@@ -1,4 +1,4 @@
-"""Rewrites unfinished jobs to the log before their records expire."""
+"""Writes unfinished jobs to the log again before their records expire."""
 
 import curio
 
@@ -9,11 +9,11 @@
     Job,
     JobProjection,
     JobState,
-    make_snapshot,
+    make_job_snapshot,
 )
 from dandelionreel.kernel import Clock, Journal, Part, Settings
 
-ROUND_SECONDS = 2.0
+ROUND_INTERVAL_SECONDS = 2.0
 WRITE_TIMEOUT_SECONDS = 10.0
 MAX_JOBS_PER_ROUND = 64
 
@@ -30,7 +30,7 @@
         writer: StreamWriter,
         journal: Journal,
     ) -> None:
-        """Refresh the jobs of ``jobs`` while ``dispatcher`` is active."""
+        """Refresh the records of the unfinished ``jobs`` while ``dispatcher`` is active."""
         self._settings = settings
         self._clock = clock
         self._jobs = jobs
@@ -41,28 +41,28 @@
     async def run(self) -> None:
         """Refresh jobs that are due, forever."""
         while True:
-            await curio.sleep(ROUND_SECONDS)
+            await curio.sleep(ROUND_INTERVAL_SECONDS)
             if not self._dispatcher.is_active:
                 continue
             try:
-                await self.refresh_due()
+                await self.refresh_due_jobs()
             except LogError as error:
                 self._journal.log(Part.JOBS, f'could not refresh job records: {error}.')
 
-    async def refresh_due(self) -> None:
+    async def refresh_due_jobs(self) -> None:
         """Rewrite the jobs whose newest record is older than a third of the retention time."""
         tasks = [
             await curio.spawn(
-                self._writer.write, make_snapshot(job), WRITE_TIMEOUT_SECONDS, daemon=True
+                self._writer.write, make_job_snapshot(job), WRITE_TIMEOUT_SECONDS, daemon=True
             )
-            for job in self._find_due()[:MAX_JOBS_PER_ROUND]
+            for job in self._find_due_jobs()[:MAX_JOBS_PER_ROUND]
         ]
         for task in tasks:
             await task.join()
 
-    def _find_due(self) -> list[Job]:
+    def _find_due_jobs(self) -> list[Job]:
         due_before = self._clock.unix_time() - self._settings.timings.retention / 3
-        unfinished = self._jobs.in_state(
+        unfinished = self._jobs.jobs_in_state(
             JobState.WAITING,
             JobState.RUNNING,
             JobState.MOVED,
--- a/dandelionreel/jobs/_lapses.py
+++ b/dandelionreel/jobs/_lapses.py
@@ -1,27 +1,28 @@
 """Decides when an attempt that was lost with its worker counts as a failure. No I/O.
 
-An idempotent job may crash each worker that starts it. Its attempts end with their leases
-and not as failed, so without this rule it never reaches its limit of failures: it is
-restarted forever, and each time takes down all tasks on that worker. Workers are also lost
-for other reasons, so the first losses in a row don't count.
+An idempotent job may crash every worker that starts it. Its attempts then end as lapsed,
+when their leases expire, and not as failed. Without this rule such a job never reaches its
+limit of failures: it is restarted forever, and each time all tasks on its worker are lost.
+Workers are also lost for other reasons, so the first lapses in a row don't count.
 """
 
 from collections.abc import Sequence
 
 from dandelionreel.jobs._job_projection import Attempt, Outcome
 
-#: Losses in a row that don't count as failures: two in a row are more often chance than
+#: Lapses in a row that don't count as failures: two in a row are more often chance than
 #: the job's fault.
 EXCUSED_LAPSES = 2
-#: Only attempts that started within this time count: a service that runs for months
-#: outlives many workers.
+#: Only earlier attempts that started within this time count, because a service that runs
+#: for months loses many workers.
 LAPSE_WINDOW_SECONDS = 600.0
 
 
 def classify_lapse(outcome: Outcome, earlier: Sequence[Attempt], now: float) -> Outcome:
-    """Return an attempt's outcome, given the job's earlier attempts.
+    """Return the outcome of an attempt; a lapse after several recent ones is a failure.
 
-    ``now`` is in Unix time. Attempts that never started are skipped.
+    ``earlier`` are the job's earlier attempts, of which those that never started
+    are skipped. ``now`` is in Unix time.
     """
     if outcome is not Outcome.LAPSED:
         return outcome
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -1,8 +1,9 @@
 """Moves jobs out of a zone that is unreachable.
 
-Only jobs without an intent can be moved. The move and an intent of that zone's
-own dispatcher compete in the zone's log stream; whichever comes first in the
-log wins, so a job never runs in both zones (spec/attempts.py).
+Only a job without an intent, the record that announces its start, can be moved.
+The record of the move and an intent of that zone's dispatcher may both be written
+to the zone's log stream. The first of them in the log wins, so a job never runs
+in both zones (spec/attempts.py).
 """
 
 from contextlib import AsyncExitStack
@@ -26,7 +27,7 @@
 from dandelionreel.ownership import Membership, ShardProjection
 
 WRITE_TIMEOUT_SECONDS = 10.0
-ROUND_SECONDS = 0.2
+READ_WAIT_SECONDS = 0.2
 MAX_CATCH_UP_WAITS = 50
 MOVE_BATCH_SIZE = 500
 RETRY_AFTER_SECONDS = 5.0
@@ -59,7 +60,8 @@
         self.jobs = JobProjection(shards, 0, 0)
         for projection in (members, shards, self.jobs):
             self.reader.add_handler(projection.apply, projection.reset)
-        # A writer numbers its records from the start, so each move needs a new writer name.
+        # Every ``StreamWriter`` numbers its records from 0 on, and readers drop numbers that
+        # they have seen from the same writer, so each move needs a new writer name.
         writer = f'{own_member}+{clock.unix_time():.6f}'
         self.writer = StreamWriter(log, self.reader, writer, clock)
 
@@ -91,10 +93,10 @@
         self._own_writer = own_writer
         self._journal = journal
 
-    async def move_from(self, zone: str) -> MoveResult:
+    async def move_jobs_from(self, zone: str) -> MoveResult:
         """Move up to ``MOVE_BATCH_SIZE`` jobs to this zone; raises ``RequestError``.
 
-        Can be repeated: it also completes a move that was interrupted.
+        The call can be repeated, and then also completes an interrupted move.
         """
         async with AsyncExitStack() as stack:
             remote = _RemoteZone(
@@ -104,11 +106,11 @@
                 self._records,
                 self._own_member,
             )
-            await start_task(stack, remote.reader.run, ROUND_SECONDS)
+            await start_task(stack, remote.reader.run, READ_WAIT_SECONDS)
             await start_task(stack, remote.writer.run)
-            await self._catch_up(remote)
+            await self._await_reader_caught_up(remote)
             try:
-                return await self._move(remote, zone)
+                return await self._move_jobs(remote, zone)
             except LogError as error:
                 raise outcome_unknown(
                     HTTP_TIMEOUT,
@@ -116,33 +118,34 @@
                     f'{error}; repeat the move, no job is lost or duplicated',
                 ) from error
 
-    async def _catch_up(self, remote: _RemoteZone) -> None:
+    async def _await_reader_caught_up(self, remote: _RemoteZone) -> None:
         for _ in range(MAX_CATCH_UP_WAITS):
             if remote.reader.caught_up:
                 return
-            await remote.reader.changed.wait(remote.reader.changed.count, ROUND_SECONDS)
-        raise _log_unavailable()
+            await remote.reader.changed.wait(remote.reader.changed.count, READ_WAIT_SECONDS)
+        raise _make_log_unavailable_error()
 
-    async def _move(self, remote: _RemoteZone, zone: str) -> MoveResult:
-        waiting = remote.jobs.in_state(JobState.WAITING)[:MOVE_BATCH_SIZE]
+    async def _move_jobs(self, remote: _RemoteZone, zone: str) -> MoveResult:
+        waiting = remote.jobs.jobs_in_state(JobState.WAITING)[:MOVE_BATCH_SIZE]
         for job in waiting:
             await remote.writer.write(JobMoved(job.id, self._zone), WRITE_TIMEOUT_SECONDS)
         moved = 0
-        for job in remote.jobs.in_state(JobState.MOVED):
+        for job in remote.jobs.jobs_in_state(JobState.MOVED):
             if job.moved_to == self._zone and not job.ended_at:
-                await self._complete_move(remote, job)
+                await self._complete_job_move(remote, job)
                 moved += 1
         self._journal.log(Part.JOBS, f'moved {moved} jobs from {zone} to this zone.')
         return MoveResult(moved)
 
-    async def _complete_move(self, remote: _RemoteZone, job: Job) -> None:
-        # Accept the job here first: the other stream must not drop it before.
+    async def _complete_job_move(self, remote: _RemoteZone, job: Job) -> None:
+        # The job is accepted here first: the other zone's stream must not drop it before
+        # this zone has stored it.
         accepted = JobAccepted(job.id, job.key, job.digest, job.spec)
         await self._own_writer.write(accepted, WRITE_TIMEOUT_SECONDS)
         await remote.writer.write(JobArrived(job.id), WRITE_TIMEOUT_SECONDS)
 
 
-def _log_unavailable() -> RequestError:
+def _make_log_unavailable_error() -> RequestError:
     return not_run(
         HTTP_UNAVAILABLE,
         'log-unavailable',
--- a/dandelionreel/jobs/_order_sender.py
+++ b/dandelionreel/jobs/_order_sender.py
@@ -1,4 +1,4 @@
-"""Sends orders to the owners of workers, in this daemon or at a peer."""
+"""Sends orders on tasks to the owners of workers: to this daemon itself or to a peer."""
 
 import curio
 
@@ -15,7 +15,7 @@
 )
 from dandelionreel.workers import REFUSED, UNKNOWN, WorkerFleet
 
-#: A stop that is not confirmed is sent again at this interval, up to ``MAX_STOP_TRIES``.
+#: A stop that is not confirmed is sent again at this interval, ``MAX_STOP_TRIES`` times in all.
 STOP_RETRY_SECONDS = 1.0
 MAX_STOP_TRIES = 30
 IDLE_SECONDS = 0.5
@@ -45,23 +45,23 @@
         self._directory = directory
         self._writer = writer
         self._journal = journal
-        #: Per task: dispatch epoch, worker and remaining tries.
+        #: The dispatch epoch, the worker and the remaining tries for the stop of each task.
         self._pending_stops: dict[str, tuple[int, str, int]] = {}
         self._queued_records: list = []
         self._changed = ChangeNotifier()
 
     @property
     def pending_stop_count(self) -> int:
-        """Return how many stops are not confirmed yet."""
+        """Return how many tasks have a stop that is not confirmed yet."""
         return len(self._pending_stops)
 
-    async def place(self, order: PlaceOrder) -> PlaceAnswer:
+    async def place_task(self, order: PlaceOrder) -> PlaceAnswer:
         """Ask a worker's owner to start a task, and return its answer."""
-        owner = self._find_owner(order.worker)
+        owner = self._find_worker_owner(order.worker)
         if not owner:
             return PlaceAnswer(REFUSED, 'the worker has no owner')
         if owner == self._own_member:
-            return await self._fleet.place(order)
+            return await self._fleet.place_task(order)
         timeout = self._settings.timings.start_deadline * 2
         try:
             frame = await self._directory.request(owner, order, timeout)
@@ -72,14 +72,14 @@
             return frame.message
         return PlaceAnswer(UNKNOWN, 'the peer sent no placement answer')
 
-    async def send_action(self, epoch: int, worker: str, task_id: str, action: str) -> bool:
-        """Stop, checkpoint or throttle a task; return whether it was confirmed."""
+    async def send_task_action(self, epoch: int, worker: str, task_id: str, action: str) -> bool:
+        """Stop, checkpoint or throttle a task; return whether the worker's owner confirmed it."""
         order = TaskAction(epoch, worker, task_id, action)
-        owner = self._find_owner(worker)
+        owner = self._find_worker_owner(worker)
         if not owner:
             return False
         if owner == self._own_member:
-            return await self._fleet.apply_action(order)
+            return await self._fleet.apply_task_action(order)
         try:
             frame = await self._directory.request(
                 owner,
@@ -90,12 +90,12 @@
             return False
         return isinstance(frame.message, Done)
 
-    def queue_stop(self, epoch: int, worker: str, task_id: str) -> None:
-        """Queue a stop, which is sent when the rate limit allows."""
+    def queue_task_stop(self, epoch: int, worker: str, task_id: str) -> None:
+        """Queue the stop of a task; it is sent when the rate limit allows."""
         self._pending_stops.setdefault(task_id, (epoch, worker, MAX_STOP_TRIES))
 
     def queue_record(self, record: object) -> None:
-        """Queue a record, which is written when the log is available."""
+        """Queue a log record; it is written when the log is available."""
         self._queued_records.append(record)
 
     async def run(self) -> None:
@@ -111,7 +111,7 @@
                 await self._changed.wait(change_count, IDLE_SECONDS)
                 continue
             for task_id in tuple(self._pending_stops):
-                await curio.spawn(self._try_stop, task_id, daemon=True)
+                await curio.spawn(self._try_stop_task, task_id, daemon=True)
                 await curio.sleep(interval)
             await curio.sleep(STOP_RETRY_SECONDS)
 
@@ -127,17 +127,17 @@
             except LogError as error:
                 self._journal.log(Part.JOBS, f'a record could not be written; {error}.')
 
-    async def _try_stop(self, task_id: str) -> None:
+    async def _try_stop_task(self, task_id: str) -> None:
         pending = self._pending_stops.get(task_id)
         if pending is None:
             return
         epoch, worker, tries = pending
-        if await self.send_action(epoch, worker, task_id, 'stop') or tries <= 1:
+        if await self.send_task_action(epoch, worker, task_id, 'stop') or tries <= 1:
             self._pending_stops.pop(task_id, None)
             return
         self._pending_stops[task_id] = (epoch, worker, tries - 1)
 
-    def _find_owner(self, worker: str) -> str:
+    def _find_worker_owner(self, worker: str) -> str:
         claim = self._shards.get(worker_shard(worker))
         if claim is None or claim.released:
             return ''
--- a/dandelionreel/jobs/_queue_updater.py
+++ b/dandelionreel/jobs/_queue_updater.py
@@ -7,7 +7,7 @@
 from dandelionreel.jobs._quota_shares import QuotaShareBalancer
 from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask
 from dandelionreel.kernel import Clock, Settings
-from dandelionreel.placement import CustomerTerms, Work, task_ids
+from dandelionreel.placement import CustomerTerms, Work, make_task_ids
 
 DEFERRED_RETRY_SECONDS = 0.25
 
@@ -36,11 +36,11 @@
         self._deferred_checked_at = 0.0
 
     def update(self) -> None:
-        """Apply all changes since the last round."""
-        self._update_terms()
+        """Apply all changes since the dispatcher's last round."""
+        self._update_customer_terms()
         self._update_workers()
-        self._apply_changes()
-        self._requeue_deferred()
+        self._apply_job_changes()
+        self._requeue_deferred_jobs()
 
     def track_attempt(self, job: Job) -> None:
         """Track the last attempt of a job, which another dispatcher started."""
@@ -56,20 +56,21 @@
             attempt.intent_written_at,
             adopted=True,
         )
-        # Reports count at once: their senders know this epoch and refuse any
-        # late orders of the former dispatcher (spec/attempts.py).
+        # Reports prove a task's absence from now on. Their senders know this
+        # dispatch epoch, so they refuse orders of the former dispatcher that
+        # arrive late (spec/attempts.py).
         absent_after = self._clock.monotonic()
-        ids = task_ids(job.id, attempt.number, len(attempt.workers))
+        ids = make_task_ids(job.id, attempt.number, len(attempt.workers))
         tasks = [
             TrackedTask(task_id, worker, absent_after)
             for task_id, worker in zip(ids, attempt.workers, strict=True)
         ]
         self._state.tracker.add(tracked, tasks)
 
-    def _update_terms(self) -> None:
+    def _update_customer_terms(self) -> None:
         terms_by_customer = {}
         for customer in self._contracts.customers():
-            contract = self._contracts.effective(customer)
+            contract = self._contracts.effective_contract(customer)
             if contract is None:
                 continue
             share = self._shares.usable_share(customer)
@@ -78,7 +79,7 @@
                 contract.quota.resources().times(share),
                 contract.guaranteed.resources().times(share),
             )
-        self._state.replace_terms(terms_by_customer)
+        self._state.replace_customer_terms(terms_by_customer)
 
     def _update_workers(self) -> None:
         zone = self._settings.availability_zone
@@ -86,58 +87,58 @@
         for entry in self._hosts.zone_hosts_of_kind('worker', zone):
             listed.add(entry.name)
             if not entry.is_live:
-                self._block_new_tasks(entry.name)
+                self._block_new_tasks_on_worker(entry.name)
                 continue
             if entry.name not in self._state.planner.cell.worker_by_name:
-                worker = self._state.planner.cell.add(entry.name, entry.rack, entry.capacity)
-                # No task is placed there until its owner has sent a report.
+                worker = self._state.planner.cell.add_worker(entry.name, entry.rack, entry.capacity)
+                # No task is placed on a new worker until the worker's owner has sent a report.
                 self._state.planner.cell.set_usable_capacity(worker, worker.used)
         cell = self._state.planner.cell
         for name in tuple(cell.worker_by_name):
             if name not in listed and not self._state.tracker.tasks_on_worker(name):
-                cell.remove(name)
+                cell.remove_worker(name)
 
-    def _block_new_tasks(self, name: str) -> None:
+    def _block_new_tasks_on_worker(self, name: str) -> None:
         worker = self._state.planner.cell.worker_by_name.get(name)
         if worker is not None:
             self._state.planner.cell.set_usable_capacity(worker, worker.used)
 
-    def _apply_changes(self) -> None:
+    def _apply_job_changes(self) -> None:
         for job_id in self._state.changes.pop_all():
             job = self._jobs.get(job_id)
             if job is None or job.state not in {JobState.WAITING, JobState.RUNNING}:
                 self._state.planner.queue.remove(job_id)
-                self._state.deferred.discard(job_id)
+                self._state.deferred_job_ids.discard(job_id)
                 continue
             if job.state is JobState.WAITING:
-                self._enqueue(job)
+                self._enqueue_job(job)
             else:
                 self.track_attempt(job)
 
-    def _enqueue(self, job: Job) -> None:
+    def _enqueue_job(self, job: Job) -> None:
         if job.id in self._state.planner.queue or job.id in self._state.tracker.attempt_by_job:
             return
         now = self._clock.unix_time()
-        if self._state.not_before.get(job.id, 0) > now:
-            self._state.deferred.add(job.id)
+        if self._state.earliest_retry_by_job.get(job.id, 0) > now:
+            self._state.deferred_job_ids.add(job.id)
             return
-        self._state.not_before.pop(job.id, None)
-        if not self._may_start_again(job):
-            self._state.deferred.add(job.id)
+        self._state.earliest_retry_by_job.pop(job.id, None)
+        if not self._may_start_next_attempt(job):
+            self._state.deferred_job_ids.add(job.id)
             return
         work = self._make_work(job)
         if work is None:
-            self._state.deferred.add(job.id)
+            self._state.deferred_job_ids.add(job.id)
             return
-        self._state.deferred.discard(job.id)
+        self._state.deferred_job_ids.discard(job.id)
         self._state.planner.queue.add(work)
 
-    def _may_start_again(self, job: Job) -> bool:
-        """Return whether no unrecorded attempt of the job can be running.
+    def _may_start_next_attempt(self, job: Job) -> bool:
+        """Return whether no attempt of the job that the log lacks can be running.
 
         During a log outage, a former dispatcher may have started idempotent
-        jobs whose intents were never written. Such tasks appear in the
-        workers' reports, or their leases expire.
+        jobs without their intents being written. All such tasks are known once
+        every worker has been reported, or have ended once their leases have expired.
         """
         if not job.spec.idempotent:
             return True
@@ -145,13 +146,13 @@
             entry.name
             for entry in self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
         }
-        if names <= set(self._state.reported_epochs):
+        if names <= set(self._state.reported_epoch_by_worker):
             return True
         return self._clock.monotonic() - self._state.took_over_at > self._state.lapse_seconds
 
     def _make_work(self, job: Job) -> Work | None:
-        contract = self._contracts.effective(job.spec.customer)
-        terms = contract.terms(job.spec.task_class) if contract else None
+        contract = self._contracts.effective_contract(job.spec.customer)
+        terms = contract.class_terms(job.spec.task_class) if contract else None
         if terms is None:
             return None
         spec = job.spec
@@ -169,10 +170,12 @@
             tasks=spec.tasks,
             preemptible=terms.preemptible and spec.idempotent and spec.tasks == 1,
             idempotent=spec.idempotent,
-            run_seconds=self._state.planner.estimate(spec.customer, spec.kind, spec.run_seconds),
+            run_seconds=self._state.planner.estimate_run_seconds(
+                spec.customer, spec.kind, spec.run_seconds
+            ),
             kind=spec.kind,
             avoid=self._find_workers_to_avoid(job),
-            attempt=job.next_attempt,
+            attempt=job.next_attempt_number,
         )
 
     def _find_workers_to_avoid(self, job: Job) -> frozenset[str]:
@@ -182,21 +185,21 @@
             if attempt.outcome is Outcome.FAILED
             for worker in attempt.workers
         }
-        avoid_until, refused = self._state.avoided_workers.get(job.id, (0.0, frozenset()))
+        avoid_until, refused = self._state.avoided_workers_by_job.get(job.id, (0.0, frozenset()))
         if avoid_until > self._clock.monotonic():
             failed |= refused
         if len(failed) >= len(self._state.planner.cell.worker_by_name):
             return frozenset()
         return frozenset(failed)
 
-    def _requeue_deferred(self) -> None:
+    def _requeue_deferred_jobs(self) -> None:
         now = self._clock.monotonic()
         if now - self._deferred_checked_at < DEFERRED_RETRY_SECONDS:
             return
         self._deferred_checked_at = now
-        for job_id in tuple(self._state.deferred):
+        for job_id in tuple(self._state.deferred_job_ids):
             job = self._jobs.get(job_id)
             if job is not None and job.state is JobState.WAITING:
-                self._enqueue(job)
+                self._enqueue_job(job)
             else:
-                self._state.deferred.discard(job_id)
+                self._state.deferred_job_ids.discard(job_id)
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -1,7 +1,7 @@
-"""Balances the shares of quotas between zones, like an escrow.
+"""Balances the shares of customers' quotas between zones.
 
-A zone gives a share up before the recipient may use it, so the shares in use
-never exceed the contract, whatever network partitions occur.
+A zone stops using a share before the recipient may use it, so the shares in use
+never exceed the quota of the contract, whatever network partitions occur.
 """
 
 from dandelionreel.backing import LogError, StreamWriter
@@ -9,11 +9,11 @@
 from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, Settings
 from dandelionreel.placement import Planner
 
-#: Minimum interval between requests for the same customer.
+#: Minimum interval between requests for more share of the same customer's quota.
 REQUEST_INTERVAL_SECONDS = 5.0
-ROUND_SECONDS = 0.5
+WRITE_INTERVAL_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 10.0
-#: Smaller shares are not worth a log record.
+#: Smaller shares are not transferred: they are not worth a log record.
 MIN_SHARE = 0.01
 
 
@@ -35,86 +35,92 @@
         self._writer = writer
         self._journal = journal
         #: Shares that this zone no longer uses, because a transfer of them is being written.
-        self._reserved: dict[str, float] = {}
-        self._requested_at: dict[str, float] = {}
-        self._pending_requests: dict[str, float] = {}
-        self._pending_transfers: dict[str, tuple[str, float]] = {}
+        self._reserved_share_by_customer: dict[str, float] = {}
+        self._requested_at_by_customer: dict[str, float] = {}
+        self._wanted_share_by_customer: dict[str, float] = {}
+        self._transfer_by_customer: dict[str, tuple[str, float]] = {}
         self._changed = ChangeNotifier()
 
     def usable_share(self, customer: str) -> float:
         """Return the share of the quota that this zone may currently use."""
-        zone_share = self._contracts.share(customer, self._zone)
-        return max(0.0, zone_share - self._reserved.get(customer, 0))
+        zone_share = self._contracts.zone_share(customer, self._zone)
+        return max(0.0, zone_share - self._reserved_share_by_customer.get(customer, 0))
 
-    def plan_transfers(self, planner: Planner) -> None:
+    def plan_share_transfers(self, planner: Planner) -> None:
         """Plan requests for missing shares and transfers of spare shares."""
         for customer in self._contracts.customers():
-            self._plan_request(customer, planner)
-            self._plan_transfer(customer, planner)
+            self._plan_share_request(customer, planner)
+            self._plan_share_transfer(customer, planner)
 
     async def run(self) -> None:
         """Write planned requests and transfers to the log, forever."""
         while True:
-            await self._changed.wait(self._changed.count, ROUND_SECONDS)
+            await self._changed.wait(self._changed.count, WRITE_INTERVAL_SECONDS)
             try:
-                await self._write_requests()
-                await self._write_transfers()
+                await self._write_share_requests()
+                await self._write_share_transfers()
             except LogError as error:
                 self._journal.log(Part.CONTRACTS, f'could not write a quota share record: {error}.')
 
-    def _plan_request(self, customer: str, planner: Planner) -> None:
+    def _plan_share_request(self, customer: str, planner: Planner) -> None:
         now = self._clock.monotonic()
-        contract = self._contracts.effective(customer)
+        contract = self._contracts.effective_contract(customer)
         if contract is None or not planner.queue.count_waiting(customer):
             return
-        if now - self._requested_at.get(customer, float('-inf')) < REQUEST_INTERVAL_SECONDS:
+        if (
+            now - self._requested_at_by_customer.get(customer, float('-inf'))
+            < REQUEST_INTERVAL_SECONDS
+        ):
             return
         used = planner.cell.usage.of(customer)
-        for work in planner.queue.heads_of_customer(customer):
+        for work in planner.queue.first_jobs_of_customer(customer):
             quota = contract.quota.resources()
-            needed = (used + work.total).dominant_share(quota)
+            needed = (used + work.total_demand).dominant_share(quota)
             shortfall = needed - self.usable_share(customer)
             if shortfall > 0 and needed <= 1:
-                self._pending_requests[customer] = shortfall
-                self._requested_at[customer] = now
+                self._wanted_share_by_customer[customer] = shortfall
+                self._requested_at_by_customer[customer] = now
                 return
 
-    def _plan_transfer(self, customer: str, planner: Planner) -> None:
-        if customer in self._pending_transfers:
+    def _plan_share_transfer(self, customer: str, planner: Planner) -> None:
+        if customer in self._transfer_by_customer:
             return
         for (wanted_customer, zone), shortfall in self._contracts.wanted_shares.items():
             if wanted_customer != customer or zone == self._zone:
                 continue
-            spare = self._find_spare(customer, planner, zone)
+            spare = self._find_spare_share(customer, planner, zone)
             amount = min(spare, max(shortfall, MIN_SHARE))
             if amount >= MIN_SHARE and self._has_largest_share(customer, zone):
-                # This zone stops using the share now, even if the write seems to
-                # fail: the record may be stored although its answer is lost.
-                self._reserved[customer] = self._reserved.get(customer, 0) + amount
-                self._pending_transfers[customer] = (zone, amount)
+                # This zone stops using the share before the transfer is written, and also if
+                # the write seems to fail: the record may be stored although its answer is lost.
+                self._reserved_share_by_customer[customer] = (
+                    self._reserved_share_by_customer.get(customer, 0) + amount
+                )
+                self._transfer_by_customer[customer] = (zone, amount)
                 return
 
-    def _find_spare(self, customer: str, planner: Planner, recipient: str) -> float:
+    def _find_spare_share(self, customer: str, planner: Planner, recipient: str) -> float:
         """Return the share that this zone can spare for the zone ``recipient``.
 
         Two zones that each have a waiting job larger than their share would
         deadlock. To prevent that, the zone whose name sorts first keeps its
-        share and gets the other's; it gives back after its job has ended.
+        share, and the other zone gives up what it can spare. It gets a share
+        back after the job of the first zone has ended.
         """
-        contract = self._contracts.effective(customer)
+        contract = self._contracts.effective_contract(customer)
         if contract is None:
             return 0
         quota = contract.quota.resources()
         used = planner.cell.usage.of(customer)
         usable = quota.times(self.usable_share(customer))
         candidates = (
-            planner.queue.heads_of_customer(customer)
+            planner.queue.first_jobs_of_customer(customer)
             if planner.queue.count_waiting(customer)
             else []
         )
         for work in candidates:
-            if (used + work.total).fits(usable):
-                used += work.total
+            if (used + work.total_demand).fits(usable):
+                used += work.total_demand
             elif self._zone < recipient:
                 return 0
         return max(0.0, self.usable_share(customer) - used.dominant_share(quota))
@@ -122,25 +128,28 @@
     def _has_largest_share(self, customer: str, recipient: str) -> bool:
         shares = [
             (entry.share, entry.zone)
-            for entry in self._contracts.shares(customer)
+            for entry in self._contracts.zone_shares(customer)
             if entry.zone != recipient
         ]
         return bool(shares) and max(shares)[1] == self._zone
 
-    async def _write_requests(self) -> None:
-        for customer, shortfall in tuple(self._pending_requests.items()):
-            self._pending_requests.pop(customer)
+    async def _write_share_requests(self) -> None:
+        for customer, shortfall in tuple(self._wanted_share_by_customer.items()):
+            self._wanted_share_by_customer.pop(customer)
             await self._writer.write(
                 ShareWanted(customer, self._zone, shortfall), WRITE_TIMEOUT_SECONDS
             )
 
-    async def _write_transfers(self) -> None:
-        for customer, (zone, amount) in tuple(self._pending_transfers.items()):
+    async def _write_share_transfers(self) -> None:
+        for customer, (zone, amount) in tuple(self._transfer_by_customer.items()):
             moved = ShareMoved(customer, self._zone, zone, amount)
             await self._writer.write(moved, WRITE_TIMEOUT_SECONDS)
-            # The record was read back, so ``_contracts`` already has the reduced share.
-            self._pending_transfers.pop(customer)
-            self._reserved[customer] = max(0.0, self._reserved.get(customer, 0) - amount)
+            # The write returns after its record was read back from the log, so
+            # ``_contracts`` already has the reduced share.
+            self._transfer_by_customer.pop(customer)
+            self._reserved_share_by_customer[customer] = max(
+                0.0, self._reserved_share_by_customer.get(customer, 0) - amount
+            )
             self._journal.log(
                 Part.CONTRACTS,
                 f'gave {amount:.3f} of the quota of {customer} to {zone}, which has jobs waiting.',
--- a/dandelionreel/jobs/_records.py
+++ b/dandelionreel/jobs/_records.py
@@ -15,7 +15,7 @@
 
 
 class AttemptIntent(Struct, frozen=True, tag='attempt_intent'):
-    """A dispatcher is about to start an attempt, with one worker for each task."""
+    """A dispatcher is about to start an attempt; ``workers`` has one worker for each task."""
 
     job: str
     attempt: int
@@ -41,21 +41,24 @@
 
 
 class JobResolved(Struct, frozen=True, tag='job_resolved'):
-    """An operator resolved an uncertain or parked job; ``outcome`` is ``ran`` or ``not_run``."""
+    """An operator resolved a job; ``outcome`` is ``ran`` or ``not_run``.
+
+    Ignored unless the job may have run (``uncertain``) or failed too often (``parked``).
+    """
 
     job: str
     outcome: str
 
 
 class JobMoved(Struct, frozen=True, tag='job_moved'):
-    """A waiting job, without an intent, belongs to another zone from this record on."""
+    """Moves a job to another zone; ignored unless the job is waiting."""
 
     job: str
     zone: str
 
 
 class JobArrived(Struct, frozen=True, tag='job_arrived'):
-    """The other zone has accepted a moved job; this zone has nothing left to do for it."""
+    """The zone that a job was moved to has accepted it; the former zone may drop the job."""
 
     job: str
 
--- a/dandelionreel/jobs/_report_handler.py
+++ b/dandelionreel/jobs/_report_handler.py
@@ -6,19 +6,19 @@
 from dandelionreel.jobs._order_sender import OrderSender
 from dandelionreel.jobs._queue_updater import QueueUpdater
 from dandelionreel.jobs._records import AttemptIntent
-from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask, parse_outcome
+from dandelionreel.jobs._tracked_attempts import TrackedAttempt, TrackedTask, parse_task_outcome
 from dandelionreel.kernel import Clock, Journal, Part
 from dandelionreel.peers import TaskReport, WorkerReport
 from dandelionreel.placement import RunningTask
 
 #: Margin for the offset between two hosts' wall clocks.
 WALL_CLOCK_MARGIN_SECONDS = 1.0
-#: Margin for the time that it takes to make a report.
+#: Margin for the time that an owner takes to make a report.
 REPORT_MARGIN_SECONDS = 0.2
 
 
 class ReportHandler:
-    """Applies reports: ends tracked tasks, adopts running ones and stops unknown ones."""
+    """Applies worker reports: ends tracked tasks, and adopts or stops untracked running ones."""
 
     def __init__(
         self,
@@ -41,23 +41,23 @@
         self._orders = orders
         self._journal = journal
 
-    async def handle(self, report: WorkerReport) -> None:
-        """Apply a report of a worker's owner on the tasks there."""
-        # An owner that has not read of this dispatch epoch may still obey the
-        # previous dispatcher, and start a task that its report lacks.
+    async def handle_report(self, report: WorkerReport) -> None:
+        """Apply the report of a worker's owner on the tasks of the worker."""
+        # An owner that has not read the claim of this dispatch epoch may still obey
+        # the previous dispatcher, and start a task that the report lacks.
         if report.dispatch_epoch != self._state.epoch:
             return
-        if report.epoch < self._state.reported_epochs.get(report.worker, 0):
+        if report.epoch < self._state.reported_epoch_by_worker.get(report.worker, 0):
             return
         worker = self._state.find_worker(report.worker)
         if worker is None:
             return
         if report.reachable:
-            self._state.reported_epochs[report.worker] = report.epoch
+            self._state.reported_epoch_by_worker[report.worker] = report.epoch
             self._state.planner.cell.set_usable_capacity(worker, report.usable_capacity)
             self._apply_report(report)
         elif report.unrenewed_seconds > self._state.lapse_seconds:
-            self._end_all_tasks(report.worker)
+            self._end_all_tasks_on_worker(report.worker)
         await self._state.wake.notify()
 
     def _apply_report(self, report: WorkerReport) -> None:
@@ -67,10 +67,10 @@
             if reported is not None and reported.running:
                 task.is_running = True
             elif reported is not None:
-                self._end_task(tracked, task, parse_outcome(reported))
+                self._end_task(tracked, task, parse_task_outcome(reported))
             elif report.as_of >= task.absent_after:
                 self._end_task(tracked, task, self._classify_absent_task(tracked, task, report))
-        self._update_running(report, report_by_task)
+        self._update_running_tasks(report, report_by_task)
 
     def _classify_absent_task(
         self,
@@ -78,16 +78,17 @@
         task: TrackedTask,
         report: WorkerReport,
     ) -> Outcome:
-        """Return the outcome of a task that its worker's report lacks."""
-        age = self._max_age(tracked)
+        """Return the outcome of a task that the report of its worker lacks."""
+        age = self._max_intent_age(tracked)
         if not task.is_running and age < report.history_seconds:
-            # The worker would remember the task if it had started since then.
+            # The worker's history reaches back to before the intent was written, so it
+            # would have the task if the task had started.
             return Outcome.NOT_STARTED
         if tracked.idempotent:
             return Outcome.LAPSED
         return Outcome.LOST
 
-    def _max_age(self, tracked: TrackedAttempt) -> float:
+    def _max_intent_age(self, tracked: TrackedAttempt) -> float:
         """Return an upper bound of the age of the attempt's intent, in seconds.
 
         The age of an adopted attempt is the difference of two hosts' wall clocks;
@@ -97,38 +98,38 @@
             return self._clock.unix_time() - tracked.intent_written_at + WALL_CLOCK_MARGIN_SECONDS
         return self._clock.monotonic() - tracked.tracked_at + REPORT_MARGIN_SECONDS
 
-    def _update_running(
+    def _update_running_tasks(
         self,
         report: WorkerReport,
         report_by_task: dict[str, TaskReport],
     ) -> None:
-        """Make the cell's running tasks of a worker match its report."""
+        """Update the running tasks that the cell counts on a worker to match its report."""
         worker = self._state.find_worker(report.worker)
         if worker is None:
             return
         for task_id in tuple(worker.running_by_task):
             reported = report_by_task.get(task_id)
-            tracked = self._is_tracked(task_id)
+            tracked = self._is_tracked_task(task_id)
             if not tracked and (reported is None or not reported.running):
                 self._state.planner.cell.remove_task(worker, task_id)
         for reported in report.tasks:
             if reported.running and reported.id not in worker.running_by_task:
-                self._state.planner.cell.add_task(worker, self._make_running(reported))
+                self._state.planner.cell.add_task(worker, self._make_running_task(reported))
             if reported.running and not self._state.tracker.has_task(reported):
                 self._handle_untracked_task(report.worker, reported)
 
-    def _is_tracked(self, task_id: str) -> bool:
+    def _is_tracked_task(self, task_id: str) -> bool:
         job, _, _ = task_id.rsplit('.', 2)
         tracked = self._state.tracker.attempt_by_job.get(job)
         task = tracked.task_by_id.get(task_id) if tracked else None
         return task is not None and task.outcome is None
 
-    def _make_running(self, reported: TaskReport) -> RunningTask:
+    def _make_running_task(self, reported: TaskReport) -> RunningTask:
         job = self._jobs.get(reported.job)
         customer = job.spec.customer if job else reported.customer
-        contract = self._contracts.effective(customer)
+        contract = self._contracts.effective_contract(customer)
         task_class = job.spec.task_class if job else reported.task_class
-        terms = contract.terms(task_class) if contract else None
+        terms = contract.class_terms(task_class) if contract else None
         now = self._clock.unix_time()
         may_stop = bool(job and job.spec.idempotent and job.spec.tasks == 1)
         declared = job.spec.run_seconds if job else 0
@@ -140,7 +141,7 @@
             task_class,
             reported.demand,
             now,
-            now + self._state.planner.estimate(customer, kind, declared),
+            now + self._state.planner.estimate_run_seconds(customer, kind, declared),
             terms.priority if terms else 0,
             bool(terms and terms.preemptible and may_stop),
         )
@@ -153,17 +154,17 @@
                 self._queue_updater.track_attempt(job)
                 return
         if job is not None and job.state is JobState.WAITING:
-            if reported.attempt == job.next_attempt and job.spec.tasks == 1:
+            if reported.attempt == job.next_attempt_number and job.spec.tasks == 1:
                 self._adopt_unrecorded_task(job, worker, reported)
                 return
-        self._orders.queue_stop(self._state.epoch, worker, reported.id)
+        self._orders.queue_task_stop(self._state.epoch, worker, reported.id)
 
     def _adopt_unrecorded_task(self, job: Job, worker: str, reported: TaskReport) -> None:
         """Adopt a task whose intent was not written because the log was unavailable."""
         if job.id in self._state.tracker.attempt_by_job:
             return
         self._state.planner.queue.remove(job.id)
-        self._state.deferred.discard(job.id)
+        self._state.deferred_job_ids.discard(job.id)
         tracked = TrackedAttempt(
             job.id,
             reported.attempt,
@@ -179,28 +180,30 @@
         )
         self._orders.queue_record(intent)
 
-    def _end_all_tasks(self, worker: str) -> None:
+    def _end_all_tasks_on_worker(self, worker: str) -> None:
         for tracked, task in self._state.tracker.tasks_on_worker(worker):
             outcome = Outcome.LAPSED if tracked.idempotent else Outcome.LOST
             self._end_task(tracked, task, outcome)
 
     def _end_task(self, tracked: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
         task.outcome = outcome
-        self._state.release(task)
-        self._record_result(tracked, task, outcome)
+        self._state.release_task(task)
+        self._record_task_result(tracked, task, outcome)
 
-    def _record_result(self, tracked: TrackedAttempt, task: TrackedTask, outcome: Outcome) -> None:
+    def _record_task_result(
+        self, tracked: TrackedAttempt, task: TrackedTask, outcome: Outcome
+    ) -> None:
         worker = self._state.find_worker(task.worker)
         job = self._jobs.get(tracked.job)
         if worker is None or job is None:
             return
         if outcome is Outcome.SUCCEEDED:
-            self._state.planner.cell.note_success(worker)
+            self._state.planner.cell.record_task_success(worker)
             duration = self._clock.unix_time() - tracked.intent_written_at
-            self._state.run_times.add_run(tracked.customer, job.spec.kind, duration)
+            self._state.run_time_estimator.add_run(tracked.customer, job.spec.kind, duration)
         elif outcome is Outcome.FAILED:
             now = self._clock.unix_time()
-            if self._state.planner.cell.note_failure(worker, tracked.job, now):
+            if self._state.planner.cell.record_task_failure(worker, tracked.job, now):
                 self._journal.log(
                     Part.PLACEMENT,
                     f'quarantines {worker.name}; several different jobs failed there.',
--- a/dandelionreel/jobs/_spec.py
+++ b/dandelionreel/jobs/_spec.py
@@ -41,7 +41,7 @@
     """A job is invalid; the message names the field, its value and what is allowed."""
 
 
-def load_spec(text: bytes) -> JobSpec:
+def load_job_spec(text: bytes) -> JobSpec:
     """Decode and validate a job; raises ``JobSpecError``."""
     try:
         spec = msgspec.json.decode(text, type=JobSpec)
--- a/dandelionreel/jobs/_tracked_attempts.py
+++ b/dandelionreel/jobs/_tracked_attempts.py
@@ -9,10 +9,11 @@
 
 @dataclass
 class TrackedTask:
-    """A task; a report without it proves its absence from ``absent_after`` on.
+    """A task of a tracked attempt.
 
-    A report may describe a time before the start was sent. It proves absence
-    only if its ``as_of``, on this dispatcher's clock, is ``absent_after`` or later.
+    A worker report that lacks the task proves that the task is not on the worker
+    only if the report's ``as_of``, on this dispatcher's clock, is ``absent_after``
+    or later. An older report may describe a time before the start was sent.
     """
 
     task_id: str
@@ -24,10 +25,10 @@
 
 @dataclass
 class TrackedAttempt:
-    """An attempt; ``adopted`` if another dispatcher started it.
+    """An attempt that may be running; ``adopted`` if another dispatcher started it.
 
     ``intent_written_at`` is on the wall clock, ``tracked_at`` on the monotonic clock.
-    ``is_finalizing`` while its outcome is being written.
+    ``is_finalizing`` is set while the outcome is being written to the log.
     """
 
     job: str
@@ -117,8 +118,8 @@
         self._tasks_by_worker.clear()
 
 
-def parse_outcome(report: TaskReport) -> Outcome:
-    """Return the outcome that a report names; an unknown one counts as failed."""
+def parse_task_outcome(report: TaskReport) -> Outcome:
+    """Return the outcome of a task in a report; an unknown outcome counts as failed."""
     known = {
         'succeeded': Outcome.SUCCEEDED,
         'failed': Outcome.FAILED,
--- a/dandelionreel/jobs/_views.py
+++ b/dandelionreel/jobs/_views.py
@@ -6,7 +6,7 @@
 
 
 class AttemptView(msgspec.Struct, frozen=True):
-    """An attempt; ``outcome`` is empty while it may still run."""
+    """An attempt in a response; ``outcome`` is empty while the attempt may be running."""
 
     number: int
     workers: tuple[str, ...]
@@ -14,7 +14,7 @@
 
 
 class JobView(msgspec.Struct, frozen=True):
-    """A job; times are in Unix time."""
+    """A job in a response; times are in Unix time."""
 
     id: str
     customer: str
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -82,7 +82,7 @@
         for service, length in queue_by_service.items():
             self._queue.labels(service).set(length)
         for state in JobState:
-            self._jobs.labels(state.value).set(jobs.count(state))
+            self._jobs.labels(state.value).set(jobs.count_in_state(state))
         self._decisions.set(planner.decision_count)
         self._set_use(planner)
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -91,7 +91,7 @@
 
     def _set_use(self, planner: Planner) -> None:
         used = planner.cell.usage.total()
-        total = planner.cell.total
+        total = planner.cell.total_capacity
         for name, used_amount, total_amount in (
             ('processors', used.processors, total.processors),
             ('memory_mb', used.memory_mb, total.memory_mb),
--- a/dandelionreel/ownership/__init__.py
+++ b/dandelionreel/ownership/__init__.py
@@ -6,7 +6,7 @@
     ShardClaimer,
     ShardUser,
     choose_owner,
-    host_of,
+    host_of_member,
 )
 from dandelionreel.ownership._membership import Member, Membership, member_keys
 from dandelionreel.ownership._peer_monitor import PeerMonitor
@@ -58,7 +58,7 @@
     'ShardRecord',
     'ShardUser',
     'choose_owner',
-    'host_of',
+    'host_of_member',
     'member_keys',
     'runner_shard',
     'worker_shard',
--- a/dandelionreel/ownership/_authority.py
+++ b/dandelionreel/ownership/_authority.py
@@ -1,6 +1,6 @@
-"""Decides whether, and how far, this daemon may act on a shard at this moment.
+"""Decides whether this daemon may act on a shard now, and on which part of its capacity.
 
-Checked on the monotonic clock right before each send. See docs/DESIGN.md,
+The decision is made on the monotonic clock right before each send. See docs/DESIGN.md,
 "Ownership", and spec/ownership.py, which model-checks these rules.
 """
 
@@ -31,7 +31,11 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """A level, the epoch it is for, and since when nobody else may act on that part."""
+    """How much of a shard this daemon may use.
+
+    ``epoch`` is that of its claim on the shard. From ``since`` on nobody else
+    may use the same part of the shard's capacity.
+    """
 
     level: GrantLevel
     epoch: int = 0
@@ -42,10 +46,11 @@
 
 
 class Authority:
-    """Grants this daemon the right to act on shards, by the log and by peers' promises.
+    """Grants this daemon the right to act on the shards that it owns.
 
-    Evidence that nobody has claimed this daemon's shards is a read of the log
-    up to its end, or the promises of all other members of the zone.
+    For a whole shard it needs recent evidence that nobody else has claimed the
+    shard: either a read of the log up to its end, or a promise of every other
+    member of the zone.
     """
 
     def __init__(
@@ -66,8 +71,8 @@
         self._membership = membership
         self._shards = shards
         self._promises = promises
-        #: Shards about to be released: nothing new is started on them.
-        self.suspended: set[str] = set()
+        #: Shards that are about to be released; nothing new is started on them.
+        self.suspended_shards: set[str] = set()
 
     @property
     def max_start_seconds(self) -> float:
@@ -76,10 +81,10 @@
 
     @property
     def takeover_wait_seconds(self) -> float:
-        """Return how long a claimant waits after a claim from an owner that may be live.
+        """Return how long a claimant waits after claiming a shard from an owner that may be live.
 
-        By then the owner's authority has ended, also with clock drift, and
-        its last start has arrived.
+        After this time the owner's authority has ended, even if the clocks
+        drift, and the last start that it sent has arrived.
         """
         drifted = self._timings.authority * (1 + self._timings.clock_drift)
         return drifted + self.max_start_seconds
@@ -89,8 +94,8 @@
         """Return how long an ended owner's last start may still be in flight."""
         return self.max_start_seconds * (1 + self._timings.clock_drift)
 
-    def is_fresh(self) -> bool:
-        """Return whether the evidence is younger than the authority timeout."""
+    def has_fresh_evidence(self) -> bool:
+        """Return whether the newest evidence is younger than the ``authority`` timing."""
         if self._membership.has_ended(self._own_member):
             return False
         return self.evidence_age() < self._timings.authority
@@ -102,37 +107,37 @@
             self._promises.evidence_at(),
         )
 
-    def grant(self, shard: str) -> Grant:
+    def current_grant(self, shard: str) -> Grant:
         """Return what this daemon may do on the shard at this moment."""
         claim = self._shards.get(shard)
         if claim is None or claim.owner != self._own_member or claim.released:
             return NO_GRANT
-        if shard in self.suspended or self._membership.has_ended(self._own_member):
+        if shard in self.suspended_shards or self._membership.has_ended(self._own_member):
             return NO_GRANT
-        since = self._active_at(claim)
+        since = self._claim_active_at(claim)
         if self._clock.monotonic() < since:
             return NO_GRANT
         if not self._shards.is_settled(claim):
             return Grant(GrantLevel.OTHER_HALF, claim.epoch, since)
-        since = max(since, self._settled_at(claim))
+        since = max(since, self._claim_settled_at(claim))
         if self._clock.monotonic() < since:
-            return Grant(GrantLevel.OTHER_HALF, claim.epoch, self._active_at(claim))
-        if self.is_fresh():
+            return Grant(GrantLevel.OTHER_HALF, claim.epoch, self._claim_active_at(claim))
+        if self.has_fresh_evidence():
             return Grant(GrantLevel.WHOLE, claim.epoch, since)
         return Grant(GrantLevel.OWN_HALF, claim.epoch, since)
 
     def may_dispatch(self, shard: str) -> bool:
         """Return whether this daemon may act on a shard that can't be divided in halves.
 
-        A queue can't be shared by two dispatchers: without fresh evidence
-        the owner stops, and a claimant acts once its wait is over.
+        Two dispatchers can't share a queue, so an owner without fresh evidence
+        stops dispatching, and a claimant dispatches after its takeover wait.
         """
-        grant = self.grant(shard)
+        grant = self.current_grant(shard)
         if grant.level is GrantLevel.NONE:
             return False
-        return self.is_fresh()
+        return self.has_fresh_evidence()
 
-    def _active_at(self, claim: ShardClaim) -> float:
+    def _claim_active_at(self, claim: ShardClaim) -> float:
         if claim.former_owner:
             return claim.learned_at + self.takeover_wait_seconds
         if claim.clean_handover:
@@ -141,7 +146,7 @@
         # from the log; its last start may still arrive.
         return claim.learned_at + self.takeover_wait_after_end_seconds
 
-    def _settled_at(self, claim: ShardClaim) -> float:
+    def _claim_settled_at(self, claim: ShardClaim) -> float:
         ended_at = self._membership.ended_at_by_key.get(claim.former_owner)
         if ended_at is None:
             return claim.learned_at
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -15,17 +15,17 @@
 
 CHECK_INTERVAL_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 5.0
-#: After a takeover, this daemon doesn't take over the same shard again for this
-#: long, doubled each time. Otherwise two daemons that can't hear each other
-#: would keep taking the shard from each other.
+#: After it has taken over a shard, this daemon doesn't take over the same shard again
+#: for this long, which doubles with each takeover. Otherwise two daemons that can't hear
+#: each other would keep taking the shard from each other.
 TAKEOVER_BACKOFF_SECONDS = 10.0
 MAX_TAKEOVER_BACKOFF_SECONDS = 160.0
-#: Margin for members that write their records again later than due.
+#: Margin for members that write their expiring records again later than they should.
 RESTATE_MARGIN_SECONDS = 2.0
 
 
 class PeerStatus(abc.ABC):
-    """Status of the other members of the zone, as the claimer needs it."""
+    """Tells which other members of the zone are silent, are draining or know this daemon."""
 
     @abc.abstractmethod
     def is_silent(self, member: str) -> bool:
@@ -41,7 +41,7 @@
 
     @abc.abstractmethod
     def has_acknowledged_own_member(self, member: str) -> bool:
-        """Return whether the member's view contains this daemon.
+        """Return whether the member counts this daemon among the members it knows.
 
         The member then needs this daemon's promise for its evidence.
         """
@@ -60,7 +60,10 @@
 
 
 def choose_owner(shard: str, hosts: Iterable[str]) -> str:
-    """Return the host that should own a shard, by rendezvous hashing."""
+    """Return the host that should own a shard, by rendezvous hashing.
+
+    Also chooses the zone that stores an idempotency key.
+    """
     best = ''
     highest_score = -1
     for host in hosts:
@@ -70,7 +73,7 @@
     return best
 
 
-def host_of(member: str) -> str:
+def host_of_member(member: str) -> str:
     """Return the host part of a member's key (``host/incarnation``)."""
     host, _, _ = member.partition('/')
     return host
@@ -110,19 +113,20 @@
         self._writer = writer
         self._journal = journal
         self._users: list[ShardUser] = []
-        #: When the back-off ends, and its length in seconds.
+        #: When the back-off of a shard ends, and its length in seconds.
         self._takeover_backoff_by_shard: dict[str, tuple[float, float]] = {}
-        #: The owner to whom the promise is withheld, and the epoch of its claim.
+        #: The owner of a shard to whom this daemon gives no promise while it tries to
+        #: claim the shard, and the epoch of the owner's claim.
         self._withheld_by_shard: dict[str, tuple[str, int]] = {}
         self._unconfirmed_claims: set[str] = set()
-        #: The epoch of the claim, and when it was last written.
+        #: The epoch of this daemon's claim on a shard, and when the claim was last written.
         self._renewed_at_by_shard: dict[str, tuple[int, float]] = {}
         self._target_hosts: tuple[str, ...] = ()
         self._target_by_shard: dict[str, str] = {}
         self.draining = False
         self.takeovers = 0
 
-    def add_user(self, user: ShardUser) -> None:
+    def add_shard_user(self, user: ShardUser) -> None:
         """Also claim the shards that ``user`` wants."""
         self._users.append(user)
 
@@ -134,19 +138,19 @@
             if claim.owner == self._own_member and not claim.released
         )
 
-    def may_claim(self) -> bool:
+    def may_claim_shards(self) -> bool:
         """Return whether this daemon may claim shards.
 
-        Every live member of the zone must have acknowledged this daemon: only
-        then do owners require its promise before they act without the log.
+        Every live member of the zone must have acknowledged this daemon. Only
+        then do owners that act without the log require this daemon's promise.
         """
         if not self._membership.is_live(self._own_member):
             return False
-        # A log that was truncated recently may lack the claims of shards that
-        # have owners; the owners restate their claims within this time.
-        if not self._reader.covers_last(self._restated_within):
+        # A log that was truncated recently may lack the claims on shards that
+        # have owners; the owners write their claims again within this time.
+        if not self._reader.covers_last(self._restate_period_seconds):
             return False
-        for member in self._membership.live(self._zone):
+        for member in self._membership.live_members(self._zone):
             if member.key == self._own_member:
                 continue
             if not self._peer_status.has_acknowledged_own_member(member.key):
@@ -158,33 +162,33 @@
         while True:
             change_count = self._reader.changed.count
             try:
-                await self.run_once()
+                await self.write_due_records()
             except LogError as error:
                 self._journal.log(Part.OWNERSHIP, f'could not write to the log: {error}.')
             await self._reader.changed.wait(change_count, CHECK_INTERVAL_SECONDS)
 
-    async def run_once(self) -> None:
+    async def write_due_records(self) -> None:
         """Write all claims, releases and renewals that are due."""
         if not self._reader.caught_up or not self._membership.is_live(self._own_member):
             return
         await self._invalidate_unconfirmed_claims()
         self._resume_promises()
         await self._yield_taken_shards()
-        await self._release_surplus()
-        if self.may_claim() and not self.draining:
+        await self._release_surplus_shards()
+        if self.may_claim_shards() and not self.draining:
             await self._claim_assigned_shards()
         await self._renew_claims()
 
     @property
-    def _restated_within(self) -> float:
-        """Return the seconds within which every record still in force is written again."""
+    def _restate_period_seconds(self) -> float:
+        """Return the time, in seconds, within which members write all valid records again."""
         return self._timings.retention / 3 + RESTATE_MARGIN_SECONDS
 
     async def _claim_assigned_shards(self) -> None:
         hosts = self._candidate_hosts()
         wanted = []
         for shard in self._list_wanted_shards():
-            if self._target_host(shard, hosts) != host_of(self._own_member):
+            if self._target_host(shard, hosts) != host_of_member(self._own_member):
                 continue
             if not self._shards.may_be_claimed(shard, self._own_member):
                 continue
@@ -193,7 +197,7 @@
                 continue
             wanted.append(shard)
         if wanted:
-            await self._claim(wanted[: self._limits.group_records])
+            await self._claim_shards(wanted[: self._limits.group_records])
 
     def _may_take_over(self, claim: ShardClaim) -> bool:
         if claim.released or self._membership.has_ended(claim.owner):
@@ -203,7 +207,7 @@
         until, _ = self._takeover_backoff_by_shard.get(claim.shard, (0.0, 0.0))
         return self._clock.monotonic() >= until
 
-    async def _claim(self, wanted: list[str]) -> None:
+    async def _claim_shards(self, wanted: list[str]) -> None:
         for shard in wanted:
             self._withhold_promise(shard)
         claims = tuple(ShardEpoch(shard, self._shards.epoch(shard)) for shard in wanted)
@@ -212,9 +216,9 @@
         except LogError as error:
             self._handle_failed_claim(wanted, error)
             raise
-        claimed = [shard for shard in wanted if self._owns(shard)]
+        claimed = [shard for shard in wanted if self._owns_shard(shard)]
         for shard in claimed:
-            self._log_claimed(shard)
+            self._log_claimed_shard(shard)
 
     def _withhold_promise(self, shard: str) -> None:
         claim = self._shards.get(shard)
@@ -235,10 +239,10 @@
     async def _invalidate_unconfirmed_claims(self) -> None:
         """Make sure that claims with an unknown outcome can't take effect later.
 
-        Such a claim may still reach the log at any time. If this daemon
-        promised to the current owner meanwhile, both might act on the shard.
-        Once a later record of this daemon has been read back, every reader
-        drops the claim because its record number is lower.
+        Such a claim may still be appended to the log at any time. If this daemon
+        gave the current owner its promise meanwhile, both might act on the shard.
+        Once a later record of this daemon has been read back from the log, every
+        reader drops the claim, because its record number is lower.
         """
         if not self._unconfirmed_claims:
             return
@@ -250,10 +254,10 @@
                 self._resume_promise(shard)
 
     def _resume_promises(self) -> None:
-        """Resume promises to owners whose shards this daemon has tried to claim.
+        """Give promises again to owners whose shards this daemon has tried to claim.
 
-        A promise resumes once another claim has won, or the former owner has
-        ended or yielded.
+        That is allowed once the claim of another member has won, or this daemon's
+        claim has won and the former owner has ended or yielded the shard.
         """
         for shard, (_, epoch) in tuple(self._withheld_by_shard.items()):
             claim = self._shards.get(shard)
@@ -268,7 +272,7 @@
         if owner:
             self._promises.resume_promise(owner)
 
-    def _log_claimed(self, shard: str) -> None:
+    def _log_claimed_shard(self, shard: str) -> None:
         claim = self._shards.get(shard)
         if claim is None:
             return
@@ -293,7 +297,7 @@
     async def _yield_taken_shards(self) -> None:
         """Yield shards that other members have claimed from this daemon.
 
-        The record is written once the shard has no work in flight.
+        A shard is yielded by a ``Released`` record once it has no work in flight.
         """
         yielded = []
         for claim in self._shards.claims():
@@ -307,13 +311,15 @@
             )
             self._journal.log(Part.OWNERSHIP, f'yielded {len(yielded)} shards to claimants.')
 
-    async def _release_surplus(self) -> None:
-        claims_to_renew = self._find_surplus()
-        # Shards that should stay with this daemon after all are used again.
-        self._authority.suspended.intersection_update(claim.shard for claim in claims_to_renew)
+    async def _release_surplus_shards(self) -> None:
+        surplus_claims = self._find_surplus_claims()
+        # If a suspended shard should stay with this daemon after all, it is used again.
+        self._authority.suspended_shards.intersection_update(
+            claim.shard for claim in surplus_claims
+        )
         released = []
-        for claim in claims_to_renew:
-            self._authority.suspended.add(claim.shard)
+        for claim in surplus_claims:
+            self._authority.suspended_shards.add(claim.shard)
             if await self._prepare_release(claim.shard):
                 released.append(ShardEpoch(claim.shard, claim.epoch))
         if not released:
@@ -324,29 +330,29 @@
             )
         finally:
             for shard_epoch in released:
-                self._authority.suspended.discard(shard_epoch.shard)
+                self._authority.suspended_shards.discard(shard_epoch.shard)
         self._journal.log(
             Part.OWNERSHIP,
             f'released {len(released)} shards that other hosts should own.',
             shards=[shard_epoch.shard for shard_epoch in released],
         )
 
-    def _find_surplus(self) -> tuple[ShardClaim, ...]:
+    def _find_surplus_claims(self) -> tuple[ShardClaim, ...]:
         hosts = self._candidate_hosts()
         surplus = [
             claim
             for claim in self.owned_claims()
             if self._shards.is_settled(claim)
-            and (self.draining or self._belongs_elsewhere(claim, hosts))
+            and (self.draining or self._should_move_elsewhere(claim, hosts))
         ]
         if self.draining:
             return tuple(surplus)
         count = max(1, int(self._limits.moves_per_second * CHECK_INTERVAL_SECONDS))
         return tuple(surplus[:count])
 
-    def _belongs_elsewhere(self, claim: ShardClaim, hosts: tuple[str, ...]) -> bool:
+    def _should_move_elsewhere(self, claim: ShardClaim, hosts: tuple[str, ...]) -> bool:
         best = self._target_host(claim.shard, hosts)
-        return bool(best) and best != host_of(self._own_member)
+        return bool(best) and best != host_of_member(self._own_member)
 
     def _target_host(self, shard: str, hosts: tuple[str, ...]) -> str:
         """Return the host that should own a shard; cached until the hosts change."""
@@ -360,14 +366,14 @@
         return target
 
     def _candidate_hosts(self) -> tuple[str, ...]:
-        keys = member_keys(self._membership.live(self._zone))
+        keys = member_keys(self._membership.live_members(self._zone))
         return tuple(
-            host_of(key)
+            host_of_member(key)
             for key in keys
-            if (key == self._own_member and not self.draining) or self._may_own(key)
+            if (key == self._own_member and not self.draining) or self._may_own_shards(key)
         )
 
-    def _may_own(self, key: str) -> bool:
+    def _may_own_shards(self, key: str) -> bool:
         if key == self._own_member:
             return False
         return not (self._peer_status.is_silent(key) or self._peer_status.is_draining(key))
@@ -379,9 +385,9 @@
         return True
 
     async def _renew_claims(self) -> None:
-        """Renew each claim after a third of the log's retention.
+        """Write each claim again after a third of the log's retention time.
 
-        The log would otherwise lose the claim when its record expires.
+        Otherwise the claim would be lost from the log when its record expires.
         """
         now = self._clock.monotonic()
         claims_to_renew = []
@@ -408,6 +414,6 @@
             found.extend(user.wanted_shards())
         return tuple(sorted(found))
 
-    def _owns(self, shard: str) -> bool:
+    def _owns_shard(self, shard: str) -> bool:
         claim = self._shards.get(shard)
         return claim is not None and claim.owner == self._own_member and not claim.released
--- a/dandelionreel/ownership/_membership.py
+++ b/dandelionreel/ownership/_membership.py
@@ -1,4 +1,4 @@
-"""The members of a cell or zone, built from a stream in log order."""
+"""The members of a cell or zone, built from the records of its log stream in order."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One incarnation of a daemon; ``ended_by`` is empty while it may be live."""
+    """One incarnation of a daemon; ``ended_by`` is the proof of its end, empty without one."""
 
     key: str
     host: str
@@ -32,7 +32,7 @@
 
     @property
     def left_cleanly(self) -> bool:
-        """Return whether the member left in order, with nothing of it in flight."""
+        """Return whether the member shut down in order, with no work in flight."""
         return self.ended_by == LEFT
 
 
@@ -41,15 +41,15 @@
 
 
 class Membership:
-    """The members that one stream names, by key (``host/incarnation``)."""
+    """The members that the records of one log stream name, by key (``host/incarnation``)."""
 
     def __init__(self, clock: Clock) -> None:
         """Start without members."""
         self._clock = clock
         self._member_by_key: dict[str, Member] = {}
-        #: When this daemon read that the member had ended (monotonic).
+        #: When this daemon read that a member had ended, on the monotonic clock.
         self.ended_at_by_key: dict[str, float] = {}
-        #: When a member last wrote that it is alive (monotonic, of this daemon).
+        #: When a member last wrote that it is alive, on this daemon's monotonic clock.
         self.alive_at_by_key: dict[str, float] = {}
 
     def reset(self) -> None:
@@ -78,23 +78,23 @@
         return tuple(self._member_by_key)
 
     def has_ended(self, key: str) -> bool:
-        """Return whether that member is proven to have ended."""
+        """Return whether the member is known and has ended or left."""
         member = self._member_by_key.get(key)
         return member is not None and member.has_ended
 
     def is_live(self, key: str) -> bool:
-        """Return whether that member has joined and is not known to have ended."""
+        """Return whether the member has joined and is not known to have ended."""
         member = self._member_by_key.get(key)
         return member is not None and not member.has_ended
 
-    def live(self, availability_zone: str = '') -> tuple[Member, ...]:
+    def live_members(self, availability_zone: str = '') -> tuple[Member, ...]:
         """Return members not known to have ended, of one zone or all, sorted by key."""
         found = [
             member
             for member in self._member_by_key.values()
             if not member.has_ended and availability_zone in {'', member.availability_zone}
         ]
-        return tuple(sorted(found, key=_by_key))
+        return tuple(sorted(found, key=_member_key))
 
     def _apply_joined(self, record: Joined, position: Position) -> None:
         if record.member in self._member_by_key:
@@ -122,16 +122,16 @@
             member = Member(key, host, '', '', 0, -1)
         self._member_by_key[key] = replace(member, ended_by=proof)
         self.ended_at_by_key[key] = self._clock.monotonic()
-        self._drop_oldest_ended()
+        self._drop_oldest_ended_members()
 
-    def _drop_oldest_ended(self) -> None:
+    def _drop_oldest_ended_members(self) -> None:
         while len(self.ended_at_by_key) > MAX_ENDED_KEPT:
             oldest = next(iter(self.ended_at_by_key))
             self.ended_at_by_key.pop(oldest)
             self._member_by_key.pop(oldest, None)
 
 
-def _by_key(member: Member) -> str:
+def _member_key(member: Member) -> str:
     return member.key
 
 
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -28,15 +28,16 @@
 
 #: Consecutive refused connections that prove that a daemon has ended.
 REFUSALS_FOR_PROOF = 2
-#: Silence periods for which a host must be missing from the host list to be gone.
+#: A daemon has ended if for this many silence periods (``silent_after``) its host was missing
+#: from the host list and the daemon was not heard.
 GONE_SILENT_PERIODS = 4
-#: Other zones let the ended daemon's own zone write the proof for this long.
+#: Daemons of other zones wait this long for the ended daemon's own zone to write the proof.
 OTHER_ZONE_PROOF_DELAY_SECONDS = 4.0
 WRITE_TIMEOUT_SECONDS = 5.0
 CHECK_INTERVAL_SECONDS = 0.5
-#: A check this many intervals after the last one shows that this daemon was paused.
+#: If this many check intervals pass between two checks, this daemon was paused.
 PAUSE_INTERVALS = 2
-#: A record that a daemon is alive is valid for this many silence periods.
+#: An ``Alive`` record proves that its daemon is live for this many silence periods.
 ALIVE_PERIODS = 2
 
 #: Called with whether the peer is in this daemon's own zone.
@@ -70,13 +71,13 @@
         self._promises = promises
         self._hosts = hosts
         self._journal = journal
-        self._gossip_source: GossipSource = _empty_gossip
+        self._gossip_source: GossipSource = _make_empty_gossip
         self._gossip_handlers: list[GossipHandler] = []
         self._acknowledged_by: set[str] = set()
-        self._task_by_host: dict[str, Any] = {}
+        self._heartbeat_task_by_host: dict[str, Any] = {}
         self._refused_at_by_member: dict[str, float] = {}
         self._last_check_at = clock.monotonic()
-        self._awake_since = clock.monotonic()
+        self._resumed_at = clock.monotonic()
 
     def connect_gossip(self, source: GossipSource, *handlers: GossipHandler) -> None:
         """Send peers what ``source`` returns; pass their gossip to ``handlers``."""
@@ -85,19 +86,19 @@
 
     def is_silent(self, member: str) -> bool:
         """Return whether there is no recent sign of life of the member."""
-        self._detect_pause()
+        self._detect_own_pause()
         now = self._clock.monotonic()
         period = self._settings.timings.silent_after
         state = self._directory.get_by_member(member)
         if state is None:
             return True
-        # A daemon that was paused has missed the messages of all others. After
-        # it resumes, it must listen for a whole period before it considers a
-        # member silent.
-        listened_from = max(state.heard_at, self._awake_since)
+        # While this daemon was paused it missed the messages of all others. After
+        # it resumes, it must listen for a whole silence period before it considers
+        # a member silent.
+        listened_from = max(state.heard_at, self._resumed_at)
         if now - listened_from < period:
             return False
-        if self._is_heard_by_others(member):
+        if self._is_member_heard_by_others(member):
             return False
         alive_at = self._zone_members.alive_at_by_key.get(member, float('-inf'))
         return now - alive_at >= ALIVE_PERIODS * period
@@ -108,17 +109,17 @@
         return state is not None and state.gossip.draining
 
     def has_acknowledged_own_member(self, member: str) -> bool:
-        """Return whether the member's view contains this daemon."""
+        """Return whether the member has listed this daemon among the members it knows."""
         return member in self._acknowledged_by
 
-    def all_heard_since(self) -> float:
-        """Return the monotonic time since when no live member of the zone was silent.
+    def all_members_heard_since(self) -> float:
+        """Return since when, on the monotonic clock, no live member of the zone was silent.
 
-        It is the present if a member is silent now.
+        Returns the present time if a member is silent now.
         """
         now = self._clock.monotonic()
         latest = float('-inf')
-        for member in self._zone_members.live(self._zone):
+        for member in self._zone_members.live_members(self._zone):
             if member.key == self._own_member:
                 continue
             state = self._directory.get_by_member(member.key)
@@ -128,19 +129,19 @@
         return latest
 
     def has_silent_member(self) -> bool:
-        """Return whether a live member of the zone has been silent for half a period.
+        """Return whether a live member of the zone was silent for half a silence period.
 
-        If the member doesn't hear this daemon either, it must read in the log
-        that this daemon is alive before a whole period is over.
+        That member may not hear this daemon either. It must then read in the log
+        that this daemon is alive, before a whole silence period is over.
         """
         heard = self._directory.heard_within(self._settings.timings.silent_after / 2)
         return any(
             member.key not in heard and member.key != self._own_member
-            for member in self._zone_members.live(self._zone)
+            for member in self._zone_members.live_members(self._zone)
         )
 
     async def answer_heartbeat(self, frame: Frame) -> Message:
-        """Answer a heartbeat; give the promise unless a claim is in progress."""
+        """Answer a heartbeat, with a promise unless this daemon claims a shard of the sender."""
         message = frame.message
         if not isinstance(message, Heartbeat):
             return Refused('message is not a heartbeat')
@@ -154,35 +155,37 @@
     async def run(self, stack: AsyncExitStack) -> None:
         """Keep one heartbeat task running for each known daemon."""
         while True:
-            self._detect_pause()
+            self._detect_own_pause()
             self._add_known_peers()
             for state in self._directory.states():
                 host = state.address.host
-                if host not in self._task_by_host:
-                    self._task_by_host[host] = await start_task(stack, self._send_heartbeats, host)
+                if host not in self._heartbeat_task_by_host:
+                    self._heartbeat_task_by_host[host] = await start_task(
+                        stack, self._send_heartbeats, host
+                    )
             await curio.sleep(CHECK_INTERVAL_SECONDS)
 
-    async def run_end_detection(
+    async def detect_ended_members(
         self,
         zone_writer: StreamWriter,
         cell_writer: StreamWriter,
     ) -> None:
-        """Write to the log which other daemons are proven to have ended."""
+        """Write a record to the log for each other daemon that is proven to have ended."""
         while True:
             await curio.sleep(CHECK_INTERVAL_SECONDS)
             try:
-                await self._write_proofs(zone_writer, cell_writer)
+                await self._write_proofs_of_end(zone_writer, cell_writer)
             except LogError as error:
                 self._journal.log(Part.OWNERSHIP, f'could not write a proof of end: {error}.')
 
-    def _detect_pause(self) -> None:
+    def _detect_own_pause(self) -> None:
         now = self._clock.monotonic()
         if now - self._last_check_at > CHECK_INTERVAL_SECONDS * PAUSE_INTERVALS:
-            self._awake_since = now
+            self._resumed_at = now
         self._last_check_at = now
 
     def _add_known_peers(self) -> None:
-        for member in self._cell_members.live() + self._zone_members.live():
+        for member in self._cell_members.live_members() + self._zone_members.live_members():
             self._add_peer(member.host, member.availability_zone, member.address, member.peers_port)
         # Without the log, a new daemon finds its peers only by the host list.
         for entry in self._hosts.all_hosts_of_kind('entry'):
@@ -203,8 +206,8 @@
             await self._send_heartbeat(state, same_zone=same_zone)
             pause = timings.heartbeat if same_zone else timings.far_heartbeat
             if state.refusals and state.refusals < REFUSALS_FOR_PROOF:
-                # One more refusal proves the end; retry soon so that the shards
-                # of the ended daemon get a new owner.
+                # One more refused connection proves that the daemon has ended; retry
+                # soon, so that its shards get a new owner.
                 pause = timings.heartbeat / 4
             await curio.sleep(pause)
 
@@ -225,7 +228,7 @@
         answer = frame.message
         await self._handle_gossip(frame.sender, answer.gossip, same_zone=same_zone)
         if same_zone:
-            self._promises.record_answer(
+            self._promises.record_promise_answer(
                 frame.sender,
                 requested_at,
                 answer.promise,
@@ -242,18 +245,18 @@
             await handler(state)
 
     def _live_members_on(self, host: str) -> tuple[Member, ...]:
-        """Return the incarnations that a refusal from now on would prove to have ended."""
+        """Return the members on a host; a connection refused from now on proves their end."""
         found = {
             member.key: member
-            for member in self._zone_members.live() + self._cell_members.live()
+            for member in self._zone_members.live_members() + self._cell_members.live_members()
             if member.host == host
         }
         return tuple(found.values())
 
     def _handle_connection_refused(self, state: PeerState, members: tuple[Member, ...]) -> None:
-        # A refusal means that no process listens: the incarnations known before
-        # the request have ended. A timeout proves nothing, because the daemon
-        # may be paused.
+        # A refused connection means that no process listens: the members on the host
+        # that were known before the request have ended. A timeout proves nothing,
+        # because the daemon may be paused.
         state.refusals += 1
         if state.refusals < REFUSALS_FOR_PROOF:
             return
@@ -263,24 +266,26 @@
         if state.member:
             self._promises.record_connection_refused(state.member)
 
-    async def _write_proofs(self, zone_writer: StreamWriter, cell_writer: StreamWriter) -> None:
-        for member in self._cell_members.live():
-            proof = self._find_proof(member)
+    async def _write_proofs_of_end(
+        self, zone_writer: StreamWriter, cell_writer: StreamWriter
+    ) -> None:
+        for member in self._cell_members.live_members():
+            proof = self._find_proof_of_end(member)
             if not proof:
                 continue
             await cell_writer.write(Ended(member.key, proof), WRITE_TIMEOUT_SECONDS)
             self._journal.log(Part.OWNERSHIP, f'{member.key} has ended; {proof}.')
-        for member in self._zone_members.live():
-            proof = self._find_proof(member) or self._proof_in_cell_stream(member)
+        for member in self._zone_members.live_members():
+            proof = self._find_proof_of_end(member) or self._find_proof_in_cell_stream(member)
             if proof:
                 await zone_writer.write(Ended(member.key, proof), WRITE_TIMEOUT_SECONDS)
 
-    def _proof_in_cell_stream(self, member: Member) -> str:
+    def _find_proof_in_cell_stream(self, member: Member) -> str:
         if self._cell_members.has_ended(member.key):
             return 'ended in the cell stream'
         return ''
 
-    def _find_proof(self, member: Member) -> str:
+    def _find_proof_of_end(self, member: Member) -> str:
         if member.key == self._own_member:
             return ''
         now = self._clock.monotonic()
@@ -289,9 +294,9 @@
             same_zone = member.availability_zone == self._zone
             if same_zone or now - refused_at > OTHER_ZONE_PROOF_DELAY_SECONDS:
                 return 'connection refused'
-        return self._proof_by_host_list(member)
+        return self._find_proof_in_host_list(member)
 
-    def _proof_by_host_list(self, member: Member) -> str:
+    def _find_proof_in_host_list(self, member: Member) -> str:
         period = self._settings.timings.silent_after * GONE_SILENT_PERIODS
         if self._hosts.missing_seconds(member.host) < period:
             return ''
@@ -302,7 +307,7 @@
             return ''
         return 'gone from the host list'
 
-    def _is_heard_by_others(self, member: str) -> bool:
+    def _is_member_heard_by_others(self, member: str) -> bool:
         recent = self._clock.monotonic() - self._settings.timings.silent_after
         for state in self._directory.states(self._zone):
             if state.member == member or state.heard_at < recent:
@@ -312,5 +317,5 @@
         return False
 
 
-def _empty_gossip(same_zone: bool) -> Gossip:
+def _make_empty_gossip(same_zone: bool) -> Gossip:
     return Gossip()
--- a/dandelionreel/ownership/_promises.py
+++ b/dandelionreel/ownership/_promises.py
@@ -1,8 +1,9 @@
 """Promises between the members of a zone: given, withheld and received.
 
-A member promises an owner that it has no claim on the owner's shards. If it
-claims one later, it waits until the authority from its promise has expired. An
-owner with recent promises of all other members may act without the log.
+By a promise a member tells an owner that it has no claim on the owner's shards. If
+the member claims one of these shards later, it waits until the authority that the
+owner has by the promise has expired. An owner with recent promises of all other
+members may act without the log.
 """
 
 from dataclasses import dataclass
@@ -23,9 +24,10 @@
 class PromiseTracker:
     """Tracks the promises that this daemon has given and received.
 
-    Evidence requires the promise of *every* other member, because a member
-    unknown to the owner might claim. Each promise therefore carries a view, the
-    members that its sender knows; they must promise too.
+    The evidence that no other member claims an owner's shards requires the promise
+    of *every* other member, because a member unknown to the owner might claim them.
+    Each promise therefore carries a view: the members that its sender knows, whose
+    promises are then required too.
     """
 
     def __init__(self, own_member: str, zone: str, clock: Clock, membership: Membership) -> None:
@@ -45,67 +47,67 @@
         self.promised_at_by_member: dict[str, float] = {}
 
     def give_promise(self, member: str) -> bool:
-        """Promise ``member`` not to act on its shards; return False during a claim on them."""
+        """Promise ``member`` not to act on its shards; return False if this daemon claims one."""
         if member in self._withheld_count_by_member or self._membership.has_ended(member):
             return False
         self.promised_at_by_member[member] = self._clock.monotonic()
         return True
 
     def require_promise(self, member: str) -> None:
-        """Require that member's promise from now on.
+        """Require the promise of ``member`` from now on.
 
         Called before this daemon's view contains the member. Once the views of
-        all members contain a new member it may claim, so nobody may act
+        all members contain a new member, it may claim shards, so nobody may act
         without its promise.
         """
         if member != self._own_member:
             self._heard_members.add(member)
 
-    def view(self) -> tuple[int, ...]:
-        """Return the hashes of the members known at first hand, including this one.
+    def make_view(self) -> tuple[int, ...]:
+        """Return the hashes of this member and of those known at first hand.
 
-        Members known only by others' views are left out: a stale entry would
-        circulate forever, and one that nobody can resolve would block all
-        evidence.
+        Members known only by the views of others are left out. Otherwise a member
+        that has ended would be passed on forever, and a hash whose member nobody
+        knows would prevent all evidence.
         """
         return tuple(
             sorted(map(hash_member, {*self._members_known_first_hand(), self._own_member}))
         )
 
     def withhold_promise(self, member: str) -> None:
-        """Stop promising to a member before a claim on its shards is written."""
+        """Give a member no more promises, before this daemon writes a claim on its shards."""
         self._withheld_count_by_member[member] = self._withheld_count_by_member.get(member, 0) + 1
 
     def resume_promise(self, member: str) -> None:
-        """Undo one ``withhold_promise``, once the claim is lost or settled."""
+        """Undo one call of ``withhold_promise``, after the claim has failed or is settled."""
         remaining = self._withheld_count_by_member.get(member, 0) - 1
         if remaining > 0:
             self._withheld_count_by_member[member] = remaining
             return
         self._withheld_count_by_member.pop(member, None)
 
-    def record_answer(
+    def record_promise_answer(
         self, member: str, requested_at: float, promise: bool, view: tuple[int, ...]
     ) -> None:
-        """Store a member's answer; a withheld promise cancels the earlier one."""
+        """Store a member's promise, or drop its earlier one if it now gives none."""
         if not promise:
             self._received_by_member.pop(member, None)
             return
         self._received_by_member[member] = _ReceivedPromise(requested_at, view)
 
     def record_connection_refused(self, member: str) -> None:
-        """Record a refused connection, which proves that this incarnation has ended."""
+        """Record a refused connection, which proves that the member has ended."""
         self._refused_members.add(member)
 
     def required_members(self) -> frozenset[str]:
         """Return the members whose promise is required for evidence."""
         named = set(self._members_known_first_hand())
         for received in self._received_by_member.values():
-            named.update(map(self._resolve_hash, received.view))
-        return frozenset(key for key in named if self._may_be_live(key))
+            named.update(map(self._resolve_member_hash, received.view))
+        return frozenset(key for key in named if self._member_may_be_live(key))
 
     def evidence_at(self) -> float:
-        """Return when the oldest required promise was requested."""
+        """Return when the oldest of the required promises was requested (monotonic)."""
         now = self._clock.monotonic()
         oldest = now
         for key in self.required_members():
@@ -117,19 +119,20 @@
 
     def _members_known_first_hand(self) -> tuple[str, ...]:
         """Return the members known from the log or by their own heartbeats."""
-        named = {*member_keys(self._membership.live(self._zone)), *self._heard_members}
-        return tuple(key for key in named if self._may_be_live(key))
+        named = {*member_keys(self._membership.live_members(self._zone)), *self._heard_members}
+        return tuple(key for key in named if self._member_may_be_live(key))
 
-    def _may_be_live(self, key: str) -> bool:
+    def _member_may_be_live(self, key: str) -> bool:
         if key == self._own_member or key in self._refused_members:
             return False
         return not (self._membership.has_ended(key) or self._is_older_incarnation(key))
 
-    def _resolve_hash(self, member_hash: int) -> str:
+    def _resolve_member_hash(self, member_hash: int) -> str:
         """Return the key of the member with that hash, or a placeholder key.
 
-        A placeholder has no promise, so there is no evidence until the member
-        becomes known: an owner would rather use half of a shard than too much.
+        Nobody gives a promise for a placeholder key, so there is no evidence until
+        the member becomes known. Until then it is better that an owner uses only
+        half of a shard than too much of it.
         """
         known = self._key_by_hash.get(member_hash)
         if known is not None:
--- a/dandelionreel/ownership/_records.py
+++ b/dandelionreel/ownership/_records.py
@@ -28,7 +28,7 @@
 
 
 class Left(Struct, frozen=True, tag='left'):
-    """A daemon has shut down in order: it owns nothing and sends nothing more."""
+    """A daemon has shut down in order: it owns no shards and sends no more messages."""
 
     member: str
 
@@ -47,14 +47,14 @@
 
 
 class ShardEpoch(Struct, frozen=True):
-    """A shard and an epoch of it."""
+    """A shard and the epoch of a claim on it; each new claim has a higher epoch."""
 
     shard: str
     epoch: int
 
 
 class Claimed(Struct, frozen=True, tag='claimed'):
-    """Claims shards; each ``epoch`` is the one that the claim replaces."""
+    """Claims shards; each ``epoch`` is that of the earlier claim that this one replaces."""
 
     member: str
     claims: tuple[ShardEpoch, ...]
@@ -63,7 +63,7 @@
 class Released(Struct, frozen=True, tag='released'):
     """Releases shards that have no work in flight.
 
-    Written by an owner, or by a former owner that yields to a claimant.
+    Written by an owner, or by a former owner that yields shards to a claimant.
     """
 
     member: str
@@ -71,7 +71,7 @@
 
 
 class Renewed(Struct, frozen=True, tag='kept'):
-    """Restates ownership before the claim's record expires."""
+    """Writes the claims on owned shards again before their records expire."""
 
     member: str
     shards: tuple[ShardEpoch, ...]
--- a/dandelionreel/ownership/_shards.py
+++ b/dandelionreel/ownership/_shards.py
@@ -1,4 +1,4 @@
-"""The owner of each shard, built from the zone's stream in log order."""
+"""The owner of each shard, built from the records of the zone's log stream in order."""
 
 from dataclasses import dataclass, replace
 
@@ -17,14 +17,14 @@
 class ShardClaim:
     """The valid claim on a shard.
 
-    ``epoch`` is the offset of its record plus one, so it is the same at every
-    reader, wherever reading began. ``former_owner`` is the owner before this one, if it
-    had neither released the shard nor ended when the claim was made; cleared
-    once it yields. ``released``: the owner has released the shard.
-    ``clean_handover``: the former owner had no work in flight when the claim
-    was made. ``learned_at`` is when this daemon read the claim (monotonic).
-    ``predecessor_unknown``: neither the claim's author nor this reader knew an
-    earlier claim.
+    ``epoch`` is the offset of the claim's record plus one, so it is the same for
+    every reader, wherever reading began. ``former_owner`` is the owner before this
+    one, if that owner had neither released the shard nor ended when the claim was
+    made; it is cleared once the former owner yields the shard. ``released``: the
+    owner has released the shard. ``clean_handover``: the former owner had no work
+    in flight when the claim was made. ``learned_at`` is when this daemon read the
+    claim, on the monotonic clock. ``predecessor_unknown``: neither the member that
+    made the claim nor this reader knew an earlier claim on the shard.
     """
 
     shard: str
@@ -64,7 +64,10 @@
         return claim.epoch if claim else 0
 
     def is_settled(self, claim: ShardClaim) -> bool:
-        """Return whether nobody but the owner may act on the shard any more."""
+        """Return whether the former owner has yielded the shard or ended.
+
+        From then on nobody but the owner may act on the shard.
+        """
         return not claim.former_owner or self._membership.has_ended(claim.former_owner)
 
     def may_be_claimed(self, shard: str, member: str) -> bool:
@@ -88,7 +91,7 @@
 
     def _apply_claim(self, member: str, claimed: ShardEpoch, position: Position) -> None:
         claim = self._claim_by_shard.get(claimed.shard)
-        if not self._is_valid(member, claimed, claim):
+        if not self._is_valid_claim(member, claimed, claim):
             return
         self._claim_by_shard[claimed.shard] = ShardClaim(
             claimed.shard,
@@ -100,13 +103,13 @@
             predecessor_unknown=claim is None and claimed.epoch == UNKNOWN_EPOCH,
         )
 
-    def _is_valid(self, member: str, claimed: ShardEpoch, claim: ShardClaim | None) -> bool:
+    def _is_valid_claim(self, member: str, claimed: ShardEpoch, claim: ShardClaim | None) -> bool:
         """Return whether a claim is valid, with the same result at every reader.
 
-        A member whose log was truncated may not know an earlier claim that
-        others know, and claims with epoch 0. Such a claim is valid if nobody
-        else can be acting on the shard, so that all readers agree on its
-        epoch instead of keeping another one.
+        A member whose log was truncated may not know an earlier claim that other
+        members know, and claims the shard with epoch 0. Such a claim is valid if
+        nobody else can be acting on the shard. Otherwise the readers that know the
+        earlier claim would keep its epoch, and the others that of the new claim.
         """
         if self._membership.has_ended(member):
             return False
@@ -147,8 +150,8 @@
             return
         if claim is not None and claim.epoch > renewed.epoch and not claim.predecessor_unknown:
             return
-        # The claim's record expired before this daemon read it. Its owner has
-        # read it as the valid claim, and renews only settled claims.
+        # The record of the claim expired before this daemon read it. The owner has
+        # read it as the valid claim, and owners renew only settled claims.
         self._claim_by_shard[renewed.shard] = ShardClaim(
             renewed.shard,
             member,
--- a/dandelionreel/placement/__init__.py
+++ b/dandelionreel/placement/__init__.py
@@ -2,7 +2,7 @@
 
 from dandelionreel.placement._cell import Cell, WorkerView
 from dandelionreel.placement._estimate import RunTimeEstimator
-from dandelionreel.placement._planner import Planner, task_ids
+from dandelionreel.placement._planner import Planner, make_task_ids
 from dandelionreel.placement._policy import (
     GangPolicy,
     GangReservation,
@@ -10,7 +10,7 @@
     PlacementPolicy,
     SpreadPolicy,
     UrgentPolicy,
-    count_fitting,
+    count_fitting_tasks,
 )
 from dandelionreel.placement._queue import CustomerTerms, FairQueue
 from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, RunningTask, Work
@@ -34,6 +34,6 @@
     'UrgentPolicy',
     'Work',
     'WorkerView',
-    'count_fitting',
-    'task_ids',
+    'count_fitting_tasks',
+    'make_task_ids',
 )
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -7,14 +7,15 @@
 from dandelionreel.backing import EPSILON, NO_RESOURCES, Resources
 from dandelionreel.placement._work import RunningTask
 
-#: Different jobs that fail in a row before their worker is quarantined.
+#: A worker is quarantined, and gets no tasks for a time, after this many different jobs have
+#: failed on it in a row.
 FAILED_JOBS_TO_QUARANTINE = 3
 QUARANTINE_SECONDS = 30.0
 MAX_QUARANTINE_SECONDS = 600.0
 
 
 class WorkerView:
-    """One worker: its capacity, its tasks and its recent failures."""
+    """The dispatcher's data on one worker: capacity, running tasks and recent failures."""
 
     __slots__ = (
         'accelerators',
@@ -51,8 +52,11 @@
         self.accelerators = capacity.accelerators > 0
 
 
-class _Buckets:
-    """Workers grouped by whole free processors, so that sampling costs the same at any size."""
+class _WorkerBuckets:
+    """Workers grouped by their number of free processors.
+
+    With these groups, the cost of sampling workers does not depend on their number.
+    """
 
     def __init__(self) -> None:
         self.lists: list[list[WorkerView]] = []
@@ -83,78 +87,78 @@
 class Cell:
     """All workers of a zone, and the resources that each customer uses there.
 
-    This is the dispatcher's view, which may be outdated; the owner of each
-    worker may still refuse a start.
+    These are the dispatcher's data, which may be outdated; the owner of a worker
+    may still refuse to start a task.
     """
 
     def __init__(self, random_source: random.Random | None = None) -> None:
-        """Draw samples from ``random_source``."""
+        """Draw random samples of workers with ``random_source``."""
         self.random_source = random_source or random.Random()
         self.worker_by_name: dict[str, WorkerView] = {}
         #: Resources in use by customer, over all workers.
         self.usage: Usage[Resources] = Usage(NO_RESOURCES)
-        self.total = NO_RESOURCES
-        self._freed_by_name: dict[str, WorkerView] = {}
-        self._without_accelerators = _Buckets()
-        self._with_accelerators = _Buckets()
+        self.total_capacity = NO_RESOURCES
+        self._freed_worker_by_name: dict[str, WorkerView] = {}
+        self._without_accelerators = _WorkerBuckets()
+        self._with_accelerators = _WorkerBuckets()
 
-    def add(self, name: str, rack: str, capacity: Resources) -> WorkerView:
+    def add_worker(self, name: str, rack: str, capacity: Resources) -> WorkerView:
         """Add a worker, or update its rack and capacity."""
         worker = self.worker_by_name.get(name)
         if worker is not None and worker.capacity == capacity:
             worker.rack = rack
             return worker
         if worker is not None:
-            self.remove(name)
+            self.remove_worker(name)
         worker = WorkerView(name, rack, capacity)
         self.worker_by_name[name] = worker
-        self.total += capacity
-        self._update_index(worker)
-        self._freed_by_name[name] = worker
+        self.total_capacity += capacity
+        self._update_bucket(worker)
+        self._freed_worker_by_name[name] = worker
         return worker
 
-    def remove(self, name: str) -> None:
+    def remove_worker(self, name: str) -> None:
         """Remove a worker and its tasks."""
         worker = self.worker_by_name.pop(name, None)
         if worker is None:
             return
         for task_id in tuple(worker.running_by_task):
             self._remove_task(worker, task_id)
-        self._buckets_for(worker).remove(worker)
-        self.total -= worker.capacity
+        self._buckets_for_worker(worker).remove(worker)
+        self.total_capacity -= worker.capacity
 
     def set_usable_capacity(self, worker: WorkerView, capacity: Resources) -> None:
         """Set how much of the worker's capacity may be used at present."""
         if worker.usable_capacity == capacity:
             return
         worker.usable_capacity = capacity
-        self._update_free(worker)
-        self._freed_by_name[worker.name] = worker
+        self._update_free_resources(worker)
+        self._freed_worker_by_name[worker.name] = worker
 
     def add_task(self, worker: WorkerView, running: RunningTask) -> None:
-        """Add a task to a worker, replacing an entry with the same id."""
+        """Add a task to a worker, in place of any earlier task with the same id."""
         if running.task_id in worker.running_by_task:
             self._remove_task(worker, running.task_id)
         worker.running_by_task[running.task_id] = running
         worker.used += running.demand
         self.usage.add(running.customer, running.demand)
-        self._update_free(worker)
+        self._update_free_resources(worker)
 
     def remove_task(self, worker: WorkerView, task_id: str) -> RunningTask | None:
         """Remove a task from a worker; return it, or ``None`` when it was not there."""
         running = self._remove_task(worker, task_id)
         if running is not None:
-            self._update_free(worker)
-            self._freed_by_name[worker.name] = worker
+            self._update_free_resources(worker)
+            self._freed_worker_by_name[worker.name] = worker
         return running
 
     def pop_freed_workers(self) -> tuple[WorkerView, ...]:
         """Return the workers that may have gained free resources since the last call."""
-        freed = tuple(self._freed_by_name.values())
-        self._freed_by_name.clear()
+        freed = tuple(self._freed_worker_by_name.values())
+        self._freed_worker_by_name.clear()
         return freed
 
-    def fits(self, worker: WorkerView, demand: Resources) -> bool:
+    def fits_worker(self, worker: WorkerView, demand: Resources) -> bool:
         """Return whether the demand fits the free resources of the worker."""
         free = worker.free
         return (
@@ -172,18 +176,18 @@
             return True
         return worker.probing and bool(worker.running_by_task)
 
-    def note_success(self, worker: WorkerView) -> None:
+    def record_task_success(self, worker: WorkerView) -> None:
         """Clear the failures of a worker after a successful task."""
         worker.failed_jobs.clear()
         worker.probing = False
         worker.quarantine_seconds = QUARANTINE_SECONDS
-        self._freed_by_name[worker.name] = worker
+        self._freed_worker_by_name[worker.name] = worker
 
-    def note_failure(self, worker: WorkerView, job: str, now: float) -> bool:
-        """Record a failed task; return whether the worker is quarantined for it.
+    def record_task_failure(self, worker: WorkerView, job: str, now: float) -> bool:
+        """Record a failed task; return whether the worker is quarantined as a result.
 
-        Repeated failures of one job may be the job's fault; failures of
-        several different jobs in a row point to the worker.
+        Repeated failures of one job may be the job's fault. If several different
+        jobs fail in a row, the worker is probably at fault.
         """
         if job not in worker.failed_jobs:
             worker.failed_jobs.append(job)
@@ -195,7 +199,7 @@
         worker.probing = True
         return True
 
-    def sample(
+    def sample_workers(
         self,
         demand: Resources,
         *,
@@ -203,11 +207,12 @@
     ) -> Iterable[WorkerView]:
         """Yield workers that may have enough free processors for the demand.
 
-        ``tightest`` starts with the workers that have the fewest free
-        processors; among equals the order starts at a random position.
-        Workers with accelerators come last for work that needs none.
+        With ``tightest``, the workers with the fewest free processors come
+        first, otherwise those with the most. Workers with equally many come in
+        list order from a random position on. Workers with accelerators come
+        last if the demand includes none.
         """
-        bucket_groups: tuple[_Buckets, ...] = (self._with_accelerators,)
+        bucket_groups: tuple[_WorkerBuckets, ...] = (self._with_accelerators,)
         if not demand.accelerators:
             bucket_groups = (self._without_accelerators, self._with_accelerators)
         first_bucket = max(0, int(demand.processors + EPSILON))
@@ -228,12 +233,12 @@
         self.usage.remove(running.customer, running.demand)
         return running
 
-    def _update_free(self, worker: WorkerView) -> None:
+    def _update_free_resources(self, worker: WorkerView) -> None:
         worker.free = worker.usable_capacity - worker.used
-        self._update_index(worker)
+        self._update_bucket(worker)
 
-    def _update_index(self, worker: WorkerView) -> None:
-        self._buckets_for(worker).insert(worker)
+    def _update_bucket(self, worker: WorkerView) -> None:
+        self._buckets_for_worker(worker).insert(worker)
 
-    def _buckets_for(self, worker: WorkerView) -> _Buckets:
+    def _buckets_for_worker(self, worker: WorkerView) -> _WorkerBuckets:
         return self._with_accelerators if worker.accelerators else self._without_accelerators
--- a/dandelionreel/placement/_estimate.py
+++ b/dandelionreel/placement/_estimate.py
@@ -1,7 +1,8 @@
-"""Run times estimated from finished runs, since declared ones are often far off.
+"""Run times estimated from finished runs, since declared run times are often far off.
 
-Only used for a gang's reservation and for the backfill around it. The ledger always
-counts the declared resources, so a wrong estimate never overcommits a worker.
+The estimates are used only to reserve workers for a gang (a job whose tasks start
+together) and to fill these workers with shorter jobs meanwhile. The ledger of a worker
+always counts the declared resources, so a wrong estimate never overcommits the worker.
 """
 
 from collections import OrderedDict, deque
@@ -9,9 +10,10 @@
 RUNS_PER_KIND = 32
 MAX_KINDS = 4096
 MIN_RUNS = 5
-#: A pessimistic estimate: nine in ten runs ended sooner.
-QUANTILE = 0.9
-#: While there are too few runs, the declared time may be this many times too short.
+#: The quantile of past run times that is the estimate: nine in ten runs were shorter.
+RUN_TIME_QUANTILE = 0.9
+#: With fewer than ``MIN_RUNS`` runs the estimate is the declared time multiplied by this
+#: factor, since the declared time may be that much too short.
 DECLARED_FACTOR = 3.0
 DEFAULT_RUN_SECONDS = 3600.0
 
@@ -35,10 +37,10 @@
         if len(self._runs_by_kind) > MAX_KINDS:
             self._runs_by_kind.popitem(last=False)
 
-    def estimate(self, customer: str, kind: str, declared: float) -> float:
+    def estimate_run_seconds(self, customer: str, kind: str, declared: float) -> float:
         """Return a pessimistic run time in seconds."""
         runs = self._runs_by_kind.get((customer, kind))
         if runs is None or len(runs) < MIN_RUNS:
             return declared * DECLARED_FACTOR if declared else DEFAULT_RUN_SECONDS
         ordered = sorted(runs)
-        return ordered[min(len(ordered) - 1, int(len(ordered) * QUANTILE))]
+        return ordered[min(len(ordered) - 1, int(len(ordered) * RUN_TIME_QUANTILE))]
