--- a/dandelionreel/placement/_policy.py
+++ b/dandelionreel/placement/_policy.py
@@ -8,20 +8,25 @@
 from dandelionreel.placement._cell import Cell, WorkerView
 from dandelionreel.placement._work import BATCH, SERVICE, URGENT, Placement, RunningTask, Work
 
-#: Usable workers scored per decision; more hardly pack better (docs/MEASUREMENTS.md).
+#: Usable workers that are scored per decision; a higher number hardly improves the packing
+#: (docs/MEASUREMENTS.md).
 MAX_CANDIDATES = 12
-#: Workers searched for tasks to preempt, drawn at random from all.
+#: Number of workers, drawn at random, that are searched for tasks to preempt.
 MAX_PREEMPTION_WORKERS = 32
-#: Weight of the amount of leftover resources in a score; their imbalance has weight 1.
-SIZE_WEIGHT = 0.05
+#: Weight of the amount of leftover resources in a worker's score; the imbalance between
+#: leftover processors and memory has weight 1.
+LEFTOVER_SIZE_WEIGHT = 0.05
 GANG = 'gang'
-#: Number of tasks that fit when a task demands no resources.
+#: The count of tasks that fit on a worker if a task demands no resources.
 UNLIMITED_TASKS = 1_000_000
 
 
 @dataclass(frozen=True)
 class GangReservation:
-    """Workers reserved for a gang: only work that ends by ``until`` may use them."""
+    """Workers reserved for a gang; other jobs may use them only if they end by ``until``.
+
+    At ``expires_at`` the reservation itself ends.
+    """
 
     job: str
     workers: frozenset[str]
@@ -39,7 +44,7 @@
         """Return the placement of the job, ``None`` when it does not fit now."""
 
 
-def is_usable(
+def is_worker_usable(
     work: Work,
     worker: WorkerView,
     cell: Cell,
@@ -48,7 +53,7 @@
     ends_at: float,
 ) -> bool:
     """Return whether one task of the job may start on the worker now."""
-    if not cell.fits(worker, work.demand) or worker.name in work.avoid:
+    if not cell.fits_worker(worker, work.demand) or worker.name in work.avoid:
         return False
     if cell.is_quarantined(worker, now):
         return False
@@ -57,17 +62,17 @@
     return ends_at <= reservation.until
 
 
-def score_leftover(worker: WorkerView, demand: Resources) -> float:
+def score_leftover_resources(worker: WorkerView, demand: Resources) -> float:
     """Return a score of the leftover resources after a start; a lower one packs better.
 
-    It is mostly their imbalance, because a worker with free processors but no
-    free memory can run nothing. Tight packing already comes from sampling
-    the fullest workers first.
+    The score is mostly the imbalance between processors and memory, because a
+    worker with free processors but no free memory can run nothing. The amount
+    counts little, because the fullest workers are sampled first anyway.
     """
     capacity = worker.capacity
     processors = (worker.free.processors - demand.processors) / max(capacity.processors, EPSILON)
     memory = (worker.free.memory_mb - demand.memory_mb) / max(capacity.memory_mb, EPSILON)
-    return abs(processors - memory) + SIZE_WEIGHT * (processors + memory)
+    return abs(processors - memory) + LEFTOVER_SIZE_WEIGHT * (processors + memory)
 
 
 @plugins.register(PluginKind.PLACEMENT, BATCH)
@@ -95,11 +100,11 @@
         best = None
         best_score = float('inf')
         usable_count = 0
-        for worker in cell.sample(work.demand, tightest=True):
-            if not is_usable(work, worker, cell, now, reservation, ends_at):
+        for worker in cell.sample_workers(work.demand, tightest=True):
+            if not is_worker_usable(work, worker, cell, now, reservation, ends_at):
                 continue
             usable_count += 1
-            score = score_leftover(worker, work.demand)
+            score = score_leftover_resources(worker, work.demand)
             if score < best_score:
                 best, best_score = worker, score
             if usable_count >= MAX_CANDIDATES:
@@ -118,8 +123,8 @@
         best = None
         best_score = (float('inf'), float('inf'))
         usable_count = 0
-        for worker in cell.sample(work.demand, tightest=False):
-            if not is_usable(work, worker, cell, now, reservation, float('inf')):
+        for worker in cell.sample_workers(work.demand, tightest=False):
+            if not is_worker_usable(work, worker, cell, now, reservation, float('inf')):
                 continue
             usable_count += 1
             score = (self._count_customer_services(worker, work), -worker.free.processors)
@@ -144,20 +149,20 @@
     """Places urgent work like batch work, and preempts other tasks if necessary."""
 
     def __init__(self) -> None:
-        """Use the batch policy where no preemption is needed."""
+        """Use the batch policy for jobs that fit without preemption."""
         self._batch_policy = PackedPolicy()
 
     def place(
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
-        """Return a worker with enough free resources, or one with tasks to preempt."""
-        # A gang's reservation does not apply to urgent work.
+        """Return a placement on free resources, or one that preempts other tasks."""
+        # Urgent jobs may use workers that are reserved for a gang.
         worker = self._batch_policy.choose_worker(work, cell, now, None)
         if worker is not None:
             return Placement(work, (worker.name,), reason='it has enough free resources')
-        return self._preempt(work, cell, now)
+        return self._place_by_preemption(work, cell, now)
 
-    def _preempt(self, work: Work, cell: Cell, now: float) -> Placement | None:
+    def _place_by_preemption(self, work: Work, cell: Cell, now: float) -> Placement | None:
         best_victims: tuple[RunningTask, ...] = ()
         best_name = ''
         least_lost = float('inf')
@@ -167,7 +172,7 @@
         for worker in candidates:
             if worker.name in work.avoid or cell.is_quarantined(worker, now):
                 continue
-            victims = choose_victims(work, worker, now)
+            victims = choose_preemption_victims(work, worker, now)
             if not victims:
                 continue
             lost = sum(lost_processor_seconds(victim, now) for victim in victims)
@@ -183,8 +188,10 @@
     return (now - running.started_at) * max(running.demand.processors, 0.1)
 
 
-def choose_victims(work: Work, worker: WorkerView, now: float) -> tuple[RunningTask, ...]:
-    """Return the tasks to preempt so that the job fits, empty if that is impossible."""
+def choose_preemption_victims(
+    work: Work, worker: WorkerView, now: float
+) -> tuple[RunningTask, ...]:
+    """Return the tasks to preempt on a worker so that the job fits, empty if none would do."""
     preemptible_tasks = [
         running
         for running in worker.running_by_task.values()
@@ -210,14 +217,14 @@
     def place(
         self, work: Work, cell: Cell, now: float, reservation: GangReservation | None
     ) -> Placement | None:
-        """Return a worker for every task, in the order of the sample."""
+        """Return a placement of all tasks on the first sampled workers that fit them."""
         ends_at = now + work.run_seconds
         chosen: list[str] = []
         needed = work.tasks
-        for worker in cell.sample(work.demand, tightest=False):
-            if not is_usable(work, worker, cell, now, reservation, ends_at):
+        for worker in cell.sample_workers(work.demand, tightest=False):
+            if not is_worker_usable(work, worker, cell, now, reservation, ends_at):
                 continue
-            count = min(needed, count_fitting(work.demand, worker.free))
+            count = min(needed, count_fitting_tasks(work.demand, worker.free))
             if cell.is_quarantined(worker, now) or worker.probing:
                 count = min(count, 1)
             chosen.extend([worker.name] * count)
@@ -229,28 +236,29 @@
     def plan_reservation(self, work: Work, cell: Cell, now: float) -> GangReservation | None:
         """Reserve the workers that can run the gang the soonest.
 
-        For each worker, lists when each further task of the gang would fit as
-        its current tasks end, by pessimistic estimates; the earliest are taken.
+        For each worker, the times are listed at which one more task of the gang
+        fits, as the worker's current tasks end by pessimistic estimates. The
+        earliest times of all workers are chosen.
         """
-        offers: list[tuple[float, str]] = []
+        fit_times: list[tuple[float, str]] = []
         for worker in cell.worker_by_name.values():
             if cell.is_quarantined(worker, now):
                 continue
-            offers.extend(_list_offers(work.demand, worker, now))
-        offers.sort()
-        if len(offers) < work.tasks:
+            fit_times.extend(_list_fit_times(work.demand, worker, now))
+        fit_times.sort()
+        if len(fit_times) < work.tasks:
             return None
-        chosen_offers = offers[: work.tasks]
-        until = chosen_offers[-1][0]
-        # A reservation expires after twice its estimate, so that a wrong
-        # declaration cannot keep workers idle forever.
+        chosen_fit_times = fit_times[: work.tasks]
+        until = chosen_fit_times[-1][0]
+        # A reservation expires after twice the estimated wait, so that a wrong
+        # declared run time cannot keep workers idle forever.
         expires_at = now + max(60.0, 2 * (until - now))
         return GangReservation(
-            work.id, frozenset(name for _, name in chosen_offers), until, expires_at
+            work.id, frozenset(name for _, name in chosen_fit_times), until, expires_at
         )
 
 
-def count_fitting(demand: Resources, capacity: Resources) -> int:
+def count_fitting_tasks(demand: Resources, capacity: Resources) -> int:
     """Return how many tasks with that demand fit into ``capacity``."""
     counts = [
         int(available / wanted + EPSILON)
@@ -264,19 +272,19 @@
     return min(counts) if counts else UNLIMITED_TASKS
 
 
-def _list_offers(demand: Resources, worker: WorkerView, now: float) -> list[tuple[float, str]]:
+def _list_fit_times(demand: Resources, worker: WorkerView, now: float) -> list[tuple[float, str]]:
     free = worker.free
-    count = count_fitting(demand, free)
-    offers = [(now, worker.name)] * count
-    for running in sorted(worker.running_by_task.values(), key=_by_end):
+    count = count_fitting_tasks(demand, free)
+    fit_times = [(now, worker.name)] * count
+    for running in sorted(worker.running_by_task.values(), key=_task_end_time):
         if running.task_class == SERVICE:
             continue
         free += running.demand
-        total = count_fitting(demand, free)
-        offers.extend([(max(now, running.ends_at), worker.name)] * (total - count))
+        total = count_fitting_tasks(demand, free)
+        fit_times.extend([(max(now, running.ends_at), worker.name)] * (total - count))
         count = total
-    return offers
+    return fit_times
 
 
-def _by_end(running: RunningTask) -> float:
+def _task_end_time(running: RunningTask) -> float:
     return running.ends_at
--- a/dandelionreel/placement/_queue.py
+++ b/dandelionreel/placement/_queue.py
@@ -14,18 +14,18 @@
 from dandelionreel.backing import NO_RESOURCES, Resources
 from dandelionreel.placement._work import URGENT, Shape, Work
 
-#: Fraction of its longest wait after which a job goes first.
+#: A job is nearly due, and goes first, after this fraction of its longest allowed wait.
 NEARLY_DUE_FRACTION = 0.8
-#: Nearly due jobs of one customer that are considered per round.
+#: Maximum number of nearly due jobs of one customer per planning round.
 MAX_NEARLY_DUE = 8
 
-#: Priority (negative), time and id.
+#: Negated priority, time of acceptance (of urgent jobs: due time) and job id.
 HeapEntry = tuple[float, float, str]
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerTerms:
-    """The terms of a customer's contract in this zone."""
+    """A customer's weight, and its quota and guaranteed resources in this zone."""
 
     weight: float = 1
     quota: Resources | None = None
@@ -35,9 +35,9 @@
 class _CustomerQueue:
     """One customer's waiting jobs, in one heap for each shape of demand.
 
-    Whether a job fits depends on its shape alone, so with a long queue and a
-    full cell all jobs of a shape that does not fit are skipped at once.
-    Removed jobs stay in the heaps until they reach the top.
+    Whether a job fits depends on its shape alone, so all jobs of a shape that
+    does not fit are skipped at once. That saves time if the queue is long and
+    the cell is full. Removed jobs stay in the heaps until they reach the top.
     """
 
     def __init__(self) -> None:
@@ -60,15 +60,15 @@
     def remove(self, job: str) -> Work | None:
         return self.work_by_id.pop(job, None)
 
-    def list_heads(self, skipped_shapes: Collection[Shape]) -> list[Work]:
+    def list_first_jobs(self, skipped_shapes: Collection[Shape]) -> list[Work]:
         """Return the first job of each shape, ordered by priority and age."""
-        return self._heads_of(self._heap_by_shape, skipped_shapes)
+        return self._first_job_of_each_shape(self._heap_by_shape, skipped_shapes)
 
-    def list_urgent_heads(self, skipped_shapes: Collection[Shape]) -> list[Work]:
+    def list_first_urgent_jobs(self, skipped_shapes: Collection[Shape]) -> list[Work]:
         """Return the first urgent job of each shape, ordered by priority and due time."""
-        return self._heads_of(self._urgent_by_shape, skipped_shapes)
+        return self._first_job_of_each_shape(self._urgent_by_shape, skipped_shapes)
 
-    def get_nearly_due(self, now: float) -> list[Work]:
+    def list_nearly_due_jobs(self, now: float) -> list[Work]:
         """Return up to ``MAX_NEARLY_DUE`` jobs that are close to their longest wait."""
         found: list[Work] = []
         taken = []
@@ -82,7 +82,7 @@
             heapq.heappush(self._due_heap, entry)
         return found
 
-    def _heads_of(
+    def _first_job_of_each_shape(
         self,
         heap_by_shape: dict[Shape, list[HeapEntry]],
         skipped_shapes: Collection[Shape],
@@ -149,27 +149,27 @@
         self._queue_by_customer.clear()
         self._customer_by_job.clear()
 
-    def list_urgent(self, skipped_shapes: Collection[Shape] = ()) -> list[Work]:
+    def list_urgent_jobs(self, skipped_shapes: Collection[Shape] = ()) -> list[Work]:
         """Return urgent jobs, one of each shape and customer, the earliest due first."""
         heads = []
         for customer_queue in self._queue_by_customer.values():
-            heads.extend(customer_queue.list_urgent_heads(skipped_shapes))
-        heads.sort(key=_due_at)
+            heads.extend(customer_queue.list_first_urgent_jobs(skipped_shapes))
+        heads.sort(key=_job_due_at)
         return heads
 
-    def get_nearly_due(self, now: float) -> list[Work]:
+    def list_nearly_due_jobs(self, now: float) -> list[Work]:
         """Return jobs that are close to their longest wait, the earliest due first."""
         heads = []
         for customer_queue in self._queue_by_customer.values():
-            heads.extend(customer_queue.get_nearly_due(now))
-        heads.sort(key=_due_at)
+            heads.extend(customer_queue.list_nearly_due_jobs(now))
+        heads.sort(key=_job_due_at)
         return heads
 
-    def heads_of_customer(
+    def first_jobs_of_customer(
         self, customer: str, skipped_shapes: Collection[Shape] = ()
     ) -> list[Work]:
         """Return the customer's first job of each shape, by priority and age."""
-        return self._queue_by_customer[customer].list_heads(skipped_shapes)
+        return self._queue_by_customer[customer].list_first_jobs(skipped_shapes)
 
     def customers(self) -> tuple[str, ...]:
         """Return the customers with waiting jobs."""
@@ -179,16 +179,18 @@
             if customer_queue.work_by_id
         )
 
-    def entitlement(self, customer: str, used: Resources, total: Resources) -> tuple[bool, float]:
-        """Return the customer's fair share sort key; the lowest goes first."""
+    def fair_share_key(
+        self, customer: str, used: Resources, total: Resources
+    ) -> tuple[bool, float]:
+        """Return the sort key of a customer by fair share; the lowest key goes first."""
         terms = self._get_terms(customer)
         below_guarantee = terms.guaranteed != NO_RESOURCES and used.fits(terms.guaranteed)
         return (not below_guarantee, weighted_share(used, total, terms.weight))
 
-    def within_quota(self, work: Work, used: Resources) -> bool:
+    def fits_quota(self, work: Work, used: Resources) -> bool:
         """Return whether the job fits the customer's quota in this zone."""
-        return within_quota(used, work.total, self._get_terms(work.customer).quota)
+        return within_quota(used, work.total_demand, self._get_terms(work.customer).quota)
 
 
-def _due_at(work: Work) -> float:
+def _job_due_at(work: Work) -> float:
     return work.due_at
--- a/dandelionreel/placement/_work.py
+++ b/dandelionreel/placement/_work.py
@@ -8,7 +8,7 @@
 SERVICE = 'service'
 BATCH = 'batch'
 
-#: Class, demand of one task, and number of tasks.
+#: The shape of a job: its class, the demand of one task and the number of tasks.
 Shape = tuple[str, Resources, int]
 
 
@@ -42,18 +42,18 @@
 
     @property
     def shape(self) -> 'Shape':
-        """Return the properties that decide where the job fits."""
+        """Return the properties of the job that decide on which workers it fits."""
         return (self.task_class, self.demand, self.tasks)
 
     @property
-    def total(self) -> Resources:
-        """Return the demand of all its tasks together."""
+    def total_demand(self) -> Resources:
+        """Return the demand of all tasks of the job together."""
         return self.demand if self.tasks == 1 else self.demand.times(self.tasks)
 
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A task on a worker, as the dispatcher counts it."""
+    """A task that the dispatcher counts as running; ``ends_at`` is an estimate."""
 
     task_id: str
     job: str
--- a/dandelionreel/routing/__init__.py
+++ b/dandelionreel/routing/__init__.py
@@ -4,10 +4,10 @@
     CustomerUsage,
     RetryBudget,
     TokenBucket,
-    share_of_count,
-    share_of_rate,
+    daemon_share_of_count,
+    daemon_share_of_rate,
 )
-from dandelionreel.routing._call import ServiceCall, parse_call
+from dandelionreel.routing._call import ServiceCall, parse_service_call
 from dandelionreel.routing._choice import LeastLoaded, RoundRobin, RunnerChoice, TwoChoices
 from dandelionreel.routing._keys import (
     IdempotencyGuard,
@@ -18,7 +18,7 @@
 )
 from dandelionreel.routing._metrics import RoutingMetrics
 from dandelionreel.routing._pool import RunnerPool
-from dandelionreel.routing._queue import RequestQueue, Waiter
+from dandelionreel.routing._queue import RequestQueue, WaitingRequest
 from dandelionreel.routing._router import Router
 from dandelionreel.routing._runner import Runner
 
@@ -41,8 +41,8 @@
     'ServiceCall',
     'TokenBucket',
     'TwoChoices',
-    'Waiter',
-    'parse_call',
-    'share_of_count',
-    'share_of_rate',
+    'WaitingRequest',
+    'parse_service_call',
+    'daemon_share_of_count',
+    'daemon_share_of_rate',
 )
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -3,7 +3,7 @@
 from dandelionreel.contracts import Contract, ContractProjection, require_contract
 from dandelionreel.kernel import Clock, Settings, not_run
 from dandelionreel.ownership import Membership, member_keys
-from dandelionreel.routing._budget import CustomerUsage, share_of_count, share_of_rate
+from dandelionreel.routing._budget import CustomerUsage, daemon_share_of_count, daemon_share_of_rate
 from dandelionreel.routing._call import ServiceCall
 
 CONCURRENCY_RETRY_SECONDS = 1.0
@@ -12,7 +12,7 @@
 
 
 class Admission:
-    """Checks requests against contracts and counts those in flight by customer."""
+    """Checks requests against contracts, and counts the requests in flight of each customer."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         contracts: ContractProjection,
         membership: Membership,
     ) -> None:
-        """Admit as the member ``own_member``, whose share depends on the zone's live members."""
+        """Admit requests on ``own_member``, whose share depends on the zone's live members."""
         self._zone = settings.availability_zone
         self._clock = clock
         self._own_member = own_member
@@ -30,8 +30,11 @@
         self._membership = membership
         self._usage_by_customer: dict[str, CustomerUsage] = {}
 
-    def admit(self, call: ServiceCall) -> CustomerUsage:
-        """Return the customer's usage, for the caller to count in; raises ``RequestError``."""
+    def admit_request(self, call: ServiceCall) -> CustomerUsage:
+        """Return the usage of the customer, to which the caller adds the admitted request.
+
+        Raises ``RequestError`` if the request is not admitted.
+        """
         contract = require_contract(self._contracts, call.customer, call.task_class)
         if call.service not in contract.services:
             raise not_run(
@@ -39,25 +42,25 @@
                 'service-not-in-contract',
                 f'the contract of {call.customer} does not include service {call.service!r}',
             )
-        usage = self._get_usage(call.customer)
-        self._check_limits(usage, contract)
-        usage.retry_budget.add_attempt(contract.requests.retry_budget)
+        usage = self._get_customer_usage(call.customer)
+        self._check_request_limits(usage, contract)
+        usage.retry_budget.record_first_attempt(contract.requests.retry_budget)
         return usage
 
     def use_retry(self, call: ServiceCall) -> bool:
         """Count a retry if the customer's budget allows it; return whether it does."""
-        return self._get_usage(call.customer).retry_budget.use_retry()
+        return self._get_customer_usage(call.customer).retry_budget.use_retry()
 
-    def _get_usage(self, customer: str) -> CustomerUsage:
+    def _get_customer_usage(self, customer: str) -> CustomerUsage:
         return self._usage_by_customer.setdefault(customer, CustomerUsage(self._clock))
 
-    def _check_limits(self, usage: CustomerUsage, contract: Contract) -> None:
+    def _check_request_limits(self, usage: CustomerUsage, contract: Contract) -> None:
         terms = contract.requests
-        share = self._contracts.share(contract.customer, self._zone)
-        keys = member_keys(self._membership.live(self._zone))
+        share = self._contracts.zone_share(contract.customer, self._zone)
+        keys = member_keys(self._membership.live_members(self._zone))
         rank = keys.index(self._own_member) if self._own_member in keys else len(keys)
         members = max(1, len(keys))
-        allowed = share_of_count(terms.concurrency, share, rank, members)
+        allowed = daemon_share_of_count(terms.concurrency, share, rank, members)
         if usage.in_flight >= allowed:
             raise not_run(
                 HTTP_TOO_MANY_REQUESTS,
@@ -66,7 +69,7 @@
                 f'its contract allows {allowed} on this host',
                 CONCURRENCY_RETRY_SECONDS,
             )
-        rate, burst = share_of_rate(terms, share, members)
+        rate, burst = daemon_share_of_rate(terms, share, members)
         wait = usage.token_bucket.take_token(rate, burst)
         if wait:
             raise not_run(
--- a/dandelionreel/routing/_budget.py
+++ b/dandelionreel/routing/_budget.py
@@ -3,11 +3,11 @@
 from dandelionreel.contracts import RequestTerms
 from dandelionreel.kernel import Clock
 
-#: Upper bound of the retry tokens that first attempts can accumulate.
+#: Upper bound of the retries that first attempts can save up.
 MAX_SAVED_RETRIES = 10.0
-#: Compensates float error, so that three thirds of a count make the whole.
+#: Compensates rounding errors, so that three thirds of a count add up to the whole count.
 ROUNDING_TOLERANCE = 1e-9
-#: Requests per second for a daemon whose share of the rate is lower or zero.
+#: Lowest rate of a daemon, in requests per second, also if its share of the rate is zero.
 MIN_RATE = 1e-3
 
 
@@ -15,7 +15,7 @@
     """Token bucket: ``rate`` requests per second, and up to ``burst`` at once."""
 
     def __init__(self, clock: Clock) -> None:
-        """Fill the bucket at the first call of ``take_token``."""
+        """Start unfilled; the first call of ``take_token`` fills the bucket."""
         self._clock = clock
         self._tokens = -1.0
         self._filled_at = 0.0
@@ -42,8 +42,8 @@
         """Start with one token, so that an early failure can be retried."""
         self._tokens = 1.0
 
-    def add_attempt(self, fraction: float) -> None:
-        """Add the fraction of a retry that a first attempt allows."""
+    def record_first_attempt(self, fraction: float) -> None:
+        """Add the fraction of a retry that each first attempt allows."""
         self._tokens = min(MAX_SAVED_RETRIES, self._tokens + fraction)
 
     def use_retry(self) -> bool:
@@ -64,18 +64,19 @@
         self.in_flight = 0
 
 
-def share_of_count(count: int, share: float, rank: int, members: int) -> int:
+def daemon_share_of_count(count: int, share: float, rank: int, members: int) -> int:
     """Return one daemon's share of a limit that holds for all zones together.
 
-    The zone's share is rounded down; within the zone the remainder goes one
-    each to the lowest ranks. All shares together never exceed ``count``.
+    The zone's share of ``count`` is rounded down and divided among the daemons
+    of the zone; the daemons with the lowest ranks get one more each while there
+    is a remainder. All daemons' shares together never exceed ``count``.
     """
     zone_count = int(count * share + ROUNDING_TOLERANCE)
     per_member, rest = divmod(zone_count, max(1, members))
     return per_member + (1 if rank < rest else 0)
 
 
-def share_of_rate(terms: RequestTerms, share: float, members: int) -> tuple[float, float]:
+def daemon_share_of_rate(terms: RequestTerms, share: float, members: int) -> tuple[float, float]:
     """Return one daemon's share of the rate and of the burst."""
     fraction = share / max(1, members)
     return max(terms.rate * fraction, MIN_RATE), max(terms.burst * fraction, 1.0)
--- a/dandelionreel/routing/_call.py
+++ b/dandelionreel/routing/_call.py
@@ -24,7 +24,10 @@
 
 @dataclass(frozen=True)
 class ServiceCall:
-    """A parsed request to a service; ``deadline`` is on the monotonic clock."""
+    """A parsed request to a service; ``deadline`` is on the monotonic clock.
+
+    ``key`` is the idempotency key, and ``hops`` how often the request was forwarded.
+    """
 
     id: str
     service: str
@@ -38,7 +41,7 @@
 
     @property
     def is_keyed(self) -> bool:
-        """Return whether its idempotency key must be claimed in the log before sending."""
+        """Return whether the idempotency key must be claimed in the log before sending."""
         return bool(self.key) and not self.idempotent
 
     def make_runner_request(self) -> Request:
@@ -47,13 +50,13 @@
         return Request(
             self.request.method,
             f'/{rest}',
-            _runner_headers(self.request.headers, self.id),
+            _make_runner_headers(self.request.headers, self.id),
             self.request.body,
         )
 
 
-def parse_call(request: Request, now: float, max_seconds: float) -> ServiceCall:
-    """Validate and parse a request; raises ``RequestError`` with verdict not run."""
+def parse_service_call(request: Request, now: float, max_seconds: float) -> ServiceCall:
+    """Validate and parse a request; raises ``RequestError`` with the verdict ``NOT_RUN``."""
     service, _, _ = request.path.removeprefix(SERVICES_PREFIX).partition('/')
     if not request.path.startswith(SERVICES_PREFIX) or not service:
         raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: the path names no service')
@@ -101,7 +104,7 @@
     return text == 'true'
 
 
-def _runner_headers(headers: Headers, call_id: str) -> Headers:
+def _make_runner_headers(headers: Headers, call_id: str) -> Headers:
     runner_headers = [(name, text) for name, text in headers if not name.startswith(HEADER_PREFIX)]
     runner_headers.append(('dandelionreel-request-id', call_id))
     return tuple(runner_headers)
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -1,7 +1,8 @@
 """Sends a non-idempotent request at most once for each idempotency key.
 
-The log stream of the key's zone decides: only the first intent in log order
-may be sent, whatever the clocks of the daemons say.
+Before it sends a request, a daemon writes an intent to the log stream of the key's
+zone. Only the request of the first intent in log order is sent, whatever the clocks
+of the daemons say.
 """
 
 import os
@@ -16,9 +17,9 @@
 from dandelionreel.kernel import Problem, RequestError, Verdict, not_run, outcome_unknown
 
 NONCE_BYTES = 8
-#: Beyond this number the oldest keys are forgotten.
+#: Maximum number of keys in memory; beyond it the oldest are forgotten.
 MAX_KEYS = 50_000
-#: Stands for a runner's status when nothing was sent.
+#: Recorded in place of a runner's HTTP status if the request was not sent.
 NOT_SENT = 0
 BACKGROUND_WRITE_SECONDS = 600.0
 HTTP_CONFLICT = 409
@@ -37,7 +38,7 @@
 
 
 class RequestEnded(msgspec.Struct, frozen=True, tag='request_ended'):
-    """The result of an intent: the runner's status, or 0 when nothing was sent."""
+    """The result of a request: the runner's HTTP status, or 0 if it was not sent."""
 
     customer: str
     key: str
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True)
 class KeyState:
-    """A used key; ``status`` is ``None`` until the result is known."""
+    """State of a used key; ``status`` is ``None`` until the request's result is known."""
 
     digest: str
     nonce: str
@@ -80,15 +81,15 @@
             while len(self._state_by_key) > MAX_KEYS:
                 self._state_by_key.pop(next(iter(self._state_by_key)))
         elif isinstance(record, RequestEnded):
-            self._record_end(record)
+            self._record_request_end(record)
 
-    def _record_end(self, record: RequestEnded) -> None:
+    def _record_request_end(self, record: RequestEnded) -> None:
         name = (record.customer, record.key)
         state = self._state_by_key.get(name)
         if state is None or state.nonce != record.nonce:
             return
         if record.status == NOT_SENT:
-            # Nothing was sent, so the key is free again.
+            # The request was not sent, so the key may be used again.
             self._state_by_key.pop(name)
             return
         self._state_by_key[name] = replace(state, status=record.status)
@@ -113,21 +114,23 @@
         digest = xxhash.xxh64_hexdigest(
             b'|'.join((request.method.encode(), request.target.encode(), request.body)),
         )
-        self._raise_if_used(customer, key, digest, '')
+        self._raise_if_key_used(customer, key, digest, '')
         if self._reader.outage_since is not None:
             raise _make_log_unavailable_error()
         nonce = os.urandom(NONCE_BYTES).hex()
         try:
             await self._writer.write(RequestIntent(customer, key, digest, nonce), timeout)
         except LogError as error:
-            # The request won't be sent, but the log may still append the
-            # intent later; this record releases the key in that case.
-            await curio.spawn(self.record_result, customer, key, nonce, NOT_SENT, daemon=True)
+            # The request won't be sent, but the intent may still be appended to
+            # the log later; the result ``NOT_SENT`` releases the key in that case.
+            await curio.spawn(
+                self.record_request_result, customer, key, nonce, NOT_SENT, daemon=True
+            )
             raise _make_log_unavailable_error() from error
-        self._raise_if_used(customer, key, digest, nonce)
+        self._raise_if_key_used(customer, key, digest, nonce)
         return nonce
 
-    async def record_result(self, customer: str, key: str, nonce: str, status: int) -> None:
+    async def record_request_result(self, customer: str, key: str, nonce: str, status: int) -> None:
         """Record the result of a request, with a long timeout for a slow log."""
         try:
             await self._writer.write(
@@ -137,7 +140,7 @@
         except LogError:
             return
 
-    def _raise_if_used(self, customer: str, key: str, digest: str, nonce: str) -> None:
+    def _raise_if_key_used(self, customer: str, key: str, digest: str, nonce: str) -> None:
         state = self._projection.get(customer, key)
         if state is None or state.nonce == nonce:
             return
--- a/dandelionreel/routing/_metrics.py
+++ b/dandelionreel/routing/_metrics.py
@@ -32,14 +32,14 @@
             registry=registry,
         )
 
-    def count_answer(self, call: ServiceCall, seconds: float) -> None:
-        """Observe the time that a response took."""
+    def observe_answer_time(self, call: ServiceCall, seconds: float) -> None:
+        """Observe the time from a request to its response."""
         self._answer_seconds.labels(call.customer, call.task_class).observe(seconds)
 
-    def count_refusal(self, call: ServiceCall, verdict: str, cause: str) -> None:
-        """Count a refusal."""
+    def count_refused_request(self, call: ServiceCall, verdict: str, cause: str) -> None:
+        """Count a refused request."""
         self._refusals.labels(verdict, cause).inc()
 
-    def count_retry(self, call: ServiceCall) -> None:
-        """Count a retry."""
+    def count_request_retry(self, call: ServiceCall) -> None:
+        """Count a request that is sent again."""
         self._retries.labels(call.customer).inc()
--- a/dandelionreel/routing/_pool.py
+++ b/dandelionreel/routing/_pool.py
@@ -1,4 +1,4 @@
-"""The runners of this zone, and the slots of those that this daemon owns."""
+"""The runners of this zone, and the slots of the runners that this daemon owns."""
 
 from collections.abc import Iterable
 
@@ -44,11 +44,11 @@
         self._journal = journal
         self._runner_by_name: dict[str, Runner] = {}
         self._seen_grants: set[str] = set()
-        self._logged_leaving: set[str] = set()
+        self._logged_leaving_endpoints: set[str] = set()
         #: When a peer last reported each leaving endpoint, on the monotonic clock.
-        self._reported_leaving_at: dict[str, float] = {}
-        #: Endpoints that an operator drains, until the host list drops them.
-        self._draining: set[str] = set()
+        self._reported_leaving_at_by_endpoint: dict[str, float] = {}
+        #: Endpoints that an operator drains; removed once the host list lacks them.
+        self._draining_endpoints: set[str] = set()
         self.changed = ChangeNotifier()
 
     def wanted_shards(self) -> Iterable[str]:
@@ -66,13 +66,13 @@
             return True
         if runner.in_use:
             return False
-        await runner.close_idle()
+        await runner.close_idle_connections()
         return True
 
     async def run(self) -> None:
         """Follow the host list and shard ownership until cancelled."""
         while True:
-            await self._refresh()
+            await self._refresh_runners()
             seen = self._hosts.changed.count
             await self._hosts.changed.wait(seen, OWNERSHIP_CHECK_SECONDS)
 
@@ -80,87 +80,91 @@
         """Return all runners of the zone."""
         return tuple(self._runner_by_name.values())
 
-    def is_leaving(self, entry: HostEntry) -> bool:
+    def is_endpoint_leaving(self, entry: HostEntry) -> bool:
         """Return whether the endpoint is draining or shutting down.
 
-        The sources are the host list, an operator, peers, and this daemon's
-        own connections. A report from peers or connections is a false alarm if a
-        host list that was read two poll intervals later still has the endpoint as live.
+        That is known from the host list, an operator, peers or this daemon's own
+        connections. What peers or connections indicated is dropped as a false alarm
+        if a host list read two poll intervals later still shows the endpoint as live.
         """
-        if not entry.is_live or entry.name in self._draining:
+        if not entry.is_live or entry.name in self._draining_endpoints:
             return True
         runner = self._runner_by_name.get(entry.name)
         observed_at = runner.leaving_seen_at if runner else float('-inf')
-        last_report_at = max(observed_at, self._reported_leaving_at.get(entry.name, float('-inf')))
+        last_report_at = max(
+            observed_at, self._reported_leaving_at_by_endpoint.get(entry.name, float('-inf'))
+        )
         return last_report_at > self._hosts.read_at - self._settings.timings.hosts_poll * 2
 
-    def leaving(self) -> tuple[str, ...]:
+    def leaving_endpoints(self) -> tuple[str, ...]:
         """Return the names of this zone's endpoints that are leaving."""
         return tuple(
             runner.entry.name
             for runner in self._runner_by_name.values()
-            if self.is_leaving(runner.entry)
+            if self.is_endpoint_leaving(runner.entry)
         )
 
-    def observed_leaving(self) -> tuple[str, ...]:
-        """Return the leaving endpoints that this daemon has observed itself.
+    def observed_leaving_endpoints(self) -> tuple[str, ...]:
+        """Return the leaving endpoints that this daemon knows of without its peers.
 
-        Reports of peers are not passed on: two daemons would keep repeating
-        a false alarm to each other.
+        What peers report is not passed on, because two daemons would keep
+        reporting a false alarm to each other.
         """
         recent = self._hosts.read_at - self._settings.timings.hosts_poll * 2
         return tuple(
             runner.entry.name
             for runner in self._runner_by_name.values()
             if not runner.entry.is_live
-            or runner.entry.name in self._draining
+            or runner.entry.name in self._draining_endpoints
             or runner.leaving_seen_at > recent
         )
 
     def drain_endpoint(self, name: str) -> None:
         """Send no more requests to an endpoint, on an operator's command."""
-        self._draining.add(name)
+        self._draining_endpoints.add(name)
 
-    def record_reported_leaving(self, names: Iterable[str]) -> None:
+    def record_reported_leaving_endpoints(self, names: Iterable[str]) -> None:
         """Record a peer's report of leaving endpoints."""
         for name in names:
-            self._reported_leaving_at[name] = self._clock.monotonic()
+            self._reported_leaving_at_by_endpoint[name] = self._clock.monotonic()
 
     def has_service(self, service: str) -> bool:
         """Return whether the zone has a runner of the service that is not leaving."""
         return any(
-            runner.entry.service == service and not self.is_leaving(runner.entry)
+            runner.entry.service == service and not self.is_endpoint_leaving(runner.entry)
             for runner in self._runner_by_name.values()
         )
 
     def acquire_slot(self, service: str, *, headroom: bool) -> Runner | None:
         """Acquire a slot of an owned runner; return ``None`` when none is free.
 
-        With ``headroom``, some slots are reserved for urgent requests.
+        With ``headroom``, a part of the slots is left free for urgent requests.
         """
         candidates = []
         for runner in self._runner_by_name.values():
-            if runner.entry.service != service or self.is_leaving(runner.entry):
+            if runner.entry.service != service or self.is_endpoint_leaving(runner.entry):
                 continue
             reserved = self._slots_reserved_for_urgent(runner) if headroom else 0
             if self._free_slots(runner) > reserved:
                 candidates.append(runner)
         if not candidates:
             return None
-        runner = self._choice.choose(candidates)
+        runner = self._choice.choose_runner(candidates)
         runner.in_use += 1
         return runner
 
-    def may_send(self, runner: Runner) -> bool:
-        """Return whether a request with an acquired slot may be sent now."""
-        grant = self._authority.grant(runner_shard(runner.entry.name))
-        return runner.in_use <= runner.slot_limit(grant) and not self.is_leaving(runner.entry)
+    def may_send_to(self, runner: Runner) -> bool:
+        """Return whether a request that has acquired a slot of the runner may be sent now."""
+        grant = self._authority.current_grant(runner_shard(runner.entry.name))
+        return runner.in_use <= runner.slot_limit(grant) and not self.is_endpoint_leaving(
+            runner.entry
+        )
 
     def free_slots_by_service(self) -> tuple[ServiceSlots, ...]:
         """Return the free slots on owned runners by service."""
         free_by_service: dict[str, int] = {}
         for runner in self._runner_by_name.values():
-            if self.is_leaving(runner.entry):
+            if self.is_endpoint_leaving(runner.entry):
                 continue
             free_slots = self._free_slots(runner)
             if free_slots:
@@ -177,22 +181,22 @@
         ]
         return sum(means) / len(means) if means else 0
 
-    def usable_slots(self, service: str) -> int:
+    def count_usable_slots(self, service: str) -> int:
         """Return the slots that this daemon may use for a service."""
         total = 0
         for runner in self._runner_by_name.values():
             if runner.entry.service == service:
-                grant = self._authority.grant(runner_shard(runner.entry.name))
+                grant = self._authority.current_grant(runner_shard(runner.entry.name))
                 total += runner.slot_limit(grant)
         return total
 
     def _free_slots(self, runner: Runner) -> int:
-        return runner.free_slots(self._authority.grant(runner_shard(runner.entry.name)))
+        return runner.free_slots(self._authority.current_grant(runner_shard(runner.entry.name)))
 
     def _slots_reserved_for_urgent(self, runner: Runner) -> int:
         return round(runner.entry.slots * self._settings.limits.urgent_headroom)
 
-    async def _refresh(self) -> None:
+    async def _refresh_runners(self) -> None:
         zone = self._settings.availability_zone
         entries = {entry.name: entry for entry in self._hosts.zone_hosts_of_kind('endpoint', zone)}
         for name, entry in entries.items():
@@ -206,11 +210,11 @@
                 known.entry = entry
         for name in tuple(self._runner_by_name):
             if name not in entries and not self._runner_by_name[name].in_use:
-                self._draining.discard(name)
-                await self._runner_by_name.pop(name).close_idle()
+                self._draining_endpoints.discard(name)
+                await self._runner_by_name.pop(name).close_idle_connections()
         for runner in self._runner_by_name.values():
             await self._update_ownership(runner)
-        await self._log_leaving()
+        await self._log_leaving_endpoints()
 
     def _make_runner(self, entry: HostEntry) -> Runner:
         timings = self._settings.timings
@@ -225,7 +229,7 @@
     async def _update_ownership(self, runner: Runner) -> None:
         name = runner.entry.name
         claim = self._shards.get(runner_shard(name))
-        grant = self._authority.grant(runner_shard(name))
+        grant = self._authority.current_grant(runner_shard(name))
         if claim is None or grant.level is GrantLevel.NONE:
             self._seen_grants.discard(name)
             return
@@ -249,10 +253,10 @@
         )
         await self.changed.notify()
 
-    async def _log_leaving(self) -> None:
-        leaving = set(self.leaving())
-        for name in leaving - self._logged_leaving:
+    async def _log_leaving_endpoints(self) -> None:
+        leaving = set(self.leaving_endpoints())
+        for name in leaving - self._logged_leaving_endpoints:
             self._journal.log(
                 Part.ROUTING, f'sends no more requests to {name}; the endpoint is leaving.'
             )
-        self._logged_leaving = leaving
+        self._logged_leaving_endpoints = leaving
--- a/dandelionreel/routing/_queue.py
+++ b/dandelionreel/routing/_queue.py
@@ -7,15 +7,18 @@
 
 
 @dataclass
-class Waiter:
-    """A waiting request; the lowest ``sort_key`` goes first."""
+class WaitingRequest:
+    """A waiting request; the lowest ``sort_key`` goes first.
+
+    With ``headroom``, the request must leave a part of the slots free for urgent ones.
+    """
 
     sort_key: tuple[int, float, int]
     headroom: bool
     wakeup: curio.Event = field(default_factory=curio.Event)
     removed: bool = False
 
-    def __lt__(self, other: 'Waiter') -> bool:
+    def __lt__(self, other: 'WaitingRequest') -> bool:
         """Order by priority, deadline and arrival."""
         return self.sort_key < other.sort_key
 
@@ -26,7 +29,7 @@
     def __init__(self, max_length: int) -> None:
         """Hold at most ``max_length`` requests."""
         self._max_length = max_length
-        self._heap: list[Waiter] = []
+        self._heap: list[WaitingRequest] = []
         self._arrivals = 0
         self.waiting = 0
 
@@ -35,26 +38,26 @@
         """Return whether the queue is at its limit."""
         return self.waiting >= self._max_length
 
-    def add(self, priority: int, deadline: float, *, headroom: bool) -> Waiter:
+    def add(self, priority: int, deadline: float, *, headroom: bool) -> WaitingRequest:
         """Add a request; higher priorities go first, then earlier deadlines."""
         self._arrivals += 1
-        waiter = Waiter((-priority, deadline, self._arrivals), headroom)
+        waiter = WaitingRequest((-priority, deadline, self._arrivals), headroom)
         heapq.heappush(self._heap, waiter)
         self.waiting += 1
         return waiter
 
-    def remove(self, waiter: Waiter) -> None:
+    def remove(self, waiter: WaitingRequest) -> None:
         """Remove a request; its heap entry is dropped once it reaches the top."""
         if not waiter.removed:
             waiter.removed = True
             self.waiting -= 1
 
-    def count_ahead(self, priority: int, deadline: float) -> int:
-        """Return about how many waiting requests would go before a new one."""
+    def count_requests_ahead(self, priority: int, deadline: float) -> int:
+        """Return how many waiting requests would go before a new request."""
         sort_key = (-priority, deadline, self._arrivals)
         return sum(1 for waiter in self._heap if not waiter.removed and waiter.sort_key < sort_key)
 
-    async def wake(self, count: int) -> None:
+    async def wake_first(self, count: int) -> None:
         """Remove the first ``count`` requests and wake them to try for a slot."""
         while count > 0 and self._heap:
             waiter = heapq.heappop(self._heap)
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -40,7 +40,7 @@
     Refused,
 )
 from dandelionreel.routing._admission import Admission
-from dandelionreel.routing._call import ServiceCall, parse_call
+from dandelionreel.routing._call import ServiceCall, parse_service_call
 from dandelionreel.routing._keys import NOT_SENT, IdempotencyGuard
 from dandelionreel.routing._metrics import RoutingMetrics
 from dandelionreel.routing._pool import RunnerPool
@@ -56,17 +56,18 @@
 CROSS_ZONE_MIN_SECONDS = 0.05
 #: Time reserved for the response to reach the caller.
 ANSWER_MARGIN_SECONDS = 0.01
-#: Fraction of the remaining time for writing an intent and reading it back.
+#: Fraction of the time until the deadline that writing an intent and reading it back may take.
 INTENT_TIME_FRACTION = 0.8
 #: A queued request checks the peers for free slots this often.
 PEER_CHECK_SECONDS = 0.1
 #: Poll interval of the router while no request is queued.
 IDLE_POLL_SECONDS = 1.0
-#: One hop to a peer with free slots.
+#: Maximum hops of a request: one to a peer with free slots.
 MAX_HOPS = 1
-#: Hop count with which the receiver admits the request as if it came from a caller.
+#: Hop count of a forwarded request that the receiver admits as if it came from a caller.
 ADMIT_HOPS = 0
-#: One hop to the zone that keeps the idempotency key, one more to a peer with free slots.
+#: Maximum hops of a request with a key: one to the zone that stores the idempotency key, and
+#: one more to a peer with free slots.
 MAX_KEYED_HOPS = 2
 RETRY_AFTER_SECONDS = 1.0
 NO_ROUTE_RETRY_SECONDS = 5.0
@@ -80,7 +81,7 @@
 
 
 class _NoFreeSlotError(Exception):
-    """This daemon has no free slot and the request is at its last hop."""
+    """This daemon has no free slot, and the request may not be forwarded again."""
 
 
 class Router:
@@ -115,15 +116,20 @@
         #: Requests in flight, including those that peers forwarded.
         self.in_flight = 0
 
-    async def serve(self, request: Request) -> Response:
+    async def serve_request(self, request: Request) -> Response:
         """Serve a caller's request; raises ``RequestError``."""
-        call = parse_call(request, self._clock.monotonic(), self._settings.timings.longest_run)
+        call = parse_service_call(
+            request, self._clock.monotonic(), self._settings.timings.longest_run
+        )
         if self._membership.is_live(self._own_member):
-            return await self._admit(call)
-        # A daemon that started while the log was unavailable isn't a member,
-        # so it has no share of any limit. A peer that is a member admits.
+            return await self._admit_and_deliver(call)
+        # A daemon that started while the log was unavailable is not a member yet,
+        # so it has no share of the customers' limits. A peer that is a member
+        # admits the request instead.
         zone = self._settings.availability_zone
-        return await self._forward_to_any(call, self._directory.states(zone), ADMIT_HOPS)
+        return await self._forward_to_first_accepting(
+            call, self._directory.states(zone), ADMIT_HOPS
+        )
 
     async def answer_forward(self, frame: Frame) -> Message:
         """Serve a request that a peer forwarded."""
@@ -131,7 +137,7 @@
         if not isinstance(message, Forward):
             return Refused('not a forwarded request')
         try:
-            call = parse_call(
+            call = parse_service_call(
                 message.request,
                 self._clock.monotonic(),
                 self._settings.timings.longest_run,
@@ -142,7 +148,7 @@
                 hops=message.hops,
             )
             if call.hops == ADMIT_HOPS:
-                return ForwardAnswer(await self._admit(call))
+                return ForwardAnswer(await self._admit_and_deliver(call))
             return ForwardAnswer(await self._deliver_and_count(call))
         except _NoFreeSlotError:
             return ForwardAnswer(Response(HTTP_UNAVAILABLE), no_room=True)
@@ -162,14 +168,14 @@
                 for service_slots in self._pool.free_slots_by_service()
             }
             for service, queue in self._queue_by_service.items():
-                await queue.wake(free_by_service.get(service, 0))
+                await queue.wake_first(free_by_service.get(service, 0))
             waiting = any(queue.waiting for queue in self._queue_by_service.values())
             await self._pool.changed.wait(
                 seen, PEER_CHECK_SECONDS if waiting else IDLE_POLL_SECONDS
             )
 
-    async def _admit(self, call: ServiceCall) -> Response:
-        usage = self._admission.admit(call)
+    async def _admit_and_deliver(self, call: ServiceCall) -> Response:
+        usage = self._admission.admit_request(call)
         usage.in_flight += 1
         try:
             return await self._deliver_and_count(call)
@@ -180,18 +186,18 @@
         self.in_flight += 1
         started_at = self._clock.monotonic()
         try:
-            response = await self._deliver(call)
+            response = await self._deliver_request(call)
         except RequestError as error:
-            self._report_refusal(call, error)
+            self._report_refused_request(call, error)
             raise
         finally:
             self.in_flight -= 1
-        self._metrics.count_answer(call, self._clock.monotonic() - started_at)
+        self._metrics.observe_answer_time(call, self._clock.monotonic() - started_at)
         return response
 
-    def _report_refusal(self, call: ServiceCall, error: RequestError) -> None:
+    def _report_refused_request(self, call: ServiceCall, error: RequestError) -> None:
         problem = error.problem
-        self._metrics.count_refusal(call, problem.verdict.value, problem.cause)
+        self._metrics.count_refused_request(call, problem.verdict.value, problem.cause)
         self._journal.log_sampled(
             Part.ROUTING,
             f'refuses a request for {call.service}; {problem.detail}.',
@@ -201,16 +207,16 @@
             cause=problem.cause,
         )
 
-    async def _deliver(self, call: ServiceCall) -> Response:
+    async def _deliver_request(self, call: ServiceCall) -> Response:
         if not call.is_keyed or call.hops >= MAX_KEYED_HOPS:
-            return await self._try_all(call)
+            return await self._try_runners_and_peers(call)
         zones = zones_of(self._settings)
         key_zone = choose_owner(f'key|{call.customer}|{call.key}', zones)
         if key_zone != self._settings.availability_zone:
-            return await self._deliver_to_zone(call, key_zone)
-        return await self._deliver_keyed(call)
+            return await self._deliver_to_key_zone(call, key_zone)
+        return await self._deliver_keyed_request(call)
 
-    async def _deliver_keyed(self, call: ServiceCall) -> Response:
+    async def _deliver_keyed_request(self, call: ServiceCall) -> Response:
         remaining = call.deadline - self._clock.monotonic()
         # The response may have to reach a peer before the deadline.
         timeout = max(ANSWER_MARGIN_SECONDS, remaining * INTENT_TIME_FRACTION)
@@ -218,7 +224,7 @@
             call.customer, call.key, call.request, timeout
         )
         try:
-            response = await self._try_all(call)
+            response = await self._try_runners_and_peers(call)
         except RequestError as error:
             if error.problem.verdict is not Verdict.NOT_RUN:
                 raise
@@ -230,7 +236,7 @@
     async def _record_key_result(self, call: ServiceCall, nonce: str, status: int) -> None:
         # In the background, so that the caller does not wait for the log.
         await curio.spawn(
-            self._idempotency_guard.record_result,
+            self._idempotency_guard.record_request_result,
             call.customer,
             call.key,
             nonce,
@@ -238,7 +244,7 @@
             daemon=True,
         )
 
-    async def _deliver_to_zone(self, call: ServiceCall, zone: str) -> Response:
+    async def _deliver_to_key_zone(self, call: ServiceCall, zone: str) -> Response:
         """Forward a request to the zone that keeps its idempotency key."""
         if call.hops:
             raise not_run(
@@ -247,9 +253,9 @@
                 f"zone {zone} keeps this key by our settings, not by the forwarding daemon's",
                 NO_ROUTE_RETRY_SECONDS,
             )
-        return await self._forward_to_any(call, self._directory.states(zone), MAX_HOPS)
+        return await self._forward_to_first_accepting(call, self._directory.states(zone), MAX_HOPS)
 
-    async def _forward_to_any(
+    async def _forward_to_first_accepting(
         self,
         call: ServiceCall,
         states: tuple[PeerState, ...],
@@ -260,7 +266,7 @@
             if not state.member:
                 continue
             try:
-                response = await self._forward(call, state, hops)
+                response = await self._forward_to_peer(call, state, hops)
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN:
                     continue
@@ -278,7 +284,7 @@
             NO_ROUTE_RETRY_SECONDS,
         )
 
-    async def _try_all(self, call: ServiceCall) -> Response:
+    async def _try_runners_and_peers(self, call: ServiceCall) -> Response:
         """Try runners and peers until one answers; raises ``RequestError``."""
         history = _AttemptHistory()
         try:
@@ -292,45 +298,46 @@
 
     async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Response:
         while True:
-            self._check_deadline(call)
+            self._check_deadline_not_passed(call)
             runner = self._pool.acquire_slot(call.service, headroom=call.task_class != 'urgent')
             if runner is None:
                 response = await self._try_peers(call, history)
             else:
-                response = await self._send(call, runner, history)
+                response = await self._send_to_runner(call, runner, history)
             if response is not None:
                 return response
 
-    async def _send(
+    async def _send_to_runner(
         self, call: ServiceCall, runner: Runner, history: '_AttemptHistory'
     ) -> Response | None:
         """Send to a runner; return ``None`` when the request may be retried."""
-        self._log_choice(call, runner)
+        self._log_chosen_runner(call, runner)
         remaining = call.deadline - self._clock.monotonic()
         try:
-            response = await runner.send(
+            response = await runner.send_request(
                 call.make_runner_request(),
                 remaining,
                 self._pool.changed.notify,
-                # The runner may close an idle connection just as the request
-                # is sent; whether it ran would then be unknown.
+                # The runner may close an idle connection just as the request is sent.
+                # Whether the request ran would then be unknown, so a request that is
+                # not idempotent gets a new connection.
                 new_connection=not call.idempotent,
-                may_send=lambda: self._pool.may_send(runner),
+                may_send=lambda: self._pool.may_send_to(runner),
             )
         except ExchangeError as error:
             history.may_have_run = history.may_have_run or error.sent
-            self._check_retry(call, runner, error)
+            self._check_retry_allowed(call, runner, error)
             return None
-        return with_verdict(response, Verdict.RAN)
+        return set_verdict(response, Verdict.RAN)
 
-    def _check_retry(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
-        """Return if another attempt is allowed; raises ``RequestError`` otherwise."""
+    def _check_retry_allowed(self, call: ServiceCall, runner: Runner, error: ExchangeError) -> None:
+        """Raise ``RequestError`` unless the request may be sent again."""
         if isinstance(error, SendForbiddenError):
             return
         may_repeat = call.idempotent or not error.sent
         in_time = self._clock.monotonic() + ANSWER_MARGIN_SECONDS < call.deadline
         if may_repeat and in_time and self._admission.use_retry(call):
-            self._metrics.count_retry(call)
+            self._metrics.count_request_retry(call)
             return
         detail = f'runner {runner.entry.name}: {error}'
         if error.sent:
@@ -339,23 +346,23 @@
         raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
 
     async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Response | None:
-        state = self._find_peer(call)
+        state = self._find_peer_with_free_slots(call)
         if state is None:
             if call.hops >= _max_hops(call):
                 raise _NoFreeSlotError
             await self._wait_for_slot(call)
             return None
         try:
-            # Sent as the last hop: the key is already claimed, and the next
-            # daemon must not claim it again.
-            response = await self._forward(call, state, _max_hops(call))
+            # The maximum hop count tells the receiver not to claim the idempotency key
+            # again, which is already claimed.
+            response = await self._forward_to_peer(call, state, _max_hops(call))
         except PeerError as error:
             state.gossip = replace(state.gossip, service_slots=())
             if error.verdict is Verdict.NOT_RUN:
                 return None
             history.may_have_run = True
             if call.idempotent and self._admission.use_retry(call):
-                self._metrics.count_retry(call)
+                self._metrics.count_request_retry(call)
                 return None
             raise outcome_unknown(
                 HTTP_TIMEOUT,
@@ -366,7 +373,9 @@
             state.gossip = replace(state.gossip, service_slots=())
         return response
 
-    async def _forward(self, call: ServiceCall, state: PeerState, hops: int) -> Response | None:
+    async def _forward_to_peer(
+        self, call: ServiceCall, state: PeerState, hops: int
+    ) -> Response | None:
         """Forward a request to a peer; return ``None`` when it has no free slot.
 
         Raises ``PeerError``.
@@ -386,14 +395,14 @@
             raise PeerError('unexpected message type in the answer', Verdict.UNKNOWN)
         if reply.no_room:
             return None
-        raise_problem(reply.response)
+        raise_if_problem(reply.response)
         return reply.response
 
-    def _find_peer(self, call: ServiceCall) -> PeerState | None:
+    def _find_peer_with_free_slots(self, call: ServiceCall) -> PeerState | None:
         if call.hops >= _max_hops(call):
             return None
         zone = self._settings.availability_zone
-        best = self._find_most_free(call, self._directory.states(zone))
+        best = self._find_peer_with_most_slots(call, self._directory.states(zone))
         if best is not None:
             return best
         if call.deadline - self._clock.monotonic() < CROSS_ZONE_MIN_SECONDS:
@@ -401,13 +410,15 @@
         others = tuple(
             state for state in self._directory.states() if state.address.availability_zone != zone
         )
-        return self._find_most_free(call, others)
+        return self._find_peer_with_most_slots(call, others)
 
-    def _find_most_free(self, call: ServiceCall, states: tuple[PeerState, ...]) -> PeerState | None:
+    def _find_peer_with_most_slots(
+        self, call: ServiceCall, states: tuple[PeerState, ...]
+    ) -> PeerState | None:
         best = None
         most_free = 0
         for state in states:
-            free_slots = _free_slots_of(state, call.service) - state.forwards_since_gossip
+            free_slots = _peer_free_slots(state, call.service) - state.forwards_since_gossip
             if free_slots > most_free and not state.gossip.draining:
                 best, most_free = state, free_slots
         return best
@@ -418,9 +429,9 @@
         if queue is None:
             queue = RequestQueue(self._settings.limits.queue_length)
             self._queue_by_service[call.service] = queue
-        self._check_queue(call, queue)
+        self._check_may_wait(call, queue)
         waiter = queue.add(
-            self._priority(call),
+            self._get_call_priority(call),
             call.deadline,
             headroom=call.task_class != 'urgent',
         )
@@ -430,8 +441,10 @@
         finally:
             queue.remove(waiter)
 
-    def _check_queue(self, call: ServiceCall, queue: RequestQueue) -> None:
-        if not self._pool.has_service(call.service) and not self._is_service_known(call.service):
+    def _check_may_wait(self, call: ServiceCall, queue: RequestQueue) -> None:
+        if not self._pool.has_service(call.service) and not self._is_service_known_to_peers(
+            call.service
+        ):
             raise not_run(
                 HTTP_NOT_FOUND,
                 'unknown-service',
@@ -456,22 +469,22 @@
 
     def _estimate_wait(self, call: ServiceCall, queue: RequestQueue) -> float:
         """Estimate the seconds until a response, from the queue and the mean response time."""
-        usable_slots = self._pool.usable_slots(call.service)
+        usable_slots = self._pool.count_usable_slots(call.service)
         mean_answer_seconds = self._pool.mean_answer_seconds(call.service)
         if not usable_slots or not mean_answer_seconds:
             return 0
-        requests_ahead = queue.count_ahead(self._priority(call), call.deadline)
+        requests_ahead = queue.count_requests_ahead(self._get_call_priority(call), call.deadline)
         return (requests_ahead / usable_slots + 1) * mean_answer_seconds
 
-    def _is_service_known(self, service: str) -> bool:
-        return any(_free_slots_of(state, service) for state in self._directory.states())
+    def _is_service_known_to_peers(self, service: str) -> bool:
+        return any(_peer_free_slots(state, service) for state in self._directory.states())
 
-    def _priority(self, call: ServiceCall) -> int:
-        contract = self._contracts.effective(call.customer)
-        terms = contract.terms(call.task_class) if contract else None
+    def _get_call_priority(self, call: ServiceCall) -> int:
+        contract = self._contracts.effective_contract(call.customer)
+        terms = contract.class_terms(call.task_class) if contract else None
         return terms.priority if terms else 0
 
-    def _check_deadline(self, call: ServiceCall) -> None:
+    def _check_deadline_not_passed(self, call: ServiceCall) -> None:
         if self._clock.monotonic() + ANSWER_MARGIN_SECONDS >= call.deadline:
             raise not_run(
                 HTTP_TIMEOUT,
@@ -480,7 +493,7 @@
                 RETRY_AFTER_SECONDS,
             )
 
-    def _log_choice(self, call: ServiceCall, runner: Runner) -> None:
+    def _log_chosen_runner(self, call: ServiceCall, runner: Runner) -> None:
         self._journal.log_sampled(
             Part.ROUTING,
             f'sends a request for {call.service} to {runner.entry.name}; '
@@ -491,16 +504,16 @@
         )
 
 
-def with_verdict(response: Response, verdict: Verdict) -> Response:
-    """Return the response with this verdict, replacing any that the runner set."""
+def set_verdict(response: Response, verdict: Verdict) -> Response:
+    """Return the response with the verdict header set; one set by the runner is replaced."""
     headers = tuple(header for header in response.headers if header[0] != VERDICT_HEADER)
     return replace(response, headers=(*headers, (VERDICT_HEADER, verdict.value)))
 
 
-def raise_problem(response: Response) -> None:
-    """Raise the ``RequestError`` that a peer's response stands for, if any.
+def raise_if_problem(response: Response) -> None:
+    """Raise the ``RequestError`` that a peer has encoded as a response, if any.
 
-    A response of a runner always has the verdict ``ran``.
+    A runner's response always has the verdict ``ran`` and is no error.
     """
     if response.header(VERDICT_HEADER) in {'', Verdict.RAN.value}:
         return
@@ -517,11 +530,11 @@
 
 
 def _max_hops(call: ServiceCall) -> int:
-    """Return the number of hops after which a request is not forwarded."""
+    """Return the number of hops after which a request is not forwarded again."""
     return MAX_KEYED_HOPS if call.is_keyed else MAX_HOPS
 
 
-def _free_slots_of(state: PeerState, service: str) -> int:
+def _peer_free_slots(state: PeerState, service: str) -> int:
     for service_slots in state.gossip.service_slots:
         if service_slots.service == service:
             return service_slots.free_slots
--- a/dandelionreel/routing/_runner.py
+++ b/dandelionreel/routing/_runner.py
@@ -22,14 +22,15 @@
 HTTP_OK = 200
 #: Weight of the newest response time in the moving average of response times.
 LATENCY_WEIGHT = 0.1
-#: A runner whose mean latency exceeds its best by this factor gets a lower limit.
+#: If a runner's mean latency exceeds its best latency by this factor, its concurrency limit
+#: is lowered.
 SLOW_FACTOR = 3.0
 LIMIT_DECREASE_FACTOR = 0.9
-#: Factor by which the best response time rises with each response.
+#: With each response the best latency rises by this factor, unless the response is faster.
 BEST_DRIFT_FACTOR = 1.01
 MIN_LIMIT = 1.0
-#: A quarantined runner gets no requests. The time doubles with each quarantine up to the
-#: maximum, until a response resets it.
+#: A quarantined runner gets no requests. The length doubles with each quarantine up to the
+#: maximum; a response resets it.
 INITIAL_QUARANTINE_SECONDS = 1.0
 MAX_QUARANTINE_SECONDS = 30.0
 FAILURES_TO_QUARANTINE = 3
@@ -51,7 +52,7 @@
         self.best = 0.0
 
     def add(self, seconds: float) -> None:
-        """Add the time of one answer."""
+        """Add the time that one response took."""
         if not self.mean:
             self.mean = self.best = seconds
             return
@@ -62,7 +63,7 @@
 
     @property
     def is_slow(self) -> bool:
-        """Return whether answers take much longer than the best."""
+        """Return whether responses take much longer than the best one."""
         return self.mean > self.best * SLOW_FACTOR
 
 
@@ -95,9 +96,10 @@
         self.open_connections = 0
         #: Slots that requests of a former owner may still occupy.
         self.former_owner_slots = 0
-        #: When a runner that does not report its slots counts as free of them.
+        #: When the former owner's requests count as ended if the runner does not report its slots.
         self.former_owner_wait_until = 0.0
-        #: When a refused or closing connection last suggested that the endpoint leaves.
+        #: When a refused connection or a ``connection: close`` last suggested that the endpoint
+        #: leaves.
         self.leaving_seen_at = float('-inf')
 
     @property
@@ -128,14 +130,14 @@
         return min(half, slots - max(self.former_owner_slots, half))
 
     def is_quarantined(self) -> bool:
-        """Return whether recent failures exclude the runner for now."""
+        """Return whether the runner gets no requests now because of recent failures."""
         return self._clock.monotonic() < self._quarantined_until
 
     def start_ownership(self, grant: Grant, *, clean_handover: bool) -> None:
-        """Begin a grant.
+        """Begin to use the runner under a new grant of its shard.
 
-        After an unclean handover all slots count as occupied by the former owner
-        until ``await_former_owner`` finds them free.
+        Unless the handover was clean, all slots count as occupied by the former
+        owner until ``await_former_owner`` finds them free.
         """
         self._epoch = grant.epoch
         if not clean_handover:
@@ -145,8 +147,8 @@
     async def await_former_owner(self) -> None:
         """Poll the runner until the former owner occupies no more slots.
 
-        A runner that does not report its slots is waited for as long as the
-        longest run.
+        If the runner does not report its slots, they count as free after the time
+        of the longest run.
         """
         idle_answers = 0
         while self.former_owner_slots:
@@ -163,7 +165,7 @@
             if idle_answers == 1:
                 self.former_owner_slots = 1
 
-    async def send(
+    async def send_request(
         self,
         request: Request,
         timeout: float,
@@ -174,10 +176,10 @@
     ) -> Response:
         """Send a request and return its whole response; raises ``ExchangeError``.
 
-        The caller has counted the slot in ``in_use``. The slot is released,
-        and ``on_release`` awaited, once the runner is known to be done: after
-        a timeout that is when the late response arrives, not when the caller
-        stops waiting.
+        The caller has counted the slot in ``in_use``. The slot is released, and
+        ``on_release`` awaited, once the runner is known to have finished. After a
+        timeout that is when the late response arrives, not when the caller stops
+        waiting.
         """
         exchange = _Exchange(
             self, request, on_release, new_connection=new_connection, may_send=may_send
@@ -192,7 +194,7 @@
             await task.cancel(blocking=False)
         raise ExchangeError('no answer in time', sent=exchange.sent)
 
-    async def close_idle(self) -> None:
+    async def close_idle_connections(self) -> None:
         """Close all idle connections."""
         idle = self._idle_connections
         self._idle_connections = []
@@ -293,7 +295,7 @@
     async def run(self, longest_run: float) -> None:
         runner = self._runner
         try:
-            await self._run(longest_run)
+            await self._run_exchange(longest_run)
         except ExchangeError as error:
             self.error = error
             runner.record_failure(error)
@@ -302,13 +304,13 @@
                 # The runner may still be working although the connection is
                 # closed; the slot stays occupied until the runner reports fewer
                 # busy slots than are counted here, at most for the longest run.
-                await self._wait_for_release(longest_run)
+                await self._wait_for_slot_release(longest_run)
         finally:
             runner.in_use -= 1
             await self.done.set()
             await self._on_release()
 
-    async def _run(self, longest_run: float) -> None:
+    async def _run_exchange(self, longest_run: float) -> None:
         runner = self._runner
         started_at = runner._clock.monotonic()
         connection = await runner.open_connection(new_connection=self._new_connection)
@@ -327,7 +329,7 @@
         self.sent = self._may_send()
         return self.sent
 
-    async def _wait_for_release(self, longest_run: float) -> None:
+    async def _wait_for_slot_release(self, longest_run: float) -> None:
         until = self._runner._clock.monotonic() + longest_run
         while self._runner._clock.monotonic() < until:
             busy = await self._runner._query_busy_slots()
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -1,4 +1,4 @@
-"""The agent of one worker: watches it, starts and stops tasks, renews leases."""
+"""The agent of one worker: watches the worker, starts and stops tasks, renews leases."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -23,17 +23,19 @@
 STARTED = 'started'
 REFUSED = 'refused'
 UNKNOWN = 'unknown'
-#: A long poll for changes waits this fraction of a lease at the worker.
+#: Length of a long poll for task changes, as a fraction of a lease.
 WATCH_LEASE_FRACTION = 2 / 3
-#: Seconds of a long poll while the state of a former owner is unsettled.
+#: Length of a long poll while a former owner may still be acting on the worker.
 UNSETTLED_WATCH_SECONDS = 1.0
 RETRY_DELAY_SECONDS = 0.5
-#: Without ownership the agent checks this often, or when its grant changes.
+#: While this daemon does not own the worker, the agent checks its grant this often, and
+#: whenever the grant changes.
 IDLE_WAIT_SECONDS = 10.0
 MILLISECONDS_PER_SECOND = 1000
 #: Renewals within one lease period.
 RENEWALS_PER_LEASE = 3
-#: A task that uses more than this multiple of its declared memory is restricted.
+#: A task that uses more than this multiple of its declared memory is throttled, then
+#: checkpointed, then stopped.
 OVERUSE_FACTOR = 1.1
 THROTTLE = 'throttle'
 CHECKPOINT = 'checkpoint'
@@ -80,32 +82,34 @@
         self.changed = ChangeNotifier()
         self.start_count = 0
 
-    def grant(self) -> Grant:
+    def current_grant(self) -> Grant:
         """Return this daemon's current grant for the worker."""
-        return self._authority.grant(self.shard)
+        return self._authority.current_grant(self.shard)
 
     async def run(self) -> None:
         """Watch the worker whenever this daemon owns it, until cancelled."""
         last_revision = -1
         while True:
             seen = self.changed.count
-            if self.grant().level is GrantLevel.NONE:
+            if self.current_grant().level is GrantLevel.NONE:
                 last_revision = -1
                 self._task_list = None
                 await self.changed.wait(seen, IDLE_WAIT_SECONDS)
                 continue
-            last_revision = await self._watch(last_revision)
+            last_revision = await self._watch_tasks(last_revision)
 
-    async def run_renewals(self) -> None:
+    async def run_lease_renewals(self) -> None:
         """Renew the leases of all allocated tasks while this daemon owns the worker."""
         while True:
             await curio.sleep(self._settings.timings.lease / RENEWALS_PER_LEASE)
-            if self.grant().level is GrantLevel.NONE:
+            if self.current_grant().level is GrantLevel.NONE:
                 continue
-            await self.renew([allocation.task_id for allocation in self.ledger.allocations()])
+            await self.renew_leases(
+                [allocation.task_id for allocation in self.ledger.allocations()]
+            )
 
-    async def renew(self, task_ids: list[str]) -> None:
-        """Renew leases; errors are ignored, as the watch notices an unreachable worker."""
+    async def renew_leases(self, task_ids: list[str]) -> None:
+        """Renew leases; errors are ignored, since the long poll notices an unreachable worker."""
         if not task_ids:
             return
         lease_ms = int(self._settings.timings.lease * MILLISECONDS_PER_SECOND)
@@ -117,16 +121,16 @@
     async def renew_for_silent_owner(self) -> None:
         """Renew the leases of all running tasks although another daemon owns the worker.
 
-        A renewal starts nothing, so it needs no authority. Without it, the
-        leases of an owner that died while the log was unavailable would expire.
+        A renewal starts nothing, so it needs no authority. If nobody renewed them,
+        the leases of an owner that died while the log was unavailable would expire.
         """
         try:
             task_list = await self._service.tasks(-1, 0)
         except WorkerError:
             return
-        await self.renew([status.id for status in task_list.tasks if status.is_running])
+        await self.renew_leases([status.id for status in task_list.tasks if status.is_running])
 
-    async def start(self, order: PlaceOrder) -> PlaceAnswer:
+    async def start_task(self, order: PlaceOrder) -> PlaceAnswer:
         """Start a task if the ledger and the grant allow it."""
         now = self._clock.monotonic()
         allocation = self.ledger.get(order.task_id)
@@ -134,19 +138,20 @@
             return PlaceAnswer(STARTED, 'the task already runs')
         if allocation is not None:
             return PlaceAnswer(UNKNOWN, 'a start of the task is pending or its outcome is unknown')
-        grant = self.grant()
+        grant = self.current_grant()
         cause = self.ledger.refusal_reason(order.demand, grant)
         if cause:
             return PlaceAnswer(REFUSED, cause)
         self.ledger.add_start(order.task_id, order.demand, grant, now)
         try:
-            return await self._send_start(order, grant)
+            return await self._send_start_request(order, grant)
         except BaseException:
-            # Cancelled before the answer: whether the task started is unknown.
+            # The call was cancelled before the worker answered, so whether the task
+            # started is unknown.
             self.ledger.set_state(order.task_id, AllocationState.DOUBTFUL, now)
             raise
 
-    async def apply_action(self, task_id: str, action: str) -> bool:
+    async def apply_task_action(self, task_id: str, action: str) -> bool:
         """Stop, checkpoint or throttle a task; return whether the worker confirmed it."""
         try:
             await self._service.apply_action(task_id, action)
@@ -154,17 +159,17 @@
             return False
         return True
 
-    def make_report(
+    def make_worker_report(
         self, unrenewed_seconds: float, as_of: float, dispatch_epoch: int
     ) -> WorkerReport:
         """Return a report of the worker's current state."""
-        grant = self.grant()
+        grant = self.current_grant()
         task_list = self._task_list
         statuses = task_list.tasks if task_list else ()
-        reports = [self._task_report(status) for status in statuses]
+        reports = [self._make_task_report(status) for status in statuses]
         listed_ids = {status.id for status in statuses}
         reports.extend(
-            _pending_start_report(allocation.task_id, allocation.demand)
+            _make_pending_start_report(allocation.task_id, allocation.demand)
             for allocation in self.ledger.allocations()
             if allocation.task_id not in listed_ids
         )
@@ -182,7 +187,7 @@
 
     async def notify_grant_change(self) -> None:
         """Notify the waiting tasks of this agent if the grant has changed."""
-        grant = self.grant()
+        grant = self.current_grant()
         if grant != self._last_grant:
             self._last_grant = grant
             await self.changed.notify()
@@ -199,24 +204,24 @@
     def _start_history_seconds(self) -> float:
         """Return for how many seconds back from now the task list has every start.
 
-        The list may be old: the last long poll may have taken most of a lease.
-        Its age is counted from when it was requested.
+        That is the worker's history plus the age of the list, which is counted from
+        its request: the last long poll may have taken most of a lease.
         """
         if self._task_list is None:
             return 0
         list_age = max(0.0, self._clock.monotonic() - self.ledger.listed_at)
         return self._task_list.remembers_ms / MILLISECONDS_PER_SECOND + list_age
 
-    async def _watch(self, last_revision: int) -> int:
+    async def _watch_tasks(self, last_revision: int) -> int:
         requested_at = self._clock.monotonic()
-        list_is_stale = self.ledger.listed_at < self.grant().since
-        wait = 0.0 if last_revision < 0 or list_is_stale else self._watch_seconds()
+        list_is_stale = self.ledger.listed_at < self.current_grant().since
+        wait = 0.0 if last_revision < 0 or list_is_stale else self._long_poll_seconds()
         try:
             task_list = await self._service.tasks(last_revision if wait else -1, wait)
         except WorkerError as error:
-            await self._handle_unreachable(error)
+            await self._handle_unreachable_worker(error)
             return -1
-        if task_list.unchanged and self._has_restarted(task_list):
+        if task_list.unchanged and self._has_worker_restarted(task_list):
             self._journal.log(
                 Part.WORKERS,
                 f'{self.entry.name} has restarted.',
@@ -225,43 +230,43 @@
                 remembers_ms=task_list.remembers_ms,
             )
             return -1
-        # A long poll returns the state at its end. It still counts from when
-        # it was requested, so that it cannot release a start made since then.
+        # A long poll returns the task list at its end. The list still counts as of
+        # its request, so that it cannot release the allocation of a start made since.
         self._last_contact = _LastContact(self._clock.monotonic())
-        task_list = self._fill_unchanged(task_list)
+        task_list = self._fill_unchanged_list(task_list)
         self.ledger.apply_task_list(task_list, requested_at)
         list_changed = self._task_list is None or task_list.revision != self._task_list.revision
         self._task_list = task_list
-        await self._enforce_declared_use(task_list)
+        await self._enforce_declared_memory(task_list)
         await self._stop_unresolved_starts()
         if list_changed:
             await self.changed.notify()
         return task_list.revision
 
-    def _has_restarted(self, task_list: TaskList) -> bool:
+    def _has_worker_restarted(self, task_list: TaskList) -> bool:
         """Return whether the worker's history does not reach back to the previous list.
 
-        A restarted worker counts revisions from the beginning, and may arrive at
-        the last known revision with other tasks.
+        The worker has then restarted. It counts revisions from the beginning again,
+        so the same revision as before may stand for other tasks.
         """
         list_age = self._clock.monotonic() - self.ledger.listed_at
         return task_list.remembers_ms / MILLISECONDS_PER_SECOND < list_age
 
-    def _fill_unchanged(self, task_list: TaskList) -> TaskList:
-        """Return the list; if it is unchanged, with the tasks of the last known list."""
+    def _fill_unchanged_list(self, task_list: TaskList) -> TaskList:
+        """Return the task list, filled with the last known tasks if it is unchanged."""
         known = self._task_list
         if not task_list.unchanged or known is None:
             return task_list
         return TaskList(known.revision, known.tasks, task_list.remembers_ms)
 
-    def _watch_seconds(self) -> float:
-        # Once the former owner's state is settled, the worker must be listed
+    def _long_poll_seconds(self) -> float:
+        # Once the former owner has ended or yielded, the worker's tasks must be listed
         # again before its other half may be used; a long poll would delay that.
-        if self.grant().level is GrantLevel.OTHER_HALF:
+        if self.current_grant().level is GrantLevel.OTHER_HALF:
             return UNSETTLED_WATCH_SECONDS
         return self._settings.timings.lease * WATCH_LEASE_FRACTION
 
-    async def _handle_unreachable(self, error: WorkerError) -> None:
+    async def _handle_unreachable_worker(self, error: WorkerError) -> None:
         if self._last_contact.reachable:
             self._journal.log(
                 Part.WORKERS,
@@ -272,7 +277,7 @@
         await self.changed.notify()
         await curio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _send_start(self, order: PlaceOrder, grant: Grant) -> PlaceAnswer:
+    async def _send_start_request(self, order: PlaceOrder, grant: Grant) -> PlaceAnswer:
         task_order = TaskOrder(
             order.demand,
             order.command,
@@ -300,7 +305,7 @@
 
     def _may_send_start(self, grant: Grant) -> bool:
         """Return whether a start that the ledger already counts may be sent now."""
-        current = self.grant()
+        current = self.current_grant()
         if current.level is GrantLevel.NONE or current.epoch != grant.epoch:
             return False
         return self.ledger.total_demand().fits(self.ledger.usable_capacity(current))
@@ -321,28 +326,28 @@
     async def _stop_unresolved_starts(self) -> None:
         """Stop the tasks whose start has an unknown outcome.
 
-        The worker remembers the stop and refuses the start if it still
-        arrives, so the allocation is released only after the stop succeeds.
+        A worker that has confirmed the stop refuses the start if it arrives later,
+        so the allocation can be released then, and not before.
         """
         for allocation in self.ledger.allocations():
             if allocation.state is not AllocationState.DOUBTFUL:
                 continue
-            if await self.apply_action(allocation.task_id, STOP):
+            if await self.apply_task_action(allocation.task_id, STOP):
                 self.ledger.release(allocation.task_id)
                 await self.changed.notify()
 
-    async def _enforce_declared_use(self, task_list: TaskList) -> None:
+    async def _enforce_declared_memory(self, task_list: TaskList) -> None:
         """Restrict tasks that exceed their declared memory: throttle, checkpoint, then stop."""
         running = {status.id for status in task_list.tasks if status.is_running}
         for task_id in tuple(self._last_action_by_task):
             if task_id not in running:
                 self._last_action_by_task.pop(task_id)
         for status in task_list.tasks:
-            if not status.is_running or not _exceeds_declaration(status):
+            if not status.is_running or not _exceeds_declared_memory(status):
                 continue
-            await self._escalate(status)
+            await self._escalate_restriction(status)
 
-    async def _escalate(self, status: TaskStatus) -> None:
+    async def _escalate_restriction(self, status: TaskStatus) -> None:
         last_action = self._last_action_by_task.get(status.id, '')
         action = {'': THROTTLE, THROTTLE: CHECKPOINT, CHECKPOINT: STOP}.get(last_action)
         if action is None:
@@ -352,10 +357,10 @@
             f'tells {self.entry.name} to {action} {status.id}; it uses more than it declared.',
             task=status.id,
         )
-        if await self.apply_action(status.id, action):
+        if await self.apply_task_action(status.id, action):
             self._last_action_by_task[status.id] = action
 
-    def _task_report(self, status: TaskStatus) -> TaskReport:
+    def _make_task_report(self, status: TaskStatus) -> TaskReport:
         order = status.order
         return TaskReport(
             status.id,
@@ -370,12 +375,12 @@
         )
 
 
-def _pending_start_report(task_id: str, demand: Resources) -> TaskReport:
+def _make_pending_start_report(task_id: str, demand: Resources) -> TaskReport:
     """Return the report of a start that is pending or has an unknown outcome."""
     job, attempt, _ = task_id.rsplit('.', 2)
     return TaskReport(task_id, job, int(attempt), '', '', True, '', demand)
 
 
-def _exceeds_declaration(status: TaskStatus) -> bool:
+def _exceeds_declared_memory(status: TaskStatus) -> bool:
     limit = status.order.demand.times(OVERUSE_FACTOR)
     return bool(limit.memory_mb) and status.used.memory_mb > limit.memory_mb
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -1,4 +1,4 @@
-"""All workers of the zone: their agents, reports to the dispatcher and its orders."""
+"""All workers of the zone: their agents, their reports, and the dispatcher's orders."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from contextlib import AsyncExitStack
@@ -43,7 +43,7 @@
 from dandelionreel.workers._agent import REFUSED, WorkerAgent
 
 POLL_SECONDS = 0.25
-#: A worker without changes is checked this often.
+#: How often the agent of a worker without changes is checked for a report to send.
 IDLE_CHECK_SECONDS = 5.0
 REPORT_TIMEOUT_SECONDS = 2.0
 #: A worker's unchanged state is reported again this often.
@@ -97,7 +97,7 @@
 
     def wanted_shards(self) -> Iterable[str]:
         """Return one shard for each worker of the zone."""
-        for entry in self._entries():
+        for entry in self._worker_entries():
             yield worker_shard(entry.name)
 
     async def prepare_release(self, shard: str) -> bool:
@@ -109,36 +109,37 @@
 
     async def run(self, stack: AsyncExitStack) -> None:
         """Follow the host list until cancelled."""
-        stack.push_async_callback(self._close_all)
+        stack.push_async_callback(self._close_all_agents)
         while True:
-            await self._refresh()
+            await self._refresh_agents()
             for agent in tuple(self.agent_by_worker.values()):
                 await agent.notify_grant_change()
             await self._hosts.changed.wait(self._hosts.changed.count, POLL_SECONDS)
 
-    async def place(self, order: PlaceOrder) -> PlaceAnswer:
+    async def place_task(self, order: PlaceOrder) -> PlaceAnswer:
         """Start a task on an owned worker."""
         if order.dispatch_epoch < self._shards.epoch(DISPATCH_SHARD):
             return PlaceAnswer(REFUSED, 'another dispatcher has taken over')
         agent = self.agent_by_worker.get(order.worker)
         if agent is None:
             return PlaceAnswer(REFUSED, 'no such worker')
-        return await agent.start(order)
+        return await agent.start_task(order)
 
-    async def apply_action(self, action: TaskAction) -> bool:
+    async def apply_task_action(self, action: TaskAction) -> bool:
         """Stop, checkpoint or throttle a task on an owned worker."""
         if action.dispatch_epoch < self._shards.epoch(DISPATCH_SHARD):
             return False
         agent = self.agent_by_worker.get(action.worker)
-        if agent is None or agent.grant().level is GrantLevel.NONE:
+        if agent is None or agent.current_grant().level is GrantLevel.NONE:
             return False
-        return await agent.apply_action(action.task_id, action.action)
+        return await agent.apply_task_action(action.task_id, action.action)
 
-    async def answer_place(self, frame: Frame) -> Message:
+    async def answer_place_order(self, frame: Frame) -> Message:
         """Start a task for the dispatcher, unless its order is too old.
 
-        The order may have waited in a paused process or in a socket while
-        another dispatcher took over. The echoed reading of our own clock bounds its age.
+        The order may have waited in a paused process or in a socket while another
+        dispatcher took over. Its frame echoes the last reading of this daemon's clock
+        that the sender had received; the time since then is an upper bound of its age.
         """
         order = frame.message
         if not isinstance(order, PlaceOrder):
@@ -146,30 +147,32 @@
         age = self._clock.monotonic() - frame.echo
         if age > self._settings.timings.start_deadline + self._settings.timings.heartbeat * 2:
             return PlaceAnswer(REFUSED, 'the order is too old')
-        return await self.place(order)
+        return await self.place_task(order)
 
-    async def answer_action(self, frame: Frame) -> Message:
+    async def answer_task_action(self, frame: Frame) -> Message:
         """Carry out the dispatcher's action on a task."""
         action = frame.message
         if not isinstance(action, TaskAction):
             return Refused('not a task action')
         return (
-            Done() if await self.apply_action(action) else Refused('the action was not carried out')
+            Done()
+            if await self.apply_task_action(action)
+            else Refused('the action was not carried out')
         )
 
-    def _entries(self) -> tuple[HostEntry, ...]:
+    def _worker_entries(self) -> tuple[HostEntry, ...]:
         return self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
 
-    async def _refresh(self) -> None:
-        for entry in self._entries():
+    async def _refresh_agents(self) -> None:
+        for entry in self._worker_entries():
             if entry.name not in self.agent_by_worker:
-                await self._add(entry)
+                await self._add_agent(entry)
         for name in tuple(self.agent_by_worker):
             limit = self._settings.timings.lease * FORGET_AFTER_LEASES
             if self._hosts.missing_seconds(name) > limit:
-                await self._remove(name)
+                await self._remove_agent(name)
 
-    async def _add(self, entry: HostEntry) -> None:
+    async def _add_agent(self, entry: HostEntry) -> None:
         service = plugins.create(
             PluginKind.WORKERS,
             self._settings.platform.workers_plugin,
@@ -190,17 +193,17 @@
         self._stack_by_worker[entry.name] = stack
         stack.push_async_callback(agent.close)
         await start_task(stack, agent.run)
-        await start_task(stack, agent.run_renewals)
+        await start_task(stack, agent.run_lease_renewals)
         await start_task(stack, self._send_reports, agent)
-        await start_task(stack, self._renew_for_others, agent)
+        await start_task(stack, self._renew_for_silent_owners, agent)
 
-    async def _remove(self, name: str) -> None:
+    async def _remove_agent(self, name: str) -> None:
         self.agent_by_worker.pop(name)
         await self._stack_by_worker.pop(name).aclose()
 
-    async def _close_all(self) -> None:
+    async def _close_all_agents(self) -> None:
         for name in tuple(self.agent_by_worker):
-            await self._remove(name)
+            await self._remove_agent(name)
 
     async def _send_reports(self, agent: WorkerAgent) -> None:
         """Send a report to the zone's dispatcher after every change of the worker."""
@@ -220,23 +223,25 @@
             await curio.sleep(POLL_SECONDS)
 
     def _find_report_target(self, agent: WorkerAgent) -> '_ReportTarget':
-        """Return where a report made now would go; empty without a dispatcher or a grant."""
+        """Return the target of a report made now; empty without a dispatcher or a grant."""
         claim = self._shards.get(DISPATCH_SHARD)
-        grant = agent.grant()
+        grant = agent.current_grant()
         if claim is None or grant.level is GrantLevel.NONE:
             return _ReportTarget()
         return _ReportTarget(claim.owner, claim.epoch, grant, agent.changed.count)
 
     async def _send_report(self, agent: WorkerAgent, target: '_ReportTarget') -> bool:
-        unrenewed_seconds = self._unrenewed_seconds(agent)
+        unrenewed_seconds = self._seconds_without_renewal(agent)
         dispatcher = target.dispatcher
         if dispatcher == self._own_member:
             if self._report_handler is not None:
                 await self._report_handler(
-                    agent.make_report(unrenewed_seconds, self._clock.monotonic(), target.epoch)
+                    agent.make_worker_report(
+                        unrenewed_seconds, self._clock.monotonic(), target.epoch
+                    )
                 )
             return True
-        report = agent.make_report(
+        report = agent.make_worker_report(
             unrenewed_seconds, self._peer_clocks.get_last(dispatcher), target.epoch
         )
         try:
@@ -245,19 +250,19 @@
             return False
         return isinstance(frame.message, Done)
 
-    def _unrenewed_seconds(self, agent: WorkerAgent) -> float:
+    def _seconds_without_renewal(self, agent: WorkerAgent) -> float:
         """Return for how many seconds nobody can have renewed the worker's leases.
 
-        A peer renews only for an owner that it does not hear. So the time
-        counts from when the last peer began to hear us, and not from before we
-        became the owner: the former owner may have renewed until then, and a
-        worker that we have not polled yet does not count as silent.
+        A peer renews leases only for an owner that it does not hear. So the time
+        counts from when the last peer began to hear this daemon, and not from before
+        this daemon became the owner: the former owner may have renewed the leases
+        until then, and a worker that was not polled yet does not count as silent.
         """
-        heard_since = self._peer_monitor.all_heard_since()
-        since = max(agent.last_answered_at, heard_since, agent.grant().since)
+        heard_since = self._peer_monitor.all_members_heard_since()
+        since = max(agent.last_answered_at, heard_since, agent.current_grant().since)
         return max(0.0, self._clock.monotonic() - since)
 
-    async def _renew_for_others(self, agent: WorkerAgent) -> None:
+    async def _renew_for_silent_owners(self, agent: WorkerAgent) -> None:
         while True:
             await curio.sleep(self._settings.timings.lease / 4)
             claim = self._shards.get(agent.shard)
@@ -270,7 +275,7 @@
 
 @dataclass(frozen=True)
 class _ReportTarget:
-    """The receiver of a report, with the epochs and the change count it applies to."""
+    """The dispatcher to send a report to, its epoch, and the state that the report would show."""
 
     dispatcher: str = ''
     epoch: int = 0
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -1,4 +1,4 @@
-"""Allocations on one worker; the only protection against overcommitting it.
+"""Allocations on one worker; nothing else protects the worker from being overcommitted.
 
 Workers start every task that they are sent, whether it fits or not.
 """
@@ -64,7 +64,7 @@
         )
 
     def usable_capacity(self, grant: Grant) -> Resources:
-        """Return how much may be allocated in total, including what already is."""
+        """Return how much may be allocated in total, including existing allocations."""
         if grant.level is GrantLevel.NONE or self.listed_at < grant.since:
             return NO_RESOURCES
         if grant.level is GrantLevel.WHOLE:
@@ -72,9 +72,8 @@
         half = self.capacity.times(HALF_SHARE)
         if grant.level is GrantLevel.OWN_HALF:
             return half
-        # The former owner may still allocate up to its half, or already have
-        # more than that. This owner may use what is certainly left, at most
-        # half.
+        # The former owner may still allocate up to half of the capacity, or already
+        # have allocated more. This owner may use what is certainly left, at most half.
         former_owner_demand = self._sum_demand(grant.epoch, is_own=False).at_least(half)
         return (self.capacity - former_owner_demand).at_most(half) + self._sum_demand(
             grant.epoch, is_own=False
@@ -111,18 +110,18 @@
         self._allocation_by_task.pop(task_id, None)
 
     def apply_task_list(self, task_list: TaskList, requested_at: float) -> None:
-        """Allocate what the list shows as running, and release what has ended.
+        """Allocate the tasks that the list shows as running, and release ended ones.
 
-        A pending or unresolved start stays allocated although the list lacks
-        it: it may still be in transit to the worker.
+        A start that is pending or has an unknown outcome stays allocated although
+        the list lacks its task: the start may still be in transit to the worker.
         """
-        self._release_missing(task_list, requested_at)
+        self._release_ended_tasks(task_list, requested_at)
         for status in task_list.tasks:
             if status.is_running:
-                self._adopt_running(status, requested_at)
+                self._adopt_running_task(status, requested_at)
         self.listed_at = requested_at
 
-    def _release_missing(self, task_list: TaskList, requested_at: float) -> None:
+    def _release_ended_tasks(self, task_list: TaskList, requested_at: float) -> None:
         listed_ids = {status.id for status in task_list.tasks}
         for status in task_list.tasks:
             if not status.is_running:
@@ -134,7 +133,7 @@
             if was_running and allocation.task_id not in listed_ids:
                 self.release(allocation.task_id)
 
-    def _adopt_running(self, status: TaskStatus, requested_at: float) -> None:
+    def _adopt_running_task(self, status: TaskStatus, requested_at: float) -> None:
         allocation = self._allocation_by_task.get(status.id)
         if allocation is None:
             allocation = Allocation(
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -328,7 +328,7 @@
 def worker_listed(context):
     context.clock = ManualClock()
     context.worker = RestartingWorker(context.clock)
-    authority = SimpleNamespace(grant=lambda shard: Grant(GrantLevel.WHOLE, 1))
+    authority = SimpleNamespace(current_grant=lambda shard: Grant(GrantLevel.WHOLE, 1))
     settings = SimpleNamespace(timings=SimpleNamespace(lease=6.0))
     context.agent = WorkerAgent(
         'me/1', context.worker.entry, context.worker, authority, settings, context.clock, journal()
@@ -336,7 +336,7 @@
 
     async def watch():
         await context.worker.start_task('j1.1.0')
-        context.revision = await context.agent._watch(-1)
+        context.revision = await context.agent._watch_tasks(-1)
 
     curio.run(watch)
     assert context.revision == 1, context.revision
@@ -344,14 +344,14 @@
 
 async def watch_twice(context):
     for _ in range(2):
-        context.revision = await context.agent._watch(context.revision)
+        context.revision = await context.agent._watch_tasks(context.revision)
 
 
 @when('the worker restarts within {seconds:g} s, starts another task and is polled twice')
 def worker_restarts(context, seconds):
     async def continue_watching():
         context.clock.now += 50
-        await context.agent._watch(context.revision)
+        await context.agent._watch_tasks(context.revision)
         context.clock.now += seconds
         context.worker.restart()
         context.clock.now += 0.05
@@ -366,7 +366,7 @@
     async def continue_watching():
         for _ in range(2):
             context.clock.now += 4
-            context.revision = await context.agent._watch(context.revision)
+            context.revision = await context.agent._watch_tasks(context.revision)
 
     curio.run(continue_watching)
 
--- a/features/steps/lapse_steps.py
+++ b/features/steps/lapse_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from dandelionreel.backing import Position
-from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
+from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_job_spec
 from dandelionreel.jobs._job_projection import Outcome
 from dandelionreel.jobs._lapses import classify_lapse
 from dandelionreel.jobs._records import AttemptEnded
@@ -27,7 +27,7 @@
 
 def start_attempt(context, wall):
     """Apply an intent for the job's next attempt; return its number."""
-    number = context.jobs.get('j1').next_attempt
+    number = context.jobs.get('j1').next_attempt_number
     intent = AttemptIntent('j1', number, EPOCH, MEMBER, ('w1',))
     context.jobs.apply(intent, next_position(context, wall))
     return number
@@ -51,7 +51,7 @@
     claim = Claimed(MEMBER, (ShardEpoch(DISPATCH_SHARD, 0),))
     shards.apply(claim, Position(0, MEMBER, 0))
     context.jobs = JobProjection(shards, 10, 10)
-    accepted = JobAccepted('j1', 'key', 'digest', load_spec(SPEC))
+    accepted = JobAccepted('j1', 'key', 'digest', load_job_spec(SPEC))
     context.jobs.apply(accepted, next_position(context, NOW))
     wall = NOW - HOUR if 'an hour before' in earlier else NOW
     for word in earlier.split():
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -14,7 +14,7 @@
     TaskOrder,
     TaskStatus,
 )
-from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_spec
+from dandelionreel.jobs import AttemptIntent, JobAccepted, JobProjection, JobState, load_job_spec
 from dandelionreel.kernel import ManualClock
 from dandelionreel.ownership import (
     DISPATCH_SHARD,
@@ -29,7 +29,7 @@
     ShardProjection,
 )
 from dandelionreel.peers import hash_member
-from dandelionreel.routing import share_of_count
+from dandelionreel.routing import daemon_share_of_count
 from dandelionreel.workers import AllocationState, Ledger
 from features.steps.interface_steps import Number
 
@@ -136,33 +136,39 @@
 @when("the other's view names a third member that it does not know")
 def name_third(context):
     context.view = tuple(map(hash_member, ('a/1', 'b/1', 'c/1')))
-    context.promise_tracker.record_answer('b/1', context.clock.monotonic(), True, context.view)
+    context.promise_tracker.record_promise_answer(
+        'b/1', context.clock.monotonic(), True, context.view
+    )
 
 
 @when('it learns of the third and both send a promise')
 def learn_third(context):
     _join(context, 'c/1')
     for member in ('b/1', 'c/1'):
-        context.promise_tracker.record_answer(member, context.clock.monotonic(), True, context.view)
+        context.promise_tracker.record_promise_answer(
+            member, context.clock.monotonic(), True, context.view
+        )
 
 
 @then('it has {evidence} evidence, and its own view names {words} members')
 def check_no_evidence(context, evidence, words):
     assert evidence == 'no'
     assert context.promise_tracker.evidence_at() == float('-inf')
-    assert len(context.promise_tracker.view()) == {'two': 2, 'three': 3}[words]
+    assert len(context.promise_tracker.make_view()) == {'two': 2, 'three': 3}[words]
 
 
 @then('it has evidence, and its own view names {words} members')
 def check_evidence(context, words):
     assert context.promise_tracker.evidence_at() == context.clock.monotonic()
-    assert len(context.promise_tracker.view()) == {'two': 2, 'three': 3}[words]
+    assert len(context.promise_tracker.make_view()) == {'two': 2, 'three': 3}[words]
 
 
 @then('the shares of {count:d} over zones with {daemons:d} daemons add up to at most {limit:d}')
 def check_shares(context, count, daemons, limit):
     shares = [
-        share_of_count(count, 1 / 3, rank, daemons) for _ in range(3) for rank in range(daemons)
+        daemon_share_of_count(count, 1 / 3, rank, daemons)
+        for _ in range(3)
+        for rank in range(daemons)
     ]
     assert sum(shares) <= limit
     assert sum(shares) > limit - 3
@@ -182,7 +188,7 @@
     context.shards = ShardProjection(Membership(clock), clock)
     context.job_projection = JobProjection(context.shards, 10, 10)
     _claim(context, 'a/1', 0, 0)
-    accepted = JobAccepted('z.1', 'key', 'digest', load_spec(SPEC))
+    accepted = JobAccepted('z.1', 'key', 'digest', load_job_spec(SPEC))
     context.job_projection.apply(accepted, Position(1, 'a/1', 0))
 
 
