--- a/dandelionreel/admin/_admin_api.py
+++ b/dandelionreel/admin/_admin_api.py
@@ -10,12 +10,12 @@
     DrainBody,
     EndpointView,
     MemberView,
-    OutcomeView,
-    PendingView,
+    PendingVersionView,
     PublishBody,
-    PublishDone,
+    PublishResult,
     ShardView,
     StatusView,
+    VersionOutcomeView,
     WorkerView,
 )
 from dandelionreel.backing import StreamReader
@@ -28,7 +28,7 @@
 )
 from dandelionreel.http import Request, Response, json_response
 from dandelionreel.jobs import Dispatcher, JobProjection, JobState
-from dandelionreel.kernel import Clock, RequestError, Settings, clip, not_run
+from dandelionreel.kernel import Clock, RequestError, Settings, clip_text, not_run_error
 from dandelionreel.life import Lifecycle
 from dandelionreel.ownership import (
     Authority,
@@ -99,7 +99,7 @@
         self._callers = callers
         self._handler_by_path = {
             '/healthz': self._show_health,
-            '/readyz': self._show_ready,
+            '/readyz': self._show_readiness,
             '/metrics': self._show_metrics,
             '/v1/status': self._show_status,
             '/v1/members': self._show_members,
@@ -115,30 +115,30 @@
         if path.startswith('/v1/jobs'):
             return await self._callers.handle(request)
         if request.method == 'GET':
-            return self._show(path)
+            return self._show_page(path)
         if path == '/v1/drain' and request.method == 'POST':
-            return await self._drain(request)
+            return await self._handle_drain_request(request)
         if path.startswith('/v1/contracts/') and request.method == 'POST':
-            return await self._publish(request)
-        raise not_run(
-            HTTP_NOT_FOUND, 'no-such-path', f'{request.method} {clip(path)} is not served'
+            return await self._publish_contract(request)
+        raise not_run_error(
+            HTTP_NOT_FOUND, 'no-such-path', f'{request.method} {clip_text(path)} is not served'
         )
 
-    def _show(self, path: str) -> Response:
+    def _show_page(self, path: str) -> Response:
         handler = self._handler_by_path.get(path)
         if handler is not None:
             return handler()
         if path.startswith('/v1/contracts/'):
             return json_response(self._view_contract(path.removeprefix('/v1/contracts/')))
-        raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served')
+        raise not_run_error(HTTP_NOT_FOUND, 'no-such-path', f'{clip_text(path)} is not served')
 
     def _show_health(self) -> Response:
         return json_response(Acknowledgement('alive'))
 
-    def _show_ready(self) -> Response:
+    def _show_readiness(self) -> Response:
         reasons = self._lifecycle.reasons_not_ready()
         if reasons:
-            raise not_run(HTTP_UNAVAILABLE, 'not-ready', '; '.join(reasons))
+            raise not_run_error(HTTP_UNAVAILABLE, 'not-ready', '; '.join(reasons))
         return json_response(Acknowledgement('ready'))
 
     def _show_metrics(self) -> Response:
@@ -254,58 +254,60 @@
         pending = self._contracts.pending(customer)
         history = self._contracts.history(customer)
         if contract is None and pending is None and not history:
-            raise not_run(
+            raise not_run_error(
                 HTTP_NOT_FOUND,
                 'unknown-customer',
-                f'no contract of {clip(customer)!r} is known',
+                f'no contract of {clip_text(customer)!r} is known',
             )
         pending_view = None
         if pending is not None:
             missing = tuple(sorted(pending.missing))
-            pending_view = PendingView(pending.contract.version, pending.author, missing)
+            pending_view = PendingVersionView(pending.contract.version, pending.author, missing)
         return ContractView(
             contract,
             pending_view,
             self._contracts.shares(customer),
             tuple(
-                OutcomeView(past.version, past.state, past.detail, past.author, past.written_at)
+                VersionOutcomeView(
+                    past.version, past.state, past.detail, past.author, past.written_at
+                )
                 for past in history
             ),
         )
 
-    async def _publish(self, request: Request) -> Response:
+    async def _publish_contract(self, request: Request) -> Response:
         customer = request.path.removeprefix('/v1/contracts/')
         try:
             body = msgspec.json.decode(request.body, type=PublishBody)
             contract = load_contract(bytes(body.contract))
         except msgspec.MsgspecError as error:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         except ContractError as error:
-            raise not_run(HTTP_INVALID, 'bad-contract', f'{error}') from error
+            raise not_run_error(HTTP_INVALID, 'bad-contract', f'{error}') from error
         if contract.customer != customer:
-            raise not_run(
+            raise not_run_error(
                 HTTP_INVALID,
                 'bad-contract',
-                f'customer: {contract.customer!r} is not the {clip(customer)!r} of the path',
+                f'customer: {contract.customer!r} is not the {clip_text(customer)!r} of the path',
             )
-        self._check_version(contract.version, body.replaces)
+        self._check_contract_version(contract.version, body.replaces)
         outcome = await self._publisher.publish(contract, body.replaces, body.author)
-        return json_response(PublishDone(customer, outcome.version, outcome.state))
+        return json_response(PublishResult(customer, outcome.version, outcome.state))
 
-    def _check_version(self, version: int, replaces: int) -> None:
+    def _check_contract_version(self, version: int, replaces: int) -> None:
         if version > replaces:
             return
-        raise not_run(
+        raise not_run_error(
             HTTP_INVALID,
             'bad-contract',
             f'version: {version} is not above {replaces}, the one it replaces',
         )
 
-    async def _drain(self, request: Request) -> Response:
+    async def _handle_drain_request(self, request: Request) -> Response:
         try:
             body = msgspec.json.decode(request.body or b'{}', type=DrainBody)
         except msgspec.MsgspecError as error:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if body.endpoint:
             return self._drain_endpoint(body.endpoint)
         await self._lifecycle.request_stop()
@@ -314,13 +316,13 @@
     def _drain_endpoint(self, name: str) -> Response:
         known = {runner.entry.name for runner in self._pool.runners()}
         if name not in known:
-            raise self._unknown_endpoint(name)
+            raise self._unknown_endpoint_error(name)
         self._pool.drain_endpoint(name)
         return json_response(Acknowledgement(f'{name} gets no new work'), HTTP_ACCEPTED)
 
-    def _unknown_endpoint(self, name: str) -> RequestError:
-        return not_run(
+    def _unknown_endpoint_error(self, name: str) -> RequestError:
+        return not_run_error(
             HTTP_NOT_FOUND,
             'unknown-endpoint',
-            f'no endpoint {clip(name)!r} in zone {self._settings.availability_zone}',
+            f'no endpoint {clip_text(name)!r} in zone {self._settings.availability_zone}',
         )
--- a/dandelionreel/admin/_views.py
+++ b/dandelionreel/admin/_views.py
@@ -15,7 +15,7 @@
 
 
 class ShardView(msgspec.Struct, frozen=True):
-    """One shard; ``level`` is the level of this daemon's grant on it."""
+    """One shard; ``level`` is the level of this daemon's grant on that shard."""
 
     shard: str
     owner: str
@@ -55,7 +55,7 @@
     level: str
 
 
-class PendingView(msgspec.Struct, frozen=True):
+class PendingVersionView(msgspec.Struct, frozen=True):
     """A contract version being published, and the members that have not confirmed it."""
 
     version: int
@@ -63,7 +63,7 @@
     missing: tuple[str, ...]
 
 
-class OutcomeView(msgspec.Struct, frozen=True):
+class VersionOutcomeView(msgspec.Struct, frozen=True):
     """How a published version ended; ``wall`` is in Unix time."""
 
     version: int
@@ -77,9 +77,9 @@
     """A customer's contract in force, its pending version and past outcomes."""
 
     contract: Contract | None
-    pending: PendingView | None
+    pending: PendingVersionView | None
     shares: tuple[ZoneShare, ...]
-    history: tuple[OutcomeView, ...]
+    history: tuple[VersionOutcomeView, ...]
 
 
 class StatusView(msgspec.Struct, frozen=True):
@@ -109,7 +109,7 @@
     author: str = ''
 
 
-class PublishDone(msgspec.Struct, frozen=True):
+class PublishResult(msgspec.Struct, frozen=True):
     """The answer to a publication once the contract version is in force."""
 
     customer: str
--- a/dandelionreel/backing/_host_watch.py
+++ b/dandelionreel/backing/_host_watch.py
@@ -33,7 +33,7 @@
         """Read the list once; return False if that fails."""
         requested_at = self._clock.monotonic()
         try:
-            entries = await self._hosts.fetch()
+            entries = await self._hosts.fetch_hosts()
         except HostListError:
             return False
         entry_by_name = {entry.name: entry for entry in entries}
--- a/dandelionreel/backing/_hosts.py
+++ b/dandelionreel/backing/_hosts.py
@@ -50,7 +50,7 @@
     """Interface to the list of live and leaving hosts."""
 
     @abc.abstractmethod
-    async def fetch(self) -> tuple[HostEntry, ...]:
+    async def fetch_hosts(self) -> tuple[HostEntry, ...]:
         """Return all hosts; raises ``HostListError``."""
 
     @abc.abstractmethod
@@ -62,9 +62,9 @@
 class HttpHostList(HostList):
     """The host list over HTTP.
 
-    Requests only the hosts of one zone and all entry hosts, and with
-    ``If-None-Match`` only if the list has changed: with 1,300 workers, the whole list
-    every two seconds would be most of a daemon's control traffic.
+    Requests the entry hosts of all zones and the other hosts of one zone only, and
+    receives the list only if it has changed (``If-None-Match``). With 1,300 workers, the
+    whole list every two seconds would be most of a daemon's control traffic.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self._etag = ''
         self._last_hosts: tuple[HostEntry, ...] = ()
 
-    async def fetch(self) -> tuple[HostEntry, ...]:
+    async def fetch_hosts(self) -> tuple[HostEntry, ...]:
         """Return all hosts; raises ``HostListError``."""
         headers = (('if-none-match', self._etag),) if self._etag else ()
         request = Request('GET', self._target, headers)
@@ -117,7 +117,7 @@
         encoded = msgspec.to_builtins(hosts)
         self._hosts = msgspec.convert(encoded, tuple[HostEntry, ...])
 
-    async def fetch(self) -> tuple[HostEntry, ...]:
+    async def fetch_hosts(self) -> tuple[HostEntry, ...]:
         """Return the fixed list."""
         return self._hosts
 
--- a/dandelionreel/backing/_http_log.py
+++ b/dandelionreel/backing/_http_log.py
@@ -59,7 +59,7 @@
         """Append the records atomically; return the offset of the first."""
         body = msgspec.json.encode(AppendBody([msgspec.Raw(text) for text in records]))
         request = Request('POST', f'/v1/streams/{stream}/records', body=body)
-        response = await self._exchange(self._append_channel_by_stream, stream, request, 0)
+        response = await self._send_request(self._append_channel_by_stream, stream, request, 0)
         if response.status in REFUSED_STATUSES:
             raise LogError(
                 f'the log service refused the append (status {response.status})', Verdict.NOT_RUN
@@ -75,7 +75,7 @@
             f'?offset={offset}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
         )
         request = Request('GET', target)
-        response = await self._exchange(self._read_channel_by_stream, stream, request, wait)
+        response = await self._send_request(self._read_channel_by_stream, stream, request, wait)
         if response.status not in {HTTP_OK, HTTP_GONE}:
             raise LogError(f'the log service returned status {response.status}', Verdict.UNKNOWN)
         decoded = msgspec.json.decode(response.body, type=ReadResult)
@@ -91,7 +91,7 @@
         ):
             await channel.close()
 
-    async def _exchange(
+    async def _send_request(
         self,
         channel_by_stream: dict[str, Channel],
         stream: str,
--- a/dandelionreel/backing/_memory_log.py
+++ b/dandelionreel/backing/_memory_log.py
@@ -40,7 +40,7 @@
         return LogBatch(offset, self.tail, batch)
 
     def truncate(self, first: int) -> None:
-        """Drop all records before ``first``, as an expired retention does."""
+        """Drop all records before ``first``, as a log does when their retention ends."""
         dropped = max(0, min(first, self.tail) - self.first)
         self.records = self.records[dropped:]
         self.first += dropped
@@ -51,7 +51,7 @@
     """Keeps its streams in memory; they are lost when the process ends."""
 
     def __init__(self, endpoint: Endpoint | None = None, timeout: float = 0) -> None:
-        """Start without streams; the parameters of log plug-ins are unused."""
+        """Start without streams; the parameters, those of every log plug-in, are unused."""
         self.stream_by_name: dict[str, MemoryStream] = {}
 
     async def append(self, stream: str, records: Sequence[bytes]) -> int:
--- a/dandelionreel/backing/_memory_worker.py
+++ b/dandelionreel/backing/_memory_worker.py
@@ -82,11 +82,11 @@
         #: While set, every task fails shortly after its start.
         self.fails_all = False
 
-    def watch(self, watcher: TaskWatcher) -> None:
+    def add_watcher(self, watcher: TaskWatcher) -> None:
         """Call ``watcher`` at every start and end of a task."""
         self._watchers.append(watcher)
 
-    async def start(
+    async def start_task(
         self,
         task_id: str,
         order: TaskOrder,
@@ -102,9 +102,9 @@
         task = MemoryTask(task_id, order, lease_until, order.owner)
         self._task_by_id[task_id] = task
         await self._publish_change(task)
-        await curio.spawn(self._run, task, daemon=True)
+        await curio.spawn(self._run_task, task, daemon=True)
 
-    async def tasks(self, after: int, wait: float) -> TaskList:
+    async def list_tasks(self, after: int, wait: float) -> TaskList:
         """Return the task list, waiting up to ``wait`` seconds for a change."""
         if wait and after == self._revision:
             await self._changed.wait(self._changed.count, wait)
@@ -124,7 +124,7 @@
         )
         return TaskList(self._revision, statuses, history_ms)
 
-    async def renew(self, renewal: LeaseRenewal) -> None:
+    async def renew_leases(self, renewal: LeaseRenewal) -> None:
         """Renew the leases of running tasks; unknown tasks are ignored."""
         for task_id in renewal.task_ids:
             task = self._task_by_id.get(task_id)
@@ -143,7 +143,7 @@
         if action == 'stop':
             self._tombstones.add(task_id)
             if task is not None:
-                await self._end(task, STOPPED)
+                await self._end_task(task, STOPPED)
             return
         if task is None:
             raise WorkerError(f'no task {task_id}', Verdict.NOT_RUN)
@@ -153,21 +153,21 @@
     async def close(self) -> None:
         """Do nothing, as there is no connection."""
 
-    async def _run(self, task: MemoryTask) -> None:
+    async def _run_task(self, task: MemoryTask) -> None:
         duration = POLL_SECONDS / 4 if self.fails_all else task.seconds
         outcome = FAILED if self.fails_all or task.command_name == 'fail' else SUCCEEDED
         end_at = self._clock.monotonic() + duration
         while task.state == RUNNING:
             now = self._clock.monotonic()
             if task.lease_until < now:
-                await self._end(task, LAPSED)
+                await self._end_task(task, LAPSED)
             elif now >= end_at:
-                await self._end(task, outcome)
+                await self._end_task(task, outcome)
             else:
                 pause = min(POLL_SECONDS, end_at - now)
                 await curio.ignore_after(pause, task.ended.wait)
 
-    async def _end(self, task: MemoryTask, outcome: str) -> None:
+    async def _end_task(self, task: MemoryTask, outcome: str) -> None:
         if task.state != RUNNING:
             return
         task.state = ENDED
--- a/dandelionreel/backing/_resources.py
+++ b/dandelionreel/backing/_resources.py
@@ -64,13 +64,13 @@
     def dominant_share(self, total: 'Resources') -> float:
         """Return the largest fraction of ``total`` that any dimension takes up."""
         return max(
-            _fraction(self.processors, total.processors),
-            _fraction(self.memory_mb, total.memory_mb),
-            _fraction(self.accelerators, total.accelerators),
+            _fraction_of(self.processors, total.processors),
+            _fraction_of(self.memory_mb, total.memory_mb),
+            _fraction_of(self.accelerators, total.accelerators),
         )
 
 
-def _fraction(amount: float, total: float) -> float:
+def _fraction_of(amount: float, total: float) -> float:
     if total > 0:
         return amount / total
     return 0
--- a/dandelionreel/backing/_stream.py
+++ b/dandelionreel/backing/_stream.py
@@ -42,7 +42,7 @@
 
 
 class StreamReader:
-    """Passes the records of one stream to handlers in log order and tracks its freshness.
+    """Passes the records of one stream to handlers in log order and tracks how current it is.
 
     ``evidence_at`` is the monotonic time up to which all records are known to be read.
     """
@@ -64,8 +64,9 @@
         self.outage_seconds = 0.0
         self.read_seconds = 0.0
         self.truncations = 0
-        #: Offset at which reading began, and when the first record read was written.
+        #: Offset at which reading began.
         self._first_offset = 0
+        #: Unix time at which the record at that offset was written, ``None`` until it is read.
         self._first_written_at: float | None = None
         self.unreadable = 0
 
@@ -78,11 +79,11 @@
         """Return whether this record of that writer has been processed."""
         return self._last_by_writer.get(writer, -1) >= number
 
-    def covers_last(self, seconds: float) -> bool:
+    def covers_last_seconds(self, seconds: float) -> bool:
         """Return whether all records of the last ``seconds`` have been read.
 
-        Current facts are rewritten at fixed intervals, so a fact that is missing
-        from a longer section of the log is not in force.
+        Facts that still hold are written again at fixed intervals. A fact without a
+        record in a section of the log that is longer than this interval has ceased to hold.
         """
         if self._first_offset == 0:
             return True
@@ -96,7 +97,7 @@
             try:
                 await self.read_once(wait if self.caught_up else 0)
             except LogError:
-                self._record_outage()
+                self._record_outage_start()
                 await curio.sleep(READ_RETRY_SECONDS)
 
     async def read_once(self, wait: float) -> None:
@@ -107,21 +108,21 @@
         try:
             batch = await self._log.read(self.stream, self.offset, wait)
         except LogTruncatedError as error:
-            self._restart_from(error.first)
+            self._restart_reading_from(error.first)
             return
         if self._first_written_at is None and batch.reached_tail and not batch.records:
             self._first_written_at = self._clock.unix_time()
         if batch.tail < self.offset:
-            self._restart_from(0)
+            self._restart_reading_from(0)
             return
         for index, text in enumerate(batch.records):
-            self._process(text, batch.offset + index)
+            self._process_record(text, batch.offset + index)
         self.offset = batch.next_offset
         if batch.reached_tail:
             self._record_caught_up(requested_at)
         await self.changed.notify()
 
-    def _process(self, text: bytes, offset: int) -> None:
+    def _process_record(self, text: bytes, offset: int) -> None:
         try:
             envelope = msgspec.json.decode(text, type=Envelope)
         except msgspec.MsgspecError:
@@ -142,10 +143,10 @@
         for handler in self._handlers:
             handler(record, position)
 
-    def _restart_from(self, first: int) -> None:
-        # Unread records have expired, so the state built so far may be stale. Each
-        # current fact is rewritten within a third of the retention period, so the
-        # remaining records hold the whole state.
+    def _restart_reading_from(self, first: int) -> None:
+        # Records have expired before they were read, so the state built so far may be
+        # stale. Each fact that still holds is written again within a third of the
+        # retention period, so the remaining records contain the whole state.
         self.truncations += 1
         self.offset = first
         self._first_offset = first
@@ -164,7 +165,7 @@
             self.outage_seconds += now - self.outage_since
             self.outage_since = None
 
-    def _record_outage(self) -> None:
+    def _record_outage_start(self) -> None:
         if self.outage_since is None:
             self.outage_since = self._clock.monotonic()
 
@@ -278,7 +279,7 @@
             count = self._reader.changed.count
             for entry in group:
                 if self._reader.has_seen(self._writer, entry.number):
-                    self._remove(entry)
+                    self._remove_pending(entry)
                     await entry.done.set()
             remaining = [entry for entry in group if entry in self._pending]
             if not remaining or self._reader.evidence_at > since:
@@ -287,6 +288,6 @@
                 return
             await self._reader.changed.wait(count, WRITE_RETRY_SECONDS)
 
-    def _remove(self, entry: _PendingRecord) -> None:
+    def _remove_pending(self, entry: _PendingRecord) -> None:
         if entry in self._pending:
             self._pending.remove(entry)
--- a/dandelionreel/backing/_workers.py
+++ b/dandelionreel/backing/_workers.py
@@ -89,7 +89,7 @@
     """Starts, lists and stops tasks on one worker and renews their leases."""
 
     @abc.abstractmethod
-    async def start(
+    async def start_task(
         self,
         task_id: str,
         order: TaskOrder,
@@ -102,14 +102,14 @@
         """
 
     @abc.abstractmethod
-    async def tasks(self, after: int, wait: float) -> TaskList:
+    async def list_tasks(self, after: int, wait: float) -> TaskList:
         """Return the task list, waiting up to ``wait`` seconds for a revision above ``after``.
 
         If there is none in that time, the list is marked as ``unchanged``.
         """
 
     @abc.abstractmethod
-    async def renew(self, renewal: LeaseRenewal) -> None:
+    async def renew_leases(self, renewal: LeaseRenewal) -> None:
         """Renew the leases of running tasks; unknown tasks are ignored."""
 
     @abc.abstractmethod
@@ -134,7 +134,7 @@
         self._order_channel = Channel(entry.address, entry.port, 'workers')
         self._timeout = timeout
 
-    async def start(
+    async def start_task(
         self,
         task_id: str,
         order: TaskOrder,
@@ -143,37 +143,37 @@
     ) -> None:
         """Start a task under a lease; raises ``WorkerError``."""
         request = Request('PUT', f'/v1/tasks/{task_id}', body=msgspec.json.encode(order))
-        response = await self._exchange(self._order_channel, request, timeout, check)
+        response = await self._send_request(self._order_channel, request, timeout, check)
         if response.status not in {HTTP_OK, HTTP_CREATED}:
             raise WorkerError(
                 f'the worker refused the start (status {response.status})', Verdict.NOT_RUN
             )
 
-    async def tasks(self, after: int, wait: float) -> TaskList:
+    async def list_tasks(self, after: int, wait: float) -> TaskList:
         """Return the task list, waiting up to ``wait`` seconds for a change."""
         target = f'/v1/tasks?after={after}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}'
-        response = await self._exchange(
+        response = await self._send_request(
             self._watch_channel, Request('GET', target), self._timeout + wait
         )
         self._check_status(response)
         return msgspec.json.decode(response.body, type=TaskList)
 
-    async def renew(self, renewal: LeaseRenewal) -> None:
+    async def renew_leases(self, renewal: LeaseRenewal) -> None:
         """Renew the leases of running tasks; unknown tasks are ignored."""
         request = Request('POST', '/v1/leases', body=msgspec.json.encode(renewal))
-        self._check_status(await self._exchange(self._order_channel, request, self._timeout))
+        self._check_status(await self._send_request(self._order_channel, request, self._timeout))
 
     async def apply_action(self, task_id: str, action: str) -> None:
         """Stop, checkpoint or throttle a task."""
         request = Request('POST', f'/v1/tasks/{task_id}/{action}')
-        self._check_status(await self._exchange(self._order_channel, request, self._timeout))
+        self._check_status(await self._send_request(self._order_channel, request, self._timeout))
 
     async def close(self) -> None:
         """Close both connections."""
         await self._watch_channel.close()
         await self._order_channel.close()
 
-    async def _exchange(
+    async def _send_request(
         self,
         channel: Channel,
         request: Request,
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -5,7 +5,7 @@
 from dandelionreel.callers._relay import Relay
 from dandelionreel.http import Request, Response, json_response, problem_response
 from dandelionreel.jobs import CancelResult, JobApi, JobMover, MoveBody, zone_of_job
-from dandelionreel.kernel import RequestError, clip, not_run
+from dandelionreel.kernel import RequestError, clip_text, not_run_error
 from dandelionreel.life import Lifecycle
 from dandelionreel.peers import Forward, ForwardAnswer, Frame, Message, Refused
 from dandelionreel.routing import Router
@@ -49,7 +49,7 @@
         it no requests; any that arrive are refused with a retry delay.
         """
         if not self._lifecycle.knows_contracts():
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'not-ready',
                 'this daemon has not loaded the contracts in force yet',
@@ -83,7 +83,7 @@
             return await self._move(request)
         if path.startswith(f'{JOBS_PATH}/'):
             return await self._handle_job_by_id(request, hops)
-        raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{clip(path)} is not served here')
+        raise not_run_error(HTTP_NOT_FOUND, 'no-such-path', f'{clip_text(path)} is not served here')
 
     async def _submit(self, request: Request, hops: int) -> Response:
         zone = self._job_api.home_zone(request)
@@ -116,9 +116,9 @@
         try:
             body = msgspec.json.decode(request.body, type=MoveBody)
         except msgspec.MsgspecError as error:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if body.from_zone == body.to_zone:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-body', 'to_zone: must differ from from_zone')
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', 'to_zone: must differ from from_zone')
         self._relay.check_zone(body.from_zone)
         if body.to_zone != self._zone:
             return await self._relay.send(body.to_zone, request)
@@ -142,6 +142,6 @@
             if moved_to:
                 return await self._relay.send(moved_to, request)
             return self._job_api.show(job_id)
-        raise not_run(
+        raise not_run_error(
             HTTP_METHOD_NOT_ALLOWED, 'method', f'{request.method} is not served on {JOBS_PATH}/ID'
         )
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.http import Request, Response
 from dandelionreel.jobs import CancelBody, CancelResult
-from dandelionreel.kernel import Clock, Verdict, clip, not_run, outcome_unknown
+from dandelionreel.kernel import Clock, Verdict, clip_text, not_run_error, outcome_unknown_error
 from dandelionreel.peers import Forward, ForwardAnswer, PeerDirectory, PeerError, PeerState
 
 RELAY_TIMEOUT_SECONDS = 8.0
@@ -34,7 +34,7 @@
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN or request.method == 'GET':
                     continue
-                raise outcome_unknown(
+                raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'peer-silent',
                     f'{state.address.host} received the request and did not answer; '
@@ -42,7 +42,7 @@
                 ) from error
             if isinstance(frame.message, ForwardAnswer):
                 return frame.message.response
-        raise not_run(
+        raise not_run_error(
             HTTP_UNAVAILABLE,
             'zone-unreachable',
             f'zone {zone}, which stores this job, is unreachable',
@@ -52,8 +52,8 @@
     def check_zone(self, zone: str) -> None:
         """Raise ``RequestError`` for a zone that is not in the settings."""
         if zone not in self._zones:
-            raise not_run(
-                HTTP_NOT_FOUND, 'unknown-zone', f'zone {clip(zone)!r} is not in the settings'
+            raise not_run_error(
+                HTTP_NOT_FOUND, 'unknown-zone', f'zone {clip_text(zone)!r} is not in the settings'
             )
 
     async def cancel(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
@@ -65,7 +65,7 @@
         try:
             return msgspec.json.decode(response.body, type=CancelResult)
         except msgspec.MsgspecError as error:
-            raise outcome_unknown(
+            raise outcome_unknown_error(
                 response.status,
                 'zone-refused',
                 f'zone {zone} answered {response.status}',
--- a/dandelionreel/cli/_accounts.py
+++ b/dandelionreel/cli/_accounts.py
@@ -22,18 +22,20 @@
     :param host: the IP of any entry host, or IP:PORT of its metrics
     :param json: write JSON
     """
-    return lambda environment: _fetch(host).map(
+    return lambda environment: _fetch_accounts(host).map(
         lambda content: CommandResult(content, _write_accounts, json)
     )
 
 
-def _fetch(host: str) -> Result[Any, ToolError]:
+def _fetch_accounts(host: str) -> Result[Any, ToolError]:
     address = host if ':' in host else f'{host}:{METRICS_PORT}'
-    return get_json(address, PATH).bind(lambda content: _fetch_from_owner(address, content))
+    return get_json(address, PATH).bind(
+        lambda content: _fetch_accounts_from_owner(address, content)
+    )
 
 
-def _fetch_from_owner(address: str, content: Any) -> Result[Any, ToolError]:
-    """Return the owner's accounts; ``content`` itself if it is the owner's or there is none."""
+def _fetch_accounts_from_owner(address: str, content: Any) -> Result[Any, ToolError]:
+    """Return the owner's accounts; ``content`` if the owner sent it or there is no owner."""
     owner = content['owner_address']
     if content['owns'] or not owner:
         return Success(content)
--- a/dandelionreel/cli/_client.py
+++ b/dandelionreel/cli/_client.py
@@ -8,14 +8,14 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from dandelionreel.http import ExchangeError, ProblemDocument, Request, Response, fetch
+from dandelionreel.http import ExchangeError, ProblemDocument, Request, Response, fetch_response
 from dandelionreel.kernel import ExitStatus, Verdict
 
 TIMEOUT_SECONDS = 45.0
 HTTP_ERROR = 400
 
 
-class Port(enum.Enum):
+class DaemonPort(enum.Enum):
     """The port of a daemon that takes a request."""
 
     ADMIN = 'admin'
@@ -48,13 +48,17 @@
 
 def send_request(address: str, request: Request) -> Result[Response, ToolError]:
     """Return the response of the daemon at ``IP:PORT``."""
-    return split_address(address).bind(lambda host_and_port: _send(host_and_port, request))
+    return split_address(address).bind(
+        lambda host_and_port: _send_to_address(host_and_port, request)
+    )
 
 
-def _send(host_and_port: tuple[str, int], request: Request) -> Result[Response, ToolError]:
+def _send_to_address(
+    host_and_port: tuple[str, int], request: Request
+) -> Result[Response, ToolError]:
     host, port = host_and_port
     try:
-        response = curio.run(fetch, host, port, request, TIMEOUT_SECONDS)
+        response = curio.run(fetch_response, host, port, request, TIMEOUT_SECONDS)
     except ExchangeError as error:
         status = ExitStatus.UNKNOWN if error.sent else ExitStatus.UNREACHABLE
         hint = (
@@ -80,6 +84,6 @@
     return ToolError(f'{document.detail} ({document.verdict}){hint}', status)
 
 
-def decode(response: Response) -> Any:
+def decode_json(response: Response) -> Any:
     """Return the plain values of a JSON response."""
     return msgspec.json.decode(response.body)
--- a/dandelionreel/cli/_commands.py
+++ b/dandelionreel/cli/_commands.py
@@ -25,13 +25,13 @@
 from dandelionreel.cli._output import write_fields
 from dandelionreel.cli._review import review_jobs
 from dandelionreel.cli._shared import (
+    check_and_publish_contract,
+    check_and_submit_job,
     check_file,
     get_json,
-    make_page_command,
-    make_table,
+    make_fetch_command,
+    make_table_writer,
     post_json,
-    publish,
-    submit,
     write_contracts,
     write_jobs,
 )
@@ -82,7 +82,9 @@
     :param json: write JSON
     """
     return lambda environment: read_file(file).bind(
-        lambda text: publish(file, text, replaces, author or getpass.getuser(), admin, json),
+        lambda text: check_and_publish_contract(
+            file, text, replaces, author or getpass.getuser(), admin, json
+        ),
     )
 
 
@@ -107,7 +109,7 @@
     :param json: write JSON
     """
     return lambda environment: get_json(admin, f'/v1/contracts/{customer}').map(
-        lambda content: CommandResult(content['history'], make_table(HISTORY_COLUMNS), json),
+        lambda content: CommandResult(content['history'], make_table_writer(HISTORY_COLUMNS), json),
     )
 
 
@@ -126,7 +128,9 @@
     :param json: write JSON
     """
     return lambda environment: read_file(file).bind(
-        lambda text: submit(file, text, key or os.urandom(KEY_BYTES).hex(), callers, json),
+        lambda text: check_and_submit_job(
+            file, text, key or os.urandom(KEY_BYTES).hex(), callers, json
+        ),
     )
 
 
@@ -236,7 +240,7 @@
     :param admin: IP:PORT of the daemon's admin interface
     :param json: write JSON
     """
-    return make_page_command('/v1/status', write_fields, admin, json)
+    return make_fetch_command('/v1/status', write_fields, admin, json)
 
 
 def members(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -245,7 +249,7 @@
     :param admin: IP:PORT of some daemon's admin interface
     :param json: write JSON
     """
-    return make_page_command('/v1/members', make_table(MEMBER_COLUMNS), admin, json)
+    return make_fetch_command('/v1/members', make_table_writer(MEMBER_COLUMNS), admin, json)
 
 
 def shards(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -254,7 +258,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return make_page_command('/v1/shards', make_table(SHARD_COLUMNS), admin, json)
+    return make_fetch_command('/v1/shards', make_table_writer(SHARD_COLUMNS), admin, json)
 
 
 def workers(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -263,7 +267,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return make_page_command('/v1/workers', make_table(WORKER_COLUMNS), admin, json)
+    return make_fetch_command('/v1/workers', make_table_writer(WORKER_COLUMNS), admin, json)
 
 
 def endpoints(*, admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
@@ -272,7 +276,7 @@
     :param admin: IP:PORT of a daemon of the zone
     :param json: write JSON
     """
-    return make_page_command('/v1/endpoints', make_table(ENDPOINT_COLUMNS), admin, json)
+    return make_fetch_command('/v1/endpoints', make_table_writer(ENDPOINT_COLUMNS), admin, json)
 
 
 def drain(*, endpoint: str = '', admin: str = DEFAULT_ADMIN, json: bool = False) -> Command:
--- a/dandelionreel/cli/_explain.py
+++ b/dandelionreel/cli/_explain.py
@@ -15,7 +15,7 @@
 )
 from dandelionreel.cli._output import write_table
 from dandelionreel.kernel import Environment, ExitStatus
-from dandelionreel.records import Subject, SubjectError, explain, parse_subject, view_report
+from dandelionreel.records import Subject, SubjectError, explain_subject, parse_subject, view_report
 
 STDIN = '-'
 LINE_COLUMNS = ('at', 'host', 'told', 'task', 'run', 'epoch', 'text', 'more')
@@ -47,10 +47,10 @@
     :param files: the hosts' logs, in any order; - or none for standard input
     :param json: write JSON
     """
-    return lambda environment: _explain(job, files, environment, json)
+    return lambda environment: _explain_from_logs(job, files, environment, json)
 
 
-def _explain(
+def _explain_from_logs(
     text: str, files: tuple[Path, ...], environment: Environment, json: bool
 ) -> CommandOutcome:
     try:
@@ -58,15 +58,15 @@
     except SubjectError as error:
         return Failure(ToolError(f'{error}', ExitStatus.USAGE))
     try:
-        report = explain(subject, open_logs(files, environment))
+        report = explain_subject(subject, open_logs(files, environment))
     except OSError as error:
         return Failure(unreadable_file_error(error.filename or 'standard input', error))
     if report is None:
-        return Failure(_no_mention_error(subject))
+        return Failure(_not_in_logs_error(subject))
     return Success(CommandResult(view_report(report), _write_report, json))
 
 
-def _no_mention_error(subject: Subject) -> ToolError:
+def _not_in_logs_error(subject: Subject) -> ToolError:
     return ToolError(f'no line names {subject.name}; give the logs of all hosts', ExitStatus.ERROR)
 
 
--- a/dandelionreel/cli/_review.py
+++ b/dandelionreel/cli/_review.py
@@ -16,7 +16,7 @@
 from dandelionreel.cli._explain import open_logs
 from dandelionreel.cli._output import write_table
 from dandelionreel.kernel import Environment, ExitStatus
-from dandelionreel.records import review, view_review
+from dandelionreel.records import review_logs, view_review
 
 VERDICT_COLUMNS = ('in time', 'late', 'too late', 'refused', 'open', 'cancelled')
 MISSED_COLUMNS = ('late', 'too late', 'refused', 'open')
@@ -33,14 +33,14 @@
     :param jobs: list each job that was not in time
     :param json: write JSON, each job included
     """
-    return lambda environment: _review(files, environment, jobs, json)
+    return lambda environment: _review_logs(files, environment, jobs, json)
 
 
-def _review(
+def _review_logs(
     files: tuple[Path, ...], environment: Environment, jobs: bool, json: bool
 ) -> CommandOutcome:
     try:
-        review_result = review(open_logs(files, environment))
+        review_result = review_logs(open_logs(files, environment))
     except OSError as error:
         return Failure(unreadable_file_error(error.filename or 'standard input', error))
     if review_result is None:
--- a/dandelionreel/cli/_shared.py
+++ b/dandelionreel/cli/_shared.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from dandelionreel.admin import PublishBody
-from dandelionreel.cli._client import ToolError, decode, send_request
+from dandelionreel.cli._client import ToolError, decode_json, send_request
 from dandelionreel.cli._command_result import Command, CommandOutcome, CommandResult
 from dandelionreel.cli._options import JOB_COLUMNS
 from dandelionreel.cli._output import write_fields, write_table
@@ -36,7 +36,7 @@
     return Success(CommandResult(fields, write_fields, json))
 
 
-def publish(
+def check_and_publish_contract(
     file: Path,
     text: bytes,
     replaces: int,
@@ -55,7 +55,9 @@
     )
 
 
-def submit(file: Path, text: bytes, key: str, callers: str, json: bool) -> CommandOutcome:
+def check_and_submit_job(
+    file: Path, text: bytes, key: str, callers: str, json: bool
+) -> CommandOutcome:
     """Check a job and submit it."""
     try:
         load_spec(text)
@@ -64,22 +66,22 @@
     headers = (('idempotency-key', key), ('content-type', 'application/json'))
     request = Request('POST', '/v1/jobs', headers, text)
     return send_request(callers, request).map(
-        lambda response: CommandResult({**decode(response), 'key': key}, write_fields, json),
+        lambda response: CommandResult({**decode_json(response), 'key': key}, write_fields, json),
     )
 
 
 def get_json(address: str, path: str) -> Result[Any, ToolError]:
     """Return the decoded response of a daemon to a GET request."""
-    return send_request(address, Request('GET', path)).map(decode)
+    return send_request(address, Request('GET', path)).map(decode_json)
 
 
 def post_json(address: str, path: str, body: bytes) -> Result[Any, ToolError]:
     """Return the decoded response of a daemon to a POST request."""
     headers = (('content-type', 'application/json'),)
-    return send_request(address, Request('POST', path, headers, body)).map(decode)
+    return send_request(address, Request('POST', path, headers, body)).map(decode_json)
 
 
-def make_page_command(
+def make_fetch_command(
     path: str, write: Callable[[Any, Any], None], admin: str, json: bool
 ) -> Command:
     """Return the command that fetches a path of a daemon and shows it."""
@@ -88,7 +90,7 @@
     )
 
 
-def make_table(columns: tuple[str, ...]) -> Callable[[Any, Any], None]:
+def make_table_writer(columns: tuple[str, ...]) -> Callable[[Any, Any], None]:
     """Return a function that writes rows with these columns."""
     return lambda stream, content: write_table(stream, content, columns)
 
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -24,8 +24,8 @@
     RequestError,
     Settings,
     Verdict,
-    not_run,
-    outcome_unknown,
+    not_run_error,
+    outcome_unknown_error,
     zones_of,
 )
 from dandelionreel.ownership import Membership, member_keys
@@ -87,14 +87,14 @@
             raise _translate_log_error(error) from error
         outcome = await self._await_outcome(nonce)
         if outcome is None:
-            raise outcome_unknown(
+            raise outcome_unknown_error(
                 HTTP_TIMEOUT,
                 'contract-outcome-unknown',
                 'the proposal is in the log but its outcome was not read in time; '
                 'check the contract history',
             )
         if outcome.state != 'committed':
-            raise not_run(
+            raise not_run_error(
                 HTTP_CONFLICT,
                 f'contract-{outcome.state}',
                 f'version {contract.version} was not put in force: {outcome.detail}',
@@ -234,13 +234,13 @@
 
 def _translate_log_error(error: LogError) -> RequestError:
     if error.verdict is Verdict.NOT_RUN:
-        return not_run(
+        return not_run_error(
             HTTP_UNAVAILABLE,
             'log-unavailable',
             'the log is unavailable; nothing was published',
             retry_after=10,
         )
-    return outcome_unknown(
+    return outcome_unknown_error(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
         'the log did not confirm the proposal; check the contract history before publishing again',
--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -2,7 +2,7 @@
 
 from dandelionreel.contracts._contract_projection import ContractProjection
 from dandelionreel.contracts._document import Contract
-from dandelionreel.kernel import not_run
+from dandelionreel.kernel import not_run_error
 
 HTTP_FORBIDDEN = 403
 
@@ -11,13 +11,13 @@
     """Return the contract to enforce; raises ``RequestError`` if there is none for the class."""
     contract = contracts.effective(customer)
     if contract is None:
-        raise not_run(
+        raise not_run_error(
             HTTP_FORBIDDEN,
             'unknown-customer',
             f'no contract for customer {customer!r} is in force',
         )
     if contract.terms(task_class) is None:
-        raise not_run(
+        raise not_run_error(
             HTTP_FORBIDDEN,
             'class-not-in-contract',
             f'the contract of {customer} does not include class {task_class!r}',
--- a/dandelionreel/daemon.py
+++ b/dandelionreel/daemon.py
@@ -84,7 +84,7 @@
 ZONE_STREAM = 'zone.{0}'
 JOIN_WRITE_SECONDS = 5.0
 JOIN_RETRY_SECONDS = 1.0
-#: Checks per silence period for whether a liveness record must be written.
+#: How often per silence period the daemon checks whether to write a liveness record.
 ALIVE_CHECKS_PER_PERIOD = 8
 INCARNATION_BYTES = 3
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -94,7 +94,7 @@
 ZoneRecord = MembershipRecord | ShardRecord | JobRecord | RequestRecord
 
 
-class DispatchShard(ShardUser):
+class DispatchShardUser(ShardUser):
     """Requests the zone's dispatch shard, so that some daemon always owns it."""
 
     def wanted_shards(self) -> tuple[str, ...]:
@@ -102,7 +102,7 @@
         return (DISPATCH_SHARD,)
 
     async def prepare_release(self, shard: str) -> bool:
-        """Return True: orders carry epoch and age, so a release need not wait for pending ones."""
+        """Return True: orders have epoch and age, so a release need not wait for pending orders."""
         return True
 
 
@@ -123,7 +123,7 @@
         self._build_platform()
         self._build_ownership()
         self._build_contracts()
-        self._build_requests()
+        self._build_request_routing()
         self._build_jobs()
         self._build_apis()
 
@@ -132,8 +132,8 @@
         self._journal.open()
         try:
             async with AsyncExitStack() as stack:
-                await self._start(stack)
-                await self._serve(stack)
+                await self._start_components(stack)
+                await self._serve_until_stopped(stack)
         finally:
             self._journal.close()
         return ExitStatus.ERROR if self._was_declared_ended() else ExitStatus.SUCCESS
@@ -161,10 +161,10 @@
         self._cell_reader = StreamReader(self._log, CELL_STREAM, self._clock, CellRecord)
         zone_stream = ZONE_STREAM.format(self._settings.availability_zone)
         self._zone_reader = StreamReader(self._log, zone_stream, self._clock, ZoneRecord)
-        self._cell_writer = self._make_writer(self._cell_reader)
-        self._zone_writer = self._make_writer(self._zone_reader)
+        self._cell_writer = self._make_stream_writer(self._cell_reader)
+        self._zone_writer = self._make_stream_writer(self._zone_reader)
 
-    def _make_writer(self, reader: StreamReader) -> StreamWriter:
+    def _make_stream_writer(self, reader: StreamReader) -> StreamWriter:
         return StreamWriter(
             self._log,
             reader,
@@ -251,7 +251,7 @@
             self._journal,
         )
 
-    def _build_requests(self) -> None:
+    def _build_request_routing(self) -> None:
         self._metrics = DaemonMetrics(self._traffic)
         self._keys = KeyProjection()
         self._zone_reader.add_handler(self._keys.apply, self._keys.reset)
@@ -340,7 +340,7 @@
             self._journal,
         )
         self._fleet.register_report_handler(self._dispatcher.handle_report)
-        for user in (self._fleet, self._pool, DispatchShard()):
+        for user in (self._fleet, self._pool, DispatchShardUser()):
             self._claimer.add_user(user)
 
     def _build_apis(self) -> None:
@@ -415,12 +415,12 @@
         server.add_handler(Forward, caller_api.answer_forward)
         server.add_handler(PlaceOrder, self._fleet.answer_place)
         server.add_handler(TaskAction, self._fleet.answer_action)
-        server.add_handler(WorkerReport, self._answer_report)
+        server.add_handler(WorkerReport, self._answer_worker_report)
         server.add_handler(ContractsWanted, self._publisher.answer_query)
 
     # Running.
 
-    async def _start(self, stack: AsyncExitStack) -> None:
+    async def _start_components(self, stack: AsyncExitStack) -> None:
         settings = self._settings
         # Listen before joining: peers take a refused connection as proof that a
         # member has ended, which holds only if every member listens.
@@ -443,7 +443,7 @@
         await start_task(stack, self._zone_reader.run, wait)
         await start_task(stack, self._cell_writer.run)
         await start_task(stack, self._zone_writer.run)
-        await start_task(stack, self._join)
+        await start_task(stack, self._write_join_records)
         await start_task(stack, self._peer_monitor.run, stack)
         await start_task(
             stack,
@@ -473,7 +473,7 @@
     async def _handle_stop_signal(self, number: int) -> None:
         await self._lifecycle.request_stop()
 
-    async def _serve(self, stack: AsyncExitStack) -> None:
+    async def _serve_until_stopped(self, stack: AsyncExitStack) -> None:
         await start_task(stack, await watch_signals(stack, STOP_SIGNALS, self._handle_stop_signal))
         while not self._lifecycle.stopping and not self._was_declared_ended():
             await curio.ignore_after(0.5, self._lifecycle.stop_requested.wait)
@@ -499,7 +499,7 @@
             self.own_member
         )
 
-    async def _join(self) -> None:
+    async def _write_join_records(self) -> None:
         """Write the join record to both streams, again after each third of the retention."""
         settings = self._settings
         advertised = settings.peers_advertised
@@ -513,15 +513,15 @@
         rejoin_after = settings.timings.retention / 3
         while True:
             for writer in (self._zone_writer, self._cell_writer):
-                await _write_until_done(writer, joined)
+                await _write_join_record(writer, joined)
             self._journal.log(Part.OWNERSHIP, f'joined as {self.own_member}.')
             await self._write_alive_records(rejoin_after)
 
     async def _write_alive_records(self, seconds: float) -> None:
         """Write liveness records while no message arrives from some monitored peer.
 
-        Only the link to that peer may be cut; without these records it would
-        take over shards whose owner is still running.
+        The network may be cut between this daemon and that peer only; without these
+        records the peer would take over shards whose owner is still running.
         """
         period = self._settings.timings.silent_after
         until = self._clock.monotonic() + seconds
@@ -569,7 +569,7 @@
         if state.gossip.service_slots:
             await self._pool.changed.notify()
 
-    async def _answer_report(self, frame: Frame) -> Message:
+    async def _answer_worker_report(self, frame: Frame) -> Message:
         report = frame.message
         if not isinstance(report, WorkerReport):
             return Refused('not a report')
@@ -579,7 +579,7 @@
         return Done()
 
 
-async def _write_until_done(writer: StreamWriter, joined: Joined) -> None:
+async def _write_join_record(writer: StreamWriter, joined: Joined) -> None:
     while True:
         try:
             await writer.write(joined, JOIN_WRITE_SECONDS)
--- a/dandelionreel/http/__init__.py
+++ b/dandelionreel/http/__init__.py
@@ -8,7 +8,7 @@
     RefusedError,
     SendForbiddenError,
     control_bytes_by_kind,
-    fetch,
+    fetch_response,
 )
 from dandelionreel.http._messages import (
     JSON_TYPE,
@@ -53,7 +53,7 @@
     'ServerLimits',
     'connect',
     'control_bytes_by_kind',
-    'fetch',
+    'fetch_response',
     'json_response',
     'listen',
     'problem_response',
--- a/dandelionreel/http/_client.py
+++ b/dandelionreel/http/_client.py
@@ -10,7 +10,7 @@
 from dandelionreel.http._sockets import connect, shut_down
 
 READ_SIZE = 65_536
-#: Called right before a request is sent; returns whether it may be.
+#: Called right before a request is sent; returns whether the request may be sent.
 SendCheck = Callable[[], bool]
 HOP_BY_HOP_HEADERS = frozenset(
     ('connection', 'keep-alive', 'transfer-encoding', 'content-length', 'te')
@@ -78,10 +78,10 @@
         including cancellation, so that a late response cannot be taken for that of
         another request.
         """
-        progress = _Progress()
+        progress = _SendProgress()
         try:
             async with curio.timeout_after(timeout):
-                response = await self._exchange(request, progress, check)
+                response = await self._send_and_receive(request, progress, check)
         except curio.TaskTimeout as error:
             await self.close()
             raise ExchangeError('no answer in time', sent=progress.sent) from error
@@ -115,10 +115,10 @@
         if self._sock is not None:
             await shut_down(self._sock)
 
-    async def _exchange(
+    async def _send_and_receive(
         self,
         request: Request,
-        progress: '_Progress',
+        progress: '_SendProgress',
         check: SendCheck | None,
     ) -> Response:
         headers = [('host', f'{self._address}:{self._port}')]
@@ -132,11 +132,11 @@
         if check is not None and not check():
             raise SendForbiddenError('the authority to send this request has expired', sent=False)
         progress.sent = True
-        self._count(len(payload))
+        self._count_bytes(len(payload))
         await self._sock.sendall(payload)
         return await self._read_response()
 
-    def _count(self, size: int) -> None:
+    def _count_bytes(self, size: int) -> None:
         if self._kind:
             former_total = control_bytes_by_kind.get(self._kind, 0)
             control_bytes_by_kind[self._kind] = former_total + size
@@ -149,7 +149,7 @@
             event = self._http.next_event()
             if event is h11.NEED_DATA:
                 received = await self._sock.recv(READ_SIZE)
-                self._count(len(received))
+                self._count_bytes(len(received))
                 self._http.receive_data(received)
                 continue
             if isinstance(event, h11.InformationalResponse):
@@ -169,7 +169,7 @@
 
 
 class RefusedError(ExchangeError):
-    """No process listens at that address, so the one that did has ended."""
+    """No process listens at the address, so the process that listened there has ended."""
 
 
 class ConnectionBrokenError(ExchangeError):
@@ -180,10 +180,10 @@
 
 
 class SendForbiddenError(ExchangeError):
-    """The request was not sent, as its ``check`` failed: the right to send it had ended."""
+    """The request was not sent, as its ``check`` says that the caller may no longer send it."""
 
 
-class _Progress:
+class _SendProgress:
     """Whether any byte of the current exchange may have been sent."""
 
     def __init__(self) -> None:
@@ -200,7 +200,7 @@
     return tuple((name.decode('latin-1'), content.decode('latin-1')) for name, content in raw)
 
 
-async def fetch(
+async def fetch_response(
     address: str,
     port: int,
     request: Request,
@@ -217,7 +217,7 @@
 
 
 #: Called with each new connection before its first request; raises to reject it.
-CheckPeer = Callable[[Connection], Awaitable[None]]
+PeerCheck = Callable[[Connection], Awaitable[None]]
 
 
 async def _accept_any_peer(connection: Connection) -> None:
@@ -236,7 +236,7 @@
         port: int,
         kind: str = '',
         answer_bytes: int = 16_777_216,
-        check_peer: CheckPeer = _accept_any_peer,
+        check_peer: PeerCheck = _accept_any_peer,
     ) -> None:
         """Set the server's address; count traffic under ``kind``.
 
@@ -268,7 +268,7 @@
         except curio.TaskTimeout as error:
             raise ExchangeError('other requests kept the connection busy', sent=False) from error
         try:
-            return await self._exchange(request, timeout, check)
+            return await self._exchange_once(request, timeout, check)
         finally:
             if self._closed:
                 await self._connection.close()
@@ -282,26 +282,26 @@
         else:
             await self._connection.close()
 
-    async def _exchange(
+    async def _exchange_once(
         self, request: Request, timeout: float, check: SendCheck | None
     ) -> Response:
         reused = self._connection.is_open
         if not reused:
-            await self._open(timeout)
+            await self._open_connection(timeout)
         try:
             return await self._connection.exchange(request, timeout, check)
         except ExchangeError:
             if not reused or request.method != 'GET':
                 raise
-        await self._open(timeout)
+        await self._open_connection(timeout)
         return await self._connection.exchange(request, timeout, check)
 
-    async def _open(self, timeout: float) -> None:
+    async def _open_connection(self, timeout: float) -> None:
         await self._connection.open(timeout, timeout)
         try:
             await self._check_peer(self._connection)
         except ExchangeError as error:
-            # The bytes that were sent belong to the check, not to the request.
+            # Only bytes of the peer check may have been sent, none of the request.
             error.sent = False
             raise
         except BaseException:
--- a/dandelionreel/http/_server.py
+++ b/dandelionreel/http/_server.py
@@ -76,28 +76,28 @@
         sock = listen(address, port)
         stack.push_async_callback(sock.close)
         self.port = sock.getsockname()[1]
-        stack.push_async_callback(self._cancel_all)
-        await start_task(stack, self._accept, sock)
+        stack.push_async_callback(self._cancel_tasks)
+        await start_task(stack, self._accept_connections, sock)
 
     def disable_keep_alive(self) -> None:
         """Close each connection after its current response from now on."""
         self._keep_alive_disabled = True
 
-    async def _accept(self, sock: Any) -> None:
+    async def _accept_connections(self, sock: Any) -> None:
         while True:
             client, _ = await sock.accept()
             if self._open_connections >= self._limits.connections:
                 await client.close()
                 continue
             self._open_connections += 1
-            task = await curio.spawn(self._serve, client, daemon=True)
+            task = await curio.spawn(self._serve_connection, client, daemon=True)
             self._tasks.add(task)
 
-    async def _cancel_all(self) -> None:
+    async def _cancel_tasks(self) -> None:
         for task in tuple(self._tasks):
             await task.cancel()
 
-    async def _serve(self, client: Any) -> None:
+    async def _serve_connection(self, client: Any) -> None:
         http = h11.Connection(
             h11.SERVER,
             max_incomplete_event_size=self._limits.header_bytes,
@@ -131,7 +131,7 @@
                 return
             self.requests_in_progress += 1
             try:
-                response = await self._handle(request)
+                response = await self._handle_request(request)
                 await self._send_response(client, http, response)
             finally:
                 self.requests_in_progress -= 1
@@ -139,7 +139,7 @@
                 return
             http.start_next_cycle()
 
-    async def _handle(self, request: Request) -> Response:
+    async def _handle_request(self, request: Request) -> Response:
         try:
             return await self._handler(request)
         except RequestError as error:
@@ -160,15 +160,15 @@
 
     async def _read_request(self, client: Any, http: Any) -> Request | None:
         """Return the next complete request, ``None`` if the client closed the connection."""
-        first = await self._read_head(client, http)
+        first = await self._read_request_head(client, http)
         if not isinstance(first, h11.Request):
             return None
         headers = _decode_headers(first.headers)
-        self._check_head(headers)
+        self._check_request_headers(headers)
         body = bytearray()
         try:
             async with curio.timeout_after(self._limits.read_seconds):
-                await self._read_body(client, http, body)
+                await self._read_request_body(client, http, body)
         except curio.TaskTimeout as error:
             raise BadMessage(HTTP_TIMEOUT, 'slow-sender', 'the body took too long') from error
         return Request(
@@ -178,10 +178,10 @@
             bytes(body),
         )
 
-    async def _read_head(self, client: Any, http: Any) -> Any:
+    async def _read_request_head(self, client: Any, http: Any) -> Any:
         # An idle connection may wait for its next request for ``idle_seconds``. Once a
         # request has begun, each read has ``read_seconds``, so that a client that stops
-        # within the head cannot hold the connection forever.
+        # in the middle of its headers cannot keep the connection forever.
         started = False
         while True:
             event = http.next_event()
@@ -196,7 +196,7 @@
             started = True
             http.receive_data(received)
 
-    async def _read_body(self, client: Any, http: Any, body: bytearray) -> None:
+    async def _read_request_body(self, client: Any, http: Any, body: bytearray) -> None:
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
@@ -216,7 +216,7 @@
                 continue
             return
 
-    def _check_head(self, headers: Headers) -> None:
+    def _check_request_headers(self, headers: Headers) -> None:
         lengths = [content for name, content in headers if name == 'content-length']
         if lengths and int(lengths[0]) > self._limits.body_bytes:
             raise BadMessage(
--- a/dandelionreel/http/_sockets.py
+++ b/dandelionreel/http/_sockets.py
@@ -23,12 +23,13 @@
 async def connect(address: str, port: int, user_timeout: float) -> Any:
     """Open a connection that fails if sent data is unacknowledged for ``user_timeout`` seconds.
 
-    Otherwise the kernel would retransmit for minutes, and a start that was sent before a network
-    partition could arrive after it, when another owner may have filled the worker.
+    Otherwise the kernel would retransmit for minutes, and an order to start a task that was sent
+    before a network partition could arrive after the partition, when another owner may have
+    filled the worker.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        _set_options(sock, user_timeout)
+        _set_socket_options(sock, user_timeout)
         if _OutgoingAddress.address:
             sock.bind((_OutgoingAddress.address, 0))
         await sock.connect((address, port))
@@ -50,7 +51,7 @@
         await sock.shutdown(std_socket.SHUT_RDWR)
 
 
-def _set_options(sock: Any, user_timeout: float) -> None:
+def _set_socket_options(sock: Any, user_timeout: float) -> None:
     sock.setsockopt(std_socket.IPPROTO_TCP, std_socket.TCP_NODELAY, 1)
     sock.setsockopt(
         std_socket.IPPROTO_TCP,
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -26,9 +26,9 @@
     RequestError,
     Settings,
     Verdict,
-    clip,
-    not_run,
-    outcome_unknown,
+    clip_text,
+    not_run_error,
+    outcome_unknown_error,
     zones_of,
 )
 from dandelionreel.ownership import choose_owner
@@ -105,7 +105,7 @@
             self._check_admission(spec)
             known = await self._accept(spec, key, digest)
         if known.digest != digest:
-            raise not_run(
+            raise not_run_error(
                 HTTP_INVALID,
                 'key-reused',
                 f'this idempotency key was used for job {known.id}, whose spec differs',
@@ -125,11 +125,11 @@
         """Return a page of jobs, filtered by customer and state."""
         query = request.query_by_name
         text = query.get('limit', str(DEFAULT_PAGE_SIZE))
-        if not text.isdecimal() or not 1 <= int(clip(text)) <= MAX_PAGE_SIZE:
-            raise not_run(
+        if not text.isdecimal() or not 1 <= int(clip_text(text)) <= MAX_PAGE_SIZE:
+            raise not_run_error(
                 HTTP_BAD_REQUEST,
                 'bad-query',
-                f'limit: {clip(text)!r} is not allowed; give 1 to {MAX_PAGE_SIZE}',
+                f'limit: {clip_text(text)!r} is not allowed; give 1 to {MAX_PAGE_SIZE}',
             )
         limit = int(text)
         jobs = self._jobs.page(
@@ -146,9 +146,9 @@
         try:
             body = msgspec.json.decode(request.body, type=CancelBody)
         except msgspec.MsgspecError as error:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if not 1 <= len(body.jobs) <= MAX_CANCELLED_JOBS:
-            raise not_run(
+            raise not_run_error(
                 HTTP_BAD_REQUEST,
                 'bad-body',
                 f'jobs: has {len(body.jobs)} ids; give 1 to {MAX_CANCELLED_JOBS}',
@@ -170,15 +170,15 @@
         try:
             body = msgspec.json.decode(request.body, type=ResolveBody)
         except msgspec.MsgspecError as error:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if body.outcome not in {'ran', 'not_run'}:
-            raise not_run(
+            raise not_run_error(
                 HTTP_BAD_REQUEST,
                 'bad-body',
-                f'outcome: {clip(body.outcome)!r} is not allowed; give ran or not_run',
+                f'outcome: {clip_text(body.outcome)!r} is not allowed; give ran or not_run',
             )
         if job.state not in RESOLVABLE_STATES:
-            raise not_run(
+            raise not_run_error(
                 HTTP_CONFLICT,
                 'job-not-open',
                 f'job {job_id} is {job.state.value}; only uncertain or parked jobs can be resolved',
@@ -192,7 +192,7 @@
         # Another daemon may have accepted a job with the same key first.
         job = self._jobs.find_by_key(spec.customer, key)
         if job is None:
-            raise outcome_unknown(
+            raise outcome_unknown_error(
                 HTTP_TIMEOUT,
                 'job-not-read-back',
                 'the job may be stored; retry with the same idempotency key',
@@ -207,7 +207,7 @@
 
     async def _write(self, record: msgspec.Struct) -> None:
         if self._reader.outage_since is not None:
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'log-unavailable',
                 'the log is unreachable; the request was not stored',
@@ -222,12 +222,14 @@
         try:
             return load_spec(request.body)
         except JobSpecError as error:
-            raise not_run(HTTP_BAD_REQUEST, 'bad-job', f'{error}') from error
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-job', f'{error}') from error
 
     def _find(self, job_id: str) -> Job:
         job = self._jobs.get(job_id)
         if job is None:
-            raise not_run(HTTP_NOT_FOUND, 'unknown-job', f'job {clip(job_id)!r} is unknown')
+            raise not_run_error(
+                HTTP_NOT_FOUND, 'unknown-job', f'job {clip_text(job_id)!r} is unknown'
+            )
         return job
 
     def _check_key_not_of_ended_job(self, customer: str, key: str) -> None:
@@ -247,14 +249,14 @@
         contract = require_contract(self._contracts, spec.customer, spec.task_class)
         total = spec.resources.times(spec.tasks)
         if not total.fits(contract.quota.resources()):
-            raise not_run(
+            raise not_run_error(
                 HTTP_INVALID,
                 'above-quota',
                 f'demand: {total} exceeds the quota of {spec.customer}, '
                 f'{contract.quota.resources()}; the job could never run',
             )
         if self._jobs.count_live(spec.customer) >= contract.jobs_waiting:
-            raise not_run(
+            raise not_run_error(
                 HTTP_TOO_MANY,
                 'too-many-jobs',
                 f'{spec.customer} already has {contract.jobs_waiting} jobs in this zone',
@@ -273,7 +275,7 @@
         if capacity_in_tasks >= spec.tasks:
             return
         largest = max(workers, key=_by_processors).capacity
-        raise not_run(
+        raise not_run_error(
             HTTP_INVALID,
             'never-fits',
             f'demand: {spec.tasks} times {spec.resources} does not fit on the workers of the zone, '
@@ -287,13 +289,13 @@
 
 def _translate_log_error(error: LogError) -> RequestError:
     if error.verdict is Verdict.NOT_RUN:
-        return not_run(
+        return not_run_error(
             HTTP_UNAVAILABLE,
             'log-unavailable',
             'the log is unreachable; the request was not stored',
             RETRY_AFTER_SECONDS,
         )
-    return outcome_unknown(
+    return outcome_unknown_error(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
         'the log did not confirm the write in time; retry with the same idempotency key',
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -19,8 +19,8 @@
     Part,
     RequestError,
     Settings,
-    not_run,
-    outcome_unknown,
+    not_run_error,
+    outcome_unknown_error,
     start_task,
 )
 from dandelionreel.ownership import Membership, ShardProjection
@@ -110,7 +110,7 @@
             try:
                 return await self._move(remote, zone)
             except LogError as error:
-                raise outcome_unknown(
+                raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'log-outcome-unknown',
                     f'{error}; repeat the move, no job is lost or duplicated',
@@ -143,7 +143,7 @@
 
 
 def _log_unavailable() -> RequestError:
-    return not_run(
+    return not_run_error(
         HTTP_UNAVAILABLE,
         'log-unavailable',
         'the log is unreachable; no job was moved',
--- a/dandelionreel/kernel/__init__.py
+++ b/dandelionreel/kernel/__init__.py
@@ -5,7 +5,7 @@
 from dandelionreel.kernel._exit_status import ExitStatus
 from dandelionreel.kernel._journal import Journal, Part, seconds_or_none
 from dandelionreel.kernel._log_stream import LogStream
-from dandelionreel.kernel._registry import PluginKind, Registry, UnknownPlugin, plugins
+from dandelionreel.kernel._registry import PluginKind, PluginRegistry, UnknownPlugin, plugins
 from dandelionreel.kernel._settings import (
     Endpoint,
     Limits,
@@ -20,13 +20,13 @@
 )
 from dandelionreel.kernel._signals import watch_signals
 from dandelionreel.kernel._tasks import ChangeNotifier, start_task
-from dandelionreel.kernel._text import clip
+from dandelionreel.kernel._text import clip_text
 from dandelionreel.kernel._verdict import (
     Problem,
     RequestError,
     Verdict,
-    not_run,
-    outcome_unknown,
+    not_run_error,
+    outcome_unknown_error,
 )
 
 __all__ = (
@@ -44,7 +44,7 @@
     'Platform',
     'PluginKind',
     'Problem',
-    'Registry',
+    'PluginRegistry',
     'RequestError',
     'Settings',
     'SettingsError',
@@ -53,13 +53,13 @@
     'Timings',
     'UnknownPlugin',
     'Verdict',
-    'clip',
+    'clip_text',
     'load_settings',
-    'not_run',
+    'not_run_error',
     'plugins',
     'seconds_or_none',
     'start_task',
-    'outcome_unknown',
+    'outcome_unknown_error',
     'watch_signals',
     'zones_of',
 )
--- a/dandelionreel/kernel/_clock.py
+++ b/dandelionreel/kernel/_clock.py
@@ -20,8 +20,8 @@
     """The clock of this host.
 
     ``CLOCK_BOOTTIME`` includes the time that a virtual machine was suspended.
-    ``CLOCK_MONOTONIC`` does not: an owner that was suspended would still take its
-    authority for valid.
+    ``CLOCK_MONOTONIC`` does not: after a suspension, an owner would wrongly consider its
+    authority still valid.
     """
 
     def monotonic(self) -> float:
--- a/dandelionreel/kernel/_journal.py
+++ b/dandelionreel/kernel/_journal.py
@@ -29,7 +29,7 @@
 def seconds_or_none(seconds: float) -> float | None:
     """Return a duration for a log line, rounded to milliseconds; ``None`` if it is infinite.
 
-    JSON cannot express infinity, so a line that has it could not be parsed.
+    JSON cannot express infinity, so a line that contains it could not be parsed.
     """
     return round(seconds, 3) if math.isfinite(seconds) else None
 
--- a/dandelionreel/kernel/_log_stream.py
+++ b/dandelionreel/kernel/_log_stream.py
@@ -24,21 +24,21 @@
 
     def write(self, line: bytes) -> int:
         """Write or buffer a line; drop it if the buffer is full."""
-        self._drain()
+        self._write_pending()
         if self._pending_bytes + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             return 0
         if line:
             self._pending.append(line)
             self._pending_bytes += len(line)
-            self._drain()
+            self._write_pending()
         return len(line)
 
     def flush(self) -> None:
         """Write as much of the buffer as possible without blocking."""
-        self._drain()
+        self._write_pending()
 
-    def _drain(self) -> None:
+    def _write_pending(self) -> None:
         while self._pending:
             line = self._pending[0]
             try:
--- a/dandelionreel/kernel/_registry.py
+++ b/dandelionreel/kernel/_registry.py
@@ -21,7 +21,7 @@
     """No plug-in of that kind is registered under that name."""
 
 
-class Registry:
+class PluginRegistry:
     """Factories of plug-ins by kind and name."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
 
         return register_factory
 
-    def names(self, kind: PluginKind) -> tuple[str, ...]:
+    def plugin_names(self, kind: PluginKind) -> tuple[str, ...]:
         """Return the sorted names of the plug-ins of a kind."""
         found = [name for known, name in self._factory_by_name if known is kind]
         return tuple(sorted(found))
@@ -46,10 +46,10 @@
         """Create an instance of the named plug-in; raises ``UnknownPlugin``."""
         factory = self._factory_by_name.get((kind, name))
         if factory is None:
-            allowed = ', '.join(self.names(kind))
+            allowed = ', '.join(self.plugin_names(kind))
             raise UnknownPlugin(f'no {kind.value} plug-in {name!r}; known: {allowed}')
         return factory(*args, **options)
 
 
 #: The registry of this process, for built-in and third-party plug-ins.
-plugins = Registry()
+plugins = PluginRegistry()
--- a/dandelionreel/kernel/_signals.py
+++ b/dandelionreel/kernel/_signals.py
@@ -30,7 +30,7 @@
     stack.callback(writer.close)
     stack.callback(signal.set_wakeup_fd, signal.set_wakeup_fd(writer.fileno()))
     for number in numbers:
-        stack.callback(signal.signal, number, signal.signal(number, _ignore))
+        stack.callback(signal.signal, number, signal.signal(number, _ignore_signal))
 
     async def watch() -> None:
         received = await receiver.recv(SIGNAL_BYTES)
@@ -43,5 +43,5 @@
     return watch
 
 
-def _ignore(number: int, frame: Any) -> None:
+def _ignore_signal(number: int, frame: Any) -> None:
     """Override the default action; the signal is reported by the wake-up descriptor."""
--- a/dandelionreel/kernel/_tasks.py
+++ b/dandelionreel/kernel/_tasks.py
@@ -16,12 +16,12 @@
     *args: Any,
 ) -> Any:
     """Run ``work`` in the background until ``stack`` closes; return its task."""
-    task = await curio.spawn(_supervise, work, args, daemon=True)
+    task = await curio.spawn(_supervise_task, work, args, daemon=True)
     stack.push_async_callback(task.cancel)
     return task
 
 
-async def _supervise(work: Callable[..., Awaitable[None]], args: tuple[Any, ...]) -> None:
+async def _supervise_task(work: Callable[..., Awaitable[None]], args: tuple[Any, ...]) -> None:
     """Run ``work`` and restart it after an unexpected exception.
 
     Each background loop reads the whole state in every iteration, so a restarted
--- a/dandelionreel/kernel/_text.py
+++ b/dandelionreel/kernel/_text.py
@@ -3,6 +3,6 @@
 MAX_CHARACTERS = 64
 
 
-def clip(text: str) -> str:
+def clip_text(text: str) -> str:
     """Return the first ``MAX_CHARACTERS`` characters of a text from outside."""
     return text[:MAX_CHARACTERS]
--- a/dandelionreel/kernel/_verdict.py
+++ b/dandelionreel/kernel/_verdict.py
@@ -36,7 +36,7 @@
         self.problem = problem
 
 
-def not_run(
+def not_run_error(
     status: int,
     cause: str,
     detail: str,
@@ -46,6 +46,6 @@
     return RequestError(Problem(Verdict.NOT_RUN, status, cause, detail, retry_after))
 
 
-def outcome_unknown(status: int, cause: str, detail: str) -> RequestError:
+def outcome_unknown_error(status: int, cause: str, detail: str) -> RequestError:
     """Return an error for a request that may or may not have been executed."""
     return RequestError(Problem(Verdict.UNKNOWN, status, cause, detail))
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -35,11 +35,11 @@
         self.stopping = False
         self.drain_skipped = False
         self.stop_requested = curio.Event()
-        #: Set once a peer has gossiped the same contracts as known here.
+        #: Set once the gossip of a peer shows the same contracts as this daemon knows.
         self.peer_contracts_match = False
 
     def reasons_not_ready(self) -> tuple[str, ...]:
-        """Return why the load balancer should send no requests here, empty if it may."""
+        """Return why the load balancer should send no requests, empty if it may send them."""
         reasons = []
         if self.stopping:
             reasons.append('stopping')
@@ -70,9 +70,9 @@
         own_member: str,
         finish_connections: Callable[[], None],
     ) -> None:
-        """Shut down: turn unready, wait for the balancer, hand over shards, finish, leave.
+        """Report not ready, hand over all shards, finish the requests and write leave records.
 
-        Once the balancer must have noticed, ``finish_connections`` makes each
+        Once the load balancer must have noticed, ``finish_connections`` makes each
         answer close its connection, so that no caller sends a request on a
         connection that ends with this process.
         """
@@ -86,10 +86,10 @@
             if not in_flight.count() and not claimer.owned_claims():
                 break
             await curio.sleep(POLL_SECONDS)
-        await self._leave(claimer, zone_writer, cell_writer, own_member)
+        await self._write_leave_records(claimer, zone_writer, cell_writer, own_member)
         self._journal.log(Part.LIFE, 'has stopped.')
 
-    async def _leave(
+    async def _write_leave_records(
         self,
         claimer: ShardClaimer,
         zone_writer: StreamWriter,
--- a/dandelionreel/metrics.py
+++ b/dandelionreel/metrics.py
@@ -84,12 +84,12 @@
         for state in JobState:
             self._jobs.labels(state.value).set(jobs.count(state))
         self._decisions.set(planner.decision_count)
-        self._set_use(planner)
+        self._set_resource_use(planner)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self._cpu_seconds.set(usage.ru_utime + usage.ru_stime)
         self._resident_bytes.set(resident_bytes())
 
-    def _set_use(self, planner: Planner) -> None:
+    def _set_resource_use(self, planner: Planner) -> None:
         used = planner.cell.usage.total()
         total = planner.cell.total
         for name, used_amount, total_amount in (
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -144,7 +144,7 @@
             return False
         # A log that was truncated recently may lack the claims of shards that
         # have owners; the owners restate their claims within this time.
-        if not self._reader.covers_last(self._restated_within):
+        if not self._reader.covers_last_seconds(self._restated_within):
             return False
         for member in self._membership.live(self._zone):
             if member.key == self._own_member:
--- a/dandelionreel/peers/_cell_messages.py
+++ b/dandelionreel/peers/_cell_messages.py
@@ -22,9 +22,10 @@
 
 @dataclass(frozen=True)
 class AdviceGiven:
-    """Advice of the policy service: permitted runners, each with its ticket.
+    """Advice of the policy service: permitted runners, each with a ticket for the start there.
 
-    ``answered`` is False if the service gave no answer, so that nothing is known.
+    ``answered`` is False if the service gave no answer; an empty ``permits`` then does
+    not mean that no runner is permitted.
     """
 
     answered: bool
@@ -33,14 +34,14 @@
 
 @dataclass(frozen=True)
 class OwnerFailing:
-    """The owner of ``term`` asks a peer to take over, as the store fails for the owner."""
+    """The owner of ``term`` asks a peer to take over, as its own requests to the store fail."""
 
     term: str
 
 
 @dataclass(frozen=True)
 class OwnerAsked:
-    """Asks whether the owner of ``term`` is alive, as its heartbeats are missing."""
+    """Asks whether the owner of ``term`` is alive, as no heartbeats of that owner arrive."""
 
     term: str
 
@@ -49,7 +50,7 @@
 class CompletionsTold:
     """Completed jobs whose completion may not be in the store yet.
 
-    The owner of ``epoch`` sends it to its peers; a peer also answers ``CompletionsWanted`` with it.
+    Sent by the owner of ``epoch`` to its peers, and by a peer in answer to ``CompletionsWanted``.
     """
 
     epoch: int
@@ -60,7 +61,7 @@
 class CompletionsWanted:
     """The new owner of ``epoch`` asks for known completions.
 
-    From then on the peer must accept no completions of an earlier owner.
+    After receiving it, a peer must accept no completions from owners of earlier epochs.
     """
 
     epoch: int
@@ -70,7 +71,7 @@
 class CompletionsSeen:
     """Jobs that the runners of a zone report as done.
 
-    It is sent by a host of the zone that believes the zone to be cut off by a partition.
+    Sent by a host of the zone that believes that a network partition cuts the zone off.
     """
 
     jobs: tuple[str, ...]
@@ -85,8 +86,9 @@
 
 @dataclass(frozen=True)
 class ConfigurationGiven:
-    """The configuration in force at a host; ``document`` is empty if it is not newer.
+    """The configuration in force at a host; answers ``ConfigurationWanted``.
 
+    ``document`` is empty if ``version`` is not newer than the one in the request.
     ``current`` says that the host can read the store and would know of a newer version.
     """
 
--- a/dandelionreel/peers/_codec.py
+++ b/dandelionreel/peers/_codec.py
@@ -45,8 +45,8 @@
 
 PROTOCOL_VERSION = 3
 MILLISECONDS_PER_SECOND = 1000
-#: Packing compresses runs of zeros; this bounds the size of an unpacked frame, in words per
-#: packed byte.
+#: Upper bound of the size of an unpacked frame, in words per packed byte. Packing compresses
+#: runs of zeros.
 MAX_UNPACKING_FACTOR = 64
 
 capnp.remove_import_hook()
@@ -73,12 +73,12 @@
 def decode_frame(payload: bytes) -> Frame:
     """Return the decoded frame; raises ``FrameError``."""
     try:
-        return _decode(payload)
+        return _decode_payload(payload)
     except (capnp.KjException, KeyError, ValueError) as error:
         raise FrameError(f'invalid frame: {error}') from error
 
 
-def _decode(payload: bytes) -> Frame:
+def _decode_payload(payload: bytes) -> Frame:
     limit = len(payload) * MAX_UNPACKING_FACTOR
     root = _schema.Frame.from_bytes_packed(payload, traversal_limit_in_words=limit)
     if root.version != PROTOCOL_VERSION:
@@ -218,7 +218,7 @@
     return ForwardAnswer(answer, node.noRoom)
 
 
-def _encode_place(root: Any, message: PlaceOrder) -> None:
+def _encode_place_order(root: Any, message: PlaceOrder) -> None:
     root.init('place').from_dict(
         {
             'dispatchEpoch': message.dispatch_epoch,
@@ -234,7 +234,7 @@
     )
 
 
-def _decode_place(root: Any) -> PlaceOrder:
+def _decode_place_order(root: Any) -> PlaceOrder:
     node = root.place
     return PlaceOrder(
         node.dispatchEpoch,
@@ -257,7 +257,7 @@
     return PlaceAnswer(root.placeAnswer.outcome, root.placeAnswer.cause)
 
 
-def _encode_action(root: Any, message: TaskAction) -> None:
+def _encode_task_action(root: Any, message: TaskAction) -> None:
     root.init('action').from_dict(
         {
             'dispatchEpoch': message.dispatch_epoch,
@@ -268,7 +268,7 @@
     )
 
 
-def _decode_action(root: Any) -> TaskAction:
+def _decode_task_action(root: Any) -> TaskAction:
     node = root.action
     return TaskAction(node.dispatchEpoch, node.worker, node.taskId, node.action)
 
@@ -301,7 +301,7 @@
     )
 
 
-def _encode_report(root: Any, message: WorkerReport) -> None:
+def _encode_worker_report(root: Any, message: WorkerReport) -> None:
     root.init('report').from_dict(
         {
             'worker': message.worker,
@@ -317,7 +317,7 @@
     )
 
 
-def _decode_report(root: Any) -> WorkerReport:
+def _decode_worker_report(root: Any) -> WorkerReport:
     node = root.report
     return WorkerReport(
         node.worker,
@@ -332,13 +332,13 @@
     )
 
 
-def _encode_contracts(root: Any, message: ContractState) -> None:
+def _encode_contract_state(root: Any, message: ContractState) -> None:
     root.init('contracts').from_dict(
         {'offset': message.offset, 'documents': list(message.documents)}
     )
 
 
-def _decode_contracts(root: Any) -> ContractState:
+def _decode_contract_state(root: Any) -> ContractState:
     node = root.contracts
     return ContractState(node.offset, tuple(bytes(text) for text in node.documents))
 
@@ -411,13 +411,13 @@
     root.configurationWanted = message.version
 
 
-def _encode_configuration(root: Any, message: ConfigurationGiven) -> None:
+def _encode_configuration_given(root: Any, message: ConfigurationGiven) -> None:
     root.init('configuration').from_dict(
         {'version': message.version, 'document': message.document, 'current': message.current}
     )
 
 
-def _decode_configuration(root: Any) -> ConfigurationGiven:
+def _decode_configuration_given(root: Any) -> ConfigurationGiven:
     node = root.configuration
     return ConfigurationGiven(node.version, bytes(node.document), node.current)
 
@@ -435,11 +435,11 @@
     HeartbeatAnswer: _encode_heartbeat_answer,
     Forward: _encode_forward,
     ForwardAnswer: _encode_forward_answer,
-    PlaceOrder: _encode_place,
+    PlaceOrder: _encode_place_order,
     PlaceAnswer: _encode_place_answer,
-    TaskAction: _encode_action,
-    WorkerReport: _encode_report,
-    ContractState: _encode_contracts,
+    TaskAction: _encode_task_action,
+    WorkerReport: _encode_worker_report,
+    ContractState: _encode_contract_state,
     ContractsWanted: _encode_contracts_wanted,
     AdviceWanted: _encode_advice_wanted,
     AdviceGiven: _encode_advice_given,
@@ -449,7 +449,7 @@
     CompletionsWanted: _encode_completions_wanted,
     CompletionsSeen: _encode_completions_seen,
     ConfigurationWanted: _encode_configuration_wanted,
-    ConfigurationGiven: _encode_configuration,
+    ConfigurationGiven: _encode_configuration_given,
     Done: _encode_done,
     Refused: _encode_refused,
 }
@@ -459,11 +459,11 @@
     'heartbeatAnswer': _decode_heartbeat_answer,
     'forward': _decode_forward,
     'forwardAnswer': _decode_forward_answer,
-    'place': _decode_place,
+    'place': _decode_place_order,
     'placeAnswer': _decode_place_answer,
-    'action': _decode_action,
-    'report': _decode_report,
-    'contracts': _decode_contracts,
+    'action': _decode_task_action,
+    'report': _decode_worker_report,
+    'contracts': _decode_contract_state,
     'contractsWanted': lambda root: ContractsWanted(),
     'advice': _decode_advice_wanted,
     'advised': _decode_advice_given,
@@ -473,7 +473,7 @@
     'completionsWanted': lambda root: CompletionsWanted(root.completionsWanted),
     'completionsSeen': lambda root: CompletionsSeen(tuple(root.completionsSeen)),
     'configurationWanted': lambda root: ConfigurationWanted(root.configurationWanted),
-    'configuration': _decode_configuration,
+    'configuration': _decode_configuration_given,
     'done': lambda root: Done(),
     'refused': lambda root: Refused(root.refused),
 }
--- a/dandelionreel/peers/_directory.py
+++ b/dandelionreel/peers/_directory.py
@@ -8,7 +8,7 @@
 from dandelionreel.peers._messages import Frame, Gossip, Message
 
 NEVER_HEARD = float('-inf')
-#: A longer pause between two messages of a peer counts as silence.
+#: A pause between two messages of a peer counts as silence if it is longer than this.
 MAX_GAP_SECONDS = 2.5
 
 
@@ -30,12 +30,13 @@
     link: PeerLink
     member: str = ''
     heard_at: float = NEVER_HEARD
-    #: Since when no gap between two messages was longer than ``MAX_GAP_SECONDS``.
+    #: When the first message after the last gap of more than ``MAX_GAP_SECONDS`` arrived.
     heard_since: float = NEVER_HEARD
     #: Consecutive refused connections.
     refusals: int = 0
     gossip: Gossip = field(default_factory=Gossip)
-    #: Requests forwarded to the peer since its last gossip; each takes a free slot.
+    #: Requests forwarded to the peer since its last gossip; each takes one of the free
+    #: slots in that gossip.
     forwards_since_gossip: int = 0
     contracts_queried_at: float = NEVER_HEARD
 
--- a/dandelionreel/peers/_framing.py
+++ b/dandelionreel/peers/_framing.py
@@ -29,7 +29,10 @@
     """Reads and writes frames on one socket and counts their bytes."""
 
     def __init__(self, sock: Any, traffic: TrafficCounter) -> None:
-        """Use ``sock``; count in ``traffic``, without a host until the peer has sent a frame."""
+        """Use ``sock`` and count its bytes in ``traffic``.
+
+        The host of the counted bytes is empty until the first frame of the peer names it.
+        """
         self._host = ''
         self._sock = sock
         self._buffer = bytearray()
@@ -38,7 +41,7 @@
     async def send(self, frame: Frame) -> None:
         """Write one frame; raises ``OSError``."""
         payload = encode_frame(frame)
-        self._count(frame, len(payload))
+        self._count_bytes(frame, len(payload))
         await self._sock.sendall(LENGTH_PREFIX.pack(len(payload)) + payload)
 
     async def receive(self) -> Frame | None:
@@ -54,7 +57,7 @@
             raise FrameError('connection closed in the middle of a frame')
         frame = decode_frame(payload)
         self._host = frame.sender.partition('/')[0]
-        self._count(frame, length)
+        self._count_bytes(frame, length)
         return frame
 
     async def _read_exactly(self, count: int) -> bytes | None:
@@ -67,6 +70,6 @@
         del self._buffer[:count]
         return chunk
 
-    def _count(self, frame: Frame, length: int) -> None:
+    def _count_bytes(self, frame: Frame, length: int) -> None:
         kind = type(frame.message).__name__
         self._traffic.add(self._host, kind, length + LENGTH_PREFIX.size)
--- a/dandelionreel/peers/_link.py
+++ b/dandelionreel/peers/_link.py
@@ -41,7 +41,7 @@
         """Store the clock reading of a frame from ``peer``."""
         self._clock_by_peer[peer] = clock
 
-    def get_last(self, peer: str) -> float:
+    def get_last_reading(self, peer: str) -> float:
         """Return the last clock reading of ``peer``, or ``NO_CLOCK_READING``."""
         return self._clock_by_peer.get(peer, NO_CLOCK_READING)
 
@@ -92,7 +92,7 @@
         try:
             async with curio.timeout_after(timeout):
                 async with self._lock:
-                    stream = await self._open(timeout)
+                    stream = await self._open_connection(timeout)
                     self._pending_by_exchange[exchange] = pending
                     frame = self._make_frame(exchange, message)
                     sent = True
@@ -102,12 +102,12 @@
             # After a partly sent frame, later frames on the connection could not be parsed.
             if self._lock.locked() or not sent:
                 await self.close()
-            raise PeerError('no answer in time', _verdict(sent)) from error
+            raise PeerError('no answer in time', _failure_verdict(sent)) from error
         except ConnectionRefusedError as error:
             raise PeerError('connection refused', Verdict.NOT_RUN, refused=True) from error
         except OSError as error:
             await self.close()
-            raise PeerError(f'{error}', _verdict(sent)) from error
+            raise PeerError(f'{error}', _failure_verdict(sent)) from error
         finally:
             self._pending_by_exchange.pop(exchange, None)
         if pending.answer is None:
@@ -117,7 +117,8 @@
     async def close(self) -> None:
         """Close the connection and fail all pending exchanges.
 
-        Another task may be blocked in sending; the socket is closed after that has failed.
+        Another task may be blocked in sending. The shutdown makes its send fail, and the
+        socket is closed only after that.
         """
         sock, reader = self._sock, self._reader
         self._sock = self._stream = self._reader = None
@@ -138,11 +139,11 @@
             exchange,
             self._sender_name,
             self._clock.monotonic(),
-            self._peer_clocks.get_last(self.peer),
+            self._peer_clocks.get_last_reading(self.peer),
             message,
         )
 
-    async def _open(self, timeout: float) -> FrameStream:
+    async def _open_connection(self, timeout: float) -> FrameStream:
         if self._stream is not None:
             return self._stream
         connect_timeout = min(timeout, CONNECT_TIMEOUT_SECONDS)
@@ -176,5 +177,5 @@
             await self.close()
 
 
-def _verdict(sent: bool) -> Verdict:
+def _failure_verdict(sent: bool) -> Verdict:
     return Verdict.UNKNOWN if sent else Verdict.NOT_RUN
--- a/dandelionreel/peers/_messages.py
+++ b/dandelionreel/peers/_messages.py
@@ -38,8 +38,8 @@
     """State of the sender, part of every heartbeat and its answer.
 
     ``view`` has the members of the zone that the sender knows, ``heard`` those that it
-    heard from recently; both as hashes (``hash_member``), since the full keys would be
-    most of a heartbeat. ``leaving`` has the hosts of leaving endpoints, ``contracts``
+    heard from recently; both as hashes (``hash_member``), since the full member ids would
+    make up most of a heartbeat. ``leaving`` has the hosts of leaving endpoints, ``contracts``
     a digest of the contract versions in force.
     """
 
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True)
 class PlaceAnswer:
-    """Outcome of a start: started, refused, or unknown if it may have been started."""
+    """Outcome of a start: started, refused, or unknown if the task may have been started."""
 
     outcome: str
     cause: str = ''
@@ -145,7 +145,7 @@
 class WorkerReport:
     """All tasks of one worker.
 
-    ``usable_capacity`` is what the owner may currently fill. Nobody can have renewed
+    ``usable_capacity`` is what the owner may assign at present. Nobody can have renewed
     the worker's leases for ``unrenewed_seconds``. The worker's history is complete for
     the last ``history_seconds``: it lists every task that it was ordered to start in that
     time. ``as_of`` is the receiver's clock as last seen by the sender when it made this
--- a/dandelionreel/peers/_server.py
+++ b/dandelionreel/peers/_server.py
@@ -51,19 +51,19 @@
         sock = listen(address, port)
         stack.push_async_callback(sock.close)
         self.port = sock.getsockname()[1]
-        stack.push_async_callback(self._cancel_all)
-        await start_task(stack, self._accept, sock)
+        stack.push_async_callback(self._cancel_tasks)
+        await start_task(stack, self._accept_connections, sock)
 
-    async def _accept(self, sock: Any) -> None:
+    async def _accept_connections(self, sock: Any) -> None:
         while True:
             client, _ = await sock.accept()
-            self._tasks.add(await curio.spawn(self._serve, client, daemon=True))
+            self._tasks.add(await curio.spawn(self._serve_connection, client, daemon=True))
 
-    async def _cancel_all(self) -> None:
+    async def _cancel_tasks(self) -> None:
         for task in tuple(self._tasks):
             await task.cancel()
 
-    async def _serve(self, client: Any) -> None:
+    async def _serve_connection(self, client: Any) -> None:
         stream = FrameStream(client, self._traffic)
         lock = curio.Lock()
         try:
@@ -72,7 +72,7 @@
                 if frame is None:
                     return
                 self._peer_clocks.record(frame.sender, frame.clock)
-                await self._spawn_answer(stream, lock, frame)
+                await self._spawn_answer_task(stream, lock, frame)
         except FrameError as error:
             self._journal.log(Part.PEERS, f'closed a connection of a peer: {error}.')
         except OSError:
@@ -80,18 +80,18 @@
         finally:
             self._tasks.discard(await curio.current_task())
             await shut_down(client)
-            # A task that is blocked in sending an answer fails now and releases the lock.
+            # The shutdown makes a task that is blocked in sending an answer release the lock.
             async with lock:
                 await client.close()
 
-    async def _spawn_answer(self, stream: FrameStream, lock: Any, frame: Frame) -> None:
+    async def _spawn_answer_task(self, stream: FrameStream, lock: Any, frame: Frame) -> None:
         # A task per message, so that a slow forward does not delay later heartbeats.
-        task = await curio.spawn(self._answer, stream, lock, frame, daemon=True)
+        task = await curio.spawn(self._answer_frame, stream, lock, frame, daemon=True)
         self._tasks.add(task)
 
-    async def _answer(self, stream: FrameStream, lock: Any, frame: Frame) -> None:
+    async def _answer_frame(self, stream: FrameStream, lock: Any, frame: Frame) -> None:
         try:
-            message = await self._dispatch(frame)
+            message = await self._dispatch_frame(frame)
             answer = Frame(
                 frame.exchange,
                 self._sender_name,
@@ -106,7 +106,7 @@
         finally:
             self._tasks.discard(await curio.current_task())
 
-    async def _dispatch(self, frame: Frame) -> Message:
+    async def _dispatch_frame(self, frame: Frame) -> Message:
         handler = self._handler_by_type.get(type(frame.message))
         if handler is None:
             return Refused('this message type is not a request')
--- a/dandelionreel/platform/__init__.py
+++ b/dandelionreel/platform/__init__.py
@@ -1,4 +1,7 @@
-"""Adapter to the users' platform: its formats, calls and settings file; decides nothing."""
+"""Adapter to the users' platform: its formats, calls and settings file.
+
+It makes no scheduling decisions.
+"""
 
 from dandelionreel.platform._advice import HttpAdvice
 from dandelionreel.platform._records import JsonRecordCodec
--- a/dandelionreel/platform/_accounts.py
+++ b/dandelionreel/platform/_accounts.py
@@ -1,7 +1,7 @@
 """Decodes the client accounts in the operator's configuration, each row on its own.
 
-An invalid row does not affect other rows: its valid fields are used, and the directory lists
-the problems.
+An invalid row does not affect other rows: its valid fields are used, and the account
+directory lists the problems.
 """
 
 from collections.abc import Sequence
@@ -25,20 +25,20 @@
 Key = Annotated[str, msgspec.Meta(min_length=1)]
 
 
-class _Maximum(msgspec.Struct, frozen=True):
+class _MaximumFields(msgspec.Struct, frozen=True):
     cpu: Amount = 0
     mem_mb: Amount = 0
     gpu: Amount = 0
 
 
-class _Tenant(msgspec.Struct, frozen=True):
+class _TenantRow(msgspec.Struct, frozen=True):
     name: Name
     api_keys: tuple[Key, ...] = ()
     weight: Weight = 1
-    maximum: _Maximum | None = None
+    maximum: _MaximumFields | None = None
 
 
-_TENANT_DECODER = msgspec.json.Decoder(_Tenant)
+_TENANT_DECODER = msgspec.json.Decoder(_TenantRow)
 _ANY_DECODER = msgspec.json.Decoder()
 
 
@@ -89,7 +89,7 @@
     weight = _convert_field(fields, 'weight', Weight, 1.0)
     if weight is None:
         row_problems.append(f'account {name!r} has an invalid weight; using 1')
-    maximum = _convert_field(fields, 'maximum', _Maximum, _Maximum())
+    maximum = _convert_field(fields, 'maximum', _MaximumFields, _MaximumFields())
     if maximum is None:
         row_problems.append(f'account {name!r} has an invalid maximum; using no limit')
     raw_keys = fields.get('api_keys', [])
@@ -98,7 +98,7 @@
     )
     if not _is_list(raw_keys) or len(keys) != len(raw_keys):
         row_problems.append(f'account {name!r} has invalid keys; using the others')
-    tenant = _Tenant(name, keys, weight or 1.0, maximum or _Maximum())
+    tenant = _TenantRow(name, keys, weight or 1.0, maximum or _MaximumFields())
     return _to_account(tenant), tuple(row_problems)
 
 
@@ -116,14 +116,14 @@
         return None
 
 
-def _to_account(tenant: _Tenant) -> Account[Demand]:
+def _to_account(tenant: _TenantRow) -> Account[Demand]:
     digests = frozenset(digest_key(key) for key in tenant.api_keys)
     return Account(tenant.name, tenant.weight, _to_quota(tenant.maximum), digests)
 
 
-def _to_quota(maximum: _Maximum | None) -> Demand | None:
+def _to_quota(maximum: _MaximumFields | None) -> Demand | None:
     """Return the quota: an amount of 0 means no limit, and ``None`` means no quota."""
-    if maximum is None or maximum == _Maximum():
+    if maximum is None or maximum == _MaximumFields():
         return None
     return Demand(
         maximum.cpu or UNLIMITED,
--- a/dandelionreel/platform/_advice.py
+++ b/dandelionreel/platform/_advice.py
@@ -21,11 +21,11 @@
 HTTP_OK = 200
 
 
-class _Allowed(msgspec.Struct):
+class _AdviceReply(msgspec.Struct):
     allowed: list[tuple[str, str]] = []
 
 
-_ALLOWED_DECODER = msgspec.json.Decoder(_Allowed)
+_ALLOWED_DECODER = msgspec.json.Decoder(_AdviceReply)
 
 
 class HttpAdvice(AdviceService):
--- a/dandelionreel/platform/_configuration.py
+++ b/dandelionreel/platform/_configuration.py
@@ -10,7 +10,7 @@
 #: The key in the operator's topic under which the whole current configuration is stored.
 CONFIGURATION_KEY = 'config'
 MILLISECONDS_PER_SECOND = 1000
-#: JSON numbers are exact integers up to here. A version above it is rejected: it would prevent
+#: JSON numbers are exact integers up to here. A larger version is rejected: it would prevent
 #: every later version from coming into force.
 JSON_INTEGER_LIMIT = 9_007_199_254_740_992
 
@@ -18,13 +18,13 @@
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class _Advice(msgspec.Struct, frozen=True):
+class _AdviceFields(msgspec.Struct, frozen=True):
     decision_ms: NonNegative = 0
     period_ms: NonNegative = 0
     valid_ms: NonNegative = 2000
 
 
-class _Route(msgspec.Struct, frozen=True):
+class _RouteRow(msgspec.Struct, frozen=True):
     name: str
     host: str
     path_prefix: str
@@ -34,29 +34,29 @@
     priority: int = 0
     max_attempts: int = 1
     slack_factor: NonNegative = 1
-    advice: _Advice | None = None
+    advice: _AdviceFields | None = None
     public: bool = False
 
 
-class _Service(msgspec.Struct, frozen=True):
+class _ServiceRow(msgspec.Struct, frozen=True):
     name: str
     enforces_capacity: bool = False
     standby: bool = False
 
 
-class _Limits(msgspec.Struct, frozen=True):
+class _RequestLimits(msgspec.Struct, frozen=True):
     max_body_bytes: int = 262_144
 
 
-class _Document(msgspec.Struct, frozen=True):
+class _ConfigurationDocument(msgspec.Struct, frozen=True):
     version: Version
-    routes: tuple[_Route, ...] = ()
-    services: tuple[_Service, ...] = ()
-    limits: _Limits = msgspec.field(default_factory=_Limits)
+    routes: tuple[_RouteRow, ...] = ()
+    services: tuple[_ServiceRow, ...] = ()
+    limits: _RequestLimits = msgspec.field(default_factory=_RequestLimits)
     tenants: tuple[msgspec.Raw, ...] | None = None
 
 
-_DECODER = msgspec.json.Decoder(_Document)
+_DECODER = msgspec.json.Decoder(_ConfigurationDocument)
 
 
 class ConfigurationDecoder:
@@ -83,7 +83,7 @@
         )
 
 
-def _to_queue(route: _Route) -> Queue:
+def _to_queue(route: _RouteRow) -> Queue:
     advice = None
     if route.advice is not None:
         advice = AdvicePolicy(
--- a/dandelionreel/platform/_framing.py
+++ b/dandelionreel/platform/_framing.py
@@ -29,23 +29,23 @@
 READ_HEADER = struct.Struct('>QQ')
 
 
-class _Row(msgspec.Struct, rename={'content': 'value'}, frozen=True):
+class _PageRow(msgspec.Struct, rename={'content': 'value'}, frozen=True):
     key: str
     content: str = ''
     offset: int = -1
 
 
-class _Document(msgspec.Struct, rename={'entries': 'items'}, frozen=True):
-    entries: list[_Row]
+class _PageDocument(msgspec.Struct, rename={'entries': 'items'}, frozen=True):
+    entries: list[_PageRow]
     end: int
     has_more: bool = False
 
 
-_DOCUMENT_DECODER = msgspec.json.Decoder(_Document)
+_PAGE_DECODER = msgspec.json.Decoder(_PageDocument)
 
 
 @dataclass(frozen=True)
-class Page:
+class RecordPage:
     """A page of the newest records of the keys; the next page starts after ``last_key``."""
 
     records: tuple[KeyedRecord, ...]
@@ -101,17 +101,17 @@
         raise UnreadableError(Reason.KEY, f'the key is not UTF-8: {error}') from error
 
 
-def decode_page(raw: bytes) -> Page:
+def decode_page(raw: bytes) -> RecordPage:
     """Decode a page of newest records; raises ``StoreError`` if it is not a page."""
     try:
-        document = decode_json(_DOCUMENT_DECODER, raw)
+        document = decode_json(_PAGE_DECODER, raw)
     except UnreadableError:
         return _decode_page_by_row(raw)
     records = tuple(_decode_row(row) for row in document.entries)
-    return Page(records, document.end, document.has_more, _find_last_key(records))
+    return RecordPage(records, document.end, document.has_more, _find_last_key(records))
 
 
-def _decode_page_by_row(raw: bytes) -> Page:
+def _decode_page_by_row(raw: bytes) -> RecordPage:
     """Decode a page row by row, for a page that cannot be decoded as a whole.
 
     The ``msgspec`` decoder rejects a whole page if a key contains a lone surrogate or if
@@ -119,14 +119,14 @@
     """
     try:
         document = json.loads(raw.decode(errors='replace'))
-        raw_page = msgspec.convert(document, _RawDocument)
+        raw_page = msgspec.convert(document, _RawPageDocument)
     except (ValueError, RecursionError) as error:
         raise StoreError(f'a page is unreadable: {error}', Verdict.NOT_RUN) from error
     records = tuple(_decode_raw_row(row) for row in raw_page.entries)
-    return Page(records, raw_page.end, raw_page.has_more, _find_last_key(records))
+    return RecordPage(records, raw_page.end, raw_page.has_more, _find_last_key(records))
 
 
-class _RawDocument(msgspec.Struct, rename={'entries': 'items'}, frozen=True):
+class _RawPageDocument(msgspec.Struct, rename={'entries': 'items'}, frozen=True):
     entries: list[Any]
     end: int
     has_more: bool = False
@@ -137,7 +137,7 @@
     if not isinstance(key, str) or not _is_encodable(key):
         return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no valid key'))
     try:
-        return _decode_row(msgspec.convert(raw, _Row))
+        return _decode_row(msgspec.convert(raw, _PageRow))
     except ValueError as error:
         return KeyedRecord(key, None, error=UnreadableError(Reason.FRAME, f'{error}'))
 
@@ -150,7 +150,7 @@
         return False
 
 
-def _decode_row(row: _Row) -> KeyedRecord:
+def _decode_row(row: _PageRow) -> KeyedRecord:
     if not row.key:
         return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no valid key'))
     try:
@@ -162,5 +162,5 @@
 
 
 def _find_last_key(records: tuple[KeyedRecord, ...]) -> str:
-    """Return the last valid key. Items after it have none, and come again with the next page."""
+    """Return the last valid key; items after it have no valid key and are read again next time."""
     return next((record.key for record in reversed(records) if record.key), '')
--- a/dandelionreel/platform/_registrations.py
+++ b/dandelionreel/platform/_registrations.py
@@ -15,8 +15,8 @@
 from dandelionreel.platform._settings import SettingsError, parse_address
 
 MILLISECONDS_PER_SECOND = 1000
-#: More than any machine has of any resource. A larger amount is an error and would make every
-#: task fit.
+#: Limit of a runner's amount of any resource, above that of any machine. A larger amount is an
+#: error and would make every task fit.
 MAX_AMOUNT = 2_147_483_648
 #: Longest time that a draining runner may report as remaining: a day.
 MAX_REMAINING_MS = 86_400_000
@@ -31,13 +31,13 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 
 
-class _Capacity(msgspec.Struct, frozen=True):
+class _CapacityFields(msgspec.Struct, frozen=True):
     cpu: Amount
     mem_mb: Amount
     gpu: Amount = 0
 
 
-class _Entry(msgspec.Struct, frozen=True):
+class _RunnerEntry(msgspec.Struct, frozen=True):
     """The entry of a runner; fields that are not used are checked as well.
 
     If a field is missing or invalid, the entry was not written by a runner, and its other
@@ -52,14 +52,14 @@
     state: Literal['ready', 'draining']
     cold_left_ms: NonNegative
     sequence: int
-    capacity: _Capacity
+    capacity: _CapacityFields
     labels: tuple[str, ...]
     #: When the process that wrote the entry started.
     born: StartMilliseconds | msgspec.UnsetType = msgspec.UNSET
     remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_REMAINING_MS)] | None = None
 
 
-_DECODER = msgspec.json.Decoder(_Entry)
+_DECODER = msgspec.json.Decoder(_RunnerEntry)
 
 
 def decode_registration(runner: str, content: bytes) -> Registration:
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -39,7 +39,7 @@
 from dandelionreel.platform._views import decode_view
 
 #: Timeout in seconds for a start or a stop. A runner answers within milliseconds, over a slow
-#: link within some tens of them. An unanswered order is repeated.
+#: link within some tens of milliseconds. An unanswered order is repeated.
 ORDER_TIMEOUT = 0.4
 #: Seconds added to the time that a poll may wait at the runner.
 POLL_TIMEOUT_MARGIN = 0.6
@@ -47,7 +47,8 @@
 #: after it.
 ORDER_CONNECTIONS = 3
 
-#: Lists runs and ends; also renews leases and acknowledges ends if the request says so.
+#: Path of a poll: lists runs and ends; also renews leases and acknowledges ends if the request
+#: says so.
 POLL_PATH = '/v1/hold'
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
@@ -98,7 +99,7 @@
     async def start(self, order: StartOrder, check: Check) -> StartAnswer:
         """Start a task; ``check`` is called right before the request is sent.
 
-        If it returns false, nothing is sent.
+        If ``check`` returns false, nothing is sent.
         """
         fields: dict[str, object] = {
             'task': encode_task(order.task),
@@ -152,7 +153,7 @@
             fields['deadline_ms'] = int(lease_until * MILLISECONDS_PER_SECOND)
         if wait:
             fields['wait_ms'] = int(wait * MILLISECONDS_PER_SECOND)
-        response = await self._exchange(
+        response = await self._send_request(
             self._poll_channel, POLL_PATH, fields, POLL_TIMEOUT_MARGIN + wait
         )
         self._check_response(response)
@@ -209,9 +210,9 @@
     ) -> Response:
         self._next_channel = (self._next_channel + 1) % ORDER_CONNECTIONS
         channel = self._order_channels[self._next_channel]
-        return await self._exchange(channel, path, fields, ORDER_TIMEOUT, check)
+        return await self._send_request(channel, path, fields, ORDER_TIMEOUT, check)
 
-    async def _exchange(
+    async def _send_request(
         self,
         channel: Channel,
         path: str,
@@ -232,7 +233,7 @@
     try:
         decoded = decode_json(_ORDER_REPLY_DECODER, response.body)
     except UnreadableError:
-        # The HTTP status alone tells the result of the order.
+        # The result of the order is known from the HTTP status, without the body.
         return None, ''
     clock = None if decoded.clock_ms is None else decoded.clock_ms / MILLISECONDS_PER_SECOND
     return clock, decoded.reason
--- a/dandelionreel/platform/_settings.py
+++ b/dandelionreel/platform/_settings.py
@@ -25,16 +25,16 @@
     port: int
 
 
-class _Listen(msgspec.Struct, frozen=True):
+class _ListenSection(msgspec.Struct, frozen=True):
     frontend: str
     readiness: str
 
 
-class _Platform(msgspec.Struct, frozen=True):
+class _PlatformSection(msgspec.Struct, frozen=True):
     address: str
 
 
-class _Bounds(msgspec.Struct, frozen=True):
+class _BoundsSection(msgspec.Struct, frozen=True):
     grace_s: float = 6
     max_hold_ms: float = 10_000
     gang_timeout_ms: float = 3000
@@ -43,7 +43,7 @@
     revoke_ms: float = 5000
 
 
-class _Limits(msgspec.Struct, frozen=True):
+class _LimitsSection(msgspec.Struct, frozen=True):
     cpu_share: float = 1
     cores: float = 1
     max_fds: int = 4096
@@ -53,13 +53,13 @@
     node: str
     ip: str
     zone: str
-    listen: _Listen
-    platform: _Platform
+    listen: _ListenSection
+    platform: _PlatformSection
     port_range: tuple[int, int]
     advice: str = ''
     seeds: tuple[str, ...] = ()
-    bounds: _Bounds = msgspec.field(default_factory=_Bounds)
-    limits: _Limits = msgspec.field(default_factory=_Limits)
+    bounds: _BoundsSection = msgspec.field(default_factory=_BoundsSection)
+    limits: _LimitsSection = msgspec.field(default_factory=_LimitsSection)
 
 
 @dataclass(frozen=True)
@@ -67,11 +67,12 @@
     """Settings of one host; durations are in seconds.
 
     ``peers`` is the address on which the host listens for its peers, on the first port of the
-    range. ``stop_grace`` is the time for a planned stop. Runners shorten leases to ``max_lease``.
-    ``max_key_age`` is the maximum age of the configuration against which API keys are checked,
-    ``None`` for any age. ``seeds`` are possibly outdated addresses of peers, used by a host that
-    has not yet read about any peer. ``status_retention`` is how long the state of a finished job
-    must be kept. ``cores`` is the processor time of the host, in cores of standard speed.
+    range. ``stop_grace`` is how long a planned stop may take. Runners shorten leases to
+    ``max_lease``. ``max_key_age`` is the maximum age of the configuration against which API keys
+    are checked, ``None`` for any age. ``seeds`` are possibly outdated addresses of peers, used by a
+    host that has not yet read about any peer. ``status_retention`` is how long the state of a
+    finished job must be kept. ``cores`` is the processor time of the host, in cores of standard
+    speed.
     """
 
     host: str
@@ -142,7 +143,8 @@
         clients=parse_address(decoded.listen.frontend),
         readiness=parse_address(decoded.listen.readiness),
         peers=Address(decoded.ip, first_port),
-        # Seeds have another port of their host; peers use the same port on all hosts.
+        # A seed is given with a port that is not for peers; the port for peers is the same
+        # on all hosts.
         seeds=tuple(Address(parse_address(seed).host, first_port) for seed in decoded.seeds),
         metrics=Address(decoded.ip, first_port + 1),
         store=parse_address(decoded.platform.address),
--- a/dandelionreel/platform/_store.py
+++ b/dandelionreel/platform/_store.py
@@ -21,7 +21,7 @@
 from dandelionreel.kernel import Verdict
 from dandelionreel.platform._framing import (
     RECORD_LENGTH,
-    Page,
+    RecordPage,
     decode_batch,
     decode_page,
 )
@@ -31,12 +31,13 @@
 OPERATOR_TOPIC = 'keyed.op'
 #: Entries that runners write about themselves.
 RUNNERS_TOPIC = 'keyed.servers'
-#: Records of this system.
+#: Records that the hosts of the cell write.
 CELL_TOPIC = 'keyed.cell'
 #: All owners use the same producer name; the store distinguishes them by their epoch.
 OWNER_PRODUCER = 'owner'
 
-#: In seconds. The store answers in 4 ms, or in about 0.25 s when it is 60 times as slow.
+#: Timeout of a read, in seconds. The store answers in 4 ms, or in about 0.25 s when it is
+#: 60 times as slow.
 READ_TIMEOUT = 1.2
 KILOBYTE = 1024
 
@@ -102,7 +103,7 @@
             f'/v1/log-append?{urlencode(fields)}',
             body=encode_records(records),
         )
-        response = await _exchange(self._append_channel, request, timeout)
+        response = await _send_request(self._append_channel, request, timeout)
         if response.status == HTTP_OK:
             return _decode_append_reply(response).offset
         raise _make_append_error(response)
@@ -117,7 +118,7 @@
             'wait_ms': int(wait * MILLISECONDS_PER_SECOND),
         }
         request = Request('GET', f'/v1/log-read?{urlencode(fields)}')
-        response = await _exchange(self._read_channel, request, READ_TIMEOUT + wait)
+        response = await _send_request(self._read_channel, request, READ_TIMEOUT + wait)
         if response.status == HTTP_GONE:
             raise RecordsExpired(f'records of {self._name} at offset {offset} have expired')
         if response.status != HTTP_OK:
@@ -152,19 +153,19 @@
         await self._append_channel.close()
         await self._read_channel.close()
 
-    async def _read_page(self, last_key: str) -> Page:
+    async def _read_page(self, last_key: str) -> RecordPage:
         fields: dict[str, object] = {'topic': self._name, 'part': 0}
         if last_key:
             # Despite its name, the parameter makes the page start after this key.
             fields['depends_on'] = last_key
         request = Request('GET', f'/v1/log-newest?{urlencode(fields)}')
-        response = await _exchange(self._read_channel, request, READ_TIMEOUT)
+        response = await _send_request(self._read_channel, request, READ_TIMEOUT)
         if response.status != HTTP_OK:
             raise _make_read_error(response)
         return decode_page(response.body)
 
 
-async def _exchange(channel: Channel, request: Request, timeout: float) -> Response:
+async def _send_request(channel: Channel, request: Request, timeout: float) -> Response:
     try:
         return await channel.exchange(request, timeout)
     except ExchangeError as error:
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -20,7 +20,7 @@
 MAX_PAYLOAD_BYTES = 4000
 
 
-class _Step(msgspec.Struct, frozen=True):
+class _StepDocument(msgspec.Struct, frozen=True):
     count: int = 1
     cpu: int = 0
     mem_mb: int = 0
@@ -41,15 +41,15 @@
     max_unavailable: int = 0
 
 
-class _Submission(msgspec.Struct, frozen=True):
+class _SubmissionDocument(msgspec.Struct, frozen=True):
     spec: str
-    steps: tuple[_Step, ...]
+    steps: tuple[_StepDocument, ...]
     repeat_count: int = 0
     first_run_ms: float = 0
     interval_ms: float = 0
 
 
-_DECODER = msgspec.json.Decoder(_Submission)
+_DECODER = msgspec.json.Decoder(_SubmissionDocument)
 
 
 def decode_submission(body: bytes) -> JobSpec:
@@ -74,7 +74,7 @@
     return spec
 
 
-def _to_step(step: _Step) -> Step:
+def _to_step(step: _StepDocument) -> Step:
     return Step(
         count=step.count,
         demand=Demand(step.cpu, step.mem_mb, step.gpu),
--- a/dandelionreel/platform/_views.py
+++ b/dandelionreel/platform/_views.py
@@ -25,14 +25,14 @@
 MAX_LISTED_ENDS = 500
 
 RunNumber = Annotated[int, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
-#: Ends are numbered from 1. Accepting an absurdly large number would hide all ends below it.
+#: Ends are numbered from 1. A number far too large, once accepted, would hide all ends below it.
 EndNumber = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
 #: Start time of the runner's process, in milliseconds since the Unix epoch.
 StartMilliseconds = Annotated[int, msgspec.Meta(ge=1, lt=JSON_INTEGER_LIMIT)]
 ClockMilliseconds = Annotated[float, msgspec.Meta(ge=0, lt=JSON_INTEGER_LIMIT)]
 
 
-class _Running(msgspec.Struct, array_like=True, frozen=True):
+class _RunningRow(msgspec.Struct, array_like=True, frozen=True):
     task: str
     run: RunNumber
     saved: str | None = ''
@@ -40,7 +40,7 @@
     gauge: float | None = 0
 
 
-class _Ended(msgspec.Struct, array_like=True, frozen=True):
+class _EndedRow(msgspec.Struct, array_like=True, frozen=True):
     number: EndNumber
     task: str
     run: RunNumber
@@ -54,24 +54,24 @@
     number: EndNumber
 
 
-class _RawView(msgspec.Struct, frozen=True):
+class _RawViewDocument(msgspec.Struct, frozen=True):
     clock_ms: ClockMilliseconds
     born: StartMilliseconds | msgspec.UnsetType = msgspec.UNSET
     running: list[msgspec.Raw] = []
     finished: list[msgspec.Raw] = []
 
 
-class _View(msgspec.Struct, frozen=True):
+class _ViewDocument(msgspec.Struct, frozen=True):
     clock_ms: ClockMilliseconds
     born: StartMilliseconds | msgspec.UnsetType = msgspec.UNSET
-    running: list[_Running] = []
-    finished: list[_Ended] = []
+    running: list[_RunningRow] = []
+    finished: list[_EndedRow] = []
 
 
-_VIEW_DECODER = msgspec.json.Decoder(_View)
-_RAW_VIEW_DECODER = msgspec.json.Decoder(_RawView)
-_RUNNING_DECODER = msgspec.json.Decoder(_Running)
-_ENDED_DECODER = msgspec.json.Decoder(_Ended)
+_VIEW_DECODER = msgspec.json.Decoder(_ViewDocument)
+_RAW_VIEW_DECODER = msgspec.json.Decoder(_RawViewDocument)
+_RUNNING_DECODER = msgspec.json.Decoder(_RunningRow)
+_ENDED_DECODER = msgspec.json.Decoder(_EndedRow)
 _END_NUMBER_DECODER = msgspec.json.Decoder(_EndNumberOnly)
 
 
@@ -155,7 +155,7 @@
         return last_readable
 
 
-def _to_running_task(row: _Running) -> RunningTask:
+def _to_running_task(row: _RunningRow) -> RunningTask:
     return RunningTask(
         decode_task(row.task),
         row.run,
@@ -165,5 +165,5 @@
     )
 
 
-def _to_ended_run(row: _Ended) -> EndedRun:
+def _to_ended_run(row: _EndedRow) -> EndedRun:
     return EndedRun(row.number, decode_task(row.task), row.run, row.how, row.saved or '')
--- a/dandelionreel/records/__init__.py
+++ b/dandelionreel/records/__init__.py
@@ -2,8 +2,8 @@
 
 from dandelionreel.records._event_kinds import EventKind
 from dandelionreel.records._lines import ReadStats, read_lines
-from dandelionreel.records._report import Report, explain
-from dandelionreel.records._review import Review, review, view_review
+from dandelionreel.records._report import Report, explain_subject
+from dandelionreel.records._review import Review, review_logs, view_review
 from dandelionreel.records._subject import Subject, SubjectError, parse_subject
 from dandelionreel.records._view import view_report
 
@@ -14,10 +14,10 @@
     'Subject',
     'SubjectError',
     'ReadStats',
-    'explain',
+    'explain_subject',
     'parse_subject',
     'read_lines',
-    'review',
+    'review_logs',
     'view_report',
     'view_review',
 )
--- a/dandelionreel/records/_event_collector.py
+++ b/dandelionreel/records/_event_collector.py
@@ -19,9 +19,11 @@
 DEDUPLICATION_SECONDS = 10.0
 #: Logging parts whose lines may be relevant without naming the job.
 CONTEXT_PARTS = frozenset(('ownership', 'workers', 'log', 'life'))
-#: Endings of lines that each host writes when it reads the list of runners. Lines of
-#: the first kind are never relevant to a job; equal ones of the others are merged over hosts.
+#: Ending of lines that each host writes when it reads the list of runners and that are
+#: never relevant to a job.
 READY_ENDING = ' is ready.'
+#: Endings of the other lines that each host writes when it reads the list of runners; equal
+#: lines are merged over all hosts.
 RUNNER_LIST_ENDINGS = (' is draining.', ' has gone.')
 
 _ContextKey = tuple[str, str, int]
@@ -54,7 +56,7 @@
         self.dropped_count = 0
         #: Context lines with a broken field, found only when they are fully decoded.
         self.unreadable_count = 0
-        #: Of the frequent kinds, a host wrote one of this many lines; the highest number found.
+        #: Highest sampling interval in the logs: of frequent lines, one in this many is written.
         self.sampling_interval = 1
         self._job_id = subject.job.encode()
         self._context_lines: dict[_ContextKey, _ContextLine] = {}
--- a/dandelionreel/records/_job_histories.py
+++ b/dandelionreel/records/_job_histories.py
@@ -10,7 +10,7 @@
 #: Limit of kept jobs, about 1 KB each.
 MAX_JOBS = 100_000
 COMPLETED = 'completed'
-#: Events that may delay a job.
+#: Kinds of events that may delay a job.
 INCIDENT_KINDS = frozenset(
     (
         EventKind.RUN_LOST,
@@ -33,29 +33,29 @@
     job: str
     queue: str = ''
     account: str = ''
-    #: When it was first submitted.
+    #: When the job was first submitted.
     submitted_at: float | None = None
-    #: When a host first refused it, and which host.
+    #: When a host first refused the job, and which host.
     refused_at: float | None = None
     refused_by: str = ''
     accepted_at: float | None = None
     started_at: float | None = None
     finished_at: float | None = None
     state: str = ''
-    #: Seconds within which it must finish, as declared for its queue.
+    #: Seconds within which the job must finish, as declared for its queue.
     objective: float | None = None
-    #: When its end was first stored, from when on hosts show it.
+    #: When the end of the job was first stored; hosts show it from then on.
     visible_at: float | None = None
     cancelled: bool = False
-    #: Availability zones of the runners on which it was started.
+    #: Availability zones of the runners on which the job was started.
     zones: set[str] = field(default_factory=set)
-    #: Events that may have delayed it.
+    #: Kinds of events that may have delayed the job.
     incidents: set[EventKind] = field(default_factory=set)
     failed_run: bool = False
 
     @property
     def seconds(self) -> float | None:
-        """Return the seconds from submission to its visible end, ``None`` if either is unknown."""
+        """Return the seconds from submission to the visible end, ``None`` if either is unknown."""
         if self.submitted_at is None or self.visible_at is None:
             return None
         return self.visible_at - self.submitted_at
@@ -82,28 +82,28 @@
             return
         finished = _FINISHED_TEXT.match(event.text)
         if finished is not None:
-            self._add_finish(event, finished[1], finished[2])
+            self._add_finish_event(event, finished[1], finished[2])
             return
         history = self._get_or_create(job)
         if history is not None:
             _add_run_event(history, event)
             _set_account(history, event)
 
-    def finish(self) -> list[JobHistory]:
+    def list_submitted_jobs(self) -> list[JobHistory]:
         """Return the submitted jobs in order of submission, after all events were added."""
         for at, job in self._stored_ends:
             history = self.by_job.get(job)
             if history is None or history.finished_at is None or at < history.finished_at:
                 continue
-            history.visible_at = _earlier(history.visible_at, at)
+            history.visible_at = _earlier_time(history.visible_at, at)
         for history in self.by_job.values():
             if history.accepted_at is None and history.started_at is not None:
-                # Its acceptance is not logged, but it was started.
+                # The job was started, so it was accepted, though no line says so.
                 history.accepted_at = history.started_at
         submitted_jobs = [
             history for history in self.by_job.values() if history.submitted_at is not None
         ]
-        return sorted(submitted_jobs, key=_submitted_at)
+        return sorted(submitted_jobs, key=_submission_time)
 
     def _get_or_create(self, job: str) -> JobHistory | None:
         history = self.by_job.get(job)
@@ -120,16 +120,16 @@
             return
         seconds = event.extra_fields.get('seconds')
         handling_seconds = seconds if isinstance(seconds, int | float) else 0.0
-        history.submitted_at = _earlier(history.submitted_at, event.at - handling_seconds)
+        history.submitted_at = _earlier_time(history.submitted_at, event.at - handling_seconds)
         history.queue = history.queue or f'{event.extra_fields.get("queue", "")}'
         _set_account(history, event)
         if event.kind in {EventKind.ACCEPTED, EventKind.ALREADY_ACCEPTED}:
-            history.accepted_at = _earlier(history.accepted_at, event.at)
+            history.accepted_at = _earlier_time(history.accepted_at, event.at)
         elif event.kind is EventKind.REFUSED and (history.refused_at or event.at) >= event.at:
             history.refused_at = event.at
             history.refused_by = event.host
 
-    def _add_finish(self, event: LogEvent, job: str, state: str) -> None:
+    def _add_finish_event(self, event: LogEvent, job: str, state: str) -> None:
         history = self._get_or_create(job)
         if history is None:
             return
@@ -148,7 +148,7 @@
     if event.kind is EventKind.CANCELLED:
         history.cancelled = True
     elif event.kind is EventKind.START_SENT:
-        history.started_at = _earlier(history.started_at, event.at)
+        history.started_at = _earlier_time(history.started_at, event.at)
         zone = event.extra_fields.get('zone')
         if isinstance(zone, str):
             history.zones.add(zone)
@@ -164,9 +164,9 @@
         history.account = history.account or account
 
 
-def _earlier(known: float | None, at: float) -> float:
+def _earlier_time(known: float | None, at: float) -> float:
     return at if known is None else min(known, at)
 
 
-def _submitted_at(history: JobHistory) -> float:
+def _submission_time(history: JobHistory) -> float:
     return history.submitted_at or 0.0
--- a/dandelionreel/records/_lines.py
+++ b/dandelionreel/records/_lines.py
@@ -67,7 +67,7 @@
             continue
         stats.lines += 1
         content = stripped[max(0, stripped.find(b'{')) :]
-        line = _decode(content)
+        line = _decode_header(content)
         if line is None:
             stats.count_bad_line()
             continue
@@ -88,7 +88,7 @@
         yield raw
 
 
-def _decode(content: bytes) -> LineHeader | None:
+def _decode_header(content: bytes) -> LineHeader | None:
     try:
         line = _DECODER.decode(content)
     except DECODE_ERRORS:
--- a/dandelionreel/records/_log_event.py
+++ b/dandelionreel/records/_log_event.py
@@ -53,8 +53,8 @@
 def decode_event(content: bytes, count: int = 1) -> LogEvent | None:
     """Return the event of a line; ``None`` if one of its fields is broken.
 
-    The line's header was decoded before, which does not check the encoding and the
-    nesting of its other fields.
+    The header fields were decoded before, but that does not check the encoding and the
+    nesting of the line's other fields.
     """
     try:
         fields = msgspec.json.decode(content)
--- a/dandelionreel/records/_outages.py
+++ b/dandelionreel/records/_outages.py
@@ -67,13 +67,13 @@
         if text.startswith(HOST_STARTED):
             self._add_host_start(event)
         elif text.startswith(LOST_STORE):
-            self._start_store_outage(event.host, event.at)
+            self._begin_store_outage(event.host, event.at)
         elif text.startswith(NOT_READY) and any(cause in text for cause in STORE_CAUSES):
-            self._start_store_outage(event.host, event.at - _get_seconds(event, 'store_age'))
+            self._begin_store_outage(event.host, event.at - _get_seconds_field(event, 'store_age'))
         elif text.startswith((REGAINED_STORE, READY)):
             self._end_store_outage(event.host, event.at)
         if text.startswith(OWNS_CELL):
-            since = event.at - _get_seconds(event, 'silent_seconds')
+            since = event.at - _get_seconds_field(event, 'silent_seconds')
             self.takeovers.append(TimeSpan(since, event.at + TAKEOVER_SETTLE_SECONDS))
 
     def find_store_outage_scope(self, since: float, until: float) -> OutageScope | None:
@@ -88,7 +88,7 @@
         zones = {self.zone_by_host.get(host, host) for host in affected}
         if zones >= set(self.zone_by_host.values()) and len(zones) > 1:
             return OutageScope.ALL
-        fully_affected = [zone for zone in zones if self._hosts_of(zone) <= affected]
+        fully_affected = [zone for zone in zones if self._hosts_of_zone(zone) <= affected]
         return OutageScope.ZONE if fully_affected else OutageScope.HOST
 
     def partitioned_zones(self, since: float, until: float) -> set[str]:
@@ -113,13 +113,13 @@
                 total_outages.append(TimeSpan(since, started))
         return total_outages
 
-    def _hosts_of(self, zone: str) -> set[str]:
+    def _hosts_of_zone(self, zone: str) -> set[str]:
         return {host for host, host_zone in self.zone_by_host.items() if host_zone == zone}
 
     def _was_partitioned(self, zone: str, since: float, until: float) -> bool:
         return all(
             any(span.overlaps(since, until) for span in self._store_outages_by_host[host])
-            for host in self._hosts_of(zone)
+            for host in self._hosts_of_zone(zone)
         )
 
     def _add_host_start(self, event: LogEvent) -> None:
@@ -132,7 +132,7 @@
             # Without an earlier line it is unknown since when the host had been down.
             self._downtimes_by_host[event.host].append(TimeSpan(last, event.at))
 
-    def _start_store_outage(self, host: str, at: float) -> None:
+    def _begin_store_outage(self, host: str, at: float) -> None:
         spans = self._store_outages_by_host[host]
         if not spans or spans[-1].until < at:
             spans.append(TimeSpan(at))
@@ -143,12 +143,12 @@
             spans[-1].until = at
 
 
-def _get_seconds(event: LogEvent, name: str) -> float:
+def _get_seconds_field(event: LogEvent, name: str) -> float:
     """Return a field in seconds, 0 if the event lacks it."""
     field_value = event.extra_fields.get(name)
     return float(field_value) if isinstance(field_value, int | float) else 0.0
 
 
-def is_host_event(kind: EventKind) -> bool:
+def may_show_outage(kind: EventKind) -> bool:
     """Return whether events of a kind may show an outage."""
     return kind in {EventKind.HOST, EventKind.STORE, EventKind.TAKEOVER}
--- a/dandelionreel/records/_reasons.py
+++ b/dandelionreel/records/_reasons.py
@@ -13,7 +13,7 @@
 NORMAL_DELAY_SECONDS = 0.25
 
 
-class Verdict(enum.Enum):
+class JobVerdict(enum.Enum):
     """How a job was served; the value is shown."""
 
     IN_TIME = 'in time'
@@ -24,7 +24,7 @@
     CANCELLED = 'cancelled'
 
 
-class Reason(enum.Enum):
+class MissReason(enum.Enum):
     """Why a job was not in time; the value is shown."""
 
     STORE_NOT_ACCEPTED = 'the store was away: not accepted'
@@ -47,30 +47,32 @@
 
 
 NOT_ACCEPTED = {
-    OutageScope.ALL: Reason.STORE_NOT_ACCEPTED,
-    OutageScope.ZONE: Reason.ZONE_NOT_ACCEPTED,
-    OutageScope.HOST: Reason.HOST_NOT_ACCEPTED,
+    OutageScope.ALL: MissReason.STORE_NOT_ACCEPTED,
+    OutageScope.ZONE: MissReason.ZONE_NOT_ACCEPTED,
+    OutageScope.HOST: MissReason.HOST_NOT_ACCEPTED,
 }
 
 
-def classify_job(history: JobHistory) -> Verdict:
+def classify_job(history: JobHistory) -> JobVerdict:
     """Return how a job was served, compared with its declared objective."""
     if history.cancelled or history.state == CANCELLED:
-        return Verdict.CANCELLED
+        return JobVerdict.CANCELLED
     if history.accepted_at is None:
-        return Verdict.REFUSED if history.refused_at else Verdict.OPEN
+        return JobVerdict.REFUSED if history.refused_at else JobVerdict.OPEN
     if history.seconds is None:
-        return Verdict.OPEN
+        return JobVerdict.OPEN
     if history.objective is None or history.seconds <= history.objective:
-        return Verdict.IN_TIME
+        return JobVerdict.IN_TIME
     return (
-        Verdict.LATE if history.seconds <= TOO_LATE_FACTOR * history.objective else Verdict.TOO_LATE
+        JobVerdict.LATE
+        if history.seconds <= TOO_LATE_FACTOR * history.objective
+        else JobVerdict.TOO_LATE
     )
 
 
-def find_reason(
+def find_miss_reason(
     history: JobHistory, outages: Outages, total_outages: list[TimeSpan], log_end: float
-) -> Reason:
+) -> MissReason:
     """Return why a job was not in time; ``log_end`` is the time of the last line."""
     submitted = history.submitted_at or log_end
     if history.accepted_at is None:
@@ -94,7 +96,7 @@
     if longest_phase == 'started':
         return _explain_not_started(history, outages, total_outages, TimeSpan(accepted, started))
     scope = outages.find_store_outage_scope(finished, visible)
-    return Reason.STORE_END_NOT_SHOWN if scope else Reason.STORE_SLOW
+    return MissReason.STORE_END_NOT_SHOWN if scope else MissReason.STORE_SLOW
 
 
 def _explain_not_accepted(
@@ -102,15 +104,15 @@
     until: float,
     outages: Outages,
     total_outages: list[TimeSpan],
-) -> Reason:
+) -> MissReason:
     scope = outages.find_store_outage_scope(since, max(until, since + NORMAL_DELAY_SECONDS))
     if scope is not None:
         return NOT_ACCEPTED[scope]
     if _any_overlaps(total_outages, since, until):
-        return Reason.ALL_HOSTS_DOWN
+        return MissReason.ALL_HOSTS_DOWN
     if _any_overlaps(outages.takeovers, since, until):
-        return Reason.TAKEOVER
-    return Reason.OTHER_REFUSAL
+        return MissReason.TAKEOVER
+    return MissReason.OTHER_REFUSAL
 
 
 def _explain_not_started(
@@ -118,49 +120,49 @@
     outages: Outages,
     total_outages: list[TimeSpan],
     span: TimeSpan,
-) -> Reason:
+) -> MissReason:
     if _any_overlaps(total_outages, span.since, span.until):
-        return Reason.ALL_HOSTS_DOWN
+        return MissReason.ALL_HOSTS_DOWN
     if outages.find_store_outage_scope(span.since, span.until) is OutageScope.ALL:
-        return Reason.STORE_NOT_STARTED
+        return MissReason.STORE_NOT_STARTED
     if _any_overlaps(outages.takeovers, span.since, span.until):
-        return Reason.TAKEOVER
-    return _find_account_limit(history) or Reason.START_DELAYED
+        return MissReason.TAKEOVER
+    return _find_account_limit(history) or MissReason.START_DELAYED
 
 
-def _find_account_limit(history: JobHistory) -> Reason | None:
+def _find_account_limit(history: JobHistory) -> MissReason | None:
     """Return the account limit that kept a job from starting, ``None`` without one."""
     if EventKind.HELD_BY_QUOTA in history.incidents:
-        return Reason.QUOTA
-    return Reason.SHARE if EventKind.BEYOND_SHARE in history.incidents else None
+        return MissReason.QUOTA
+    return MissReason.SHARE if EventKind.BEYOND_SHARE in history.incidents else None
 
 
 def _explain_long_run(
     history: JobHistory, outages: Outages, total_outages: list[TimeSpan], span: TimeSpan
-) -> Reason:
+) -> MissReason:
     if _any_overlaps(total_outages, span.since, span.until):
-        return Reason.ALL_HOSTS_DOWN
+        return MissReason.ALL_HOSTS_DOWN
     if history.zones & outages.partitioned_zones(span.since, span.until):
-        return Reason.ZONE_PARTITIONED
+        return MissReason.ZONE_PARTITIONED
     incident = _find_incident(history)
     if incident is not None:
         return incident
     if outages.find_store_outage_scope(span.since, span.until) is OutageScope.ALL:
-        return Reason.STORE_NOT_STARTED
+        return MissReason.STORE_NOT_STARTED
     if _any_overlaps(outages.takeovers, span.since, span.until):
-        return Reason.TAKEOVER
+        return MissReason.TAKEOVER
     if EventKind.HELD_BY_QUOTA in history.incidents:
-        return Reason.QUOTA
-    return Reason.RAN_LONGER
+        return MissReason.QUOTA
+    return MissReason.RAN_LONGER
 
 
-def _find_incident(history: JobHistory) -> Reason | None:
+def _find_incident(history: JobHistory) -> MissReason | None:
     """Return the incident that made a job's runs take longer, ``None`` without one."""
     if history.incidents & {EventKind.RUN_LOST, EventKind.RUN_MISSING, EventKind.START_UNANSWERED}:
-        return Reason.RUNNER
+        return MissReason.RUNNER
     if history.failed_run:
-        return Reason.FAILED_RUN
-    return Reason.STOPPED if EventKind.STOPPING in history.incidents else None
+        return MissReason.FAILED_RUN
+    return MissReason.STOPPED if EventKind.STOPPING in history.incidents else None
 
 
 def _any_overlaps(spans: list[TimeSpan], since: float, until: float) -> bool:
--- a/dandelionreel/records/_repeated_starts.py
+++ b/dandelionreel/records/_repeated_starts.py
@@ -23,7 +23,7 @@
         EventKind.START_UNANSWERED,
     ),
 )
-#: Those of them that show that the run has ended or can't continue.
+#: Evidence that the run has ended or can't continue.
 RUN_OVER_KINDS = frozenset(
     (
         EventKind.RUN_ENDED,
@@ -60,12 +60,12 @@
     earlier: Run | None = None
     for run in runs:
         if earlier is not None and earlier.task == run.task:
-            repeated.append(_compare(earlier, run, events))
+            repeated.append(_compare_runs(earlier, run, events))
         earlier = run
     return repeated
 
 
-def _compare(earlier: Run, later: Run, events: list[LogEvent]) -> RepeatedStart:
+def _compare_runs(earlier: Run, later: Run, events: list[LogEvent]) -> RepeatedStart:
     known_events = _find_known_events(earlier, later, events)
     finding, suspect = _explain_start(earlier, later, known_events)
     return RepeatedStart(earlier, later, finding, suspect, known_events)
@@ -136,14 +136,14 @@
 
 def _shows_run_over(event: LogEvent, run: Run) -> bool:
     if event.kind is EventKind.RUNS_LISTED:
-        return _lists_all_but(event, run)
+        return _lists_all_runs_but(event, run)
     never_sent = (
         event.kind is EventKind.START_UNANSWERED and event.extra_fields.get('verdict') == 'not_run'
     )
     return event.kind in RUN_OVER_KINDS or never_sent
 
 
-def _lists_all_but(event: LogEvent, run: Run) -> bool:
+def _lists_all_runs_but(event: LogEvent, run: Run) -> bool:
     """Return whether a new owner's first list of a runner's runs is complete and lacks the run."""
     listed = event.extra_fields.get('found')
     if event.extra_fields.get('first') is not True or not isinstance(listed, list):
--- a/dandelionreel/records/_report.py
+++ b/dandelionreel/records/_report.py
@@ -13,7 +13,8 @@
 from dandelionreel.records._subject import Subject
 from dandelionreel.records._waits import Wait, find_submission_time, find_waits
 
-#: Context events are shown from this long before a job's first event to as long after its last.
+#: Context events are shown from this many seconds before a job's first event to this many
+#: after its last.
 MARGIN_SECONDS = 1.0
 #: Fields of a start that show how current the owner's knowledge was.
 KNOWLEDGE_AGE_FIELDS = ('version', 'store_age', 'runner_age')
@@ -41,7 +42,7 @@
     unknowns: tuple[str, ...]
 
 
-def explain(subject: Subject, streams: Iterable[tuple[str, BinaryIO]]) -> Report | None:
+def explain_subject(subject: Subject, streams: Iterable[tuple[str, BinaryIO]]) -> Report | None:
     """Return the report on ``subject`` from named streams; ``None`` if no line names it.
 
     Each stream is read once, to its end; its ``OSError`` is passed on.
@@ -93,12 +94,12 @@
     runners = {run.runner for run in runs}
     chosen = _find_last_takeover(context, first)
     for event in context:
-        if first <= event.at <= last and _is_relevant(event, hosts, runners):
+        if first <= event.at <= last and _is_relevant_event(event, hosts, runners):
             chosen.append(event)
     return chosen
 
 
-def _is_relevant(event: LogEvent, hosts: set[str], runners: set[str]) -> bool:
+def _is_relevant_event(event: LogEvent, hosts: set[str], runners: set[str]) -> bool:
     if event.kind in OWNER_KINDS:
         return True
     if event.kind in HOST_KINDS:
--- a/dandelionreel/records/_review.py
+++ b/dandelionreel/records/_review.py
@@ -10,13 +10,13 @@
 from dandelionreel.records._job_histories import JobHistories, JobHistory
 from dandelionreel.records._lines import ReadStats, read_lines
 from dandelionreel.records._log_event import decode_event
-from dandelionreel.records._outages import Outages, TimeSpan, is_host_event
-from dandelionreel.records._reasons import Reason, Verdict, classify_job, find_reason
+from dandelionreel.records._outages import Outages, TimeSpan, may_show_outage
+from dandelionreel.records._reasons import JobVerdict, MissReason, classify_job, find_miss_reason
 
 #: Logging parts whose lines concern jobs or hosts.
 REVIEWED_PARTS = frozenset(('jobs', 'placement', 'workers', 'life', 'log', 'ownership'))
 #: Verdicts of jobs that were not served in time.
-MISSED_VERDICTS = (Verdict.LATE, Verdict.TOO_LATE, Verdict.REFUSED, Verdict.OPEN)
+MISSED_VERDICTS = (JobVerdict.LATE, JobVerdict.TOO_LATE, JobVerdict.REFUSED, JobVerdict.OPEN)
 
 
 class _JobIds(msgspec.Struct):
@@ -34,8 +34,8 @@
     """A job that was not in time."""
 
     history: JobHistory
-    verdict: Verdict
-    reason: Reason
+    verdict: JobVerdict
+    reason: MissReason
 
 
 @dataclass(frozen=True)
@@ -44,15 +44,15 @@
 
     stats: ReadStats
     began_at: float
-    counts_by_queue: dict[str, Counter[Verdict]]
-    counts_by_account: dict[str, Counter[Verdict]]
+    counts_by_queue: dict[str, Counter[JobVerdict]]
+    counts_by_account: dict[str, Counter[JobVerdict]]
     missed_jobs: tuple[MissedJob, ...]
     takeovers: tuple[TimeSpan, ...]
     #: Events of jobs that were dropped because the limit was reached.
     dropped_count: int
 
 
-def review(streams: Iterable[tuple[str, BinaryIO]]) -> Review | None:
+def review_logs(streams: Iterable[tuple[str, BinaryIO]]) -> Review | None:
     """Return how all jobs were served; ``None`` if no line names a job.
 
     Each stream is read once, to its end; its ``OSError`` is passed on.
@@ -66,14 +66,14 @@
             if line.message_type in REVIEWED_PARTS and not _add_event(content, histories, outages):
                 stats.count_bad_line()
             outages.record_line_time(line.host, line.timestamp)
-    return _summarize(stats, histories, outages, log_end) if histories.by_job else None
+    return _summarize_jobs(stats, histories, outages, log_end) if histories.by_job else None
 
 
 def _add_event(content: bytes, histories: JobHistories, outages: Outages) -> bool:
     event = decode_event(content)
     if event is None:
         return False
-    if is_host_event(event.kind):
+    if may_show_outage(event.kind):
         outages.add(event)
         return True
     ids = _JOB_IDS_DECODER.decode(content)
@@ -83,14 +83,14 @@
     return True
 
 
-def _summarize(
+def _summarize_jobs(
     stats: ReadStats, histories: JobHistories, outages: Outages, log_end: float
 ) -> Review:
     total_outages = outages.find_total_outages()
-    counts_by_queue: dict[str, Counter[Verdict]] = {}
-    counts_by_account: dict[str, Counter[Verdict]] = {}
+    counts_by_queue: dict[str, Counter[JobVerdict]] = {}
+    counts_by_account: dict[str, Counter[JobVerdict]] = {}
     missed_jobs = []
-    submitted_jobs = histories.finish()
+    submitted_jobs = histories.list_submitted_jobs()
     for history in submitted_jobs:
         verdict = classify_job(history)
         counts_by_queue.setdefault(history.queue, Counter())[verdict] += 1
@@ -98,7 +98,9 @@
             counts_by_account.setdefault(history.account, Counter())[verdict] += 1
         if verdict in MISSED_VERDICTS:
             missed_jobs.append(
-                MissedJob(history, verdict, find_reason(history, outages, total_outages, log_end))
+                MissedJob(
+                    history, verdict, find_miss_reason(history, outages, total_outages, log_end)
+                )
             )
     began_at = (submitted_jobs[0].submitted_at or 0.0) if submitted_jobs else 0.0
     return Review(
@@ -130,15 +132,15 @@
     }
 
 
-def _view_counts(kind: str, counts_by_name: dict[str, Counter[Verdict]]) -> list[dict[str, Any]]:
+def _view_counts(kind: str, counts_by_name: dict[str, Counter[JobVerdict]]) -> list[dict[str, Any]]:
     return [
-        {kind: name or '?', **{verdict.value: counts[verdict] for verdict in Verdict}}
+        {kind: name or '?', **{verdict.value: counts[verdict] for verdict in JobVerdict}}
         for name, counts in sorted(counts_by_name.items())
     ]
 
 
 def _view_reasons(missed_jobs: Iterable[MissedJob]) -> list[dict[str, Any]]:
-    counts_by_reason: dict[Reason, Counter[Verdict]] = {}
+    counts_by_reason: dict[MissReason, Counter[JobVerdict]] = {}
     for missed in missed_jobs:
         counts_by_reason.setdefault(missed.reason, Counter())[missed.verdict] += 1
     ordered = sorted(counts_by_reason.items(), key=lambda entry: -entry[1].total())
--- a/dandelionreel/records/_runs.py
+++ b/dandelionreel/records/_runs.py
@@ -8,7 +8,7 @@
 from dandelionreel.records._event_kinds import EventKind
 from dandelionreel.records._log_event import LogEvent
 
-#: Run numbers per epoch; a run's number gives its epoch where an event has none.
+#: Run numbers per epoch: the number of a run divided by this, rounded down, is its epoch.
 RUNS_PER_EPOCH = 1000
 #: Outcomes of runs whose end was not reported.
 OUTCOME_BY_KIND = {
@@ -28,7 +28,7 @@
     task: str
     run: int
     runner: str = ''
-    #: The owner that started it; empty if its start is not in the logs.
+    #: The owner that started the run; empty if the start is not in the logs.
     owner: str = ''
     start_sent_at: float | None = None
     knowledge: dict[str, Any] = field(default_factory=dict)
@@ -37,25 +37,25 @@
     outcome: str = ''
     seconds: float | None = None
     end_stored_at: float | None = None
-    #: The host that first logged its end or loss.
+    #: The host that first logged the end or the loss of the run.
     seen_by: str = ''
     number: int | None = None
-    #: All events about it, of any host.
+    #: All events about the run, of any host.
     events: list[LogEvent] = field(default_factory=list)
 
     @property
     def epoch(self) -> int:
-        """Return the epoch of the owner that started it."""
+        """Return the epoch of the owner that started the run."""
         return self.run // RUNS_PER_EPOCH
 
     @property
     def start_known(self) -> bool:
-        """Return whether its start time or its duration is known."""
+        """Return whether the run's start time or its duration is known."""
         return self.start_sent_at is not None or self.seconds is not None
 
     @property
     def began_at(self) -> float:
-        """Return when it began, as far as known, for sorting."""
+        """Return when the run began, as far as known, for sorting."""
         if self.start_sent_at is not None:
             return self.start_sent_at
         if self.ended_at is not None:
@@ -74,14 +74,14 @@
             _apply_event(run, event)
         if event.kind is EventKind.END_STORED:
             _apply_stored_ends(event, run_by_name.values())
-    return sorted(run_by_name.values(), key=_sort_key)
+    return sorted(run_by_name.values(), key=_run_sort_key)
 
 
 def _find_runs(event: LogEvent, job: str, known: Iterable[Run]) -> list[tuple[str, int, str]]:
     """Return the runs that an event is about: task, number, runner."""
     if event.kind is EventKind.RUNS_LISTED:
         matches = [
-            _LISTED_RUN.match(f'{text} ') for text in _texts_of(event.extra_fields.get('found'))
+            _LISTED_RUN.match(f'{text} ') for text in _select_texts(event.extra_fields.get('found'))
         ]
         return [
             (match[2], int(match[3]), event.runner)
@@ -92,12 +92,12 @@
         return []
     if event.task:
         return [(event.task, event.run, event.runner)]
-    # Some events lack the task: it is found if only one run has this number and runner.
+    # Some events do not name the task; it is known if only one run has this number and runner.
     candidates = [run for run in known if run.run == event.run and run.runner == event.runner]
     return [(candidates[0].task, event.run, event.runner)] if len(candidates) == 1 else []
 
 
-def _texts_of(listed: Any) -> list[str]:
+def _select_texts(listed: Any) -> list[str]:
     return [text for text in listed if isinstance(text, str)] if isinstance(listed, list) else []
 
 
@@ -139,5 +139,5 @@
     return float(field_value) if isinstance(field_value, int | float) else None
 
 
-def _sort_key(run: Run) -> tuple[list[int], float, int]:
+def _run_sort_key(run: Run) -> tuple[list[int], float, int]:
     return [int(part) for part in run.task.split('.')], run.began_at, run.run
--- a/dandelionreel/records/_waits.py
+++ b/dandelionreel/records/_waits.py
@@ -40,7 +40,7 @@
 
     @property
     def seconds(self) -> float:
-        """Return its length in seconds."""
+        """Return the length of the wait in seconds."""
         return self.until - self.since
 
 
@@ -48,7 +48,7 @@
     """Return the waits before starts, the first from ``since``; ``events`` are in order."""
     waits = []
     idle_since: float | None = since
-    for run in sorted((run for run in runs if run.start_known), key=_began_at):
+    for run in sorted((run for run in runs if run.start_known), key=_run_began_at):
         until = run.began_at
         if idle_since is not None and until - idle_since >= MIN_WAIT_SECONDS:
             waits.append(Wait(idle_since, until, _find_causes(events, idle_since, until)))
@@ -70,7 +70,7 @@
     return min([job_events[0].at, *submission_times])
 
 
-def _began_at(run: Run) -> float:
+def _run_began_at(run: Run) -> float:
     return run.began_at
 
 
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -1,7 +1,7 @@
 """Admission control: the limits of a customer's contract, divided among the daemons."""
 
 from dandelionreel.contracts import Contract, ContractProjection, require_contract
-from dandelionreel.kernel import Clock, Settings, not_run
+from dandelionreel.kernel import Clock, Settings, not_run_error
 from dandelionreel.ownership import Membership, member_keys
 from dandelionreel.routing._budget import CustomerUsage, share_of_count, share_of_rate
 from dandelionreel.routing._call import ServiceCall
@@ -34,7 +34,7 @@
         """Return the customer's usage, for the caller to count in; raises ``RequestError``."""
         contract = require_contract(self._contracts, call.customer, call.task_class)
         if call.service not in contract.services:
-            raise not_run(
+            raise not_run_error(
                 HTTP_FORBIDDEN,
                 'service-not-in-contract',
                 f'the contract of {call.customer} does not include service {call.service!r}',
@@ -59,7 +59,7 @@
         members = max(1, len(keys))
         allowed = share_of_count(terms.concurrency, share, rank, members)
         if usage.in_flight >= allowed:
-            raise not_run(
+            raise not_run_error(
                 HTTP_TOO_MANY_REQUESTS,
                 'concurrency-limit',
                 f'{usage.in_flight} requests of {contract.customer} are in flight here; '
@@ -69,7 +69,7 @@
         rate, burst = share_of_rate(terms, share, members)
         wait = usage.token_bucket.take_token(rate, burst)
         if wait:
-            raise not_run(
+            raise not_run_error(
                 HTTP_TOO_MANY_REQUESTS,
                 'rate-limit',
                 f'{contract.customer} exceeds its rate of {terms.rate} requests per second',
--- a/dandelionreel/routing/_call.py
+++ b/dandelionreel/routing/_call.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from dandelionreel.http import Headers, Request
-from dandelionreel.kernel import clip, not_run
+from dandelionreel.kernel import clip_text, not_run_error
 
 SERVICES_PREFIX = '/v1/services/'
 HEADER_PREFIX = 'dandelionreel-'
@@ -56,10 +56,12 @@
     """Validate and parse a request; raises ``RequestError`` with verdict not run."""
     service, _, _ = request.path.removeprefix(SERVICES_PREFIX).partition('/')
     if not request.path.startswith(SERVICES_PREFIX) or not service:
-        raise not_run(HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: the path names no service')
+        raise not_run_error(
+            HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: the path names no service'
+        )
     customer = request.header(CUSTOMER_HEADER)
     if not customer:
-        raise not_run(
+        raise not_run_error(
             HTTP_BAD_REQUEST,
             'missing-header',
             f'header {CUSTOMER_HEADER} is missing',
@@ -79,11 +81,11 @@
 def _parse_deadline(request: Request, max_seconds: float) -> float:
     text = request.header(DEADLINE_HEADER, str(DEFAULT_DEADLINE_MS))
     limit = int(max_seconds * MILLISECONDS_PER_SECOND)
-    if not text.isdecimal() or not 1 <= int(clip(text)) <= limit:
-        raise not_run(
+    if not text.isdecimal() or not 1 <= int(clip_text(text)) <= limit:
+        raise not_run_error(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {DEADLINE_HEADER}: {clip(text)!r} must be 1 to {limit} milliseconds',
+            f'header {DEADLINE_HEADER}: {clip_text(text)!r} must be 1 to {limit} milliseconds',
         )
     return int(text) / MILLISECONDS_PER_SECOND
 
@@ -93,10 +95,10 @@
     if not text:
         return request.method in IDEMPOTENT_METHODS
     if text not in {'true', 'false'}:
-        raise not_run(
+        raise not_run_error(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {IDEMPOTENT_HEADER}: {clip(text)!r} must be true or false',
+            f'header {IDEMPOTENT_HEADER}: {clip_text(text)!r} must be true or false',
         )
     return text == 'true'
 
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -13,7 +13,13 @@
 
 from dandelionreel.backing import LogError, Position, StreamReader, StreamWriter
 from dandelionreel.http import Request
-from dandelionreel.kernel import Problem, RequestError, Verdict, not_run, outcome_unknown
+from dandelionreel.kernel import (
+    Problem,
+    RequestError,
+    Verdict,
+    not_run_error,
+    outcome_unknown_error,
+)
 
 NONCE_BYTES = 8
 #: Beyond this number the oldest keys are forgotten.
@@ -147,13 +153,13 @@
 def make_key_in_use_error(state: KeyState, digest: str) -> RequestError:
     """Return the error for a key that is already in use."""
     if state.digest != digest:
-        return not_run(
+        return not_run_error(
             HTTP_UNPROCESSABLE,
             'key-reused',
             'this idempotency key was used for a different request; use a new one',
         )
     if state.status is None:
-        return outcome_unknown(
+        return outcome_unknown_error(
             HTTP_CONFLICT,
             'already-sent',
             'a request with this key was already sent; its result is unknown here',
@@ -169,7 +175,7 @@
 
 
 def _make_log_unavailable_error() -> RequestError:
-    return not_run(
+    return not_run_error(
         HTTP_UNAVAILABLE,
         'log-unavailable',
         'the log did not accept the intent; nothing was sent',
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -24,8 +24,8 @@
     RequestError,
     Settings,
     Verdict,
-    not_run,
-    outcome_unknown,
+    not_run_error,
+    outcome_unknown_error,
     zones_of,
 )
 from dandelionreel.ownership import Membership, choose_owner
@@ -241,7 +241,7 @@
     async def _deliver_to_zone(self, call: ServiceCall, zone: str) -> Response:
         """Forward a request to the zone that keeps its idempotency key."""
         if call.hops:
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'zones-differ',
                 f"zone {zone} keeps this key by our settings, not by the forwarding daemon's",
@@ -264,14 +264,14 @@
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN:
                     continue
-                raise outcome_unknown(
+                raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'peer-silent',
                     'the daemon that received the request did not answer',
                 ) from error
             if response is not None:
                 return response
-        raise not_run(
+        raise not_run_error(
             HTTP_UNAVAILABLE,
             'peers-unreachable',
             'no daemon that could accept the request is reachable',
@@ -288,7 +288,7 @@
             if not history.may_have_run or problem.verdict is not Verdict.NOT_RUN:
                 raise
             # The last attempt did not run, but an earlier one may have.
-            raise outcome_unknown(problem.status, problem.cause, problem.detail) from error
+            raise outcome_unknown_error(problem.status, problem.cause, problem.detail) from error
 
     async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Response:
         while True:
@@ -335,8 +335,8 @@
         detail = f'runner {runner.entry.name}: {error}'
         if error.sent:
             status = HTTP_BAD_GATEWAY if in_time else HTTP_TIMEOUT
-            raise outcome_unknown(status, 'runner-failed', detail)
-        raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
+            raise outcome_unknown_error(status, 'runner-failed', detail)
+        raise not_run_error(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
 
     async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Response | None:
         state = self._find_peer(call)
@@ -357,7 +357,7 @@
             if call.idempotent and self._admission.use_retry(call):
                 self._metrics.count_retry(call)
                 return None
-            raise outcome_unknown(
+            raise outcome_unknown_error(
                 HTTP_TIMEOUT,
                 'peer-silent',
                 f'{state.member} received the request and did not answer',
@@ -432,14 +432,14 @@
 
     def _check_queue(self, call: ServiceCall, queue: RequestQueue) -> None:
         if not self._pool.has_service(call.service) and not self._is_service_known(call.service):
-            raise not_run(
+            raise not_run_error(
                 HTTP_NOT_FOUND,
                 'unknown-service',
                 f'service {call.service!r} has no known runner',
                 NO_ROUTE_RETRY_SECONDS,
             )
         if queue.is_full:
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'queue-full',
                 f'{queue.waiting} requests for {call.service} are waiting',
@@ -447,7 +447,7 @@
             )
         expected_wait = self._estimate_wait(call, queue)
         if self._clock.monotonic() + expected_wait > call.deadline:
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'deadline-out-of-reach',
                 f'the wait is about {expected_wait:.2f} s, past the deadline',
@@ -473,7 +473,7 @@
 
     def _check_deadline(self, call: ServiceCall) -> None:
         if self._clock.monotonic() + ANSWER_MARGIN_SECONDS >= call.deadline:
-            raise not_run(
+            raise not_run_error(
                 HTTP_TIMEOUT,
                 'deadline',
                 'no slot was free before the deadline; nothing was sent',
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -110,7 +110,9 @@
             return
         lease_ms = int(self._settings.timings.lease * MILLISECONDS_PER_SECOND)
         try:
-            await self._service.renew(LeaseRenewal(self._own_member, lease_ms, tuple(task_ids)))
+            await self._service.renew_leases(
+                LeaseRenewal(self._own_member, lease_ms, tuple(task_ids))
+            )
         except WorkerError:
             return
 
@@ -121,7 +123,7 @@
         leases of an owner that died while the log was unavailable would expire.
         """
         try:
-            task_list = await self._service.tasks(-1, 0)
+            task_list = await self._service.list_tasks(-1, 0)
         except WorkerError:
             return
         await self.renew([status.id for status in task_list.tasks if status.is_running])
@@ -212,7 +214,7 @@
         list_is_stale = self.ledger.listed_at < self.grant().since
         wait = 0.0 if last_revision < 0 or list_is_stale else self._watch_seconds()
         try:
-            task_list = await self._service.tasks(last_revision if wait else -1, wait)
+            task_list = await self._service.list_tasks(last_revision if wait else -1, wait)
         except WorkerError as error:
             await self._handle_unreachable(error)
             return -1
@@ -286,7 +288,7 @@
         )
         timeout = self._settings.timings.start_deadline
         try:
-            await self._service.start(
+            await self._service.start_task(
                 order.task_id,
                 task_order,
                 timeout,
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -237,7 +237,7 @@
                 )
             return True
         report = agent.make_report(
-            unrenewed_seconds, self._peer_clocks.get_last(dispatcher), target.epoch
+            unrenewed_seconds, self._peer_clocks.get_last_reading(dispatcher), target.epoch
         )
         try:
             frame = await self._directory.request(dispatcher, report, REPORT_TIMEOUT_SECONDS)
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -316,10 +316,10 @@
 
     async def start_task(self, name):
         order = TaskOrder(Resources(1000), 'run 600', 900_000)
-        await self.process.start(name, order, 0, lambda: True)
+        await self.process.start_task(name, order, 0, lambda: True)
 
-    async def tasks(self, after, wait):
-        listing = await self.process.tasks(after, 0)
+    async def list_tasks(self, after, wait):
+        listing = await self.process.list_tasks(after, 0)
         self.full_lists += not listing.unchanged
         return listing
 
--- a/features/steps/interface_steps.py
+++ b/features/steps/interface_steps.py
@@ -193,7 +193,7 @@
 async def _wait_for_outcome(worker, task_id, seconds=3.0):
     waited = 0.0
     while waited < seconds:
-        for status in (await worker.tasks(-1, 0)).tasks:
+        for status in (await worker.list_tasks(-1, 0)).tasks:
             if status.id == task_id and not status.is_running:
                 return status.outcome
         await curio.sleep(0.05)
@@ -208,9 +208,9 @@
 @then('a started task runs, is listed, and ends with its outcome')
 def check_runs(context):
     async def check(worker):
-        await worker.start('a', _make_order('run 0.2'), TIMEOUT, _always_allowed)
-        await worker.start('b', _make_order('fail 0.1'), TIMEOUT, _always_allowed)
-        listed = {status.id: status.is_running for status in (await worker.tasks(-1, 0)).tasks}
+        await worker.start_task('a', _make_order('run 0.2'), TIMEOUT, _always_allowed)
+        await worker.start_task('b', _make_order('fail 0.1'), TIMEOUT, _always_allowed)
+        listed = {status.id: status.is_running for status in (await worker.list_tasks(-1, 0)).tasks}
         assert listed == {'a': True, 'b': True}
         assert await _wait_for_outcome(worker, 'a') == 'succeeded'
         assert await _wait_for_outcome(worker, 'b') == 'failed'
@@ -221,7 +221,7 @@
 @then('a second start with the same id is refused with verdict not_run')
 def check_second(context):
     async def check(worker):
-        await worker.start('a', _make_order('run 1'), TIMEOUT, _always_allowed)
+        await worker.start_task('a', _make_order('run 1'), TIMEOUT, _always_allowed)
         await _check_refused(worker, 'a')
 
     _run_with_worker(context, check)
@@ -229,7 +229,7 @@
 
 async def _check_refused(worker, task_id):
     try:
-        await worker.start(task_id, _make_order('run 1'), TIMEOUT, _always_allowed)
+        await worker.start_task(task_id, _make_order('run 1'), TIMEOUT, _always_allowed)
     except WorkerError as error:
         assert error.verdict is Verdict.NOT_RUN
     else:
@@ -248,7 +248,7 @@
 @then('a task whose lease is not renewed lapses')
 def check_lapses(context):
     async def check(worker):
-        await worker.start('a', _make_order('run 30', lease_ms=300), TIMEOUT, _always_allowed)
+        await worker.start_task('a', _make_order('run 30', lease_ms=300), TIMEOUT, _always_allowed)
         assert await _wait_for_outcome(worker, 'a') == 'lapsed'
 
     _run_with_worker(context, check)
@@ -257,10 +257,10 @@
 @then('a task whose lease is renewed runs to its end')
 def check_renewed(context):
     async def check(worker):
-        await worker.start('a', _make_order('run 0.9', lease_ms=400), TIMEOUT, _always_allowed)
+        await worker.start_task('a', _make_order('run 0.9', lease_ms=400), TIMEOUT, _always_allowed)
         for _ in range(6):
             await curio.sleep(0.15)
-            await worker.renew(LeaseRenewal('peer', 400, ('a',)))
+            await worker.renew_leases(LeaseRenewal('peer', 400, ('a',)))
         assert await _wait_for_outcome(worker, 'a') == 'succeeded'
 
     _run_with_worker(context, check)
@@ -305,7 +305,7 @@
 def check_hosts(context):
     async def check(hosts, standin):
         for _ in range(3):
-            found = await hosts.fetch()
+            found = await hosts.fetch_hosts()
             assert [one.name for one in found] == ['w1', 'e1'], found
             assert all(one.is_live for one in found)
 
@@ -315,16 +315,16 @@
 @then('a leaving worker is reported, a read in an outage fails, and the next one succeeds')
 def check_hosts_change(context):
     async def check(hosts, standin):
-        await hosts.fetch()
+        await hosts.fetch_hosts()
         standin.hosts = (msgspec.structs.replace(HOSTS[0], state='leaving'), HOSTS[1])
-        assert [one.is_live for one in await hosts.fetch()] == [False, True]
+        assert [one.is_live for one in await hosts.fetch_hosts()] == [False, True]
         standin.faults = Faults(outage=True)
         try:
-            await hosts.fetch()
+            await hosts.fetch_hosts()
         except HostListError:
             standin.faults = Faults()
         else:
             raise AssertionError('no error')
-        assert [one.is_live for one in await hosts.fetch()] == [False, True]
+        assert [one.is_live for one in await hosts.fetch_hosts()] == [False, True]
 
     _run_with_hosts(context, check)
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -108,11 +108,11 @@
         reader = StreamReader(log, 's', clock, Number)
         for _ in range(2):
             await reader.read_once(0)
-        found = [reader.covers_last(seconds)]
+        found = [reader.covers_last_seconds(seconds)]
         clock.advance(seconds - 0.1)
-        found.append(reader.covers_last(seconds))
+        found.append(reader.covers_last_seconds(seconds))
         clock.advance(0.2)
-        found.append(reader.covers_last(seconds))
+        found.append(reader.covers_last_seconds(seconds))
         return found
 
     assert curio.run(read_truncated_log) == [False, False, True]
--- a/standins/_users_platform.py
+++ b/standins/_users_platform.py
@@ -420,7 +420,7 @@
 
     async def reset(self) -> None:
         """Close all connections; new ones are accepted."""
-        await self._cancel_all()
+        await self._cancel_tasks()
 
 
 async def _reset_connections(runner: PlatformRunner, server: ResettableServer) -> None:
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -63,7 +63,7 @@
         super().__init__()
         self.entry = entry
         self._worker = MemoryWorker(entry)
-        self._worker.watch(self._record_change)
+        self._worker.add_watcher(self._record_change)
         self._run_by_task: dict[str, RunRecord] = {}
         self._in_use = NO_RESOURCES
         self._peak_usage = NO_RESOURCES
@@ -96,14 +96,14 @@
         if request.path == TASKS:
             query = request.query_by_name
             wait = int(query.get('wait_ms', '0')) / MILLISECONDS_PER_SECOND
-            return json_response(await self._worker.tasks(int(query.get('after', '-1')), wait))
+            return json_response(await self._worker.list_tasks(int(query.get('after', '-1')), wait))
         if request.path == '/v1/leases':
-            await self._worker.renew(msgspec.json.decode(request.body, type=LeaseRenewal))
+            await self._worker.renew_leases(msgspec.json.decode(request.body, type=LeaseRenewal))
             return json_response({})
         task_path = request.path.removeprefix(f'{TASKS}/')
         if request.method == 'PUT':
             order = msgspec.json.decode(request.body, type=TaskOrder)
-            await self._worker.start(task_path, order, 0, _always)
+            await self._worker.start_task(task_path, order, 0, _always)
             return json_response({}, HTTP_CREATED)
         task_id, _, action = task_path.rpartition('/')
         await self._worker.apply_action(task_id, action)
