--- a/dandelionreel/kernel/_journal.py
+++ b/dandelionreel/kernel/_journal.py
@@ -64,7 +64,7 @@
         self._host = host
         self._sample_every = sample_every
         self._quiet_parts = quiet_parts
-        self._count = 0
+        self._frequent_line_count = 0
         self._destination = eliot.FileDestination(file=stream)
 
     def open(self) -> None:
@@ -93,8 +93,8 @@
 
     def log_sampled(self, part: Part, sentence: str, **fields: Any) -> None:
         """Write one of every ``sample_every`` lines."""
-        self._count += 1
-        if self._count % self._sample_every:
+        self._frequent_line_count += 1
+        if self._frequent_line_count % self._sample_every:
             return
         if self._sample_every > 1:
             fields['sampled'] = self._sample_every
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -55,7 +55,7 @@
         return self._cell_reader.caught_up or self.peer_contracts_match
 
     async def request_stop(self) -> None:
-        """Begin a graceful stop; a second call skips the waiting."""
+        """Begin a graceful stop; a second call skips the waits of the drain."""
         if self.stopping:
             self.drain_skipped = True
         self.stopping = True
--- a/dandelionreel/records/_job_histories.py
+++ b/dandelionreel/records/_job_histories.py
@@ -87,7 +87,7 @@
         history = self._get_or_create(job)
         if history is not None:
             _add_run_event(history, event)
-            _set_account(history, event)
+            _record_account(history, event)
 
     def list_submitted_jobs(self) -> list[JobHistory]:
         """Return the submitted jobs in order of submission, after all events were added."""
@@ -122,7 +122,7 @@
         handling_seconds = seconds if isinstance(seconds, int | float) else 0.0
         history.submitted_at = _earlier_time(history.submitted_at, event.at - handling_seconds)
         history.queue = history.queue or f'{event.extra_fields.get("queue", "")}'
-        _set_account(history, event)
+        _record_account(history, event)
         if event.kind in {EventKind.ACCEPTED, EventKind.ALREADY_ACCEPTED}:
             history.accepted_at = _earlier_time(history.accepted_at, event.at)
         elif event.kind is EventKind.REFUSED and (history.refused_at or event.at) >= event.at:
@@ -134,7 +134,7 @@
         if history is None:
             return
         history.queue = history.queue or f'{event.extra_fields.get("queue", "")}'
-        _set_account(history, event)
+        _record_account(history, event)
         objective = event.extra_fields.get('objective')
         if isinstance(objective, int | float):
             history.objective = float(objective)
@@ -158,7 +158,7 @@
         history.incidents.add(event.kind)
 
 
-def _set_account(history: JobHistory, event: LogEvent) -> None:
+def _record_account(history: JobHistory, event: LogEvent) -> None:
     account = event.extra_fields.get('account')
     if isinstance(account, str):
         history.account = history.account or account
--- a/dandelionreel/records/_outages.py
+++ b/dandelionreel/records/_outages.py
@@ -91,10 +91,10 @@
         fully_affected = [zone for zone in zones if self._hosts_of_zone(zone) <= affected]
         return OutageScope.ZONE if fully_affected else OutageScope.HOST
 
-    def partitioned_zones(self, since: float, until: float) -> set[str]:
+    def find_partitioned_zones(self, since: float, until: float) -> set[str]:
         """Return the zones all of whose hosts were without the store within a time span."""
         zones = set(self.zone_by_host.values())
-        return {zone for zone in zones if self._was_partitioned(zone, since, until)}
+        return {zone for zone in zones if self._was_zone_partitioned(zone, since, until)}
 
     def find_total_outages(self) -> list[TimeSpan]:
         """Return the spans in which no host was up."""
@@ -116,7 +116,7 @@
     def _hosts_of_zone(self, zone: str) -> set[str]:
         return {host for host, host_zone in self.zone_by_host.items() if host_zone == zone}
 
-    def _was_partitioned(self, zone: str, since: float, until: float) -> bool:
+    def _was_zone_partitioned(self, zone: str, since: float, until: float) -> bool:
         return all(
             any(span.overlaps(since, until) for span in self._store_outages_by_host[host])
             for host in self._hosts_of_zone(zone)
--- a/dandelionreel/records/_reasons.py
+++ b/dandelionreel/records/_reasons.py
@@ -108,9 +108,9 @@
     scope = outages.find_store_outage_scope(since, max(until, since + NORMAL_DELAY_SECONDS))
     if scope is not None:
         return NOT_ACCEPTED[scope]
-    if _any_overlaps(total_outages, since, until):
+    if _any_span_overlaps(total_outages, since, until):
         return MissReason.ALL_HOSTS_DOWN
-    if _any_overlaps(outages.takeovers, since, until):
+    if _any_span_overlaps(outages.takeovers, since, until):
         return MissReason.TAKEOVER
     return MissReason.OTHER_REFUSAL
 
@@ -121,11 +121,11 @@
     total_outages: list[TimeSpan],
     span: TimeSpan,
 ) -> MissReason:
-    if _any_overlaps(total_outages, span.since, span.until):
+    if _any_span_overlaps(total_outages, span.since, span.until):
         return MissReason.ALL_HOSTS_DOWN
     if outages.find_store_outage_scope(span.since, span.until) is OutageScope.ALL:
         return MissReason.STORE_NOT_STARTED
-    if _any_overlaps(outages.takeovers, span.since, span.until):
+    if _any_span_overlaps(outages.takeovers, span.since, span.until):
         return MissReason.TAKEOVER
     return _find_account_limit(history) or MissReason.START_DELAYED
 
@@ -140,23 +140,23 @@
 def _explain_long_run(
     history: JobHistory, outages: Outages, total_outages: list[TimeSpan], span: TimeSpan
 ) -> MissReason:
-    if _any_overlaps(total_outages, span.since, span.until):
+    if _any_span_overlaps(total_outages, span.since, span.until):
         return MissReason.ALL_HOSTS_DOWN
-    if history.zones & outages.partitioned_zones(span.since, span.until):
+    if history.zones & outages.find_partitioned_zones(span.since, span.until):
         return MissReason.ZONE_PARTITIONED
-    incident = _find_incident(history)
+    incident = _find_run_incident(history)
     if incident is not None:
         return incident
     if outages.find_store_outage_scope(span.since, span.until) is OutageScope.ALL:
         return MissReason.STORE_NOT_STARTED
-    if _any_overlaps(outages.takeovers, span.since, span.until):
+    if _any_span_overlaps(outages.takeovers, span.since, span.until):
         return MissReason.TAKEOVER
     if EventKind.HELD_BY_QUOTA in history.incidents:
         return MissReason.QUOTA
     return MissReason.RAN_LONGER
 
 
-def _find_incident(history: JobHistory) -> MissReason | None:
+def _find_run_incident(history: JobHistory) -> MissReason | None:
     """Return the incident that made a job's runs take longer, ``None`` without one."""
     if history.incidents & {EventKind.RUN_LOST, EventKind.RUN_MISSING, EventKind.START_UNANSWERED}:
         return MissReason.RUNNER
@@ -165,5 +165,5 @@
     return MissReason.STOPPED if EventKind.STOPPING in history.incidents else None
 
 
-def _any_overlaps(spans: list[TimeSpan], since: float, until: float) -> bool:
+def _any_span_overlaps(spans: list[TimeSpan], since: float, until: float) -> bool:
     return any(span.overlaps(since, until) for span in spans)
--- a/dandelionreel/records/_repeated_starts.py
+++ b/dandelionreel/records/_repeated_starts.py
@@ -60,14 +60,14 @@
     earlier: Run | None = None
     for run in runs:
         if earlier is not None and earlier.task == run.task:
-            repeated.append(_compare_runs(earlier, run, events))
+            repeated.append(_compare_successive_runs(earlier, run, events))
         earlier = run
     return repeated
 
 
-def _compare_runs(earlier: Run, later: Run, events: list[LogEvent]) -> RepeatedStart:
+def _compare_successive_runs(earlier: Run, later: Run, events: list[LogEvent]) -> RepeatedStart:
     known_events = _find_known_events(earlier, later, events)
-    finding, suspect = _explain_start(earlier, later, known_events)
+    finding, suspect = _explain_repeated_start(earlier, later, known_events)
     return RepeatedStart(earlier, later, finding, suspect, known_events)
 
 
@@ -92,7 +92,7 @@
     return about_runner and event.at >= run.began_at
 
 
-def _explain_start(
+def _explain_repeated_start(
     earlier: Run, later: Run, known_events: tuple[LogEvent, ...]
 ) -> tuple[str, bool]:
     """Return the explanation of a repeated start, and whether it is suspect."""
@@ -111,11 +111,11 @@
         )
     if over_events:
         return (
-            f'{prefix} {_quote_event(over_events[-1], earlier, later.start_sent_at)}',
+            f'{prefix} {_describe_quoted_event(over_events[-1], earlier, later.start_sent_at)}',
             False,
         )
-    expiry = _find_expiry(known_events, earlier.runner)
-    overlap = _describe_overlap(earlier, later.start_sent_at)
+    expiry = _find_lease_expiry(known_events, earlier.runner)
+    overlap = _describe_earlier_end(earlier, later.start_sent_at)
     if expiry is not None and not overlap:
         age = later.start_sent_at - expiry.at
         return (
@@ -129,7 +129,7 @@
     )
 
 
-def _quote_event(event: LogEvent, earlier: Run, start_sent_at: float) -> str:
+def _describe_quoted_event(event: LogEvent, earlier: Run, start_sent_at: float) -> str:
     absence = f' Run {earlier.run} was not there.' if event.kind is EventKind.RUNS_LISTED else ''
     return f'{start_sent_at - event.at:.3f} s before: {event.sentence}{absence}'
 
@@ -152,7 +152,7 @@
     return is_complete and not any(run_event is event for run_event in run.events)
 
 
-def _find_expiry(known_events: tuple[LogEvent, ...], runner: str) -> LogEvent | None:
+def _find_lease_expiry(known_events: tuple[LogEvent, ...], runner: str) -> LogEvent | None:
     """Return where a new owner logged that the leases on an unseen runner have expired."""
     for event in reversed(known_events):
         if LEASES_EXPIRED_TEXT not in event.text:
@@ -163,7 +163,7 @@
     return None
 
 
-def _describe_overlap(earlier: Run, start_sent_at: float) -> str:
+def _describe_earlier_end(earlier: Run, start_sent_at: float) -> str:
     """Describe a run's end that another host recorded; empty if no event has one."""
     if earlier.ended_at is None:
         return ''
--- a/dandelionreel/records/_review.py
+++ b/dandelionreel/records/_review.py
@@ -125,14 +125,16 @@
             'first_bad': summary.stats.first_bad,
             'left_out': summary.dropped_count,
         },
-        'queues': _view_counts('queue', summary.counts_by_queue),
-        'accounts': _view_counts('account', summary.counts_by_account),
+        'queues': _view_verdict_counts('queue', summary.counts_by_queue),
+        'accounts': _view_verdict_counts('account', summary.counts_by_account),
         'reasons': _view_reasons(summary.missed_jobs),
         'jobs': [_view_missed_job(missed, origin) for missed in summary.missed_jobs],
     }
 
 
-def _view_counts(kind: str, counts_by_name: dict[str, Counter[JobVerdict]]) -> list[dict[str, Any]]:
+def _view_verdict_counts(
+    kind: str, counts_by_name: dict[str, Counter[JobVerdict]]
+) -> list[dict[str, Any]]:
     return [
         {kind: name or '?', **{verdict.value: counts[verdict] for verdict in JobVerdict}}
         for name, counts in sorted(counts_by_name.items())
