--- a/bench/guards.py
+++ b/bench/guards.py
@@ -201,11 +201,11 @@
     'GIVEN UP': 'write timed out is appended',
     'FORMER': 'of a former dispatcher is appended',
     'VIEW': 'known at first hand',
-    'LATE': 'Answers come late',
+    'LATE': 'Answers arrive after their deadline',
     'SETTLEMENT': 'A worker is lost',
     'PAUSED': 'A member is paused',
     'LEAVES': 'An endpoint leaves',
-    'EACH OTHER': 'lose each other',
+    'EACH OTHER': 'lose their link to each other',
     'GANG': 'A gang starts',
     'PROOF': 'What proves that a runner',
     'NEVER HAD': 'Which runs a runner crash',
@@ -213,7 +213,7 @@
     'QUARANTINE': 'Quarantined tasks',
     'SUCCESSOR': 'What a successor knows',
     'ROOM': 'between a decision',
-    'RENEW': 'An owner dies while the log is out',
+    'RENEW': 'An owner dies while the log is unavailable',
     'RESTARTED': 'A call to a runner that has restarted',
 }
 
--- a/features/accounts.feature
+++ b/features/accounts.feature
@@ -64,7 +64,7 @@
   Scenario: A hundred unknown keys
     Given a client API with the accounts blue and red
     And peers that have the same configuration
-    When a hundred requests come with unknown keys
+    When a hundred requests with unknown keys arrive
     Then peers were asked once
 
   # Guards against serving a forwarded request by the older of two configurations.
--- a/features/active_runners.feature
+++ b/features/active_runners.feature
@@ -23,7 +23,7 @@
   Scenario: A step requires a label that no polled runner has
     Given 3000 runners of 16 cores in 4 zones, racks of 12
     And 100 more have the label gpu and none of them is polled
-    When a job that requires the label gpu is handed in
+    When a job that requires the label gpu is submitted
     Then 50 runners with that label are polled
 
   # Guards against releasing a runner that may still hold runs or unacknowledged ends.
@@ -36,7 +36,7 @@
       | what                                | fate            |
       | nothing is in use                   | may be released |
       | a task runs on x                    | is still polled |
-      | a start on x is in doubt            | is still polled |
+      | a start on x has an unknown outcome | is still polled |
       | an end on x is not yet acknowledged | is still polled |
       | x may hold tasks of a former owner  | is still polled |
 
--- a/features/behind_a_cut.feature
+++ b/features/behind_a_cut.feature
@@ -16,7 +16,7 @@
       | both tasks | the gang's first as failed | not complete |
       | no tasks   | the second and the gang    | not complete |
 
-  Scenario Outline: Jobs whose completion cannot be told
+  Scenario Outline: Jobs whose completion cannot be determined
     Given a job <kind>, whose first tasks are listed as done
     Then the job of the zone counts as not complete
 
--- a/features/cancelling.feature
+++ b/features/cancelling.feature
@@ -29,11 +29,11 @@
     Then w1 is told to stop it once
 
     Examples:
-      | fate              | forgotten                       |
-      | refused           | is still known                  |
-      | refused           | is dropped by the store         |
-      | stopped and gone  | is still known                  |
-      | stopped and gone  | is dropped by the store         |
+      | fate                         | forgotten               |
+      | refused                      | is still known          |
+      | refused                      | is dropped by the store |
+      | stopped and no longer listed | is still known          |
+      | stopped and no longer listed | is dropped by the store |
 
   # Guards against reusing the capacity of a start that may arrive although its retry was refused.
   Scenario Outline: A start that may arrive although its retry was refused
@@ -66,7 +66,7 @@
   Scenario: A run of an unknown job keeps its capacity until it has ended
     Given a cell with the runners w1
     When w1 lists a run of an unknown job
-    And a job is handed in
+    And a job is submitted
     Then nothing starts
     When w1 no longer lists the unknown run
     Then the new job starts
--- a/features/capacity.feature
+++ b/features/capacity.feature
@@ -70,10 +70,10 @@
     Given a cell with the runners w1, w2 whose queue needs advice
     And w1 has a capacity of 0 millicores and already runs a task of 32000 millicores
     When a task of 4000 millicores needs advice
-    Then advice is asked for it about w2
+    Then advice about w2 is requested for it
 
   # Guards against a gang that requests advice on all runners because the first one has shrunk.
   Scenario: A runner without capacity does not make a gang ask about all runners
     Given a cell with 24 runners whose queue needs advice, of which the first has no capacity
     When a gang of 4 tasks of 8000 millicores needs advice
-    Then advice is asked for it about fewer than 24 runners
+    Then advice about fewer than 24 runners is requested for it
--- a/features/cell.feature
+++ b/features/cell.feature
@@ -1,9 +1,9 @@
 Feature: Job and runner state of an owner, and its plans
 
-  # Guards against new work that waits for a runner which is gone.
-  Scenario: New work after a take-over does not wait for a runner that is gone
+  # Guards against new work that waits for a runner that has ended.
+  Scenario: New work after a take-over does not wait for a runner that has ended
     Given a successor that cannot see the runner w3
-    When a job is handed in
+    When a job is submitted
     Then it starts at once
 
   # Guards against a second start of a task that a runner of an earlier owner still runs.
@@ -17,7 +17,7 @@
       | w3     | stays blocked  |
       | w2     | starts at once |
 
-  Scenario: The job goes on once the runner has listed what it holds
+  Scenario: The job resumes once the runner has listed its tasks
     Given a successor that cannot see the runner w3
     When it reads a job from the store that may run on w3
     And w3 answers and does not hold the task
@@ -39,7 +39,7 @@
   Scenario: A task that is being stopped counts until its end is listed
     Given a cell with the runners w1
     And a running job that fills w1
-    When the job is cancelled and another one is handed in
+    When the job is cancelled and another one is submitted
     Then nothing starts
     When w1 lists the end of the stopped run
     Then the other job starts
@@ -72,7 +72,7 @@
     When its run fails, and the same end is listed to a successor that has read the progress
     Then the job is not failed
 
-  Scenario: A job fails when its attempts are used up
+  Scenario: A job fails after its last allowed attempt
     Given a cell with the runners w1, w2
     When a job fails on two runs
     Then the job is failed
@@ -107,14 +107,14 @@
 
   Scenario: A gang that does not fit at once
     Given a cell with the runners w1, w2
-    When a gang of 5 tasks of 12000 millicores is handed in
+    When a gang of 5 tasks of 12000 millicores is submitted
     Then nothing starts
 
   # Guards against gangs that starve while small tasks use every slot.
   Scenario Outline: Batch tasks that backfill while a gang waits for capacity
     Given a cell with the runners w1, w2
     And urgent tasks that fill w1 for 2 s and half of w2 for 2 s
-    When a gang of 2 tasks of 20000 millicores and a batch task of <seconds> s are handed in
+    When a gang of 2 tasks of 20000 millicores and a batch task of <seconds> s are submitted
     Then the batch task <outcome>
 
     Examples:
@@ -126,7 +126,7 @@
   Scenario Outline: Preemption of tasks for a gang
     Given a cell with the runners w1, w2
     And <tasks> that fill w1 and w2 for <seconds> s
-    When a gang of 2 tasks of 20000 millicores is handed in after them
+    When a gang of 2 tasks of 20000 millicores is submitted after them
     Then <count> of them are stopped
 
     Examples:
@@ -139,8 +139,8 @@
   # A batch job of 4 s has an objective of 19 s, which it would miss if preempted late.
   Scenario Outline: Tasks of a job that would miss its objective are not preempted
     Given a cell with the runners w1, w2
-    And a job handed in <age> s ago, whose batch tasks with checkpoints fill w1 and w2 for 4 s
-    When a gang of 2 tasks of 20000 millicores is handed in after them
+    And a job submitted <age> s ago, whose batch tasks with checkpoints fill w1 and w2 for 4 s
+    When a gang of 2 tasks of 20000 millicores is submitted after them
     Then <count> of them are stopped
 
     Examples:
@@ -151,24 +151,24 @@
   Scenario: The gang starts once the preempted tasks have ended, and they resume later
     Given a cell with the runners w1, w2
     And batch tasks with checkpoints that fill w1 and w2 for 4 s
-    When a gang of 2 tasks of 20000 millicores is handed in after them
+    When a gang of 2 tasks of 20000 millicores is submitted after them
     And the stopped tasks are listed with their checkpoints
     Then the gang starts
     And each stopped task waits with its checkpoint
 
   Scenario: Nothing is stopped before the gang has its tickets
-    Given a cell of 2 runners whose queue asks for advice
+    Given a cell of 2 runners whose queue needs advice
     And plain tasks with checkpoints that fill both
-    When a gang of 2 tasks of 20000 millicores is handed in after them
+    When a gang of 2 tasks of 20000 millicores is submitted after them
     And it is allowed on both runners, with tickets that have expired
-    Then nothing is stopped, and new tickets are asked for
+    Then nothing is stopped, and new tickets are requested
     When the tickets arrive
     Then 6 of them are stopped
 
   Scenario: The gang starts when its slots are free
     Given a cell with the runners w1, w2
     And urgent tasks that fill w1 for 2 s and half of w2 for 2 s
-    When a gang of 2 tasks of 20000 millicores and a batch task of 5 s are handed in
+    When a gang of 2 tasks of 20000 millicores and a batch task of 5 s are submitted
     And the urgent tasks are done
     Then the gang starts
 
@@ -176,40 +176,40 @@
   Scenario: Urgent work that arrives after a gang's reservation was made
     Given a cell with the runners w1, w2
     And a gang that waits for both of them
-    When an urgent job of 20 s is handed in 0.01 s later
+    When an urgent job of 20 s is submitted 0.01 s later
     Then it starts at once
 
   # Guards against late gangs that never get tickets.
   Scenario: A gang that is far too late still gets its tickets
-    Given a cell of 40 runners whose queue asks for advice
-    When a gang that was handed in an hour ago waits for tickets that expired
-    Then new tickets are asked for
+    Given a cell of 40 runners whose queue needs advice
+    When a gang that was submitted an hour ago waits for tickets that expired
+    Then new tickets are requested
 
   # The policy service takes time for every runner that a request names.
   Scenario: A request names no more runners than a step needs
-    Given a cell of 40 runners whose queue asks for advice
-    When a job of 2 tasks is handed in
+    Given a cell of 40 runners whose queue needs advice
+    When a job of 2 tasks is submitted
     Then the request names 12 runners
     And the job starts on the runners that are allowed
 
   # Guards against gangs that learn too slowly where they may run.
   Scenario: A gang sends several requests in parallel
-    Given a cell of 176 runners whose queue asks for advice
-    When a gang of 20 tasks of 9000 millicores asks for tickets
+    Given a cell of 176 runners whose queue needs advice
+    When a gang of 20 tasks of 9000 millicores requests tickets
     Then 3 requests name 94 runners, none of them twice
     And nothing more is requested until the last answer
 
   # Guards against requests for tickets that expire before there is free capacity.
   Scenario: No request for runners without free capacity
-    Given a cell of 40 runners whose queue asks for advice
+    Given a cell of 40 runners whose queue needs advice
     And tasks of another queue on all of them
-    When a job of 2 tasks is handed in
-    Then nothing is asked
+    When a job of 2 tasks is submitted
+    Then no advice is requested
 
   Scenario: No more requests than the free capacity can use
-    Given a cell of 40 runners whose queue asks for advice
+    Given a cell of 40 runners whose queue needs advice
     And tasks of another queue on 39 of them
-    When 50 jobs of one task of 8000 millicores are handed in
+    When 50 jobs of one task of 8000 millicores are submitted
     Then 6 requests are made
 
   Scenario Outline: Hosts that stay free for urgent requests
@@ -218,19 +218,19 @@
     Then <count> hosts are busy, and the last request is <fate>
 
     Examples:
-      | priority | count | fate |
-      | 0        | 7     | sent |
-      | 1        | 6     | kept |
+      | priority | count | fate   |
+      | 0        | 7     | sent   |
+      | 1        | 6     | queued |
 
-  Scenario: Tickets that have expired are asked for again
-    Given a cell of 40 runners whose queue asks for advice
-    When a job of 2 tasks is handed in
+  Scenario: Tickets that have expired are requested again
+    Given a cell of 40 runners whose queue needs advice
+    When a job of 2 tasks is submitted
     And its tickets expire before it could start
     Then the next request names only allowed runners
 
   Scenario: No starts on a draining runner
     Given a cell with the runners w1
-    When w1 drains and a job is handed in
+    When w1 drains and a job is submitted
     Then nothing starts
 
   # Guards against losing the tasks on a draining runner.
@@ -242,7 +242,7 @@
 
     Examples:
       | seconds | fate    |
-      | 0.5     | left    |
+      | 0.5     | kept    |
       | 3       | stopped |
 
   Scenario: A task that exceeds its estimate is stopped before its runner exits
@@ -273,19 +273,19 @@
   # Guards against leases of a crashed runner that are extended forever.
   Scenario: A crashed runner is polled while its leases expire
     Given a lease of 5 s granted to a runner that stops answering
-    When it is polled again and again without an answer
+    When it is polled repeatedly without an answer
     Then the leases have expired: yes
 
   Scenario: Steps wait for the steps that they depend on
     Given a cell with the runners w1
-    When a job of two steps in a row is handed in
+    When a job of two consecutive steps is submitted
     Then only the first step starts
     When the first step is done
     Then the second step starts
 
   Scenario Outline: Where a task may run
     Given a cell with the runners w1, w2
-    When a job with <rule> is handed in
+    When a job whose step has <rule> is submitted
     Then it has <counts> tasks on w1 and w2
 
     Examples:
--- a/features/completions.feature
+++ b/features/completions.feature
@@ -1,6 +1,6 @@
 Feature: Jobs that complete before their end is stored
 
-  # Guards against clients that learn of completed jobs only once the store is back.
+  # Guards against clients that learn of completed jobs only once the store is available again.
   Scenario Outline: The store is unavailable when a job ends
     Given an owner whose store is unavailable, and a peer that <answers>
     When a runner lists the end of its job
@@ -16,7 +16,7 @@
   Scenario: The store accepts the ends of jobs
     Given an owner whose store answers, and a peer that accepts its reports
     When a runner lists the end of its job
-    Then the peer is told nothing
+    Then no message is sent to the peer
 
   # Guards against starting a task again after a client was told that its job is complete.
   Scenario Outline: The owner and the runner fail after a job was shown as complete
--- a/features/contracts.feature
+++ b/features/contracts.feature
@@ -15,7 +15,7 @@
     When ub-west-d0 is paused
     And version 2 is published
     Then the operator is told that it was aborted because ub-west-d0 had not staged it
-    When ub-west-d0 goes on
+    When ub-west-d0 is resumed
     Then version 1 is in force on every daemon
     When version 2 is published
     Then the operator is told that it is in force
@@ -33,11 +33,11 @@
   Scenario: A new daemon starts during an outage of the log
     Given a cell of 1 zones with 3 daemons, 1 workers and 2 endpoints
     And version 1 of the contract is in force
-    When the log is out
+    When the log is unavailable
     And ub-east-d2 is killed and started again
     Then ub-east-d2 is ready with version 1 within 10 seconds
     And requests to ub-east-d2 are answered within 10 seconds
-    When the log is back
+    When the log is available again
     Then version 1 is in force on every daemon
 
   # Guards against a publication that fails because the log's answers are lost.
--- a/features/cuts.feature
+++ b/features/cuts.feature
@@ -1,4 +1,4 @@
-Feature: Cuts between daemons, zones and the platform
+Feature: Network partitions between daemons, zones and the platform
 
   # Guards against an owner that stops serving although its peers confirm that it is alive.
   Scenario: An owner loses the log but not its peers
@@ -8,20 +8,20 @@
     And 3 seconds pass
     Then requests to ub-east-d0 are answered within 2 seconds
     And ub-east-d0 keeps its shards
-    When all cuts are healed
+    When all cut links are restored
     And 20 jobs of 4 processors are submitted to ub-east-d0
     Then all submitted jobs end as succeeded
     And all guarantees hold
 
   # Guards against shards that move back and forth between daemons that cannot reach each other.
-  Scenario: Two daemons lose each other but not the log
+  Scenario: Two daemons lose their link to each other but not to the log
     Given a cell with relayed links and 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When the link from ub-east-d0 to ub-east-d1 is cut both ways
     And 20 jobs of 4 processors are submitted to ub-east-d0
     And 8 seconds pass
     Then ub-east-d0 keeps its shards
-    When all cuts are healed
+    When all cut links are restored
     Then all submitted jobs end as succeeded
     And all guarantees hold
 
@@ -33,7 +33,7 @@
     When 60 jobs of 8 processors running 1 seconds are submitted to ub-east-d1
     And ub-east-d0 is cut off from everything
     And 10 seconds pass
-    And all cuts are healed
+    And all cut links are restored
     Then all submitted jobs end as succeeded
     And every shard has a live owner within 15 seconds
     And all guarantees hold
@@ -45,7 +45,7 @@
     When 30 jobs of 8 processors running 0.5 seconds are submitted to ub-east-d1
     And the link from <source> to <target> is cut one way
     And 6 seconds pass
-    And all cuts are healed
+    And all cut links are restored
     Then all submitted jobs end as succeeded
     And all guarantees hold
 
@@ -65,7 +65,7 @@
     And requests to ub-east-d0 are answered within 3 seconds
     When version 2 is published
     Then the operator is told that it was aborted because ub-west-d0 had not staged it
-    When all cuts are healed
+    When all cut links are restored
     And 3 seconds pass
     And version 2 is published
     Then the operator is told that it is in force
--- a/features/entries.feature
+++ b/features/entries.feature
@@ -5,7 +5,7 @@
     Given a runner with a running task and a valid entry
     When its entry becomes <entry>
     Then no further task is started on it
-    And its task counts there, and is not started elsewhere
+    And its task stays allocated there, and is not started elsewhere
     And it is still polled at its last known address
     And its next valid entry makes it usable again
 
@@ -97,7 +97,7 @@
     Given a runner with a running task and a valid entry
     When its entry becomes one of another service
     Then no further task is started on it
-    And its task counts there, and is not started elsewhere
+    And its task stays allocated there, and is not started elsewhere
     And it is still polled at its last known address
     And its next valid entry makes it usable again
 
@@ -107,7 +107,7 @@
     And all its leases have expired
     Then its task is started elsewhere
 
-  # Guards against taking a runner for replaced because of an unusable entry at its address.
+  # Guards against treating a runner as replaced because of an unusable entry at its address.
   Scenario Outline: Another entry at the address of a runner does not replace it
     Given a runner with a running task whose entry was removed
     When another entry at its address has <entry>
@@ -162,12 +162,12 @@
   Scenario: A read that is truncated
     Given a host that follows a topic
     When its read of three entries is cut in the last one
-    Then the last one is read again whole
+    Then the last one is read again completely
 
   Scenario: A read that is shorter than its header
     Given a host that follows a topic
     When its read is cut in the header
-    Then it counts as a failure of the store
+    Then the read counts as a failure of the store
 
   Scenario Outline: A page of newest records with an item that cannot be read
     Given a host that follows a topic
@@ -194,7 +194,7 @@
   Scenario: Pages that make no progress
     Given a host that follows a topic
     When each page ends with the key after which it began
-    Then it counts as a failure of the store
+    Then the read counts as a failure of the store
 
   # Guards against losing a configuration because the next one is unreadable.
   Scenario Outline: The newest configuration cannot be read
@@ -221,22 +221,22 @@
     And the job is <handled>
 
     Examples:
-      | before          | key | record           | state     | handled     |
-      | nothing         | j   | invalid JSON     | queued    | not started |
-      | nothing         | j   | nested deeply    | queued    | not started |
-      | nothing         | j   | a huge count     | queued    | not started |
-      | nothing         | j   | a tiny interval  | queued    | not started |
-      | nothing         | j   | a cycle of steps | queued    | not started |
-      | a job           | j   | invalid JSON     | queued    | started     |
-      | a job           | j   | a huge count     | queued    | started     |
-      | a job           | e   | invalid JSON     | running   | not started |
-      | a job           | e   | an invalid mask  | running   | not started |
-      | a job           | e   | an unknown step  | running   | not started |
-      | a job           | c   | invalid JSON     | queued    | started     |
-      | a job under way | e   | invalid JSON     | running   | started     |
-      | a job under way | e   | an unknown step  | running   | started     |
-      | a completed job | e   | invalid JSON     | completed | not started |
-      | nothing         | e   | invalid JSON     | running   | not started |
+      | before            | key | record           | state     | handled     |
+      | nothing           | j   | invalid JSON     | queued    | not started |
+      | nothing           | j   | nested deeply    | queued    | not started |
+      | nothing           | j   | a huge count     | queued    | not started |
+      | nothing           | j   | a tiny interval  | queued    | not started |
+      | nothing           | j   | a cycle of steps | queued    | not started |
+      | a job             | j   | invalid JSON     | queued    | started     |
+      | a job             | j   | a huge count     | queued    | started     |
+      | a job             | e   | invalid JSON     | running   | not started |
+      | a job             | e   | an invalid mask  | running   | not started |
+      | a job             | e   | an unknown step  | running   | not started |
+      | a job             | c   | invalid JSON     | queued    | started     |
+      | a job in progress | e   | invalid JSON     | running   | started     |
+      | a job in progress | e   | an unknown step  | running   | started     |
+      | a completed job   | e   | invalid JSON     | completed | not started |
+      | nothing           | e   | invalid JSON     | running   | not started |
 
   # Guards against one client's job that blocks all others.
   Scenario Outline: A job whose record no host could read is refused
@@ -251,7 +251,7 @@
       | "repeat_count": 100000 |
 
   Scenario Outline: A job's record is unreadable in a snapshot
-    Given a host that has read a job under way
+    Given a host that has read a job in progress
     When it starts again from a snapshot in which <key> is <record>
     Then the job is shown as running
     And the job is started
@@ -304,11 +304,11 @@
       | an address of 300 characters |
       | nested deeply                |
 
-  # Guards against taking a run for lost because its row in the list cannot be read.
+  # Guards against treating a run as lost because its row in the list cannot be read.
   Scenario Outline: A runner lists something that cannot be read
     Given a runner that runs two tasks
     When it lists the first one, and in place of the second <row>
-    Then the second task still counts there
+    Then the second task stays allocated there
 
     Examples:
       | row                     |
@@ -321,7 +321,7 @@
   Scenario: A runner lists ends, and one that cannot be read
     Given a runner that runs two tasks
     When it lists the ends 5 and 7 as done, and between them one of an unknown outcome
-    Then the ends that can be read count
+    Then the ends that can be read are processed
     And no end from 6 on is acknowledged
 
   # Guards against losing ends of a job whose submission cannot be read yet.
@@ -330,19 +330,19 @@
     When a runner lists an end of the job as done
     Then no end from 1 on is acknowledged
     When the job can be read
-    Then the end counts when it is listed again, and may be acknowledged
+    Then the end is processed when it is listed again, and may be acknowledged
 
   Scenario: A runner lists nothing that can be read
     Given a runner that runs two tasks
     When it answers a poll with invalid JSON
-    Then that counts as no answer
+    Then the poll counts as unanswered
 
   Scenario: A writer that repeats the same unreadable entry
     Given a host that follows a topic
     When it reads the same unreadable entry 100 times, and then a valid one
     Then it logs the two changes and counts 100 unreadable records
 
-  Scenario: A writer of unreadable entries with ever new keys
+  Scenario: A writer of unreadable entries, each under another key
     Given a host that follows a topic
     When it reads 5000 unreadable entries of different keys
     Then it logs 20 at most and counts 5000 unreadable records
--- a/features/explain.feature
+++ b/features/explain.feature
@@ -50,11 +50,11 @@
       | its start may have arrived        | a  | placement: a start was not answered: x. | {"run": 1001, "runner": "r1", "verdict": "unknown"} | suspect | of which no line tells |
       | another runner's leases expired   | a  | workers: the leases on r9 have run out. | {"job": null, "runner": "r9"} | suspect | of which no line tells |
       | another host read its end         | b  | workers: a run has ended failed.        | {"task": "0.0.0", "run": 1001, "runner": "r1"} | suspect | which b had read |
-      | the first list lacks it           | a  | workers: found 1 tasks on r1. | {"job": null, "runner": "r1", "first": true, "found": ["ff/0.0.0 1001 running"]} | fair | found 1 tasks on r1. Run 1001 was not there. |
+      | the run is not in the first list  | a  | workers: found 1 tasks on r1. | {"job": null, "runner": "r1", "first": true, "found": ["ff/0.0.0 1001 running"]} | fair | found 1 tasks on r1. Run 1001 was not there. |
       | the first list is empty           | a  | workers: found 0 tasks on r1. | {"job": null, "runner": "r1", "first": true, "found": []} | fair | found 0 tasks on r1 |
       | the first list is incomplete      | a  | workers: found 2 tasks on r1. | {"job": null, "runner": "r1", "first": true, "found": ["ff/0.0.0 1001 running"]} | suspect | of which no line tells |
-      | the first list has it             | a  | workers: found 1 tasks on r1. | {"job": null, "runner": "r1", "first": true, "found": ["ID/0.0.0 1001 running"]} | suspect | of which no line tells |
-      | only a later list lacks it        | a | workers: found 1 tasks on r1. | {"job": null, "runner": "r1", "first": false, "found": ["ff/0.0.0 1001 running"]} | suspect | of which no line tells |
+      | the run is in the first list      | a  | workers: found 1 tasks on r1. | {"job": null, "runner": "r1", "first": true, "found": ["ID/0.0.0 1001 running"]} | suspect | of which no line tells |
+      | the run is not in a later list    | a | workers: found 1 tasks on r1. | {"job": null, "runner": "r1", "first": false, "found": ["ff/0.0.0 1001 running"]} | suspect | of which no line tells |
       | another runner's list is empty    | a  | workers: found 0 tasks on r9. | {"job": null, "runner": "r9", "first": true, "found": []} | suspect | of which no line tells |
       | the owner waited for its leases   | a | ownership: takes the leases on unseen runners for run out. | {"job": null, "runners": ["r1"]} | fair | nothing of run 1001; 1.000 s before it takes the leases |
       | the owner waited for other leases | a  | ownership: takes the leases on unseen runners for run out. | {"job": null, "runners": ["r9"]} | suspect | of which no line tells |
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -3,7 +3,7 @@
   A settlement is a payment: it must not run twice.
 
   # Guards against using the slots of a dead owner while its last requests may still run.
-  Scenario: An owner is killed; its workers and runners find a new owner
+  Scenario: An owner is killed; its workers and runners get a new owner
     Given a cell of 1 zones with 3 daemons, 4 workers and 4 endpoints
     And version 1 of the contract is in force
     When ub-east-d0 is killed
@@ -27,16 +27,16 @@
       | 0.8     |
       | 8       |
 
-  # Guards against losing accepted jobs, or no longer serving requests, while the log is out.
-  Scenario: The log is out
+  # Guards against losing accepted jobs, or rejecting requests, while the log is unavailable.
+  Scenario: The log is unavailable
     Given a cell of 1 zones with 3 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When 60 jobs of 4 processors are submitted to ub-east-d1
-    And the log is out
+    And the log is unavailable
     Then requests to ub-east-d0 are answered within 5 seconds
     And a settlement submitted to ub-east-d2 is refused as not_run with a retry-after header
     When 5 seconds pass
     Then requests to ub-east-d2 are answered within 5 seconds
-    When the log is back
+    When the log is available again
     Then all submitted jobs end as succeeded
     And all guarantees hold
--- a/features/input.feature
+++ b/features/input.feature
@@ -12,7 +12,7 @@
       | a head of 100000 bytes        | 431    |
       | a body above the limit        | 413    |
       | two different Content-Lengths | 400    |
-      | a body that never comes       | 408    |
+      | a body that is never sent     | 408    |
       | random bytes                  | 400    |
       | a negative Content-Length     | 400    |
 
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -37,7 +37,7 @@
     When another incarnation answers at w1's address, to a poll, a start and a stop
     Then the task waits with 1 crashes
 
-  Scenario Outline: When a task is given up
+  Scenario Outline: When a task is no longer retried
     Given an owner with a task during whose runs <before>
     When another incarnation answers at w1's address
     Then its job is reported as <state>
@@ -65,7 +65,7 @@
   # Guards against starting tasks that are suspected of crashing runners beside other tasks.
   Scenario: Quarantined tasks start alone, on runners with the least other work
     Given an owner with 3 runners, of which w1 and w2 have work
-    When two tasks break the connection of a fourth runner, which comes back
+    When two tasks break the connection of a fourth runner, which then restarts
     Then one of them starts on the empty runner, and nothing else starts there
     And the other one starts on another runner
     And half a second later other tasks start beside them
@@ -90,9 +90,9 @@
     Then it counts <count> crashes for the task
 
     Examples:
-      | entry     | count |
-      | is gone   | 2     |
-      | is listed | 1     |
+      | entry      | count |
+      | is removed | 2     |
+      | is listed  | 1     |
 
   Scenario: A first start is not stored individually
     Given an owner with a task whose runner is stored
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -3,7 +3,7 @@
   # Guards against urgent starts that are sent after hundreds of others.
   Scenario: The planner decides on starts faster than runners answer them
     Given an owner whose runners take long to answer
-    When 300 batch tasks wait and then an urgent one comes
+    When 300 batch tasks wait and then an urgent one arrives
     Then no more than 64 starts are pending at any time
     And the urgent one is sent before half of the batch tasks
     And all of them are started in the end, in few plans
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -50,7 +50,7 @@
     When a long job is submitted and the owner is killed while it runs
     Then the other hosts report that the job is completed
     And no task ran twice and no runner exceeded its capacity
-    And the logs tell who accepted, started, took over, found, noted and closed it
+    And the logs show which hosts accepted, started, took over, found, stored and completed it
 
   # Guards against a task that is not stopped because its job was cancelled after the owner died.
   Scenario Outline: The owner is killed between a start and its cancellation
@@ -59,9 +59,9 @@
     Then its task is stopped
 
     Examples:
-      | entry    |
-      | stays    |
-      | has gone |
+      | entry      |
+      | stays      |
+      | is removed |
 
   # All hosts lose power right after the client was told that its job is accepted.
   Scenario: All hosts are killed right after a job was accepted
@@ -72,8 +72,8 @@
   Scenario: The store is down temporarily
     When the store is down while jobs are submitted
     Then each is refused with a Retry-After time, and none of them runs
-    And the logs tell for each of them that it was refused, and what was tried
-    When the platform is up again
+    And the logs show for each of them that it was refused, and what was tried
+    When the platform is available again
     Then a new job is completed
 
   # Guards against running a job twice because the answer to an append was lost.
@@ -110,6 +110,6 @@
   Scenario: A job ends while the store is down, and its owner and its runner crash
     When the store goes down while a long job runs
     Then every host reports that it is completed
-    When the owner and the runner crash before the platform is up again
+    When the owner and the runner crash before the platform is available again
     Then the other hosts report that the job is completed
     And its task has run once
--- a/features/questions.feature
+++ b/features/questions.feature
@@ -4,7 +4,7 @@
   Scenario: No request names runners that a gang has reserved
     Given a cell of 8 runners, all of them reserved for a gang
     When batch jobs are submitted that would end after the gang's start
-    Then nothing is asked
+    Then no advice is requested
 
   # Guards against steps that all request advice on the same few runners.
   Scenario: Steps that wait together request advice on different runners
@@ -16,7 +16,7 @@
   Scenario: A job that is not stored yet requests advice once
     Given a cell of 40 runners whose batch queue needs advice
     When a batch job is submitted that is not stored yet
-    And it has tickets for runners with room
+    And it has tickets for runners with free capacity
     Then no advice is requested until they have expired
 
   # Guards against requests that wait for a host and delay more urgent ones.
@@ -30,7 +30,7 @@
   Scenario Outline: The cost of a plan grows with the runners plus the waiting steps, not their product
     Given a cell of 60 and one of 240 runners, each with 80 <kind> that wait for runners
     When both plan again
-    Then the larger one makes at most 40 more calls for each more runner
+    Then the larger one makes at most 40 more calls for each additional runner
 
     Examples:
       | kind        |
--- a/features/quotas.feature
+++ b/features/quotas.feature
@@ -4,7 +4,7 @@
   Scenario Outline: What counts against a quota
     Given the account blue with a quota of 8 cores, and 32 cores free
     And <before>
-    When blue hands in <count> tasks of 2 cores
+    When blue submits <count> tasks of 2 cores
     Then <starting> of them start
 
     Examples:
@@ -12,7 +12,7 @@
       | nothing runs                                          | 6     | 4        |
       | a task of blue of 4 cores runs                        | 6     | 2        |
       | a task of blue of 4 cores is being stopped            | 6     | 2        |
-      | a start of blue of 4 cores is in doubt                | 6     | 2        |
+      | a start of blue of 4 cores has an unknown outcome     | 6     | 2        |
       | a task of red of 4 cores runs                         | 6     | 4        |
       | a task of blue of 8 cores runs                        | 6     | 0        |
       | blue's quota is lowered to 2 cores while 4 are in use | 6     | 0        |
@@ -23,7 +23,7 @@
   Scenario Outline: What a successor counts before it has seen every runner
     Given the account blue with a quota of 8 cores, and a successor that cannot see w3
     And <before>
-    When blue hands in 6 tasks of 2 cores
+    When blue submits 6 tasks of 2 cores
     Then <starting> of them start
     When w3 <then> and is seen
     Then <more> of them start
@@ -42,7 +42,7 @@
   Scenario: A job demands more than the unseen runner on which it may run can hold
     Given the account blue with a quota of 50 cores, and a successor that cannot see w3
     And a job of blue of 30 tasks of 2 cores may run on w3
-    When blue hands in 6 tasks of 2 cores
+    When blue submits 6 tasks of 2 cores
     Then 6 of them start
 
   # Guards against a second successor that does not count what may be left on an unseen runner.
@@ -56,7 +56,7 @@
     Given the account blue with a quota of 8 cores, and a successor that cannot see w3
     And a cancelled job of blue has 4 cores left on w3
     When w3 is seen with a run of that job
-    And blue hands in 6 tasks of 2 cores
+    And blue submits 6 tasks of 2 cores
     Then 2 of them start
     When the run is stopped
     Then 4 of them start
@@ -65,7 +65,7 @@
   Scenario Outline: A gang and its account's quota
     Given the account blue with a quota of 8 cores, and 32 cores free
     And a task of blue of <used> cores runs
-    When blue hands in a gang of 3 tasks of 2 cores
+    When blue submits a gang of 3 tasks of 2 cores
     Then <starting> of them start
 
     Examples:
@@ -94,7 +94,7 @@
   # Guards against a gang that blocks its account although there are no slots for the gang.
   Scenario: A gang that finds no slots although its account has the quota
     Given the account blue with a quota of 8 cores, and 4 cores free
-    When a gang of 3 tasks of 2 cores waits while urgent tasks of blue come for 60 s
+    When a gang of 3 tasks of 2 cores waits while urgent tasks of blue arrive for 60 s
     Then urgent tasks of blue start in at least 50 of these seconds
 
   # Guards against a gang that no longer fits its quota and blocks its account.
@@ -106,14 +106,14 @@
   # Guards against an account that submits many times its usual load and delays others.
   Scenario: One account sends nine times its rate
     Given the accounts blue and red with a rate of 5 jobs a second each, and 8 cores
-    When blue hands in 45 urgent jobs and then red 5, each of 1 core for 0.5 s
+    When blue submits 45 urgent jobs and then red 5, each of 1 core for 0.5 s
     Then all jobs of red are among the first 10 to start
     And all 50 jobs have started after 3 s
 
   # Guards against jobs beyond a rate that never run while others keep the cell full.
   Scenario: Jobs beyond the rate do not wait forever
     Given the accounts blue and red with a rate of 5 jobs a second each, and 8 cores
-    When blue hands in 45 urgent jobs while red keeps the cell full for 80 s
+    When blue submits 45 urgent jobs while red keeps the cell full for 80 s
     Then all jobs of blue have started
 
   # Guards against a token bucket that is refilled twice by jobs accepted out of order.
@@ -132,7 +132,7 @@
   # Guards against an objective that no schedule can meet under the quota.
   Scenario Outline: The objective of a job that is wider than its account's quota
     Given the account blue with a quota of 8 cores, and 32 cores free
-    When blue hands in a step of <count> <kind> of 2 cores that take 1 s
+    When blue submits a step of <count> <kind> of 2 cores that take 1 s
     Then its objective counts <waves> waves
 
     Examples:
--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -41,7 +41,7 @@
     And 10 jobs of 1 processors are submitted to ub-east-d1
     And all submitted jobs have ended
     And all records of the zone ub-east expire
-    And ub-east-d0 goes on
+    And ub-east-d0 is resumed
     Then 10 jobs submitted to ub-east-d0 all end as succeeded
     And all guarantees hold
 
@@ -53,16 +53,16 @@
     Then all submitted jobs end as succeeded
     And all guarantees hold
 
-  # Guards against tasks whose leases expire because their owner dies while the log is out.
-  Scenario: An owner dies while the log is out
+  # Guards against tasks whose leases expire because their owner dies while the log is unavailable.
+  Scenario: An owner dies while the log is unavailable
     Given a cell of 1 zones with 2 daemons, 2 workers and 2 endpoints
     And version 1 of the contract is in force
     When 4 jobs of 4 processors running 14 seconds are submitted to ub-east-d1
     And 2 seconds pass
-    And the log is out
+    And the log is unavailable
     And ub-east-d0 is killed
     And 10 seconds pass
-    And the log is back
+    And the log is available again
     Then all submitted jobs end as succeeded
     And none of their leases lapsed
     And all guarantees hold
--- a/features/release.feature
+++ b/features/release.feature
@@ -12,10 +12,10 @@
     When it is told to end its term
     Then its newest record in the store is the release
 
-  # Guards against a gap without an owner when the owner gives up the cell.
-  Scenario Outline: An owner gives up the cell
+  # Guards against a gap without an owner when the owner hands over the cell.
+  Scenario Outline: An owner hands over the cell
     Given an owner with a peer that <answers>
-    When it gives up the cell
+    When it hands over the cell
     Then it acts until <end>, and releases <released>
 
     Examples:
--- a/features/review.feature
+++ b/features/review.feature
@@ -32,7 +32,7 @@
   Scenario: Logs that name no job
     Given a log of a host that only starts
     When they are reviewed
-    Then the tool says in one line that no line tells of a job
+    Then the tool reports in one line that no line tells of a job
 
   Scenario: A log with truncated lines
     Given the logs of hosts in three zones, in which one host refuses the job
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -250,7 +250,7 @@
     check()
 
 
-@when('a hundred requests come with unknown keys')
+@when('a hundred requests with unknown keys arrive')
 def request_with_unknown_keys(context):
     for number in range(100):
         send_request(context, 'GET', '/plain/', (('authorization', f'Bearer unknown-{number}'),))
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -80,7 +80,7 @@
     choose(context)
 
 
-@when('a job that requires the label gpu is handed in')
+@when('a job that requires the label gpu is submitted')
 def requires_label(context):
     context.small.add_job('f' * 16, [step(required_label='gpu')])
     choose(context, 1.0)
@@ -100,8 +100,11 @@
     state = small.cell.runner_by_id[context.runner_id]
     for runner in tuple(small.cell.runner_by_id.values()):
         for held in tuple(runner.allocation_by_run.values()):
-            if runner is state and what in {'a task runs on x', 'a start on x is in doubt'}:
-                if 'doubt' in what:
+            if runner is state and what in {
+                'a task runs on x',
+                'a start on x has an unknown outcome',
+            }:
+                if 'unknown' in what:
                     small.cell.revoke_start(held)
                 continue
             small.poll(runner.id, ended=((runner.processed_end + 1, held.task, held.run, 'done'),))
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -21,7 +21,7 @@
     return Journal(io.StringIO(), 'test')
 
 
-@given('a cell of {count:d} runners whose queue asks for advice')
+@given('a cell of {count:d} runners whose queue needs advice')
 def advised_cell(context, count):
     queues = (make_queue('urgent', advice=(0.01, 0.001, 2.0)), make_queue('plain', 2, slack=4.0))
     context.small = SmallCell([f'r{number}' for number in range(count)], queues=queues)
@@ -38,12 +38,12 @@
     assert len(context.small.plan().starts) == count
 
 
-@then('nothing is asked')
+@then('no advice is requested')
 def nothing_asked(context):
     assert not context.plan.advice_requests, context.plan.advice_requests
 
 
-@when('50 jobs of one task of 8000 millicores are handed in')
+@when('50 jobs of one task of 8000 millicores are submitted')
 def fifty_jobs(context):
     for number in range(50):
         context.small.add_job(f'j{number:02}', [step(8000)])
@@ -55,7 +55,7 @@
     assert len(context.plan.advice_requests) == count, context.plan.advice_requests
 
 
-@when('a gang of 20 tasks of 9000 millicores asks for tickets')
+@when('a gang of 20 tasks of 9000 millicores requests tickets')
 def gang_asks(context):
     context.small.add_job('j1', [step(9000, count=20, gang=True)])
     context.plan = context.small.plan()
@@ -132,7 +132,7 @@
         await curio.sleep(NO_ANSWER_SECONDS)
 
 
-@when('a job of 2 tasks is handed in')
+@when('a job of 2 tasks is submitted')
 def two_tasks(context):
     context.small.add_job('j1', [step(count=2)])
     context.plan = context.small.plan()
@@ -156,7 +156,7 @@
     assert {(start.runner, start.ticket) for start in starts} == {(allowed, 'ticket')}
 
 
-@when('a gang that was handed in an hour ago waits for tickets that expired')
+@when('a gang that was submitted an hour ago waits for tickets that expired')
 def late_gang(context):
     small = context.small
     small.add_job('g1', [step(count=2, gang=True)], age=3600)
@@ -166,7 +166,7 @@
     context.plan = small.plan()
 
 
-@then('new tickets are asked for')
+@then('new tickets are requested')
 def tickets_asked(context):
     assert len(context.plan.advice_requests) == 1
 
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -164,7 +164,7 @@
     context.advice_requests = context.small.plan().advice_requests
 
 
-@then('advice is asked for it about w2')
+@then('advice about w2 is requested for it')
 def asked_about(context):
     (request,) = context.advice_requests
     assert 'w2' in request.runners, request
@@ -182,7 +182,7 @@
     context.advice_requests = context.small.plan().advice_requests
 
 
-@then('advice is asked for it about fewer than {count:d} runners')
+@then('advice about fewer than {count:d} runners is requested for it')
 def asked_fewer(context, count):
     asked_runners = {runner for request in context.advice_requests for runner in request.runners}
     assert 0 < len(asked_runners) < count, sorted(asked_runners)
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -24,8 +24,8 @@
     context.small = SmallCell(tuple(names.split(', ')))
 
 
-@when('a job is handed in')
-def hand_in(context):
+@when('a job is submitted')
+def submit_default_job(context):
     context.small.add_job('j1', [step()])
     context.plan = context.small.plan()
 
@@ -71,8 +71,8 @@
     assert context.small.used('w1') == RUNNER_CPU
 
 
-@when('the job is cancelled and another one is handed in')
-def cancel_and_hand_in(context):
+@when('the job is cancelled and another one is submitted')
+def cancel_and_submit_other(context):
     context.small.cancel('j1')
     assert context.small.cell.take_stops()
     context.small.add_job('j2', [step()])
@@ -235,10 +235,10 @@
     assert [start.task.index for start in plan.starts] == [1], plan.starts
 
 
-@when('w1 drains and a job is handed in')
-def drain_and_hand_in(context):
+@when('w1 drains and a job is submitted')
+def drain_and_submit(context):
     context.small.drain('w1')
-    hand_in(context)
+    submit_default_job(context)
 
 
 @given('a running task of {seconds:g} s on w1')
@@ -261,7 +261,7 @@
 @then('the task is {fate:w}')
 def check_task(context, fate):
     stopped = context.small.cell.take_stops()
-    assert stopped == ([] if fate == 'left' else [context.start])
+    assert stopped == ([] if fate == 'kept' else [context.start])
 
 
 @when('a job is planned and cancelled before its start is sent')
@@ -288,7 +288,7 @@
     context.leases_expired = context.state.leases_expired(1000 + seconds, 0.02)
 
 
-@when('it is polled again and again without an answer')
+@when('it is polled repeatedly without an answer')
 def poll_unanswered(context):
     state = context.state
     context.leases_expired = False
@@ -304,7 +304,7 @@
     assert context.leases_expired is (answer == 'yes')
 
 
-@when('a job of two steps in a row is handed in')
+@when('a job of two consecutive steps is submitted')
 def two_steps(context):
     context.small.add_job('j1', [step(), step(depends_on=(0,))])
     context.plan = context.small.plan()
@@ -327,7 +327,7 @@
     assert [start.task.step for start in context.plan.starts] == [1]
 
 
-@when('a job with {rule} is handed in')
+@when('a job whose step has {rule} is submitted')
 def job_with_rule(context, rule):
     small = context.small
     small.registration_by_id['w2'] = make_registration('w2', labels=('b', 'r-2'), port=2)
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -94,7 +94,7 @@
     assert context.completions.contains(JOB) is (state == 'completed')
 
 
-@then('the peer is told nothing')
+@then('no message is sent to the peer')
 def peer_gets_nothing(context):
     assert context.peer.request_count == 0, context.peer.request_count
 
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -102,7 +102,7 @@
     context.cell.cut(*pairs, *[(outer, inner) for inner, outer in pairs])
 
 
-@when('all cuts are healed')
+@when('all cut links are restored')
 def heal(context):
     context.cell.cut()
 
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -28,7 +28,7 @@
 
 
 @given('a start that got no answer')
-def start_in_doubt(context):
+def start_without_answer(context):
     context.small = SmallCell(('w1', 'w2'))
     context.job = context.small.add_job('j1', [step()])
     (context.start,) = context.small.plan(start=False).starts
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -72,7 +72,7 @@
     context.host = Host('a', context.topic)
 
 
-@when('the store is back')
+@when('the store is available again')
 def store_back(context):
     async def follow():
         await curio.spawn(context.host.follower.run, daemon=True)
@@ -114,7 +114,7 @@
         return await super().read(offset, wait, max_bytes)
 
 
-@given('a host that follows an owner that has left the cell')
+@given('a host that follows an owner that has released the cell')
 def following_released(context):
     context.topic = DelayedReadTopic()
     left = make_record(OWNER_KEY, Owner(1, 'other', 'other/1', released=True))
@@ -234,7 +234,7 @@
 
 @then('it {acts} the cell')
 def hands_over_or_keeps(context, acts):
-    assert context.owner.ended.is_set() == (acts == 'leaves')
+    assert context.owner.ended.is_set() == (acts == 'releases')
 
 
 @given('the hosts {names}')
@@ -252,7 +252,7 @@
     assert hosts == order.split(', '), hosts
 
 
-@then("{me} has its clients' jobs written by {writer}, with {excluded} out of reach")
+@then("{me} has its clients' jobs written by {writer}, with {excluded} unreachable")
 def written_by(context, me, writer, excluded):
     found = find_zone_writer(context.member_by_host, me, {excluded})
     assert (found or 'itself') == writer, found
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -101,7 +101,7 @@
 BEFORE = {
     'nothing': (),
     'a job': (make_record(f'j/{JOB}', SUBMISSION),),
-    'a job under way': (make_record(f'j/{JOB}', SUBMISSION), make_record(f'e/{JOB}', PROGRESS)),
+    'a job in progress': (make_record(f'j/{JOB}', SUBMISSION), make_record(f'e/{JOB}', PROGRESS)),
     'a completed job': (make_record(f'e/{JOB}', Progress(4, JobState.COMPLETED, ended_at=9.0)),),
 }
 
@@ -152,7 +152,7 @@
 @when('the same job is submitted again')
 def resubmit_job(context):
     stored_job = context.host.projection.state.find(JOB)
-    # A host that took the job for accepted would not store it again.
+    # A host that considered the job accepted would not store it again.
     assert stored_job.may_be_resubmitted
     append(context, make_record(f'j/{JOB}', SUBMISSION))
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -55,7 +55,7 @@
     assert not small.cell.runner_by_id['i-1'].usable(small.now)
 
 
-@then('its task counts there, and is not started elsewhere')
+@then('its task stays allocated there, and is not started elsewhere')
 def check_task_counted(context):
     small = context.small
     small.poll('i-2')
@@ -207,7 +207,7 @@
     context.follower = read_once(context.topic, context.projections.runners, context.projections, 0)
 
 
-@then('the last one is read again whole')
+@then('the last one is read again completely')
 def check_read_again(context):
     assert context.follower.offset == 2
     context.raw.cut = 0
@@ -232,7 +232,7 @@
     )
 
 
-@then('it counts as a failure of the store')
+@then('the read counts as a failure of the store')
 def check_store_failure(context):
     try:
         context.attempt()
--- a/features/steps/entry_view_steps.py
+++ b/features/steps/entry_view_steps.py
@@ -51,7 +51,7 @@
     handle_poll_answer(context, [encode_row(first, '', 5, 0), bad_rows[bad]])
 
 
-@then('the second task still counts there')
+@then('the second task stays allocated there')
 def check_second_counted(context):
     assert set(context.runs) == set(context.small.runs_on('w1'))
     assert not context.effect.lost
@@ -69,7 +69,7 @@
     handle_poll_answer(context, (), ends)
 
 
-@then('the ends that can be read count')
+@then('the ends that can be read are processed')
 def check_ends_counted(context):
     assert not context.small.runs_on('w1')
     assert context.small.cell.job_by_id[JOB].state is JobState.COMPLETED
@@ -99,7 +99,7 @@
     context.small.add_job(JOB, [step()])
 
 
-@then('the end counts when it is listed again, and may be acknowledged')
+@then('the end is processed when it is listed again, and may be acknowledged')
 def check_end_counted(context):
     context.small.poll('w1', ended=context.ends)
     assert context.small.cell.job_by_id[JOB].state is JobState.COMPLETED
@@ -112,7 +112,7 @@
     context.attempt = lambda: decode_view(b'{"clock_ms":')
 
 
-@then('that counts as no answer')
+@then('the poll counts as unanswered')
 def check_no_answer(context):
     try:
         context.attempt()
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -226,7 +226,7 @@
     assert [row['count'] for row in rows] == [count], rows
 
 
-@then('the logs tell who accepted, started, took over, found, noted and closed it')
+@then('the logs show which hosts accepted, started, took over, found, stored and completed it')
 def check_real_logs(context):
     _save_host_logs(context)
     (path,) = context.path_by_id.values()
@@ -245,7 +245,7 @@
     assert not context.report['again'] and not context.report['not_known'], context.report
 
 
-@then('the logs tell for each of them that it was refused, and what was tried')
+@then('the logs show for each of them that it was refused, and what was tried')
 def check_refusals(context):
     _save_host_logs(context)
     for job in range(10, 16):
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -94,7 +94,7 @@
     context.cell.signal(name, signal.SIGSTOP)
 
 
-@when('{name} goes on')
+@when('{name} is resumed')
 def resume(context, name):
     context.cell.signal(name, signal.SIGCONT)
 
@@ -104,13 +104,13 @@
     time.sleep(seconds)
 
 
-@when('the log is out')
+@when('the log is unavailable')
 def start_log_outage(context):
     context.cell.set_log_faults(outage=True)
     time.sleep(1)
 
 
-@when('the log is back')
+@when('the log is available again')
 def end_log_outage(context):
     context.cell.set_log_faults()
 
@@ -299,7 +299,7 @@
     assert reply.status == 200, reply
 
 
-@when('{count:d} requests of {seconds:g} seconds are under way at {name}')
+@when('{count:d} requests of {seconds:g} seconds are in progress at {name}')
 def begin_requests(context, count, seconds, name):
     pool = context.stack.enter_context(ThreadPoolExecutor(count))
     context.futures = [pool.submit(_send_echo, context, name, seconds) for _ in range(count)]
@@ -348,7 +348,7 @@
         )
 
 
-@then('{name} has worked on none of them')
+@then('{name} has received none of them')
 def check_none_received(context, name):
     marks = {mark for mark, _, _ in context.sent}
     received_marks = {request['mark'] for request in context.cell.record(name)['requests']}
@@ -382,7 +382,7 @@
     time.sleep(2)
 
 
-@then('each is answered with its own body or a problem with a true verdict')
+@then('each is answered with its own body or a problem with a correct verdict')
 def check_verdicts(context):
     received_by_mark = group_requests_by_mark(context.cell.records('endpoint'))
     verdicts = set()
@@ -405,7 +405,7 @@
             context.cell.set_host_faults(entry.name, outage=True)
 
 
-@then("each refusal as not_run is true by the runners' records")
+@then("the runners' records confirm each refusal as not_run")
 def check_not_run_verdicts(context):
     received_by_mark = group_requests_by_mark(context.cell.records('endpoint'))
     for mark, _, reply in context.sent:
@@ -487,7 +487,7 @@
     assert verdicts <= {'ran', 'unknown'}, others
 
 
-@then('the runners worked on it once')
+@then('the runners received it once')
 def check_received_once(context):
     assert _count_received(context, context.key) == 1
 
@@ -505,7 +505,7 @@
     assert _count_received(context, context.key) == 0
 
 
-@then('the same request is answered once the log serves again')
+@then('the same request is answered once the log is available again')
 def check_answered_after_outage(context):
     def answered():
         reply = _send_settlement(context, 'ub-east-d0', context.key)
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -41,8 +41,8 @@
     assert len(stopped) == 4, stopped
 
 
-@when('a gang of {count:d} tasks of {cpu:d} millicores is handed in')
-def hand_in_gang(context, count, cpu):
+@when('a gang of {count:d} tasks of {cpu:d} millicores is submitted')
+def submit_gang(context, count, cpu):
     context.small.add_job('j1', [step(cpu, count, gang=True)], queue='gangs')
     context.plan = context.small.plan()
 
@@ -55,7 +55,7 @@
         assert small.plan().starts[0].runner == runner
 
 
-@when('a gang of 2 tasks of 20000 millicores and a batch task of {seconds:g} s are handed in')
+@when('a gang of 2 tasks of 20000 millicores and a batch task of {seconds:g} s are submitted')
 def gang_and_batch(context, seconds):
     small = context.small
     small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue='gangs')
@@ -79,7 +79,7 @@
     assert len(context.filling) == 8
 
 
-@given('a job handed in {age:g} s ago, whose {kind} fill w1 and w2 for {seconds:g} s')
+@given('a job submitted {age:g} s ago, whose {kind} fill w1 and w2 for {seconds:g} s')
 def aged_tasks(context, kind, age, seconds):
     context.age = age
     filling_tasks(context, kind, seconds)
@@ -90,9 +90,9 @@
     filling_tasks(context, 'plain tasks with checkpoints', 4.0)
 
 
-@when('a gang of 2 tasks of 20000 millicores is handed in after them')
-def gang_handed_in(context):
-    # The cell whose queue asks for advice has no queue named gangs.
+@when('a gang of 2 tasks of 20000 millicores is submitted after them')
+def gang_submitted(context):
+    # The cell whose queue needs advice has no queue named gangs.
     queue = 'urgent' if 'plain' in context.small.cell.configuration.queue_by_name else 'gangs'
     context.small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue=queue)
     context.plan = context.small.plan()
@@ -135,7 +135,7 @@
     context.plan = small.plan()
 
 
-@then('nothing is stopped, and new tickets are asked for')
+@then('nothing is stopped, and new tickets are requested')
 def nothing_stopped(context):
     assert not context.small.cell.take_stops()
     assert len(context.plan.advice_requests) == 1
@@ -173,7 +173,7 @@
     assert not small.plan().starts
 
 
-@when('an urgent job of {seconds:g} s is handed in {later:g} s later')
+@when('an urgent job of {seconds:g} s is submitted {later:g} s later')
 def urgent_later(context, seconds, later):
     context.small.now += later
     context.small.add_job('urgent', [step(seconds=seconds)])
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps for records that were given up."""
+"""Steps for records whose appends were abandoned."""
 
 import curio
 from behave import given, then, when
@@ -39,8 +39,8 @@
         return await super().append(records, timeout, fence, expected_end)
 
 
-@given("an owner whose record of a task's end is about to be given up")
-def end_given_up(context):
+@given("an owner whose append of a task's end is about to be abandoned")
+def end_append_abandoned(context):
     context.small = SmallCell(('w1',))
     context.small.add_job('j1', [step(count=2)])
     first, _ = context.small.plan().starts
@@ -78,8 +78,8 @@
     assert context.state.acknowledged_end == 0, 'acknowledged, but not stored'
 
 
-@given('an owner whose heartbeat with a new runner is about to be given up')
-def heartbeat_given_up(context):
+@given('an owner whose append of a heartbeat with a new runner is about to be abandoned')
+def heartbeat_append_abandoned(context):
     context.clock = ManualClock()
     context.topic = OutageTopic(context.clock, OUTAGE)
     host = Host('me', context.topic, context.clock)
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -16,7 +16,7 @@
     'a head of 100000 bytes': HEAD + b'long: ' + b'x' * 100_000,
     'a body above the limit': HEAD + b'content-length: 99999999\r\n\r\n',
     'two different Content-Lengths': HEAD + b'content-length: 1\r\ncontent-length: 2\r\n\r\nab',
-    'a body that never comes': HEAD + b'content-length: 10\r\n\r\nabc',
+    'a body that is never sent': HEAD + b'content-length: 10\r\n\r\nabc',
     'random bytes': b'\x00\xff\x13\x37' * 50 + b'\r\n\r\n',
     'a negative Content-Length': HEAD + b'content-length: -1\r\n\r\n',
 }
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -187,7 +187,7 @@
         context.small.update_runners()
 
 
-@when('two tasks break the connection of a fourth runner, which comes back')
+@when('two tasks break the connection of a fourth runner, which then restarts')
 def two_break(context):
     small = context.small
     other_registrations = {name: small.registration_by_id.pop(name) for name in ('w1', 'w2', 'w3')}
@@ -256,8 +256,8 @@
 
 
 @when('the leases on w1 must have expired and its entry {entry}')
-def unseen_given_up(context, entry):
-    if entry == 'is gone':
+def unseen_runner_lost(context, entry):
+    if entry == 'is removed':
         context.small.registration_by_id.pop('w1')
         context.small.update_runners()
     context.small.cell.drop_unseen_runners(tuple(context.small.cell.unseen_runners))
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -59,7 +59,7 @@
     make_owner(context, SystemClock(), 0.01)
 
 
-@when('300 batch tasks wait and then an urgent one comes')
+@when('300 batch tasks wait and then an urgent one arrives')
 def many_wait(context):
     context.batch = add_job(context, 'batch', [step(1000, 300)], 'batch')
     context.plans = 0
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -67,7 +67,7 @@
 
 
 @when('a start of {processors:d} processors has an unknown outcome and the task list lacks it')
-def make_doubtful_start(context, processors):
+def make_unanswered_start(context, processors):
     grant = Grant(GrantLevel.WHOLE, EPOCH, 5)
     context.ledger.add_start('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.set_state('j.2.0', AllocationState.DOUBTFUL, 12)
--- a/features/steps/platform_soak_steps.py
+++ b/features/steps/platform_soak_steps.py
@@ -5,7 +5,7 @@
 from bench.platform_soak import PlatformSoak
 
 
-@when('random faults with seed {seed:d} hit the entry hosts for {seconds:g} seconds')
+@when('random faults with seed {seed:d} are injected into the entry hosts for {seconds:g} seconds')
 def run_soak(context, seed, seconds):
     context.tally = PlatformSoak(seed, seconds).run()
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -152,7 +152,7 @@
     submit_long_job(context, 30)
     context.killed = context.hosts.owner()
     context.hosts.kill(context.killed)
-    if fate == 'has gone':
+    if fate == 'is removed':
         context.platform.store.put('keyed.servers', context.platform.runs[0].runner, None)
 
 
@@ -192,7 +192,7 @@
     assert all(reply.retry_after for reply in context.refusals)
 
 
-@when('the platform is up again')
+@when('the platform is available again')
 def restore_platform(context):
     context.platform.store.faults.down = False
     context.hosts.wait_ready()
@@ -271,7 +271,7 @@
     context.platform.store.faults.down = True
 
 
-@when('the owner and the runner crash before the platform is up again')
+@when('the owner and the runner crash before the platform is available again')
 def lose_owner_and_runner(context):
     assert context.platform.store.faults.down
     context.killed = context.hosts.owner()
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -64,7 +64,7 @@
     assert len(context.plan.advice_requests) == 1
 
 
-@when('it has tickets for runners with room')
+@when('it has tickets for runners with free capacity')
 def has_tickets(context):
     small = context.small
     (request,) = context.plan.advice_requests
@@ -216,7 +216,7 @@
     context.calls = [count_calls(small) for small in context.cells]
 
 
-@then('the larger one makes at most {count:d} more calls for each more runner')
+@then('the larger one makes at most {count:d} more calls for each additional runner')
 def calls_grow(context, count):
     fewer, more = context.calls
     assert more - fewer <= count * context.more, context.calls
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -35,7 +35,7 @@
         """Install a configuration with these accounts."""
         self.cell.configuration = make_configuration(ALL, accounts)
 
-    def hand_in(self, account, steps, queue='urgent', progress=None):
+    def submit_job(self, account, steps, queue='urgent', progress=None):
         """Add a job of an account as if read from the store; return the job."""
         self.submitted += 1
         job = f'{self.submitted:016x}'
@@ -98,7 +98,7 @@
 
 @given('a task of {account} of {cores:g} cores runs')
 def task_runs(context, account, cores):
-    context.first = context.small.hand_in(account, [step(int(cores * 1000))])
+    context.first = context.small.submit_job(account, [step(int(cores * 1000))])
     plan = context.small.plan()
     assert len(plan.starts) == 1, plan
     context.first_start = plan.starts[0]
@@ -111,9 +111,9 @@
     context.small.cell.take_stops()
 
 
-@given('a start of blue of {cores:g} cores is in doubt')
-def start_in_doubt(context, cores):
-    context.first = context.small.hand_in('blue', [step(int(cores * 1000))])
+@given('a start of blue of {cores:g} cores has an unknown outcome')
+def start_without_answer(context, cores):
+    context.first = context.small.submit_job('blue', [step(int(cores * 1000))])
     start = context.small.plan(start=False).starts[0]
     context.small.cell.revoke_start(start)
     context.small.cell.cancel(context.first.id)
@@ -135,16 +135,16 @@
     context.small.configure((red(),))
 
 
-@when('blue hands in {count:d} tasks of {cores:g} cores')
-def hands_in(context, count, cores):
-    context.job = context.small.hand_in('blue', [step(int(cores * 1000), count)])
+@when('blue submits {count:d} tasks of {cores:g} cores')
+def submits_tasks(context, count, cores):
+    context.job = context.small.submit_job('blue', [step(int(cores * 1000), count)])
     context.small.plan()
 
 
-@when('blue hands in a gang of {count:d} tasks of {cores:g} cores')
-def hands_in_gang(context, count, cores):
+@when('blue submits a gang of {count:d} tasks of {cores:g} cores')
+def submits_gang(context, count, cores):
     gang = step(int(cores * 1000), count, gang=True)
-    context.job = context.small.hand_in('blue', [gang], 'gangs')
+    context.job = context.small.submit_job('blue', [gang], 'gangs')
     context.small.plan()
 
 
@@ -165,7 +165,7 @@
 def may_run_unseen(context, account, count, cores):
     progress = Progress(1, JobState.RUNNING, runners=('w3',))
     steps = [step(int(cores * 1000), count)]
-    context.first = context.small.hand_in(account, steps, progress=progress)
+    context.first = context.small.submit_job(account, steps, progress=progress)
 
 
 @any_step('a job of blue that may run on w3 with {cores:g} cores is cancelled')
@@ -232,10 +232,10 @@
     small = context.small
     queue = 'urgent' if kind == 'urgent' else 'batch'
     for _ in range(4):
-        small.hand_in('blue', [step(2000)], queue)
+        small.submit_job('blue', [step(2000)], queue)
     small.plan()
     small.now += 0.1
-    context.gang = small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
+    context.gang = small.submit_job('blue', [step(2000, 3, gang=True)], 'gangs')
     context.gang_started_at = None
     context.red_start_count = 0
     while small.now < START + 30:
@@ -247,8 +247,8 @@
             small.end(one)
         for one in [one for one in old if one.account == 'red']:
             small.end(one)
-        small.hand_in('blue', [step(2000)], queue)
-        other = small.hand_in('red', [step(1000)])
+        small.submit_job('blue', [step(2000)], queue)
+        other = small.submit_job('red', [step(1000)])
         small.plan()
         context.red_start_count += small.placed(other)
         if small.placed(context.gang) and context.gang_started_at is None:
@@ -270,27 +270,27 @@
 @when('a gang of 3 tasks of 2 cores waits for a quota that is lowered to {cores:g} cores')
 def gang_exceeds_quota(context, cores):
     small = context.small
-    small.hand_in('blue', [step(4000)])
+    small.submit_job('blue', [step(4000)])
     small.plan()
-    context.gang = small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
+    context.gang = small.submit_job('blue', [step(2000, 3, gang=True)], 'gangs')
     small.plan()
     small.configure((blue(cores), red()))
     small.now += 1
     small.end_older_runs(0.5)
 
 
-@when('a gang of 3 tasks of 2 cores waits while urgent tasks of blue come for 60 s')
+@when('a gang of 3 tasks of 2 cores waits while urgent tasks of blue arrive for 60 s')
 def gang_without_slots(context):
-    context.gang = context.small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
-    hand_in_each_second(context)
+    context.gang = context.small.submit_job('blue', [step(2000, 3, gang=True)], 'gangs')
+    submit_each_second(context)
 
 
-def hand_in_each_second(context):
+def submit_each_second(context):
     """Submit a short urgent task of blue every second for a minute."""
     small = context.small
     context.started = 0
     for _ in range(60):
-        job = small.hand_in('blue', [step(2000)])
+        job = small.submit_job('blue', [step(2000)])
         context.started += any(start.task.job == job.id for start in small.plan().starts)
         small.now += 0.5
         small.end_older_runs(0.5)
@@ -306,7 +306,7 @@
 
 @then('urgent tasks of blue start every second, and the gang does not')
 def others_keep_starting(context):
-    hand_in_each_second(context)
+    submit_each_second(context)
     assert context.started == 60, context.started
     assert context.small.placed(context.gang) == 0
 
@@ -315,12 +315,12 @@
 def gangs_without_end(context):
     small = context.small
     gang = step(2000, 3, gang=True)
-    context.gangs = [small.hand_in('blue', [gang], 'batch') for _ in range(3)]
+    context.gangs = [small.submit_job('blue', [gang], 'batch') for _ in range(3)]
     context.idle_rounds = 0
     context.started_jobs = set()
     while small.now < START + 40:
         if small.now < START + 20:
-            context.gangs.append(small.hand_in('blue', [gang], 'urgent'))
+            context.gangs.append(small.submit_job('blue', [gang], 'urgent'))
         plan = small.plan()
         context.started_jobs.update(start.task.job for start in plan.starts)
         context.idle_rounds += small.in_use('blue') == 0 and small.now < START + 20
@@ -341,11 +341,11 @@
     context.small.resize('w1', 8)
 
 
-@when('blue hands in {many:d} urgent jobs and then red {few:d}, each of 1 core for 0.5 s')
+@when('blue submits {many:d} urgent jobs and then red {few:d}, each of 1 core for 0.5 s')
 def submit_beyond_rate(context, many, few):
     small = context.small
-    context.jobs = [small.hand_in('blue', [step(1000)]) for _ in range(many)]
-    context.jobs_of_red = [small.hand_in('red', [step(1000)]) for _ in range(few)]
+    context.jobs = [small.submit_job('blue', [step(1000)]) for _ in range(many)]
+    context.jobs_of_red = [small.submit_job('red', [step(1000)]) for _ in range(few)]
     context.order = []
     for _ in range(6):
         plan = small.plan()
@@ -367,16 +367,16 @@
     assert len(set(context.order)) == count, len(set(context.order))
 
 
-@when('blue hands in {many:d} urgent jobs while red keeps the cell full for {seconds:d} s')
+@when('blue submits {many:d} urgent jobs while red keeps the cell full for {seconds:d} s')
 def keep_cell_full(context, many, seconds):
     small = context.small
-    context.jobs = [small.hand_in('blue', [step(1000)]) for _ in range(many)]
+    context.jobs = [small.submit_job('blue', [step(1000)]) for _ in range(many)]
     started = set()
     # Red submits more jobs than the cell can run, all of them within its rate.
     small.configure((blue(None, 5), red(None, 1000)))
     for _ in range(2 * seconds):
         for _ in range(8):
-            small.hand_in('red', [step(1000)])
+            small.submit_job('red', [step(1000)])
         started.update(start.task.job for start in small.plan().starts)
         small.now += 0.5
         small.end_older_runs(0.5)
@@ -407,10 +407,10 @@
     assert context.within == within.split(), context.within
 
 
-@when('blue hands in a step of {count:d} {kind} of 2 cores that take 1 s')
+@when('blue submits a step of {count:d} {kind} of 2 cores that take 1 s')
 def wide_step(context, count, kind):
     gang = kind == 'gang members'
-    context.job = context.small.hand_in('blue', [step(2000, count, 1.0, gang=gang)])
+    context.job = context.small.submit_job('blue', [step(2000, count, 1.0, gang=gang)])
 
 
 @then('its objective counts {waves:d} waves')
@@ -440,7 +440,7 @@
             steps = [step(rng.choice((500, 2000, 4000)), rng.randint(1, 5), gang=gang)]
             account = rng.choice(('blue', 'red'))
             queue = rng.choice(('urgent', 'gangs', 'batch'))
-            small.hand_in(account, steps, queue)
+            small.submit_job(account, steps, queue)
         elif event_draw < 0.7:
             jobs = [job for job in small.cell.job_by_id.values() if not job.is_over]
             if jobs:
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -19,7 +19,7 @@
 )
 
 DEMAND = Demand(500, 256, 0)
-FACTS = {
+RECORDS = {
     'an accepted job': Submission(
         'q', 's', 1.5, JobSpec('p', (Step(2, DEMAND, 0.5, depends_on=(0,)),)), 'north', 'blue'
     ),
@@ -48,18 +48,20 @@
 }
 
 
-@given('{fact} as created by this version')
-def known_fact(context, fact):
-    context.fact = FACTS[fact]
+@given('{record} as created by this version')
+def known_fact(context, record):
+    context.record = RECORDS[record]
 
 
 @then('it is stored as {stored}')
 def stored_as(context, stored):
     context.stored = stored
-    assert msgspec.json.encode(context.fact).decode() == stored, msgspec.json.encode(context.fact)
+    assert msgspec.json.encode(context.record).decode() == stored, msgspec.json.encode(
+        context.record
+    )
 
 
-@then('the stored form is decoded to the same fact')
+@then('the stored form is decoded to the same record')
 def read_back(context):
-    read = msgspec.json.decode(context.stored, type=type(context.fact))
-    assert read == context.fact, read
+    read = msgspec.json.decode(context.stored, type=type(context.record))
+    assert read == context.record, read
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -100,8 +100,8 @@
     assert context.links.request_count == misses
 
 
-@when('{seconds:g} s later a request comes')
-def request_comes(context, seconds):
+@when('{seconds:g} s later a request arrives')
+def request_arrives(context, seconds):
     earlier_count = context.links.request_count
     context.clock.advance(seconds)
     forward_request(context)
@@ -123,4 +123,4 @@
 def client_outcome(context, outcome):
     relayed = context.relayed
     assert (relayed.answer is not None) is (outcome == 'gets that answer')
-    assert relayed.in_doubt is (outcome == 'is left in doubt')
+    assert relayed.in_doubt is (outcome == 'is told that the outcome is unknown')
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -134,8 +134,8 @@
     curio.run(context.topic.append, [member], 0.1)
 
 
-@when('it gives up the cell')
-def gives_up(context):
+@when('it hands over the cell')
+def hands_over(context):
     async def own_and_give_up():
         term = await context.host.own()
         dispatcher = make_dispatcher(
--- a/features/steps/review_steps.py
+++ b/features/steps/review_steps.py
@@ -201,7 +201,7 @@
     assert (row['in time'], row['cancelled']) == (1, 1), row
 
 
-@then('the tool says in one line that no line tells of a job')
+@then('the tool reports in one line that no line tells of a job')
 def check_no_job_error(context):
     assert context.status == 1, context.status
     assert 'no line tells of a job' in context.err and context.err.count('\n') == 1, context.err
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -5,7 +5,7 @@
 from bench.soak import Soak
 
 
-@when('random faults with seed {seed:d} go on for {seconds:g} seconds')
+@when('random faults with seed {seed:d} are injected for {seconds:g} seconds')
 def run_soak(context, seed, seconds):
     context.tally = Soak(seed, seconds, 2).run()
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -133,7 +133,7 @@
     assert not context.follower.started
 
 
-@when('it is needed and told to read now')
+@when('it becomes needed and is told to read at once')
 def need_topic_again(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
@@ -258,7 +258,7 @@
     curio.run(write)
 
 
-@when('a successor has written and the late append lands')
+@when('a successor has written and the late append is executed')
 def write_as_successor(context):
     curio.run(context.topic.append, [KeyedRecord('e/x', b'new')], 0.1, WriterFence(2, 9))
     context.topic.apply_late_appends()
@@ -335,7 +335,7 @@
     curio.run(context.topic.append, make_progress_records('j1', progress), 0.1)
 
 
-@when('a late repetition of the submission lands')
+@when('a late repetition of the submission is appended')
 def append_late_submission(context):
     submission = Submission('urgent', 'desk', 8.0, JobSpec('payload', ()))
     curio.run(context.topic.append, [make_record(f'{SUBMISSION_PREFIX}j1', submission)], 0.1)
@@ -466,7 +466,7 @@
     assert context.writer.store_is_failing(context.writer.failed_at)
 
 
-@then('2 s later it does not')
+@then('2 s later it counts as reachable')
 def check_reachable_again(context):
     assert not context.writer.store_is_failing(context.writer.failed_at + 2)
 
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -205,7 +205,7 @@
     _submit(context, count, processors, 0.3)
 
 
-@then('never more than {processors:d} processors were in use at once')
+@then('at most {processors:d} processors were in use at any time')
 def check_quota(context, processors):
     changes = []
     for run in context.cell.runs():
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -55,7 +55,7 @@
 
 
 @when('south stops answering, and {jobs:d} jobs of {tasks:d} tasks arrive every 0.1 s for 1 s')
-def jobs_come(context, jobs, tasks):
+def submit_rounds(context, jobs, tasks):
     small = context.small
     started_at = small.now
     context.lost_at = []
@@ -139,7 +139,7 @@
     )
 
 
-@when('{count:d} jobs of 2 tasks come from clients of all zones, {kind}')
+@when('{count:d} jobs of 2 tasks are submitted by clients of all zones, {kind}')
 def jobs_of_all_zones(context, count, kind):
     small = context.small
     queue = 'advised' if 'advice' in kind else 'urgent'
@@ -166,7 +166,7 @@
     assert max(delayed_by_zone.values()) <= count, delayed_by_zone
 
 
-@when('{count:d} jobs of {cores:d} cores come from clients of north')
+@when('{count:d} jobs of {cores:d} cores are submitted by clients of north')
 def jobs_of_north(context, count, cores):
     for number in range(count):
         context.small.add_job(f'{number:016x}', [step(cores * 1000)], zone='north')
--- a/features/store.feature
+++ b/features/store.feature
@@ -35,7 +35,7 @@
   Scenario: A host that did not follow the list of runners owns the cell
     Given a follower of a topic that is not needed
     Then nothing is read
-    When it is needed and told to read now
+    When it becomes needed and is told to read at once
     Then it knows the newest records after one snapshot
 
   # Guards against a host with a slow link that never catches up.
@@ -50,7 +50,7 @@
     Then the store has executed one more append, of the newest record only
     And each of the 20 is reported as stored
 
-  # Guards against leaving a client in doubt whose job waits behind a failing append.
+  # Guards against an unknown outcome for a client whose job waits for a failing append.
   Scenario: A job is submitted while an earlier append is retried
     Given an owner whose heartbeat the store refuses for 2 s
     When a job with a timeout of 0.3 s is submitted
@@ -60,7 +60,7 @@
   # Guards against a late append of a previous owner that overwrites its successor's.
   Scenario: A late append of a previous owner
     Given an owner whose last append is late
-    When a successor has written and the late append lands
+    When a successor has written and the late append is executed
     Then the store holds what the successor wrote
 
   Scenario: An owner whose answer was lost repeats its append without harm
@@ -74,10 +74,10 @@
     When both claim
     Then one of them owns the cell
 
-  # Guards against claiming the cell from an owner that lives when the store comes back.
-  Scenario: The store comes back
+  # Guards against claiming the cell from an owner that lives when the store is available again.
+  Scenario: The store is available again
     Given a host that follows an owner while the store is down for 5 s
-    When the store is back
+    When the store is available again
     Then the host does not claim at once
 
   Scenario: A host that is told of a failing owner claims at once
@@ -100,7 +100,7 @@
     And 2 appends were made
 
   Scenario: A claim of a released cell while jobs are submitted
-    Given a host that follows an owner that has left the cell
+    Given a host that follows an owner that has released the cell
     And a job is stored right before each of the next 9 appends
     When it claims
     Then the host owns the cell with epoch 2
@@ -108,7 +108,7 @@
 
   # Guards against replacing a new owner whose claim was not read yet.
   Scenario: Two hosts claim a released cell, and one reads late
-    Given a host that follows an owner that has left the cell
+    Given a host that follows an owner that has released the cell
     And another host has claimed it, which this host reads 0.8 s late
     When it claims until then
     Then the other host owns the cell, and 1 appends were made
@@ -121,13 +121,13 @@
     Then it <acts>
 
     Examples:
-      | cores | others | answers         | seconds | acts            |
-      | 0.5   | 2.0    | is ready        | 2       | leaves the cell |
-      | 0.5   | 2.0    | is ready        | 1       | keeps the cell  |
-      | 0.5   | 2.0    | is not ready    | 2       | keeps the cell  |
-      | 0.5   | 2.0    | does not answer | 2       | keeps the cell  |
-      | 0.5   | 0.5    | is ready        | 2       | keeps the cell  |
-      | 1.1   | 2.0    | is ready        | 2       | keeps the cell  |
+      | cores | others | answers         | seconds | acts              |
+      | 0.5   | 2.0    | is ready        | 2       | releases the cell |
+      | 0.5   | 2.0    | is ready        | 1       | keeps the cell    |
+      | 0.5   | 2.0    | is not ready    | 2       | keeps the cell    |
+      | 0.5   | 2.0    | does not answer | 2       | keeps the cell    |
+      | 0.5   | 0.5    | is ready        | 2       | keeps the cell    |
+      | 1.1   | 2.0    | is ready        | 2       | keeps the cell    |
 
   Scenario Outline: An owner whose heartbeats are missed is asked
     Given a host that follows an owner whose heartbeats are missed
@@ -140,9 +140,9 @@
       | ended | claims         |
 
   # Guards against the load of all hosts of a zone appending to a slow store.
-  Scenario Outline: Who writes for a zone
+  Scenario Outline: Which host writes for a zone
     Given the hosts n-large, n-1, n-2, s-large, s-1
-    Then <me> has its clients' jobs written by <writer>, with <excluded> out of reach
+    Then <me> has its clients' jobs written by <writer>, with <excluded> unreachable
 
     Examples:
       | me      | writer  | excluded |
@@ -171,7 +171,7 @@
   Scenario: A repeated submission does not restart a finished job
     Given a job of which the store has the submission
     When its owner stores that it is completed
-    And a late repetition of the submission lands
+    And a late repetition of the submission is appended
     Then a host that starts now reads 2 record and shows it as completed
 
   # Guards against reading on from an offset that the store does not have any more.
@@ -180,7 +180,7 @@
     When the records that it has not read have expired
     Then it knows the content of the newest records
 
-  Scenario: A late heartbeat does not bring an older owner back
+  Scenario: A late heartbeat does not reinstate an older owner
     Given the claims of the epochs 1 and 2, and a late heartbeat of epoch 1
     Then the owner is that of epoch 2
 
@@ -191,12 +191,12 @@
     Then the client <outcome>
 
     Examples:
-      | status | outcome           |
-      | 200    | gets that answer  |
-      | 410    | gets that answer  |
-      | 404    | is served locally |
-      | 503    | is served locally |
-      | 504    | is left in doubt  |
+      | status | outcome                             |
+      | 200    | gets that answer                    |
+      | 410    | gets that answer                    |
+      | 404    | is served locally                   |
+      | 503    | is served locally                   |
+      | 504    | is told that the outcome is unknown |
 
   # Guards against forwarding a job to a peer that cannot act on it.
   Scenario Outline: A job is only forwarded to a peer that confirms that it can act
@@ -221,7 +221,7 @@
   # Guards against querying an unresponsive peer too often.
   Scenario Outline: When an unresponsive peer is queried again
     Given a peer that has not answered <misses> requests in a row
-    When <seconds> s later a request comes
+    When <seconds> s later a request arrives
     Then the peer <fate>
 
     Examples:
@@ -233,7 +233,7 @@
       | 9      | 4.1     | is queried |
       | 1100   | 4.1     | is queried |
 
-  # Guards against an old owner that takes leases for expired which its successor renews.
+  # Guards against an old owner that treats leases as expired although its successor renews them.
   Scenario Outline: Leases of a silent runner, at an owner without an answer of the store
     Given a runner whose leases expired 5 s after its last answer
     When the owner's last append was answered <seconds> s after that answer
@@ -251,7 +251,7 @@
     When it sends one start there
     Then the runner gets no more starts until it has answered a poll
 
-  # Guards against taking the end of one owner for the end of all earlier ones.
+  # Guards against treating the end of one owner as the end of all earlier ones.
   Scenario Outline: The successor of a killed owner
     Given a former owner that was killed when earlier owners might act for <unsettled> s
     When a host takes over
@@ -266,7 +266,7 @@
   Scenario: A host that writes nothing after an outage
     Given a writer whose appends were refused for a while
     Then the store counts as unreachable
-    And 2 s later it does not
+    And 2 s later it counts as reachable
 
   Scenario Outline: The timeout of an append
     Given answers after <seconds> s and then <misses> timeouts
--- a/features/wait.feature
+++ b/features/wait.feature
@@ -1,6 +1,6 @@
 Feature: How long a successor waits for the leases of earlier owners
 
-  # Each scenario here fails on a change of the code that no scenario of succession.feature notices.
+  # Each scenario here fails on a change of the code that no scenario of succession.feature detects.
   Scenario: A job on a runner that only the previous owner reaches
     Given a store with an owner that a new host has never heard from, and its job on w9
     When that host owns the cell
--- a/features/work.feature
+++ b/features/work.feature
@@ -1,7 +1,7 @@
 Feature: Different workloads on one cell
 
-  # Guards against running a job in two zones, when it is moved away from a zone that returns.
-  Scenario: Jobs of a lost zone are moved, and the zone comes back
+  # Guards against running a job in two zones, when it is moved from a zone that restarts later.
+  Scenario: Jobs of a lost zone are moved, and the zone restarts
     Given a cell of 2 zones with 1 daemons, 1 workers and 1 endpoints
     And version 1 of the contract is in force
     When 30 jobs of 16 processors running 2 seconds are submitted to ub-west-d0
@@ -73,4 +73,4 @@
     When a job of 24 processors is submitted to each zone
     And 40 small jobs of 4 processors follow
     Then all submitted jobs end as succeeded
-    And never more than 32 processors were in use at once
+    And at most 32 processors were in use at any time
--- a/features/zones.feature
+++ b/features/zones.feature
@@ -28,7 +28,7 @@
   # Guards against jobs that one partition delays although they could run elsewhere.
   Scenario Outline: Number of jobs that a partition of one zone delays
     Given 8 runners in each of the zones north, south and west
-    When 90 jobs of 2 tasks come from clients of all zones, <kind>
+    When 90 jobs of 2 tasks are submitted by clients of all zones, <kind>
     Then a partition of any zone delays at most 36 of them
 
     Examples:
@@ -40,5 +40,5 @@
   # Guards against jobs that wait for their client's zone while slots in other zones are free.
   Scenario: Clients of one zone submit more than the zone can hold
     Given 8 runners in each of the zones north, south and west
-    When 36 jobs of 20 cores come from clients of north
+    When 36 jobs of 20 cores are submitted by clients of north
     Then all 24 slots are used, those of north first
