--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -31,10 +31,10 @@
         f'w{number}': make_numbered_registration(number, 'a') for number in range(count)
     }
     context.active = ActiveRunners(context.small.cell)
-    choose(context)
+    choose_active_runners(context)
 
 
-def choose(context, later=0.0):
+def choose_active_runners(context, later=0.0):
     """Choose the active runners, add them to the cell and poll each new one once."""
     context.small.now += later
     context.chosen = context.active.choose(context.listed, context.small.now)
@@ -51,13 +51,13 @@
     while remaining:
         context.small.add_job(f'{remaining:016x}', [step(16_000, remaining, 60.0)], 'batch')
         remaining -= len(context.small.plan().starts)
-        choose(context, 1.0)
+        choose_active_runners(context, 1.0)
 
 
 @when('{cores:d} cores are in use')
 def use_cores(context, cores):
     start_tasks(context, cores)
-    choose(context, 1.0)
+    choose_active_runners(context, 1.0)
 
 
 @then('{count:d} runners are polled')
@@ -77,13 +77,13 @@
 def add_labelled_runners(context):
     for number in range(100_000, 100_100):
         context.listed[f'w{number}'] = make_numbered_registration(number, ('gpu',))
-    choose(context)
+    choose_active_runners(context)
 
 
 @when('a job that requires the label gpu is submitted')
 def requires_label(context):
     context.small.add_job('f' * 16, [step(required_label='gpu')])
-    choose(context, 1.0)
+    choose_active_runners(context, 1.0)
 
 
 @then('{count:d} runners with that label are polled')
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -56,7 +56,7 @@
 
 
 @when('a gang of 20 tasks of 9000 millicores requests tickets')
-def gang_asks(context):
+def request_gang_tickets(context):
     context.small.add_job('j1', [step(9000, count=20, gang=True)])
     context.plan = context.small.plan()
 
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -50,7 +50,7 @@
 
 
 @given('a job of two tasks followed by a gang of three, with {stored} stored as done')
-def task_and_gang(context, stored):
+def make_tasks_and_gang(context, stored):
     context.spec = JobSpec('x', (step(count=2), step(count=3, gang=True, depends_on=(0,))))
     done = (DoneTasks(0, 0, DONE_MASK_BY_NAME[stored]),) if DONE_MASK_BY_NAME[stored] else ()
     context.progress = Progress(1, JobState.RUNNING, done)
@@ -184,7 +184,7 @@
 
 
 @then('no lease was renewed and no end acknowledged')
-def only_read(context):
+def check_only_read(context):
     assert all(poll_args == (0, None) for poll_args in context.runner.polls), context.runner.polls
 
 
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -75,7 +75,7 @@
 
 
 @when('a poll that is sent {seconds:f} s later still lists the run')
-def lists_again(context, seconds):
+def list_run_later(context, seconds):
     context.small.now += seconds
     list_run(context)
 
@@ -106,7 +106,7 @@
 
 
 @when('the store says that the job is over')
-def over_in_store(context):
+def end_job_in_store(context):
     context.start = context.small.allocations[0]
     context.small.cell.forget_job('j1', context.small.now)
     list_run(context)
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -88,13 +88,13 @@
         small.plan()
     small.add_job('gang', [step(cpu, count, gang=True)], queue='gangs')
     assert not small.plan().starts
-    context.held = {start.task.job: start for start in small.allocations}
+    context.start_by_job = {start.task.job: start for start in small.allocations}
 
 
 @then('the gang starts on w2 and w3 once they are free')
 def gang_starts(context):
     small = context.small
-    for start in context.held.values():
+    for start in context.start_by_job.values():
         small.now += 0.1
         small.poll(start.runner, ended=[(1, start.task, start.run, 'done')])
         plan = small.plan()
@@ -111,7 +111,7 @@
 
 
 @given('an owner whose list of runners is {age:g} seconds old')
-def old_list(context, age):
+def make_owner_with_old_list(context, age):
     context.small = SmallCell(('w1',))
     context.owner = make_owner_context(
         context.small.cell, ManualClock(context.small.now), get_runner_list_age=lambda: age
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -80,7 +80,7 @@
 
 
 @when('w1 lists the end of the stopped run')
-def stopped_end(context):
+def list_stopped_end(context):
     run = context.small.runs_on('w1')[0][1]
     context.small.poll('w1', ended=[(1, task('j1'), run, 'stopped')])
     context.plan = context.small.plan()
@@ -172,7 +172,7 @@
 
 
 @given('a job that runs for the second time on another runner')
-def second_run(context):
+def make_second_run(context):
     small = context.small
     small.add_job('j1', [step()])
     context.first = small.plan().starts[0]
@@ -183,7 +183,7 @@
 
 
 @when('the first runner lists the end of the first run as done')
-def first_done(context):
+def list_first_run_done(context):
     first = context.first
     context.small.poll(first.runner, ended=[(1, first.task, first.run, 'done')])
 
@@ -209,14 +209,14 @@
     context.first = first
     again = small.plan().starts
     assert [start.runner for start in again] == [other.runner], again
-    context.again = again[0]
+    context.second_start = again[0]
 
 
 @when('w1 lists the end of the first run as done, and the other task is free to start')
 def first_run_done(context):
     small = context.small
     first = context.first
-    if context.again.task == first.task:
+    if context.second_start.task == first.task:
         small.poll(first.runner, ended=[(1, first.task, first.run, 'done')])
     small.cell.runner_by_id[first.runner].suspect = True
     context.plan = small.plan()
@@ -225,11 +225,11 @@
 @then('it does not start on w2 before the stopped run has ended')
 def waits_for_stop(context):
     small = context.small
-    assert context.again.task == context.first.task, context.again
+    assert context.second_start.task == context.first.task, context.second_start
     assert not context.plan.starts, context.plan.starts
     stopped = small.cell.take_stops()
-    assert stopped == [context.again]
-    ended = [(1, context.again.task, context.again.run, 'stopped')]
+    assert stopped == [context.second_start]
+    ended = [(1, context.second_start.task, context.second_start.run, 'stopped')]
     small.poll(context.second_runner, ended=ended)
     plan = small.plan()
     assert [start.task.index for start in plan.starts] == [1], plan.starts
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -107,5 +107,5 @@
 
 
 @then('the cell is {vacancy}')
-def cell_is(context, vacancy):
+def check_vacancy(context, vacancy):
     assert context.host.election._vacancy().value == vacancy
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -119,7 +119,7 @@
 
 
 @when('a host that was not told owns the cell and w1 has crashed')
-def succeed(context):
+def take_over_uninformed(context):
     host = Host('me', context.topic)
     term = Term(2, 'me/1', WriterFence(2, 1), None, False, True)
 
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -53,7 +53,7 @@
 
 
 @when('the store has been silent for 9 s and no host replies')
-def all_silent(context):
+def store_and_hosts_silent(context):
     for zone in ('north', ''):
         context.zone_contact.note_miss(zone, NOW)
     context.now = NOW + 0.2
@@ -122,12 +122,12 @@
     async def check_in_time():
         return await curio.ignore_after(1, check_many)
 
-    context.checked = curio.run(check_in_time)
+    context.verdicts = curio.run(check_in_time)
 
 
 @then('each of them finds it cut off within 1 s')
 def all_checked(context):
-    assert context.checked == [True] * 20, context.checked
+    assert context.verdicts == [True] * 20, context.verdicts
 
 
 @then('{count:d} queries were sent')
@@ -190,7 +190,7 @@
 
 
 @then('the answer says that the job was not run, and no peer was queried')
-def nothing_tried(context):
+def check_not_run_without_query(context):
     assert context.links.request_count == 0, 'a peer was queried'
     assert msgspec.json.decode(context.answer.body)['verdict'] == 'not_run', context.answer
 
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -38,7 +38,7 @@
 
 
 @when('its second attempt is refused as {reply}')
-def refused(context, reply):
+def refuse_second_attempt(context, reply):
     runner = UnansweringRunner(StartReply[reply.upper()])
     context.owner.runner_by_id[context.start.runner] = runner
 
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -21,7 +21,7 @@
 
 
 @when('a lease is granted there and the owner releases the cell at once')
-def granted(context):
+def grant_lease_and_release(context):
     lease_until = context.state.extend_lease(context.now, LEASE_SECONDS)
     context.expires_at = CLOCK_READ_AT + lease_until / (1 - MAX_CLOCK_DRIFT)
     term = Term(2, 'me/1', WriterFence(2, 1), context.now, True, False)
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -60,7 +60,7 @@
 
 
 @given('a host that follows an owner while the store is down for 5 s')
-def following_still_host(context):
+def follow_during_outage(context):
     context.topic = _topic_with_owner()
     context.clock = ManualClock()
     context.host = Host('a', context.topic, context.clock)
@@ -167,7 +167,7 @@
 
 
 @given('a host that follows an owner whose heartbeats are missed')
-def following_silent(context):
+def follow_silent_owner(context):
     context.topic = _topic_with_owner()
     member = make_record(f'{MEMBER_PREFIX}other', Member('north', '10.0.0.9', 7))
     curio.run(context.topic.append, [member], 0.1)
@@ -290,5 +290,5 @@
 
 
 @then('it starts no tasks of jobs on unseen runners for {wait:g} s')
-def blocks_unseen_runners(context, wait):
+def check_blocked_seconds(context, wait):
     assert abs(context.dispatcher._periodic_checks.predecessor_leases.end_at - 1000 - wait) < 0.01
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -131,13 +131,13 @@
 
 @when('an entry of an unconfigured service at its address is read before the configuration')
 def read_entry_before_configuration(context):
-    context.late = HostProjections()
+    context.late_host = HostProjections()
     topic, raw = make_raw_topic()
     raw.frames = [encode_record(b'i-9', BAD_ENTRIES['a service that is not configured'])]
-    read_once(topic, context.late.runners, context.late, 0)
-    assert 'i-9' in context.late.runners.registration_by_id
-    read_configurations(context.late, make_configuration_record())
-    context.projections = context.late
+    read_once(topic, context.late_host.runners, context.late_host, 0)
+    assert 'i-9' in context.late_host.runners.registration_by_id
+    read_configurations(context.late_host, make_configuration_record())
+    context.projections = context.late_host
 
 
 @when('the start of a second task on it is planned, and its entry becomes invalid JSON')
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -54,12 +54,12 @@
 
 
 @when("another incarnation answers at w1's address")
-def replaced(context):
+def replace_runner_once(context):
     replace_runner(context)
 
 
 @when("another incarnation answers at w1's address, to a poll, a start and a stop")
-def replaced_thrice(context):
+def report_replacement_three_times(context):
     state = context.small.cell.runner_by_id['w1']
     losses = RunnerLosses(context.small.cell.unfinished_job_by_id, set())
     assert len(losses.note_end(state)) == 1
@@ -127,7 +127,7 @@
 
 
 @given('an owner with a task whose start on w1 {became}')
-def start_became(context, became):
+def set_start_outcome(context, became):
     make_owner(context)
     start = context.start
     start.start_unanswered = became in {'broke its connection', 'timed out'}
@@ -188,7 +188,7 @@
 
 
 @when('two tasks break the connection of a fourth runner, which then restarts')
-def two_break(context):
+def break_connection_twice(context):
     small = context.small
     other_registrations = {name: small.registration_by_id.pop(name) for name in ('w1', 'w2', 'w3')}
     small.update_runners()
@@ -251,7 +251,7 @@
 
 
 @when("it finds that another incarnation answers at w1's address")
-def finds_replaced(context):
+def find_replaced_runner(context):
     replace_runner(context)
 
 
@@ -289,7 +289,7 @@
 
 
 @then('its start is sent without another append')
-def without_append(context):
+def check_sent_without_append(context):
     assert not context.job.note_start(context.start.task, context.start.run, 'w1')
 
 
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -80,7 +80,7 @@
 
 
 @then('no more than {most:d} starts are pending at any time')
-def bounded(context, most):
+def check_pending_starts(context, most):
     assert 0 < SlowRunner.max_pending <= most, SlowRunner.max_pending
 
 
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -134,13 +134,13 @@
 
 
 @when("the other's view names a third member that it does not know")
-def name_third(context):
+def name_third_member(context):
     context.view = tuple(map(hash_member, ('a/1', 'b/1', 'c/1')))
     context.promise_tracker.record_answer('b/1', context.clock.monotonic(), True, context.view)
 
 
 @when('it learns of the third and both send a promise')
-def learn_third(context):
+def learn_of_third_member(context):
     _join(context, 'c/1')
     for member in ('b/1', 'c/1'):
         context.promise_tracker.record_answer(member, context.clock.monotonic(), True, context.view)
--- a/features/steps/platform_soak_steps.py
+++ b/features/steps/platform_soak_steps.py
@@ -7,10 +7,10 @@
 
 @when('random faults with seed {seed:d} are injected into the entry hosts for {seconds:g} seconds')
 def run_soak(context, seed, seconds):
-    context.tally = PlatformSoak(seed, seconds).run()
+    context.result = PlatformSoak(seed, seconds).run()
 
 
 @then('no guarantee was violated')
 def check_guarantees(context):
-    assert any(job.accepted for job in context.tally.jobs)
-    assert not context.tally.violations, context.tally.violations
+    assert any(job.accepted for job in context.result.jobs)
+    assert not context.result.violations, context.result.violations
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -166,7 +166,7 @@
     )
 
 
-def busy_cell(runners, kind):
+def make_busy_cell(runners, kind):
     """Return a full cell with waiting steps that have advice on a few runners."""
     queues = (
         make_queue('gangs', 1, 4, 2.2, 1.0, advice=ADVICE),
@@ -205,18 +205,18 @@
 
 @given('a cell of {few:d} and one of {many:d} runners, each with 80 {kind} that wait for runners')
 def two_cells(context, few, many, kind):
-    context.more = many - few
-    context.cells = [busy_cell(count, kind) for count in (few, many)]
+    context.additional_runners = many - few
+    context.cells = [make_busy_cell(count, kind) for count in (few, many)]
 
 
 @when('both plan again')
 def plan_both(context):
     for small in context.cells:
         small.now += 1
-    context.calls = [count_calls(small) for small in context.cells]
+    context.call_counts = [count_calls(small) for small in context.cells]
 
 
 @then('the larger one makes at most {count:d} more calls for each additional runner')
-def calls_grow(context, count):
-    fewer, more = context.calls
-    assert more - fewer <= count * context.more, context.calls
+def check_call_growth(context, count):
+    fewer, more = context.call_counts
+    assert more - fewer <= count * context.additional_runners, context.call_counts
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -77,17 +77,17 @@
                     self.end(held)
 
 
-def blue(cores, weight=1000.0):
+def make_blue_account(cores, weight=1000.0):
     return make_account('blue', weight, cores)
 
 
-def red(cores=None, weight=1000.0):
+def make_red_account(cores=None, weight=1000.0):
     return make_account('red', weight, cores)
 
 
 @given('the account blue with a quota of {cores:g} cores, and {free:d} cores free')
 def one_account(context, cores, free):
-    context.small = AccountCell((blue(cores), red()), runners=('w1',))
+    context.small = AccountCell((make_blue_account(cores), make_red_account()), runners=('w1',))
     context.small.resize('w1', free)
 
 
@@ -120,19 +120,19 @@
 
 
 @given("blue's quota is lowered to {cores:g} cores while 4 are in use")
-def lowered(context, cores):
+def lower_quota(context, cores):
     task_runs(context, 'blue', 4)
-    context.small.configure((blue(cores), red()))
+    context.small.configure((make_blue_account(cores), make_red_account()))
 
 
 @given("blue's quota is raised to {cores:g} cores")
-def raised(context, cores):
-    context.small.configure((blue(cores), red()))
+def raise_quota(context, cores):
+    context.small.configure((make_blue_account(cores), make_red_account()))
 
 
 @given('blue is removed from the configuration')
-def removed(context):
-    context.small.configure((red(),))
+def remove_account(context):
+    context.small.configure((make_red_account(),))
 
 
 @when('blue submits {count:d} tasks of {cores:g} cores')
@@ -155,7 +155,9 @@
 
 @given('the account blue with a quota of {cores:g} cores, and a successor that cannot see w3')
 def successor(context, cores):
-    context.small = AccountCell((blue(cores), red()), runners=RUNNERS, seen=False)
+    context.small = AccountCell(
+        (make_blue_account(cores), make_red_account()), runners=RUNNERS, seen=False
+    )
     context.small.cell.unseen_runners.add('w3')
     for runner in ('w1', 'w2'):
         context.small.poll(runner)
@@ -198,7 +200,7 @@
 
 
 @when('w3 runs one of its tasks and is seen')
-def seen_with_one(context):
+def poll_unseen_with_one_run(context):
     name = context.first.steps(0)[0].tasks[0].name
     context.small.poll('w3', running=((name, 1),))
     context.small.now += 0.1
@@ -206,14 +208,14 @@
 
 
 @when('w3 runs none of them and is seen')
-def seen_with_none(context):
+def poll_unseen_without_runs(context):
     context.small.poll('w3')
     context.small.now += 0.1
     context.small.plan()
 
 
 @when('w3 is seen with a run of that job')
-def seen_with_run(context):
+def poll_unseen_with_run(context):
     name = JobRun('f' * 16, Submission('urgent', 'desk', 0, JobSpec('', (step(),))), 0)
     context.leftover_run = (name.steps(0)[0].tasks[0].name, 1)
     context.small.poll('w3', running=(context.leftover_run,))
@@ -274,7 +276,7 @@
     small.plan()
     context.gang = small.submit_job('blue', [step(2000, 3, gang=True)], 'gangs')
     small.plan()
-    small.configure((blue(cores), red()))
+    small.configure((make_blue_account(cores), make_red_account()))
     small.now += 1
     small.end_older_runs(0.5)
 
@@ -337,7 +339,9 @@
 
 @given('the accounts blue and red with a rate of {rate:g} jobs a second each, and 8 cores')
 def two_accounts(context, rate):
-    context.small = AccountCell((blue(None, rate), red(None, rate)), runners=('w1',))
+    context.small = AccountCell(
+        (make_blue_account(None, rate), make_red_account(None, rate)), runners=('w1',)
+    )
     context.small.resize('w1', 8)
 
 
@@ -356,7 +360,7 @@
 
 
 @then('all jobs of red are among the first {count:d} to start')
-def red_first(context, count):
+def check_red_first(context, count):
     # The first five jobs of each account are within its rate, and 8 cores run 8 jobs at once.
     positions = [context.order.index(job.id) for job in context.jobs_of_red]
     assert max(positions) < count, positions
@@ -373,7 +377,7 @@
     context.jobs = [small.submit_job('blue', [step(1000)]) for _ in range(many)]
     started = set()
     # Red submits more jobs than the cell can run, all of them within its rate.
-    small.configure((blue(None, 5), red(None, 1000)))
+    small.configure((make_blue_account(None, 5), make_red_account(None, 1000)))
     for _ in range(2 * seconds):
         for _ in range(8):
             small.submit_job('red', [step(1000)])
@@ -390,7 +394,7 @@
 
 
 @given('an account with a rate of {rate:g} jobs a second')
-def one_rate(context, rate):
+def make_account_with_rate(context, rate):
     context.rate = rate
 
 
@@ -408,13 +412,13 @@
 
 
 @when('blue submits a step of {count:d} {kind} of 2 cores that take 1 s')
-def wide_step(context, count, kind):
+def submit_wide_step(context, count, kind):
     gang = kind == 'gang members'
     context.job = context.small.submit_job('blue', [step(2000, count, 1.0, gang=gang)])
 
 
 @then('its objective counts {waves:d} waves')
-def counts_waves(context, waves):
+def check_waves(context, waves):
     objective = context.small.cell.objective_of(context.job)
     assert objective == URGENT.slack * waves + URGENT.latency, objective
 
@@ -428,13 +432,13 @@
 def play_random_events(rng):
     """Play random events on a cell; check each start against its account's quota."""
     cores = {'blue': 8, 'red': 12}
-    small = AccountCell((blue(8), red(12)), runners=RUNNERS)
+    small = AccountCell((make_blue_account(8), make_red_account(12)), runners=RUNNERS)
     for _ in range(60):
         small.now += rng.random() * 0.4
         event_draw = rng.random()
         if event_draw < 0.1:
             cores = {'blue': rng.choice((2, 8, 16)), 'red': rng.choice((4, 12, 40))}
-            small.configure((blue(cores['blue']), red(cores['red'])))
+            small.configure((make_blue_account(cores['blue']), make_red_account(cores['red'])))
         elif event_draw < 0.6:
             gang = rng.random() < 0.3
             steps = [step(rng.choice((500, 2000, 4000)), rng.randint(1, 5), gang=gang)]
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -49,7 +49,7 @@
 
 
 @given('{record} as created by this version')
-def known_fact(context, record):
+def make_known_record(context, record):
     context.record = RECORDS[record]
 
 
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -48,15 +48,15 @@
     context.dispatcher, third, term = curio.run(own_and_release)
     assert context.dispatcher.cell.unseen_runners == {'w9'}
     assert term.released, term
-    context.third = make_dispatcher(third, term, context.topic, third.clock)
-    context.third._load_state()
+    context.third_owner = make_dispatcher(third, term, context.topic, third.clock)
+    context.third_owner._load_state()
 
 
 @then('the third owner waits no less than the successor would have')
-def waits_as_long(context):
-    assert context.third.cell.unseen_runners == {'w9'}
+def check_third_wait(context):
+    assert context.third_owner.cell.unseen_runners == {'w9'}
     successor_end = context.dispatcher._periodic_checks.predecessor_leases.end_at
-    third_end = context.third._periodic_checks.predecessor_leases.end_at
+    third_end = context.third_owner._periodic_checks.predecessor_leases.end_at
     assert third_end >= successor_end - 0.05, f'{successor_end - third_end:.3f} s too early'
 
 
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -24,7 +24,7 @@
 
 
 @given('an owner that lost track of a job that ended while it read a snapshot')
-def forgotten(context):
+def make_owner_without_ended_job(context):
     context.topic = MemoryTopic()
     context.host = Host('me', context.topic)
     cell_state = context.host.projection.state
@@ -59,7 +59,7 @@
 
 
 @then('no task of the job is started again')
-def nothing_again(context):
+def check_not_started_again(context):
     job = context.dispatcher.cell.job_by_id.get('j1')
     assert job is None or job.is_over, (
         f'{job.id} is {job.state.value} at the owner and finished in the store'
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -7,10 +7,10 @@
 
 @when('random faults with seed {seed:d} are injected for {seconds:g} seconds')
 def run_soak(context, seed, seconds):
-    context.tally = Soak(seed, seconds, 2).run()
+    context.result = Soak(seed, seconds, 2).run()
 
 
 @then('no guarantee was violated in the run')
 def check_no_violations(context):
-    assert context.tally.requests and context.tally.accepted
-    assert not context.tally.violations, context.tally.violations
+    assert context.result.requests and context.result.accepted
+    assert not context.result.violations, context.result.violations
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -176,14 +176,14 @@
 def follow_slow_link(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
-        context.fresh = await context.follower.wait_fresh(SystemClock().monotonic(), 2)
+        context.is_fresh = await context.follower.wait_fresh(SystemClock().monotonic(), 2)
 
     curio.run(follow)
 
 
 @then('it knows the newest record after {count:d} reads at most')
 def check_caught_up(context, count):
-    assert context.fresh
+    assert context.is_fresh
     assert context.cell_projection.state.find('19') is not None
     assert context.topic.reads <= count, context.topic.reads
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -139,7 +139,7 @@
 
 
 @then('the owner is considered {fate}')
-def considered(context, fate):
+def check_owner_state(context, fate):
     assert context.cell_state.owner_has_ended() == (fate == 'ended')
 
 
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -65,12 +65,12 @@
 
 
 @given('the longest lease that an owner may grant at the end of its authority')
-def longest(context):
+def make_longest_lease(context):
     context.longest = AUTHORITY_SECONDS + lease_upper_bound(LEASE_SECONDS)
 
 
 @then('the wait that a claim announces covers it')
-def claim_covers(context):
+def check_claim_covers_lease(context):
     assert context.longest <= PREDECESSOR_LEASE_SECONDS < context.longest + 0.2
 
 
@@ -78,18 +78,18 @@
 def wait_for_owner(context):
     former = Owner(1, 'other', 'other/1')
     term = Term(2, 'me/1', WriterFence(2, 1), 1000.0, False, False, former=former)
-    context.wait = PredecessorLeases(term, LEASE_SECONDS, 1000.0)
-    context.end_before = context.wait.end_at
+    context.predecessor_leases = PredecessorLeases(term, LEASE_SECONDS, 1000.0)
+    context.end_before = context.predecessor_leases.end_at
 
 
 @when('its successor checks for proof that it has ended and finds none')
 def no_proof(context):
-    assert not context.wait.shorten_if_ended(CellState(), 1001.0)
+    assert not context.predecessor_leases.shorten_if_ended(CellState(), 1001.0)
 
 
 @then('the wait is as long as before')
-def as_long(context):
-    assert context.wait.end_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
+def check_wait_unchanged(context):
+    assert context.predecessor_leases.end_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
 
 
 @given('a host that has long known the owner')
@@ -109,5 +109,5 @@
 
 
 @then('the owner counts as heard from just now')
-def heard_now(context):
+def check_heard_just_now(context):
     assert context.projection.owner_heartbeat_at == context.clock.monotonic()
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -91,7 +91,7 @@
 
 
 @then('starts go to south again')
-def south_used(context):
+def check_south_used(context):
     context.small.add_job('f' * 16, [step(20_000, 24)])
     starts = context.small.plan(start=False).starts
     assert 'south' in {zone_of(context.small, allocation) for allocation in starts}
@@ -118,12 +118,12 @@
 
 
 @when('two runners of south have not answered an order for {seconds:g} s')
-def two_early(context, seconds):
+def leave_two_unanswered_briefly(context, seconds):
     leave_unanswered(context, ['south-1', 'south-2'], seconds)
 
 
 @when('runners of all zones leave their orders unanswered')
-def all_unanswered(context):
+def leave_all_zones_unanswered(context):
     leave_unanswered(context, [f'{zone}-{n}' for zone in context.zones for n in (0, 1)], 0.5)
 
 
