--- a/features/behind_a_cut.feature
+++ b/features/behind_a_cut.feature
@@ -114,4 +114,4 @@
       | owns the cell                           | accepts | marks the job as complete | does not tell |
       | owns the cell inside the same partition | accepts | marks the job as complete | tells         |
       | is inside the same partition            | accepts | does not own it           | tells         |
-      | is neither                              | refuses | does not own it           | does not tell |
+      | is neither the owner nor cut off        | refuses | does not own it           | does not tell |
--- a/features/cancelling.feature
+++ b/features/cancelling.feature
@@ -55,11 +55,11 @@
     When a job is cancelled before its start is sent
     Then nothing was sent, and the next job starts there at once
 
-  # Guards against tasks that are never stopped although their job is over in the store.
-  Scenario: A job that is over in the store while its task runs
+  # Guards against tasks that are never stopped although their job has ended in the store.
+  Scenario: A job that has ended in the store while its task runs
     Given a cell with the runners w1
     And a running job that fills w1
-    When the store says that the job is over
+    When the store says that the job has ended
     Then w1 is told to stop it once
 
   # Guards against reusing the capacity of a run whose demand is unknown.
--- a/features/cell.feature
+++ b/features/cell.feature
@@ -2,13 +2,13 @@
 
   # Guards against new work that waits for a runner that has ended.
   Scenario: New work after a take-over does not wait for a runner that has ended
-    Given a successor that cannot see the runner w3
+    Given a successor that cannot reach the runner w3
     When a job is submitted
     Then it starts at once
 
   # Guards against a second start of a task that a runner of an earlier owner still runs.
   Scenario Outline: A job is blocked while its tasks may run on an unseen runner
-    Given a successor that cannot see the runner w3
+    Given a successor that cannot reach the runner w3
     When it reads a job from the store that may run on <runner>
     Then it <outcome>
 
@@ -18,9 +18,9 @@
       | w2     | starts at once |
 
   Scenario: The job resumes once the runner has listed its tasks
-    Given a successor that cannot see the runner w3
+    Given a successor that cannot reach the runner w3
     When it reads a job from the store that may run on w3
-    And w3 answers and does not hold the task
+    And w3 is polled and does not list the task
     Then it starts at once
 
   # Guards against starting a cancelled job again when its submission arrives a second time.
--- a/features/incarnations.feature
+++ b/features/incarnations.feature
@@ -65,9 +65,9 @@
     When an entry born at 9 of i-1 follows
     Then i-1@7 is known as removed, with its address
 
-  # Guards against starting a task again that still runs on an incarnation that is seen late.
+  # Guards against starting a task again that still runs on an incarnation that is polled late.
   Scenario Outline: What proves to a successor that an incarnation has ended
-    Given a successor that has not seen i-1@7, on which a task may run
+    Given a successor that has not polled i-1@7, on which a task may run
     When <seen>
     Then the task <state>, with <count> crashes
 
--- a/features/quotas.feature
+++ b/features/quotas.feature
@@ -20,12 +20,12 @@
       | blue is removed from the configuration                | 6     | 6        |
 
   # Guards against a successor that does not count what its predecessor started.
-  Scenario Outline: What a successor counts before it has seen every runner
-    Given the account blue with a quota of 8 cores, and a successor that cannot see w3
+  Scenario Outline: What a successor counts before it has polled every runner
+    Given the account blue with a quota of 8 cores, and a successor that cannot reach w3
     And <before>
     When blue submits 6 tasks of 2 cores
     Then <starting> of them start
-    When w3 <then> and is seen
+    When w3 <then> and is polled
     Then <more> of them start
 
     Examples:
@@ -40,22 +40,22 @@
 
   # Guards against counting more for an unseen runner than it can hold.
   Scenario: A job demands more than the unseen runner on which it may run can hold
-    Given the account blue with a quota of 50 cores, and a successor that cannot see w3
+    Given the account blue with a quota of 50 cores, and a successor that cannot reach w3
     And a job of blue of 30 tasks of 2 cores may run on w3
     When blue submits 6 tasks of 2 cores
     Then 6 of them start
 
   # Guards against a second successor that does not count what may be left on an unseen runner.
   Scenario: What a cancelled job may have left on an unseen runner is stored with its end
-    Given the account blue with a quota of 8 cores, and a successor that cannot see w3
+    Given the account blue with a quota of 8 cores, and a successor that cannot reach w3
     When a job of blue that may run on w3 with 4 cores is cancelled
     Then its end is stored with 4 cores that may be left on w3
 
-  # Guards against runs of a cancelled job that are no longer counted once their runner is seen.
+  # Guards against runs of a cancelled job that are no longer counted once their runner is polled.
   Scenario: A run of a cancelled job is still on its runner
-    Given the account blue with a quota of 8 cores, and a successor that cannot see w3
+    Given the account blue with a quota of 8 cores, and a successor that cannot reach w3
     And a cancelled job of blue has 4 cores left on w3
-    When w3 is seen with a run of that job
+    When w3 is polled and lists a run of that job
     And blue submits 6 tasks of 2 cores
     Then 2 of them start
     When the run is stopped
--- a/features/restarts.feature
+++ b/features/restarts.feature
@@ -31,7 +31,7 @@
     Then all of them are completed
     And no task ran twice and no runner exceeded its capacity
 
-  # Guards against starting a completed gang repeatedly, with no progress in between.
+  # Guards against starting a completed gang repeatedly, without progress.
   Scenario: A gang completes on runners that have restarted
     Given 3 entry hosts on a platform whose runners restart under their ids
     When each runner has listed 30 ends, all restart, and a gang of 9 tasks is submitted
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -340,7 +340,7 @@
 @given('a host that owns the cell')
 @given('a host that owns the cell inside the same partition')
 @given('a host that is inside the same partition')
-@given('a host that is neither')
+@given('a host that is neither the owner nor cut off')
 def reported_host(context):
     context.completions = Completions(ManualClock(1000))
     context.owns = 'owns' in context.scenario.steps[0].name
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -105,7 +105,7 @@
     list_run(context)
 
 
-@when('the store says that the job is over')
+@when('the store says that the job has ended')
 def end_job_in_store(context):
     context.start = context.small.allocations[0]
     context.small.cell.forget_job('j1', context.small.now)
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -12,7 +12,7 @@
 RUNNER_CPU = 32_000
 
 
-@given('a successor that cannot see the runner w3')
+@given('a successor that cannot reach the runner w3')
 def make_successor(context):
     context.small = SmallCell(epoch=2)
     context.small.cell.unseen_runners.add('w3')
@@ -44,7 +44,7 @@
     context.plan = context.small.plan()
 
 
-@when('w3 answers and does not hold the task')
+@when('w3 is polled and does not list the task')
 def runner_answers(context):
     small = context.small
     small.registration_by_id['w3'] = make_registration('w3', port=7)
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -266,7 +266,7 @@
 # Successors
 
 
-@given('a successor that has not seen i-1@7, on which a task may run')
+@given('a successor that has not polled i-1@7, on which a task may run')
 def start_successor(context):
     crashed, starts = (CrashedRun(0, 0, 0, 1),), (StoredStart(0, 0, 0, 2, 'i-1@7'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('i-1@7',), crashed, starts)
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -153,7 +153,7 @@
     assert context.small.placed(context.job) == count, context.small.placed(context.job)
 
 
-@given('the account blue with a quota of {cores:g} cores, and a successor that cannot see w3')
+@given('the account blue with a quota of {cores:g} cores, and a successor that cannot reach w3')
 def successor(context, cores):
     context.small = AccountCell(
         (make_blue_account(cores), make_red_account()), runners=RUNNERS, seen=False
@@ -199,7 +199,7 @@
     cancelled_left(context, 'has', cores, '')
 
 
-@when('w3 runs one of its tasks and is seen')
+@when('w3 runs one of its tasks and is polled')
 def poll_unseen_with_one_run(context):
     name = context.first.steps(0)[0].tasks[0].name
     context.small.poll('w3', running=((name, 1),))
@@ -207,14 +207,14 @@
     context.small.plan()
 
 
-@when('w3 runs none of them and is seen')
+@when('w3 runs none of them and is polled')
 def poll_unseen_without_runs(context):
     context.small.poll('w3')
     context.small.now += 0.1
     context.small.plan()
 
 
-@when('w3 is seen with a run of that job')
+@when('w3 is polled and lists a run of that job')
 def poll_unseen_with_run(context):
     name = JobRun('f' * 16, Submission('urgent', 'desk', 0, JobSpec('', (step(),))), 0)
     context.leftover_run = (name.steps(0)[0].tasks[0].name, 1)
