--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -59,7 +59,7 @@
     make_owner(context, SystemClock(), 0.01)
 
 
-@when('300 batch tasks wait and then an urgent one comes')
+@when('300 batch tasks wait and then an urgent one arrives')
 def many_wait(context):
     context.batch = add_job(context, 'batch', [step(1000, 300)], 'batch')
     context.plans = 0
@@ -80,7 +80,7 @@
 
 
 @then('no more than {most:d} starts are pending at any time')
-def bounded(context, most):
+def check_pending_starts(context, most):
     assert 0 < SlowRunner.max_pending <= most, SlowRunner.max_pending
 
 
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -67,7 +67,7 @@
 
 
 @when('a start of {processors:d} processors has an unknown outcome and the task list lacks it')
-def make_doubtful_start(context, processors):
+def make_unanswered_start(context, processors):
     grant = Grant(GrantLevel.WHOLE, EPOCH, 5)
     context.ledger.add_start('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.set_state('j.2.0', AllocationState.DOUBTFUL, 12)
@@ -134,13 +134,13 @@
 
 
 @when("the other's view names a third member that it does not know")
-def name_third(context):
+def name_third_member(context):
     context.view = tuple(map(hash_member, ('a/1', 'b/1', 'c/1')))
     context.promise_tracker.record_answer('b/1', context.clock.monotonic(), True, context.view)
 
 
 @when('it learns of the third and both send a promise')
-def learn_third(context):
+def learn_of_third_member(context):
     _join(context, 'c/1')
     for member in ('b/1', 'c/1'):
         context.promise_tracker.record_answer(member, context.clock.monotonic(), True, context.view)
