--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -20,8 +20,8 @@
     Part,
     RequestError,
     Settings,
-    not_run,
-    outcome_unknown,
+    not_run_error,
+    outcome_unknown_error,
     start_task,
 )
 from dandelionreel.ownership import Membership, ShardProjection
@@ -112,7 +112,7 @@
             try:
                 return await self._move_jobs(remote, zone)
             except LogError as error:
-                raise outcome_unknown(
+                raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'log-outcome-unknown',
                     f'{error}; repeat the move, no job is lost or duplicated',
@@ -146,7 +146,7 @@
 
 
 def _make_log_unavailable_error() -> RequestError:
-    return not_run(
+    return not_run_error(
         HTTP_UNAVAILABLE,
         'log-unavailable',
         'the log is unreachable; no job was moved',
--- a/dandelionreel/ownership/_claimer.py
+++ b/dandelionreel/ownership/_claimer.py
@@ -148,7 +148,7 @@
             return False
         # A log that was truncated recently may lack the claims on shards that
         # have owners; the owners write their claims again within this time.
-        if not self._reader.covers_last(self._restate_period_seconds):
+        if not self._reader.covers_last_seconds(self._restate_period_seconds):
             return False
         for member in self._membership.live_members(self._zone):
             if member.key == self._own_member:
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -24,8 +24,8 @@
     RequestError,
     Settings,
     Verdict,
-    not_run,
-    outcome_unknown,
+    not_run_error,
+    outcome_unknown_error,
     zones_of,
 )
 from dandelionreel.ownership import Membership, choose_owner
@@ -247,7 +247,7 @@
     async def _deliver_to_key_zone(self, call: ServiceCall, zone: str) -> Response:
         """Forward a request to the zone that keeps its idempotency key."""
         if call.hops:
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'zones-differ',
                 f"zone {zone} keeps this key by our settings, not by the forwarding daemon's",
@@ -270,14 +270,14 @@
             except PeerError as error:
                 if error.verdict is Verdict.NOT_RUN:
                     continue
-                raise outcome_unknown(
+                raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'peer-silent',
                     'the daemon that received the request did not answer',
                 ) from error
             if response is not None:
                 return response
-        raise not_run(
+        raise not_run_error(
             HTTP_UNAVAILABLE,
             'peers-unreachable',
             'no daemon that could accept the request is reachable',
@@ -294,7 +294,7 @@
             if not history.may_have_run or problem.verdict is not Verdict.NOT_RUN:
                 raise
             # The last attempt did not run, but an earlier one may have.
-            raise outcome_unknown(problem.status, problem.cause, problem.detail) from error
+            raise outcome_unknown_error(problem.status, problem.cause, problem.detail) from error
 
     async def _try_until_answered(self, call: ServiceCall, history: '_AttemptHistory') -> Response:
         while True:
@@ -342,8 +342,8 @@
         detail = f'runner {runner.entry.name}: {error}'
         if error.sent:
             status = HTTP_BAD_GATEWAY if in_time else HTTP_TIMEOUT
-            raise outcome_unknown(status, 'runner-failed', detail)
-        raise not_run(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
+            raise outcome_unknown_error(status, 'runner-failed', detail)
+        raise not_run_error(HTTP_UNAVAILABLE, 'runner-unreachable', detail, RETRY_AFTER_SECONDS)
 
     async def _try_peers(self, call: ServiceCall, history: '_AttemptHistory') -> Response | None:
         state = self._find_peer_with_free_slots(call)
@@ -364,7 +364,7 @@
             if call.idempotent and self._admission.use_retry(call):
                 self._metrics.count_request_retry(call)
                 return None
-            raise outcome_unknown(
+            raise outcome_unknown_error(
                 HTTP_TIMEOUT,
                 'peer-silent',
                 f'{state.member} received the request and did not answer',
@@ -445,14 +445,14 @@
         if not self._pool.has_service(call.service) and not self._is_service_known_to_peers(
             call.service
         ):
-            raise not_run(
+            raise not_run_error(
                 HTTP_NOT_FOUND,
                 'unknown-service',
                 f'service {call.service!r} has no known runner',
                 NO_ROUTE_RETRY_SECONDS,
             )
         if queue.is_full:
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'queue-full',
                 f'{queue.waiting} requests for {call.service} are waiting',
@@ -460,7 +460,7 @@
             )
         expected_wait = self._estimate_wait(call, queue)
         if self._clock.monotonic() + expected_wait > call.deadline:
-            raise not_run(
+            raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'deadline-out-of-reach',
                 f'the wait is about {expected_wait:.2f} s, past the deadline',
@@ -486,7 +486,7 @@
 
     def _check_deadline_not_passed(self, call: ServiceCall) -> None:
         if self._clock.monotonic() + ANSWER_MARGIN_SECONDS >= call.deadline:
-            raise not_run(
+            raise not_run_error(
                 HTTP_TIMEOUT,
                 'deadline',
                 'no slot was free before the deadline; nothing was sent',
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -114,7 +114,9 @@
             return
         lease_ms = int(self._settings.timings.lease * MILLISECONDS_PER_SECOND)
         try:
-            await self._service.renew(LeaseRenewal(self._own_member, lease_ms, tuple(task_ids)))
+            await self._service.renew_leases(
+                LeaseRenewal(self._own_member, lease_ms, tuple(task_ids))
+            )
         except WorkerError:
             return
 
@@ -125,7 +127,7 @@
         the leases of an owner that died while the log was unavailable would expire.
         """
         try:
-            task_list = await self._service.tasks(-1, 0)
+            task_list = await self._service.list_tasks(-1, 0)
         except WorkerError:
             return
         await self.renew_leases([status.id for status in task_list.tasks if status.is_running])
@@ -217,7 +219,7 @@
         list_is_stale = self.ledger.listed_at < self.current_grant().since
         wait = 0.0 if last_revision < 0 or list_is_stale else self._long_poll_seconds()
         try:
-            task_list = await self._service.tasks(last_revision if wait else -1, wait)
+            task_list = await self._service.list_tasks(last_revision if wait else -1, wait)
         except WorkerError as error:
             await self._handle_unreachable_worker(error)
             return -1
@@ -291,7 +293,7 @@
         )
         timeout = self._settings.timings.start_deadline
         try:
-            await self._service.start(
+            await self._service.start_task(
                 order.task_id,
                 task_order,
                 timeout,
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -55,7 +55,7 @@
     assert not small.cell.runner_by_id['i-1'].usable(small.now)
 
 
-@then('its task counts there, and is not started elsewhere')
+@then('its task stays allocated there, and is not started elsewhere')
 def check_task_counted(context):
     small = context.small
     small.poll('i-2')
@@ -131,13 +131,13 @@
 
 @when('an entry of an unconfigured service at its address is read before the configuration')
 def read_entry_before_configuration(context):
-    context.late = HostProjections()
+    context.late_host = HostProjections()
     topic, raw = make_raw_topic()
     raw.frames = [encode_record(b'i-9', BAD_ENTRIES['a service that is not configured'])]
-    read_once(topic, context.late.runners, context.late, 0)
-    assert 'i-9' in context.late.runners.registration_by_id
-    read_configurations(context.late, make_configuration_record())
-    context.projections = context.late
+    read_once(topic, context.late_host.runners, context.late_host, 0)
+    assert 'i-9' in context.late_host.runners.registration_by_id
+    read_configurations(context.late_host, make_configuration_record())
+    context.projections = context.late_host
 
 
 @when('the start of a second task on it is planned, and its entry becomes invalid JSON')
@@ -207,7 +207,7 @@
     context.follower = read_once(context.topic, context.projections.runners, context.projections, 0)
 
 
-@then('the last one is read again whole')
+@then('the last one is read again completely')
 def check_read_again(context):
     assert context.follower.offset == 2
     context.raw.cut = 0
@@ -232,7 +232,7 @@
     )
 
 
-@then('it counts as a failure of the store')
+@then('the read counts as a failure of the store')
 def check_store_failure(context):
     try:
         context.attempt()
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -266,7 +266,7 @@
 # Successors
 
 
-@given('a successor that has not seen i-1@7, on which a task may run')
+@given('a successor that has not polled i-1@7, on which a task may run')
 def start_successor(context):
     crashed, starts = (CrashedRun(0, 0, 0, 1),), (StoredStart(0, 0, 0, 2, 'i-1@7'),)
     progress = Progress(1, JobState.RUNNING, (), (), 0, ('i-1@7',), crashed, starts)
@@ -316,10 +316,10 @@
 
     async def start_task(self, name):
         order = TaskOrder(Resources(1000), 'run 600', 900_000)
-        await self.process.start(name, order, 0, lambda: True)
+        await self.process.start_task(name, order, 0, lambda: True)
 
-    async def tasks(self, after, wait):
-        listing = await self.process.tasks(after, 0)
+    async def list_tasks(self, after, wait):
+        listing = await self.process.list_tasks(after, 0)
         self.full_lists += not listing.unchanged
         return listing
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -35,7 +35,7 @@
         """Install a configuration with these accounts."""
         self.cell.configuration = make_configuration(ALL, accounts)
 
-    def hand_in(self, account, steps, queue='urgent', progress=None):
+    def submit_job(self, account, steps, queue='urgent', progress=None):
         """Add a job of an account as if read from the store; return the job."""
         self.submitted += 1
         job = f'{self.submitted:016x}'
@@ -77,17 +77,17 @@
                     self.end(held)
 
 
-def blue(cores, weight=1000.0):
+def make_blue_account(cores, weight=1000.0):
     return make_account('blue', weight, cores)
 
 
-def red(cores=None, weight=1000.0):
+def make_red_account(cores=None, weight=1000.0):
     return make_account('red', weight, cores)
 
 
 @given('the account blue with a quota of {cores:g} cores, and {free:d} cores free')
 def one_account(context, cores, free):
-    context.small = AccountCell((blue(cores), red()), runners=('w1',))
+    context.small = AccountCell((make_blue_account(cores), make_red_account()), runners=('w1',))
     context.small.resize('w1', free)
 
 
@@ -98,7 +98,7 @@
 
 @given('a task of {account} of {cores:g} cores runs')
 def task_runs(context, account, cores):
-    context.first = context.small.hand_in(account, [step(int(cores * 1000))])
+    context.first = context.small.submit_job(account, [step(int(cores * 1000))])
     plan = context.small.plan()
     assert len(plan.starts) == 1, plan
     context.first_start = plan.starts[0]
@@ -111,40 +111,40 @@
     context.small.cell.take_stops()
 
 
-@given('a start of blue of {cores:g} cores is in doubt')
-def start_in_doubt(context, cores):
-    context.first = context.small.hand_in('blue', [step(int(cores * 1000))])
+@given('a start of blue of {cores:g} cores has an unknown outcome')
+def start_without_answer(context, cores):
+    context.first = context.small.submit_job('blue', [step(int(cores * 1000))])
     start = context.small.plan(start=False).starts[0]
     context.small.cell.revoke_start(start)
     context.small.cell.cancel(context.first.id)
 
 
 @given("blue's quota is lowered to {cores:g} cores while 4 are in use")
-def lowered(context, cores):
+def lower_quota(context, cores):
     task_runs(context, 'blue', 4)
-    context.small.configure((blue(cores), red()))
+    context.small.configure((make_blue_account(cores), make_red_account()))
 
 
 @given("blue's quota is raised to {cores:g} cores")
-def raised(context, cores):
-    context.small.configure((blue(cores), red()))
+def raise_quota(context, cores):
+    context.small.configure((make_blue_account(cores), make_red_account()))
 
 
 @given('blue is removed from the configuration')
-def removed(context):
-    context.small.configure((red(),))
+def remove_account(context):
+    context.small.configure((make_red_account(),))
 
 
-@when('blue hands in {count:d} tasks of {cores:g} cores')
-def hands_in(context, count, cores):
-    context.job = context.small.hand_in('blue', [step(int(cores * 1000), count)])
+@when('blue submits {count:d} tasks of {cores:g} cores')
+def submits_tasks(context, count, cores):
+    context.job = context.small.submit_job('blue', [step(int(cores * 1000), count)])
     context.small.plan()
 
 
-@when('blue hands in a gang of {count:d} tasks of {cores:g} cores')
-def hands_in_gang(context, count, cores):
+@when('blue submits a gang of {count:d} tasks of {cores:g} cores')
+def submits_gang(context, count, cores):
     gang = step(int(cores * 1000), count, gang=True)
-    context.job = context.small.hand_in('blue', [gang], 'gangs')
+    context.job = context.small.submit_job('blue', [gang], 'gangs')
     context.small.plan()
 
 
@@ -153,9 +153,11 @@
     assert context.small.placed(context.job) == count, context.small.placed(context.job)
 
 
-@given('the account blue with a quota of {cores:g} cores, and a successor that cannot see w3')
+@given('the account blue with a quota of {cores:g} cores, and a successor that cannot reach w3')
 def successor(context, cores):
-    context.small = AccountCell((blue(cores), red()), runners=RUNNERS, seen=False)
+    context.small = AccountCell(
+        (make_blue_account(cores), make_red_account()), runners=RUNNERS, seen=False
+    )
     context.small.cell.unseen_runners.add('w3')
     for runner in ('w1', 'w2'):
         context.small.poll(runner)
@@ -165,7 +167,7 @@
 def may_run_unseen(context, account, count, cores):
     progress = Progress(1, JobState.RUNNING, runners=('w3',))
     steps = [step(int(cores * 1000), count)]
-    context.first = context.small.hand_in(account, steps, progress=progress)
+    context.first = context.small.submit_job(account, steps, progress=progress)
 
 
 @any_step('a job of blue that may run on w3 with {cores:g} cores is cancelled')
@@ -197,23 +199,23 @@
     cancelled_left(context, 'has', cores, '')
 
 
-@when('w3 runs one of its tasks and is seen')
-def seen_with_one(context):
+@when('w3 runs one of its tasks and is polled')
+def poll_unseen_with_one_run(context):
     name = context.first.steps(0)[0].tasks[0].name
     context.small.poll('w3', running=((name, 1),))
     context.small.now += 0.1
     context.small.plan()
 
 
-@when('w3 runs none of them and is seen')
-def seen_with_none(context):
+@when('w3 runs none of them and is polled')
+def poll_unseen_without_runs(context):
     context.small.poll('w3')
     context.small.now += 0.1
     context.small.plan()
 
 
-@when('w3 is seen with a run of that job')
-def seen_with_run(context):
+@when('w3 is polled and lists a run of that job')
+def poll_unseen_with_run(context):
     name = JobRun('f' * 16, Submission('urgent', 'desk', 0, JobSpec('', (step(),))), 0)
     context.leftover_run = (name.steps(0)[0].tasks[0].name, 1)
     context.small.poll('w3', running=(context.leftover_run,))
@@ -232,10 +234,10 @@
     small = context.small
     queue = 'urgent' if kind == 'urgent' else 'batch'
     for _ in range(4):
-        small.hand_in('blue', [step(2000)], queue)
+        small.submit_job('blue', [step(2000)], queue)
     small.plan()
     small.now += 0.1
-    context.gang = small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
+    context.gang = small.submit_job('blue', [step(2000, 3, gang=True)], 'gangs')
     context.gang_started_at = None
     context.red_start_count = 0
     while small.now < START + 30:
@@ -247,8 +249,8 @@
             small.end(one)
         for one in [one for one in old if one.account == 'red']:
             small.end(one)
-        small.hand_in('blue', [step(2000)], queue)
-        other = small.hand_in('red', [step(1000)])
+        small.submit_job('blue', [step(2000)], queue)
+        other = small.submit_job('red', [step(1000)])
         small.plan()
         context.red_start_count += small.placed(other)
         if small.placed(context.gang) and context.gang_started_at is None:
@@ -270,27 +272,27 @@
 @when('a gang of 3 tasks of 2 cores waits for a quota that is lowered to {cores:g} cores')
 def gang_exceeds_quota(context, cores):
     small = context.small
-    small.hand_in('blue', [step(4000)])
+    small.submit_job('blue', [step(4000)])
     small.plan()
-    context.gang = small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
+    context.gang = small.submit_job('blue', [step(2000, 3, gang=True)], 'gangs')
     small.plan()
-    small.configure((blue(cores), red()))
+    small.configure((make_blue_account(cores), make_red_account()))
     small.now += 1
     small.end_older_runs(0.5)
 
 
-@when('a gang of 3 tasks of 2 cores waits while urgent tasks of blue come for 60 s')
+@when('a gang of 3 tasks of 2 cores waits while urgent tasks of blue arrive for 60 s')
 def gang_without_slots(context):
-    context.gang = context.small.hand_in('blue', [step(2000, 3, gang=True)], 'gangs')
-    hand_in_each_second(context)
+    context.gang = context.small.submit_job('blue', [step(2000, 3, gang=True)], 'gangs')
+    submit_each_second(context)
 
 
-def hand_in_each_second(context):
+def submit_each_second(context):
     """Submit a short urgent task of blue every second for a minute."""
     small = context.small
     context.started = 0
     for _ in range(60):
-        job = small.hand_in('blue', [step(2000)])
+        job = small.submit_job('blue', [step(2000)])
         context.started += any(start.task.job == job.id for start in small.plan().starts)
         small.now += 0.5
         small.end_older_runs(0.5)
@@ -306,7 +308,7 @@
 
 @then('urgent tasks of blue start every second, and the gang does not')
 def others_keep_starting(context):
-    hand_in_each_second(context)
+    submit_each_second(context)
     assert context.started == 60, context.started
     assert context.small.placed(context.gang) == 0
 
@@ -315,12 +317,12 @@
 def gangs_without_end(context):
     small = context.small
     gang = step(2000, 3, gang=True)
-    context.gangs = [small.hand_in('blue', [gang], 'batch') for _ in range(3)]
+    context.gangs = [small.submit_job('blue', [gang], 'batch') for _ in range(3)]
     context.idle_rounds = 0
     context.started_jobs = set()
     while small.now < START + 40:
         if small.now < START + 20:
-            context.gangs.append(small.hand_in('blue', [gang], 'urgent'))
+            context.gangs.append(small.submit_job('blue', [gang], 'urgent'))
         plan = small.plan()
         context.started_jobs.update(start.task.job for start in plan.starts)
         context.idle_rounds += small.in_use('blue') == 0 and small.now < START + 20
@@ -337,15 +339,17 @@
 
 @given('the accounts blue and red with a rate of {rate:g} jobs a second each, and 8 cores')
 def two_accounts(context, rate):
-    context.small = AccountCell((blue(None, rate), red(None, rate)), runners=('w1',))
+    context.small = AccountCell(
+        (make_blue_account(None, rate), make_red_account(None, rate)), runners=('w1',)
+    )
     context.small.resize('w1', 8)
 
 
-@when('blue hands in {many:d} urgent jobs and then red {few:d}, each of 1 core for 0.5 s')
+@when('blue submits {many:d} urgent jobs and then red {few:d}, each of 1 core for 0.5 s')
 def submit_beyond_rate(context, many, few):
     small = context.small
-    context.jobs = [small.hand_in('blue', [step(1000)]) for _ in range(many)]
-    context.jobs_of_red = [small.hand_in('red', [step(1000)]) for _ in range(few)]
+    context.jobs = [small.submit_job('blue', [step(1000)]) for _ in range(many)]
+    context.jobs_of_red = [small.submit_job('red', [step(1000)]) for _ in range(few)]
     context.order = []
     for _ in range(6):
         plan = small.plan()
@@ -356,7 +360,7 @@
 
 
 @then('all jobs of red are among the first {count:d} to start')
-def red_first(context, count):
+def check_red_first(context, count):
     # The first five jobs of each account are within its rate, and 8 cores run 8 jobs at once.
     positions = [context.order.index(job.id) for job in context.jobs_of_red]
     assert max(positions) < count, positions
@@ -367,16 +371,16 @@
     assert len(set(context.order)) == count, len(set(context.order))
 
 
-@when('blue hands in {many:d} urgent jobs while red keeps the cell full for {seconds:d} s')
+@when('blue submits {many:d} urgent jobs while red keeps the cell full for {seconds:d} s')
 def keep_cell_full(context, many, seconds):
     small = context.small
-    context.jobs = [small.hand_in('blue', [step(1000)]) for _ in range(many)]
+    context.jobs = [small.submit_job('blue', [step(1000)]) for _ in range(many)]
     started = set()
     # Red submits more jobs than the cell can run, all of them within its rate.
-    small.configure((blue(None, 5), red(None, 1000)))
+    small.configure((make_blue_account(None, 5), make_red_account(None, 1000)))
     for _ in range(2 * seconds):
         for _ in range(8):
-            small.hand_in('red', [step(1000)])
+            small.submit_job('red', [step(1000)])
         started.update(start.task.job for start in small.plan().starts)
         small.now += 0.5
         small.end_older_runs(0.5)
@@ -390,7 +394,7 @@
 
 
 @given('an account with a rate of {rate:g} jobs a second')
-def one_rate(context, rate):
+def make_account_with_rate(context, rate):
     context.rate = rate
 
 
@@ -407,14 +411,14 @@
     assert context.within == within.split(), context.within
 
 
-@when('blue hands in a step of {count:d} {kind} of 2 cores that take 1 s')
-def wide_step(context, count, kind):
+@when('blue submits a step of {count:d} {kind} of 2 cores that take 1 s')
+def submit_wide_step(context, count, kind):
     gang = kind == 'gang members'
-    context.job = context.small.hand_in('blue', [step(2000, count, 1.0, gang=gang)])
+    context.job = context.small.submit_job('blue', [step(2000, count, 1.0, gang=gang)])
 
 
 @then('its objective counts {waves:d} waves')
-def counts_waves(context, waves):
+def check_waves(context, waves):
     objective = context.small.cell.objective_of(context.job)
     assert objective == URGENT.slack * waves + URGENT.latency, objective
 
@@ -428,19 +432,19 @@
 def play_random_events(rng):
     """Play random events on a cell; check each start against its account's quota."""
     cores = {'blue': 8, 'red': 12}
-    small = AccountCell((blue(8), red(12)), runners=RUNNERS)
+    small = AccountCell((make_blue_account(8), make_red_account(12)), runners=RUNNERS)
     for _ in range(60):
         small.now += rng.random() * 0.4
         event_draw = rng.random()
         if event_draw < 0.1:
             cores = {'blue': rng.choice((2, 8, 16)), 'red': rng.choice((4, 12, 40))}
-            small.configure((blue(cores['blue']), red(cores['red'])))
+            small.configure((make_blue_account(cores['blue']), make_red_account(cores['red'])))
         elif event_draw < 0.6:
             gang = rng.random() < 0.3
             steps = [step(rng.choice((500, 2000, 4000)), rng.randint(1, 5), gang=gang)]
             account = rng.choice(('blue', 'red'))
             queue = rng.choice(('urgent', 'gangs', 'batch'))
-            small.hand_in(account, steps, queue)
+            small.submit_job(account, steps, queue)
         elif event_draw < 0.7:
             jobs = [job for job in small.cell.job_by_id.values() if not job.is_finished]
             if jobs:
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -55,7 +55,7 @@
 
 
 @when('south stops answering, and {jobs:d} jobs of {tasks:d} tasks arrive every 0.1 s for 1 s')
-def jobs_come(context, jobs, tasks):
+def submit_rounds(context, jobs, tasks):
     small = context.small
     started_at = small.now
     context.lost_at = []
@@ -91,7 +91,7 @@
 
 
 @then('starts go to south again')
-def south_used(context):
+def check_south_used(context):
     context.small.add_job('f' * 16, [step(20_000, 24)])
     starts = context.small.plan(start=False).starts
     assert 'south' in {zone_of(context.small, allocation) for allocation in starts}
@@ -118,12 +118,12 @@
 
 
 @when('two runners of south have not answered an order for {seconds:g} s')
-def two_early(context, seconds):
+def leave_two_unanswered_briefly(context, seconds):
     leave_unanswered(context, ['south-1', 'south-2'], seconds)
 
 
 @when('runners of all zones leave their orders unanswered')
-def all_unanswered(context):
+def leave_all_zones_unanswered(context):
     leave_unanswered(context, [f'{zone}-{n}' for zone in context.zones for n in (0, 1)], 0.5)
 
 
@@ -139,7 +139,7 @@
     )
 
 
-@when('{count:d} jobs of 2 tasks come from clients of all zones, {kind}')
+@when('{count:d} jobs of 2 tasks are submitted by clients of all zones, {kind}')
 def jobs_of_all_zones(context, count, kind):
     small = context.small
     queue = 'advised' if 'advice' in kind else 'urgent'
@@ -166,7 +166,7 @@
     assert max(delayed_by_zone.values()) <= count, delayed_by_zone
 
 
-@when('{count:d} jobs of {cores:d} cores come from clients of north')
+@when('{count:d} jobs of {cores:d} cores are submitted by clients of north')
 def jobs_of_north(context, count, cores):
     for number in range(count):
         context.small.add_job(f'{number:016x}', [step(cores * 1000)], zone='north')
