--- a/dandelionreel/accounts/__init__.py
+++ b/dandelionreel/accounts/__init__.py
@@ -2,7 +2,7 @@
 
 from dandelionreel.accounts._account import Account, Caller
 from dandelionreel.accounts._amounts import Amounts
-from dandelionreel.accounts._credentials import AUTHORIZATION, digest_key, read_bearer
+from dandelionreel.accounts._credentials import AUTHORIZATION, digest_key, read_key_digest
 from dandelionreel.accounts._directory import AccountDirectory
 from dandelionreel.accounts._usage import Usage, weighted_share, within_quota
 
@@ -14,7 +14,7 @@
     'Caller',
     'Usage',
     'digest_key',
-    'read_bearer',
+    'read_key_digest',
     'weighted_share',
     'within_quota',
 )
--- a/dandelionreel/accounts/_credentials.py
+++ b/dandelionreel/accounts/_credentials.py
@@ -17,7 +17,7 @@
     return hashlib.sha256(key.encode()).digest()
 
 
-def read_bearer(headers: Iterable[tuple[str, str]]) -> bytes | None:
+def read_key_digest(headers: Iterable[tuple[str, str]]) -> bytes | None:
     """Return the digest of the key in a request's authorization header.
 
     Returns ``None`` alike for no header, several headers, another scheme and a malformed key.
--- a/dandelionreel/accounts/_directory.py
+++ b/dandelionreel/accounts/_directory.py
@@ -36,7 +36,7 @@
         if previous is None or previous._has_shared_keys or not self._update_index(previous):
             self._build_index()
 
-    def find(self, key_digest: bytes) -> Account[AmountsT] | None:
+    def find_by_key(self, key_digest: bytes) -> Account[AmountsT] | None:
         """Return the account with this key, if any."""
         return self._account_by_digest.get(key_digest)
 
--- a/dandelionreel/cell/clients/__init__.py
+++ b/dandelionreel/cell/clients/__init__.py
@@ -4,7 +4,11 @@
 from dandelionreel.cell.clients._client_api import ClientApi
 from dandelionreel.cell.clients._client_writes import ClientWrites
 from dandelionreel.cell.clients._partition_reads import PartitionReads
-from dandelionreel.cell.clients._readiness import ReadinessInputs, Rotation, find_unready_reason
+from dandelionreel.cell.clients._readiness import (
+    LoadBalancerRotation,
+    ReadinessInputs,
+    find_unready_reason,
+)
 from dandelionreel.cell.clients._relay import Relay
 
 __all__ = (
@@ -14,6 +18,6 @@
     'ReadinessInputs',
     'PartitionReads',
     'Relay',
-    'Rotation',
+    'LoadBalancerRotation',
     'find_unready_reason',
 )
--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -6,14 +6,14 @@
 
 import enum
 
-from dandelionreel.accounts import Caller, read_bearer
+from dandelionreel.accounts import Caller, read_key_digest
 from dandelionreel.cell.membership import ConfigurationExchange
 from dandelionreel.cell.model import Queue
 from dandelionreel.cell.store import ConfigurationProjection
 from dandelionreel.http import Request
 
 
-class Denied(enum.Enum):
+class DenialReason(enum.Enum):
     """Why a call is not authenticated."""
 
     UNKNOWN_KEY = 'unknown key'
@@ -38,12 +38,12 @@
         self._exchange = exchange
         self._max_age = max_age
 
-    async def identify(
+    async def identify_caller(
         self,
         request: Request,
         queue: Queue,
         forwarded: Caller | None = None,
-    ) -> Caller | Denied:
+    ) -> Caller | DenialReason:
         """Return the caller of a request; ``forwarded`` is the caller that a forwarding peer found.
 
         Of the two hosts, the one with the newer configuration decides.
@@ -51,25 +51,25 @@
         current = self._configuration.current
         version = self._configuration.version
         if forwarded is not None and forwarded.version >= version:
-            self._exchange.note_version(forwarded.version)
+            self._exchange.record_peer_version(forwarded.version)
             return forwarded
         if current is None or current.accounts is None or queue.public:
             return Caller(version=version)
-        digest = read_bearer(request.headers) if forwarded is None else forwarded.key_digest
+        digest = read_key_digest(request.headers) if forwarded is None else forwarded.key_digest
         if not digest:
-            return Denied.UNKNOWN_KEY
+            return DenialReason.UNKNOWN_KEY
         if self._max_age is not None and self._exchange.age() > self._max_age:
-            return Denied.UNDECIDED
+            return DenialReason.UNDECIDED
         known_caller = self._find_caller(digest)
         if known_caller is not None:
             return known_caller
-        if not await self._exchange.confirm():
-            return self._find_caller(digest) or Denied.UNDECIDED
-        return self._find_caller(digest) or Denied.UNKNOWN_KEY
+        if not await self._exchange.confirm_newest():
+            return self._find_caller(digest) or DenialReason.UNDECIDED
+        return self._find_caller(digest) or DenialReason.UNKNOWN_KEY
 
     def _find_caller(self, digest: bytes) -> Caller | None:
         current = self._configuration.current
         if current is None or current.accounts is None:
             return None
-        account = current.accounts.find(digest)
+        account = current.accounts.find_by_key(digest)
         return None if account is None else Caller(account.name, digest, current.version)
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import Any
 
-from dandelionreel.cell.clients._access import AccessControl, Denied
+from dandelionreel.cell.clients._access import AccessControl, DenialReason
 from dandelionreel.cell.clients._client_call import (
     CAUSE_HEADER,
     STORE_UNAVAILABLE_CAUSE,
@@ -84,13 +84,13 @@
         partition_detector: PartitionDetector,
         clock: Clock,
         journal: Journal,
-        note_answer: Callable[[str, int, float], None],
-        note_refusal: Callable[[str], None],
+        record_response: Callable[[str, int, float], None],
+        count_refusal: Callable[[str], None],
     ) -> None:
         """Answer clients of ``zone``.
 
-        ``note_answer`` gets the method, status and seconds of each response, ``note_refusal`` the
-        account of each refused call.
+        ``record_response`` gets the method, status and seconds of each response, and
+        ``count_refusal`` the account of each refused call.
         """
         self._zone = zone
         self._codec = codec
@@ -106,21 +106,23 @@
         self._partition_detector = partition_detector
         self._clock = clock
         self._journal = journal
-        self._note_answer = note_answer
-        self._note_refusal = note_refusal
+        self._record_response = record_response
+        self._count_refusal = count_refusal
 
     async def handle(self, request: Request) -> Response:
         """Answer one request of a client."""
         received_at = self._clock.monotonic()
-        response = await self._answer(request, received_at, self._zone)
-        self._note_answer(request.method, response.status, self._clock.monotonic() - received_at)
+        response = await self._answer_request(request, received_at, self._zone)
+        self._record_response(
+            request.method, response.status, self._clock.monotonic() - received_at
+        )
         return response
 
     async def handle_relayed(self, frame: Frame) -> Message:
         """Answer a request that a peer has forwarded."""
         forward: Any = frame.message
         member = self._jobs.state.member_by_host.get(frame.sender.partition('/')[0])
-        response = await self._answer(
+        response = await self._answer_request(
             forward.request,
             self._clock.monotonic(),
             member.zone if member else '',
@@ -131,7 +133,7 @@
             response, no_room=response.header(CAUSE_HEADER) == STORE_UNAVAILABLE_CAUSE
         )
 
-    async def _answer(
+    async def _answer_request(
         self,
         request: Request,
         received_at: float,
@@ -145,19 +147,21 @@
         host = request.header('host').partition(':')[0]
         queue = configuration.find_queue(host, path)
         if queue is None:
-            self._log(request, path, 'no such queue', version=configuration.version)
+            self._log_request_outcome(request, path, 'no such queue', version=configuration.version)
             return not_run_response(HTTP_NOT_FOUND, 'unknown-queue', f'no queue at {path}')
         forwarded = None if forward is None else forward.caller
-        caller = await self._access.identify(request, queue, forwarded)
-        if isinstance(caller, Denied):
+        caller = await self._access.identify_caller(request, queue, forwarded)
+        if isinstance(caller, DenialReason):
             return self._answer_denied(request, path, caller)
         call = ClientCall(request, caller, zone, received_at, forward is not None)
-        response = await self._serve(call, configuration, queue, path[len(queue.path_prefix) :])
+        response = await self._answer_call(
+            call, configuration, queue, path[len(queue.path_prefix) :]
+        )
         if response.status in RETRYABLE_STATUSES:
-            self._note_refusal(caller.account)
+            self._count_refusal(caller.account)
         return response
 
-    async def _serve(
+    async def _answer_call(
         self,
         call: ClientCall,
         configuration: Configuration,
@@ -174,19 +178,19 @@
         if request.method == 'POST':
             return await self._submit_job(call, configuration, queue, job_id)
         if request.method == 'GET':
-            return await self._answer_state(call, job_id)
+            return await self._answer_job_state(call, job_id)
         if request.method == 'DELETE':
             return await self._cancel_job(call, job_id)
         return not_run_response(HTTP_NOT_ALLOWED, 'bad-method', 'use POST, GET or DELETE')
 
-    def _answer_denied(self, request: Request, path: str, denied: Denied) -> Response:
+    def _answer_denied(self, request: Request, path: str, denied: DenialReason) -> Response:
         """Refuse a call.
 
         The response to an unknown key does not say what is wrong with the key. A key that cannot be
         checked now gets a response that asks the client to retry.
         """
-        self._log(request, path, denied.value, version=self._configuration.version)
-        if denied is Denied.UNDECIDED:
+        self._log_request_outcome(request, path, denied.value, version=self._configuration.version)
+        if denied is DenialReason.UNDECIDED:
             return unavailable_response('key-unchecked', 'the key cannot be checked now')
         response = not_run_response(HTTP_UNAUTHORIZED, 'unknown-key', 'a known API key is needed')
         return Response(response.status, (*response.headers, CHALLENGE_HEADER), response.body)
@@ -199,42 +203,44 @@
         job_id: str,
     ) -> Response:
         request = call.request
-        if self._get_dispatcher() is not None and not self._follower.complete:
+        if self._get_dispatcher() is not None and not self._follower.has_reached_end:
             # The end of a finished job may not have been read yet; the job would run again.
             now = self._clock.monotonic()
-            if not await self._follower.wait_fresh(now, LOOKUP_TIMEOUT_SECONDS):
+            if not await self._follower.wait_until_fresh(now, LOOKUP_TIMEOUT_SECONDS):
                 return unavailable_response(
                     STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now'
                 )
-        if not self._may_see(call, job_id):
-            self._log(request, job_id, 'its id is taken by another account')
+        if not self._may_see_job(call, job_id):
+            self._log_request_outcome(request, job_id, 'its id is taken by another account')
             return not_run_response(HTTP_CONFLICT, 'id-taken', 'choose another job id')
-        stored_job = self._jobs.state.find(job_id)
+        stored_job = self._jobs.state.find_job(job_id)
         if stored_job is not None and not stored_job.may_be_resubmitted:
-            self._log(request, job_id, 'accepted before')
+            self._log_request_outcome(request, job_id, 'accepted before')
             return self._codec.answer_accepted()
         if len(request.body) > configuration.body_bytes:
             return not_run_response(HTTP_TOO_LARGE, 'body-too-large', 'the job is too large')
         try:
             spec = self._codec.decode_submission(request.body)
         except SubmissionError as error:
-            self._log(request, job_id, f'not a job: {error}')
+            self._log_request_outcome(request, job_id, f'not a job: {error}')
             return not_run_response(HTTP_BAD_REQUEST, 'bad-job', f'{error}')
-        if not self._fits_quota(call, configuration, spec):
+        if not self._steps_fit_quota(call, configuration, spec):
             return self._answer_over_quota(call, job_id)
         submission = Submission(
             queue.name, queue.service, self._clock.unix_time(), spec, call.zone, call.caller.account
         )
-        return await self._writes.store(
+        return await self._writes.store_record(
             call,
             make_record(SUBMISSION_PREFIX + job_id, submission),
-            lambda owner, timeout: owner.accept(job_id, submission, timeout),
-            partial(self._log, request, job_id),
+            lambda owner, timeout: owner.accept_job(job_id, submission, timeout),
+            partial(self._log_request_outcome, request, job_id),
             queue=queue.name,
             account=call.caller.account,
         )
 
-    def _fits_quota(self, call: ClientCall, configuration: Configuration, spec: JobSpec) -> bool:
+    def _steps_fit_quota(
+        self, call: ClientCall, configuration: Configuration, spec: JobSpec
+    ) -> bool:
         """Return whether each step by itself fits into the quota of the caller's account."""
         account = configuration.find_account(call.caller.account)
         if account is None or account.quota is None:
@@ -242,7 +248,7 @@
         return all(step.smallest_start.fits(account.quota) for step in spec.steps)
 
     def _answer_over_quota(self, call: ClientCall, job_id: str) -> Response:
-        self._log(
+        self._log_request_outcome(
             call.request,
             job_id,
             "never fits its account's quota",
@@ -253,10 +259,10 @@
             HTTP_TOO_MANY, 'over-account-quota', detail, QUOTA_RETRY_AFTER_SECONDS
         )
 
-    async def _answer_state(self, call: ClientCall, job_id: str) -> Response:
-        if not self._may_see(call, job_id):
+    async def _answer_job_state(self, call: ClientCall, job_id: str) -> Response:
+        if not self._may_see_job(call, job_id):
             return self._answer_unknown_job(call, job_id)
-        stored_job = self._jobs.state.find(job_id)
+        stored_job = self._jobs.state.find_job(job_id)
         if stored_job is not None and stored_job.state in FINAL_STATES:
             return self._codec.answer_state(stored_job.state)
         if stored_job is not None and self._completions.contains(job_id):
@@ -264,21 +270,21 @@
         # The job may have ended meanwhile, and clients measure their wait until they see that; an
         # unknown job may have been stored meanwhile.
         dispatcher = self._get_dispatcher()
-        state = dispatcher.state_of(job_id) if dispatcher else None
+        state = dispatcher.state_of_job(job_id) if dispatcher else None
         if state is not None:
             return self._codec.answer_state(state)
         timeout = LOOKUP_TIMEOUT_SECONDS if stored_job is None else REFRESH_TIMEOUT_SECONDS
         if self._partition_detector.cut_off:
             # Only what this zone knows can be reported, and waiting would not add to it.
-            if await self._partition_reads.is_complete(job_id):
+            if await self._partition_reads.is_job_complete(job_id):
                 return self._codec.answer_state(JobState.COMPLETED)
             timeout = 0.0
         elif dispatcher is None and not call.relayed:
             response = await self._get_state_from_peers(call, timeout)
             if response is not None:
                 return response
-        await self._follower.wait_fresh(call.received_at - MAX_STATE_AGE_SECONDS, timeout)
-        stored_job = self._find(call, job_id)
+        await self._follower.wait_until_fresh(call.received_at - MAX_STATE_AGE_SECONDS, timeout)
+        stored_job = self._find_visible_job(call, job_id)
         if stored_job is not None:
             return self._codec.answer_state(stored_job.state)
         return self._answer_unknown_job(call, job_id)
@@ -291,37 +297,37 @@
         return forwarded.response
 
     async def _cancel_job(self, call: ClientCall, job_id: str) -> Response:
-        stored_job = self._find(call, job_id)
+        stored_job = self._find_visible_job(call, job_id)
         if stored_job is None:
-            await self._follower.wait_fresh(call.received_at, LOOKUP_TIMEOUT_SECONDS)
-            stored_job = self._find(call, job_id)
+            await self._follower.wait_until_fresh(call.received_at, LOOKUP_TIMEOUT_SECONDS)
+            stored_job = self._find_visible_job(call, job_id)
         if stored_job is None:
             return self._answer_unknown_job(call, job_id)
         finished = stored_job.state in FINAL_STATES or self._completions.contains(job_id)
         if stored_job.cancelled or finished:
             return self._codec.answer_accepted()
         record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.unix_time()))
-        return await self._writes.store(
+        return await self._writes.store_record(
             call,
             record,
-            lambda owner, timeout: owner.cancel(job_id, timeout),
-            partial(self._log, call.request, job_id),
+            lambda owner, timeout: owner.cancel_job(job_id, timeout),
+            partial(self._log_request_outcome, call.request, job_id),
         )
 
-    def _find(self, call: ClientCall, job_id: str) -> StoredJob | None:
+    def _find_visible_job(self, call: ClientCall, job_id: str) -> StoredJob | None:
         """Return a stored job if the caller may see it."""
-        return self._jobs.state.find(job_id) if self._may_see(call, job_id) else None
+        return self._jobs.state.find_job(job_id) if self._may_see_job(call, job_id) else None
 
-    def _may_see(self, call: ClientCall, job_id: str) -> bool:
+    def _may_see_job(self, call: ClientCall, job_id: str) -> bool:
         """Return whether a job does not belong to another account, as far as this host knows.
 
         A job that was stored without an account is visible to every caller.
         """
-        stored_job = self._jobs.state.find(job_id)
+        stored_job = self._jobs.state.find_job(job_id)
         dispatcher = self._get_dispatcher()
         account = '' if stored_job is None else stored_job.account
         if stored_job is None and dispatcher is not None:
-            account = dispatcher.account_of(job_id)
+            account = dispatcher.account_of_job(job_id)
         return account in {'', call.caller.account}
 
     def _answer_unknown_job(self, call: ClientCall, job_id: str) -> Response:
@@ -329,7 +335,7 @@
 
         The job of another account does not exist for a caller.
         """
-        if self._follower.fresh_at < call.received_at - MAX_STATE_AGE_SECONDS and self._may_see(
+        if self._follower.fresh_at < call.received_at - MAX_STATE_AGE_SECONDS and self._may_see_job(
             call, job_id
         ):
             return unavailable_response(
@@ -340,13 +346,13 @@
             f'a client asked for unknown job {job_id}.',
             job=job_id,
             account=call.caller.account,
-            **self._log_fields(),
+            **self._make_log_fields(),
         )
         return self._codec.answer_unknown_job()
 
     async def _answer_waiting_count(self, queue: Queue, received_at: float) -> Response:
         """Answer with the number of waiting jobs, unless the latest read is too old."""
-        if not await self._follower.wait_fresh(
+        if not await self._follower.wait_until_fresh(
             received_at - MAX_COUNT_AGE_SECONDS, LOOKUP_TIMEOUT_SECONDS
         ):
             return unavailable_response(
@@ -354,16 +360,18 @@
             )
         return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
 
-    def _log(self, request: Request, job_id: str, outcome: str, **fields: object) -> None:
+    def _log_request_outcome(
+        self, request: Request, job_id: str, outcome: str, **fields: object
+    ) -> None:
         self._journal.log_sampled(
             Part.JOBS,
             f'{request.method} {job_id}: {outcome}.',
             job=job_id,
-            **self._log_fields(),
+            **self._make_log_fields(),
             **fields,
         )
 
-    def _log_fields(self) -> dict[str, Any]:
+    def _make_log_fields(self) -> dict[str, Any]:
         """Return the age of the latest read in seconds, and the owner as this host knows it."""
         owner = self._jobs.state.owner
         return {
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -11,7 +11,7 @@
     ClientCall,
     unavailable_response,
 )
-from dandelionreel.cell.clients._readiness import Rotation
+from dandelionreel.cell.clients._readiness import LoadBalancerRotation
 from dandelionreel.cell.clients._relay import Relay, RelayResult
 from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.model import ClientCodec, KeyedRecord
@@ -61,7 +61,7 @@
         relay: Relay,
         get_dispatcher: Callable[[], Dispatcher | None],
         partition_detector: PartitionDetector,
-        rotation: Rotation,
+        rotation: LoadBalancerRotation,
         clock: Clock,
     ) -> None:
         """Append with ``writer`` where neither the owner nor a peer does."""
@@ -74,7 +74,7 @@
         self._rotation = rotation
         self._clock = clock
 
-    async def store(
+    async def store_record(
         self,
         call: ClientCall,
         record: KeyedRecord,
@@ -90,7 +90,7 @@
         started_at = self._clock.monotonic()
         deadline = started_at + call.timeout
         attempts = _WriteAttempts()
-        for attempt in self._attempts(call, record, store_at_owner):
+        for attempt in self._list_attempts(call, record, store_at_owner):
             remaining = deadline - self._clock.monotonic()
             if remaining <= 0 or await self._is_host_cut_off(attempts):
                 break
@@ -111,7 +111,7 @@
             store_failing=round(max(0.0, deadline - self._writer.failing_since), 3),
             tried=attempts.outcomes,
         )
-        return self._answer_failed(attempts)
+        return self._answer_failed_write(attempts)
 
     async def _is_host_cut_off(self, attempts: _WriteAttempts) -> bool:
         """Return whether this host is cut off, so that further attempts are pointless.
@@ -120,9 +120,9 @@
         """
         if self._partition_detector.cut_off:
             return True
-        return bool(attempts.outcomes) and await self._partition_detector.check()
+        return bool(attempts.outcomes) and await self._partition_detector.check_other_zones()
 
-    def _answer_failed(self, attempts: _WriteAttempts) -> Response:
+    def _answer_failed_write(self, attempts: _WriteAttempts) -> Response:
         if attempts.in_doubt:
             detail = 'what was asked for may have been stored'
             return problem_response(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
@@ -136,9 +136,11 @@
         """
         if not self._partition_detector.cut_off:
             return RETRY_AFTER_SECONDS
-        return max(RETRY_AFTER_SECONDS, self._rotation.seconds_left(self._clock.monotonic()))
+        return max(
+            RETRY_AFTER_SECONDS, self._rotation.seconds_until_removal(self._clock.monotonic())
+        )
 
-    def _attempts(
+    def _list_attempts(
         self,
         call: ClientCall,
         record: KeyedRecord,
@@ -147,39 +149,39 @@
         """Yield the ways to store a record, the best one first."""
         dispatcher = self._get_dispatcher()
         if dispatcher is not None:
-            yield self._by_owner(dispatcher, store_at_owner)
+            yield self._attempt_by_owner(dispatcher, store_at_owner)
         elif not call.relayed:
-            yield self._by_peer(call, self._relay.forward_to_owner)
-            yield self._by_peer(call, self._relay.forward_to_zone_writer)
+            yield self._attempt_by_peer(call, self._relay.forward_to_owner)
+            yield self._attempt_by_peer(call, self._relay.forward_to_zone_writer)
         store_unreachable = self._is_store_unreachable(self._clock.monotonic())
         # If the zone's writer is reachable, only it appends: a slow store then gets one append at a
         # time from the hosts of a zone, not one from each.
         if not store_unreachable and (call.relayed or self._relay.find_zone_writer() is None):
-            yield self._by_this_host(record)
+            yield self._attempt_by_this_host(record)
         if store_unreachable and not call.relayed:
-            yield self._by_peer(call, self._relay.forward_to_any_peer)
+            yield self._attempt_by_peer(call, self._relay.forward_to_any_peer)
 
-    def _by_owner(self, dispatcher: Dispatcher, store_at_owner: StoreAtOwner) -> Attempt:
+    def _attempt_by_owner(self, dispatcher: Dispatcher, store_at_owner: StoreAtOwner) -> Attempt:
         async def by_owner(remaining: float, attempts: _WriteAttempts) -> Response | None:
             attempts.attempted_by = 'the owner'
             if dispatcher.store_is_failing:
                 attempts.outcomes.append('the owner: its store is failing')
                 return None
-            return self._note_outcome(
+            return self._record_write_outcome(
                 await store_at_owner(dispatcher, min(remaining, APPEND_TIMEOUT_SECONDS)), attempts
             )
 
         return by_owner
 
-    def _by_this_host(self, record: KeyedRecord) -> Attempt:
+    def _attempt_by_this_host(self, record: KeyedRecord) -> Attempt:
         async def by_this_host(remaining: float, attempts: _WriteAttempts) -> Response | None:
             attempts.attempted_by = 'this host'
             outcome = await self._writer.write([record], min(remaining, APPEND_TIMEOUT_SECONDS))
-            return self._note_outcome(outcome, attempts)
+            return self._record_write_outcome(outcome, attempts)
 
         return by_this_host
 
-    def _by_peer(self, call: ClientCall, forward: Forwarder) -> Attempt:
+    def _attempt_by_peer(self, call: ClientCall, forward: Forwarder) -> Attempt:
         async def by_peer(remaining: float, attempts: _WriteAttempts) -> Response | None:
             attempts.attempted_by = 'a peer'
             forwarded = await forward(call, remaining)
@@ -192,7 +194,9 @@
 
         return by_peer
 
-    def _note_outcome(self, outcome: WriteOutcome, attempts: _WriteAttempts) -> Response | None:
+    def _record_write_outcome(
+        self, outcome: WriteOutcome, attempts: _WriteAttempts
+    ) -> Response | None:
         """Return the response if the record was stored, else record the outcome."""
         if outcome is WriteOutcome.STORED:
             return self._codec.answer_accepted()
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -73,12 +73,14 @@
         self._journal = journal
         self._view_by_runner: dict[str, _CachedView] = {}
 
-    async def is_complete(self, job: str) -> bool:
+    async def is_job_complete(self, job: str) -> bool:
         """Return whether the zone's runners list a job as done and it may be reported so."""
         queries_before = self._completions.query_count
-        if not self._partition_detector.may_serve_reads or not await self._is_done_at_runners(job):
+        if not self._partition_detector.may_serve_reads or not await self._is_job_done_at_runners(
+            job
+        ):
             return False
-        if not await self._replicate_to_zone(job):
+        if not await self._replicate_completion_to_zone(job):
             return False
         # If the owner has queried this host meanwhile, its reply did not contain this job.
         if (
@@ -92,7 +94,7 @@
             'shown as complete inside a partition.',
             jobs=[job],
             count=1,
-            epoch=self._epoch(),
+            epoch=self._owner_epoch(),
         )
         return True
 
@@ -102,19 +104,19 @@
             await cached.runner.close()
         self._view_by_runner.clear()
 
-    async def _is_done_at_runners(self, job: str) -> bool:
-        stored_job = self._cell_state.find(job)
+    async def _is_job_done_at_runners(self, job: str) -> bool:
+        stored_job = self._cell_state.find_job(job)
         if stored_job is None or stored_job.submission is None or stored_job.progress is None:
             return False
         if stored_job.unreadable or stored_job.cancelled:
             return False
         ended: list[EndedRun] = []
-        for registration in self._runners_of(stored_job.progress.runners):
-            ended.extend(await self._ended_runs_at(registration))
+        for registration in self._find_zone_runners(stored_job.progress.runners):
+            ended.extend(await self._read_ended_runs(registration))
         job_ends = [end for end in ended if end.task.job == job]
         return is_complete(job, stored_job.submission.spec, stored_job.progress, job_ends)
 
-    def _runners_of(self, names: tuple[str, ...]) -> list[Registration]:
+    def _find_zone_runners(self, names: tuple[str, ...]) -> list[Registration]:
         """Return the runners of this zone on which a job may have run, from ``names``."""
         return [
             registration
@@ -122,27 +124,27 @@
             if registration.zone == self._zone and (runner in names or ANY_RUNNER in names)
         ]
 
-    async def _ended_runs_at(self, registration: Registration) -> tuple[EndedRun, ...]:
+    async def _read_ended_runs(self, registration: Registration) -> tuple[EndedRun, ...]:
         cached = self._view_by_runner.get(registration.runner)
         if cached is None:
             cached = _CachedView(self._make_runner(registration))
             self._view_by_runner[registration.runner] = cached
         async with cached.lock:
             if self._clock.monotonic() - cached.polled_at >= VIEW_CACHE_SECONDS:
-                cached.ended = await self._poll_once(cached.runner)
+                cached.ended = await self._poll_ended_runs(cached.runner)
                 cached.polled_at = self._clock.monotonic()
         return cached.ended
 
-    async def _poll_once(self, runner: Runner) -> tuple[EndedRun, ...]:
+    async def _poll_ended_runs(self, runner: Runner) -> tuple[EndedRun, ...]:
         """Return the ended runs of a runner without renewing leases or acknowledging ends."""
         try:
-            view = await runner.poll(self._epoch(), 0, None, 0)
+            view = await runner.poll(self._owner_epoch(), 0, None, 0)
         except (RunnerError, RunnerFenced, RunnerReplaced):
             # The runner does not answer, was restarted, or has seen a later owner.
             return ()
         return view.ended
 
-    async def _replicate_to_zone(self, job: str) -> bool:
+    async def _replicate_completion_to_zone(self, job: str) -> bool:
         """Report a complete job to other hosts of this zone, until one accepts it.
 
         Return whether one has.
@@ -165,6 +167,6 @@
             if members[host].zone == self._zone and host != self._own_host
         ]
 
-    def _epoch(self) -> int:
+    def _owner_epoch(self) -> int:
         owner = self._cell_state.owner
         return 0 if owner is None else owner.epoch
--- a/dandelionreel/cell/clients/_readiness.py
+++ b/dandelionreel/cell/clients/_readiness.py
@@ -40,7 +40,7 @@
     return ''
 
 
-class Rotation:
+class LoadBalancerRotation:
     """Estimates when the load balancer stops sending new connections to this host. No I/O.
 
     The load balancer checks about once a second, and removes a host after two answers that it is
@@ -50,22 +50,23 @@
     def __init__(self) -> None:
         """Start in rotation, without a check so far."""
         self._checked_at = float('-inf')
-        self._period = DEFAULT_PERIOD_SECONDS
+        self._check_interval = DEFAULT_PERIOD_SECONDS
         self._failed_checks = 0
 
-    def note_readiness_check(self, now: float, *, ready: bool) -> None:
+    def record_readiness_check(self, now: float, *, ready: bool) -> None:
         """Record a readiness check of the load balancer and its answer."""
         elapsed = now - self._checked_at
         if elapsed < MAX_PERIOD_SECONDS:
-            self._period = elapsed
+            self._check_interval = elapsed
         self._checked_at = now
         self._failed_checks = 0 if ready else self._failed_checks + 1
 
-    def seconds_left(self, now: float) -> float:
+    def seconds_until_removal(self, now: float) -> float:
         """Return for how long clients are still sent here if the host is not ready from now on."""
         if self._failed_checks >= FAILED_CHECKS_BEFORE_REMOVAL:
             return 0.0
         removed_at = (
-            self._checked_at + (FAILED_CHECKS_BEFORE_REMOVAL - self._failed_checks) * self._period
+            self._checked_at
+            + (FAILED_CHECKS_BEFORE_REMOVAL - self._failed_checks) * self._check_interval
         )
         return max(0.0, removed_at - now)
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -41,7 +41,7 @@
     in_doubt: bool = False
 
 
-def _ignore_unanswered(term: str) -> None:
+def _ignore_unanswered_query(term: str) -> None:
     """Ignore that the owner of a term did not answer."""
 
 
@@ -55,7 +55,7 @@
         links: PeerLinks,
         clock: Clock,
         journal: Journal,
-        note_query_unanswered: Callable[[str], None] = _ignore_unanswered,
+        record_query_unanswered: Callable[[str], None] = _ignore_unanswered_query,
     ) -> None:
         """Forward requests as the host ``own_host``; report owners that do not answer, by term."""
         self._own_host = own_host
@@ -63,7 +63,7 @@
         self._links = links
         self._clock = clock
         self._journal = journal
-        self._note_unanswered = note_query_unanswered
+        self._record_query_unanswered = record_query_unanswered
         self._backoff_until_by_host: dict[str, float] = {}
         self._backoff_seconds_by_host: dict[str, float] = {}
 
@@ -101,7 +101,7 @@
         deadline = self._clock.monotonic() + timeout
         in_doubt = False
         for host, member in self._eligible_peers(hosts):
-            if call.request.method not in IDEMPOTENT_METHODS and not await self._can_act(
+            if call.request.method not in IDEMPOTENT_METHODS and not await self._can_peer_act(
                 host, member
             ):
                 continue
@@ -128,12 +128,12 @@
             # A read of a job's state has so short a timeout that a busy owner misses it now and
             # then, which is no reason to send submissions elsewhere.
             if timeout > OWNER_QUERY_TIMEOUT:
-                self._avoid(host, f'{error}', self._increase_backoff(host))
+                self._skip_peer_for(host, f'{error}', self._increase_backoff(host))
             return RelayResult(None, error.verdict is not Verdict.NOT_RUN)
         self._backoff_seconds_by_host.pop(host, None)
         reply = frame.message
         if not isinstance(reply, ForwardAnswer) or reply.no_room:
-            self._avoid(host, 'the store does not serve it either', PEER_BACKOFF_SECONDS)
+            self._skip_peer_for(host, 'the store does not serve it either', PEER_BACKOFF_SECONDS)
             return RelayResult(None)
         if reply.response.status in FINAL_STATUSES:
             return RelayResult(reply.response)
@@ -141,7 +141,7 @@
         # neither is a response for the client.
         return RelayResult(None, reply.response.status == HTTP_TIMEOUT)
 
-    async def _can_act(self, host: str, member: Member) -> bool:
+    async def _can_peer_act(self, host: str, member: Member) -> bool:
         """Query whether a peer can act before sending it a request that is not idempotent.
 
         A job that is sent to an unresponsive peer is in doubt, and its client cannot submit it
@@ -152,13 +152,13 @@
         try:
             frame = await self._links.request(member, OwnerAsked(term), OWNER_QUERY_TIMEOUT)
         except PeerError as error:
-            self._avoid(host, f'{error}', self._increase_backoff(host))
+            self._skip_peer_for(host, f'{error}', self._increase_backoff(host))
             if term:
-                self._note_unanswered(term)
+                self._record_query_unanswered(term)
             return False
         if isinstance(frame.message, Done):
             return True
-        self._avoid(host, 'it cannot act', PEER_BACKOFF_SECONDS)
+        self._skip_peer_for(host, 'it cannot act', PEER_BACKOFF_SECONDS)
         return False
 
     def _eligible_peers(self, hosts: list[str]) -> Iterator[tuple[str, Member]]:
@@ -178,7 +178,7 @@
         self._backoff_seconds_by_host[host] = min(MAX_PEER_BACKOFF_SECONDS, 2 * previous)
         return self._backoff_seconds_by_host[host]
 
-    def _avoid(self, host: str, cause: str, seconds: float) -> None:
+    def _skip_peer_for(self, host: str, cause: str, seconds: float) -> None:
         self._backoff_until_by_host[host] = self._clock.monotonic() + seconds
         self._journal.log_sampled(
             Part.PEERS, f'no requests are forwarded to {host} for now: {cause}.', peer=host
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -9,7 +9,7 @@
     rank_hosts,
 )
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
-from dandelionreel.cell.membership._completion_reports import CompletionReports
+from dandelionreel.cell.membership._completion_reports import CompletionReporter
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._configuration_exchange import ConfigurationExchange
 from dandelionreel.cell.membership._election import (
@@ -29,7 +29,7 @@
     'AdvicePool',
     'HEARTBEAT_SECONDS',
     'CompletionMessageHandler',
-    'CompletionReports',
+    'CompletionReporter',
     'Completions',
     'ConfigurationExchange',
     'PartitionDetector',
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -70,9 +70,9 @@
 
     def __init__(self, service: AdviceService | None) -> None:
         """Send requests to ``service``; without one every request fails."""
-        self._service = service
+        self._advice_service = service
 
-    async def answer(self, frame: Frame) -> Message:
+    async def answer_advice_request(self, frame: Frame) -> Message:
         """Handle an advice request of a peer."""
         message: Any = frame.message
         step = StepName(message.job, message.occurrence, message.step)
@@ -89,9 +89,9 @@
         timeout: float,
     ) -> tuple[Permit, ...]:
         """Return the permits for a step on some of ``runners``; raises ``AdviceError``."""
-        if self._service is None:
+        if self._advice_service is None:
             raise AdviceError('no policy service is configured')
-        return await self._service.request_permits(step, runners, timeout)
+        return await self._advice_service.request_permits(step, runners, timeout)
 
 
 class AdvicePool:
@@ -110,63 +110,63 @@
     ) -> None:
         """Call ``answered`` with each answer and ``failed`` with each request that failed."""
         self._own_host = own_host
-        self._members = members
+        self._get_members = members
         self._links = links
-        self._local = local
+        self._local_advisor = local
         self._clock = clock
         self._journal = journal
         self._on_answered = answered
         self._on_failed = failed
-        self._waiting: list[tuple[int, int, AdviceRequest]] = []
+        self._waiting_requests: list[tuple[int, int, AdviceRequest]] = []
         self._sequence = itertools.count()
-        self._busy: set[str] = set()
+        self._busy_hosts: set[str] = set()
         #: Hosts that are busy with a non-urgent request.
         self._non_urgent_hosts: set[str] = set()
         self._backoff_until_by_host: dict[str, float] = {}
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Return how many requests wait for a free host."""
-        return len(self._waiting)
+        return len(self._waiting_requests)
 
     @property
-    def free_for_non_urgent(self) -> int:
+    def free_non_urgent_requests(self) -> int:
         """Return how many more non-urgent requests could be sent now."""
-        waiting = sum(priority > 0 for priority, _, _ in self._waiting)
-        return self._max_non_urgent() - len(self._non_urgent_hosts) - waiting
+        waiting = sum(priority > 0 for priority, _, _ in self._waiting_requests)
+        return self._max_non_urgent_requests() - len(self._non_urgent_hosts) - waiting
 
     async def submit(self, request: AdviceRequest) -> None:
         """Queue a request; it is sent as soon as a host is free."""
-        heapq.heappush(self._waiting, (request.priority, next(self._sequence), request))
-        await self._send_waiting()
-
-    async def _send_waiting(self) -> None:
-        while self._waiting:
-            urgent = self._waiting[0][0] == 0
-            allowed = urgent or len(self._non_urgent_hosts) < self._max_non_urgent()
-            host = self._free_host() if allowed else None
+        heapq.heappush(self._waiting_requests, (request.priority, next(self._sequence), request))
+        await self._send_waiting_requests()
+
+    async def _send_waiting_requests(self) -> None:
+        while self._waiting_requests:
+            urgent = self._waiting_requests[0][0] == 0
+            allowed = urgent or len(self._non_urgent_hosts) < self._max_non_urgent_requests()
+            host = self._find_free_host() if allowed else None
             if host is None:
                 return
-            request = heapq.heappop(self._waiting)[2]
-            self._busy.add(host)
+            request = heapq.heappop(self._waiting_requests)[2]
+            self._busy_hosts.add(host)
             if not urgent:
                 self._non_urgent_hosts.add(host)
-            await curio.spawn(self._request_from, host, request, daemon=True)
+            await curio.spawn(self._request_advice_from, host, request, daemon=True)
 
-    def _max_non_urgent(self) -> int:
-        return max(1, int(NON_URGENT_SHARE * len(self._members())))
+    def _max_non_urgent_requests(self) -> int:
+        return max(1, int(NON_URGENT_SHARE * len(self._get_members())))
 
-    def _free_host(self) -> str | None:
-        if self._own_host not in self._busy:
+    def _find_free_host(self) -> str | None:
+        if self._own_host not in self._busy_hosts:
             return self._own_host
         now = self._clock.monotonic()
-        for host in self._members():
-            if host in self._busy or self._backoff_until_by_host.get(host, 0) > now:
+        for host in self._get_members():
+            if host in self._busy_hosts or self._backoff_until_by_host.get(host, 0) > now:
                 continue
             return host
         return None
 
-    async def _request_from(self, host: str, request: AdviceRequest) -> None:
+    async def _request_advice_from(self, host: str, request: AdviceRequest) -> None:
         advice = request.advice
         expected_seconds = advice.decision_seconds + advice.seconds_per_runner * len(
             request.runners
@@ -186,9 +186,9 @@
             until = self._clock.monotonic() + request.advice.valid_seconds
             await self._on_answered(request, permits, until)
         finally:
-            self._busy.discard(host)
+            self._busy_hosts.discard(host)
             self._non_urgent_hosts.discard(host)
-        await self._send_waiting()
+        await self._send_waiting_requests()
 
     async def _request_permits(
         self,
@@ -198,9 +198,9 @@
     ) -> tuple[Permit, ...]:
         step = request.step
         if host == self._own_host:
-            return await self._local.request(step, request.runners, timeout)
+            return await self._local_advisor.request(step, request.runners, timeout)
         query = AdviceWanted(step.job, step.occurrence, step.step, request.runners, timeout)
-        member = self._members().get(host)
+        member = self._get_members().get(host)
         if member is None:
             raise AdviceError('the host is no longer a member')
         frame = await self._links.request(member, query, timeout + TIMEOUT_MARGIN_SECONDS)
--- a/dandelionreel/cell/membership/_completion_handler.py
+++ b/dandelionreel/cell/membership/_completion_handler.py
@@ -28,7 +28,7 @@
     async def merge_completions(self, frame: Frame) -> Message:
         """Add jobs that an owner reports as complete, unless a later owner has sent a query."""
         report: Any = frame.message
-        if self._completions.merge(report.epoch, report.jobs):
+        if self._completions.merge_owner_report(report.epoch, report.jobs):
             return Done()
         return Refused('a later owner has asked')
 
@@ -49,5 +49,5 @@
     async def answer_query(self, frame: Frame) -> Message:
         """Return all completed jobs to an owner, which relies on that answer from then on."""
         query: Any = frame.message
-        self._partition_detector.note_owner_query()
-        return CompletionsTold(query.epoch, self._completions.answer(query.epoch))
+        self._partition_detector.record_owner_query()
+        return CompletionsTold(query.epoch, self._completions.list_for_owner(query.epoch))
--- a/dandelionreel/cell/membership/_completion_reports.py
+++ b/dandelionreel/cell/membership/_completion_reports.py
@@ -24,7 +24,7 @@
 MAX_LOGGED = 80
 
 
-class CompletionReports:
+class CompletionReporter:
     """Reports each job to the current owner until its end is in the store."""
 
     def __init__(
@@ -47,13 +47,13 @@
     async def run(self) -> None:
         """Send reports when they are due, forever."""
         while True:
-            await self.report()
+            await self.send_due_reports()
             await curio.sleep(POLL_SECONDS)
 
-    async def report(self) -> None:
+    async def send_due_reports(self) -> None:
         """Send the reports that are due now, if another host owns the cell."""
         self._completions.drop_reports(
-            job for job in self._completions.unreported if self._is_stored(job)
+            job for job in self._completions.unreported if self._is_end_stored(job)
         )
         jobs = self._completions.due_reports(REPORT_INTERVAL_SECONDS)[:MAX_JOBS]
         owner = self._find_owner()
@@ -79,7 +79,7 @@
             return None
         return self._cell_state.member_by_host.get(owner.host)
 
-    def _is_stored(self, job: str) -> bool:
+    def _is_end_stored(self, job: str) -> bool:
         """Return whether the store has the end of a job, or has dropped the job."""
-        stored_job = self._cell_state.find(job)
+        stored_job = self._cell_state.find_job(job)
         return stored_job is None or stored_job.state in FINAL_STATES
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -75,7 +75,7 @@
         for job in tuple(jobs):
             self._reported_at_by_job.pop(job, None)
 
-    def merge(self, epoch: int, jobs: Iterable[str]) -> bool:
+    def merge_owner_report(self, epoch: int, jobs: Iterable[str]) -> bool:
         """Add jobs that the owner of ``epoch`` reports; return whether they were accepted.
 
         They are refused once a later owner has queried this host: it would not learn of them and
@@ -86,7 +86,7 @@
         self.add(jobs)
         return True
 
-    def answer(self, epoch: int) -> tuple[str, ...]:
+    def list_for_owner(self, epoch: int) -> tuple[str, ...]:
         """Return all completed jobs to the owner of ``epoch``; refuse earlier owners afterwards."""
         self._min_epoch = max(self._min_epoch, epoch)
         self.query_count += 1
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -67,7 +67,7 @@
         """Return for how many seconds a newer version may have been in force without this host."""
         return self._clock.monotonic() - max(self._store_answered_at(), self._confirmed_at)
 
-    def note_version(self, version: int) -> None:
+    def record_peer_version(self, version: int) -> None:
         """Record that a peer has a version."""
         self._peer_version = max(self._peer_version, version)
 
@@ -75,12 +75,12 @@
         """Query peers whenever this host may have an outdated configuration, forever."""
         while True:
             now = self._clock.monotonic()
-            if self._is_behind(now) and now - self._queried_at >= QUERY_INTERVAL_SECONDS:
+            if self._may_be_outdated(now) and now - self._queried_at >= QUERY_INTERVAL_SECONDS:
                 async with self._lock:
                     await self._query_peers()
             await curio.sleep(POLL_SECONDS)
 
-    async def confirm(self) -> bool:
+    async def confirm_newest(self) -> bool:
         """Query peers for a newer configuration; return whether this host's is the newest.
 
         Concurrent callers share one round of queries.
@@ -90,10 +90,10 @@
                 await self._query_peers()
         return self.age() < STORE_OVERDUE_SECONDS
 
-    async def answer(self, frame: Frame) -> Message:
+    async def answer_query(self, frame: Frame) -> Message:
         """Reply to a peer's query with the configuration, if it is newer than the peer's."""
         query: Any = frame.message
-        self.note_version(query.version)
+        self.record_peer_version(query.version)
         version = self._projection.version
         document = self._projection.content if version > query.version else b''
         return ConfigurationGiven(
@@ -103,15 +103,15 @@
     def _is_store_answering(self, now: float) -> bool:
         return now - self._store_answered_at() < STORE_OVERDUE_SECONDS
 
-    def _is_behind(self, now: float) -> bool:
+    def _may_be_outdated(self, now: float) -> bool:
         owner = self._cell_state.owner
         if owner is not None:
-            self.note_version(owner.version)
+            self.record_peer_version(owner.version)
         return not self._is_store_answering(now) or self._projection.version < self._peer_version
 
     async def _query_peers(self) -> None:
         self._queried_at = self._clock.monotonic()
-        peers = self._peers()
+        peers = self._list_peers()
         chosen = random.sample(peers, min(PEERS_PER_ROUND, len(peers)))
         queries = [
             await curio.spawn(partial(self._query_peer, host, member), daemon=True)
@@ -120,7 +120,7 @@
         for task in queries:
             await task.wait()
 
-    def _peers(self) -> list[tuple[str, Member]]:
+    def _list_peers(self) -> list[tuple[str, Member]]:
         members = self._cell_state.member_by_host.items()
         others = [(host, member) for host, member in members if host != self._own_host]
         return others or [(seed.address, seed) for seed in self._seeds]
@@ -141,14 +141,14 @@
         reply = frame.message
         if not isinstance(reply, ConfigurationGiven):
             return
-        self.note_version(reply.version)
+        self.record_peer_version(reply.version)
         if reply.document:
-            self._adopt(host, reply)
+            self._adopt_configuration(host, reply)
         if reply.current and self._projection.version >= reply.version:
             self._confirmed_at = max(self._confirmed_at, queried_at)
 
-    def _adopt(self, host: str, reply: ConfigurationGiven) -> None:
-        if self._projection.adopt(reply.document, host):
+    def _adopt_configuration(self, host: str, reply: ConfigurationGiven) -> None:
+        if self._projection.adopt_from_peer(reply.document, host):
             self._journal.log(
                 Part.CONTRACTS,
                 f'adopted a newer configuration from {host}.',
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -158,7 +158,7 @@
         vacant_since = None
         while True:
             await self._wait_for_poll()
-            vacancy = self._vacancy() if eligible() else Vacancy.HELD
+            vacancy = self._find_vacancy() if eligible() else Vacancy.HELD
             if vacancy is Vacancy.HELD:
                 vacant_since = None
                 continue
@@ -168,7 +168,7 @@
                 continue
             if vacancy is Vacancy.SILENT and await self._owner_is_alive():
                 continue
-            term = await self._claim()
+            term = await self._claim_cell()
             if term is not None:
                 return term
             await curio.sleep(self._random.random() * MAX_CLAIM_BACKOFF_SECONDS)
@@ -183,21 +183,21 @@
         self._suspected_term = term
         self._suspected_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
-    def note_connection_refused(self, term: str) -> None:
+    def record_connection_refused(self, term: str) -> None:
         """Record that connections to the owner with that term are refused.
 
         A partition that refuses connections looks the same, so this counts only while no heartbeat
         is read either.
         """
-        self._note_unreachable(term)
+        self._record_owner_unreachable(term)
 
-    def note_query_unanswered(self, term: str) -> None:
+    def record_query_unanswered(self, term: str) -> None:
         """Record that a query to the owner with that term was not answered in time.
 
         A host that loses power or is cut off refuses no connections; this detects its loss sooner
         than missing heartbeats alone.
         """
-        self._note_unreachable(term)
+        self._record_owner_unreachable(term)
 
     async def handle_owner_failing(self, frame: Frame) -> Message:
         """Handle an owner's request for a successor because the store does not serve it."""
@@ -210,7 +210,7 @@
         """Return whether this host has not recently handed the cell over to a larger one."""
         return self._clock.monotonic() - self._handed_over_at > HAND_OVER_INTERVAL_SECONDS
 
-    def note_hand_over(self) -> None:
+    def record_hand_over(self) -> None:
         """Record that this host hands the cell over to a larger one."""
         self._handed_over_at = self._clock.monotonic()
 
@@ -229,18 +229,18 @@
 
     async def _wait_for_poll(self) -> None:
         await curio.sleep(POLL_SECONDS)
-        if self._is_unreachable(self._clock.monotonic()):
+        if self._is_owner_unreachable(self._clock.monotonic()):
             # Read now: a heartbeat that is already stored must not be missed.
-            await self._follower.read_now()
+            await self._follower.request_read()
 
-    def _is_suspected(self, owner: Owner, now: float) -> bool:
+    def _is_owner_suspected(self, owner: Owner, now: float) -> bool:
         return self._suspected_term == owner.term and now < self._suspected_until
 
-    def _note_unreachable(self, term: str) -> None:
+    def _record_owner_unreachable(self, term: str) -> None:
         self._unreachable_term = term
         self._unreachable_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
-    def _is_unreachable(self, now: float) -> bool:
+    def _is_owner_unreachable(self, now: float) -> bool:
         """Return whether the owner was recently reported as unreachable."""
         owner = self._projection.state.owner
         return (
@@ -249,14 +249,14 @@
             and now < self._unreachable_until
         )
 
-    def _is_unreachable_and_silent(self, now: float) -> bool:
+    def _is_owner_unreachable_and_silent(self, now: float) -> bool:
         """Return whether the owner neither replies to peers nor writes heartbeats."""
         unreachable_silence = max(
             UNREACHABLE_SILENT_SECONDS,
             UNREACHABLE_GAP_FACTOR * self._projection.average_heartbeat_gap,
         )
         return (
-            self._is_unreachable(now)
+            self._is_owner_unreachable(now)
             and now - self._projection.owner_heartbeat_at >= unreachable_silence
         )
 
@@ -264,19 +264,19 @@
         """Return whether the owner's process was replaced by a later one on the same host."""
         if owner.host == self._host:
             return owner.term != self.incarnation
-        return self._projection.state.owner_has_ended()
+        return self._projection.state.current_owner_has_ended()
 
-    def _vacancy(self) -> Vacancy:
+    def _find_vacancy(self) -> Vacancy:
         now = self._clock.monotonic()
-        if not self._follower.started or self._follower.age(now) > MAX_READ_AGE_SECONDS:
+        if not self._follower.has_snapshot or self._follower.age(now) > MAX_READ_AGE_SECONDS:
             return Vacancy.HELD
         owner = self._projection.state.owner
         if owner is None or owner.released:
             return Vacancy.VACANT
         if (
             self._owner_was_restarted(owner)
-            or self._is_suspected(owner, now)
-            or self._is_unreachable_and_silent(now)
+            or self._is_owner_suspected(owner, now)
+            or self._is_owner_unreachable_and_silent(now)
         ):
             return Vacancy.VACANT
         heartbeat_at = self._projection.owner_heartbeat_at
@@ -323,7 +323,7 @@
             self._known_alive_until = self._clock.monotonic() + ALIVE_ANSWER_VALID_SECONDS
         return alive
 
-    async def _claim(self) -> Term | None:
+    async def _claim_cell(self) -> Term | None:
         """Claim the cell; return the term if the claim was won.
 
         A claim is safe without a condition: its epoch fences all earlier writers, only one claim of
@@ -332,14 +332,16 @@
         such as its heartbeat; on a busy topic the condition would hardly ever hold.
         """
         try:
-            return await self._claim_once(self._follower.offset if self._may_be_alive() else None)
+            return await self._claim_cell_once(
+                self._follower.offset if self._owner_may_be_alive() else None
+            )
         except ConflictError:
-            await self._catch_up()
-        if self._vacancy() is Vacancy.HELD:
+            await self._read_to_topic_end()
+        if self._find_vacancy() is Vacancy.HELD:
             return None
-        return await self._claim_once(None)
+        return await self._claim_cell_once(None)
 
-    async def _claim_once(self, expected_end: int | None) -> Term | None:
+    async def _claim_cell_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
         former = self._projection.state.owner
         heartbeat_at = self._projection.owner_heartbeat_at
@@ -352,13 +354,13 @@
             former=former.term if former else '',
             silent_seconds=seconds_or_none(claimed_at - heartbeat_at),
             usual_gap=round(self._projection.average_heartbeat_gap, 3),
-            unheard=self._is_unreachable(claimed_at),
+            unheard=self._is_owner_unreachable(claimed_at),
             conditional=expected_end is not None,
         )
         may_be_stored = await self._append_claim(fence, expected_end)
         if not may_be_stored or not await self._confirm_claim(fence.epoch):
             # Find out who has won first: another claim now would replace the winner.
-            await self._catch_up()
+            await self._read_to_topic_end()
             return None
         self._log_ownership(fence.epoch, former, heartbeat_at)
         return Term(
@@ -367,25 +369,25 @@
             WriterFence(fence.epoch, fence.sequence + 1),
             heartbeat_at if former else None,
             bool(former and former.released),
-            former is not None and self._has_ended(former),
+            former is not None and self._owner_process_has_ended(former),
             former.unsettled if former else 0,
             former,
             self._follower.read_from,
             claimed_at,
         )
 
-    def _has_ended(self, owner: Owner) -> bool:
+    def _owner_process_has_ended(self, owner: Owner) -> bool:
         """Return whether an owner's process is known to have ended."""
-        return owner.host == self._host or self._projection.state.has_ended(owner)
+        return owner.host == self._host or self._projection.state.process_has_ended(owner)
 
-    def _may_be_alive(self) -> bool:
+    def _owner_may_be_alive(self) -> bool:
         """Return whether the known owner may still act."""
         owner = self._projection.state.owner
-        return owner is not None and not owner.released and not self._has_ended(owner)
+        return owner is not None and not owner.released and not self._owner_process_has_ended(owner)
 
-    async def _catch_up(self) -> None:
+    async def _read_to_topic_end(self) -> None:
         """Wait until all records up to now were read, or until that times out."""
-        await self._follower.wait_fresh(self._clock.monotonic(), MAX_READ_AGE_SECONDS)
+        await self._follower.wait_until_fresh(self._clock.monotonic(), MAX_READ_AGE_SECONDS)
 
     def _next_fence(self, former: Owner | None) -> WriterFence:
         """Return a fence with an epoch above the owner's and all that this host has tried.
@@ -433,6 +435,6 @@
 
     async def _confirm_claim(self, epoch: int) -> bool:
         """Read all records up to the claim; return whether it was won."""
-        await self._catch_up()
+        await self._read_to_topic_end()
         owner = self._projection.state.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/membership/_owner_watch.py
+++ b/dandelionreel/cell/membership/_owner_watch.py
@@ -46,16 +46,16 @@
             if owner is None or member is None or owner.host == self._own_host or owner.released:
                 await curio.sleep(POLL_SECONDS)
                 continue
-            if await self._is_dead(owner, member):
+            if await self._is_owner_process_dead(owner, member):
                 self._journal.log(
                     Part.OWNERSHIP,
                     f'{owner.host} refuses connections.',
                     epoch=owner.epoch,
                 )
-                self._election.note_connection_refused(owner.term)
+                self._election.record_connection_refused(owner.term)
             await curio.sleep(POLL_SECONDS)
 
-    async def _is_dead(self, owner: Owner, member: Member) -> bool:
+    async def _is_owner_process_dead(self, owner: Owner, member: Member) -> bool:
         """Keep a connection open; once it closes, return whether new ones are refused."""
         refusals = 0
         while refusals < REFUSALS_BEFORE_DEAD:
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -47,7 +47,7 @@
         self._clock = clock
         self._journal = journal
         self._zone_contact = ZoneContact()
-        self._rounds = itertools.count()
+        self._round_numbers = itertools.count()
         self._lock = curio.Lock()
         self._queried_at = float('-inf')
         self._logged_cut_off = False
@@ -68,7 +68,7 @@
         """
         return self.cut_off and self._owner_queried_at < self._store_answered_at()
 
-    def note_owner_query(self) -> None:
+    def record_owner_query(self) -> None:
         """Record that an owner has queried the completed jobs of this host."""
         self._owner_queried_at = self._clock.monotonic()
 
@@ -76,11 +76,11 @@
         """Query other zones whenever the store is overdue, forever."""
         while True:
             if self._clock.monotonic() - self._store_answered_at() >= STORE_OVERDUE_SECONDS:
-                await self.check()
-            self._log_change()
+                await self.check_other_zones()
+            self._log_cut_off_change()
             await curio.sleep(POLL_SECONDS)
 
-    async def check(self) -> bool:
+    async def check_other_zones(self) -> bool:
         """Query other zones unless that was just done; return whether this host is cut off."""
         async with self._lock:
             now = self._clock.monotonic()
@@ -91,7 +91,7 @@
 
     async def _query_other_zones(self, now: float) -> None:
         """Query one host of each other zone, a different one in each round."""
-        round_number = next(self._rounds)
+        round_number = next(self._round_numbers)
         queries = []
         for zone in self._other_zones():
             hosts = sorted(
@@ -109,15 +109,15 @@
             # Any reply shows that the zone is reachable; what it says does not matter.
             await self._links.request(member, OwnerAsked(''), ANSWER_TIMEOUT)
         except PeerError:
-            self._zone_contact.note_miss(member.zone, queried_at)
+            self._zone_contact.record_miss(member.zone, queried_at)
             return
-        self._zone_contact.note_answer(member.zone, self._clock.monotonic())
+        self._zone_contact.record_reply(member.zone, self._clock.monotonic())
 
     def _other_zones(self) -> set[str]:
         zones = {member.zone for member in self._cell_state.member_by_host.values()}
         return zones - {self._zone, ''}
 
-    def _log_change(self) -> None:
+    def _log_cut_off_change(self) -> None:
         if self.cut_off is self._logged_cut_off:
             return
         self._logged_cut_off = self.cut_off
--- a/dandelionreel/cell/membership/_zone_contact.py
+++ b/dandelionreel/cell/membership/_zone_contact.py
@@ -25,11 +25,11 @@
         self._answered_at_by_zone: dict[str, float] = {}
         self._missed_at_by_zone: dict[str, float] = {}
 
-    def note_answer(self, zone: str, now: float) -> None:
+    def record_reply(self, zone: str, now: float) -> None:
         """Record that a host of a zone has replied."""
         self._answered_at_by_zone[zone] = now
 
-    def note_miss(self, zone: str, queried_at: float) -> None:
+    def record_miss(self, zone: str, queried_at: float) -> None:
         """Record that a query to a host of a zone, sent at ``queried_at``, got no reply."""
         self._missed_at_by_zone[zone] = queried_at
 
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -40,7 +40,7 @@
         self._links = links
         self._completions = completions
         self._host = host
-        self._announced: set[str] = set()
+        self._announced_jobs: set[str] = set()
 
     async def run(self) -> None:
         """Send peers each completed job that the store is slow to record; runs until cancelled."""
@@ -48,11 +48,11 @@
             seen = self._owner_context.completions_changed.count
             await curio.sleep(STORE_DELAY_SECONDS)
             unstored = set(self._owner_context.unstored_completions)
-            self._announced &= unstored
-            new_jobs = tuple(sorted(unstored - self._announced))
+            self._announced_jobs &= unstored
+            new_jobs = tuple(sorted(unstored - self._announced_jobs))
             if new_jobs:
-                self._announced.update(new_jobs)
-                await self._announce(new_jobs)
+                self._announced_jobs.update(new_jobs)
+                await self._announce_completions(new_jobs)
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def block_started_jobs(self) -> None:
@@ -62,7 +62,7 @@
     async def query_successors(self) -> None:
         """Fetch the completions that earlier owners sent to peers, then unblock started jobs."""
         term = self._owner_context.term
-        known = self._completions.answer(term.epoch)
+        known = self._completions.list_for_owner(term.epoch)
         self._owner_context.cell.mark_complete(known)
         await self.query_peers(self._successors())
         self._owner_context.cell.awaits_completions = False
@@ -83,22 +83,26 @@
         first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSOR_COUNT]
         return [(host, members[host]) for host in first]
 
-    async def _announce(self, jobs: tuple[str, ...]) -> None:
+    async def _announce_completions(self, jobs: tuple[str, ...]) -> None:
         """Send completions to all successors; clients may be informed after one acknowledgement."""
         message = CompletionsTold(self._owner_context.term.epoch, jobs)
         for host, member in self._successors():
-            await curio.spawn(partial(self._announce_to, host, member, message), daemon=True)
+            await curio.spawn(
+                partial(self._announce_completions_to, host, member, message), daemon=True
+            )
 
-    async def _announce_to(self, host: str, member: Member, message: CompletionsTold) -> None:
+    async def _announce_completions_to(
+        self, host: str, member: Member, message: CompletionsTold
+    ) -> None:
         try:
             frame = await self._links.request(member, message, ANSWER_TIMEOUT)
         except PeerError:
             # The jobs are shown once the store answers; silent peers are logged elsewhere.
             return
         if isinstance(frame.message, Done):
-            self._publish(host, message.jobs)
+            self._add_announced_completions(host, message.jobs)
 
-    def _publish(self, host: str, jobs: Iterable[str]) -> None:
+    def _add_announced_completions(self, host: str, jobs: Iterable[str]) -> None:
         new_jobs = [job for job in jobs if not self._completions.contains(job)]
         self._completions.add(new_jobs)
         if new_jobs:
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -67,15 +67,15 @@
         )
         self._order_sender = OrderSender(self._owner_context)
         self._planner = Planner(self.cell)
-        self._pool = AdvicePool(
+        self._advice_pool = AdvicePool(
             dependencies.host,
             lambda: dependencies.jobs.state.member_by_host,
             dependencies.links,
             dependencies.advisor,
             dependencies.clock,
             dependencies.journal,
-            self._accept_advice,
-            self._handle_advice_failure,
+            self._record_permits,
+            self._record_advice_failure,
         )
         self._completion_gossip = CompletionGossip(
             self._owner_context,
@@ -90,13 +90,13 @@
             self._completion_gossip,
             dependencies.host,
         ).is_confirmed
-        self._load_report = LoadReport(self.cell, self._pool, dependencies.journal)
+        self._load_report = LoadReport(self.cell, self._advice_pool, dependencies.journal)
         self._periodic_checks = PeriodicChecks(dependencies, self._owner_context, self._load_report)
 
     @property
-    def may_act(self) -> bool:
+    def may_send_orders(self) -> bool:
         """Return whether this host may still send orders as the owner."""
-        return self._owner_context.may_act()
+        return self._owner_context.may_send_orders()
 
     @property
     def store_is_failing(self) -> bool:
@@ -109,11 +109,11 @@
         return self._owner_context.writer.stored_at
 
     async def run(self) -> None:
-        """Dispatch until the term is lost or ended by ``end``."""
+        """Dispatch until the term is lost or ended by ``end_term``."""
         self._load_state()
         self._completion_gossip.block_started_jobs()
         async with AsyncExitStack() as stack:
-            stack.push_async_callback(self._owner_context.close_runners)
+            stack.push_async_callback(self._owner_context.close_runner_clients)
             for work in (
                 self._owner_context.writer.run,
                 self._store_heartbeats,
@@ -129,18 +129,18 @@
                 not self._owner_context.end_reason
                 and not await self._periodic_checks.request_takeover()
             ):
-                await self._release()
+                await self._release_cell()
         self._journal.log(
             Part.OWNERSHIP,
             f'does not own the cell any more: {self._owner_context.end_reason}.',
             epoch=self._owner_context.term.epoch,
         )
 
-    async def end(self) -> None:
+    async def end_term(self) -> None:
         """End the term so that another host can own the cell."""
         await self._owner_context.ended.set()
 
-    async def accept(self, job_id: str, submission: Submission, timeout: float) -> WriteOutcome:
+    async def accept_job(self, job_id: str, submission: Submission, timeout: float) -> WriteOutcome:
         """Store a job; planning and advice requests for it begin meanwhile.
 
         While the store is slow, the job is stored as possibly running on any runner. Its starts
@@ -159,17 +159,19 @@
         if store_is_slow:
             job.runners.add(ANY_RUNNER)
         await self._owner_context.plan_needed.notify()
-        write_task = await curio.spawn(self._finish_accept, job, record, store_is_slow, daemon=True)
+        write_task = await curio.spawn(
+            self._store_submission, job, record, store_is_slow, daemon=True
+        )
         outcome = await curio.ignore_after(timeout, write_task.join)
         return outcome or WriteOutcome.UNKNOWN
 
-    async def cancel(self, job_id: str, timeout: float) -> WriteOutcome:
+    async def cancel_job(self, job_id: str, timeout: float) -> WriteOutcome:
         """Store a client's cancellation of a job, then stop its tasks."""
         record = make_record(CANCELLATION_PREFIX + job_id, Cancellation(self._clock.unix_time()))
-        write_task = await curio.spawn(self._finish_cancel, job_id, record, daemon=True)
+        write_task = await curio.spawn(self._store_cancellation, job_id, record, daemon=True)
         return await curio.ignore_after(timeout, write_task.join) or WriteOutcome.UNKNOWN
 
-    async def mark_complete(self, jobs: tuple[str, ...]) -> None:
+    async def mark_jobs_complete(self, jobs: tuple[str, ...]) -> None:
         """Mark jobs complete that partitioned hosts have shown to clients as complete."""
         completed = self.cell.mark_complete(jobs)
         if not completed:
@@ -183,12 +185,12 @@
         )
         await self._owner_context.plan_needed.notify()
 
-    def state_of(self, job_id: str) -> JobState | None:
+    def state_of_job(self, job_id: str) -> JobState | None:
         """Return the state of a job that clients are shown, ``None`` if it is unknown."""
         job = self.cell.job_by_id.get(job_id)
         return None if job is None or not job.stored else job.reported_state
 
-    def account_of(self, job_id: str) -> str:
+    def account_of_job(self, job_id: str) -> str:
         """Return the client account of a job, empty if the job is unknown or has none."""
         job = self.cell.job_by_id.get(job_id)
         return '' if job is None else job.account
@@ -203,7 +205,7 @@
                 epoch=self._owner_context.term.epoch,
             )
 
-    async def _finish_accept(
+    async def _store_submission(
         self, job: JobRun, record: KeyedRecord, store_is_slow: bool
     ) -> WriteOutcome:
         jobs_to_store = [job] if store_is_slow else []
@@ -217,20 +219,20 @@
         await self._owner_context.plan_needed.notify()
         return outcome
 
-    async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> WriteOutcome:
+    async def _store_cancellation(self, job_id: str, record: KeyedRecord) -> WriteOutcome:
         outcome = await self._owner_context.writer.write([record], CLIENT_WRITE_TIMEOUT)
         if outcome is WriteOutcome.STORED:
             self.cell.cancel(job_id)
             await self._owner_context.plan_needed.notify()
         return outcome
 
-    async def _release(self) -> None:
+    async def _release_cell(self) -> None:
         """Stop acting as the owner, then store the release of the cell.
 
         A successor waits only for leases that were granted before it read the release, so nothing
         may be started or renewed while the append is pending.
         """
-        await self._owner_context.flush()
+        await self._owner_context.flush_progress()
         self._owner_context.end_reason = 'released'
         owner_record = self._owner_context.term.owner_record(
             unsettled=self._unsettled_seconds(),
@@ -249,7 +251,7 @@
         cell_state.take_changed_jobs()
         # In order of acceptance, since an account expects its earlier jobs to be served first.
         for job_id in sorted(cell_state.submission_by_id, key=cell_state.accepted_at):
-            self._update_job(job_id)
+            self._reload_job(job_id)
         unix_time = self._clock.unix_time()
         for job_id, progress in cell_state.progress_by_id.items():
             self.cell.quotas.expect_leftovers(job_id, progress, unix_time)
@@ -262,7 +264,7 @@
         """
         if not self.cell.unseen_runners:
             return 0.0
-        remaining = self._periodic_checks.predecessor_leases.end_at - self._clock.monotonic()
+        remaining = self._periodic_checks.predecessor_leases.expire_at - self._clock.monotonic()
         return round(max(0.0, remaining), 2)
 
     async def _store_heartbeats(self) -> None:
@@ -315,13 +317,13 @@
                 return
             changed = cell_state.take_changed_jobs()
             for job_id in changed:
-                self._update_job(job_id)
+                self._reload_job(job_id)
             if changed:
                 await self._owner_context.plan_needed.notify()
             await follower.changed.wait(seen, 1.0)
 
-    def _update_job(self, job_id: str) -> None:
-        stored_job = self._dependencies.jobs.state.find(job_id)
+    def _reload_job(self, job_id: str) -> None:
+        stored_job = self._dependencies.jobs.state.find_job(job_id)
         if stored_job is not None and stored_job.unreadable:
             self.cell.update_job(stored_job, self._clock.monotonic(), self._clock.unix_time())
             return
@@ -346,13 +348,13 @@
     async def _run_planner(self) -> None:
         while True:
             seen = self._owner_context.plan_needed.count
-            if self._owner_context.may_start():
-                await self._plan_once()
+            if self._owner_context.may_start_tasks():
+                await self._plan_and_send_orders()
             else:
                 await self._send_stops()
             await self._owner_context.plan_needed.wait(seen, 1.0)
 
-    async def _plan_once(self) -> None:
+    async def _plan_and_send_orders(self) -> None:
         """Make a plan and send all its orders, even if the right to start ends meanwhile.
 
         Each start checks that right before it is sent and is withdrawn without it. Dropping a plan
@@ -362,8 +364,8 @@
         plan = self._planner.plan(
             started_at,
             self._clock.unix_time(),
-            self._pool.free_for_non_urgent,
-            self._order_sender.free_starts,
+            self._advice_pool.free_non_urgent_requests,
+            self._order_sender.free_start_slots,
         )
         self._load_report.add_plan(plan, self._clock.monotonic() - started_at)
         await self._send_stops()
@@ -371,7 +373,7 @@
         self._log_quota_blocked(plan)
         await self._order_sender.send_starts(plan.starts)
         for request in plan.advice_requests:
-            await self._pool.submit(request)
+            await self._advice_pool.submit(request)
         elapsed = self._clock.monotonic() - started_at
         await curio.sleep(max(MIN_PLAN_PAUSE_SECONDS, PLAN_PAUSE_FACTOR * elapsed))
 
@@ -405,7 +407,7 @@
                 epoch=self._owner_context.term.epoch,
             )
 
-    async def _accept_advice(
+    async def _record_permits(
         self,
         request: AdviceRequest,
         permits: tuple[Permit, ...],
@@ -421,6 +423,6 @@
         )
         await self._owner_context.plan_needed.notify()
 
-    async def _handle_advice_failure(self, request: AdviceRequest) -> None:
+    async def _record_advice_failure(self, request: AdviceRequest) -> None:
         not_before = self._clock.monotonic() + ADVICE_RETRY_SECONDS
         self.cell.tickets.note_failure(request.step, not_before)
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -33,11 +33,11 @@
     def __init__(self, cell: Cell, pool: AdvicePool, journal: Journal) -> None:
         """Report on ``cell`` and on its pending advice requests in ``pool``."""
         self._cell = cell
-        self._pool = pool
+        self._advice_pool = pool
         self._journal = journal
-        self._stalled = StalledJobs(cell)
+        self._stalled_jobs = StalledJobs(cell)
         self._totals = _PlanTotals()
-        self._reported_at = float('-inf')
+        self._logged_at = float('-inf')
 
     def add_plan(self, plan: Plan, seconds: float) -> None:
         """Add a plan that took ``seconds`` to compute."""
@@ -49,15 +49,15 @@
         totals.preempted += len(plan.preempted)
         totals.advice_requests += len(plan.advice_requests)
 
-    def report(self, now: float, unix_time: float, epoch: int) -> None:
+    def log_if_due(self, now: float, unix_time: float, epoch: int) -> None:
         """Log stalled jobs, and the load if tasks wait, unless the last report is too recent."""
-        if now < self._reported_at + REPORT_SECONDS:
+        if now < self._logged_at + REPORT_SECONDS:
             return
-        self._reported_at = now
+        self._logged_at = now
         totals = self._totals
         self._totals = _PlanTotals()
-        self._log_stalled(now, unix_time, epoch)
-        waiting = self._count_waiting(unix_time)
+        self._log_stalled_jobs(now, unix_time, epoch)
+        waiting = self._count_waiting_tasks(unix_time)
         if not waiting:
             return
         runners = self._cell.runner_by_id.values()
@@ -74,7 +74,7 @@
             unseen=len(self._cell.unseen_runners),
             cores_free=sum(max(0, runner.free_capacity.cpu) for runner in usable) // MILLI,
             cores=sum(runner.registration.capacity.cpu for runner in usable) // MILLI,
-            advice_waiting=self._pool.waiting,
+            advice_waiting=self._advice_pool.waiting_count,
             plans=totals.plans,
             plan_ms=round(MILLI * totals.plan_seconds / max(1, totals.plans), 1),
             longest_plan_ms=round(MILLI * totals.longest_plan, 1),
@@ -83,8 +83,8 @@
             questions=totals.advice_requests,
         )
 
-    def _log_stalled(self, now: float, unix_time: float, epoch: int) -> None:
-        for stalled in self._stalled.find(now, unix_time):
+    def _log_stalled_jobs(self, now: float, unix_time: float, epoch: int) -> None:
+        for stalled in self._stalled_jobs.find(now, unix_time):
             self._journal.log(
                 Part.PLACEMENT,
                 f'job {stalled.job} makes no progress.',
@@ -97,7 +97,7 @@
                 runs=stalled.runs,
             )
 
-    def _count_waiting(self, unix_time: float) -> Counter[str]:
+    def _count_waiting_tasks(self, unix_time: float) -> Counter[str]:
         """Return the number of waiting tasks whose step is ready, by queue."""
         waiting: Counter[str] = Counter()
         for job in self._cell.unfinished_job_by_id.values():
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -42,10 +42,10 @@
         self._owner_context = context
         #: Number of starts that are decided but not yet answered.
         self._pending_starts = 0
-        self._was_full = False
+        self._was_at_start_limit = False
 
     @property
-    def free_starts(self) -> int:
+    def free_start_slots(self) -> int:
         """Return how many more starts may be pending.
 
         Without the limit, an owner that is short of processor time would send urgent starts after
@@ -71,16 +71,16 @@
                 continue
             await curio.spawn(self._run_start, allocation, daemon=True)
         if unstored:
-            await curio.spawn(self._store_and_send, unstored, daemon=True)
+            await curio.spawn(self._store_runners_and_send_starts, unstored, daemon=True)
 
     async def send_stop(self, allocation: Allocation) -> None:
         """Send a stop and retry it until the runner acknowledges it."""
         runner = self._owner_context.runner_by_id.get(allocation.runner)
-        while runner is not None and self._owner_context.may_act():
+        while runner is not None and self._owner_context.may_send_orders():
             state = self._owner_context.cell.runner_by_id.get(allocation.runner)
             if state is None or (allocation.task, allocation.run) not in state.allocation_by_run:
                 return
-            self._note_order_sent(state)
+            self._record_order_sent(state)
             try:
                 await runner.stop(allocation.task, allocation.run, self._owner_context.term.epoch)
             except RunnerError as error:
@@ -103,18 +103,20 @@
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'{allocation.runner} has taken a stop.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
         )
 
     def _log_unanswered_stop(self, allocation: Allocation, error: RunnerError) -> None:
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'a stop was not answered: {error}.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
             verdict=error.verdict.value,
         )
 
-    async def _store_and_send(self, allocations_by_job: dict[str, list[Allocation]]) -> None:
+    async def _store_runners_and_send_starts(
+        self, allocations_by_job: dict[str, list[Allocation]]
+    ) -> None:
         found = (self._owner_context.cell.job_by_id.get(job_id) for job_id in allocations_by_job)
         jobs = [job for job in found if job is not None]
         write_task = await curio.spawn(self._owner_context.store_progress, jobs, daemon=True)
@@ -128,21 +130,21 @@
 
     async def _withdraw_unsent_start(self, allocation: Allocation) -> None:
         self._owner_context.cell.release_start(allocation)
-        await self._note_start_finished()
+        await self._record_start_finished()
 
     async def _run_start(self, allocation: Allocation) -> None:
         """Send a start and count it as finished once its outcome is known."""
         try:
             await self._send_start(allocation)
         finally:
-            await self._note_start_finished()
+            await self._record_start_finished()
 
-    async def _note_start_finished(self) -> None:
-        self._was_full = self._was_full or not self.free_starts
+    async def _record_start_finished(self) -> None:
+        self._was_at_start_limit = self._was_at_start_limit or not self.free_start_slots
         self._pending_starts -= 1
         # Planning again after each answer would use up the processor time that starts need.
-        if self._was_full and self._pending_starts <= MAX_PENDING_STARTS // 2:
-            self._was_full = False
+        if self._was_at_start_limit and self._pending_starts <= MAX_PENDING_STARTS // 2:
+            self._was_at_start_limit = False
             await self._owner_context.plan_needed.notify()
 
     async def _send_start(self, allocation: Allocation) -> None:
@@ -158,7 +160,9 @@
             self._owner_context.cell.release_start(allocation)
             return
         self._log_start(state, allocation, job)
-        may_have_arrived = await self._try_start(state, runner, allocation, job.spec.payload)
+        may_have_arrived = await self._send_start_until_answered(
+            state, runner, allocation, job.spec.payload
+        )
         if may_have_arrived is None:
             return
         if may_have_arrived:
@@ -171,8 +175,10 @@
             self._owner_context.cell.release_start(allocation)
         await self._owner_context.plan_needed.notify()
 
-    def _log_fields(self, allocation: Allocation) -> dict[str, Any]:
-        return self._owner_context.run_fields(allocation.runner, allocation.task, allocation.run)
+    def _make_log_fields(self, allocation: Allocation) -> dict[str, Any]:
+        return self._owner_context.make_run_fields(
+            allocation.runner, allocation.task, allocation.run
+        )
 
     def _log_start(self, state: RunnerState, allocation: Allocation, job: JobRun) -> None:
         """Log a start with the age of the data that the decision is based on.
@@ -187,7 +193,7 @@
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'starts a task on {state.id}.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
             zone=state.registration.zone,
             failures=found[1].failures if found else 0,
             crashes=job.crashes.count(allocation.task),
@@ -198,7 +204,7 @@
             room=state.free_capacity.cpu,
         )
 
-    async def _try_start(
+    async def _send_start_until_answered(
         self,
         state: RunnerState,
         runner: Runner,
@@ -208,18 +214,18 @@
         """Retry a start until it is answered; else return whether it may have arrived."""
         may_have_arrived = False
 
-        def may_send() -> bool:
-            return self._owner_context.may_start() and self._may_start(allocation)
+        def may_send_start() -> bool:
+            return self._owner_context.may_start_tasks() and self._is_start_wanted(allocation)
 
         started_at = self._owner_context.clock.monotonic()
         for _ in range(START_ATTEMPTS):
-            if not may_send():
+            if not may_send_start():
                 # Withdrawn by the owner, which is no sign that the runner is unreachable.
                 return may_have_arrived
-            self._note_order_sent(state)
+            self._record_order_sent(state)
             try:
                 answer = await runner.start(
-                    self._make_start_order(state, allocation, payload), may_send
+                    self._make_start_order(state, allocation, payload), may_send_start
                 )
             except RunnerError as error:
                 arrived = error.verdict is not Verdict.NOT_RUN
@@ -234,7 +240,7 @@
                 # arrived blocks its task until the lease has expired.
                 state.suspect = True
                 self._log_unanswered_start(allocation, error)
-                if not may_have_arrived or not may_send():
+                if not may_have_arrived or not may_send_start():
                     return may_have_arrived
                 await curio.sleep(START_RETRY_SECONDS)
                 continue
@@ -248,7 +254,7 @@
             return None
         return may_have_arrived
 
-    def _may_start(self, allocation: Allocation) -> bool:
+    def _is_start_wanted(self, allocation: Allocation) -> bool:
         """Return whether a start is still wanted and its ticket, if any, is still valid."""
         cell = self._owner_context.cell
         if not cell.may_start(allocation):
@@ -259,14 +265,14 @@
 
     async def _end_replaced_runner(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
-            self._owner_context.end_runner(
+            self._owner_context.remove_ended_runner(
                 state, 'another runner answers at its address', proven=True
             )
             return
         # The next poll detects the replacement again and retries the confirmation.
         state.suspect = True
 
-    def _note_order_sent(self, state: RunnerState) -> None:
+    def _record_order_sent(self, state: RunnerState) -> None:
         now = self._owner_context.clock.monotonic()
         self._owner_context.cell.zone_reachability.note_order(
             state.registration.zone, state.id, now
@@ -276,7 +282,7 @@
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'a start was not answered: {error}.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
             verdict=error.verdict.value,
         )
 
@@ -285,7 +291,7 @@
             self._owner_context.journal.log_sampled(
                 Part.PLACEMENT,
                 f'{allocation.runner} has taken a start late.',
-                **self._log_fields(allocation),
+                **self._make_log_fields(allocation),
                 seconds=round(seconds, 3),
             )
 
@@ -328,6 +334,6 @@
             self._owner_context.journal.log(
                 Part.PLACEMENT,
                 f'a start was refused: {reply.value}.',
-                **self._log_fields(allocation),
+                **self._make_log_fields(allocation),
             )
             await self._owner_context.plan_needed.notify()
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -97,7 +97,7 @@
             self.end_reason = cause
         await self.ended.set()
 
-    def may_act(self) -> bool:
+    def may_send_orders(self) -> bool:
         """Return whether this host may still send orders as the owner.
 
         A process that was paused or partitioned learns late that it was replaced. Runners that its
@@ -108,7 +108,7 @@
             return False
         return self.clock.monotonic() - self.writer.stored_at < AUTHORITY_SECONDS
 
-    def may_start(self) -> bool:
+    def may_start_tasks(self) -> bool:
         """Return whether this host may still start tasks.
 
         While the store does not answer, a successor may already have read the end of a run on a
@@ -116,7 +116,7 @@
         end was recorded.
         """
         recently_stored = self.clock.monotonic() - self.writer.stored_at < START_AUTHORITY_SECONDS
-        return recently_stored and self.runner_list_is_fresh() and self.may_act()
+        return recently_stored and self.runner_list_is_fresh() and self.may_send_orders()
 
     def runner_list_is_fresh(self) -> bool:
         """Return whether the runner list is recent enough to start tasks by."""
@@ -142,11 +142,11 @@
         The coroutine does not yield between building and queueing the records: the store keeps the
         newest record of a job, and an older record queued later would revert it.
         """
-        progress_by_job = self._make_progress(jobs)
+        progress_by_job = self._make_progress_by_job(jobs)
         records = list(other_records)
         for job, progress in progress_by_job.items():
             records.extend(make_progress_records(job.id, progress))
-        await self._note_unstored_completions(progress_by_job)
+        await self._add_unstored_completions(progress_by_job)
         outcome = await self.writer.write(records, timeout)
         for job, progress in progress_by_job.items():
             if outcome is WriteOutcome.STORED:
@@ -157,7 +157,7 @@
                 self.cell.mark_dirty(job)
         return outcome
 
-    async def flush(self) -> WriteOutcome:
+    async def flush_progress(self) -> WriteOutcome:
         """Store the progress of all changed jobs and wait for writes that are already queued.
 
         A job whose progress is already queued has nothing more to write. If a write is abandoned
@@ -168,7 +168,7 @@
         outcome = await self.store_progress(self.cell.take_dirty_jobs())
         return outcome if self.writer.abandoned_count == abandoned_before else WriteOutcome.UNKNOWN
 
-    def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
+    def remove_ended_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
         self.journal.log(
             Part.WORKERS,
@@ -198,12 +198,12 @@
             self.journal.log(
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
-                **self.run_fields(crash.runner, crash.task, crash.run),
+                **self.make_run_fields(crash.runner, crash.task, crash.run),
                 close=crash.during_start,
                 crashes=crash.count,
             )
 
-    def run_fields(self, runner: str, task: TaskName, run: int) -> dict[str, Any]:
+    def make_run_fields(self, runner: str, task: TaskName, run: int) -> dict[str, Any]:
         """Return the fields that identify a run in a log line, with the owner's epoch."""
         return {
             'runner': runner,
@@ -213,18 +213,18 @@
             'epoch': self.term.epoch,
         }
 
-    def add_runner(self, state: RunnerState) -> Runner:
+    def add_runner_client(self, state: RunnerState) -> Runner:
         """Create the client of a runner."""
         runner = self._make_runner(state.registration)
         self.runner_by_id[state.id] = runner
         return runner
 
-    async def close_runners(self) -> None:
+    async def close_runner_clients(self) -> None:
         """Close the clients of all runners."""
         for runner in self.runner_by_id.values():
             await runner.close()
 
-    async def _note_unstored_completions(self, progress_by_job: dict[JobRun, Progress]) -> None:
+    async def _add_unstored_completions(self, progress_by_job: dict[JobRun, Progress]) -> None:
         complete = [
             job.id
             for job, progress in progress_by_job.items()
@@ -245,14 +245,14 @@
             self.journal.log(
                 Part.WORKERS,
                 f'a run was lost with {state.id}.',
-                **self.run_fields(state.id, allocation.task, allocation.run),
+                **self.make_run_fields(state.id, allocation.task, allocation.run),
                 phase=allocation.phase.value,
                 draining=state.draining,
                 runner_age=seconds_or_none(now - state.answered_at),
                 seconds=round(now - allocation.placed_at, 3),
             )
 
-    def _make_progress(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
+    def _make_progress_by_job(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
         unix_time = self.clock.unix_time()
         progress_by_job = {}
         for job in jobs:
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -29,7 +29,7 @@
 #: Seconds between checks of the runner list, gangs and unseen runners.
 CHECK_SECONDS = 0.1
 #: Seconds between searches for jobs that ended long ago, as each search goes through all jobs.
-DROP_CHECK_SECONDS = 5.0
+DELETION_CHECK_SECONDS = 5.0
 
 
 class PeriodicChecks:
@@ -46,7 +46,7 @@
         self._clock = dependencies.clock
         self._journal = dependencies.journal
         self._runner_poller = RunnerPoller(context)
-        self._active = ActiveRunners(context.cell)
+        self._active_runners = ActiveRunners(context.cell)
         self._succession = Succession(
             context,
             dependencies.jobs.state,
@@ -58,7 +58,7 @@
             context.term, context.lease, dependencies.clock.monotonic()
         )
         self._term_started_at = dependencies.clock.monotonic()
-        self._last_drop_at = float('-inf')
+        self._last_deletion_at = float('-inf')
         self._runner_list_was_fresh = True
 
     async def request_takeover(self) -> bool:
@@ -74,7 +74,7 @@
     async def run(self, stack: AsyncExitStack) -> None:
         """Run the checks until the term ends; polling of new runners ends with ``stack``."""
         while True:
-            if not self._owner_context.may_act():
+            if not self._owner_context.may_send_orders():
                 await self._owner_context.end_term('the store has not answered for too long')
                 return
             await self._run_checks(stack, self._clock.monotonic())
@@ -82,16 +82,16 @@
             await curio.sleep(CHECK_SECONDS)
 
     async def _run_checks(self, stack: AsyncExitStack, now: float) -> None:
-        await self._succession.check(now)
+        await self._succession.request_or_hand_over_if_due(now)
         self._cell.configuration = self._dependencies.configuration.current
-        self._log_runner_list_age()
+        self._log_runner_list_freshness()
         await self._update_runners(stack)
         await self._drop_unseen_runners(now)
         self._apply_preventive_stops(now)
-        self._load_report.report(now, self._clock.unix_time(), self._owner_context.term.epoch)
-        await self._drop_old_jobs()
+        self._load_report.log_if_due(now, self._clock.unix_time(), self._owner_context.term.epoch)
+        await self._delete_old_jobs()
 
-    def _log_runner_list_age(self) -> None:
+    def _log_runner_list_freshness(self) -> None:
         is_fresh = self._owner_context.runner_list_is_fresh()
         if is_fresh is self._runner_list_was_fresh:
             return
@@ -111,20 +111,24 @@
         leases there must have expired.
         """
         self._cell.unseen_runners.update(self._dependencies.jobs.state.runners_possibly_in_use())
-        self._log_unseen('blocks the jobs that may run on runners that have not answered yet.', now)
+        self._log_unseen_runners(
+            'blocks the jobs that may run on runners that have not answered yet.', now
+        )
 
     async def _drop_unseen_runners(self, now: float) -> None:
         """Treat tasks on unseen runners as ended once their leases must have expired."""
         if not self._cell.unseen_runners:
             return
         await self._drop_replaced_runners()
-        if self.predecessor_leases.shorten_if_ended(self._dependencies.jobs.state, now):
-            self._log_unseen('the former owner has ended.', now)
-        if now > self.predecessor_leases.end_at:
+        if self.predecessor_leases.shorten_if_owner_ended(self._dependencies.jobs.state, now):
+            self._log_unseen_runners('the former owner has ended.', now)
+        if now > self.predecessor_leases.expire_at:
             unseen = tuple(self._cell.unseen_runners)
-            confirmed = [runner for runner in unseen if await self._zone_is_confirmed(runner)]
+            confirmed = [
+                runner for runner in unseen if await self._runner_zone_is_confirmed(runner)
+            ]
             if confirmed:
-                self._log_unseen('takes the leases on unseen runners for run out.', now)
+                self._log_unseen_runners('takes the leases on unseen runners for run out.', now)
                 self._owner_context.log_crashes(self._cell.drop_unseen_runners(confirmed))
 
     async def _drop_replaced_runners(self) -> None:
@@ -145,22 +149,22 @@
         )
         self._owner_context.log_crashes(self._cell.drop_unseen_runners(replaced))
 
-    async def _zone_is_confirmed(self, runner: str) -> bool:
+    async def _runner_zone_is_confirmed(self, runner: str) -> bool:
         """Return whether the zone of an unseen runner has reported the completions it has shown."""
-        registration = self._dependencies.runners.find(runner)
+        registration = self._dependencies.runners.find_registration(runner)
         if registration is None:
             return True
         return await self._owner_context.confirm_zone(registration.zone, self._term_started_at)
 
-    def _log_unseen(self, sentence: str, now: float) -> None:
+    def _log_unseen_runners(self, sentence: str, now: float) -> None:
         self._journal.log(
             Part.OWNERSHIP,
             sentence,
             epoch=self._owner_context.term.epoch,
             runners=sorted(self._cell.unseen_runners),
-            seconds=round(self.predecessor_leases.end_at - now, 3),
+            seconds=round(self.predecessor_leases.expire_at - now, 3),
             former_silent=round(self.predecessor_leases.silent_seconds, 3),
-            former_ended=self.predecessor_leases.ended,
+            former_ended=self.predecessor_leases.former_owner_ended,
             unsettled=self._owner_context.term.unsettled,
         )
 
@@ -191,26 +195,28 @@
         """
         runner_list = self._dependencies.runners
         now = self._clock.monotonic()
-        for idle in self._active.release_idle(runner_list.registration_by_id):
+        for idle in self._active_runners.release_idle(runner_list.registration_by_id):
             self._cell.forget_runner(idle.id)
-        active = self._active.choose(runner_list.registration_by_id, now)
+        active = self._active_runners.choose(runner_list.registration_by_id, now)
         new_states = self._cell.update_runners(active, now)
-        apply_last_registrations(self._cell.runner_by_id.values(), runner_list.find, now)
+        apply_last_registrations(
+            self._cell.runner_by_id.values(), runner_list.find_registration, now
+        )
         for runner_id in self._cell.unseen_runners - self._cell.runner_by_id.keys():
             # It is no longer listed but may still be alive and have tasks.
-            registration = runner_list.find(runner_id)
+            registration = runner_list.find_registration(runner_id)
             if registration is not None:
                 new_states.append(self._cell.add_unlisted(registration))
         for state in new_states:
-            runner = self._owner_context.add_runner(state)
-            await start_task(stack, self._runner_poller.poll, state, runner)
+            runner = self._owner_context.add_runner_client(state)
+            await start_task(stack, self._runner_poller.poll_runner, state, runner)
 
-    async def _drop_old_jobs(self) -> None:
+    async def _delete_old_jobs(self) -> None:
         """Delete the stored records of jobs that ended long ago."""
         now = self._clock.monotonic()
-        if now < self._last_drop_at + DROP_CHECK_SECONDS:
+        if now < self._last_deletion_at + DELETION_CHECK_SECONDS:
             return
-        self._last_drop_at = now
+        self._last_deletion_at = now
         oldest = self._clock.unix_time() - self._dependencies.status_retention * 2
         records: list[KeyedRecord] = []
         for job_id in self._dependencies.jobs.state.jobs_ended_before(oldest):
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -27,26 +27,34 @@
     def __init__(self, term: Term, lease: float, now: float) -> None:
         """Compute the end as of ``now``; earlier owners grant leases of ``lease`` seconds."""
         self._former_owner = term.former
-        self._lease = lease_upper_bound(lease)
+        self._max_lease_seconds = lease_upper_bound(lease)
         # A former owner that was killed may itself have succeeded one that is partitioned and
         # still renews leases.
         self._earlier_leases_end_at = now + term.unsettled
         self.silent_seconds = 0.0 if term.silent_since is None else now - term.silent_since
-        self.ended = term.released or term.former_ended
+        self.former_owner_ended = term.released or term.former_ended
         remaining_authority = (
-            0.0 if self.ended else max(0.0, AUTHORITY_SECONDS - self.silent_seconds)
+            0.0 if self.former_owner_ended else max(0.0, AUTHORITY_SECONDS - self.silent_seconds)
         )
         #: When every lease of an earlier owner has expired, in monotonic seconds.
-        self.end_at = max(now + remaining_authority + self._lease, self._earlier_leases_end_at)
+        self.expire_at = max(
+            now + remaining_authority + self._max_lease_seconds, self._earlier_leases_end_at
+        )
 
-    def shorten_if_ended(self, cell_state: CellState, now: float) -> bool:
+    def shorten_if_owner_ended(self, cell_state: CellState, now: float) -> bool:
         """Set an earlier end once the former owner has ended; return whether that is newly found.
 
         If its host is back with a new process, the old process renews no more leases, and only the
         last lease that it granted is left to wait for.
         """
-        if self.ended or self._former_owner is None or not cell_state.has_ended(self._former_owner):
+        if (
+            self.former_owner_ended
+            or self._former_owner is None
+            or not cell_state.process_has_ended(self._former_owner)
+        ):
             return False
-        self.ended = True
-        self.end_at = min(self.end_at, max(now + self._lease, self._earlier_leases_end_at))
+        self.former_owner_ended = True
+        self.expire_at = min(
+            self.expire_at, max(now + self._max_lease_seconds, self._earlier_leases_end_at)
+        )
         return True
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -40,19 +40,19 @@
         #: Jobs with ends that a runner has listed and that are not yet acknowledged to it.
         self._unstored_by_runner: dict[str, set[str]] = {}
 
-    async def poll(self, state: RunnerState, runner: Runner) -> None:
+    async def poll_runner(self, state: RunnerState, runner: Runner) -> None:
         """Poll one runner until it has ended or the term is over."""
         try:
-            while self._is_current(state) and self._owner_context.may_act():
-                await self._poll_once(state, runner)
+            while self._is_current_state(state) and self._owner_context.may_send_orders():
+                await self._poll_runner_once(state, runner)
         finally:
             await runner.close()
 
-    async def _poll_once(self, state: RunnerState, runner: Runner) -> None:
+    async def _poll_runner_once(self, state: RunnerState, runner: Runner) -> None:
         sent_at = self._owner_context.clock.monotonic()
         lease_until = state.renew_lease(sent_at, self._owner_context.lease)
         unstored = state.acknowledged_end < state.acknowledgeable_end
-        wait = _poll_wait(state) if lease_until is not None and not unstored else 0
+        wait = _long_poll_seconds(state) if lease_until is not None and not unstored else 0
         acknowledged = state.acknowledged_end
         try:
             view = await runner.poll(
@@ -67,7 +67,7 @@
         except RunnerError as error:
             await self._handle_poll_failure(state, error)
             return
-        if not self._is_current(state):
+        if not self._is_current_state(state):
             # Another request has found a later incarnation at this address meanwhile. Runs from
             # this answer would count as running forever, as this state is no longer polled.
             return
@@ -86,7 +86,7 @@
             # each other without a pause.
             await curio.sleep(POLL_RETRY_SECONDS)
 
-    def _is_current(self, state: RunnerState) -> bool:
+    def _is_current_state(self, state: RunnerState) -> bool:
         """Return whether this is still the cell's state of the runner, not an outdated one."""
         return self._owner_context.cell.runner_by_id.get(state.id) is state
 
@@ -94,9 +94,9 @@
         now = self._owner_context.clock.monotonic()
         unseen = state.id in self._owner_context.cell.unseen_runners
         effect = self._owner_context.cell.handle_view(state, view, sent_at, now)
-        self._log_effect(state, effect, now)
+        self._log_poll_effect(state, effect, now)
         self._owner_context.log_crashes(effect.crashes)
-        self._log_readable(state, view)
+        self._log_readability(state, view)
         # The first poll of a term is logged even if it finds no run: then a start that an earlier
         # owner sent there never arrived and may be sent elsewhere.
         if unseen or effect.adopted:
@@ -107,7 +107,7 @@
         jobs = self._unstored_by_runner.setdefault(state.id, set())
         jobs.update(ended.task.job for ended, _ in effect.ended)
         task = await curio.spawn(
-            self._acknowledge,
+            self._store_and_acknowledge_ends,
             state,
             state.acknowledgeable_end,
             bool(effect.ended),
@@ -115,7 +115,9 @@
         )
         await curio.ignore_after(STORE_TIMEOUT, task.wait)
 
-    async def _acknowledge(self, state: RunnerState, number: int, has_new_ends: bool) -> None:
+    async def _store_and_acknowledge_ends(
+        self, state: RunnerState, number: int, has_new_ends: bool
+    ) -> None:
         """Acknowledge ends up to ``number`` once their effect is in the store.
 
         During a store outage this is retried several times a second for each runner. Only new
@@ -123,7 +125,7 @@
         """
         started_at = self._owner_context.clock.monotonic()
         jobs = sorted(self._unstored_by_runner.get(state.id, ()))
-        outcome = await self._owner_context.flush()
+        outcome = await self._owner_context.flush_progress()
         if outcome is WriteOutcome.STORED:
             state.acknowledged_end = max(state.acknowledged_end, number)
             self._unstored_by_runner.get(state.id, set()).difference_update(jobs)
@@ -174,7 +176,7 @@
             and not state.allocation_by_run
             and state.id not in self._owner_context.cell.unseen_runners
         ):
-            self._owner_context.end_runner(
+            self._owner_context.remove_ended_runner(
                 state, 'it is no longer listed and does not answer', proven=False
             )
             return
@@ -185,7 +187,7 @@
 
     async def _end_replaced_runner(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
-            self._owner_context.end_runner(
+            self._owner_context.remove_ended_runner(
                 state, 'another runner answers at its address', proven=True
             )
             return
@@ -196,7 +198,7 @@
         if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
             self._owner_context.expire_runner_leases(state)
 
-    def _log_readable(self, state: RunnerState, view: RunnerView) -> None:
+    def _log_readability(self, state: RunnerState, view: RunnerView) -> None:
         if view.complete is state.readable:
             return
         state.readable = view.complete
@@ -209,13 +211,13 @@
             tasks=len(state.allocation_by_run),
         )
 
-    def _log_effect(self, state: RunnerState, effect: PollEffect, now: float) -> None:
+    def _log_poll_effect(self, state: RunnerState, effect: PollEffect, now: float) -> None:
         for ended, allocation in effect.ended:
             started = allocation.started_at if allocation else None
             self._owner_context.journal.log_sampled(
                 Part.WORKERS,
                 f'a run has ended {ended.outcome.value}.',
-                **self._owner_context.run_fields(state.id, ended.task, ended.run),
+                **self._owner_context.make_run_fields(state.id, ended.task, ended.run),
                 number=ended.number,
                 seconds=round(now - started, 3) if started else None,
             )
@@ -223,7 +225,7 @@
             self._owner_context.journal.log(
                 Part.WORKERS,
                 f'{state.id} does not have a run that it should have.',
-                **self._owner_context.run_fields(state.id, lost.task, lost.run),
+                **self._owner_context.make_run_fields(state.id, lost.task, lost.run),
                 phase=lost.phase.value,
             )
 
@@ -251,7 +253,7 @@
         )
 
 
-def _poll_wait(state: RunnerState) -> float:
+def _long_poll_seconds(state: RunnerState) -> float:
     """Return the long-poll time in seconds for a runner in this state."""
     stopping = any(
         allocation.phase is AllocationPhase.STOPPING
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -45,10 +45,10 @@
         self._request_count = 0
         self._next_hand_over_at = context.clock.monotonic() + MIN_TERM_SECONDS
 
-    async def check(self, now: float) -> None:
+    async def request_or_hand_over_if_due(self, now: float) -> None:
         """Request a takeover if the store fails, or hand over to a larger host if that is due."""
         await self._request_takeover_if_store_fails(now)
-        await self._hand_over(now)
+        await self._hand_over_to_larger_host(now)
 
     async def request_takeover(self) -> bool:
         """Ask peers to take over while this host still serves the cell; return whether one has.
@@ -98,7 +98,7 @@
             self._request_count += 1
             await curio.spawn(self._send_takeover_request, members[host], daemon=True)
 
-    async def _hand_over(self, now: float) -> None:
+    async def _hand_over_to_larger_host(self, now: float) -> None:
         """End the term if a larger host is ready to own the cell.
 
         A small host may have claimed the cell because it was the only one left after many hosts
@@ -108,9 +108,9 @@
             return
         members = self._cell_state.member_by_host
         for host in larger_hosts(members, self._host)[:PEERS_PER_REQUEST]:
-            if not await self._is_ready(host, members[host]):
+            if not await self._is_ready_to_own(host, members[host]):
                 continue
-            self._election.note_hand_over()
+            self._election.record_hand_over()
             self._owner_context.journal.log(
                 Part.OWNERSHIP,
                 f'hands the cell over to larger hosts: {host} is ready.',
@@ -120,7 +120,7 @@
             return
         self._next_hand_over_at = now + MIN_TERM_SECONDS
 
-    async def _is_ready(self, host: str, member: Member) -> bool:
+    async def _is_ready_to_own(self, host: str, member: Member) -> bool:
         """Return whether a host is ready to own the cell; being alive is not enough.
 
         Right after a partition it has not read the runner list yet and could start no tasks.
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -33,7 +33,7 @@
         self._confirmed_at_by_zone: dict[str, float] = {}
         self._queried_at_by_zone: dict[str, float] = {}
         self._lost_zones: set[str] = set()
-        self._started_at = context.clock.monotonic()
+        self._term_started_at = context.clock.monotonic()
 
     async def is_confirmed(self, zone: str, since: float) -> bool:
         """Return whether a zone has reported its completions after a runner there became silent.
@@ -42,7 +42,7 @@
         counts as confirmed, as there is nobody to query.
         """
         now = self._owner_context.clock.monotonic()
-        since = max(since, self._started_at)
+        since = max(since, self._term_started_at)
         members = self._cell_state.member_by_host
         hosts = [
             host for host, member in members.items() if member.zone == zone and host != self._host
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -132,7 +132,7 @@
         self.changed_jobs = set()
         return taken
 
-    def find(self, job: str) -> StoredJob | None:
+    def find_job(self, job: str) -> StoredJob | None:
         """Return the records of a job, ``None`` for an unknown job."""
         submission = self.submission_by_id.get(job)
         progress = self.progress_by_id.get(job)
@@ -175,11 +175,11 @@
             runners.update(progress.runners)
         return runners
 
-    def owner_has_ended(self) -> bool:
+    def current_owner_has_ended(self) -> bool:
         """Return whether the owner's process has been replaced by a later one on its host."""
-        return self.owner is not None and self.has_ended(self.owner)
+        return self.owner is not None and self.process_has_ended(self.owner)
 
-    def has_ended(self, owner: Owner) -> bool:
+    def process_has_ended(self, owner: Owner) -> bool:
         """Return whether a later process has started on the host of that owner.
 
         A store that loses answers may execute an append seconds later, so the member record
@@ -214,12 +214,12 @@
         self.clear()
         errors = self.apply(records)
         if OWNER_KEY in self.unreadable_keys:
-            self.owner = previous.owner or self._unknown_owner()
+            self.owner = previous.owner or self._make_unknown_owner()
         if RUNNERS_IN_USE_KEY in self.unreadable_keys:
             self.runners_in_use = previous.runners_in_use
         for key in self.unreadable_keys:
             name = key[len(SUBMISSION_PREFIX) :]
-            current, before = self._values_by_name(key), previous._values_by_name(key)
+            current, before = self._select_values_by_name(key), previous._select_values_by_name(key)
             last_known = before.get(name)
             if last_known is not None:
                 current[name] = last_known
@@ -229,7 +229,7 @@
         """Apply records in log order; return for each the error if it cannot be read."""
         return [self._apply_or_mark_unreadable(record) for record in records]
 
-    def _unknown_owner(self) -> Owner:
+    def _make_unknown_owner(self) -> Owner:
         """Return a stand-in for an unreadable owner, with the highest epoch of any record.
 
         The store would refuse every claim with a lower epoch than the owner had.
@@ -241,7 +241,7 @@
 
     def _apply_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
         try:
-            self._apply_one(record)
+            self._apply_record(record)
         except UnreadableError as error:
             self._mark_unreadable(record.key)
             return error
@@ -258,7 +258,7 @@
         if prefix in {SUBMISSION_PREFIX, PROGRESS_PREFIX}:
             self.changed_jobs.add(name)
 
-    def _apply_one(self, record: KeyedRecord) -> None:
+    def _apply_record(self, record: KeyedRecord) -> None:
         if record.error is not None:
             raise record.error
         content = record.content
@@ -273,12 +273,12 @@
         if prefix == SUBMISSION_PREFIX:
             self._apply_submission(name, content)
         elif prefix == CANCELLATION_PREFIX:
-            _set_or_remove(self.cancellation_by_id, name, content, _CANCELLATION)
+            _apply_value(self.cancellation_by_id, name, content, _CANCELLATION)
             self.changed_jobs.add(name)
         elif prefix == PROGRESS_PREFIX:
             self._apply_progress(name, content)
         elif prefix == MEMBER_PREFIX:
-            _set_or_remove(self.member_by_host, name, content, _MEMBER)
+            _apply_value(self.member_by_host, name, content, _MEMBER)
 
     def _apply_owner(self, content: bytes | None) -> None:
         if content is None:
@@ -319,7 +319,7 @@
             self.progress_by_id[job] = progress
         self.changed_jobs.add(job)
 
-    def _values_by_name(self, key: str) -> dict:
+    def _select_values_by_name(self, key: str) -> dict:
         """Return the dictionary that has the values of a key's prefix."""
         by_prefix: dict[str, dict] = {
             SUBMISSION_PREFIX: self.submission_by_id,
@@ -339,7 +339,7 @@
     return submission
 
 
-def _set_or_remove(
+def _apply_value(
     current: dict,
     name: str,
     content: bytes | None,
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -20,7 +20,7 @@
 NEVER = float('-inf')
 
 
-def _always() -> bool:
+def _always_wanted() -> bool:
     return True
 
 
@@ -49,12 +49,12 @@
         self.bytes = INITIAL_READ_BYTES
         self._max_bytes = MAX_READ_BYTES
 
-    def note_failure(self) -> None:
+    def halve_after_failure(self) -> None:
         """Halve the size after a read that failed."""
         self.bytes = max(MIN_READ_BYTES, self.bytes // 2)
         self._max_bytes = self.bytes
 
-    def note_answer(self, *, reached_end: bool) -> None:
+    def adjust_after_read(self, *, reached_end: bool) -> None:
         """Double the size unless the end of the topic was reached."""
         if reached_end:
             self._max_bytes = MAX_READ_BYTES
@@ -74,7 +74,7 @@
         journal: Journal,
         max_wait: float,
         get_pause: Callable[[], float],
-        is_wanted: Callable[[], bool] = _always,
+        is_wanted: Callable[[], bool] = _always_wanted,
     ) -> None:
         """Let a read wait up to ``max_wait`` seconds for new records, and pause between reads.
 
@@ -108,17 +108,17 @@
         self.changed = ChangeNotifier()
 
     @property
-    def started(self) -> bool:
+    def has_snapshot(self) -> bool:
         """Return whether a snapshot has been applied."""
         return self._offset is not None
 
     @property
-    def reachable(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Return whether the latest read was answered."""
         return self.reachable_since != NEVER
 
     @property
-    def complete(self) -> bool:
+    def has_reached_end(self) -> bool:
         """Return whether the end of the topic has been reached since the last snapshot."""
         return self.fresh_at != NEVER
 
@@ -131,15 +131,15 @@
         """Return the maximum age of the projection in seconds."""
         return now - self.fresh_at
 
-    async def read_now(self) -> None:
+    async def request_read(self) -> None:
         """Read now instead of after the pause."""
         await self._read_requested.set()
 
-    async def wait_fresh(self, since: float, timeout: float) -> bool:
+    async def wait_until_fresh(self, since: float, timeout: float) -> bool:
         """Wait until all that was in the topic at ``since`` is applied; ``False`` on timeout."""
         deadline = self._clock.monotonic() + timeout
         if self.fresh_at < since:
-            await self.read_now()
+            await self.request_read()
         while self.fresh_at < since:
             seen_count = self.changed.count
             remaining = deadline - self._clock.monotonic()
@@ -153,11 +153,11 @@
         while True:
             self.suspended = not self._is_wanted()
             if self.suspended:
-                self._reset()
+                self._discard_position()
                 await self._wait_for_request(SUSPENDED_CHECK_SECONDS)
                 continue
             try:
-                await self._follow_once()
+                await self._read_and_notify()
             except RecordsExpired as error:
                 self._journal.log(Part.LOG, f'starts again from a snapshot: {error}.')
                 self._offset = None
@@ -166,15 +166,15 @@
                 # until the records after the snapshot had been read.
                 self.fresh_at = NEVER
             except StoreError as error:
-                self._read_size.note_failure()
-                self._note_failure(error)
+                self._read_size.halve_after_failure()
+                self._record_read_failure(error)
                 await curio.sleep(RETRY_SECONDS)
 
-    async def _follow_once(self) -> None:
+    async def _read_and_notify(self) -> None:
         sent_at = self._clock.monotonic()
         offset_before = self._offset
-        reached_end = await self._read_once()
-        self._note_answer()
+        reached_end = await self._read_snapshot_or_batch()
+        self._record_read_answer()
         if reached_end:
             self.fresh_at = sent_at
         await self.changed.notify()
@@ -182,7 +182,7 @@
         if reached_end or self._offset == offset_before:
             await self._wait_for_request(self._get_pause())
 
-    def _reset(self) -> None:
+    def _discard_position(self) -> None:
         self._offset = None
         self.fresh_at = NEVER
         self.reachable_since = NEVER
@@ -191,7 +191,7 @@
         await curio.ignore_after(seconds, self._read_requested.wait)
         self._read_requested.clear()
 
-    async def _read_once(self) -> bool:
+    async def _read_snapshot_or_batch(self) -> bool:
         """Read once; return whether the end of the topic was reached."""
         if self._offset is None:
             snapshot = await self._topic.snapshot()
@@ -200,18 +200,18 @@
             self.read_from = self.read_from or snapshot.next_offset
             return False
         batch = await self._topic.read(self._offset, self._max_wait, self._read_size.bytes)
-        self._read_size.note_answer(reached_end=batch.reached_end)
+        self._read_size.adjust_after_read(reached_end=batch.reached_end)
         self._projection.apply(batch)
         self._offset = batch.next_offset
         return batch.reached_end
 
-    def _note_answer(self) -> None:
+    def _record_read_answer(self) -> None:
         self.answered_at = self._clock.monotonic()
         if self.reachable_since == NEVER:
             self.reachable_since = self._clock.monotonic()
             self._journal.log(Part.LOG, f'reaches the store: {self._name}.')
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_read_failure(self, error: StoreError) -> None:
         self.failed_at = self._clock.monotonic()
         if self.reachable_since != NEVER:
             self._journal.log(Part.LOG, f'has lost the store: {self._name}: {error}.')
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -63,7 +63,7 @@
         """Return the version in force, 0 where there is no configuration yet."""
         return 0 if self.current is None else self.current.version
 
-    def adopt(self, content: bytes, peer: str) -> bool:
+    def adopt_from_peer(self, content: bytes, peer: str) -> bool:
         """Use a configuration received from a peer if it is newer; return whether it is."""
         record = KeyedRecord(self._codec.configuration_key, content)
         return self._apply_record(record, peer)
@@ -74,7 +74,7 @@
 
     def _apply_record(self, record: KeyedRecord, peer: str = '') -> bool:
         try:
-            decoded = self._decode(record)
+            decoded = self._decode_configuration(record)
         except UnreadableError as error:
             self._unreadable.log_unreadable(record.key, error, 'the configuration in force is kept')
             return False
@@ -94,10 +94,10 @@
             peer=peer,
         )
         if accounts is not None:
-            self._log_problems(decoded.version, accounts.problems)
+            self._log_configuration_problems(decoded.version, accounts.problems)
         return True
 
-    def _log_problems(self, version: int, problems: list[str]) -> None:
+    def _log_configuration_problems(self, version: int, problems: list[str]) -> None:
         for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self._journal.log(
                 Part.CONTRACTS,
@@ -106,7 +106,7 @@
                 problems=len(problems),
             )
 
-    def _decode(self, record: KeyedRecord) -> Configuration:
+    def _decode_configuration(self, record: KeyedRecord) -> Configuration:
         if record.error is not None:
             raise record.error
         return self._codec.decode_configuration(record.content or b'')
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -61,7 +61,7 @@
         present = {record.key for record in snapshot.records if not record.dropped}
         for runner in tuple(self._incarnation_by_runner):
             if runner not in present:
-                self._remove(runner)
+                self._remove_runner(runner)
         self._apply_records(snapshot, log_each=not first)
         if first:
             registrations = self.registration_by_id.values()
@@ -76,7 +76,7 @@
         """Apply the next records of the topic."""
         self._apply_records(batch, log_each=True)
 
-    def find(self, incarnation: str) -> Registration | None:
+    def find_registration(self, incarnation: str) -> Registration | None:
         """Return the last valid registration of an incarnation, removed ones included."""
         registration = self.registration_by_id.get(incarnation)
         if registration is None and incarnation in self.removed_by_id:
@@ -86,16 +86,16 @@
     def _apply_records(self, batch: RecordBatch, *, log_each: bool) -> None:
         for record in batch.records:
             if record.dropped:
-                self._remove(record.key)
+                self._remove_runner(record.key)
                 continue
             try:
-                registration = self._decode(record)
+                registration = self._decode_registration(record)
             except UnreadableError as error:
-                self._mark_unusable(record.key, error)
+                self._mark_runner_unusable(record.key, error)
                 continue
-            self._register(record.key, registration, log=log_each)
+            self._set_registration(record.key, registration, log=log_each)
 
-    def _decode(self, record: KeyedRecord) -> Registration:
+    def _decode_registration(self, record: KeyedRecord) -> Registration:
         """Return the registration of an entry; raises ``UnreadableError`` for an invalid one."""
         if record.error is not None:
             raise record.error
@@ -103,16 +103,16 @@
         if not self._has_service(registration.service):
             message = f'no configuration names the service {registration.service!r}'
             raise UnreadableError(Reason.UNNAMED, message)
-        self._check_unchanged(record.key, registration)
+        self._check_incarnation_unchanged(record.key, registration)
         return registration
 
-    def _check_unchanged(self, runner: str, registration: Registration) -> None:
+    def _check_incarnation_unchanged(self, runner: str, registration: Registration) -> None:
         """Refuse an entry that changes an incarnation's address or service, or has no incarnation.
 
         An incarnation has one address and one service. Of two entries that differ one is
         wrong, and orders are sent to the address of the first one.
         """
-        previous = self._find_newest(runner)
+        previous = self._find_newest_registration(runner)
         if previous is None:
             return
         if previous.incarnation is not None and registration.incarnation is None:
@@ -124,18 +124,18 @@
             message = f'the entry was of {previous.service!r} at {previous.address}:{previous.port}'
             raise UnreadableError(Reason.CHANGED, message)
 
-    def _mark_unusable(self, runner: str, error: UnreadableError) -> None:
+    def _mark_runner_unusable(self, runner: str, error: UnreadableError) -> None:
         self._unreadable.log_unreadable(runner, error, 'no tasks are started there')
-        previous = self._find_newest(runner)
+        previous = self._find_newest_registration(runner)
         if previous is not None and previous.usable:
             self.registration_by_id[previous.runner] = replace(previous, usable=False)
 
-    def _register(self, runner: str, registration: Registration, *, log: bool) -> None:
+    def _set_registration(self, runner: str, registration: Registration, *, log: bool) -> None:
         incarnation = registration.runner
         self._unreadable.log_readable(runner)
-        previous = self._find_newest(runner)
+        previous = self._find_newest_registration(runner)
         if previous is not None and previous.runner != incarnation:
-            self._retire(runner)
+            self._retire_registration(runner)
             self._log_restart(previous, registration)
         elif log and (previous is None or previous.draining != registration.draining):
             self._journal.log(
@@ -157,19 +157,19 @@
             draining=registration.draining,
         )
 
-    def _remove(self, runner: str) -> None:
+    def _remove_runner(self, runner: str) -> None:
         self._unreadable.forget(runner)
-        incarnation = self._retire(runner)
+        incarnation = self._retire_registration(runner)
         if incarnation:
             self._journal.log(
                 Part.WORKERS, f'the entry of {incarnation} has gone.', runner=incarnation
             )
 
-    def _find_newest(self, runner: str) -> Registration | None:
+    def _find_newest_registration(self, runner: str) -> Registration | None:
         """Return the last valid registration of a runner's id, if it has an entry."""
         return self.registration_by_id.get(self._incarnation_by_runner.get(runner, ''))
 
-    def _retire(self, runner: str) -> str:
+    def _retire_registration(self, runner: str) -> str:
         """Move a runner's registration to the removed ones; return its incarnation, or ''."""
         incarnation = self._incarnation_by_runner.pop(runner, '')
         registration = self.registration_by_id.pop(incarnation, None)
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -85,12 +85,12 @@
         wanted = max(MIN_TIMEOUT_SECONDS, self._typical_seconds * TIMEOUT_FACTOR)
         return min(MAX_TIMEOUT_SECONDS, wanted * self._backoff_factor)
 
-    def note_answer(self, seconds: float) -> None:
+    def add_latency(self, seconds: float) -> None:
         """Update the average by the latency of an answered append."""
         self._typical_seconds += NEWEST_LATENCY_WEIGHT * (seconds - self._typical_seconds)
         self._backoff_factor = 1.0
 
-    def note_timeout(self) -> None:
+    def double_next_timeout(self) -> None:
         """Double the next timeout: the store may be slow, not silent."""
         self._backoff_factor *= 2
 
@@ -115,11 +115,11 @@
         self._clock = clock
         self._journal = journal
         self._fence = fence
-        self._waiting: deque[_PendingWrite] = deque()
+        self._waiting_writes: deque[_PendingWrite] = deque()
         self._write_queued = curio.Event()
         self._latency = AppendLatency()
-        self._pause = RETRY_SECONDS
-        self._failed_fast = False
+        self._retry_pause = RETRY_SECONDS
+        self._last_failure_was_fast = False
         self.fenced = False
         #: How many writes were abandoned: their records are not stored, or may not be.
         self.abandoned_count = 0
@@ -136,7 +136,7 @@
         """
         if now - self.failed_at > FAILURE_MEMORY_SECONDS:
             return False
-        limit = REFUSING_SECONDS if self._failed_fast else SILENT_SECONDS
+        limit = REFUSING_SECONDS if self._last_failure_was_fast else SILENT_SECONDS
         return now - self.failing_since >= limit
 
     @property
@@ -147,7 +147,7 @@
     async def write(self, records: Sequence[KeyedRecord], timeout: float) -> WriteOutcome:
         """Append the records within ``timeout`` seconds and return what became of them."""
         pending = _PendingWrite(records, self._clock.monotonic() + timeout)
-        self._waiting.append(pending)
+        self._waiting_writes.append(pending)
         await self._write_queued.set()
         await pending.completed.wait()
         return pending.outcome or WriteOutcome.UNKNOWN
@@ -157,27 +157,27 @@
         while not self.fenced:
             await self._write_queued.wait()
             self._write_queued.clear()
-            while self._waiting and not self.fenced:
-                await self._append(self._take_batch())
-        await self._fail_all()
+            while self._waiting_writes and not self.fenced:
+                await self._append_writes(self._take_waiting_writes())
+        await self._fail_waiting_writes()
 
-    def _take_batch(self) -> list[_PendingWrite]:
+    def _take_waiting_writes(self) -> list[_PendingWrite]:
         taken: list[_PendingWrite] = []
         records = 0
         size = 0
-        while self._waiting and records < MAX_APPEND_RECORDS and size < MAX_APPEND_BYTES:
-            pending = self._waiting.popleft()
+        while self._waiting_writes and records < MAX_APPEND_RECORDS and size < MAX_APPEND_BYTES:
+            pending = self._waiting_writes.popleft()
             taken.append(pending)
             records += len(pending.records)
             size += sum(len(record.content or b'') for record in pending.records)
         return taken
 
-    async def _append(self, writes: list[_PendingWrite]) -> None:
+    async def _append_writes(self, writes: list[_PendingWrite]) -> None:
         while writes:
-            batch = _keep_newest(writes)
+            batch = _keep_newest_records(writes)
             if not batch:
                 # A write without records only waits for those before it.
-                await _complete(writes, WriteOutcome.STORED)
+                await _complete_writes(writes, WriteOutcome.STORED)
                 return
             sent_at = self._clock.monotonic()
             try:
@@ -185,7 +185,7 @@
             except FencedError as error:
                 self._journal.log(Part.LOG, f'the store has fenced off this writer: {error}.')
                 self.fenced = True
-                await _complete(writes, WriteOutcome.FENCED)
+                await _complete_writes(writes, WriteOutcome.FENCED)
                 return
             except StoreError as error:
                 self._journal.log_sampled(
@@ -195,22 +195,24 @@
                     records=len(batch),
                 )
                 self.failed_at = self._clock.monotonic()
-                self._failed_fast = self.failed_at - sent_at < self._timeout / 2
-                if not self._failed_fast:
-                    self._latency.note_timeout()
+                self._last_failure_was_fast = self.failed_at - sent_at < self._timeout / 2
+                if not self._last_failure_was_fast:
+                    self._latency.double_next_timeout()
                 self.failing_since = min(self.failing_since, sent_at)
-                writes = await self._retry(writes, error)
+                writes = await self._keep_retryable_writes(writes, error)
                 continue
-            self._latency.note_answer(self._clock.monotonic() - sent_at)
-            self._pause = RETRY_SECONDS
+            self._latency.add_latency(self._clock.monotonic() - sent_at)
+            self._retry_pause = RETRY_SECONDS
             self.failing_since = float('inf')
             self.stored_at = sent_at
             if self._fence is not None:
                 self._fence = WriterFence(self._fence.epoch, self._fence.sequence + 1)
-            await _complete(writes, WriteOutcome.STORED)
+            await _complete_writes(writes, WriteOutcome.STORED)
             return
 
-    async def _retry(self, writes: list[_PendingWrite], error: StoreError) -> list[_PendingWrite]:
+    async def _keep_retryable_writes(
+        self, writes: list[_PendingWrite], error: StoreError
+    ) -> list[_PendingWrite]:
         """Return the writes that are to be tried again, after a pause."""
         now = self._clock.monotonic()
         kept = []
@@ -221,28 +223,30 @@
             if now < pending.deadline or (self._fence is not None and pending.in_doubt):
                 kept.append(pending)
                 continue
-            await self._abandon(pending)
-        await self._abandon_expired(now)
+            await self._abandon_write(pending)
+        await self._abandon_expired_writes(now)
         if kept:
-            await curio.sleep(self._pause)
+            await curio.sleep(self._retry_pause)
         if self._fence is None:
-            doubled_pause = min(MAX_RETRY_SECONDS, 2 * self._pause)
-            self._pause = doubled_pause * (1 - random.random() / 2)
+            doubled_pause = min(MAX_RETRY_SECONDS, 2 * self._retry_pause)
+            self._retry_pause = doubled_pause * (1 - random.random() / 2)
         return kept
 
-    async def _abandon_expired(self, now: float) -> None:
+    async def _abandon_expired_writes(self, now: float) -> None:
         """Abandon writes that have waited too long behind a failing append.
 
         They were never sent and are reported as such: only then may the caller ask another host.
         """
-        expired = [pending for pending in self._waiting if pending.deadline <= now]
+        expired = [pending for pending in self._waiting_writes if pending.deadline <= now]
         # No await between the two: writes that are queued meanwhile must stay behind all waiting
         # ones, or an older record of a job could be appended after its newest.
-        self._waiting = deque(pending for pending in self._waiting if now < pending.deadline)
+        self._waiting_writes = deque(
+            pending for pending in self._waiting_writes if now < pending.deadline
+        )
         for pending in expired:
-            await self._abandon(pending)
+            await self._abandon_write(pending)
 
-    async def _abandon(self, pending: _PendingWrite) -> None:
+    async def _abandon_write(self, pending: _PendingWrite) -> None:
         self.abandoned_count += 1
         pending.outcome = WriteOutcome.UNKNOWN if pending.in_doubt else WriteOutcome.REFUSED
         await pending.completed.set()
@@ -251,12 +255,12 @@
     def _timeout(self) -> float:
         return UNFENCED_TIMEOUT_SECONDS if self._fence is None else self._latency.timeout
 
-    async def _fail_all(self) -> None:
-        await _complete(self._waiting, WriteOutcome.FENCED)
-        self._waiting.clear()
+    async def _fail_waiting_writes(self) -> None:
+        await _complete_writes(self._waiting_writes, WriteOutcome.FENCED)
+        self._waiting_writes.clear()
 
 
-def _keep_newest(writes: Sequence[_PendingWrite]) -> list[KeyedRecord]:
+def _keep_newest_records(writes: Sequence[_PendingWrite]) -> list[KeyedRecord]:
     """Return the newest record of each key; the store would keep no others of one append."""
     record_by_key: dict[str, KeyedRecord] = {}
     for pending in writes:
@@ -266,7 +270,7 @@
     return list(record_by_key.values())
 
 
-async def _complete(
+async def _complete_writes(
     writes: Sequence[_PendingWrite] | deque[_PendingWrite], outcome: WriteOutcome
 ) -> None:
     for pending in writes:
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -29,7 +29,7 @@
         self.count_by_account[account if has_own_count else OTHER_ACCOUNTS] += 1
 
 
-def view_accounts(
+def make_accounts_view(
     cell: Cell | None,
     configuration: Configuration | None,
     cell_state: CellState,
@@ -44,7 +44,7 @@
         'owner_address': '' if member is None else member.address,
         'version': 0 if configuration is None else configuration.version,
         'accounts': [
-            _view_account(account, cell, refusals) for account in list_accounts(configuration)
+            _make_account_view(account, cell, refusals) for account in list_accounts(configuration)
         ],
     }
 
@@ -57,7 +57,7 @@
     return sorted(accounts, key=_weight_sort_key)[:MAX_LISTED_ACCOUNTS]
 
 
-def _view_account(
+def _make_account_view(
     account: Account[Demand],
     cell: Cell | None,
     refusals: RefusalCounts,
@@ -65,21 +65,21 @@
     row: dict[str, Any] = {
         'account': account.name,
         'weight': account.weight,
-        'quota': 'none' if account.quota is None else _view_amounts(account.quota),
+        'quota': 'none' if account.quota is None else _view_resource_amounts(account.quota),
         'refused': refusals.count_by_account[account.name],
     }
     if cell is None:
         return row
     used = cell.quotas.used(account.name)
     jobs = [job for job in cell.unfinished_job_by_id.values() if job.account == account.name]
-    row['used'] = _view_amounts(used)
+    row['used'] = _view_resource_amounts(used)
     row['share'] = round(weighted_share(used, cell.capacity(), account.weight), 6)
     row['jobs'] = len(jobs)
     row['held'] = sum(bool(job.hold_reason) for job in jobs)
     return row
 
 
-def _view_amounts(amounts: Demand) -> dict[str, float]:
+def _view_resource_amounts(amounts: Demand) -> dict[str, float]:
     return {'cores': amounts.cpu / 1000, 'memory_mb': amounts.memory_mb, 'gpu': amounts.gpu}
 
 
--- a/dandelionreel/entry_clients.py
+++ b/dandelionreel/entry_clients.py
@@ -7,14 +7,14 @@
     AccessControl,
     ClientApi,
     ClientWrites,
+    LoadBalancerRotation,
     PartitionReads,
     Relay,
-    Rotation,
 )
 from dandelionreel.cell.membership import Completions, ConfigurationExchange, PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import GroupWriter
-from dandelionreel.entry_accounts import view_accounts
+from dandelionreel.entry_accounts import make_accounts_view
 from dandelionreel.entry_metrics import EntryMetrics
 from dandelionreel.entry_reads import EntryReads
 from dandelionreel.kernel import Clock, Journal
@@ -31,13 +31,13 @@
     completions: Completions,
     partition_reads: PartitionReads,
     partition_detector: PartitionDetector,
-    rotation: Rotation,
+    rotation: LoadBalancerRotation,
     clock: Clock,
     journal: Journal,
     metrics: EntryMetrics,
 ) -> ClientApi:
     """Return the handler of client requests, which counts its answers in ``metrics``."""
-    metrics.show_accounts(lambda: _view_accounts(reads, get_dispatcher(), metrics))
+    metrics.set_accounts_view(lambda: _make_accounts_view(reads, get_dispatcher(), metrics))
     codec = JsonClientCodec()
     follower = reads.cell_follower
     writes = ClientWrites(
@@ -63,12 +63,12 @@
     )
 
 
-def _view_accounts(
+def _make_accounts_view(
     reads: EntryReads,
     dispatcher: Dispatcher | None,
     metrics: EntryMetrics,
 ) -> dict[str, Any]:
-    return view_accounts(
+    return make_accounts_view(
         dispatcher.cell if dispatcher else None,
         reads.configuration.current,
         reads.cell.state,
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -11,7 +11,7 @@
 from dandelionreel.cell.clients import PartitionReads, Relay
 from dandelionreel.cell.membership import (
     CompletionMessageHandler,
-    CompletionReports,
+    CompletionReporter,
     Completions,
     ConfigurationExchange,
     Election,
@@ -112,7 +112,7 @@
             self._peer_links,
             self._clock,
             self._journal,
-            self._election.note_query_unanswered,
+            self._election.record_query_unanswered,
         )
         self._partition_detector = PartitionDetector(
             settings.host,
@@ -123,7 +123,7 @@
             self._clock,
             self._journal,
         )
-        self._completion_reports = CompletionReports(
+        self._completion_reporter = CompletionReporter(
             settings.host,
             self._cell_projection.state,
             self._peer_links,
@@ -196,12 +196,12 @@
         self._journal.open()
         async with AsyncExitStack() as stack:
             stack.callback(self._journal.close)
-            await self._start(stack)
+            await self._start_host(stack)
             await self._stop_requested.wait()
-            await self._stop()
+            await self._stop_host()
         return ExitStatus.SUCCESS
 
-    async def _start(self, stack: AsyncExitStack) -> None:
+    async def _start_host(self, stack: AsyncExitStack) -> None:
         settings = self._settings
         self._journal.log(
             Part.LIFE,
@@ -219,21 +219,21 @@
         for follower in self._reads.followers:
             await start_task(stack, follower.run)
         await start_task(stack, self._writer.run)
-        await self._listen(stack)
+        await self._start_servers(stack)
         for run_part in (
             self._announce_member,
-            self._run_terms,
+            self._dispatch_in_terms,
             self._owner_watch.run,
             self._partition_detector.run,
             self._configuration_exchange.run,
-            self._completion_reports.run,
+            self._completion_reporter.run,
             self._update_gauges,
         ):
             await start_task(stack, run_part)
 
-    async def _listen(self, stack: AsyncExitStack) -> None:
+    async def _start_servers(self, stack: AsyncExitStack) -> None:
         settings = self._settings
-        readiness = Server(self._readiness.answer)
+        readiness = Server(self._readiness.answer_check)
         await readiness.start(stack, settings.readiness.host, settings.readiness.port)
         metrics = Server(self._metrics.handle)
         await metrics.start(stack, settings.peers.host, METRICS_PORT)
@@ -255,15 +255,19 @@
 
     async def _answer_owner_query(self, frame: Frame) -> Message:
         dispatcher = self._dispatcher
-        acting = dispatcher is not None and dispatcher.may_act and not dispatcher.store_is_failing
-        ready = self._may_claim() and self._reads.complete
+        acting = (
+            dispatcher is not None
+            and dispatcher.may_send_orders
+            and not dispatcher.store_is_failing
+        )
+        ready = self._may_claim() and self._reads.has_reached_ends
         return self._election.answer_owner_query(frame, acting, ready)
 
     async def _accept_completions(self, jobs: tuple[str, ...]) -> bool:
         dispatcher = self._dispatcher
-        if dispatcher is None or not dispatcher.may_act:
+        if dispatcher is None or not dispatcher.may_send_orders:
             return False
-        await dispatcher.mark_complete(jobs)
+        await dispatcher.mark_jobs_complete(jobs)
         return True
 
     def _store_answered_at(self) -> float:
@@ -274,7 +278,7 @@
     async def _announce_member(self) -> None:
         """Publish in the store where this host listens for peers."""
         settings = self._settings
-        while not self._reads.cell_follower.started:
+        while not self._reads.cell_follower.has_snapshot:
             await curio.sleep(POLL_SECONDS)
         member = Member(
             settings.zone,
@@ -288,7 +292,7 @@
         while await self._writer.write([record], MEMBER_WRITE_TIMEOUT) is not WriteOutcome.STORED:
             self._journal.log(Part.PEERS, 'has not published its member record yet; trying again.')
 
-    async def _run_terms(self) -> None:
+    async def _dispatch_in_terms(self) -> None:
         """Dispatch the cell's jobs during each term that this host wins."""
         settings = self._settings
         dependencies = DispatcherDependencies(
@@ -314,7 +318,7 @@
             term = await self._election.wait_for_term(self._may_claim)
             self._dispatcher = Dispatcher(dependencies, term)
             # The list of runners may be outdated on a host that did not own the cell.
-            await self._reads.runners_follower.read_now()
+            await self._reads.runners_follower.request_read()
             try:
                 await self._dispatcher.run()
             finally:
@@ -322,12 +326,12 @@
 
     def _may_claim(self) -> bool:
         # A host that does not follow the list of runners reads it once it owns the cell.
-        return not self._stopping and self._reads.started
+        return not self._stopping and self._reads.has_snapshots
 
     async def _update_gauges(self) -> None:
         while True:
             dispatcher = self._dispatcher
-            self._metrics.update(
+            self._metrics.update_gauges(
                 dispatcher.cell if dispatcher else None,
                 self._reads.configuration.current,
                 self._reads.cell_follower.age(self._clock.monotonic()),
@@ -340,7 +344,7 @@
             self._check_settings_file()
             return
         self._stopping = True
-        self._readiness.stop()
+        self._readiness.mark_stopping()
         await self._stop_requested.set()
 
     def _check_settings_file(self) -> None:
@@ -352,12 +356,12 @@
             return
         self._journal.log(Part.LIFE, 'the settings file is valid; changes apply after a restart.')
 
-    async def _stop(self) -> None:
+    async def _stop_host(self) -> None:
         """Hand over the cell, wait for the balancer to notice, and finish open requests."""
         stop_started_at = self._clock.monotonic()
         self._journal.log(Part.LIFE, 'is stopping; it is not ready any more.')
         if self._dispatcher is not None:
-            await self._dispatcher.end()
+            await self._dispatcher.end_term()
         deadline = stop_started_at + self._settings.stop_grace - EXIT_MARGIN_SECONDS
         while self._clock.monotonic() < min(deadline, stop_started_at + BALANCER_NOTICE_SECONDS):
             await curio.sleep(POLL_SECONDS)
--- a/dandelionreel/entry_metrics.py
+++ b/dandelionreel/entry_metrics.py
@@ -46,26 +46,28 @@
             ('topic', 'reason'),
             registry=self._registry,
         )
-        self._owner = self._gauge('owner', 'Whether this host owns the cell.')
-        self._store_age = self._gauge('store_age_seconds', 'Age of what is known of the store.')
-        self._jobs = self._gauge('jobs_under_way', 'Jobs that are not over, at the owner.')
-        self._tasks = self._gauge('tasks', 'Runs held by runners, at the owner.', 'phase')
-        self._crashed_runs = self._gauge(
+        self._owner = self._make_gauge('owner', 'Whether this host owns the cell.')
+        self._store_age = self._make_gauge(
+            'store_age_seconds', 'Age of what is known of the store.'
+        )
+        self._jobs = self._make_gauge('jobs_under_way', 'Jobs that are not over, at the owner.')
+        self._tasks = self._make_gauge('tasks', 'Runs held by runners, at the owner.', 'phase')
+        self._crashed_runs = self._make_gauge(
             'crashed_runs', 'Runs under which a runner has crashed, in this term of the owner.'
         )
-        self._dropped_lines = self._gauge(
+        self._dropped_lines = self._make_gauge(
             'log_lines_dropped', 'Log lines that nobody read in time.'
         )
-        self._peer_bytes = self._gauge('outside_bytes', 'Bytes to and from servers.', 'kind')
-        self._account_used = self._gauge(
+        self._peer_bytes = self._make_gauge('outside_bytes', 'Bytes to and from servers.', 'kind')
+        self._account_used = self._make_gauge(
             'account_used', 'What an account has running, at the owner.', 'account', 'resource'
         )
-        self._account_refused = self._gauge(
+        self._account_refused = self._make_gauge(
             'account_refused', 'Calls of an account that this host refused.', 'account'
         )
-        self._cpu_seconds = self._gauge('cpu_seconds', 'Processor time of this process.')
+        self._cpu_seconds = self._make_gauge('cpu_seconds', 'Processor time of this process.')
 
-    def show_accounts(self, get_view: Callable[[], dict[str, Any]]) -> None:
+    def set_accounts_view(self, get_view: Callable[[], dict[str, Any]]) -> None:
         """Serve the result of ``get_view()`` at ``ACCOUNTS_PATH``."""
         self._get_accounts_view = get_view
 
@@ -78,7 +80,7 @@
         """Count a record in the store that cannot be read."""
         self._unreadable.labels(topic, reason).inc()
 
-    def update(
+    def update_gauges(
         self,
         cell: Cell | None,
         configuration: Configuration | None,
@@ -93,8 +95,8 @@
             self._peer_bytes.labels(kind).set(count)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self._cpu_seconds.set(usage.ru_utime + usage.ru_stime)
-        self._update_cell(cell)
-        self._update_accounts(cell, configuration)
+        self._update_cell_gauges(cell)
+        self._update_account_gauges(cell, configuration)
 
     async def handle(self, request: Request) -> Response:
         """Serve all metrics, or the status of client accounts."""
@@ -102,7 +104,7 @@
             return json_response(self._get_accounts_view())
         return Response(HTTP_OK, (('content-type', TEXT_TYPE),), generate_latest(self._registry))
 
-    def _update_cell(self, cell: Cell | None) -> None:
+    def _update_cell_gauges(self, cell: Cell | None) -> None:
         jobs = cell.job_by_id.values() if cell else ()
         self._jobs.set(sum(not job.is_finished for job in jobs))
         self._crashed_runs.set(cell.crashed_runs if cell else 0)
@@ -113,7 +115,9 @@
         for phase, count in count_by_phase.items():
             self._tasks.labels(phase.value).set(count)
 
-    def _update_accounts(self, cell: Cell | None, configuration: Configuration | None) -> None:
+    def _update_account_gauges(
+        self, cell: Cell | None, configuration: Configuration | None
+    ) -> None:
         self._account_used.clear()
         if cell is not None:
             for account in list_accounts(configuration):
@@ -123,5 +127,5 @@
         for name, count in self.refusals.count_by_account.items():
             self._account_refused.labels(name).set(count)
 
-    def _gauge(self, name: str, description: str, *labels: str) -> Gauge:
+    def _make_gauge(self, name: str, description: str, *labels: str) -> Gauge:
         return Gauge(f'dandelionreel_{name}', description, labels, registry=self._registry)
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -52,11 +52,11 @@
         (Forward, client_api.handle_relayed),
         (OwnerFailing, election.handle_owner_failing),
         (OwnerAsked, answer_owner_query),
-        (AdviceWanted, advisor.answer),
+        (AdviceWanted, advisor.answer_advice_request),
         (CompletionsTold, completions.merge_completions),
         (CompletionsSeen, completions.merge_zone_completions),
         (CompletionsWanted, completions.answer_query),
-        (ConfigurationWanted, exchange.answer),
+        (ConfigurationWanted, exchange.answer_query),
     )
     for kind, handler in handlers:
         peers.add_handler(kind, handler)
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dandelionreel.cell.clients import ReadinessInputs, Rotation, find_unready_reason
+from dandelionreel.cell.clients import LoadBalancerRotation, ReadinessInputs, find_unready_reason
 from dandelionreel.cell.membership import PartitionDetector
 from dandelionreel.cell.owner import Dispatcher
 from dandelionreel.cell.store import ConfigurationProjection, Follower, GroupWriter
@@ -27,7 +27,7 @@
         journal: Journal,
     ) -> None:
         """Determine readiness from these parts of the host."""
-        self.rotation = Rotation()
+        self.rotation = LoadBalancerRotation()
         self._configuration = configuration
         self._partition_detector = partition_detector
         self._writer = writer
@@ -39,23 +39,23 @@
         #: Why the host was not ready at the last check; empty if it was.
         self._last_reason = 'it is starting'
 
-    def stop(self) -> None:
+    def mark_stopping(self) -> None:
         """Report not ready from now on: the host is stopping."""
         self._stopping = True
 
     def is_unready(self) -> bool:
         """Return whether clients should currently use another host."""
-        return bool(find_unready_reason(self._gather_inputs()))
+        return bool(find_unready_reason(self._gather_readiness_inputs()))
 
-    async def answer(self, request: Request) -> Response:
+    async def answer_check(self, request: Request) -> Response:
         """Answer one readiness check."""
-        inputs = self._gather_inputs()
+        inputs = self._gather_readiness_inputs()
         reason = find_unready_reason(inputs)
-        self._log_change(reason, inputs)
-        self.rotation.note_readiness_check(self._clock.monotonic(), ready=not reason)
+        self._log_readiness_change(reason, inputs)
+        self.rotation.record_readiness_check(self._clock.monotonic(), ready=not reason)
         return Response(HTTP_UNAVAILABLE if reason else HTTP_OK)
 
-    def _log_change(self, reason: str, inputs: ReadinessInputs) -> None:
+    def _log_readiness_change(self, reason: str, inputs: ReadinessInputs) -> None:
         if reason == self._last_reason:
             return
         self._last_reason = reason
@@ -65,7 +65,7 @@
             store_age=seconds_or_none(inputs.store_age),
         )
 
-    def _gather_inputs(self) -> ReadinessInputs:
+    def _gather_readiness_inputs(self) -> ReadinessInputs:
         now = self._clock.monotonic()
         dispatcher = self._get_dispatcher()
         owner_store_is_failing = dispatcher is not None and dispatcher.store_is_failing
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -35,7 +35,7 @@
 RUNNERS_PAUSE_SECONDS = 2.0
 OPERATOR_PAUSE_SECONDS = 0.1
 
-NoteUnreadable = Callable[[str, str], None]
+CountUnreadable = Callable[[str, str], None]
 
 
 class EntryReads:
@@ -46,14 +46,14 @@
         host: str,
         store: Address,
         owns_cell: Callable[[], bool],
-        note_unreadable: NoteUnreadable,
+        count_unreadable: CountUnreadable,
         clock: Clock,
         journal: Journal,
     ) -> None:
         """Read for ``host``; ``owns_cell()`` returns whether it owns the cell."""
         self._host = host
         self._owns_cell = owns_cell
-        self._note_unreadable = note_unreadable
+        self._count_unreadable = count_unreadable
         self._clock = clock
         self._journal = journal
         codec = JsonRecordCodec()
@@ -91,17 +91,17 @@
         return max(follower.answered_at for follower in self.followers)
 
     @property
-    def complete(self) -> bool:
+    def has_reached_ends(self) -> bool:
         """Return whether all needed topics have been read to the end, and the store answers."""
         return all(
-            follower.suspended or (follower.complete and follower.reachable)
+            follower.suspended or (follower.has_reached_end and follower.is_store_reachable)
             for follower in self.followers
         )
 
     @property
-    def started(self) -> bool:
+    def has_snapshots(self) -> bool:
         """Return whether the first snapshots of all needed topics have been read."""
-        return all(follower.started or follower.suspended for follower in self.followers)
+        return all(follower.has_snapshot or follower.suspended for follower in self.followers)
 
     def _make_follower(
         self, name: str, topic: str, projection: Projection, max_wait: float
@@ -121,7 +121,7 @@
         return self._owns_cell() or follows_runner_list(self.cell.state.member_by_host, self._host)
 
     def _make_unreadable_log(self, topic: str, part: Part) -> UnreadableLog:
-        return UnreadableLog(topic, part, self._clock, self._journal, self._note_unreadable)
+        return UnreadableLog(topic, part, self._clock, self._journal, self._count_unreadable)
 
     def _pause_seconds(self, topic: str) -> float:
         if topic == OPERATOR_TOPIC:
--- a/features/cancelling_parts.py
+++ b/features/cancelling_parts.py
@@ -120,7 +120,7 @@
     async def begin(self):
         """Read the store, take the cell over and dispatch in the background."""
         await curio.spawn(self.host.follower.run, daemon=True)
-        await self.host.follower.wait_fresh(self.clock.monotonic(), 5)
+        await self.host.follower.wait_until_fresh(self.clock.monotonic(), 5)
         term = Term(2, 'me/1', WriterFence(2, 1), self.clock.monotonic(), False, False)
         self.dispatcher = make_dispatcher(
             self.host,
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -5,7 +5,7 @@
 from dandelionreel.cell.clients._client_api import ClientApi
 from dandelionreel.cell.clients._client_call import ClientCall
 from dandelionreel.cell.clients._client_writes import ClientWrites
-from dandelionreel.cell.clients._readiness import Rotation
+from dandelionreel.cell.clients._readiness import LoadBalancerRotation
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.http import Request
 from dandelionreel.kernel import SystemClock
@@ -23,20 +23,20 @@
 
     cut_off = False
 
-    async def check(self):
+    async def check_other_zones(self):
         return False
 
 
 class ConfirmingExchange:
     """A configuration exchange with peers that have no newer configuration."""
 
-    async def confirm(self):
+    async def confirm_newest(self):
         return True
 
     def age(self):
         return 0.0
 
-    def note_version(self, version):
+    def record_peer_version(self, version):
         """Ignore a peer's version."""
 
 
@@ -57,7 +57,7 @@
     clock = clock or SystemClock()
     codec = JsonClientCodec()
     partition_detector = partition_detector or ConnectedDetector()
-    rotation = rotation or Rotation()
+    rotation = rotation or LoadBalancerRotation()
     return ClientApi(
         'north',
         codec,
--- a/features/entry_fuzz.py
+++ b/features/entry_fuzz.py
@@ -175,7 +175,7 @@
     follower = Follower('raw', topic, projection, projections.clock, None, 0.0, lambda: 0.0)
     follower._offset = offset
 
-    curio.run(follower._read_once)
+    curio.run(follower._read_snapshot_or_batch)
     return follower
 
 
@@ -277,13 +277,13 @@
             encode_record(b'j/00000000000000aa', encode(SUBMISSION)),
         )
         cell_state = projections.cell.state
-        assert cell_state.find('00000000000000aa') is not None, (
+        assert cell_state.find_job('00000000000000aa') is not None, (
             'a valid record beside the mutated one is not known'
         )
-        assert cell_state.find(JOB) is not None, 'the job is not known'
+        assert cell_state.find_job(JOB) is not None, 'the job is not known'
         cell = Cell(9, 3.0)
         for job in (JOB, '00000000000000aa'):
-            stored_job = cell_state.find(job)
+            stored_job = cell_state.find_job(job)
             if stored_job.submission is not None and not getattr(stored_job, 'unreadable', False):
                 cell.update_job(stored_job, START, START)
         for run in cell.job_by_id.values():
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -65,7 +65,7 @@
     def age(self, now):
         return 0.0
 
-    async def wait_fresh(self, since, timeout):
+    async def wait_until_fresh(self, since, timeout):
         return True
 
 
@@ -312,7 +312,7 @@
     accounts = context.accounts
     assert set(accounts.account_by_name) == set(expected_key_by_name), accounts.account_by_name
     for name, key in expected_key_by_name.items():
-        account = accounts.find(digest_key(key)) if key else accounts.account_by_name[name]
+        account = accounts.find_by_key(digest_key(key)) if key else accounts.account_by_name[name]
         assert account is not None and account.name == name, (name, key)
     assert len(accounts.problems) == problems, accounts.problems
     assert not [key for key in ('k1', 'k2') if key in ' '.join(accounts.problems)], (
@@ -353,8 +353,8 @@
     assert len(context.digested) == count, len(context.digested)
     for row in context.rows:
         for key in row['api_keys']:
-            assert context.accounts.find(digest_key(key)).name == row['name'], key
-    assert context.accounts.find(digest_key('key-7-3')) is None
+            assert context.accounts.find_by_key(digest_key(key)).name == row['name'], key
+    assert context.accounts.find_by_key(digest_key('key-7-3')) is None
 
 
 @given(
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -152,11 +152,11 @@
         registrations = {'w0': replace(make_numbered_registration(0, 'a'))}
         for _ in range(3):
             (state,) = cell.update_runners(registrations, 0.0)
-            await curio.spawn(poller.poll, state, context.runner, daemon=True)
+            await curio.spawn(poller.poll_runner, state, context.runner, daemon=True)
             await curio.sleep(0.02)
             cell.forget_runner('w0')
         (context.state,) = cell.update_runners(registrations, 0.0)
-        await curio.spawn(poller.poll, context.state, context.runner, daemon=True)
+        await curio.spawn(poller.poll_runner, context.state, context.runner, daemon=True)
         await curio.sleep(0.12)
         context.polls_in_progress = context.runner.polls_in_progress
 
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -147,7 +147,7 @@
         runner = Unreachable()
         runner.poll = replaced_poll
         owner.runner_by_id['w9'] = runner
-        await RunnerPoller(owner).poll(state, runner)
+        await RunnerPoller(owner).poll_runner(state, runner)
 
     curio.run(poll)
 
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -7,7 +7,7 @@
 from dandelionreel.cell.decisions._completeness import is_complete
 from dandelionreel.cell.membership._claim_order import follows_runner_list
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
-from dandelionreel.cell.membership._completion_reports import CompletionReports
+from dandelionreel.cell.membership._completion_reports import CompletionReporter
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, RunnerView, Submission
 from dandelionreel.cell.model._model import JobState
@@ -122,7 +122,7 @@
     context.detector = FixedDetector(where.startswith(('cut off with', 'queried')))
     meanwhile = bool
     if where.startswith('queried'):
-        meanwhile = lambda: context.completions.answer(2)  # noqa: E731
+        meanwhile = lambda: context.completions.list_for_owner(2)  # noqa: E731
     context.links = ZonePeerLinks(peer == 'a host that is cut off as well', meanwhile)
     context.cell_state = CellState()
     context.cell_state.apply([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
@@ -165,13 +165,15 @@
 
 @when('a client asks for the job')
 def ask_for_job(context):
-    context.is_shown_complete = curio.run(context.partition_reads.is_complete, JOB)
+    context.is_shown_complete = curio.run(context.partition_reads.is_job_complete, JOB)
 
 
 @when('{count:d} clients ask for the job within 0.1 s')
 def many_clients_ask(context, count):
     async def ask_many():
-        tasks = [await curio.spawn(context.partition_reads.is_complete, JOB) for _ in range(count)]
+        tasks = [
+            await curio.spawn(context.partition_reads.is_job_complete, JOB) for _ in range(count)
+        ]
         return [await client_task.join() for client_task in tasks]
 
     assert curio.run(ask_many) == [True] * count
@@ -320,13 +322,13 @@
     context.cell_state.apply(records)
     clock = context.completions._clock
     context.links = OwnerLinks(answers == 'accepts the report')
-    reports = CompletionReports(
+    reports = CompletionReporter(
         'me', context.cell_state, context.links, context.completions, clock, journal()
     )
 
     async def report():
         for _ in range(20):
-            await reports.report()
+            await reports.send_due_reports()
             clock.advance(0.1)
 
     curio.run(report)
@@ -368,4 +370,4 @@
     assert isinstance(context.answer, Done) is (answer == 'accepts'), context.answer
     complete = context.job.state is JobState.COMPLETED
     assert complete is (knows == 'marks the job as complete'), context.job.state
-    assert (JOB in context.completions.answer(3)) is (tells == 'tells')
+    assert (JOB in context.completions.list_for_owner(3)) is (tells == 'tells')
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -161,7 +161,7 @@
         ManualClock(context.small.now),
         make_runner=lambda registration: context.runner,
     )
-    context.owner.add_runner(context.small.cell.runner_by_id['w1'])
+    context.owner.add_runner_client(context.small.cell.runner_by_id['w1'])
 
 
 @when('it has sent the start')
@@ -292,7 +292,7 @@
         await owner.begin()
         await until(lambda: has_adopted_run(owner))
         owner.runner.reachable = False
-        assert await owner.dispatcher.cancel('j1', LONG_TIMEOUT) is WriteOutcome.STORED
+        assert await owner.dispatcher.cancel_job('j1', LONG_TIMEOUT) is WriteOutcome.STORED
         await wait_until_gone(owner)
 
     curio.run(cancel)
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -120,20 +120,20 @@
 
 @then('it may start tasks')
 def may_start(context):
-    assert context.owner.may_start()
+    assert context.owner.may_start_tasks()
 
 
 @then('it may not start tasks, and logs it')
 def may_not_start(context):
-    assert not context.owner.may_start()
-    assert context.owner.may_act(), 'the owner must still renew leases'
+    assert not context.owner.may_start_tasks()
+    assert context.owner.may_send_orders(), 'the owner must still renew leases'
     journal = RecordingJournal()
     host = Host('me', MemoryTopic())
     dispatcher = make_dispatcher(host, context.owner.term, host.follower, host.clock)
     checks = dispatcher._periodic_checks
     checks._owner_context, checks._journal = context.owner, journal
-    checks._log_runner_list_age()
-    checks._log_runner_list_age()
+    checks._log_runner_list_freshness()
+    checks._log_runner_list_freshness()
     assert journal.entries == [
         ('starts nothing, by the age of the list of runners.', {'epoch': 1, 'list_age': 2.6})
     ]
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -40,7 +40,7 @@
         await curio.spawn(other.follower.run, daemon=True)
         me = Host('me', context.topic)
         await curio.spawn(me.follower.run, daemon=True)
-        await until(lambda: other.follower.started)
+        await until(lambda: other.follower.has_snapshot)
         term = await me.claim(LONG_TIMEOUT)
         return other, me, make_dispatcher(me, term, context.topic, me.clock)
 
@@ -53,7 +53,7 @@
     now = me.clock.monotonic() + 1.5
     heard_at = other.projection.owner_heartbeat_at
     term = Term(2, 'other/1', WriterFence(2, 1), heard_at, False, False)
-    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, now).end_at
+    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, now).expire_at
 
 
 @then('its last leases have expired when a successor stops waiting for them')
@@ -96,16 +96,16 @@
         SilentPeerLinks(),
         host.clock,
         journal(),
-        host.election.note_query_unanswered,
+        host.election.record_query_unanswered,
     )
     curio.run(relay.forward_to_owner, make_call('POST', '/new/'), 1)
 
 
 @when("the owner's port refuses connections")
 def port_refuses(context):
-    context.host.election.note_connection_refused('other/1')
+    context.host.election.record_connection_refused('other/1')
 
 
 @then('the cell is {vacancy}')
 def cell_is(context, vacancy):
-    assert context.host.election._vacancy().value == vacancy
+    assert context.host.election._find_vacancy().value == vacancy
--- a/features/steps/completion_steps.py
+++ b/features/steps/completion_steps.py
@@ -49,9 +49,9 @@
         if self.completions is None:
             raise PeerError('no answer in time', Verdict.UNKNOWN)
         if isinstance(message, CompletionsWanted):
-            known = self.completions.answer(message.epoch)
+            known = self.completions.list_for_owner(message.epoch)
             return Frame(1, 'peer/1', 0, 0, CompletionsTold(message.epoch, known))
-        accepted = self.completions.merge(message.epoch, message.jobs)
+        accepted = self.completions.merge_owner_report(message.epoch, message.jobs)
         return Frame(1, 'peer/1', 0, 0, Done() if accepted else Refused('later'))
 
 
@@ -65,7 +65,7 @@
     context.owner = make_owner_context(context.small.cell, clock, topic)
     peer_completions = None if answers == 'does not answer' else Completions(clock)
     if answers == 'was queried by a later owner':
-        peer_completions.answer(2)
+        peer_completions.list_for_owner(2)
     context.peer = PeerLinks(peer_completions)
     cell_state = CellState()
     cell_state.apply([PEER])
@@ -83,7 +83,7 @@
     async def list_end_of_run():
         await curio.spawn(context.owner.writer.run, daemon=True)
         await curio.spawn(context.gossip.run, daemon=True)
-        await curio.spawn(context.owner.flush, daemon=True)
+        await curio.spawn(context.owner.flush_progress, daemon=True)
         await curio.ignore_after(1, until, lambda: context.completions.contains(JOB))
 
     curio.run(list_end_of_run)
@@ -125,7 +125,7 @@
 
     async def take_over():
         await curio.spawn(host.follower.run, daemon=True)
-        await until(lambda: host.follower.complete)
+        await until(lambda: host.follower.has_reached_end)
         dispatcher = make_dispatcher(host, term, context.topic, host.clock, links=context.peer)
         dispatcher._load_state()
         dispatcher._completion_gossip.block_started_jobs()
@@ -153,12 +153,12 @@
 @given('a host that the owner of epoch {epoch:d} has queried')
 def queried_host(context, epoch):
     context.completions = Completions(ManualClock(0))
-    assert context.completions.answer(epoch) == ()
+    assert context.completions.list_for_owner(epoch) == ()
 
 
 @when('the owner of epoch {epoch:d} tells it that a job is complete')
 def owner_reports(context, epoch):
-    context.accepted = context.completions.merge(epoch, [JOB])
+    context.accepted = context.completions.merge_owner_report(epoch, [JOB])
 
 
 @then('its report is refused, and clients are not told')
@@ -188,4 +188,4 @@
     lasting = int(RETENTION_SECONDS / 3600 * context.count)
     assert kept == context.jobs[-len(kept) :] and abs(len(kept) - lasting) <= 1, len(kept)
     context.completions.add(f'{number:016x}' for number in range(100_000, 100_000 + 2 * most))
-    assert len(context.completions.answer(1)) <= most == MAX_KEPT_JOBS
+    assert len(context.completions.list_for_owner(1)) <= most == MAX_KEPT_JOBS
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -6,7 +6,7 @@
 import msgspec
 from behave import given, then, when
 
-from dandelionreel.cell.clients._readiness import Rotation
+from dandelionreel.cell.clients._readiness import LoadBalancerRotation
 from dandelionreel.cell.clients._relay import Relay
 from dandelionreel.cell.membership._partition_detector import PartitionDetector
 from dandelionreel.cell.membership._zone_contact import MISS_VALID_SECONDS, ZoneContact
@@ -31,7 +31,7 @@
     context.zones = ZONES
     context.store_answered_at = NOW - age
     for zone in ZONES if others == 'both zones' else ():
-        context.zone_contact.note_answer(zone, NOW - 0.1)
+        context.zone_contact.record_reply(zone, NOW - 0.1)
 
 
 @when('it queries hosts of south and west, of which {answer}')
@@ -39,9 +39,9 @@
     answering = {'none replies': (), 'both reply': ZONES, 'only west replies': ('west',)}[answer]
     for zone in ZONES:
         if zone in answering:
-            context.zone_contact.note_answer(zone, NOW + 0.01)
+            context.zone_contact.record_reply(zone, NOW + 0.01)
         else:
-            context.zone_contact.note_miss(zone, NOW)
+            context.zone_contact.record_miss(zone, NOW)
     context.now = NOW + 0.2
 
 
@@ -55,7 +55,7 @@
 @when('the store has been silent for 9 s and no host replies')
 def all_silent(context):
     for zone in ('north', ''):
-        context.zone_contact.note_miss(zone, NOW)
+        context.zone_contact.record_miss(zone, NOW)
     context.now = NOW + 0.2
 
 
@@ -74,7 +74,7 @@
 
 @when('a host of west replies')
 def west_answers(context):
-    context.zone_contact.note_answer('west', context.now + 1)
+    context.zone_contact.record_reply('west', context.now + 1)
     context.now += 1
 
 
@@ -116,7 +116,7 @@
 @when('{count:d} requests check whether it is cut off')
 def check_concurrently(context, count):
     async def check_many():
-        tasks = [await curio.spawn(context.detector.check) for _ in range(count)]
+        tasks = [await curio.spawn(context.detector.check_other_zones) for _ in range(count)]
         return [await task.join() for task in tasks]
 
     async def check_in_time():
@@ -147,10 +147,10 @@
     links = context.links = SilentLinks()
     detector = make_detector(clock, links, NOW - 9)
     for zone in ZONES:
-        detector._zone_contact.note_miss(zone, NOW)
-    rotation = Rotation()
+        detector._zone_contact.record_miss(zone, NOW)
+    rotation = LoadBalancerRotation()
     for ago in (2.3, 1.3, 0.3):
-        rotation.note_readiness_check(NOW - ago, ready=True)
+        rotation.record_readiness_check(NOW - ago, ready=True)
     configuration = ConfigurationProjection(None, journal())
     configuration.current = Configuration(1, QUEUES, (Service('desk', False, False),), 9999)
     jobs = CellProjection(clock, journal())
@@ -197,19 +197,19 @@
 
 @given('a load balancer that checks a host every second, the last time 0.3 s ago')
 def checking_balancer(context):
-    context.rotation = Rotation()
+    context.rotation = LoadBalancerRotation()
 
 
 @when('it has been told {failed:d} times that the host is not ready')
 def failed_checks(context, failed):
     times = [NOW - 0.3 - number for number in range(8)]
     for number, at in enumerate(reversed(times)):
-        context.rotation.note_readiness_check(at, ready=number < len(times) - failed)
+        context.rotation.record_readiness_check(at, ready=number < len(times) - failed)
 
 
 @then('clients are sent there for {seconds:g} s more')
 def remaining_seconds(context, seconds):
-    assert abs(context.rotation.seconds_left(NOW) - seconds) < 0.001
+    assert abs(context.rotation.seconds_until_removal(NOW) - seconds) < 0.001
 
 
 @given('a server that is {ready}')
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -25,7 +25,7 @@
     lease_until = context.state.extend_lease(context.now, LEASE_SECONDS)
     context.expires_at = CLOCK_READ_AT + lease_until / (1 - MAX_CLOCK_DRIFT)
     term = Term(2, 'me/1', WriterFence(2, 1), context.now, True, False)
-    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, context.now).end_at
+    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, context.now).expire_at
 
 
 @then('its successor waits until the lease has expired')
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -76,7 +76,7 @@
 def store_back(context):
     async def follow():
         await curio.spawn(context.host.follower.run, daemon=True)
-        await until(lambda: context.host.follower.started)
+        await until(lambda: context.host.follower.has_snapshot)
         context.topic.down = True
         await until(lambda: context.host.follower.failed_at > 0)
         context.clock.advance(5)
@@ -95,7 +95,7 @@
 def owner_asks(context):
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
-        await until(lambda: context.host.follower.started)
+        await until(lambda: context.host.follower.has_snapshot)
         context.host.election.suspect_owner('other/1')
         context.term = await context.host.claim(LONG_TIMEOUT)
 
@@ -137,7 +137,7 @@
 
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
-        await until(lambda: context.host.follower.complete)
+        await until(lambda: context.host.follower.has_reached_end)
         if context.read_delay:
             context.topic.reads_blocked = True
             # Let a read that is in progress end first.
@@ -180,7 +180,7 @@
 
     async def claim():
         await curio.spawn(context.host.follower.run, daemon=True)
-        await until(lambda: context.host.follower.started)
+        await until(lambda: context.host.follower.has_snapshot)
         return await context.host.claim(2.5)
 
     context.term = curio.run(claim)
@@ -229,7 +229,7 @@
 @when('{seconds:d} s have passed since its claim')
 def passed_since_claim(context, seconds):
     context.clock.advance(seconds)
-    curio.run(context.succession.check, context.clock.monotonic())
+    curio.run(context.succession.request_or_hand_over_if_due, context.clock.monotonic())
 
 
 @then('it {acts} the cell')
@@ -291,4 +291,6 @@
 
 @then('it starts no tasks of jobs on unseen runners for {wait:g} s')
 def blocks_unseen_runners(context, wait):
-    assert abs(context.dispatcher._periodic_checks.predecessor_leases.end_at - 1000 - wait) < 0.01
+    assert (
+        abs(context.dispatcher._periodic_checks.predecessor_leases.expire_at - 1000 - wait) < 0.01
+    )
--- a/features/steps/entry_record_steps.py
+++ b/features/steps/entry_record_steps.py
@@ -117,8 +117,8 @@
     """Append records to the topic and let the host read all new ones."""
     if records:
         curio.run(context.memory.append, records, 0.1)
-    curio.run(context.host.follower._read_once)
-    curio.run(context.host.follower._read_once)
+    curio.run(context.host.follower._read_snapshot_or_batch)
+    curio.run(context.host.follower._read_snapshot_or_batch)
 
 
 @when('the record of {key} becomes {record}')
@@ -151,7 +151,7 @@
 
 @when('the same job is submitted again')
 def resubmit_job(context):
-    stored_job = context.host.projection.state.find(JOB)
+    stored_job = context.host.projection.state.find_job(JOB)
     # A host that took the job for accepted would not store it again.
     assert stored_job.may_be_resubmitted
     append(context, make_record(f'j/{JOB}', SUBMISSION))
@@ -159,7 +159,7 @@
 
 @then('the job is shown as {state}')
 def check_shown_state(context, state):
-    stored_job = context.host.projection.state.find(JOB)
+    stored_job = context.host.projection.state.find_job(JOB)
     assert stored_job is not None, 'the job is not known'
     assert stored_job.state is JobState(state), stored_job
 
@@ -176,7 +176,7 @@
 
 @then('the job is {handled}')
 def check_started(context, handled):
-    stored_job = context.host.projection.state.find(JOB)
+    stored_job = context.host.projection.state.find_job(JOB)
     dispatcher = start_term(context)
     cell = dispatcher.cell
     job = cell.job_by_id.get(JOB)
@@ -217,14 +217,14 @@
 @then('a host that starts now waits for a heartbeat before it claims')
 def check_late_host_waits(context):
     late = Host('late', context.memory, ManualClock())
-    curio.run(late.follower._read_once)
-    curio.run(late.follower._read_once)
+    curio.run(late.follower._read_snapshot_or_batch)
+    curio.run(late.follower._read_snapshot_or_batch)
     late.follower.fresh_at = late.clock.now
     late.follower.reachable_since = late.clock.now
-    assert late.election._vacancy() is Vacancy.HELD
+    assert late.election._find_vacancy() is Vacancy.HELD
     late.clock.advance(SILENT_SECONDS + 0.1)
     late.follower.fresh_at = late.clock.now
-    assert late.election._vacancy() is Vacancy.SILENT
+    assert late.election._find_vacancy() is Vacancy.SILENT
     # A host that claims then must expect running tasks of the unknown owner.
     assert late.projection.state.owner.unsettled == PREDECESSOR_LEASE_SECONDS
 
@@ -248,7 +248,7 @@
     cell = context.dispatcher.cell
     assert cell.is_blocked(cell.job_by_id[JOB])
     checks = context.dispatcher._periodic_checks
-    curio.run(checks._drop_unseen_runners, checks.predecessor_leases.end_at + 0.1)
+    curio.run(checks._drop_unseen_runners, checks.predecessor_leases.expire_at + 0.1)
     assert not cell.is_blocked(cell.job_by_id[JOB])
 
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -68,7 +68,7 @@
 def check_still_polled(context):
     registration = context.small.cell.runner_by_id['i-1'].registration
     assert (registration.address, registration.port) == ('10.0.0.1', 7000), registration
-    assert context.projections.runners.find('i-1').port == 7000
+    assert context.projections.runners.find_registration('i-1').port == 7000
     assert context.small.cell.runner_by_id['i-1'].listed
 
 
--- a/features/steps/given_up_steps.py
+++ b/features/steps/given_up_steps.py
@@ -61,10 +61,10 @@
         first = context.first
         context.small.poll('w1', ended=[(1, first.task, first.run, 'done')])
         poller = RunnerPoller(owner)
-        await curio.spawn(poller._acknowledge, context.state, 1, True, daemon=True)
+        await curio.spawn(poller._store_and_acknowledge_ends, context.state, 1, True, daemon=True)
         await until(lambda: topic.append_count == 3)
         topic.outage.extend([(0.0, True)] * 1000)
-        await curio.spawn(poller._acknowledge, context.state, 1, True, daemon=True)
+        await curio.spawn(poller._store_and_acknowledge_ends, context.state, 1, True, daemon=True)
         await curio.sleep(0.4)
         return (await topic.snapshot()).records
 
@@ -73,7 +73,7 @@
 
 @then('the end is not acknowledged, as the store does not have it')
 def not_acknowledged(context):
-    assert context.owner.may_act()
+    assert context.owner.may_send_orders()
     assert 'e/j1' not in context.stored, context.stored
     assert context.state.acknowledged_end == 0, 'acknowledged, but not stored'
 
@@ -107,7 +107,7 @@
 
 @then('tasks are placed on the new runner only if the store lists it')
 def listed_or_unused(context):
-    assert context.dispatcher._owner_context.may_act()
+    assert context.dispatcher._owner_context.may_send_orders()
     listed = context.cell_state.runners_in_use.runners if context.cell_state.runners_in_use else ()
     state = context.dispatcher.cell.runner_by_id['w1']
     assert 'w1' in listed or not state.recorded, f'the store lists {listed}'
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -260,7 +260,7 @@
 @then('{incarnation} is known as removed, with its address')
 def check_removed(context, incarnation):
     assert incarnation in context.projection.removed_by_id
-    assert context.projection.find(incarnation).address == '10.0.0.1'
+    assert context.projection.find_registration(incarnation).address == '10.0.0.1'
 
 
 # Successors
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -331,7 +331,7 @@
 def late_answer(context):
     owner = build_owner_context(context)
     state = context.small.cell.runner_by_id['w1']
-    curio.run(RunnerPoller(owner)._poll_once, state, LateRunner(context))
+    curio.run(RunnerPoller(owner)._poll_runner_once, state, LateRunner(context))
 
 
 def build_owner_context(context):
@@ -372,7 +372,7 @@
 def poll_breaks(context):
     owner = build_owner_context(context)
     state = context.small.cell.runner_by_id['w1']
-    curio.run(RunnerPoller(owner)._poll_once, state, BreakingRunner())
+    curio.run(RunnerPoller(owner)._poll_runner_once, state, BreakingRunner())
 
 
 @then('nothing is placed on w1 until a poll is answered')
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -70,7 +70,7 @@
             if len(context.runner.started) > 60 and 'urgent' not in context.small.cell.job_by_id:
                 add_job(context, 'urgent', [step(1000)], 'urgent')
             plan = context.small.planner.plan(
-                context.small.now, context.small.now, max_starts=context.orders.free_starts
+                context.small.now, context.small.now, max_starts=context.orders.free_start_slots
             )
             context.plans += 1
             await context.orders.send_starts(plan.starts)
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -135,7 +135,7 @@
     job.stored_runners.add('w1')
     dispatcher.cell = dispatcher._owner_context.cell = small.cell
     dispatcher._owner_context.runner_by_id['w1'] = UnstartedRunner()
-    dispatcher._pool._local = LocalAdvisor(None)
+    dispatcher._advice_pool._local_advisor = LocalAdvisor(None)
     dispatcher._planner = SlowPlanner(small.planner, clock)
     context.small = small
 
@@ -149,9 +149,9 @@
         await curio.sleep(0.1)
         await planning.cancel()
 
-    assert dispatcher._owner_context.may_start()
+    assert dispatcher._owner_context.may_start_tasks()
     curio.run(plan_once)
-    assert not dispatcher._owner_context.may_start()
+    assert not dispatcher._owner_context.may_start_tasks()
 
 
 @then('the task is planned again')
--- a/features/steps/release_steps.py
+++ b/features/steps/release_steps.py
@@ -41,7 +41,7 @@
         dispatcher = make_dispatcher(context.host, term, context.topic, context.host.clock)
         dispatcher._load_state()
         await curio.spawn(dispatcher._owner_context.writer.run, daemon=True)
-        await dispatcher._release()
+        await dispatcher._release_cell()
         third = Host('next', context.topic, context.host.clock)
         return dispatcher, third, await third.own()
 
@@ -55,8 +55,8 @@
 @then('the third owner waits no less than the successor would have')
 def waits_as_long(context):
     assert context.third.cell.unseen_runners == {'w9'}
-    successor_end = context.dispatcher._periodic_checks.predecessor_leases.end_at
-    third_end = context.third._periodic_checks.predecessor_leases.end_at
+    successor_end = context.dispatcher._periodic_checks.predecessor_leases.expire_at
+    third_end = context.third._periodic_checks.predecessor_leases.expire_at
     assert third_end >= successor_end - 0.05, f'{successor_end - third_end:.3f} s too early'
 
 
@@ -86,7 +86,7 @@
         context.topic.delay = APPEND_SECONDS
         running = await curio.spawn(dispatcher.run)
         await curio.sleep(APPEND_SECONDS)
-        await dispatcher.end()
+        await dispatcher.end_term()
         await running.join()
         return (await context.topic.snapshot()).records
 
@@ -143,10 +143,10 @@
         )
         running = await curio.spawn(dispatcher.run)
         await curio.sleep(0.1)
-        await dispatcher.end()
+        await dispatcher.end_term()
         context.acting_times = []
         while not running.terminated:
-            if dispatcher.may_act:
+            if dispatcher.may_send_orders:
                 context.acting_times.append(time.monotonic())
             await curio.sleep(0.005)
         await running.join()
