--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -40,7 +40,7 @@
     # The page with progress was read before the end, the one with submissions after it.
     context.host.projection.load_snapshot(RecordBatch((running,), 1, 1))
     for job_id in cell_state.take_changed_jobs():
-        context.dispatcher._update_job(job_id)
+        context.dispatcher._reload_job(job_id)
 
 
 @when('the job is submitted again, and then the owner reads its end')
@@ -48,14 +48,14 @@
     async def submit_again():
         dispatcher = context.dispatcher
         await curio.spawn(dispatcher._owner_context.writer.run, daemon=True)
-        return await dispatcher.accept('j1', JOB, 1.0)
+        return await dispatcher.accept_job('j1', JOB, 1.0)
 
     assert curio.run(submit_again) is WriteOutcome.STORED
     cell_state = context.host.projection.state
     cell_state.apply(make_progress_records('j1', Progress(1, JobState.COMPLETED, ended_at=1.0)))
     cell_state.apply(context.topic.records)
     for job_id in cell_state.take_changed_jobs():
-        context.dispatcher._update_job(job_id)
+        context.dispatcher._reload_job(job_id)
 
 
 @then('no task of the job is started again')
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -28,7 +28,7 @@
 
 def start_report(context):
     context.lines = RecordingJournal()
-    context.load = LoadReport(context.small.cell, SimpleNamespace(waiting=0), context.lines)
+    context.load = LoadReport(context.small.cell, SimpleNamespace(waiting_count=0), context.lines)
 
 
 @given('an owner of 2 runners, both full, and a job that waits')
@@ -60,7 +60,7 @@
     small = context.small
     for _ in range(10):
         context.load.add_plan(small.plan(), 0.01)
-        context.load.report(small.now, small.now, 1)
+        context.load.log_if_due(small.now, small.now, 1)
         small.now += 0.1
 
 
@@ -145,7 +145,7 @@
 def nothing_changes(context, seconds):
     now = context.small.now
     for second in range(seconds + 1):
-        context.load.report(now + second, now + second, 1)
+        context.load.log_if_due(now + second, now + second, 1)
     context.small.now = now + seconds
 
 
--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -62,8 +62,8 @@
     async def load_during_truncation():
         host = context.host
         await curio.spawn(host.follower.run, daemon=True)
-        assert await host.follower.wait_fresh(host.clock.monotonic(), 5.0)
-        assert host.projection.state.find('j1') is not None
+        assert await host.follower.wait_until_fresh(host.clock.monotonic(), 5.0)
+        assert host.projection.state.find_job('j1') is not None
         context.fresh_before = host.follower.fresh_at
         context.topic.truncated = True
         await until(lambda: context.topic.snapshot_served)
@@ -74,7 +74,7 @@
 
 @then('the host does not count as up to date before it has read the later records')
 def not_complete(context):
-    known = context.host.projection.state.find('j1')
+    known = context.host.projection.state.find_job('j1')
     up_to_date = context.host.follower.fresh_at >= context.fresh_before
     assert known is not None or not up_to_date, (
         'the host counts as up to date without knowing the job'
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -130,7 +130,7 @@
 def check_nothing_read(context):
     curio.run(curio.ignore_after, 0.05, context.follower.run)
     assert context.topic.snapshots == 0
-    assert not context.follower.started
+    assert not context.follower.has_snapshot
 
 
 @when('it is needed and told to read now')
@@ -139,15 +139,15 @@
         await curio.spawn(context.follower.run, daemon=True)
         await curio.sleep(0)
         context.is_wanted = True
-        await context.follower.read_now()
-        await context.follower.wait_fresh(SystemClock().monotonic(), LONG_TIMEOUT)
+        await context.follower.request_read()
+        await context.follower.wait_until_fresh(SystemClock().monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
 
 @then('it knows the newest records after one snapshot')
 def check_newest_known(context):
-    assert context.cell_projection.state.find('x') is not None
+    assert context.cell_projection.state.find_job('x') is not None
     assert context.topic.snapshots == 1
 
 
@@ -176,7 +176,7 @@
 def follow_slow_link(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
-        context.fresh = await context.follower.wait_fresh(SystemClock().monotonic(), 2)
+        context.fresh = await context.follower.wait_until_fresh(SystemClock().monotonic(), 2)
 
     curio.run(follow)
 
@@ -184,7 +184,7 @@
 @then('it knows the newest record after {count:d} reads at most')
 def check_caught_up(context, count):
     assert context.fresh
-    assert context.cell_projection.state.find('19') is not None
+    assert context.cell_projection.state.find_job('19') is not None
     assert context.topic.reads <= count, context.topic.reads
 
 
@@ -307,14 +307,14 @@
 
     async def follow():
         await curio.spawn(context.host.follower.run, daemon=True)
-        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
+        await context.host.follower.wait_until_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
 
 @then('the host knows the job')
 def check_job_known(context):
-    assert context.host.projection.state.find('j2')
+    assert context.host.projection.state.find_job('j2')
 
 
 @given('a job of which the store has {records}')
@@ -348,7 +348,7 @@
     cell_state = CellState()
     cell_state.apply(snapshot.records)
     assert len(kept) == count, kept
-    assert cell_state.find('j1').state is JobState(state)
+    assert cell_state.find_job('j1').state is JobState(state)
 
 
 @given('a follower that is behind')
@@ -367,7 +367,7 @@
     async def follow():
         context.host.follower._offset = 1
         await curio.spawn(context.host.follower.run, daemon=True)
-        await context.host.follower.wait_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
+        await context.host.follower.wait_until_fresh(context.host.clock.monotonic(), LONG_TIMEOUT)
 
     curio.run(follow)
 
@@ -410,7 +410,7 @@
         ManualClock(context.small.now),
         make_runner=lambda registration: SilentRunner(),
     )
-    context.owner.add_runner(context.small.cell.runner_by_id['w1'])
+    context.owner.add_runner_client(context.small.cell.runner_by_id['w1'])
 
 
 @when('it sends one start there')
@@ -444,7 +444,7 @@
 def check_leases(context, state, starts):
     context.clock.now = 1007.0
     assert context.owner.leases_expired(context.state) is (state == 'expired')
-    assert context.owner.may_start() is (starts == 'allowed')
+    assert context.owner.may_start_tasks() is (starts == 'allowed')
 
 
 @given('a writer whose appends were refused for a while')
@@ -475,9 +475,9 @@
 def answers_and_timeouts(context, seconds, misses):
     context.latency = AppendLatency()
     for _ in range(40):
-        context.latency.note_answer(seconds)
+        context.latency.add_latency(seconds)
     for _ in range(misses):
-        context.latency.note_timeout()
+        context.latency.double_next_timeout()
 
 
 @then('the next timeout is about {timeout:f} s')
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -45,7 +45,7 @@
 def waits_for_all_leases(context):
     # The owner's last append was answered before the host first read the store.
     last_lease = context.started_at + AUTHORITY_SECONDS + LEASE_SECONDS * DRIFT
-    assert context.dispatcher._periodic_checks.predecessor_leases.end_at >= last_lease
+    assert context.dispatcher._periodic_checks.predecessor_leases.expire_at >= last_lease
 
 
 @given('a successor that waits for the runner w9, whose entry it has never seen')
@@ -97,7 +97,7 @@
 
 @given('an owner whose release is answered late')
 def releasing_owner(context):
-    context.topic = ProbedTopic(lambda: context.dispatcher.may_act)
+    context.topic = ProbedTopic(lambda: context.dispatcher.may_send_orders)
     host = Host('me', context.topic)
     term = Term(1, 'me/1', WriterFence(1, 1), None, False, False)
     context.dispatcher = make_dispatcher(host, term, context.topic, host.clock)
@@ -107,7 +107,7 @@
 def releases(context):
     async def release():
         await curio.spawn(context.dispatcher._owner_context.writer.run, daemon=True)
-        await context.dispatcher._release()
+        await context.dispatcher._release_cell()
 
     curio.run(release)
 
@@ -140,7 +140,7 @@
 
 @then('the owner is considered {fate}')
 def considered(context, fate):
-    assert context.cell_state.owner_has_ended() == (fate == 'ended')
+    assert context.cell_state.current_owner_has_ended() == (fate == 'ended')
 
 
 @given("an owner that is about to store the runner of a job's second task")
@@ -164,7 +164,7 @@
     async def note_end():
         name, run = context.first.task, context.first.run
         context.small.poll(context.first.runner, ended=[(1, name, run, outcome)])
-        await context.owner.flush()
+        await context.owner.flush_progress()
 
     async def race():
         submission = make_record(f'{SUBMISSION_PREFIX}j1', context.job.submission)
@@ -184,7 +184,7 @@
 
 @then('the store says that the job is {state} with {done:d} tasks done')
 def stored_progress(context, state, done):
-    stored_job = context.cell_state.find('j1')
+    stored_job = context.cell_state.find_job('j1')
     assert stored_job is not None, 'the job is no longer in the store'
     assert stored_job.state.value == state, stored_job
     masks = [int(entry.mask, 16) for entry in stored_job.progress.done]
@@ -193,6 +193,6 @@
 
 @then('the store names the runner of the second task')
 def stored_runner(context):
-    progress = context.cell_state.find('j1').progress
+    progress = context.cell_state.find_job('j1').progress
     over = progress.ended_at > 0
     assert over or context.second.runner in progress.runners, progress
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -79,17 +79,17 @@
     former = Owner(1, 'other', 'other/1')
     term = Term(2, 'me/1', WriterFence(2, 1), 1000.0, False, False, former=former)
     context.wait = PredecessorLeases(term, LEASE_SECONDS, 1000.0)
-    context.end_before = context.wait.end_at
+    context.end_before = context.wait.expire_at
 
 
 @when('its successor checks for proof that it has ended and finds none')
 def no_proof(context):
-    assert not context.wait.shorten_if_ended(CellState(), 1001.0)
+    assert not context.wait.shorten_if_owner_ended(CellState(), 1001.0)
 
 
 @then('the wait is as long as before')
 def as_long(context):
-    assert context.wait.end_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
+    assert context.wait.expire_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
 
 
 @given('a host that has long known the owner')
