--- a/dandelionreel/accounts/__init__.py
+++ b/dandelionreel/accounts/__init__.py
@@ -4,7 +4,7 @@
 from dandelionreel.accounts._amounts import Amounts
 from dandelionreel.accounts._credentials import AUTHORIZATION, digest_key, read_key_digest
 from dandelionreel.accounts._directory import AccountDirectory
-from dandelionreel.accounts._usage import Usage, weighted_share, within_quota
+from dandelionreel.accounts._usage import AccountUsage, weighted_share, within_quota
 
 __all__ = (
     'AUTHORIZATION',
@@ -12,7 +12,7 @@
     'AccountDirectory',
     'Amounts',
     'Caller',
-    'Usage',
+    'AccountUsage',
     'digest_key',
     'read_key_digest',
     'weighted_share',
--- a/dandelionreel/accounts/_directory.py
+++ b/dandelionreel/accounts/_directory.py
@@ -53,7 +53,7 @@
         self._account_by_digest = index
 
     def _update_index(self, previous: 'AccountDirectory[AmountsT]') -> bool:
-        """Update a copy of the previous index; return ``False`` where a key is shared."""
+        """Update a copy of the previous index; return ``False`` if two accounts share a key."""
         index = previous._account_by_digest.copy()
         for name, account in previous.account_by_name.items():
             if self.account_by_name.get(name) is not account:
--- a/dandelionreel/accounts/_usage.py
+++ b/dandelionreel/accounts/_usage.py
@@ -5,8 +5,8 @@
 from dandelionreel.accounts._amounts import AmountsT
 
 
-class Usage(Generic[AmountsT]):
-    """Amounts in use by account, which quotas and shares are checked against."""
+class AccountUsage(Generic[AmountsT]):
+    """Resource amounts that each account uses; quotas and fair shares are checked against them."""
 
     def __init__(self, zero: AmountsT) -> None:
         """Start with nothing in use; ``zero`` is the zero value of the amounts."""
@@ -15,13 +15,13 @@
 
     def add(self, account: str, amounts: AmountsT) -> None:
         """Add amounts to an account's usage."""
-        self._used_by_account[account] = self.of(account) + amounts
+        self._used_by_account[account] = self.amounts_of(account) + amounts
 
     def remove(self, account: str, amounts: AmountsT) -> None:
         """Subtract amounts from an account's usage."""
-        self._used_by_account[account] = self.of(account) - amounts
+        self._used_by_account[account] = self.amounts_of(account) - amounts
 
-    def of(self, account: str) -> AmountsT:
+    def amounts_of(self, account: str) -> AmountsT:
         """Return the amounts that an account uses."""
         return self._used_by_account.get(account, self._zero)
 
--- a/dandelionreel/cell/clients/_access.py
+++ b/dandelionreel/cell/clients/_access.py
@@ -17,7 +17,7 @@
     """Why a call is not authenticated."""
 
     UNKNOWN_KEY = 'unknown key'
-    #: A configuration newer than this host's may have the key.
+    #: This host's configuration may be outdated, and a newer one may decide otherwise.
     UNDECIDED = 'the key cannot be checked now'
 
 
@@ -46,7 +46,7 @@
     ) -> Caller | DenialReason:
         """Return the caller of a request; ``forwarded`` is the caller that a forwarding peer found.
 
-        Of the two hosts, the one with the newer configuration decides.
+        The peer and this host may have different configurations; the newer one decides.
         """
         current = self._configuration.current
         version = self._configuration.version
@@ -58,7 +58,7 @@
         digest = read_key_digest(request.headers) if forwarded is None else forwarded.key_digest
         if not digest:
             return DenialReason.UNKNOWN_KEY
-        if self._max_age is not None and self._exchange.age() > self._max_age:
+        if self._max_age is not None and self._exchange.configuration_age() > self._max_age:
             return DenialReason.UNDECIDED
         known_caller = self._find_caller(digest)
         if known_caller is not None:
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -118,7 +118,7 @@
         )
         return response
 
-    async def handle_relayed(self, frame: Frame) -> Message:
+    async def handle_forwarded_request(self, frame: Frame) -> Message:
         """Answer a request that a peer has forwarded."""
         forward: Any = frame.message
         member = self._jobs.state.member_by_host.get(frame.sender.partition('/')[0])
@@ -128,7 +128,7 @@
             member.zone if member else '',
             forward,
         )
-        # no_room makes the peer try another host: the store does not serve this one either.
+        # ``no_room`` makes the peer try another host, as this one cannot use the store either.
         return ForwardAnswer(
             response, no_room=response.header(CAUSE_HEADER) == STORE_UNAVAILABLE_CAUSE
         )
@@ -274,8 +274,8 @@
         if state is not None:
             return self._codec.answer_state(state)
         timeout = LOOKUP_TIMEOUT_SECONDS if stored_job is None else REFRESH_TIMEOUT_SECONDS
-        if self._partition_detector.cut_off:
-            # Only what this zone knows can be reported, and waiting would not add to it.
+        if self._partition_detector.is_cut_off:
+            # Only completions inside this zone can be found, and reads of the store would time out.
             if await self._partition_reads.is_job_complete(job_id):
                 return self._codec.answer_state(JobState.COMPLETED)
             timeout = 0.0
--- a/dandelionreel/cell/clients/_client_call.py
+++ b/dandelionreel/cell/clients/_client_call.py
@@ -8,7 +8,8 @@
 
 #: Header with the time that the client waits for the response, in milliseconds.
 DEADLINE_HEADER = 'x-deadline-ms'
-#: Seconds that a client is assumed to wait if it sends no such header, and the upper limit.
+#: Seconds that a client is assumed to wait if it sends no deadline, and the highest deadline that
+#: counts.
 DEFAULT_TIMEOUT_SECONDS = 3.0
 #: Share of the client's time that is spent on its call, so that the response still reaches it.
 TIMEOUT_SHARE = 0.85
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -20,13 +20,13 @@
 from dandelionreel.http import Response, problem_response
 from dandelionreel.kernel import Clock, Problem, Verdict
 
-#: Seconds for an append by this host before a peer is asked to do it: more than a slow store needs,
-#: and a third of the time that a client waits.
+#: Timeout in seconds of an append by this host, before a peer is asked to append: more than a slow
+#: store needs, and a third of the time that a client waits.
 APPEND_TIMEOUT_SECONDS = 0.9
 #: Seconds after a failed append before this host tries one for a client again.
 APPEND_RETRY_SECONDS = 0.4
-#: Age in seconds of the latest read above which a peer may know more. Reads complete at least twice
-#: a second, since the owner writes heartbeats.
+#: Age in seconds of the latest read of the store above which a peer may have newer records. Reads
+#: complete at least twice a second, since the owner writes heartbeats.
 STALE_READ_SECONDS = 1.2
 HTTP_TIMEOUT = 504
 RETRYABLE_STATUSES = frozenset((429, HTTP_UNAVAILABLE))
@@ -64,7 +64,7 @@
         rotation: LoadBalancerRotation,
         clock: Clock,
     ) -> None:
-        """Append with ``writer`` where neither the owner nor a peer does."""
+        """Append with ``writer`` if neither the owner nor a peer can store a record."""
         self._codec = codec
         self._follower = follower
         self._writer = writer
@@ -118,7 +118,7 @@
 
         The client's few retries are better spent on hosts of another zone.
         """
-        if self._partition_detector.cut_off:
+        if self._partition_detector.is_cut_off:
             return True
         return bool(attempts.outcomes) and await self._partition_detector.check_other_zones()
 
@@ -134,7 +134,7 @@
 
         Inside a partition that is when the load balancer has moved clients to other zones.
         """
-        if not self._partition_detector.cut_off:
+        if not self._partition_detector.is_cut_off:
             return RETRY_AFTER_SECONDS
         return max(
             RETRY_AFTER_SECONDS, self._rotation.seconds_until_removal(self._clock.monotonic())
@@ -205,9 +205,9 @@
         return None
 
     def _is_store_unreachable(self, now: float) -> bool:
-        """Return whether the store is known not to serve this host.
+        """Return whether appends of this host are known to fail, or its reads are too old.
 
-        An attempt for each client would delay all of them. One attempt every
+        An attempt to append for each client would delay all clients. One attempt every
         ``APPEND_RETRY_SECONDS``, and the reads, detect when the store is back.
         """
         if self._follower.age(now) > STALE_READ_SECONDS:
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -41,7 +41,7 @@
         self.runner = runner
         self.lock = curio.Lock()
         self.polled_at = float('-inf')
-        self.ended: tuple[EndedRun, ...] = ()
+        self.ended_runs: tuple[EndedRun, ...] = ()
 
 
 class PartitionReads:
@@ -76,7 +76,7 @@
     async def is_job_complete(self, job: str) -> bool:
         """Return whether the zone's runners list a job as done and it may be reported so."""
         queries_before = self._completions.query_count
-        if not self._partition_detector.may_serve_reads or not await self._is_job_done_at_runners(
+        if not self._partition_detector.may_answer_reads or not await self._is_job_done_at_runners(
             job
         ):
             return False
@@ -85,7 +85,7 @@
         # If the owner has queried this host meanwhile, its reply did not contain this job.
         if (
             queries_before != self._completions.query_count
-            or not self._partition_detector.may_serve_reads
+            or not self._partition_detector.may_answer_reads
         ):
             return False
         self._completions.add_zone_completions([job])
@@ -131,9 +131,9 @@
             self._view_by_runner[registration.runner] = cached
         async with cached.lock:
             if self._clock.monotonic() - cached.polled_at >= VIEW_CACHE_SECONDS:
-                cached.ended = await self._poll_ended_runs(cached.runner)
+                cached.ended_runs = await self._poll_ended_runs(cached.runner)
                 cached.polled_at = self._clock.monotonic()
-        return cached.ended
+        return cached.ended_runs
 
     async def _poll_ended_runs(self, runner: Runner) -> tuple[EndedRun, ...]:
         """Return the ended runs of a runner without renewing leases or acknowledging ends."""
--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -1,7 +1,7 @@
 """Forwards clients' requests to peers.
 
 The owner can start a job that it stores itself without reading it back first. When the store
-refuses single hosts, peers that it serves append for them.
+refuses single hosts, peers whose appends it accepts append for them.
 """
 
 import random
@@ -27,8 +27,8 @@
 HTTP_TIMEOUT = 504
 #: Statuses that are valid from any host: done, bad input, an unknown key, no such job.
 FINAL_STATUSES = frozenset((200, 400, 401, 409, 410, 413))
-#: Seconds for which a peer is skipped that did not reply or that the store does not serve either;
-#: doubled with each further missing reply up to the maximum.
+#: Seconds for which a peer is skipped that did not reply or cannot use the store either. The time
+#: doubles with each further missing reply, up to the maximum.
 PEER_BACKOFF_SECONDS = 1.5
 MAX_PEER_BACKOFF_SECONDS = 4.0
 
@@ -46,7 +46,7 @@
 
 
 class Relay:
-    """Forwards requests to the owner, the zone's writer or any peer that the store serves."""
+    """Forwards requests to the owner, the zone's writer or any peer that can use the store."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         self._backoff_seconds_by_host.pop(host, None)
         reply = frame.message
         if not isinstance(reply, ForwardAnswer) or reply.no_room:
-            self._skip_peer_for(host, 'the store does not serve it either', PEER_BACKOFF_SECONDS)
+            self._skip_peer_for(host, 'it cannot use the store either', PEER_BACKOFF_SECONDS)
             return RelayResult(None)
         if reply.response.status in FINAL_STATUSES:
             return RelayResult(reply.response)
--- a/dandelionreel/cell/decisions/_job_runs.py
+++ b/dandelionreel/cell/decisions/_job_runs.py
@@ -3,7 +3,7 @@
 With the index, stopping a job costs time proportional to its own runs only.
 """
 
-from dandelionreel.accounts import Usage
+from dandelionreel.accounts import AccountUsage
 from dandelionreel.cell.decisions._ledger import Allocation, RunnerState
 from dandelionreel.cell.model import Demand, TaskName
 
@@ -17,7 +17,7 @@
         """Create an empty index."""
         self._allocations_by_job: dict[str, dict[RunKey, Allocation]] = {}
         #: Resources that the runs of each account use in total.
-        self.usage: Usage[Demand] = Usage(Demand())
+        self.usage: AccountUsage[Demand] = AccountUsage(Demand())
 
     def add_allocation(self, runner: RunnerState, allocation: Allocation) -> None:
         """Add an allocation to its runner, its job and its account."""
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -71,7 +71,9 @@
 
     def used(self, account: str) -> Demand:
         """Return the demand of all that runs, or may run, for an account."""
-        return self._allocations.usage.of(account) + self._unseen_by_account.get(account, Demand())
+        return self._allocations.usage.amounts_of(account) + self._unseen_by_account.get(
+            account, Demand()
+        )
 
     def remaining(self, account: str, quota: Demand | None) -> Demand | None:
         """Return how much more an account may start, ``None`` for no limit.
--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -3,9 +3,9 @@
 from dandelionreel.cell.membership._advisors import AdvicePool, LocalAdvisor, PeerLinks
 from dandelionreel.cell.membership._claim_order import (
     SUCCESSOR_COUNT,
+    find_larger_hosts,
     find_zone_writer,
     follows_runner_list,
-    larger_hosts,
     rank_hosts,
 )
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
@@ -41,7 +41,7 @@
     'Term',
     'find_zone_writer',
     'follows_runner_list',
-    'larger_hosts',
+    'find_larger_hosts',
     'make_incarnation_id',
     'rank_hosts',
 )
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -26,7 +26,8 @@
     TrafficCounter,
 )
 
-#: A request times out after its announced duration times the factor, plus the margin.
+#: A request times out after ``TIMEOUT_FACTOR`` times the duration that the policy service has
+#: announced for it, plus ``TIMEOUT_MARGIN_SECONDS``.
 TIMEOUT_FACTOR = 2.0
 TIMEOUT_MARGIN_SECONDS = 0.4
 #: Seconds for which a host that did not answer gets no further requests.
@@ -69,7 +70,7 @@
     """Sends the advice requests of this host and of its peers to the policy service."""
 
     def __init__(self, service: AdviceService | None) -> None:
-        """Send requests to ``service``; without one every request fails."""
+        """Send requests to ``service``; if it is ``None``, every request fails."""
         self._advice_service = service
 
     async def answer_advice_request(self, frame: Frame) -> Message:
--- a/dandelionreel/cell/membership/_claim_order.py
+++ b/dandelionreel/cell/membership/_claim_order.py
@@ -30,12 +30,14 @@
     return sorted(member_by_host, key=lambda host: (-member_by_host[host].cores, host))
 
 
-def claim_delay(member_by_host: Mapping[str, Member], own_host: str, former: str) -> float:
+def compute_claim_delay(member_by_host: Mapping[str, Member], own_host: str, former: str) -> float:
     """Return how many seconds ``own_host`` waits before it claims the cell from ``former``."""
     others = [host for host in rank_hosts(member_by_host) if host != former]
     rank = others.index(own_host) if own_host in others else len(others)
     delay = min(MAX_CLAIM_DELAY_SECONDS, rank * CLAIM_STAGGER_SECONDS)
-    return delay + SMALL_HOST_DELAY_SECONDS if larger_hosts(member_by_host, own_host) else delay
+    return (
+        delay + SMALL_HOST_DELAY_SECONDS if find_larger_hosts(member_by_host, own_host) else delay
+    )
 
 
 def is_successor(member_by_host: Mapping[str, Member], own_host: str) -> bool:
@@ -60,7 +62,7 @@
     return member_by_host[host].zone == own.zone
 
 
-def larger_hosts(member_by_host: Mapping[str, Member], own_host: str) -> list[str]:
+def find_larger_hosts(member_by_host: Mapping[str, Member], own_host: str) -> list[str]:
     """Return the hosts that can own a large cell if ``own_host`` has too few cores, else none."""
     own = member_by_host.get(own_host)
     if own is None or own.cores >= MIN_OWNER_CORES:
--- a/dandelionreel/cell/membership/_completion_handler.py
+++ b/dandelionreel/cell/membership/_completion_handler.py
@@ -41,7 +41,7 @@
         """
         report: Any = frame.message
         completed = await self._complete_at_owner(report.jobs)
-        if self._partition_detector.may_serve_reads:
+        if self._partition_detector.may_answer_reads:
             self._completions.add_zone_completions(report.jobs)
             return Done()
         return Done() if completed else Refused('is not cut off')
--- a/dandelionreel/cell/membership/_completions.py
+++ b/dandelionreel/cell/membership/_completions.py
@@ -78,8 +78,8 @@
     def merge_owner_report(self, epoch: int, jobs: Iterable[str]) -> bool:
         """Add jobs that the owner of ``epoch`` reports; return whether they were accepted.
 
-        They are refused once a later owner has queried this host: it would not learn of them and
-        might start a task again whose job clients see as complete.
+        Jobs are refused once a later owner has queried this host: the later owner would not learn
+        of them, and might restart tasks of jobs that clients see as complete.
         """
         if epoch < self._min_epoch:
             return False
--- a/dandelionreel/cell/membership/_configuration_exchange.py
+++ b/dandelionreel/cell/membership/_configuration_exchange.py
@@ -1,6 +1,6 @@
-"""Fetches a newer configuration from peers while the store does not serve this host.
+"""Fetches a newer configuration from peers while the store does not answer this host.
 
-Load pattern: the store refuses some hosts for seconds while it serves the others, and an API key is
+Load pattern: the store refuses some hosts for seconds but answers the others, and an API key is
 revoked meanwhile. A host that only reads the store would go on accepting the key.
 """
 
@@ -63,12 +63,12 @@
         #: The newest version that a peer is known to have.
         self._peer_version = 0
 
-    def age(self) -> float:
-        """Return for how many seconds a newer version may have been in force without this host."""
+    def configuration_age(self) -> float:
+        """Return for how many seconds this host may have been unaware of a newer configuration."""
         return self._clock.monotonic() - max(self._store_answered_at(), self._confirmed_at)
 
     def record_peer_version(self, version: int) -> None:
-        """Record that a peer has a version."""
+        """Record that a peer has a version of the configuration."""
         self._peer_version = max(self._peer_version, version)
 
     async def run(self) -> None:
@@ -81,14 +81,14 @@
             await curio.sleep(POLL_SECONDS)
 
     async def confirm_newest(self) -> bool:
-        """Query peers for a newer configuration; return whether this host's is the newest.
+        """Query peers for a newer configuration; return whether this host now has the newest one.
 
         Concurrent callers share one round of queries.
         """
         async with self._lock:
             if self._clock.monotonic() - self._queried_at >= CONFIRMATION_SECONDS:
                 await self._query_peers()
-        return self.age() < STORE_OVERDUE_SECONDS
+        return self.configuration_age() < STORE_OVERDUE_SECONDS
 
     async def answer_query(self, frame: Frame) -> Message:
         """Reply to a peer's query with the configuration, if it is newer than the peer's."""
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from dandelionreel.cell.membership._claim_order import claim_delay
+from dandelionreel.cell.membership._claim_order import compute_claim_delay
 from dandelionreel.cell.model import (
     OWNER_KEY,
     PREDECESSOR_LEASE_SECONDS,
@@ -30,14 +30,14 @@
 #: Seconds without a heartbeat after which the owner is queried: two heartbeats and an append whose
 #: reply was lost.
 SILENT_SECONDS = 0.9
-#: Seconds for an owner's reply to whether it is acting, seconds for which such a reply holds off a
-#: claim, and seconds of silence in the store after which the reply no longer counts: by then the
-#: owner has asked for a successor itself.
+#: Timeout in seconds of the query whether an owner without heartbeats still acts, and the seconds
+#: for which its confirmation prevents a claim. After ``MAX_EXCUSED_SILENCE_SECONDS`` without a
+#: heartbeat the owner is not queried any more: by then it has asked for a successor itself.
 OWNER_QUERY_TIMEOUT = 0.25
 ALIVE_ANSWER_VALID_SECONDS = 0.5
 MAX_EXCUSED_SILENCE_SECONDS = 4.0
-#: Seconds without a heartbeat once the store is reachable again: a live owner retries at least that
-#: often, and most likely writes as soon as this host can read.
+#: Seconds without a heartbeat after an outage of the store, before the owner counts as silent. A
+#: live owner retries at least that often, and can most likely write as soon as this host can read.
 SILENT_AFTER_OUTAGE_SECONDS = 0.9
 #: Upper limit in seconds of the random delay after a failed claim; the mean is twice the time that
 #: the store needs.
@@ -53,8 +53,8 @@
 POLL_SECONDS = 0.05
 #: Seconds for the reply to a claim, which a slow store also meets.
 CLAIM_TIMEOUT = 0.8
-#: Seconds for which a report counts that the owner is failing or unreachable. While the store
-#: serves nobody, such a report must not lead to a claim once the store is back.
+#: Seconds for which a report counts that the owner is failing or unreachable. A report during
+#: an outage of the store must not lead to a claim once the store is back.
 SUSPECTED_SECONDS = 0.8
 #: Seconds without a heartbeat after which an owner counts as dead that does not reply to its peers
 #: or refuses connections, and the least multiple of the usual gap between heartbeats.
@@ -103,11 +103,11 @@
     former: Owner | None = None
     #: The offset at which this incarnation of the host first read the topic.
     read_from: int = 0
-    #: When the won claim was sent, in monotonic seconds; ``None`` for now. Peers count the owner's
-    #: authority from then on, so the owner does too.
+    #: When the won claim was sent, in monotonic seconds; ``None`` for the current
+    #: time. Peers count the owner's authority from then on, so the owner does too.
     claimed_at: float | None = None
 
-    def owner_record(
+    def make_owner_record(
         self,
         beat: int = 0,
         unsettled: float = 0,
@@ -200,7 +200,7 @@
         self._record_owner_unreachable(term)
 
     async def handle_owner_failing(self, frame: Frame) -> Message:
-        """Handle an owner's request for a successor because the store does not serve it."""
+        """Handle an owner's request for a successor because its appends to the store fail."""
         failing: Any = frame.message
         self._journal.log(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
         self.suspect_owner(failing.term)
@@ -217,8 +217,8 @@
     def answer_owner_query(self, frame: Frame, acting: bool, ready: bool) -> Message:
         """Reply to a peer's query whether this host acts under a term.
 
-        A query without a term asks whether this host is ``ready``: the store serves it, so it can
-        take a client's request or own the cell.
+        A query without a term asks whether this host is ``ready``, which means that it reads the
+        store and can handle a client's request or own the cell.
         """
         query: Any = frame.message
         if not query.term:
@@ -289,7 +289,7 @@
 
     def _claim_delay(self) -> float:
         cell_state = self._projection.state
-        return claim_delay(
+        return compute_claim_delay(
             cell_state.member_by_host, self._host, cell_state.owner.host if cell_state.owner else ''
         )
 
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -54,19 +54,19 @@
         self._owner_queried_at = float('-inf')
 
     @property
-    def cut_off(self) -> bool:
+    def is_cut_off(self) -> bool:
         """Return whether this host is cut off, as of the latest queries."""
         now = self._clock.monotonic()
         return self._zone_contact.is_cut_off(self._other_zones(), self._store_answered_at(), now)
 
     @property
-    def may_serve_reads(self) -> bool:
-        """Return whether this host may answer clients by what its zone's runners list.
+    def may_answer_reads(self) -> bool:
+        """Return whether this host may answer clients from the ended runs that runners list.
 
-        It may not once an owner has queried the completed jobs that it knows: that owner relies
-        on the reply until the store serves this host again.
+        It may not after an owner has queried the completed jobs that this host knows: the owner
+        relies on the completeness of that reply until the store answers this host again.
         """
-        return self.cut_off and self._owner_queried_at < self._store_answered_at()
+        return self.is_cut_off and self._owner_queried_at < self._store_answered_at()
 
     def record_owner_query(self) -> None:
         """Record that an owner has queried the completed jobs of this host."""
@@ -87,7 +87,7 @@
             if now - self._queried_at >= QUERY_INTERVAL_SECONDS:
                 self._queried_at = now
                 await self._query_other_zones(now)
-        return self.cut_off
+        return self.is_cut_off
 
     async def _query_other_zones(self, now: float) -> None:
         """Query one host of each other zone, a different one in each round."""
@@ -118,9 +118,9 @@
         return zones - {self._zone, ''}
 
     def _log_cut_off_change(self) -> None:
-        if self.cut_off is self._logged_cut_off:
+        if self.is_cut_off is self._logged_cut_off:
             return
-        self._logged_cut_off = self.cut_off
+        self._logged_cut_off = self.is_cut_off
         sentence = 'is cut off' if self._logged_cut_off else 'is not cut off any more'
         self._journal.log(
             Part.PEERS,
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -12,8 +12,8 @@
 from dandelionreel.kernel import Part
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, PeerError
 
-#: Seconds to wait for the store before a completion is sent to peers: several times its usual
-#: delay.
+#: Seconds that storing a completion may take before it is sent to peers as well: several times the
+#: usual duration of an append.
 STORE_DELAY_SECONDS = 0.04
 #: Timeout in seconds of a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
 ANSWER_TIMEOUT = 0.25
@@ -34,7 +34,10 @@
         completions: Completions,
         host: str,
     ) -> None:
-        """Act for ``host``; ``completions`` collects the jobs that may be shown as complete."""
+        """Exchange messages as ``host``.
+
+        ``completions`` collects the jobs that may be shown as complete.
+        """
         self._owner_context = context
         self._cell_state = cell_state
         self._links = links
@@ -56,7 +59,10 @@
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def block_started_jobs(self) -> None:
-        """Block started jobs until the peers, which may know them as complete, were queried."""
+        """Start no more tasks of started jobs until ``query_successors`` has queried the peers.
+
+        A peer may know that such a job is complete, from an earlier owner.
+        """
         self._owner_context.cell.awaits_completions = True
 
     async def query_successors(self) -> None:
--- a/dandelionreel/cell/owner/_dependencies.py
+++ b/dandelionreel/cell/owner/_dependencies.py
@@ -4,7 +4,11 @@
 
 from dandelionreel.cell.membership import Completions, Election, LocalAdvisor, PeerLinks
 from dandelionreel.cell.model import Topic
-from dandelionreel.cell.owner._owner_context import GetRunnerListAge, MakeRunner, always_fresh
+from dandelionreel.cell.owner._owner_context import (
+    GetRunnerListAge,
+    MakeRunner,
+    zero_runner_list_age,
+)
 from dandelionreel.cell.store import (
     CellProjection,
     ConfigurationProjection,
@@ -35,4 +39,4 @@
     max_lease: float
     status_retention: float
     #: Returns the age of the local copy of the runner list, in seconds.
-    get_runner_list_age: GetRunnerListAge = always_fresh
+    get_runner_list_age: GetRunnerListAge = zero_runner_list_age
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -84,12 +84,12 @@
             dependencies.completions,
             dependencies.host,
         )
-        self._owner_context.confirm_zone = ZoneConfirmation(
+        self._owner_context.confirm_zone_completions = ZoneConfirmation(
             self._owner_context,
             dependencies.jobs.state,
             self._completion_gossip,
             dependencies.host,
-        ).is_confirmed
+        ).has_reported_completions
         self._load_report = LoadReport(self.cell, self._advice_pool, dependencies.journal)
         self._periodic_checks = PeriodicChecks(dependencies, self._owner_context, self._load_report)
 
@@ -234,7 +234,7 @@
         """
         await self._owner_context.flush_progress()
         self._owner_context.end_reason = 'released'
-        owner_record = self._owner_context.term.owner_record(
+        owner_record = self._owner_context.term.make_owner_record(
             unsettled=self._unsettled_seconds(),
             released=True,
             version=self._dependencies.configuration.version,
@@ -244,13 +244,16 @@
         )
 
     def _load_state(self) -> None:
-        """Load jobs and quota leftovers from the store, and the runners still to be polled."""
+        """Load the jobs, the runners still to be polled, and the leftovers of ended jobs.
+
+        Leftovers are runs of a finished job that still count against the quota of its account.
+        """
         dependencies = self._dependencies
         self._periodic_checks.load_predecessor_state(self._clock.monotonic())
         cell_state = dependencies.jobs.state
         cell_state.take_changed_jobs()
         # In order of acceptance, since an account expects its earlier jobs to be served first.
-        for job_id in sorted(cell_state.submission_by_id, key=cell_state.accepted_at):
+        for job_id in sorted(cell_state.submission_by_id, key=cell_state.job_accepted_at):
             self._reload_job(job_id)
         unix_time = self._clock.unix_time()
         for job_id, progress in cell_state.progress_by_id.items():
@@ -259,8 +262,9 @@
     def _unsettled_seconds(self) -> float:
         """Return for how many more seconds leases of earlier owners may last on unseen runners.
 
-        Every owner record carries it, including the release. Otherwise a successor would only wait
-        for this owner's last lease while an earlier owner still renews others.
+        Unseen runners are those that this owner has not polled successfully yet. Every owner
+        record has this time, including the record of a release. Otherwise a successor would only
+        wait for this owner's last lease while an earlier owner still renews others.
         """
         if not self.cell.unseen_runners:
             return 0.0
@@ -268,13 +272,13 @@
         return round(max(0.0, remaining), 2)
 
     async def _store_heartbeats(self) -> None:
-        """Store heartbeats until the term ends; one stored after the release would undo it."""
+        """Store heartbeats until the term ends; a heartbeat after the release would revoke it."""
         heartbeat = 0
         stored: frozenset[str] = frozenset()
         while not self._owner_context.end_reason:
             heartbeat += 1
             version = self._dependencies.configuration.version
-            owner_record = self._owner_context.term.owner_record(
+            owner_record = self._owner_context.term.make_owner_record(
                 heartbeat, self._unsettled_seconds(), version=version
             )
             records = [make_record(OWNER_KEY, owner_record)]
@@ -355,10 +359,11 @@
             await self._owner_context.plan_needed.wait(seen, 1.0)
 
     async def _plan_and_send_orders(self) -> None:
-        """Make a plan and send all its orders, even if the right to start ends meanwhile.
+        """Make a plan and send all its orders, even if this host may start no more tasks meanwhile.
 
-        Each start checks that right before it is sent and is withdrawn without it. Dropping a plan
-        would leave starts and advice requests recorded as pending although they were never sent.
+        Before each start is sent, ``may_start_tasks`` is checked again, and the start is withdrawn
+        if it is false. Dropping a plan would leave starts and advice requests recorded as pending
+        although they were never sent.
         """
         started_at = self._clock.monotonic()
         plan = self._planner.plan(
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -1,7 +1,7 @@
 """Logs the load of the owner's cell once a second while tasks wait.
 
-The line shows why they wait: lack of free capacity, runners or tickets, or of processor time in the
-owner.
+The line shows why tasks wait: too little free capacity, too few runners, no permits of the policy
+service (tickets) yet, or too little processor time of the owner.
 """
 
 from collections import Counter
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -49,14 +49,16 @@
         """Return how many more starts may be pending.
 
         Without the limit, an owner that is short of processor time would send urgent starts after
-        many others, and their tickets would expire meanwhile.
+        many others, and the permits of the policy service (tickets) that they need would expire
+        meanwhile.
         """
         return max(0, MAX_PENDING_STARTS - self._pending_starts)
 
     async def send_starts(self, allocations: list[Allocation]) -> None:
         """Send starts; runners that are new to their jobs are stored first.
 
-        A start of a task during which runners have crashed is always stored first.
+        If runners have crashed during earlier runs of a task, its next start is always stored
+        first.
         """
         self._pending_starts += len(allocations)
         unstored: dict[str, list[Allocation]] = {}
@@ -211,7 +213,10 @@
         allocation: Allocation,
         payload: str,
     ) -> bool | None:
-        """Retry a start until it is answered; else return whether it may have arrived."""
+        """Send a start and retry it until it is answered.
+
+        Return ``None`` if it was answered, otherwise whether it may have arrived.
+        """
         may_have_arrived = False
 
         def may_send_start() -> bool:
@@ -220,7 +225,7 @@
         started_at = self._owner_context.clock.monotonic()
         for _ in range(START_ATTEMPTS):
             if not may_send_start():
-                # Withdrawn by the owner, which is no sign that the runner is unreachable.
+                # The owner has withdrawn the start; the runner need not be unreachable.
                 return may_have_arrived
             self._record_order_sent(state)
             try:
@@ -229,14 +234,14 @@
                 )
             except RunnerError as error:
                 arrived = error.verdict is not Verdict.NOT_RUN
-                # Only the first attempt counts: a crash has already closed the connections that
-                # later attempts use.
+                # Only the first attempt can show that the runner crashed during the start: after a
+                # crash the connections that later attempts use are already closed.
                 allocation.connection_broken = allocation.connection_broken or (
                     arrived and error.connection_broken and not may_have_arrived
                 )
                 may_have_arrived = may_have_arrived or arrived
                 allocation.start_unanswered = may_have_arrived
-                # Send no more starts there until the runner answers a poll: a start that may have
+                # Send this runner no more starts until it answers a poll: a start that may have
                 # arrived blocks its task until the lease has expired.
                 state.suspect = True
                 self._log_unanswered_start(allocation, error)
@@ -264,7 +269,9 @@
         return not allocation.ticket or cell.tickets.is_valid(step, allocation.runner, now)
 
     async def _end_replaced_runner(self, state: RunnerState) -> None:
-        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
+        if await self._owner_context.confirm_zone_completions(
+            state.registration.zone, state.answered_at
+        ):
             self._owner_context.remove_ended_runner(
                 state, 'another runner answers at its address', proven=True
             )
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -20,7 +20,8 @@
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, seconds_or_none
 
-#: Seconds for which runners keep their tasks without a renewal: longer than a usual partition.
+#: Seconds for which runners keep their tasks unless the lease is renewed: longer than most
+#: partitions.
 LEASE_SECONDS = 8.5
 
 #: Seconds without an answered append after which no task is started: less than a successor needs
@@ -35,16 +36,16 @@
 MAX_LOGGED = 40
 
 GetRunnerListAge = Callable[[], float]
-ConfirmZone = Callable[[str, float], Awaitable[bool]]
+ConfirmZoneCompletions = Callable[[str, float], Awaitable[bool]]
 MakeRunner = Callable[[Registration], Runner]
 
 
-def always_fresh() -> float:
+def zero_runner_list_age() -> float:
     """Return 0, the age of a runner list that never becomes stale."""
     return 0.0
 
 
-async def always_confirmed(zone: str, since: float) -> bool:
+async def confirm_any_zone(zone: str, since: float) -> bool:
     """Confirm any zone, for contexts in which no host answers clients during a partition."""
     return True
 
@@ -61,7 +62,7 @@
         max_lease: float,
         clock: Clock,
         journal: Journal,
-        get_runner_list_age: GetRunnerListAge = always_fresh,
+        get_runner_list_age: GetRunnerListAge = zero_runner_list_age,
     ) -> None:
         """Create the context of ``term``; leases last at most ``max_lease`` seconds.
 
@@ -89,7 +90,7 @@
         self._make_runner = make_runner
         #: Returns whether the hosts of a zone have reported the completions that they have shown to
         #: clients since a time. Until then no run in that zone counts as lost.
-        self.confirm_zone: ConfirmZone = always_confirmed
+        self.confirm_zone_completions: ConfirmZoneCompletions = confirm_any_zone
 
     async def end_term(self, cause: str) -> None:
         """End the term: another host owns the cell or may own it."""
@@ -161,8 +162,8 @@
         """Store the progress of all changed jobs and wait for writes that are already queued.
 
         A job whose progress is already queued has nothing more to write. If a write is abandoned
-        meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
-        although it is not in the store.
+        meanwhile, the result is ``UNKNOWN``: otherwise the end of a run would be acknowledged to
+        its runner although it is not in the store.
         """
         abandoned_before = self.writer.abandoned_count
         outcome = await self.store_progress(self.cell.take_dirty_jobs())
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -116,7 +116,7 @@
         )
 
     async def _drop_unseen_runners(self, now: float) -> None:
-        """Treat tasks on unseen runners as ended once their leases must have expired."""
+        """Treat tasks on runners not polled yet as ended once their leases must have expired."""
         if not self._cell.unseen_runners:
             return
         await self._drop_replaced_runners()
@@ -132,10 +132,10 @@
                 self._owner_context.log_crashes(self._cell.drop_unseen_runners(confirmed))
 
     async def _drop_replaced_runners(self) -> None:
-        """Treat tasks on runner incarnations as ended that a later incarnation has replaced."""
+        """Treat tasks as ended if their runner was replaced by a later incarnation of it."""
         replaced = []
         for incarnation, later in self._cell.find_replaced_runners().items():
-            if await self._owner_context.confirm_zone(
+            if await self._owner_context.confirm_zone_completions(
                 later.registration.zone, self._term_started_at
             ):
                 replaced.append(incarnation)
@@ -154,7 +154,9 @@
         registration = self._dependencies.runners.find_registration(runner)
         if registration is None:
             return True
-        return await self._owner_context.confirm_zone(registration.zone, self._term_started_at)
+        return await self._owner_context.confirm_zone_completions(
+            registration.zone, self._term_started_at
+        )
 
     def _log_unseen_runners(self, sentence: str, now: float) -> None:
         self._journal.log(
@@ -203,7 +205,7 @@
             self._cell.runner_by_id.values(), runner_list.find_registration, now
         )
         for runner_id in self._cell.unseen_runners - self._cell.runner_by_id.keys():
-            # It is no longer listed but may still be alive and have tasks.
+            # The runner is no longer listed but may still be alive and have tasks.
             registration = runner_list.find_registration(runner_id)
             if registration is not None:
                 new_states.append(self._cell.add_unlisted(registration))
--- a/dandelionreel/cell/owner/_predecessor_leases.py
+++ b/dandelionreel/cell/owner/_predecessor_leases.py
@@ -1,7 +1,7 @@
 """Computes until when leases granted by earlier owners may last. No I/O.
 
-It matters when the owner is lost together with the network path to some runners: their tasks run as
-long as the lost owner renews the leases, and must not be started elsewhere meanwhile.
+This matters when the owner is lost together with the network path to some runners: their tasks run
+as long as the lost owner renews the leases, and must not be started elsewhere meanwhile.
 """
 
 from dandelionreel.cell.decisions import MAX_CLOCK_DRIFT
@@ -42,10 +42,10 @@
         )
 
     def shorten_if_owner_ended(self, cell_state: CellState, now: float) -> bool:
-        """Set an earlier end once the former owner has ended; return whether that is newly found.
+        """Set an earlier ``expire_at`` if the former owner is now known to have ended.
 
-        If its host is back with a new process, the old process renews no more leases, and only the
-        last lease that it granted is left to wait for.
+        Return whether this was found out just now. If the former owner's host has started a new
+        process, the old process renews no more leases, so only its last lease must be waited for.
         """
         if (
             self.former_owner_ended
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -14,11 +14,11 @@
 from dandelionreel.cell.store import WriteOutcome
 from dandelionreel.kernel import Part
 
-#: Long-poll time in seconds: the runner answers earlier if a run ends. Each poll renews its
-#: leases.
+#: Long-poll time in seconds: the runner answers earlier if a run ends. Each poll renews the
+#: leases of the runner.
 POLL_SECONDS = 1.5
-#: Long-poll time in seconds while a run is being stopped there: a stop that was acknowledged but
-#: not carried out is only visible to a later poll.
+#: Long-poll time in seconds while a run is being stopped on the runner: a stop that was
+#: acknowledged but not carried out is only visible to a later poll.
 STOP_POLL_SECONDS = 0.5
 #: Seconds between polls of a runner that does not answer or whose ends are not stored yet.
 POLL_RETRY_SECONDS = 0.2
@@ -37,7 +37,8 @@
     def __init__(self, context: OwnerContext) -> None:
         """Poll under the term of ``context``."""
         self._owner_context = context
-        #: Jobs with ends that a runner has listed and that are not yet acknowledged to it.
+        #: Jobs whose ended runs a runner has listed, while these ends are not yet acknowledged to
+        #: the runner.
         self._unstored_by_runner: dict[str, set[str]] = {}
 
     async def poll_runner(self, state: RunnerState, runner: Runner) -> None:
@@ -186,7 +187,9 @@
         await curio.sleep(POLL_RETRY_SECONDS)
 
     async def _end_replaced_runner(self, state: RunnerState) -> None:
-        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
+        if await self._owner_context.confirm_zone_completions(
+            state.registration.zone, state.answered_at
+        ):
             self._owner_context.remove_ended_runner(
                 state, 'another runner answers at its address', proven=True
             )
@@ -195,7 +198,9 @@
         await curio.sleep(POLL_RETRY_SECONDS)
 
     async def _expire_leases(self, state: RunnerState) -> None:
-        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
+        if await self._owner_context.confirm_zone_completions(
+            state.registration.zone, state.answered_at
+        ):
             self._owner_context.expire_runner_leases(state)
 
     def _log_readability(self, state: RunnerState, view: RunnerView) -> None:
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -2,19 +2,19 @@
 
 import curio
 
-from dandelionreel.cell.membership import Election, PeerLinks, larger_hosts, rank_hosts
+from dandelionreel.cell.membership import Election, PeerLinks, find_larger_hosts, rank_hosts
 from dandelionreel.cell.model import Member
 from dandelionreel.cell.owner._owner_context import OwnerContext
 from dandelionreel.cell.store import CellState
 from dandelionreel.kernel import Part
 from dandelionreel.peers import Done, OwnerAsked, OwnerFailing, PeerError
 
-#: Seconds between requests to take over, and the number of peers in each: if the store refuses
-#: every host, each claim adds to its load.
+#: Seconds between two rounds of requests to take over, and the number of peers asked in a round.
+#: Few are asked, since the store may refuse every host and each claim adds to its load.
 REQUEST_RETRY_SECONDS = 0.7
 PEERS_PER_REQUEST = 3
-#: Seconds of a term before the cell may be handed over to a larger host, and between attempts:
-#: larger hosts that were restarted together with this one are back by then.
+#: Seconds from the start of a term to the first attempt to hand the cell over to a larger host, and
+#: between attempts: larger hosts that were restarted together with this one are back by then.
 MIN_TERM_SECONDS = 1.5
 #: Timeout in seconds of a larger host's answer whether it is ready.
 READY_TIMEOUT = 0.2
@@ -78,7 +78,7 @@
         return bool(self._owner_context.end_reason)
 
     async def _request_takeover_if_store_fails(self, now: float) -> None:
-        """Ask peers to claim the cell if the store fails for this host, since it may serve them."""
+        """Ask peers to claim the cell if appends of this host fail, as theirs may succeed."""
         if (
             not self._owner_context.writer.store_is_failing(now)
             or now < self._last_request_at + REQUEST_RETRY_SECONDS
@@ -87,7 +87,7 @@
         self._last_request_at = now
         self._owner_context.journal.log(
             Part.OWNERSHIP,
-            'asks peers to take over: the store does not serve this host.',
+            'asks peers to take over: appends of this host fail.',
             epoch=self._owner_context.term.epoch,
             failing_seconds=round(now - self._owner_context.writer.failing_since, 3),
         )
@@ -107,7 +107,7 @@
         if now < self._next_hand_over_at or not self._election.may_hand_over():
             return
         members = self._cell_state.member_by_host
-        for host in larger_hosts(members, self._host)[:PEERS_PER_REQUEST]:
+        for host in find_larger_hosts(members, self._host)[:PEERS_PER_REQUEST]:
             if not await self._is_ready_to_own(host, members[host]):
                 continue
             self._election.record_hand_over()
--- a/dandelionreel/cell/owner/_zone_confirmation.py
+++ b/dandelionreel/cell/owner/_zone_confirmation.py
@@ -35,7 +35,7 @@
         self._lost_zones: set[str] = set()
         self._term_started_at = context.clock.monotonic()
 
-    async def is_confirmed(self, zone: str, since: float) -> bool:
+    async def has_reported_completions(self, zone: str, since: float) -> bool:
         """Return whether a zone has reported its completions after a runner there became silent.
 
         ``since`` is the start of that silence in monotonic seconds. A zone without other hosts
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -1,8 +1,8 @@
 """State of the cell, built by every host from the records of the cell's topic in log order.
 
-A record that cannot be read leaves the known value of its key unchanged. Where there is none,
-the safe assumption is made: the job exists and must not be started, an owner may be acting,
-and its tasks may run on any runner.
+A record that cannot be read leaves the known value of its key unchanged. If no value of the
+key is known, the safe assumption is made: the job exists and must not be started, an owner may be
+acting, and its tasks may run on any runner.
 """
 
 import copy
@@ -84,7 +84,7 @@
     def may_be_resubmitted(self) -> bool:
         """Return whether a retry of the client may overwrite an unreadable submission.
 
-        Not where progress is stored: a job that starts over would run tasks twice.
+        It may not if progress is stored: a job that starts over would run tasks twice.
         """
         never_started = self.progress is None and not self.progress_unreadable
         return self.submission_unreadable and never_started and not self.cancelled
@@ -148,7 +148,7 @@
             return stored
         return stored if progress is not None and progress.state in FINAL_STATES else None
 
-    def accepted_at(self, job: str) -> float:
+    def job_accepted_at(self, job: str) -> float:
         """Return when a stored job was accepted, in Unix time."""
         return self.submission_by_id[job].accepted_at
 
@@ -163,8 +163,8 @@
     def runners_possibly_in_use(self) -> set[str]:
         """Return the runners on which tasks started by the owner or its predecessors may run.
 
-        Where their list cannot be read, they are taken from the jobs' progress: a runner is
-        stored there before the job's first start on it.
+        If the list of runners in use cannot be read, they are taken from the jobs' progress: a
+        runner is stored there before the job's first start on it.
         """
         if self.runners_in_use is not None:
             return set(self.runners_in_use.runners)
@@ -183,8 +183,8 @@
         """Return whether a later process has started on the host of that owner.
 
         A store that loses answers may execute an append seconds later, so the member record
-        of an earlier process can land after the owner's. Taken for a later process, it would
-        end the wait for the leases of a living owner, and its tasks would run twice.
+        of an earlier process can land after the owner's. If that process were taken for a later
+        one, the leases of a living owner would not be waited for, and its tasks would run twice.
         """
         member = self.member_by_host.get(owner.host)
         if member is None or member.incarnation in {'', owner.term}:
--- a/dandelionreel/cell/store/_follower.py
+++ b/dandelionreel/cell/store/_follower.py
@@ -162,7 +162,7 @@
                 self._journal.log(Part.LOG, f'starts again from a snapshot: {error}.')
                 self._offset = None
                 # Pages of a snapshot are read one after the other: a job that ended meanwhile
-                # may be in none of them, and counted as unknown (clients were answered 410)
+                # may be in none of them. It then counted as unknown, and clients were answered 410,
                 # until the records after the snapshot had been read.
                 self.fresh_at = NEVER
             except StoreError as error:
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -50,8 +50,8 @@
 
     def apply(self, batch: RecordBatch) -> None:
         """Read the next records of the topic."""
-        # Decodes all of them: the last one may be unreadable, or an older version that another
-        # writer has appended.
+        # Decodes all configurations: the last one may be unreadable, or an older version that
+        # another writer has appended.
         for record in batch.records:
             if record.key == self._codec.configuration_key and not record.dropped:
                 self._apply_record(record)
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -21,23 +21,24 @@
 )
 from dandelionreel.kernel import Clock, Journal, Part, Verdict
 
-#: Keeps the append of a backlog within a few milliseconds.
+#: Number of records at which an append takes no further writes, so that it lasts a few
+#: milliseconds.
 MAX_APPEND_RECORDS = 200
-#: Well below the store's limit for one append.
+#: Size at which an append takes no further writes, well below the store's limit for one append.
 MAX_APPEND_BYTES = 1_000_000
 #: Bounds of a fenced append's timeout. It follows the measured latency and doubles with each
 #: timeout, so that a slow store is not taken for a silent one.
 MIN_TIMEOUT_SECONDS = 0.3
 MAX_TIMEOUT_SECONDS = 0.9
-#: Constant for unfenced writers: an append that is sent again while the first one is queued at
-#: the store makes the queue longer.
+#: Timeout of unfenced appends, which is constant: an append that is sent again while the first one
+#: is queued at the store makes the queue longer.
 UNFENCED_TIMEOUT_SECONDS = 0.9
 #: Ratio of the timeout to the typical latency.
 TIMEOUT_FACTOR = 8.0
 #: Weight of the newest latency in the moving average.
 NEWEST_LATENCY_WEIGHT = 0.2
-#: Seconds of refused or reset connections, and of silence, after which the store counts as
-#: unreachable. Longer for silence, as a slow store looks silent at first.
+#: Seconds of refused or reset connections, and of unanswered appends, after which the store counts
+#: as failing. The second is longer, as a slow store does not answer in time at first.
 REFUSING_SECONDS = 0.2
 SILENT_SECONDS = 1.0
 #: Seconds after which a failed append says nothing about the store any more.
@@ -213,7 +214,7 @@
     async def _keep_retryable_writes(
         self, writes: list[_PendingWrite], error: StoreError
     ) -> list[_PendingWrite]:
-        """Return the writes that are to be tried again, after a pause."""
+        """Pause, and return the writes that are to be sent again; abandon the others."""
         now = self._clock.monotonic()
         kept = []
         for pending in writes:
@@ -238,8 +239,8 @@
         They were never sent and are reported as such: only then may the caller ask another host.
         """
         expired = [pending for pending in self._waiting_writes if pending.deadline <= now]
-        # No await between the two: writes that are queued meanwhile must stay behind all waiting
-        # ones, or an older record of a job could be appended after its newest.
+        # No await between these two statements: writes that are queued meanwhile must stay behind
+        # all waiting ones, or an older record of a job could be appended after its newest.
         self._waiting_writes = deque(
             pending for pending in self._waiting_writes if now < pending.deadline
         )
--- a/dandelionreel/entry_accounts.py
+++ b/dandelionreel/entry_accounts.py
@@ -35,7 +35,7 @@
     cell_state: CellState,
     refusals: RefusalCounts,
 ) -> dict[str, Any]:
-    """Return the status; only the owner, which has a ``cell``, knows usage and waiting jobs."""
+    """Return the status of accounts; only the owner has a ``cell`` and shows usage and jobs."""
     owner = cell_state.owner
     member = None if owner is None else cell_state.member_by_host.get(owner.host)
     return {
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -61,7 +61,7 @@
 EXIT_MARGIN_SECONDS = 1.0
 POLL_SECONDS = 0.05
 MEMBER_WRITE_TIMEOUT = 5.0
-#: The first two stop the host, the last one checks its settings file.
+#: SIGTERM and SIGINT stop the host; SIGHUP checks its settings file.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
@@ -89,7 +89,8 @@
             self._journal,
         )
         self._cell_projection = self._reads.cell
-        # A connection of its own: claims and the owner's records must not wait behind submissions.
+        # The owner has its own connection to the store: claims and the owner's records must not
+        # wait behind submissions.
         self._owner_topic = StoreTopic(CELL_TOPIC, settings.store)
         self._writer = GroupWriter(self._reads.topics[CELL_TOPIC], self._clock, self._journal)
         incarnation = make_incarnation_id(settings.host)
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -49,7 +49,7 @@
     """
     peers = PeerServer(election.incarnation, clock, PeerClocks(), journal, TrafficCounter())
     handlers = (
-        (Forward, client_api.handle_relayed),
+        (Forward, client_api.handle_forwarded_request),
         (OwnerFailing, election.handle_owner_failing),
         (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer_advice_request),
--- a/dandelionreel/entry_readiness.py
+++ b/dandelionreel/entry_readiness.py
@@ -72,7 +72,7 @@
         return ReadinessInputs(
             stopping=self._stopping,
             configured=self._configuration.current is not None,
-            cut_off=self._partition_detector.cut_off,
+            cut_off=self._partition_detector.is_cut_off,
             store_is_failing=self._writer.store_is_failing(now) or owner_store_is_failing,
             store_age=self._follower.age(now),
         )
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -30,7 +30,8 @@
 #: of them its own, and the runners' heartbeats.
 OWNER_CELL_PAUSE_SECONDS = 0.15
 OWNER_RUNNERS_PAUSE_SECONDS = 0.2
-#: The same at other hosts, where a client request for an unfinished job ends the pause.
+#: Seconds between reads at other hosts, where a client request for an unfinished job ends the
+#: pause.
 CELL_PAUSE_SECONDS = 0.25
 RUNNERS_PAUSE_SECONDS = 2.0
 OPERATOR_PAUSE_SECONDS = 0.1
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -69,7 +69,7 @@
             return
         if now - self._requested_at.get(customer, float('-inf')) < REQUEST_INTERVAL_SECONDS:
             return
-        used = planner.cell.usage.of(customer)
+        used = planner.cell.usage.amounts_of(customer)
         for work in planner.queue.heads_of_customer(customer):
             quota = contract.quota.resources()
             needed = (used + work.total).dominant_share(quota)
@@ -105,7 +105,7 @@
         if contract is None:
             return 0
         quota = contract.quota.resources()
-        used = planner.cell.usage.of(customer)
+        used = planner.cell.usage.amounts_of(customer)
         usable = quota.times(self.usable_share(customer))
         candidates = (
             planner.queue.heads_of_customer(customer)
--- a/dandelionreel/placement/_cell.py
+++ b/dandelionreel/placement/_cell.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Iterable
 
-from dandelionreel.accounts import Usage
+from dandelionreel.accounts import AccountUsage
 from dandelionreel.backing import EPSILON, NO_RESOURCES, Resources
 from dandelionreel.placement._work import RunningTask
 
@@ -92,7 +92,7 @@
         self.random_source = random_source or random.Random()
         self.worker_by_name: dict[str, WorkerView] = {}
         #: Resources in use by customer, over all workers.
-        self.usage: Usage[Resources] = Usage(NO_RESOURCES)
+        self.usage: AccountUsage[Resources] = AccountUsage(NO_RESOURCES)
         self.total = NO_RESOURCES
         self._freed_by_name: dict[str, WorkerView] = {}
         self._without_accelerators = _Buckets()
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -111,7 +111,7 @@
                 heapq.heappush(entitlements, (self._entitlement(customer), customer))
 
     def _entitlement(self, customer: str) -> tuple[bool, float]:
-        used = self.cell.usage.of(customer)
+        used = self.cell.usage.amounts_of(customer)
         return self.queue.entitlement(customer, used, self.cell.total)
 
     def _place_next_job(self, customer: str, now: float, placed: list[Placement]) -> bool:
@@ -121,7 +121,7 @@
     def _try_place(self, work: Work, now: float, placed: list[Placement]) -> bool:
         if work.shape in self._failed_shapes and not work.avoid:
             return False
-        used = self.cell.usage.of(work.customer)
+        used = self.cell.usage.amounts_of(work.customer)
         if not self.queue.within_quota(work, used):
             return False
         self.considered_count += 1
--- a/features/client_parts.py
+++ b/features/client_parts.py
@@ -21,7 +21,7 @@
 class ConnectedDetector:
     """A partition detector of a host that is not cut off."""
 
-    cut_off = False
+    is_cut_off = False
 
     async def check_other_zones(self):
         return False
@@ -33,7 +33,7 @@
     async def confirm_newest(self):
         return True
 
-    def age(self):
+    def configuration_age(self):
         return 0.0
 
     def record_peer_version(self, version):
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -267,7 +267,7 @@
     request = Request('GET', '/plain/', (('host', 'h'),))
     authenticated = Caller(caller, digest_key(key), version)
     frame = Frame(1, 'peer/1', 0, 0, Forward(request, 1.0, 1, authenticated))
-    context.answer = curio.run(context.client_api.handle_relayed, frame).response
+    context.answer = curio.run(context.client_api.handle_forwarded_request, frame).response
 
 
 @given('a job of {owner} that is {state}')
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -78,8 +78,8 @@
 class FixedDetector:
     """A partition detector with a fixed answer."""
 
-    def __init__(self, may_serve_reads):
-        self.may_serve_reads = may_serve_reads
+    def __init__(self, may_answer_reads):
+        self.may_answer_reads = may_answer_reads
 
 
 class RecordingRunner:
@@ -240,9 +240,9 @@
     gossip = CompletionGossip(
         context.owner, cell_state, context.zone, Completions(context.clock), 'me'
     )
-    context.owner.confirm_zone = ZoneConfirmation(
+    context.owner.confirm_zone_completions = ZoneConfirmation(
         context.owner, cell_state, gossip, 'me'
-    ).is_confirmed
+    ).has_reported_completions
     context.clock.advance(context.silent)
     times = 20 if hosts.endswith('times within 0.2 s') else 1
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import Cell
-from dandelionreel.cell.membership._claim_order import claim_delay, find_zone_writer
+from dandelionreel.cell.membership._claim_order import compute_claim_delay, find_zone_writer
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.model._records import (
@@ -248,7 +248,7 @@
 @then('after the owner {former} they claim in the order {order}')
 def order_of_claims(context, former, order):
     hosts = [host for host in context.member_by_host if host != former]
-    hosts.sort(key=lambda host: claim_delay(context.member_by_host, host, former))
+    hosts.sort(key=lambda host: compute_claim_delay(context.member_by_host, host, former))
     assert hosts == order.split(', '), hosts
 
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -123,7 +123,7 @@
     context.cell_state = CellState()
     owner = Term(
         3, 'other/3', WriterFence(3, 1), None, False, False, read_from=offset
-    ).owner_record()
+    ).make_owner_record()
     member = Member('north', '10.0.0.9', 7, 'other/3', read_from=offset)
     context.cell_state.apply(
         [make_record(f'{MEMBER_PREFIX}other', member), make_record(OWNER_KEY, owner)]
--- a/features/store_parts.py
+++ b/features/store_parts.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.owner._dependencies import DispatcherDependencies
 from dandelionreel.cell.owner._dispatcher import Dispatcher
-from dandelionreel.cell.owner._owner_context import OwnerContext, always_fresh
+from dandelionreel.cell.owner._owner_context import OwnerContext, zero_runner_list_age
 from dandelionreel.cell.store._follower import Follower
 from dandelionreel.cell.store._projections import CellProjection, ConfigurationProjection
 from dandelionreel.cell.store._runner_projection import RunnerProjection
@@ -66,7 +66,7 @@
 
 
 def make_owner_context(
-    cell, clock, topic=None, make_runner=make_registration, get_runner_list_age=always_fresh
+    cell, clock, topic=None, make_runner=make_registration, get_runner_list_age=zero_runner_list_age
 ):
     """Return the context of an owner of epoch 1 that has no predecessor."""
     return OwnerContext(
