--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -358,7 +358,7 @@
             return unavailable_response(
                 STORE_UNAVAILABLE_CAUSE, 'the store cannot be read just now'
             )
-        return self._codec.answer_pending(self._jobs.state.count_waiting(queue.name))
+        return self._codec.answer_pending(self._jobs.state.count_waiting_jobs(queue.name))
 
     def _log_request_outcome(
         self, request: Request, job_id: str, outcome: str, **fields: object
--- a/dandelionreel/cell/clients/_client_writes.py
+++ b/dandelionreel/cell/clients/_client_writes.py
@@ -127,9 +127,9 @@
             detail = 'what was asked for may have been stored'
             return problem_response(Problem(Verdict.UNKNOWN, HTTP_TIMEOUT, 'store-silent', detail))
         detail = 'the store takes nothing just now; it was not accepted'
-        return unavailable_response(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after())
+        return unavailable_response(STORE_UNAVAILABLE_CAUSE, detail, self._retry_after_seconds())
 
-    def _retry_after(self) -> float:
+    def _retry_after_seconds(self) -> float:
         """Return the seconds after which another host is likely to accept a request.
 
         Inside a partition that is when the load balancer has moved clients to other zones.
--- a/dandelionreel/cell/clients/_readiness.py
+++ b/dandelionreel/cell/clients/_readiness.py
@@ -30,11 +30,11 @@
     if inputs.stopping:
         return 'it is stopping'
     if not inputs.configured:
-        return 'it knows no configuration'
+        return 'it has read no configuration yet'
     if inputs.cut_off:
         return 'it is cut off from the store and all other zones'
     if inputs.store_is_failing:
-        return 'the store takes nothing from it'
+        return 'its appends to the store fail'
     if inputs.store_age >= MAX_STORE_AGE_SECONDS:
         return 'it has not read the store for too long'
     return ''
--- a/dandelionreel/cell/membership/_advisors.py
+++ b/dandelionreel/cell/membership/_advisors.py
@@ -136,7 +136,7 @@
         waiting = sum(priority > 0 for priority, _, _ in self._waiting_requests)
         return self._max_non_urgent_requests() - len(self._non_urgent_hosts) - waiting
 
-    async def submit(self, request: AdviceRequest) -> None:
+    async def submit_request(self, request: AdviceRequest) -> None:
         """Queue a request; it is sent as soon as a host is free."""
         heapq.heappush(self._waiting_requests, (request.priority, next(self._sequence), request))
         await self._send_waiting_requests()
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -164,7 +164,7 @@
                 continue
             now = self._clock.monotonic()
             vacant_since = vacant_since or now
-            if now - vacant_since < self._claim_delay():
+            if now - vacant_since < self._compute_own_claim_delay():
                 continue
             if vacancy is Vacancy.SILENT and await self._owner_is_alive():
                 continue
@@ -199,18 +199,18 @@
         """
         self._record_owner_unreachable(term)
 
-    async def handle_owner_failing(self, frame: Frame) -> Message:
+    async def handle_successor_request(self, frame: Frame) -> Message:
         """Handle an owner's request for a successor because its appends to the store fail."""
         failing: Any = frame.message
         self._journal.log(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
         self.suspect_owner(failing.term)
         return Done()
 
-    def may_hand_over(self) -> bool:
+    def may_hand_over_cell(self) -> bool:
         """Return whether this host has not recently handed the cell over to a larger one."""
         return self._clock.monotonic() - self._handed_over_at > HAND_OVER_INTERVAL_SECONDS
 
-    def record_hand_over(self) -> None:
+    def record_cell_hand_over(self) -> None:
         """Record that this host hands the cell over to a larger one."""
         self._handed_over_at = self._clock.monotonic()
 
@@ -287,7 +287,7 @@
             return Vacancy.HELD
         return Vacancy.SILENT
 
-    def _claim_delay(self) -> float:
+    def _compute_own_claim_delay(self) -> float:
         cell_state = self._projection.state
         return compute_claim_delay(
             cell_state.member_by_host, self._host, cell_state.owner.host if cell_state.owner else ''
--- a/dandelionreel/cell/membership/_partition_detector.py
+++ b/dandelionreel/cell/membership/_partition_detector.py
@@ -57,7 +57,9 @@
     def is_cut_off(self) -> bool:
         """Return whether this host is cut off, as of the latest queries."""
         now = self._clock.monotonic()
-        return self._zone_contact.is_cut_off(self._other_zones(), self._store_answered_at(), now)
+        return self._zone_contact.is_host_cut_off(
+            self._other_zones(), self._store_answered_at(), now
+        )
 
     @property
     def may_answer_reads(self) -> bool:
--- a/dandelionreel/cell/membership/_zone_contact.py
+++ b/dandelionreel/cell/membership/_zone_contact.py
@@ -33,12 +33,12 @@
         """Record that a query to a host of a zone, sent at ``queried_at``, got no reply."""
         self._missed_at_by_zone[zone] = queried_at
 
-    def is_silent(self, zone: str, now: float) -> bool:
+    def is_zone_silent(self, zone: str, now: float) -> bool:
         """Return whether no host of a zone has replied since the latest unanswered query."""
         missed_at = self._missed_at_by_zone.get(zone, NEVER)
         return missed_at > max(self._answered_at_by_zone.get(zone, NEVER), now - MISS_VALID_SECONDS)
 
-    def is_cut_off(self, zones: Iterable[str], store_answered_at: float, now: float) -> bool:
+    def is_host_cut_off(self, zones: Iterable[str], store_answered_at: float, now: float) -> bool:
         """Return whether neither the store nor any of the other ``zones`` replies.
 
         A host that knows no other zone cannot detect a partition, and counts as connected.
@@ -46,4 +46,4 @@
         other_zones = tuple(zones)
         if not other_zones or now - store_answered_at < STORE_SILENT_SECONDS:
             return False
-        return all(self.is_silent(zone, now) for zone in other_zones)
+        return all(self.is_zone_silent(zone, now) for zone in other_zones)
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -70,7 +70,7 @@
         term = self._owner_context.term
         known = self._completions.list_for_owner(term.epoch)
         self._owner_context.cell.mark_complete(known)
-        await self.query_peers(self._successors())
+        await self.query_peers(self._list_successors())
         self._owner_context.cell.awaits_completions = False
         await self._owner_context.plan_needed.notify()
 
@@ -83,7 +83,7 @@
             await task.wait()
         return any(task.result for task in queries)
 
-    def _successors(self) -> list[tuple[str, Member]]:
+    def _list_successors(self) -> list[tuple[str, Member]]:
         """Return the hosts that are next in line to own the cell."""
         members = self._cell_state.member_by_host
         first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSOR_COUNT]
@@ -92,7 +92,7 @@
     async def _announce_completions(self, jobs: tuple[str, ...]) -> None:
         """Send completions to all successors; clients may be informed after one acknowledgement."""
         message = CompletionsTold(self._owner_context.term.epoch, jobs)
-        for host, member in self._successors():
+        for host, member in self._list_successors():
             await curio.spawn(
                 partial(self._announce_completions_to, host, member, message), daemon=True
             )
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -378,7 +378,7 @@
         self._log_quota_blocked(plan)
         await self._order_sender.send_starts(plan.starts)
         for request in plan.advice_requests:
-            await self._advice_pool.submit(request)
+            await self._advice_pool.submit_request(request)
         elapsed = self._clock.monotonic() - started_at
         await curio.sleep(max(MIN_PLAN_PAUSE_SECONDS, PLAN_PAUSE_FACTOR * elapsed))
 
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -71,7 +71,7 @@
             if job.note_start(allocation.task, allocation.run, allocation.runner):
                 unstored.setdefault(job.id, []).append(allocation)
                 continue
-            await curio.spawn(self._run_start, allocation, daemon=True)
+            await curio.spawn(self._send_start_and_count, allocation, daemon=True)
         if unstored:
             await curio.spawn(self._store_runners_and_send_starts, unstored, daemon=True)
 
@@ -126,7 +126,7 @@
         for allocations in allocations_by_job.values():
             for allocation in allocations:
                 if outcome is WriteOutcome.STORED:
-                    await curio.spawn(self._run_start, allocation, daemon=True)
+                    await curio.spawn(self._send_start_and_count, allocation, daemon=True)
                 else:
                     await self._withdraw_unsent_start(allocation)
 
@@ -134,7 +134,7 @@
         self._owner_context.cell.release_start(allocation)
         await self._record_start_finished()
 
-    async def _run_start(self, allocation: Allocation) -> None:
+    async def _send_start_and_count(self, allocation: Allocation) -> None:
         """Send a start and count it as finished once its outcome is known."""
         try:
             await self._send_start(allocation)
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -85,7 +85,7 @@
         await self._succession.request_or_hand_over_if_due(now)
         self._cell.configuration = self._dependencies.configuration.current
         self._log_runner_list_freshness()
-        await self._update_runners(stack)
+        await self._start_polling_new_runners(stack)
         await self._drop_unseen_runners(now)
         self._apply_preventive_stops(now)
         self._load_report.log_if_due(now, self._clock.unix_time(), self._owner_context.term.epoch)
@@ -188,7 +188,7 @@
                 runner=allocation.runner,
             )
 
-    async def _update_runners(self, stack: AsyncExitStack) -> None:
+    async def _start_polling_new_runners(self, stack: AsyncExitStack) -> None:
         """Start to poll new runners, and unlisted ones that may still have tasks.
 
         A list entry of another runner at the same address does not prove that a runner was
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -79,7 +79,7 @@
         if effect.has_changes or not was_usable:
             await self._owner_context.plan_needed.notify()
         if effect.ended or unstored:
-            await self._store_ends(state, effect)
+            await self._start_storing_ends(state, effect)
             if unstored and state.acknowledged_end < state.acknowledgeable_end:
                 await curio.sleep(POLL_RETRY_SECONDS)
         if not view.complete or state.acknowledgeable_end < state.processed_end:
@@ -104,7 +104,7 @@
             self._log_found_runs(state, effect.adopted, unseen, now)
         return effect
 
-    async def _store_ends(self, state: RunnerState, effect: PollEffect) -> None:
+    async def _start_storing_ends(self, state: RunnerState, effect: PollEffect) -> None:
         jobs = self._unstored_by_runner.setdefault(state.id, set())
         jobs.update(ended.task.job for ended, _ in effect.ended)
         task = await curio.spawn(
@@ -133,9 +133,9 @@
         elif not has_new_ends:
             return
         if jobs:
-            self._log_ends(state, number, jobs, outcome, started_at)
+            self._log_stored_ends(state, number, jobs, outcome, started_at)
 
-    def _log_ends(
+    def _log_stored_ends(
         self,
         state: RunnerState,
         number: int,
@@ -171,7 +171,7 @@
                 epoch=self._owner_context.term.epoch,
             )
         if state.allocation_by_run and self._owner_context.leases_expired(state):
-            await self._expire_leases(state)
+            await self._expire_runner_leases(state)
         if (
             not state.listed
             and not state.allocation_by_run
@@ -197,7 +197,7 @@
         state.suspect = True
         await curio.sleep(POLL_RETRY_SECONDS)
 
-    async def _expire_leases(self, state: RunnerState) -> None:
+    async def _expire_runner_leases(self, state: RunnerState) -> None:
         if await self._owner_context.confirm_zone_completions(
             state.registration.zone, state.answered_at
         ):
--- a/dandelionreel/cell/owner/_succession.py
+++ b/dandelionreel/cell/owner/_succession.py
@@ -104,13 +104,13 @@
         A small host may have claimed the cell because it was the only one left after many hosts
         were killed at once.
         """
-        if now < self._next_hand_over_at or not self._election.may_hand_over():
+        if now < self._next_hand_over_at or not self._election.may_hand_over_cell():
             return
         members = self._cell_state.member_by_host
         for host in find_larger_hosts(members, self._host)[:PEERS_PER_REQUEST]:
             if not await self._is_ready_to_own(host, members[host]):
                 continue
-            self._election.record_hand_over()
+            self._election.record_cell_hand_over()
             self._owner_context.journal.log(
                 Part.OWNERSHIP,
                 f'hands the cell over to larger hosts: {host} is ready.',
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -191,7 +191,7 @@
             return False
         return member.read_from > owner.read_from
 
-    def count_waiting(self, queue: str) -> int:
+    def count_waiting_jobs(self, queue: str) -> int:
         """Return how many accepted jobs of a queue have not started."""
         count = 0
         for job, submission in self.submission_by_id.items():
@@ -227,7 +227,7 @@
 
     def apply(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
         """Apply records in log order; return for each the error if it cannot be read."""
-        return [self._apply_or_mark_unreadable(record) for record in records]
+        return [self._apply_record_or_mark_unreadable(record) for record in records]
 
     def _make_unknown_owner(self) -> Owner:
         """Return a stand-in for an unreadable owner, with the highest epoch of any record.
@@ -239,16 +239,16 @@
             epochs.append(self.runners_in_use.epoch)
         return msgspec.structs.replace(UNKNOWN_OWNER, epoch=max(epochs, default=0))
 
-    def _apply_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
+    def _apply_record_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
         try:
             self._apply_record(record)
         except UnreadableError as error:
-            self._mark_unreadable(record.key)
+            self._mark_key_unreadable(record.key)
             return error
         self.unreadable_keys.discard(record.key)
         return None
 
-    def _mark_unreadable(self, key: str) -> None:
+    def _mark_key_unreadable(self, key: str) -> None:
         if not key:
             return
         self.unreadable_keys.add(key)
--- a/dandelionreel/cell/store/_writer.py
+++ b/dandelionreel/cell/store/_writer.py
@@ -182,7 +182,7 @@
                 return
             sent_at = self._clock.monotonic()
             try:
-                await self._topic.append(batch, self._timeout, self._fence)
+                await self._topic.append(batch, self._append_timeout, self._fence)
             except FencedError as error:
                 self._journal.log(Part.LOG, f'the store has fenced off this writer: {error}.')
                 self.fenced = True
@@ -196,7 +196,7 @@
                     records=len(batch),
                 )
                 self.failed_at = self._clock.monotonic()
-                self._last_failure_was_fast = self.failed_at - sent_at < self._timeout / 2
+                self._last_failure_was_fast = self.failed_at - sent_at < self._append_timeout / 2
                 if not self._last_failure_was_fast:
                     self._latency.double_next_timeout()
                 self.failing_since = min(self.failing_since, sent_at)
@@ -253,7 +253,7 @@
         await pending.completed.set()
 
     @property
-    def _timeout(self) -> float:
+    def _append_timeout(self) -> float:
         return UNFENCED_TIMEOUT_SECONDS if self._fence is None else self._latency.timeout
 
     async def _fail_waiting_writes(self) -> None:
--- a/dandelionreel/entry_host.py
+++ b/dandelionreel/entry_host.py
@@ -26,7 +26,7 @@
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.entry_clients import make_client_api
 from dandelionreel.entry_metrics import EntryMetrics
-from dandelionreel.entry_peers import listen_peers
+from dandelionreel.entry_peers import start_peer_server
 from dandelionreel.entry_readiness import EntryReadiness
 from dandelionreel.entry_reads import EntryReads
 from dandelionreel.http import Server, ServerLimits
@@ -238,7 +238,7 @@
         await readiness.start(stack, settings.readiness.host, settings.readiness.port)
         metrics = Server(self._metrics.handle)
         await metrics.start(stack, settings.peers.host, METRICS_PORT)
-        await listen_peers(
+        await start_peer_server(
             stack,
             settings.peers,
             self._client_api,
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -31,7 +31,7 @@
 OwnerQueryHandler = Callable[[Frame], Awaitable[Message]]
 
 
-async def listen_peers(
+async def start_peer_server(
     stack: AsyncExitStack,
     address: Address,
     client_api: ClientApi,
@@ -50,7 +50,7 @@
     peers = PeerServer(election.incarnation, clock, PeerClocks(), journal, TrafficCounter())
     handlers = (
         (Forward, client_api.handle_forwarded_request),
-        (OwnerFailing, election.handle_owner_failing),
+        (OwnerFailing, election.handle_successor_request),
         (OwnerAsked, answer_owner_query),
         (AdviceWanted, advisor.answer_advice_request),
         (CompletionsTold, completions.merge_completions),
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -119,7 +119,7 @@
 def run_update(context):
     async def update_runners():
         async with AsyncExitStack() as stack:
-            await context.dispatcher._periodic_checks._update_runners(stack)
+            await context.dispatcher._periodic_checks._start_polling_new_runners(stack)
 
     curio.run(update_runners)
 
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -100,8 +100,10 @@
         )
         policy = AdvicePolicy(0.2, 0.0, 2.0)
         for number in range(10):
-            await pool.submit(AdviceRequest(StepName(f'p{number}', 0, 0), ('r1',), 1, policy))
-        await pool.submit(AdviceRequest(StepName('last', 0, 0), ('r1',), priority, policy))
+            await pool.submit_request(
+                AdviceRequest(StepName(f'p{number}', 0, 0), ('r1',), 1, policy)
+            )
+        await pool.submit_request(AdviceRequest(StepName('last', 0, 0), ('r1',), priority, policy))
         # Each request that has a free host has reached it once all tasks have run.
         await curio.sleep(0)
         await curio.sleep(0)
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -248,7 +248,7 @@
 
     async def hear():
         for _ in range(times):
-            await RunnerPoller(context.owner)._expire_leases(context.state)
+            await RunnerPoller(context.owner)._expire_runner_leases(context.state)
             context.clock.advance(0.2 / times)
 
     curio.run(hear)
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -61,7 +61,9 @@
 
 @then('the host counts as {verdict}')
 def check_verdict(context, verdict):
-    found = context.zone_contact.is_cut_off(context.zones, context.store_answered_at, context.now)
+    found = context.zone_contact.is_host_cut_off(
+        context.zones, context.store_answered_at, context.now
+    )
     assert found is (verdict == 'cut off'), found
 
 
