--- a/bench/guards.py
+++ b/bench/guards.py
@@ -139,8 +139,8 @@
     Guard(
         'leases that run out are no crash',
         'cell/decisions/_cell.py',
-        'self._losses.note_lapse(runner)',
-        'self._losses.note_end(runner)',
+        'self._losses.record_lapsed_runner(runner)',
+        'self._losses.count_crashes_on_ended_runner(runner)',
         'losses.feature:PROOF',
     ),
     Guard(
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -539,7 +539,7 @@
             if random.Random(f'{request.step}{runner}{self._seed}').random() < share
         ]
         end_at = self._now + request.advice.valid_seconds
-        self.cell.tickets.note_answer(request.step, request.runners, permits, end_at)
+        self.cell.tickets.record_advice(request.step, request.runners, permits, end_at)
         self._send_advice_requests()
 
     def _kind_of(self, job_id: str) -> JobKind:
@@ -547,7 +547,10 @@
         return next(kind for kind in self.load.kinds if kind.queue.name == queue)
 
     def _start(self, allocation: Allocation) -> None:
-        if not self.cell.may_start(allocation) or allocation.runner in self._unseen_ends_by_runner:
+        if (
+            not self.cell.may_send_start(allocation)
+            or allocation.runner in self._unseen_ends_by_runner
+        ):
             self.cell.release_start(allocation)
             return
         job = self.cell.job_by_id[allocation.task.job]
--- a/dandelionreel/cell/clients/_partition_reads.py
+++ b/dandelionreel/cell/clients/_partition_reads.py
@@ -11,7 +11,7 @@
 
 import curio
 
-from dandelionreel.cell.decisions import ANY_RUNNER, is_complete
+from dandelionreel.cell.decisions import ANY_RUNNER, is_job_complete
 from dandelionreel.cell.membership import Completions, PartitionDetector, PeerLinks, rank_hosts
 from dandelionreel.cell.model import (
     EndedRun,
@@ -112,7 +112,7 @@
         for registration in self._runners_of(stored_job.progress.runners):
             ended.extend(await self._ended_runs_at(registration))
         job_ends = [end for end in ended if end.task.job == job]
-        return is_complete(job, stored_job.submission.spec, stored_job.progress, job_ends)
+        return is_job_complete(job, stored_job.submission.spec, stored_job.progress, job_ends)
 
     def _runners_of(self, names: tuple[str, ...]) -> list[Registration]:
         """Return the runners of this zone on which a job may have run, from ``names``."""
--- a/dandelionreel/cell/decisions/__init__.py
+++ b/dandelionreel/cell/decisions/__init__.py
@@ -3,7 +3,7 @@
 from dandelionreel.cell.decisions._active_runners import ActiveRunners
 from dandelionreel.cell.decisions._advice_requests import AdviceRequest
 from dandelionreel.cell.decisions._cell import MAX_CLOCK_DRIFT, Cell
-from dandelionreel.cell.decisions._completeness import is_complete
+from dandelionreel.cell.decisions._completeness import is_job_complete
 from dandelionreel.cell.decisions._crashes import Crash
 from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._losses import apply_last_registrations
@@ -35,7 +35,7 @@
     'StalledJobs',
     'StepRun',
     'TaskRun',
-    'is_complete',
+    'is_job_complete',
     'apply_last_registrations',
     'stop_incomplete_gangs',
     'stop_on_draining_runners',
--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -12,10 +12,10 @@
 from dandelionreel.cell.decisions._ledger import RunnerState
 from dandelionreel.cell.model import Registration, Step
 
-#: Number of runners polled even when the cell is idle.
+#: Number of runners that an owner polls even when the cell is idle.
 MIN_ACTIVE_RUNNERS = 400
-#: CPU utilization of the active runners above which runners are added, and below which idle
-#: ones are released.
+#: Runners are added above the first CPU utilization of the active runners; below the second one,
+#: idle runners are released, so that they are no longer polled.
 MAX_CPU_UTILIZATION = 0.5
 MIN_CPU_UTILIZATION = 0.3
 #: Seconds between two checks of the utilization.
@@ -26,15 +26,17 @@
 
 
 class ActiveRunners:
-    """Tracks which of the listed runners are active, for one term of an owner."""
+    """Tracks which registered runners are active, that is, polled, in one term of an owner."""
 
     def __init__(self, cell: Cell) -> None:
-        """Size the set by the work in ``cell``."""
+        """Choose enough active runners for the work in ``cell``."""
         self._cell = cell
         self._active: dict[str, None] = {}
         self._last_review_at = float('-inf')
 
-    def choose(self, listed: dict[str, Registration], now: float) -> dict[str, Registration]:
+    def choose_runners_to_poll(
+        self, listed: dict[str, Registration], now: float
+    ) -> dict[str, Registration]:
         """Return the registrations of the runners to poll: all, if there are only a few."""
         if len(listed) <= MIN_ACTIVE_RUNNERS:
             return listed
@@ -45,8 +47,8 @@
             self._add_runners(listed)
         return {runner: listed[runner] for runner in self._active}
 
-    def release_idle(self, listed: dict[str, Registration]) -> list[RunnerState]:
-        """Deactivate and return surplus runners that are known to hold nothing."""
+    def release_idle_runners(self, listed: dict[str, Registration]) -> list[RunnerState]:
+        """Deactivate and return surplus runners that are known to have no runs."""
         if len(listed) <= MIN_ACTIVE_RUNNERS or self._cpu_utilization() > MIN_CPU_UTILIZATION:
             return []
         excess = len(self._active) - self._target_count(listed)
@@ -106,7 +108,7 @@
         ]
 
     def _is_idle(self, state: RunnerState) -> bool:
-        """Return whether a runner holds no runs and has discarded every end that it listed."""
+        """Return whether a runner has no runs and has discarded every run end that it listed."""
         if state.id in self._cell.unseen_runners or state.allocation_by_run:
             return False
         return state.processed_end == state.confirmed_end
--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -1,5 +1,8 @@
 """Decides which runners to ask the policy service about, and when. No I/O.
 
+The policy service decides which runners may run a step, and issues a ticket for each of them. A
+ticket is sent with every start on the runner, and expires.
+
 Load pattern: hundreds of steps wait, and asking the service about every runner for each of them
 would take more time than all hosts together have. A request for single tasks names about as many
 runners with free capacity as the step is likely to need, and no requests are made beyond the free
@@ -20,10 +23,11 @@
 
 #: The service answers for at most this many runners in one request.
 MAX_RUNNERS_PER_REQUEST = 100
-#: Fewer would save nothing, as the fixed time of a request outweighs the time per runner.
+#: Smaller requests save nothing, as the fixed time of a request outweighs the time per runner.
 MIN_RUNNERS_PER_REQUEST = 12
-#: Share of the runners that the service is expected to allow, and the factor by which a request
-#: exceeds the expected need. Most slots for a gang are in use, so a gang asks about more runners.
+#: Share of the runners that the service is expected to allow.
+#: A request names the number of runners that is expected to suffice, times an oversampling factor.
+#: Most slots for a gang are in use, so its request has a larger factor.
 EXPECTED_ALLOWED_SHARE = 0.3
 OVERSAMPLING_FACTOR = 1.6
 GANG_OVERSAMPLING_FACTOR = 4.0
@@ -81,7 +85,7 @@
             slots_and_runners = [entry for entry in slots_and_runners if entry[0]]
             slots_and_runners.sort(key=_by_job_hash(step.name, zone))
         unasked = [runner for _, runner in slots_and_runners]
-        return self._split(queue, step, unasked[: self._runners_to_ask(step)])
+        return self._split_request(queue, step, unasked[: self._count_runners_to_ask(step)])
 
     def for_expired_tickets(
         self,
@@ -102,12 +106,12 @@
         limit = step.step.max_per_runner
         chosen = []
         slots_found = 0
-        for runner in sorted(runners, key=partial(_is_elsewhere, zone)):
+        for runner in sorted(runners, key=partial(_is_in_other_zone, zone)):
             slots = count_slots(demand, runner.free_capacity, limit)
             if runner.id in tickets.allowed and slots and slots_found < step.waiting:
                 chosen.append(runner)
                 slots_found += slots
-        return self._split(queue, step, chosen)
+        return self._split_request(queue, step, chosen)
 
     def for_reservation(
         self,
@@ -127,16 +131,16 @@
         valid = tickets.valid(reservation.at)
         if reservation.runners <= valid.keys():
             return []
-        advice_seconds = _expected_seconds(
+        advice_seconds = _expected_advice_seconds(
             queue.advice, min(MAX_RUNNERS_PER_GANG_REQUEST, len(tickets.allowed))
         )
         if reservation.at - now > advice_seconds + TICKET_LEAD_SECONDS:
             return []
         found = (self._cell.runner_by_id.get(runner) for runner in sorted(tickets.allowed))
         chosen = [runner for runner in found if runner is not None and runner.id not in valid]
-        return self._split(queue, step, chosen)
+        return self._split_request(queue, step, chosen)
 
-    def _runners_to_ask(self, step: StepRun) -> int:
+    def _count_runners_to_ask(self, step: StepRun) -> int:
         """Return how many runners to ask about so that the whole step is likely to fit."""
         demand = counted_demand(step)
         per_runner = max(1, self._median_slots(demand, step.step.max_per_runner))
@@ -152,7 +156,7 @@
     def _median_slots(self, demand: Demand, limit: int) -> int:
         """Return the median number of tasks that an empty runner of the cell can hold.
 
-        The median, as the capacity of any single runner may have shrunk.
+        The median is used because the capacity of any single runner may have shrunk.
         """
         slots = sorted(
             count_slots(demand, runner.registration.capacity, limit)
@@ -160,7 +164,7 @@
         )
         return slots[len(slots) // 2] if slots else 1
 
-    def _split(
+    def _split_request(
         self, queue: Queue, step: StepRun, runners: list[RunnerState]
     ) -> list[AdviceRequest]:
         if not runners or queue.advice is None:
@@ -176,7 +180,7 @@
         return [AdviceRequest(step.name, part, queue.priority, queue.advice) for part in parts]
 
 
-def _is_elsewhere(zone: str, runner: RunnerState) -> bool:
+def _is_in_other_zone(zone: str, runner: RunnerState) -> bool:
     return runner.registration.zone != zone
 
 
@@ -185,7 +189,7 @@
 
     def sort_key(entry: tuple[int, RunnerState]) -> tuple[int, bool]:
         slots, runner = entry
-        return -slots, _is_elsewhere(zone, runner)
+        return -slots, _is_in_other_zone(zone, runner)
 
     return sort_key
 
@@ -199,7 +203,7 @@
     def sort_key(entry: tuple[int, RunnerState]) -> tuple[bool, int, int]:
         slots, runner = entry
         return (
-            _is_elsewhere(zone, runner),
+            _is_in_other_zone(zone, runner),
             -min(slots, SUFFICIENT_SLOTS),
             crc32(f'{step.job}{runner.id}'.encode()),
         )
@@ -207,5 +211,5 @@
     return sort_key
 
 
-def _expected_seconds(advice: AdvicePolicy, runners: int) -> float:
+def _expected_advice_seconds(advice: AdvicePolicy, runners: int) -> float:
     return advice.decision_seconds + advice.seconds_per_runner * runners
--- a/dandelionreel/cell/decisions/_allocation_table.py
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -36,11 +36,11 @@
         self._index.remove_allocation(runner, allocation)
         job = self.job_by_id.get(allocation.task.job)
         if job is not None:
-            job.note_run_ended(allocation.task, allocation.run)
+            job.record_ended_run(allocation.task, allocation.run)
             self.dirty.add(job.id)
         return job
 
-    def drop_lost(self, runner: RunnerState, allocation: Allocation) -> None:
+    def drop_lost_run(self, runner: RunnerState, allocation: Allocation) -> None:
         """Remove a run that is known to be gone but whose end was never listed."""
         job = self.remove_allocation(runner, allocation)
         found = None if job is None else job.find_task(allocation.task)
@@ -49,16 +49,16 @@
         step, task = found
         if allocation.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = allocation.checkpoint
-        if not is_current(task, allocation.runner, allocation.run):
+        if not is_current_run(task, allocation.runner, allocation.run):
             return
-        step.release(task)
+        step.release_task(task)
         if step.step.gang:
-            self.stop_members(step)
+            self.stop_gang_members(step)
 
-    def drop_all_lost(self, runner: RunnerState) -> None:
+    def drop_all_lost_runs(self, runner: RunnerState) -> None:
         """Remove all runs of a runner that was lost before it listed their ends."""
         for allocation in tuple(runner.allocation_by_run.values()):
-            self.drop_lost(runner, allocation)
+            self.drop_lost_run(runner, allocation)
 
     def find_task(self, name: TaskName) -> tuple[StepRun, TaskRun] | None:
         """Return a task with its step, ``None`` if the task is unknown."""
@@ -84,16 +84,16 @@
         allocation.phase = AllocationPhase.RUNNING
         allocation.started_at = now
         allocation.order_answered_at = now
-        self.mark_started(allocation.task.job)
+        self.mark_job_started(allocation.task.job)
 
-    def mark_started(self, job_id: str) -> None:
+    def mark_job_started(self, job_id: str) -> None:
         """Note that the first task of a job has started."""
         job = self.job_by_id.get(job_id)
         if job is not None and not job.has_started:
             job.mark_started()
             self.dirty.add(job.id)
 
-    def stop(self, allocation: Allocation) -> None:
+    def stop_run(self, allocation: Allocation) -> None:
         """Request a stop of a run; its allocation stays until the run is known to be gone."""
         self._stops.add(allocation)
 
@@ -101,17 +101,17 @@
         """Stop a run again if a poll that was sent at ``polled_at`` should no longer list it."""
         self._stops.repeat(allocation, polled_at)
 
-    def stop_members(self, step: StepRun) -> None:
+    def stop_gang_members(self, step: StepRun) -> None:
         """Stop all placed members of a gang."""
         for task in step.tasks:
             allocation = self.find_allocation(task) if task.phase is TaskPhase.PLACED else None
             if allocation is not None:
-                self.stop(allocation)
+                self.stop_run(allocation)
 
     def stop_job(self, job_id: str) -> None:
         """Stop all runs of a job."""
         for allocation in self._index.of_job(job_id):
-            self.stop(allocation)
+            self.stop_run(allocation)
 
     def allocations_of_job(self, job_id: str) -> list[Allocation]:
         """Return all allocations of a job, over all runners."""
@@ -122,6 +122,6 @@
         return self._stops.take_all()
 
 
-def is_current(task: TaskRun, runner: str, run: int) -> bool:
+def is_current_run(task: TaskRun, runner: str, run: int) -> bool:
     """Return whether a run is the current run of its task."""
     return task.phase is TaskPhase.PLACED and task.runner == runner and task.run == run
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -103,9 +103,9 @@
         return job.submission.service if queue is None else queue.service
 
     def is_blocked(self, job: JobRun) -> bool:
-        """Return whether runs that an earlier owner started for the job may still be running.
+        """Return whether starts of the job wait, as runs of an earlier owner may still exist.
 
-        Starting such a task on another runner could make it run twice at the same time.
+        Starting the task of such a run on another runner could make it run twice at the same time.
         """
         if self.awaits_completions and job.runners:
             return True
@@ -114,7 +114,7 @@
         return not self.unseen_runners.isdisjoint(job.runners)
 
     def update_job(self, stored_job: StoredJob, now: float, unix_time: float) -> None:
-        """Apply what the store holds for a job, new or known.
+        """Apply the stored records of a job that is new or already known to this owner.
 
         An unreadable job that is not known here is not started. The ends of its runs are not
         acknowledged: the runners would forget them, and a task that is done would be started
@@ -138,20 +138,20 @@
         elif job is not None and job.apply_final_state(stored_job.progress):
             self._allocations.stop_job(job.id)
         if stored_job.cancelled:
-            self.cancel(stored_job.id)
+            self.cancel_job(stored_job.id)
 
-    def cancel(self, job_id: str) -> None:
+    def cancel_job(self, job_id: str) -> None:
         """Stop a job whose cancellation is stored."""
         job = self.job_by_id.get(job_id)
         if job is not None and not job.is_finished:
-            self._cancel(job)
+            self._cancel_job(job)
 
-    def mark_complete(self, jobs: Iterable[str]) -> list[str]:
+    def mark_jobs_complete(self, jobs: Iterable[str]) -> list[str]:
         """Mark jobs that earlier owners report as complete; return those that were not yet."""
         marked = []
         for job_id in jobs:
             job = self.job_by_id.get(job_id)
-            if job is None or not job.note_complete():
+            if job is None or not job.mark_job_complete():
                 continue
             self._allocations.dirty.add(job_id)
             self._allocations.stop_job(job.id)
@@ -215,7 +215,7 @@
                 state = RunnerState(registration)
                 self.runner_by_id[runner_id] = state
                 new_runners.append(state)
-            state.note_registration(registration, now)
+            state.apply_registration(registration, now)
             state.listed = True
         for runner_id, state in self.runner_by_id.items():
             if runner_id not in registrations:
@@ -246,8 +246,8 @@
         self.unseen_runners.discard(runner_id)
         if runner is None:
             return []
-        crashes = self._losses.note_end(runner) if proven else []
-        self._allocations.drop_all_lost(runner)
+        crashes = self._losses.count_crashes_on_ended_runner(runner) if proven else []
+        self._allocations.drop_all_lost_runs(runner)
         self._handle_crashes(crashes)
         return crashes
 
@@ -255,8 +255,8 @@
         """Drop the runs of a runner whose leases have all expired."""
         self.unseen_runners.discard(runner_id)
         runner = self.runner_by_id[runner_id]
-        self._losses.note_lapse(runner)
-        self._allocations.drop_all_lost(runner)
+        self._losses.record_lapsed_runner(runner)
+        self._allocations.drop_all_lost_runs(runner)
 
     def find_replaced_runners(self) -> dict[str, RunnerState]:
         """Return the unseen incarnations that have ended, each with its answering successor.
@@ -282,7 +282,7 @@
             state = self.runner_by_id.get(runner_id)
             if state is not None and state.listed:
                 continue
-            crashes.extend(self._losses.note_unseen(runner_id))
+            crashes.extend(self._losses.count_crashes_on_unseen_runner(runner_id))
         self.unseen_runners -= dropped
         self._handle_crashes(crashes)
         return crashes
@@ -297,7 +297,7 @@
 
     # Starts
 
-    def place(
+    def place_task(
         self,
         step: StepRun,
         task: TaskRun,
@@ -324,7 +324,7 @@
             account=job.account,
         )
         self._allocations.add_allocation(runner, allocation)
-        step.place(task, runner.id, run)
+        step.place_task(task, runner.id, run)
         return allocation
 
     def next_run(self, tasks: Iterable[TaskRun]) -> int:
@@ -332,7 +332,7 @@
         lowest = self.epoch * RUNS_PER_EPOCH
         return max(lowest, *(task.run for task in tasks)) + 1
 
-    def may_start(self, allocation: Allocation) -> bool:
+    def may_send_start(self, allocation: Allocation) -> bool:
         """Return whether a placed start may still be sent; checked right before sending."""
         if allocation.phase is not AllocationPhase.STARTING:
             return False
@@ -386,20 +386,20 @@
         Its gang cannot become complete any more, so the other members are stopped. Otherwise
         they would wait while the runner is silent, and then give up by themselves.
         """
-        self.stop(allocation)
+        self.stop_run(allocation)
         step = self.step_of(allocation)
         if step is not None and step.step.gang:
-            self.stop_members(step)
+            self.stop_gang_members(step)
 
     def release_start(self, allocation: Allocation) -> None:
         """Free the allocation of a start that is known not to run."""
         runner = self.runner_by_id.get(allocation.runner)
         if runner is not None and (allocation.task, allocation.run) in runner.allocation_by_run:
-            self._allocations.drop_lost(runner, allocation)
+            self._allocations.drop_lost_run(runner, allocation)
 
-    def stop(self, allocation: Allocation) -> None:
+    def stop_run(self, allocation: Allocation) -> None:
         """Stop a run; it stays allocated until the runner is known not to have it."""
-        self._allocations.stop(allocation)
+        self._allocations.stop_run(allocation)
 
     def handle_stop_reply(self, allocation: Allocation, now: float) -> None:
         """Note that the runner acknowledged a stop; a later poll shows when the run is gone."""
@@ -421,9 +421,9 @@
         """Return the step of an allocation, ``None`` if its job is unknown."""
         return self._allocations.step_of(allocation)
 
-    def stop_members(self, step: StepRun) -> None:
+    def stop_gang_members(self, step: StepRun) -> None:
         """Stop all placed members of a gang."""
-        self._allocations.stop_members(step)
+        self._allocations.stop_gang_members(step)
 
     def _account_of(self, job: JobRun) -> Account[Demand] | None:
         if self.configuration is None:
@@ -436,7 +436,7 @@
             return False
         return not self._rates.take_token(account.name, account.weight, job.submission.accepted_at)
 
-    def _cancel(self, job: JobRun) -> None:
+    def _cancel_job(self, job: JobRun) -> None:
         job.cancelled = True
         job.dirty = True
         self._allocations.dirty.add(job.id)
--- a/dandelionreel/cell/decisions/_completeness.py
+++ b/dandelionreel/cell/decisions/_completeness.py
@@ -8,7 +8,7 @@
 HEX_BASE = 16
 
 
-def is_complete(job: str, spec: JobSpec, progress: Progress, ended: Iterable[EndedRun]) -> bool:
+def is_job_complete(job: str, spec: JobSpec, progress: Progress, ended: Iterable[EndedRun]) -> bool:
     """Return whether all tasks of a job are done according to this data.
 
     Returns false for repeated jobs and for jobs with long-running steps.
--- a/dandelionreel/cell/decisions/_crashes.py
+++ b/dandelionreel/cell/decisions/_crashes.py
@@ -10,13 +10,14 @@
 
 from dandelionreel.cell.model import CrashedRun, StoredStart, TaskName
 
-#: Crashes during its start after which a task is given up. After the first crash the task starts
-#: alone, so a second one is no coincidence.
+#: Number of runner crashes during starts of a task after which the task is not started again. After
+#: the first crash the task starts alone, so a second crash is no coincidence.
 START_CRASH_LIMIT = 2
-#: Crashes of any kind after which a task is given up. Covers tasks that crash their runner some
-#: time after the start.
+#: Number of runner crashes, during the start or later, after which a task is not started again.
+#: Covers tasks that crash their runner some time after the start.
 CRASH_LIMIT = 3
-#: Crashes of any kind after which a task is quarantined.
+#: Number of runner crashes, during the start or later, after which a task is quarantined: it then
+#: starts alone on its runner.
 QUARANTINE_CRASHES = 2
 #: Seconds after which a run is not blamed for a crash of its runner, and earlier crashes of its
 #: task are cleared.
@@ -29,8 +30,8 @@
 class Crash:
     """A runner crash during a run; ``during_start`` as in ``CrashedRun``.
 
-    ``count`` is the number of crashes during runs of the task. ``given_up`` says whether the task
-    is not started again.
+    ``count`` is the number of crashes during runs of the task. If ``given_up``, the task is not
+    started again.
     """
 
     task: TaskName
@@ -95,7 +96,7 @@
         """Return whether a task must start alone, since it may crash the next runner too."""
         return self._count_start_crashes(task) > 0 or self.count(task) >= QUARANTINE_CRASHES
 
-    def is_given_up(self, task: TaskName) -> bool:
+    def has_reached_crash_limit(self, task: TaskName) -> bool:
         """Return whether a task has crashed too many runners to be started again."""
         return (
             self._count_start_crashes(task) >= START_CRASH_LIMIT or self.count(task) >= CRASH_LIMIT
@@ -122,7 +123,7 @@
         self._start_by_task.pop(_key(task))
         return True
 
-    def started_on(self, runner: str) -> list[StoredStart]:
+    def starts_on_runner(self, runner: str) -> list[StoredStart]:
         """Return the recorded starts on a runner."""
         return [start for start in self._start_by_task.values() if start.runner == runner]
 
--- a/dandelionreel/cell/decisions/_job_rates.py
+++ b/dandelionreel/cell/decisions/_job_rates.py
@@ -19,7 +19,9 @@
         self._filled_at_by_account: dict[str, float] = {}
 
     def take_token(self, account: str, rate: float, accepted_at: float) -> bool:
-        """Take a token for a job; return whether the job is within ``rate`` (jobs a second).
+        """Take a token of the account for a job accepted at ``accepted_at`` (Unix time).
+
+        Returns false if none is left: the job is beyond ``rate`` (jobs a second).
 
         Jobs may arrive out of order, as the clocks of the accepting hosts differ; the bucket is
         not refilled twice for the same period.
--- a/dandelionreel/cell/decisions/_job_runs.py
+++ b/dandelionreel/cell/decisions/_job_runs.py
@@ -1,6 +1,6 @@
-"""Index of allocations by job, and their usage by client account. No I/O.
+"""Index of allocations by job, and the resources that they use by client account. No I/O.
 
-With the index, stopping a job costs time proportional to its own runs only.
+With the index, the time to stop a job depends only on the number of its own runs.
 """
 
 from dandelionreel.accounts import Usage
--- a/dandelionreel/cell/decisions/_ledger.py
+++ b/dandelionreel/cell/decisions/_ledger.py
@@ -11,12 +11,12 @@
 from dandelionreel.cell.model import Demand, Registration, StepName, TaskName
 
 NEVER = float('-inf')
-#: Estimates are guesses: a task that exceeds its estimate is expected to need at least this
-#: fraction of it more.
+#: Estimates are guesses: a task that exceeds its estimate is expected to run for at least this
+#: fraction of the estimate from now on.
 OVERRUN_FRACTION = 0.25
 #: Seconds that a draining runner is assumed to stay if it does not report them.
 DEFAULT_DRAIN_SECONDS = 2.0
-#: Largest expected delay in seconds of an entry that announces a drain.
+#: Largest expected delay in seconds until the owner reads an entry that announces a drain.
 MAX_ENTRY_DELAY_SECONDS = 0.3
 #: Seconds that a quarantined task must have run on a runner before anything else starts there.
 QUARANTINE_SECONDS = 0.5
@@ -53,13 +53,13 @@
     checkpoint: str = ''
     #: False if the job or task of the run is unknown; ``demand`` is then zero.
     demand_known: bool = True
-    #: Client account whose quota it counts against; empty for none.
+    #: Client account whose quota the run counts against; empty for none.
     account: str = ''
     #: Whether nothing else starts on the runner until this run has proved healthy.
     quarantined: bool = False
-    #: Whether an attempt to start it may have arrived but was not answered.
+    #: Whether an attempt to start the run may have arrived but was not answered.
     start_unanswered: bool = False
-    #: Whether the connection broke while the first attempt to start it was unanswered.
+    #: Whether the connection broke while the first attempt to start the run was unanswered.
     connection_broken: bool = False
 
     @property
@@ -75,15 +75,17 @@
         """Create the state of a runner that has not been polled yet."""
         self.id = registration.runner
         self.registration = registration
+        #: Whether the runner has an entry in the list of registered runners.
         self.listed = True
-        #: Set once the store records that tasks may run there; a start requires it.
+        #: Whether the store records that tasks may run on the runner; no start is sent before.
         self.recorded = False
         self.used = Demand()
-        #: Kept up to date instead of computed, since a plan reads it for each waiting step.
+        #: Updated with each allocation instead of computed, since a plan reads this value for each
+        #: waiting step.
         self.free_capacity = registration.capacity
         self.allocation_by_run: dict[tuple[TaskName, int], Allocation] = {}
         self.answered_at = NEVER
-        #: Set while polls go unanswered: nothing new is placed there.
+        #: Set while polls go unanswered: nothing new is placed on the runner.
         self.suspect = False
         #: Whether the last poll was unanswered.
         self.missed_last_poll = False
@@ -95,13 +97,14 @@
         self.unknown_demands = 0
         #: Highest number of an ended run whose effect is stored.
         self.acknowledged_end = 0
-        #: Highest one whose acknowledgement the runner has confirmed.
+        #: Highest number of an ended run whose acknowledgement the runner has confirmed.
         self.confirmed_end = 0
-        #: Highest one that has been processed.
+        #: Highest number of an ended run that has been processed.
         self.processed_end = 0
-        #: Highest one that may be acknowledged: no unreadable end has a lower number.
+        #: Highest number of an ended run that may be acknowledged, since all listed ends up to it
+        #: were readable; ``None`` for no limit.
         self.readable_through: int | None = None
-        #: Lowest end that must not be acknowledged, since its job cannot be read.
+        #: Lowest number of an ended run that must not be acknowledged, as its job cannot be read.
         self.retained_end: int | None = None
         #: Whether the last poll answer was readable in full.
         self.readable = True
@@ -116,7 +119,7 @@
         """Return whether the runner has announced that it will stop."""
         return self.registration.draining
 
-    def note_registration(self, registration: Registration, now: float) -> None:
+    def apply_registration(self, registration: Registration, now: float) -> None:
         """Apply a registration; on a new drain, compute when the runner may be gone."""
         if registration.draining and not self.registration.draining:
             remaining_seconds = (
@@ -126,8 +129,8 @@
         self.registration = registration
         self.free_capacity = registration.capacity - self.used
 
-    def usable(self, now: float) -> bool:
-        """Return whether runs may be started there now."""
+    def is_usable(self, now: float) -> bool:
+        """Return whether runs may be started on the runner now."""
         if not self.listed or not self.recorded or self.draining or self.suspect:
             return False
         if not self.registration.usable:
@@ -136,11 +139,11 @@
             # A run of an unknown job uses capacity until it is gone, though its demand counts
             # as zero. With other runs started beside it, the runner would be overcommitted.
             return False
-        if self._quarantined and self._in_quarantine(now):
+        if self._quarantined and self._has_unproven_quarantined_run(now):
             return False
         return self.knows_clock() and now >= self.no_starts_until
 
-    def accepts(self, *, quarantined: bool) -> bool:
+    def accepts_task(self, *, quarantined: bool) -> bool:
         """Return whether a task may start beside those placed in the same plan.
 
         A quarantined task starts alone: if a runner crashes with two starts in progress, it
@@ -176,7 +179,7 @@
             last = min(last, self.retained_end - 1)
         return last
 
-    def retain_end(self, number: int) -> None:
+    def withhold_acknowledgement(self, number: int) -> None:
         """Withhold the acknowledgement of an end and of all later ones."""
         self.retained_end = number if self.retained_end is None else min(self.retained_end, number)
 
@@ -211,7 +214,7 @@
         """
         return sum(StepName.of(task) == step for task, _ in self.allocation_by_run)
 
-    def note_clock(self, clock: float, now: float) -> None:
+    def record_clock(self, clock: float, now: float) -> None:
         """Record the runner's clock from an answer that arrived at ``now``."""
         self._clock = clock
         self._clock_at = now
@@ -241,7 +244,7 @@
             return None
         return self.extend_lease(now, seconds)
 
-    def leases_expired(self, now: float, drift: float) -> bool:
+    def have_leases_expired(self, now: float, drift: float) -> bool:
         """Return whether every lease granted to the runner has certainly expired.
 
         The runner's clock has advanced by at least ``1 - drift`` times the elapsed time since
@@ -251,7 +254,7 @@
             return False
         return self._clock + (now - self._clock_at) * (1 - drift) > self._lease_until
 
-    def _in_quarantine(self, now: float) -> bool:
+    def _has_unproven_quarantined_run(self, now: float) -> bool:
         self._quarantined = [
             held
             for held in self._quarantined
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_losses.py
@@ -28,15 +28,16 @@
     """Counts runner crashes during runs of unfinished jobs."""
 
     def __init__(self, unfinished_job_by_id: dict[str, JobRun], dirty: set[str]) -> None:
-        """Count for ``unfinished_job_by_id``; add jobs that must be stored to ``dirty``.
+        """Count crashes for the jobs of ``unfinished_job_by_id``.
 
-        Both are owned and updated by the caller.
+        The ids of jobs that must be stored are added to ``dirty``. The caller owns both
+        collections, and updates them too.
         """
         self._unfinished_job_by_id = unfinished_job_by_id
         self._dirty = dirty
         self._lapsed_by_address: dict[Address, _LapsedRunner] = {}
 
-    def note_end(self, runner: RunnerState) -> list[Crash]:
+    def count_crashes_on_ended_runner(self, runner: RunnerState) -> list[Crash]:
         """Count the runs that were lost with a runner whose process is proven to have ended."""
         if runner.draining:
             return []
@@ -47,21 +48,21 @@
         if lapsed is not None and lapsed.runner == runner.id:
             crashes.extend(self._count_lapsed(_address(runner)))
         if runner.answered_at == NEVER:
-            crashes.extend(self.note_unseen(runner.id))
+            crashes.extend(self.count_crashes_on_unseen_runner(runner.id))
         return crashes
 
-    def note_lapse(self, runner: RunnerState) -> None:
-        """Keep the runs of a silent runner until it is known whether it has crashed."""
+    def record_lapsed_runner(self, runner: RunnerState) -> None:
+        """Keep the runs of a silent runner until it is known whether the runner has crashed."""
         if not runner.draining:
             runs = tuple(runner.allocation_by_run.values())
             self._lapsed_by_address[_address(runner)] = _LapsedRunner(
                 runner.id, runner.answered_at, runs
             )
 
-    def note_answer(self, runner: RunnerState) -> list[Crash]:
+    def handle_first_answer(self, runner: RunnerState) -> list[Crash]:
         """Handle a runner's first answer: any earlier process at its address has ended.
 
-        An entry is no proof, since entries of earlier incarnations may arrive late.
+        An entry of a later process proves no end, since entries of earlier ones may arrive late.
         """
         lapsed = self._lapsed_by_address.get(_address(runner))
         if lapsed is None:
@@ -72,7 +73,7 @@
             return []
         return self._count_lapsed(_address(runner))
 
-    def note_unseen(self, runner_id: str) -> list[Crash]:
+    def count_crashes_on_unseen_runner(self, runner_id: str) -> list[Crash]:
         """Count the stored starts of earlier owners on a runner that this owner never reached.
 
         The runner has ended, or its entry is gone. First starts are not stored individually, so
@@ -83,7 +84,7 @@
             if job.may_run_on(runner_id):
                 job.mark_crashes_incomplete()
                 self._dirty.add(job.id)
-            for start in job.crashes.started_on(runner_id):
+            for start in job.crashes.starts_on_runner(runner_id):
                 task = _task_name(job.id, start)
                 crashes.extend(
                     self._record_crash(job, task, start.run, runner_id, during_start=False)
@@ -125,11 +126,13 @@
         *,
         during_start: bool,
     ) -> list[Crash]:
-        if not job.note_crashed(task, run, during_start=during_start):
+        if not job.record_crashed_run(task, run, during_start=during_start):
             return []
         self._dirty.add(job.id)
         count = job.crashes.count(task)
-        return [Crash(task, run, runner, during_start, count, job.crashes.is_given_up(task))]
+        return [
+            Crash(task, run, runner, during_start, count, job.crashes.has_reached_crash_limit(task))
+        ]
 
 
 def apply_last_registrations(
@@ -145,7 +148,7 @@
     for runner in runners:
         last = None if runner.listed else find_registration(runner.id)
         if last is not None:
-            runner.note_registration(last, now)
+            runner.apply_registration(last, now)
 
 
 def _task_name(job: str, start: StoredStart) -> TaskName:
--- a/dandelionreel/cell/decisions/_objectives.py
+++ b/dandelionreel/cell/decisions/_objectives.py
@@ -15,10 +15,13 @@
     return max(ends, default=0.0)
 
 
-def objective(queue: Queue | None, spec: JobSpec, quota: Demand | None = None) -> float:
+def compute_latency_objective(
+    queue: Queue | None, spec: JobSpec, quota: Demand | None = None
+) -> float:
     """Return the latency objective of a job, in seconds from its acceptance.
 
-    A step whose tasks don't fit into the account's quota together is counted in several waves.
+    If the account's quota does not suffice for all tasks of a step at once, they run in several
+    waves, and the estimated duration of the step is multiplied by the number of waves.
     """
     advice_seconds = 0.0
     if queue is not None and queue.advice is not None:
@@ -33,7 +36,7 @@
 
 
 def _count_waves(step: Step, quota: Demand | None) -> int:
-    """Return in how many waves a step's tasks run under the quota."""
+    """Return in how many waves a step's tasks run if the quota limits how many run at once."""
     if quota is None or step.gang:
         return 1
     concurrent = count_fitting(step.counted_demand, quota, step.count)
@@ -41,7 +44,7 @@
 
 
 def count_fitting(demand: Demand, available: Demand, limit: int) -> int:
-    """Return how many tasks of a demand fit into ``available``, limited to ``most``."""
+    """Return how many tasks of ``demand`` each fit into ``available``, at most ``limit``."""
     count = limit
     for needed, free in (
         (demand.cpu, available.cpu),
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -39,8 +39,8 @@
 #: CPU demand for which advice is requested, as a multiple of the free CPU: without a limit every
 #: waiting step would ask about the same free capacity.
 REQUESTED_CPU_FACTOR = 1.5
-#: Seconds between recomputations of the reservations while the same gangs wait: each one is
-#: computed from all runs on all runners that its gang may use.
+#: Seconds between recomputations of the reservations while the same gangs wait. They are costly:
+#: each reservation is computed from all runs on all runners that its gang may use.
 RESERVATION_REFRESH_SECONDS = 0.05
 #: Priority of the queues whose advice requests are never deferred.
 URGENT_PRIORITY = 0
@@ -98,7 +98,7 @@
         """Place the tasks of ``cell`` in the order of ``order``."""
         self._cell = cell
         self._order = order or WithinRateFirst()
-        self._gate = QuotaGate(cell)
+        self._quota_gate = QuotaGate(cell)
         self._advice_requests = AdviceRequests(cell)
         self._preemption = Preemption(cell)
         self._reservations = Reservations()
@@ -116,16 +116,16 @@
 
         A gang is placed whole, even if it exceeds the remaining starts.
 
-        Non-urgent advice requests are made only while hosts are free to send them. Queued at a
-        host, they would keep the order in which they were made, and a gang's first tickets would
-        expire before its last ones arrive.
+        Non-urgent advice requests (at most ``max_deferrable_requests``) are made only while hosts
+        are free to send them. Requests that queue at a host are sent in the order in which they
+        were made, so a gang's first tickets would expire before its last ones arrive.
         """
         candidates = list_candidates(self._cell, self._order.rank, now, unix_time)
         if not candidates:
             return Plan()
-        self._gate.begin_plan(candidates, now, unix_time)
+        self._quota_gate.begin_plan(candidates, now, unix_time)
         self._preemption.begin_plan()
-        usable = self._usable_by_service(now)
+        usable = self._usable_runners_by_service(now)
         makes_reservations = self._renew_reservations(candidates, usable, now)
         requestable_cpu = {
             service: REQUESTED_CPU_FACTOR * _free_cpu(runners)
@@ -144,8 +144,8 @@
             service = self._cell.service_of(candidate.job)
             runners = state.runners_by_service.get(service)
             if runners:
-                self._handle_candidate(candidate, runners, state)
-        state.plan.quota_blocked.extend(self._gate.newly_blocked)
+                self._plan_step(candidate, runners, state)
+        state.plan.quota_blocked.extend(self._quota_gate.newly_blocked)
         return state.plan
 
     def _renew_reservations(
@@ -169,9 +169,9 @@
     def _gang_version(self, step: StepRun) -> _GangVersion:
         return _GangVersion(step.name, self._cell.tickets.of(step.name).answers)
 
-    def _usable_by_service(self, now: float) -> dict[str, dict[str, RunnerState]]:
+    def _usable_runners_by_service(self, now: float) -> dict[str, dict[str, RunnerState]]:
         by_service: dict[str, dict[str, RunnerState]] = {}
-        usable = [runner for runner in self._cell.runner_by_id.values() if runner.usable(now)]
+        usable = [runner for runner in self._cell.runner_by_id.values() if runner.is_usable(now)]
         zones = {runner.registration.zone for runner in usable}
         unreachable_zones = self._cell.zone_reachability.unreachable_zones(zones, now)
         for runner in usable:
@@ -181,17 +181,17 @@
             runners_by_id[runner.id] = runner
         return by_service
 
-    def _handle_candidate(
+    def _plan_step(
         self,
         candidate: Candidate,
         runners: dict[str, RunnerState],
         state: _PlanState,
     ) -> None:
         step = candidate.step
-        allowed = self._gate.count_allowed(candidate)
+        allowed = self._quota_gate.count_allowed_tasks(candidate)
         if not allowed:
             if step.step.gang:
-                self._gate.claim(candidate)
+                self._quota_gate.claim_quota(candidate)
             return
         if candidate.queue is None or candidate.queue.advice is None:
             ticketed = [
@@ -200,14 +200,14 @@
         else:
             ticketed = self._runners_with_tickets(step, runners, state.now)
         if step.step.gang:
-            self._handle_gang(candidate, ticketed, runners, state)
+            self._plan_gang(candidate, ticketed, runners, state)
             return
         may_place = candidate.job.stored and state.starts_left > 0
         placed = may_place and self._place_tasks(candidate, ticketed, state, allowed)
-        if not placed and not self._can_place_all(candidate, ticketed, state):
+        if not placed and not self._can_place_all_tasks(candidate, ticketed, state):
             self._request_advice(candidate, runners, state)
 
-    def _can_place_all(
+    def _can_place_all_tasks(
         self, candidate: Candidate, ticketed: list[TicketedRunner], state: _PlanState
     ) -> bool:
         """Return whether tickets and capacity suffice for all waiting tasks of a step.
@@ -220,7 +220,7 @@
         ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         count = 0
         for runner, _ in ticketed:
-            if state.reservations.may_start(runner.id, candidate.rank, ends_by):
+            if state.reservations.may_start_task(runner.id, candidate.rank, ends_by):
                 count += count_slots(demand, runner.free_capacity, step.step.max_per_runner)
         return count >= step.waiting
 
@@ -247,7 +247,7 @@
         service = self._cell.service_of(candidate.job)
         if queue is None or queue.advice is None or state.requestable_cpu_by_service[service] <= 0:
             return
-        if not _may_request(queue, state):
+        if not _may_request_advice(queue, state):
             return
         state.requestable_cpu_by_service[service] -= step.waiting * counted_demand(step).cpu
         if not self._cell.tickets.of(step.name).may_request(state.now):
@@ -258,7 +258,7 @@
             runner
             for runner in runners.values()
             if has_required_label(step, runner)
-            and state.reservations.may_start(runner.id, candidate.rank, ends_by)
+            and state.reservations.may_start_task(runner.id, candidate.rank, ends_by)
         ]
         requests = []
         zone = candidate.job.submission.zone
@@ -268,7 +268,7 @@
             )
         if not requests:
             requests = self._advice_requests.for_new_runners(queue, step, eligible, state.now, zone)
-        _add_requests(queue, requests, state)
+        _add_advice_requests(queue, requests, state)
 
     def _place_tasks(
         self,
@@ -277,7 +277,7 @@
         state: _PlanState,
         allowed: int,
     ) -> bool:
-        """Place as many tasks as fit, at most ``allowed``; return whether all found one."""
+        """Place as many tasks as fit, at most ``allowed``; return whether all were placed."""
         step = candidate.step
         ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         demand = counted_demand(step)
@@ -285,7 +285,7 @@
             entry
             for entry in ticketed
             if demand.fits(entry[0].free_capacity)
-            and state.reservations.may_start(entry[0].id, candidate.rank, ends_by)
+            and state.reservations.may_start_task(entry[0].id, candidate.rank, ends_by)
         ]
         for task in step.tasks if ticketed else ():
             if task.phase is not TaskPhase.WAITING:
@@ -301,11 +301,13 @@
             allowed -= 1
             run = self._cell.next_run((task,))
             state.plan.starts.append(
-                self._cell.place(step, task, runner, run, state.now, ticket, step.step.estimate)
+                self._cell.place_task(
+                    step, task, runner, run, state.now, ticket, step.step.estimate
+                )
             )
         return not step.waiting
 
-    def _handle_gang(
+    def _plan_gang(
         self,
         candidate: Candidate,
         ticketed: list[TicketedRunner],
@@ -318,17 +320,19 @@
         ends_by = state.now + step.step.estimate * BACKFILL_MARGIN
         rank = candidate.rank
         free = [
-            entry for entry in ticketed if state.reservations.may_start(entry[0].id, rank, ends_by)
+            entry
+            for entry in ticketed
+            if state.reservations.may_start_task(entry[0].id, rank, ends_by)
         ]
         may_place = candidate.job.stored and state.starts_left > 0
         if may_place and self._place_gang(candidate, free, state):
             state.reservations.remove_step(step)
             return
-        self._gate.claim(candidate)
+        self._quota_gate.claim_quota(candidate)
         if state.makes_reservations:
-            self._reserve_or_request(candidate, runners, state)
+            self._reserve_slots_or_request_advice(candidate, runners, state)
 
-    def _reserve_or_request(
+    def _reserve_slots_or_request_advice(
         self,
         candidate: Candidate,
         runners: dict[str, RunnerState],
@@ -351,7 +355,7 @@
             valid = tickets.valid(state.now + STOP_LATENCY_SECONDS)
             ready = [runner for runner in allowed if runner.id in valid]
             reservation = self._reserve_slots(candidate, queue, allowed, ready, state)
-        if not _may_request(queue, state) or not tickets.may_request(state.now):
+        if not _may_request_advice(queue, state) or not tickets.may_request(state.now):
             return
         if reservation is None:
             eligible = [runner for runner in runners.values() if has_required_label(step, runner)]
@@ -359,7 +363,7 @@
             requests = self._advice_requests.for_new_runners(queue, step, eligible, state.now, zone)
         else:
             requests = self._advice_requests.for_reservation(queue, step, reservation, state.now)
-        _add_requests(queue, requests, state)
+        _add_advice_requests(queue, requests, state)
 
     def _allowed_runners(self, step: StepRun, runners: dict[str, RunnerState]) -> list[RunnerState]:
         """Return the usable runners on which the policy service allows a step."""
@@ -383,14 +387,14 @@
         reservations, now = state.reservations, state.now
         if reservations.is_full:
             return None
-        free = reservations.unreserved(runners)
+        free = reservations.unreserved_runners(runners)
         reservation = reservations.find(candidate.step, candidate.rank, free, now)
         in_time = (
             reservation is not None and reservation.at <= now + MAX_WAIT_WITHOUT_PREEMPTION_SECONDS
         )
         if not in_time and candidate.lateness < TOO_LATE:
             preemption = self._preemption.plan_preemption(
-                candidate.step, queue, reservations.unreserved(ready), now
+                candidate.step, queue, reservations.unreserved_runners(ready), now
             )
             if preemption is None:
                 # The gang needs tickets first. A reservation that is due now requests them at once.
@@ -398,16 +402,16 @@
                 preemption = self._preemption.plan_preemption(candidate.step, queue, free, now)
             else:
                 at = now + STOP_LATENCY_SECONDS
-                self._preempt(preemption, state)
+                self._preempt_victims(preemption, state)
             if preemption is not None:
                 reservation = Reservation(candidate.step, at, preemption.runners, candidate.rank)
         if reservation is not None:
             reservations.add(reservation)
         return reservation
 
-    def _preempt(self, preemption: PreemptionPlan, state: _PlanState) -> None:
+    def _preempt_victims(self, preemption: PreemptionPlan, state: _PlanState) -> None:
         for victim in preemption.victims:
-            self._cell.stop(victim)
+            self._cell.stop_run(victim)
         state.plan.preempted.extend(preemption.victims)
 
     def _place_gang(
@@ -423,7 +427,9 @@
             for task, (runner, ticket) in zip(step.tasks, assigned, strict=True):
                 task.checkpoint = checkpoint
                 state.plan.starts.append(
-                    self._cell.place(step, task, runner, run, state.now, ticket, step.step.estimate)
+                    self._cell.place_task(
+                        step, task, runner, run, state.now, ticket, step.step.estimate
+                    )
                 )
             return True
         return False
@@ -434,11 +440,11 @@
     return sum(max(0, runner.free_capacity.cpu) for runner in runners.values())
 
 
-def _may_request(queue: Queue, state: _PlanState) -> bool:
+def _may_request_advice(queue: Queue, state: _PlanState) -> bool:
     return queue.priority == URGENT_PRIORITY or state.deferrable_requests_left > 0
 
 
-def _add_requests(queue: Queue, requests: list[AdviceRequest], state: _PlanState) -> None:
+def _add_advice_requests(queue: Queue, requests: list[AdviceRequest], state: _PlanState) -> None:
     if queue.priority != URGENT_PRIORITY:
         state.deferrable_requests_left -= len(requests)
     state.plan.advice_requests.extend(requests)
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -24,11 +24,11 @@
 #: A gang whose slots come free by themselves within this time preempts nothing: getting tickets
 #: and stopping tasks takes about as long.
 MAX_WAIT_WITHOUT_PREEMPTION_SECONDS = 0.8
-#: Seconds by which a job must be ahead of its objective for its tasks to be preempted: they have to
-#: wait for new tickets and capacity.
+#: A task is preempted only if it would end this many seconds before its job's latency objective:
+#: once stopped, it has to wait for new tickets and capacity.
 OBJECTIVE_MARGIN_SECONDS = 3.0
-#: Seconds until the end of a stopped task is listed: 0.2 to 0.4 s by the workers' contract, plus
-#: the poll in progress.
+#: Seconds until a runner lists the end of a stopped task: 0.2 to 0.4 s by the workers' contract,
+#: plus the duration of the poll in progress.
 STOP_LATENCY_SECONDS = 0.45
 
 
@@ -46,13 +46,13 @@
     def __init__(self, cell: Cell) -> None:
         """Choose among the tasks of ``cell``."""
         self._cell = cell
-        #: Preemptible runs by runner and by priority of the gang, the largest first.
+        #: Preemptible runs by runner and by priority of the gang, those with the most CPU first.
         self._victims_by_runner: dict[tuple[str, int], list[Allocation]] = {}
 
     def begin_plan(self) -> None:
         """Begin a plan: clear the cached victims.
 
-        Within one plan they stay valid but for the runs that the plan itself stops.
+        Within one plan the cache stays valid, except for runs that the plan itself stops.
         """
         self._victims_by_runner.clear()
 
--- a/dandelionreel/cell/decisions/_preventive_stops.py
+++ b/dandelionreel/cell/decisions/_preventive_stops.py
@@ -11,7 +11,8 @@
 )
 from dandelionreel.cell.decisions._step_runs import StepRun
 
-#: Share of the gang timeout after which an incomplete gang is stopped.
+#: Share of the gang timeout (the time within which all members must have started) after which a
+#: gang with a member that has not started is stopped.
 GANG_TIMEOUT_SHARE = 0.55
 #: Seconds before a draining runner may exit by which its tasks must have ended: a stop takes up to
 #: 0.4 s, and a poll has to list the end.
@@ -31,7 +32,7 @@
         latest_end = runner.may_leave_at - EVACUATION_MARGIN_SECONDS
         for allocation in _allocations_in_phase(runner, AllocationPhase.RUNNING):
             if now >= latest_end or expected_end(allocation, now) > latest_end:
-                cell.stop(allocation)
+                cell.stop_run(allocation)
                 stopped.append(allocation)
     return stopped
 
@@ -40,7 +41,7 @@
     """Stop and return the gangs whose members have not all started in time."""
     incomplete = [*_partly_placed_gangs(cell, unix_time), *_unstarted_gangs(cell, now)]
     for step in incomplete:
-        cell.stop_members(step)
+        cell.stop_gang_members(step)
     return incomplete
 
 
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -18,7 +18,8 @@
 #: Seconds for which a gang waits for its account's quota before all other tasks of that account,
 #: however urgent, wait for it.
 MAX_QUOTA_WAIT_SECONDS = 20.0
-#: Seconds for which quota is kept for a gang that finds no slots; it may never find any.
+#: Seconds for which quota is kept for a gang that finds no slots on the runners; a gang may never
+#: find any.
 MAX_CLAIM_SECONDS = 5.0
 #: The reason for a blocked job in the log; readers of the log match it.
 HELD_BY_QUOTA = "its account's quota"
@@ -32,21 +33,21 @@
     blocked_since: float | None = None
     granted_since: float | None = None
 
-    def note_blocked(self, now: float) -> None:
+    def record_quota_shortage(self, now: float) -> None:
         """Note that the quota does not suffice for the gang."""
         self.granted_since = None
         if self.blocked_since is None:
             self.blocked_since = now
 
-    def note_granted(self, now: float) -> None:
-        """Note that the quota suffices; a gang that leaves it unused waits longer next time."""
+    def record_sufficient_quota(self, now: float) -> None:
+        """Note that the quota suffices; a gang that does not use it waits longer next time."""
         if self.granted_since is None:
             self.granted_since = now
-        if self.blocked_since is not None and not self.may_claim(now):
+        if self.blocked_since is not None and not self.may_claim_quota(now):
             self.blocked_since = None
             self.max_wait *= 2
 
-    def may_claim(self, now: float) -> bool:
+    def may_claim_quota(self, now: float) -> bool:
         """Return whether quota may be kept for the gang."""
         return self.granted_since is None or now - self.granted_since < MAX_CLAIM_SECONDS
 
@@ -73,7 +74,7 @@
     def begin_plan(self, candidates: Iterable[Candidate], now: float, unix_time: float) -> None:
         """Begin a plan; gangs that are no longer candidates are forgotten."""
         self._now = now
-        self._cell.quotas.refresh(now, unix_time)
+        self._cell.quotas.refresh_unseen_usage(now, unix_time)
         self._claimed_by_account.clear()
         self.newly_blocked = []
         self._wait_by_gang = {
@@ -83,32 +84,32 @@
         }
         self._starved_gang_by_account = self._find_starved_gangs()
 
-    def count_allowed(self, candidate: Candidate) -> int:
+    def count_allowed_tasks(self, candidate: Candidate) -> int:
         """Return how many waiting tasks of a step may start; all or none for a gang."""
         job, step = candidate.job, candidate.step
         quota = self._cell.quota_of(job)
         if quota is None:
             return step.waiting
-        count = self._count(candidate, quota)
+        count = self._count_startable_tasks(candidate, quota)
         if step.step.gang:
-            count = self._count_gang(candidate, quota, count)
+            count = self._count_startable_members(candidate, quota, count)
         if not count and job.hold_reason != HELD_BY_QUOTA:
             job.hold_reason = HELD_BY_QUOTA
             self.newly_blocked.append(job)
         return count
 
-    def claim(self, candidate: Candidate) -> None:
+    def claim_quota(self, candidate: Candidate) -> None:
         """Keep quota for a waiting gang, so that later candidates cannot use it."""
         job, step = candidate.job, candidate.step
         wait = self._wait_by_gang.get(step.name)
-        if wait is None or not wait.may_claim(self._now):
+        if wait is None or not wait.may_claim_quota(self._now):
             return
         if not self._may_use_quota(job, step.name):
             return
         claimed = self._claimed_by_account.get(job.account, Demand())
         self._claimed_by_account[job.account] = claimed + step.step.smallest_start
 
-    def _count(self, candidate: Candidate, quota: Demand) -> int:
+    def _count_startable_tasks(self, candidate: Candidate, quota: Demand) -> int:
         job, step = candidate.job, candidate.step
         if not self._may_use_quota(job, step.name):
             return 0
@@ -116,7 +117,7 @@
         available = quota - self._cell.quotas.used(job.account) - claimed
         return count_fitting(counted_demand(step), available, step.waiting)
 
-    def _count_gang(self, candidate: Candidate, quota: Demand, count: int) -> int:
+    def _count_startable_members(self, candidate: Candidate, quota: Demand, count: int) -> int:
         """Return how many members of a gang may start, and note since when it waits."""
         step = candidate.step
         if not step.step.smallest_start.fits(quota):
@@ -125,9 +126,9 @@
             return 0
         wait = self._wait_by_gang.setdefault(step.name, _GangWait())
         if count < len(step.tasks):
-            wait.note_blocked(self._now)
+            wait.record_quota_shortage(self._now)
             return 0
-        wait.note_granted(self._now)
+        wait.record_sufficient_quota(self._now)
         return count
 
     def _may_use_quota(self, job: JobRun, name: StepName) -> bool:
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -16,7 +16,7 @@
 #: Seconds between recounts of what may run on unseen runners.
 UNSEEN_REFRESH_SECONDS = 0.05
 
-#: Assumed for each resource of an unseen runner as long as no runner is known.
+#: Capacity assumed for each resource of an unseen runner as long as no runner is known.
 UNKNOWN_CAPACITY = 2_147_483_648
 
 #: Job id and runner id.
@@ -27,9 +27,10 @@
     """The quota usage of each account, as one owner counts it."""
 
     def __init__(self, allocations: AllocationTable, unseen: set[str]) -> None:
-        """Count ``allocations``, and what may run on the runners of ``unseen``.
+        """Count ``allocations``, and what may run on the runners whose ids are in ``unseen``.
 
-        The caller updates both.
+        Runners are unseen until they have listed their runs to this owner. The caller updates both
+        collections.
         """
         self._allocations = allocations
         self._unseen = unseen
@@ -38,7 +39,7 @@
         self._refreshed_at = float('-inf')
 
     def expect_leftovers(self, job: str, progress: Progress, unix_time: float) -> None:
-        """Count what a finished job may have left running, as an earlier owner stored it."""
+        """Count the runs that a finished job may have left, as stored by an earlier owner."""
         if unix_time - progress.ended_at > LEFTOVER_SECONDS:
             return
         for leftover in progress.leftovers:
@@ -55,7 +56,7 @@
             demand_by_runner[held.runner] = before + held.demand
         remaining = job.remaining_demand(unix_time)
         for runner in self._unseen_runners(job):
-            demand_by_runner[runner] = remaining.at_most(self._capacity({runner}))
+            demand_by_runner[runner] = remaining.at_most(self._total_capacity({runner}))
         return tuple(Leftover(*entry) for entry in sorted(demand_by_runner.items()))
 
     def keep_leftovers(self, job: JobRun, unix_time: float) -> None:
@@ -80,7 +81,7 @@
         """
         return None if quota is None else quota - self.used(account)
 
-    def refresh(self, now: float, unix_time: float) -> None:
+    def refresh_unseen_usage(self, now: float, unix_time: float) -> None:
         """Recount what may run on unseen runners, if that is due."""
         if now < self._refreshed_at + UNSEEN_REFRESH_SECONDS:
             return
@@ -90,7 +91,7 @@
             self._count_unseen(unix_time)
         for key, (account, demand) in tuple(self._leftover_by_job_and_runner.items()):
             if self._may_still_run(*key):
-                self._count(account, demand)
+                self._add_unseen_usage(account, demand)
             else:
                 self._leftover_by_job_and_runner.pop(key)
 
@@ -102,25 +103,27 @@
             if not job.account or not runners or job.is_finished:
                 continue
             runners_by_account.setdefault(job.account, set()).update(runners)
-            capacity = self._capacity(runners)
-            self._count(job.account, job.remaining_demand(unix_time).at_most(capacity))
+            capacity = self._total_capacity(runners)
+            self._add_unseen_usage(job.account, job.remaining_demand(unix_time).at_most(capacity))
         for account, runners in runners_by_account.items():
             counted = self._unseen_by_account[account]
-            self._unseen_by_account[account] = counted.at_most(self._capacity(runners))
+            self._unseen_by_account[account] = counted.at_most(self._total_capacity(runners))
 
     def _unseen_runners(self, job: JobRun) -> set[str]:
         """Return the unseen runners on which a job may have runs."""
         return self._unseen if ANY_RUNNER in job.runners else self._unseen & job.runners
 
-    def _capacity(self, runners: set[str]) -> Demand:
+    def _total_capacity(self, runners: set[str]) -> Demand:
         """Return the total capacity of runners; an unknown one counts as the largest known."""
         total = Demand()
         for runner in runners:
             state = self._allocations.runner_by_id.get(runner)
-            total += self._largest_runner() if state is None else state.registration.capacity
+            total += (
+                self._largest_runner_capacity() if state is None else state.registration.capacity
+            )
         return total
 
-    def _largest_runner(self) -> Demand:
+    def _largest_runner_capacity(self) -> Demand:
         capacities = [
             state.registration.capacity for state in self._allocations.runner_by_id.values()
         ]
@@ -130,7 +133,7 @@
             max((capacity.gpu for capacity in capacities), default=UNKNOWN_CAPACITY),
         )
 
-    def _count(self, account: str, demand: Demand) -> None:
+    def _add_unseen_usage(self, account: str, demand: Demand) -> None:
         counted = self._unseen_by_account.get(account, Demand())
         self._unseen_by_account[account] = counted + demand
 
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -15,14 +15,15 @@
 from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
 from dandelionreel.cell.model import Demand, StepName
 
-#: How many gangs may hold a reservation at the same time: one for every so many runners, and at
-#: least the minimum. More would leave runners idle that the most urgent gangs do not need yet.
+#: One gang per ``RUNNERS_PER_RESERVING_GANG`` runners may hold a reservation at the same time, and
+#: at least ``MIN_RESERVING_GANGS``. With more, runners would be idle that the most urgent gangs do
+#: not need yet.
 MIN_RESERVING_GANGS = 4
 RUNNERS_PER_RESERVING_GANG = 15
-#: A task may backfill if it would end before the reservation starts even when it takes this many
-#: times its estimate.
+#: A task may start on a reserved runner (backfill) if it would end before the reservation starts
+#: even when it takes this many times its estimate.
 BACKFILL_MARGIN = 1.25
-#: More tasks than any step has: stands for "no limit".
+#: Larger than any number of slots: stands for "not limited by any resource".
 UNLIMITED = sys.maxsize
 
 
@@ -64,16 +65,16 @@
     def __init__(self, runners: int = 0) -> None:
         """Start with no reservation, for a cell with that many usable runners."""
         self._by_runner: dict[str, Reservation] = {}
-        self._count = 0
+        self._count_slots = 0
         self._max_count = max(MIN_RESERVING_GANGS, runners // RUNNERS_PER_RESERVING_GANG)
         self._freed_by_runner: dict[str, list[FreedCapacity]] = {}
 
     @property
     def is_full(self) -> bool:
         """Return whether no further gang may reserve runners."""
-        return self._count >= self._max_count
+        return self._count_slots >= self._max_count
 
-    def may_start(self, runner: str, rank: Rank, until: float) -> bool:
+    def may_start_task(self, runner: str, rank: Rank, until: float) -> bool:
         """Return whether a task that ends at ``until`` may start despite a reservation.
 
         Steps that rank before the gang may always start: they can arrive after the reservation
@@ -82,7 +83,7 @@
         held = self._by_runner.get(runner)
         return held is None or rank <= held.rank or until <= held.at
 
-    def unreserved(self, runners: Iterable[RunnerState]) -> list[RunnerState]:
+    def unreserved_runners(self, runners: Iterable[RunnerState]) -> list[RunnerState]:
         """Return the runners that no gang has reserved."""
         return [runner for runner in runners if runner.id not in self._by_runner]
 
@@ -102,13 +103,13 @@
     def remove_step(self, step: StepRun) -> None:
         """Release the runners reserved for a step that has started."""
         runners = [runner for runner, held in self._by_runner.items() if held.step is step]
-        self._count -= bool(runners)
+        self._count_slots -= bool(runners)
         for runner in runners:
             self._by_runner.pop(runner)
 
     def add(self, reservation: Reservation) -> None:
         """Reserve the runners of a reservation for its gang."""
-        self._count += 1
+        self._count_slots += 1
         for runner in reservation.runners:
             self._by_runner[runner] = reservation
 
@@ -120,7 +121,9 @@
     now: float,
     freed_by_runner: dict[str, list[FreedCapacity]],
 ) -> Reservation | None:
-    """Return when and where all members of a gang fit, by the expected ends of other runs.
+    """Return a reservation of the runners on which all members of a gang fit earliest.
+
+    The time follows from the expected ends of other runs.
 
     ``freed_by_runner`` is a cache that is filled in here: the expected ends on a runner are the
     same for all gangs.
@@ -134,15 +137,18 @@
             freed = freed_by_runner[runner.id] = _accumulate_freed(runner, now)
         for at, gained in _slot_gains(runner, freed, demand, limit, now):
             slot_gains.append((at, runner.id, gained))
-    return _choose_earliest(step, rank, slot_gains)
+    return _choose_earliest_runners(step, rank, slot_gains)
 
 
-def _choose_earliest(
+def _choose_earliest_runners(
     step: StepRun,
     rank: Rank,
     slot_gains: list[tuple[float, str, int]],
 ) -> Reservation | None:
-    """Return the runners whose slots come free first; ties go by runner id and count."""
+    """Return a reservation of the runners whose slots come free first.
+
+    Slots that come free at the same time are ordered by runner id, then by their number.
+    """
     needed = len(step.tasks)
     chosen: set[str] = set()
     slots = 0
@@ -161,7 +167,7 @@
         (expected_end(allocation, now), allocation.demand)
         for allocation in runner.allocation_by_run.values()
     ]
-    ends.sort(key=_end_time)
+    ends.sort(key=_expected_end_time)
     freed = []
     cpu = memory_mb = gpu = 0
     for at, demand in ends:
@@ -186,7 +192,7 @@
     if slots:
         slot_gains.append((now, slots))
     for later in freed:
-        slots_then = _count(
+        slots_then = _count_slots(
             demand,
             free.cpu + later.cpu,
             free.memory_mb + later.memory_mb,
@@ -199,16 +205,16 @@
     return slot_gains
 
 
-def _end_time(entry: tuple[float, Demand]) -> float:
+def _expected_end_time(entry: tuple[float, Demand]) -> float:
     return entry[0]
 
 
 def count_slots(demand: Demand, free: Demand, limit: int = 0) -> int:
-    """Return how many tasks of a demand fit into ``free``; a ``limit`` of 0 is none."""
-    return _count(demand, free.cpu, free.memory_mb, free.gpu, limit)
+    """Return how many tasks of ``demand`` each fit into ``free``; 0 as ``limit`` is no limit."""
+    return _count_slots(demand, free.cpu, free.memory_mb, free.gpu, limit)
 
 
-def _count(demand: Demand, cpu: int, memory_mb: int, gpu: int, limit: int) -> int:
+def _count_slots(demand: Demand, cpu: int, memory_mb: int, gpu: int, limit: int) -> int:
     """Return how many tasks fit; takes plain numbers, as building a ``Demand`` is slow here."""
     slots = UNLIMITED
     if demand.cpu:
--- a/dandelionreel/cell/decisions/_runner_choice.py
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -29,9 +29,10 @@
     ticketed: list[TicketedRunner],
     zone: str = '',
 ) -> TicketedRunner | None:
-    """Return the best fit for a task, the runner left with the least free share.
+    """Return the best-fitting runner for a task: the one with the smallest free share afterwards.
 
-    Runners on which the task has not failed, with its data, and in ``zone`` are preferred.
+    Runners on which the task has not failed come first, then those in the rack with its data, then
+    those in ``zone``.
 
     A quarantined task goes to the runner with the least CPU in use, as it may crash its runner.
     """
@@ -40,7 +41,7 @@
     limit = step.step.max_per_runner
     rack = step.step.data_rack
     for runner, ticket in ticketed:
-        if not demand.fits(runner.free_capacity) or not runner.accepts(
+        if not demand.fits(runner.free_capacity) or not runner.accepts_task(
             quarantined=task.quarantined
         ):
             continue
@@ -59,7 +60,7 @@
 
 
 def _remaining_share(demand: Demand, runner: RunnerState) -> float:
-    """Return the free share of a runner with the task placed, CPU plus memory."""
+    """Return the sum of the free shares of CPU and memory once a task is placed on a runner."""
     capacity = runner.registration.capacity
     free = runner.free_capacity
     return (free.cpu - demand.cpu) / max(1, capacity.cpu) + (
@@ -98,7 +99,7 @@
     # Best fit: free capacity stays concentrated on few runners.
     fullest_first = sorted(available, key=lambda entry: _remaining_share(demand, entry[0]))
     for runner, ticket in fullest_first:
-        if not runner.accepts(quarantined=quarantined):
+        if not runner.accepts_task(quarantined=quarantined):
             continue
         slots = count_slots(demand, runner.free_capacity, limit)
         if limit:
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from dandelionreel.cell.decisions._allocation_table import AllocationTable, is_current
+from dandelionreel.cell.decisions._allocation_table import AllocationTable, is_current_run
 from dandelionreel.cell.decisions._crashes import Crash
 from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._losses import RunnerLosses
@@ -36,7 +36,7 @@
 
     @property
     def has_changes(self) -> bool:
-        """Return whether runs may start or must stop because of it.
+        """Return whether the answer shows a change, so that runs may start or must stop.
 
         Most polls only renew leases.
         """
@@ -65,8 +65,8 @@
         """Apply a poll answer; ``polled_at`` is when the poll was sent."""
         effect = PollEffect()
         if runner.answered_at == NEVER or runner.suspect:
-            effect.crashes = self._losses.note_answer(runner)
-        runner.note_clock(view.clock, now)
+            effect.crashes = self._losses.handle_first_answer(runner)
+        runner.record_clock(view.clock, now)
         runner.answered_at = now
         runner.suspect = False
         runner.missed_last_poll = False
@@ -76,17 +76,17 @@
                 continue
             runner.processed_end = ended.number
             if ended.task.job in self._unreadable_jobs:
-                runner.retain_end(ended.number)
-            effect.ended.append((ended, self._apply_end(runner, ended)))
+                runner.withhold_acknowledgement(ended.number)
+            effect.ended.append((ended, self._apply_ended_run(runner, ended)))
         listed_runs = set()
         for running in view.running:
             listed_runs.add((running.task, running.run))
-            effect.adopted += self._apply_running(runner, running, polled_at, now)
+            effect.adopted += self._apply_running_task(runner, running, polled_at, now)
         if view.complete:
-            self._drop_unlisted(runner, listed_runs, polled_at, effect)
+            self._drop_unlisted_runs(runner, listed_runs, polled_at, effect)
         return effect
 
-    def _drop_unlisted(
+    def _drop_unlisted_runs(
         self,
         runner: RunnerState,
         listed_runs: set[tuple[TaskName, int]],
@@ -108,9 +108,9 @@
             # show the state before it took effect.
             if polled_at > allocation.order_answered_at:
                 effect.lost.append(allocation)
-                self._allocations.drop_lost(runner, allocation)
+                self._allocations.drop_lost_run(runner, allocation)
 
-    def _apply_end(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
+    def _apply_ended_run(self, runner: RunnerState, ended: EndedRun) -> Allocation | None:
         allocations = self._allocations
         allocation = runner.allocation_by_run.get((ended.task, ended.run))
         job = allocations.job_by_id.get(ended.task.job)
@@ -123,17 +123,17 @@
         if ended.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = ended.checkpoint
         if ended.outcome is Outcome.DONE and not step.step.long_running:
-            self._apply_done(job, step, ended)
+            self._apply_done_run(job, step, ended)
             return allocation
         if ended.outcome is Outcome.FAILED:
-            self._apply_failure(job, task, runner, ended)
-        if is_current(task, runner.id, ended.run):
-            step.release(task)
+            self._apply_failed_run(job, task, runner, ended)
+        if is_current_run(task, runner.id, ended.run):
+            step.release_task(task)
             if step.step.gang:
-                allocations.stop_members(step)
+                allocations.stop_gang_members(step)
         return allocation
 
-    def _apply_failure(
+    def _apply_failed_run(
         self,
         job: JobRun,
         task: TaskRun,
@@ -142,12 +142,12 @@
     ) -> None:
         queue = self._queue_of(job)
         task.avoid.add(runner.id)
-        job.note_failed(ended.task, ended.run, queue.max_attempts if queue else 1)
+        job.record_failed_run(ended.task, ended.run, queue.max_attempts if queue else 1)
         self._allocations.dirty.add(job.id)
         if job.state is JobState.FAILED:
             self._allocations.stop_job(job.id)
 
-    def _apply_done(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
+    def _apply_done_run(self, job: JobRun, step: StepRun, ended: EndedRun) -> None:
         allocations = self._allocations
         members = step.tasks if step.step.gang else [step.tasks[ended.task.index]]
         for member in members:
@@ -157,11 +157,11 @@
             # Members of the successful gang run end by themselves; a later run of the same task
             # must be stopped.
             if current is not None and current.run != ended.run:
-                allocations.stop(current)
-        job.note_done(ended.task)
+                allocations.stop_run(current)
+        job.mark_task_done(ended.task)
         allocations.dirty.add(job.id)
 
-    def _apply_running(
+    def _apply_running_task(
         self,
         runner: RunnerState,
         running: RunningTask,
@@ -170,7 +170,7 @@
     ) -> int:
         allocation = runner.allocation_by_run.get((running.task, running.run))
         if allocation is None:
-            self._adopt(runner, running, now)
+            self._adopt_run(runner, running, now)
             return 1
         allocation.percent = running.percent
         allocation.gauge = running.gauge
@@ -179,8 +179,8 @@
         self._allocations.repeat_stop(allocation, polled_at)
         return 0
 
-    def _adopt(self, runner: RunnerState, running: RunningTask, now: float) -> None:
-        """Allocate a run that an earlier owner started; stop it if it is not wanted."""
+    def _adopt_run(self, runner: RunnerState, running: RunningTask, now: float) -> None:
+        """Allocate a run that an earlier owner started; stop it if its task needs no such run."""
         allocations = self._allocations
         job = allocations.job_by_id.get(running.task.job)
         found = None if job is None else job.find_task(running.task)
@@ -188,22 +188,22 @@
         allocation = _make_adopted_allocation(runner, running, now, found, account)
         allocations.add_allocation(runner, allocation)
         if job is None or found is None:
-            allocations.stop(allocation)
+            allocations.stop_run(allocation)
             return
         step, task = found
         if job.is_finished or task.phase is TaskPhase.DONE:
-            allocations.stop(allocation)
+            allocations.stop_run(allocation)
             return
         if task.phase is TaskPhase.PLACED:
             if task.run > running.run:
-                allocations.stop(allocation)
+                allocations.stop_run(allocation)
                 return
             current = allocations.find_allocation(task)
-            step.release(task)
+            step.release_task(task)
             if current is not None:
-                allocations.stop(current)
-        step.place(task, runner.id, running.run)
-        allocations.mark_started(job.id)
+                allocations.stop_run(current)
+        step.place_task(task, runner.id, running.run)
+        allocations.mark_job_started(job.id)
 
 
 def _make_adopted_allocation(
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -1,7 +1,7 @@
 """State of one job: which of its tasks are done, running or waiting. No I/O."""
 
 from dandelionreel.cell.decisions._crashes import JobCrashes
-from dandelionreel.cell.decisions._objectives import objective
+from dandelionreel.cell.decisions._objectives import compute_latency_objective
 from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun, counted_demand
 from dandelionreel.cell.model import (
     FINAL_STATES,
@@ -19,7 +19,7 @@
 )
 
 HEX_BASE = 16
-#: Entry in a job's runners: its tasks may have been started on any runner.
+#: Entry in a job's set of runners which says that its tasks may have been started on any runner.
 ANY_RUNNER = '*'
 
 
@@ -43,9 +43,10 @@
         self._failed_runs: set[FailedRun] = set()
         self.crashes = JobCrashes()
         self._objective: tuple[Queue | None, Demand | None, float] | None = None
-        #: Whether it is beyond the job rate of its account, and ranks behind jobs within the rate.
+        #: Whether the job is beyond the job rate of its account, and ranks behind jobs within the
+        #: rates of their accounts.
         self.exceeds_account_rate = False
-        #: Why it is not started, as last logged.
+        #: Why the job is not started, as last logged.
         self.hold_reason = ''
         #: Whether there is progress that has not been sent to the store.
         self.dirty = False
@@ -53,7 +54,7 @@
         self.stored = True
         #: The stored state, which is reported to clients.
         self.stored_state = JobState.QUEUED
-        #: Runners on which its tasks may have been started, and the stored ones of them.
+        #: Runners on which its tasks may have been started, and those already stored.
         self.runners: set[str] = set()
         self.stored_runners: set[str] = set()
 
@@ -112,11 +113,11 @@
     def objective(self, queue: Queue | None, quota: Demand | None = None) -> float:
         """Return the job's latency objective in seconds, cached for each configuration.
 
-        ``quota`` limits what its account may have running.
+        ``quota`` is the limit on the resources that runs of its account use at the same time.
         """
         cached = self._objective
         if cached is None or cached[0] is not queue or cached[1] is not quota:
-            cached = (queue, quota, objective(queue, self.spec, quota))
+            cached = (queue, quota, compute_latency_objective(queue, self.spec, quota))
             self._objective = cached
         return cached[2]
 
@@ -147,7 +148,7 @@
             for step in steps:
                 if not step.waiting:
                     continue
-                if all(steps[earlier].complete for earlier in step.step.depends_on):
+                if all(steps[earlier].is_complete for earlier in step.step.depends_on):
                     ready.append(step)
         return ready
 
@@ -164,13 +165,13 @@
         for occurrence in range(self._done_occurrences, self.due_occurrences(unix_time)):
             steps = self.steps(occurrence)
             for step in steps:
-                if step.complete or (step.step.long_running and not step.waiting):
+                if step.is_complete or (step.step.long_running and not step.waiting):
                     continue
-                if all(steps[earlier].complete for earlier in step.step.depends_on):
+                if all(steps[earlier].is_complete for earlier in step.step.depends_on):
                     unfinished.append(step)
         return unfinished
 
-    def note_done(self, name: TaskName) -> None:
+    def mark_task_done(self, name: TaskName) -> None:
         """Mark a task as done; all members of a gang are done together."""
         step = self.find_step(name)
         if step is None or not 0 <= name.index < len(step.tasks):
@@ -179,13 +180,13 @@
             # Each member of a gang reports its end, and an end is listed until it is
             # acknowledged. Only the first report changes the progress.
             self.dirty = self.dirty or task.phase is not TaskPhase.DONE
-            step.finish(task)
-        self._check_complete()
+            step.finish_task(task)
+        self._complete_job_if_done()
 
-    def note_failed(self, name: TaskName, run: int, max_failures: int) -> None:
+    def record_failed_run(self, name: TaskName, run: int, max_failures: int) -> None:
         """Count a failed run once; after ``max_failures`` of a task the job has failed."""
         step = self.find_step(name)
-        if step is None or step.complete:
+        if step is None or step.is_complete:
             return
         index = 0 if step.step.gang else name.index
         failed = FailedRun(name.occurrence, name.step, index, run)
@@ -198,7 +199,7 @@
         if task.failures >= max_failures and not step.step.long_running and not self.is_finished:
             self.state = JobState.FAILED
 
-    def note_crashed(self, name: TaskName, run: int, *, during_start: bool) -> bool:
+    def record_crashed_run(self, name: TaskName, run: int, *, during_start: bool) -> bool:
         """Count a runner crash during a run once; return whether it was not counted before.
 
         After too many crashes the job has failed, even if its step is long-running.
@@ -210,11 +211,11 @@
             return False
         self.dirty = True
         found[1].quarantined = self.crashes.is_quarantined(name)
-        if self.crashes.is_given_up(name):
+        if self.crashes.has_reached_crash_limit(name):
             self.state = JobState.FAILED
         return True
 
-    def note_complete(self) -> bool:
+    def mark_job_complete(self) -> bool:
         """Mark the whole job as complete; return whether it was unfinished."""
         if self.is_finished:
             return False
@@ -234,13 +235,13 @@
             found[1].quarantined = False
             self.dirty = True
 
-    def note_start(self, name: TaskName, run: int, runner: str) -> bool:
+    def record_task_start(self, name: TaskName, run: int, runner: str) -> bool:
         """Record a start that is about to be sent; return whether to store it first."""
         self.runners.add(runner)
         stored = self.may_run_on(runner)
         return self.crashes.record_start(name, run, runner) or not stored
 
-    def note_run_ended(self, name: TaskName, run: int) -> None:
+    def record_ended_run(self, name: TaskName, run: int) -> None:
         """Record that a run has ended in any way."""
         self.dirty = self.crashes.record_run_end(name, run) or self.dirty
 
@@ -269,7 +270,7 @@
             step = self.steps(entry.occurrence)[entry.step]
             for index, task in enumerate(step.tasks):
                 if mask >> index & 1:
-                    step.finish(task)
+                    step.finish_task(task)
         for failed in progress.failed:
             self._failed_runs.add(failed)
             step = self.steps(failed.occurrence)[failed.step]
@@ -312,7 +313,7 @@
                 )
                 done.append(DoneTasks(occurrence, step.name.step, f'{mask:x}'))
         failed = () if self.is_finished else tuple(sorted(self._failed_runs, key=_failed_sort_key))
-        state = JobState.CANCELLED if self._shows_cancelled() else self.state
+        state = JobState.CANCELLED if self._is_reported_as_cancelled() else self.state
         if self.is_finished:
             return Progress(
                 epoch,
@@ -343,10 +344,10 @@
             task = self.steps(crashed.occurrence)[crashed.step].tasks[crashed.index]
             task.quarantined = self.crashes.is_quarantined(task.name)
 
-    def _shows_cancelled(self) -> bool:
+    def _is_reported_as_cancelled(self) -> bool:
         return self.cancelled and self.state not in {JobState.COMPLETED, JobState.FAILED}
 
-    def _check_complete(self) -> None:
+    def _complete_job_if_done(self) -> None:
         self._skip_done_occurrences()
         if self._done_occurrences == self.spec.occurrences and not self.is_finished:
             self.state = JobState.COMPLETED
@@ -354,7 +355,7 @@
     def _skip_done_occurrences(self) -> None:
         while self._done_occurrences < self.spec.occurrences:
             steps = self._steps_by_occurrence.get(self._done_occurrences)
-            if steps is None or not all(step.complete for step in steps):
+            if steps is None or not all(step.is_complete for step in steps):
                 return
             self._done_occurrences += 1
 
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -1,4 +1,4 @@
-"""Finds jobs without progress although a step is due, with what they wait for. No I/O."""
+"""Finds jobs that make no progress although a step is due, and describes why. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,13 +16,13 @@
 CHECK_INTERVAL_SECONDS = 1.5
 REPORT_INTERVAL_SECONDS = 5.0
 #: Jobs in one report, and runs listed for one job.
-MAX_JOBS = 5
-MAX_RUNS = 10
+MAX_REPORTED_JOBS = 5
+MAX_REPORTED_RUNS = 10
 
 
 @dataclass(frozen=True)
 class StalledJob:
-    """A job without progress for ``seconds``; ``steps`` and ``runs`` are readable descriptions."""
+    """A job without progress for ``seconds``; ``steps`` and ``runs`` are described for the log."""
 
     job: str
     queue: str
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class _Progress:
+class _UnchangedJob:
     """Number of changes of a job's tasks, and since when it is unchanged (monotonic seconds)."""
 
     changes: int
@@ -47,7 +47,7 @@
     def __init__(self, cell: Cell) -> None:
         """Watch the jobs of ``cell``."""
         self._cell = cell
-        self._progress_by_job: dict[str, _Progress] = {}
+        self._progress_by_job: dict[str, _UnchangedJob] = {}
         self._checked_at = float('-inf')
 
     def find(self, now: float, unix_time: float) -> list[StalledJob]:
@@ -55,19 +55,19 @@
         if now - self._checked_at < CHECK_INTERVAL_SECONDS:
             return []
         self._checked_at = now
-        candidates = sorted(self._find_candidates(now), key=_since)
+        candidates = sorted(self._find_candidates(now), key=_unchanged_since)
         stalled: list[StalledJob] = []
         for progress, job in candidates:
             steps = job.unfinished_steps(unix_time)
             held = self._cell.allocations_of_job(job.id)
-            if len(stalled) == MAX_JOBS:
+            if len(stalled) == MAX_REPORTED_JOBS:
                 break
-            if steps and _is_overdue(progress, held, now):
+            if steps and _is_stalled(progress, held, now):
                 progress.reported_at = now
-                stalled.append(self._describe(job, steps, held, now - progress.since, now))
+                stalled.append(self._describe_job(job, steps, held, now - progress.since, now))
         return stalled
 
-    def _find_candidates(self, now: float) -> list[tuple[_Progress, JobRun]]:
+    def _find_candidates(self, now: float) -> list[tuple[_UnchangedJob, JobRun]]:
         """Return the jobs without a recent change that have not been reported recently."""
         previous = self._progress_by_job
         self._progress_by_job = {}
@@ -76,7 +76,7 @@
             changes = job.count_changes()
             progress = previous.get(job.id)
             if progress is None or progress.changes != changes:
-                progress = _Progress(changes, now)
+                progress = _UnchangedJob(changes, now)
             self._progress_by_job[job.id] = progress
             if (
                 now
@@ -88,7 +88,7 @@
                 candidates.append((progress, job))
         return candidates
 
-    def _describe(
+    def _describe_job(
         self,
         job: JobRun,
         steps: Iterable[StepRun],
@@ -102,7 +102,7 @@
             round(seconds, 3),
             self._cell.is_blocked(job),
             tuple(self._describe_step(step, now) for step in steps),
-            tuple(_describe_run(allocation, now) for allocation in held[:MAX_RUNS]),
+            tuple(_describe_run(allocation, now) for allocation in held[:MAX_REPORTED_RUNS]),
         )
 
     def _describe_step(self, step: StepRun, now: float) -> str:
@@ -115,11 +115,11 @@
         )
 
 
-def _since(entry: tuple[_Progress, JobRun]) -> float:
+def _unchanged_since(entry: tuple[_UnchangedJob, JobRun]) -> float:
     return entry[0].since
 
 
-def _is_overdue(progress: _Progress, held: Iterable[Allocation], now: float) -> bool:
+def _is_stalled(progress: _UnchangedJob, held: Iterable[Allocation], now: float) -> bool:
     expected = max((allocation.expected for allocation in held), default=0.0)
     return now - progress.since >= STALL_SECONDS + expected * (1 + LATE_FRACTION)
 
--- a/dandelionreel/cell/decisions/_step_runs.py
+++ b/dandelionreel/cell/decisions/_step_runs.py
@@ -24,9 +24,9 @@
     runner: str = ''
     checkpoint: str = ''
     failures: int = 0
-    #: Runners on which it failed; the next run goes elsewhere if possible.
+    #: Runners on which the task failed; its next run is placed on another one if possible.
     avoid: set[str] = field(default_factory=set)
-    #: Whether it starts alone, since it may have caused crashes of its runners.
+    #: Whether the task starts alone on a runner, since it may have caused crashes of its runners.
     quarantined: bool = False
 
 
@@ -45,15 +45,16 @@
         self.done = 0
         #: How many times a task has been placed, released or finished.
         self.changes = 0
-        #: Earliest time of the next start, after a runner rejected one as invalid.
+        #: Earliest time of the next start (monotonic seconds), after a runner rejected a start as
+        #: invalid.
         self.not_before = 0.0
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether every task is done."""
         return self.done == len(self.tasks)
 
-    def place(self, task: TaskRun, runner: str, run: int) -> None:
+    def place_task(self, task: TaskRun, runner: str, run: int) -> None:
         """Mark a waiting task as placed on ``runner`` with number ``run``."""
         task.phase = TaskPhase.PLACED
         task.runner = runner
@@ -61,14 +62,14 @@
         self.waiting -= 1
         self.changes += 1
 
-    def release(self, task: TaskRun) -> None:
+    def release_task(self, task: TaskRun) -> None:
         """Return a placed task to waiting."""
         task.phase = TaskPhase.WAITING
         task.runner = ''
         self.waiting += 1
         self.changes += 1
 
-    def finish(self, task: TaskRun) -> None:
+    def finish_task(self, task: TaskRun) -> None:
         """Mark a task as done, from any phase."""
         if task.phase is TaskPhase.DONE:
             return
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stops.py
@@ -22,7 +22,7 @@
         if allocation.phase is AllocationPhase.STOPPING:
             return
         allocation.phase = AllocationPhase.STOPPING
-        self._enqueue(allocation)
+        self._enqueue_stop(allocation)
 
     def repeat(self, allocation: Allocation, polled_at: float) -> None:
         """Queue another stop for a run that a poll still lists long after its stop was answered.
@@ -34,7 +34,7 @@
         if allocation.phase is not AllocationPhase.STOPPING or allocation.order_answered_at is None:
             return
         if polled_at >= allocation.order_answered_at + MAX_STOP_SECONDS:
-            self._enqueue(allocation)
+            self._enqueue_stop(allocation)
 
     def take_all(self) -> list[Allocation]:
         """Return the queued stops and clear the queue."""
@@ -42,7 +42,7 @@
         self._queue = []
         return queued
 
-    def _enqueue(self, allocation: Allocation) -> None:
+    def _enqueue_stop(self, allocation: Allocation) -> None:
         # Until the stop is answered, a poll without the run does not prove that it is gone.
         allocation.order_answered_at = None
         self._queue.append(allocation)
--- a/dandelionreel/cell/decisions/_tickets.py
+++ b/dandelionreel/cell/decisions/_tickets.py
@@ -1,7 +1,8 @@
 """Caches which runners the policy service allows for a step, and the tickets for them. No I/O.
 
-The answer for a step never changes, but its tickets expire. After the first requests, renewals
-therefore name only runners that are known to be allowed.
+A ticket from the policy service lets a step start on one runner. Whether a runner is allowed never
+changes, but its ticket expires. After the first requests, renewals therefore name only runners
+that are known to be allowed.
 """
 
 from collections.abc import Iterable
@@ -65,7 +66,7 @@
         """Return whether the ticket for a step on a runner is valid at ``now``."""
         return self.of(step).expires_at_by_runner.get(runner, 0.0) > now
 
-    def note_answer(
+    def record_advice(
         self,
         step: StepName,
         asked_runners: Iterable[str],
@@ -82,7 +83,7 @@
             tickets.ticket_by_runner[permit.runner] = permit.ticket
             tickets.expires_at_by_runner[permit.runner] = expires_at - TICKET_MARGIN
 
-    def note_failure(self, step: StepName, not_before: float) -> None:
+    def record_failed_request(self, step: StepName, not_before: float) -> None:
         """Note that a request failed; the next one is sent at ``not_before`` at the earliest."""
         tickets = self.of(step)
         tickets.pending = max(0, tickets.pending - 1)
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -12,7 +12,7 @@
 
 #: A job that ends later than this many times its objective is of no use to its client.
 MAX_USEFUL_LATENESS = 3.0
-#: Lateness of such a job; 0 is in time, 1 late but still useful.
+#: Lateness of a job that would end too late to be of use; 0 is in time, 1 late but still useful.
 TOO_LATE = 2
 #: Seconds after which a job is no longer ranked behind others for being too late or beyond its
 #: account's rate, so that load of other accounts cannot starve it.
@@ -90,19 +90,19 @@
         for step in job.ready_steps(unix_time):
             if now < step.not_before:
                 continue
-            lateness = _lateness(now + step.step.estimate, job.accepted_at, objective)
+            lateness = _compute_lateness(now + step.step.estimate, job.accepted_at, objective)
             inputs = RankInputs(job, step, priority, lateness, job.accepted_at + objective, now)
             candidates.append(Candidate(job, step, queue, lateness, make_rank(inputs)))
-    candidates.sort(key=_rank)
+    candidates.sort(key=_candidate_rank)
     return candidates
 
 
-def _rank(candidate: Candidate) -> Rank:
+def _candidate_rank(candidate: Candidate) -> Rank:
     return candidate.rank
 
 
-def _lateness(end: float, accepted_at: float, objective: float) -> int:
-    """Return 0 for in time, 1 for late but still useful, ``TOO_LATE`` for neither."""
+def _compute_lateness(end: float, accepted_at: float, objective: float) -> int:
+    """Return 0 for an end in time, 1 for one late but still useful, otherwise ``TOO_LATE``."""
     if end <= accepted_at + objective:
         return 0
     if end <= accepted_at + MAX_USEFUL_LATENESS * objective:
--- a/dandelionreel/cell/decisions/_zone_reachability.py
+++ b/dandelionreel/cell/decisions/_zone_reachability.py
@@ -1,4 +1,4 @@
-"""Decides which availability zones are unreachable, by overdue answers of runners. No I/O.
+"""Decides from overdue answers of runners which availability zones are unreachable. No I/O.
 
 Load pattern: a zone is partitioned while many starts per second go there, and each lost start
 delays its task until the partition heals. If two runners of a zone are silent and no other runner
@@ -10,7 +10,7 @@
 
 #: Seconds after which the answer to an order (a start or a stop) is overdue.
 OVERDUE_SECONDS = 0.08
-#: Runners of a zone that must be silent; a single one may have ended.
+#: Number of silent runners that make a zone unreachable; a single one may have ended.
 MIN_SILENT_RUNNERS = 2
 #: Seconds after which an unanswered order is no evidence any more.
 ORDER_EXPIRY_SECONDS = 1.0
@@ -30,7 +30,7 @@
         self._orders_by_zone: dict[str, list[_Order]] = {}
         self._unreachable: set[str] = set()
 
-    def note_order(self, zone: str, runner: str, now: float) -> None:
+    def record_sent_order(self, zone: str, runner: str, now: float) -> None:
         """Record that an order is sent to a runner."""
         recent = [
             order
@@ -39,7 +39,7 @@
         ]
         self._orders_by_zone[zone] = [*recent, _Order(runner, now)]
 
-    def note_answer(self, zone: str) -> None:
+    def record_zone_answer(self, zone: str) -> None:
         """Record an answer of a runner: its zone is reachable."""
         self._orders_by_zone.pop(zone, None)
         self._unreachable.discard(zone)
--- a/dandelionreel/cell/model/__init__.py
+++ b/dandelionreel/cell/model/__init__.py
@@ -1,6 +1,6 @@
 """Model of a cell: jobs and runners, stored records, and interfaces of external services."""
 
-from dandelionreel.cell.model._checks import check_leftovers, check_progress, check_spec
+from dandelionreel.cell.model._checks import check_job_spec, check_leftovers, check_progress
 from dandelionreel.cell.model._incarnations import (
     find_later_incarnations,
     incarnation_id,
@@ -46,7 +46,6 @@
 from dandelionreel.cell.model._services import (
     AdviceError,
     AdviceService,
-    Check,
     ClientCodec,
     ConflictError,
     EndedRun,
@@ -63,6 +62,7 @@
     RunnerReplaced,
     RunnerView,
     RunningTask,
+    SendPrecondition,
     StartAnswer,
     StartOrder,
     StartReply,
@@ -72,7 +72,7 @@
     WriterFence,
 )
 from dandelionreel.cell.model._unreadable import (
-    NoteUnreadable,
+    CountUnreadable,
     Reason,
     UnreadableError,
     UnreadableLog,
@@ -87,7 +87,7 @@
     'RunnersInUse',
     'CANCELLATION_PREFIX',
     'Cancellation',
-    'Check',
+    'SendPrecondition',
     'ClientCodec',
     'Configuration',
     'ConflictError',
@@ -104,7 +104,7 @@
     'Leftover',
     'MEMBER_PREFIX',
     'Member',
-    'NoteUnreadable',
+    'CountUnreadable',
     'OWNER_KEY',
     'Outcome',
     'Owner',
@@ -142,7 +142,7 @@
     'WriterFence',
     'check_leftovers',
     'check_progress',
-    'check_spec',
+    'check_job_spec',
     'decode_json',
     'find_later_incarnations',
     'incarnation_id',
--- a/dandelionreel/cell/model/_checks.py
+++ b/dandelionreel/cell/model/_checks.py
@@ -18,13 +18,13 @@
 #: Occurrences at shorter intervals would all be due at once, and dividing a time by a tiny
 #: interval gives infinity, which cannot be converted to an integer.
 MIN_INTERVAL_SECONDS = 0.001
-#: Unix time, positive or negative: 30,000 years.
+#: Largest distance of a Unix time from 1970, and longest interval: 30,000 years.
 MAX_TIME_SECONDS = 1e12
 HEX_BASE = 16
 
 
-def check_spec(spec: JobSpec) -> None:
-    """Raise ``UnreadableError`` for a job that is out of bounds; the message names the part."""
+def check_job_spec(spec: JobSpec) -> None:
+    """Raise ``UnreadableError`` with the name of the field for a job that is out of bounds."""
     if not 1 <= len(spec.steps) <= MAX_STEPS:
         raise _out_of_bounds(f'steps: 1 to {MAX_STEPS} are allowed')
     if not 0 <= spec.repeat_count <= MAX_OCCURRENCES:
--- a/dandelionreel/cell/model/_model.py
+++ b/dandelionreel/cell/model/_model.py
@@ -44,7 +44,7 @@
         return Demand(self.cpu * count, self.memory_mb * count, self.gpu * count)
 
     def at_most(self, other: 'Demand') -> 'Demand':
-        """Return the minimum of both for each resource."""
+        """Return the minimum of this demand and ``other`` for each resource."""
         return Demand(
             min(self.cpu, other.cpu),
             min(self.memory_mb, other.memory_mb),
@@ -61,8 +61,8 @@
     """One step of a job: ``count`` identical tasks.
 
     ``depends_on`` has the numbers of earlier steps. ``estimate`` is the client's estimate of a
-    task's duration in seconds. ``max_per_runner`` of 0 means no limit. Tasks of a step that
-    ``fills`` use the processor time that other tasks leave.
+    task's duration in seconds. ``max_per_runner`` of 0 means no limit. Tasks of a step with
+    ``fills`` set use the processor time that other tasks leave.
     """
 
     count: int
@@ -86,7 +86,8 @@
     def counted_demand(self) -> Demand:
         """Return the capacity that a task uses on a runner.
 
-        Tasks that fill use leftover processor time, so their processor demand does not count.
+        Tasks of a step with ``fills`` set use leftover processor time, so their processor demand
+        does not count.
         """
         if self.fills:
             return Demand(0, self.demand.memory_mb, self.demand.gpu)
@@ -158,7 +159,10 @@
 
 @dataclass(frozen=True)
 class AdvicePolicy:
-    """Expected latency of advice for a queue's steps, and how long it is valid, in seconds."""
+    """Expected latency of the policy service for a queue's steps, and validity of its tickets.
+
+    All times are in seconds.
+    """
 
     decision_seconds: float
     seconds_per_runner: float
@@ -189,7 +193,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A pool of runners; with ``enforces_capacity`` they check their capacity themselves."""
+    """A pool of runners; with ``enforces_capacity`` each runner checks its own capacity."""
 
     name: str
     enforces_capacity: bool
@@ -220,7 +224,7 @@
         for queue in queues:
             self._queues_by_host.setdefault(queue.host.lower(), []).append(queue)
         for named_queues in self._queues_by_host.values():
-            named_queues.sort(key=_prefix_length, reverse=True)
+            named_queues.sort(key=_path_prefix_length, reverse=True)
 
     @property
     def services(self) -> set[str]:
@@ -240,7 +244,7 @@
         return None
 
 
-def _prefix_length(queue: Queue) -> int:
+def _path_prefix_length(queue: Queue) -> int:
     return len(queue.path_prefix)
 
 
--- a/dandelionreel/cell/model/_records.py
+++ b/dandelionreel/cell/model/_records.py
@@ -20,12 +20,13 @@
 MEMBER_PREFIX = 'm/'
 RUNNERS_IN_USE_KEY = 'runners'
 
-#: How long a successor waits for leases of the former owner that it knows nothing about, as only
-#: that owner renewed them. Also used if the record of the owner cannot be read.
+#: How long a new owner waits for the leases that the former owner granted to expire, as only the
+#: former owner knows their ends. Also used if the record of the owner cannot be read.
 PREDECESSOR_LEASE_SECONDS = 17.8
-#: No owner writes more; an absurd value would keep its successor from ever starting tasks.
+#: Largest valid ``Owner.unsettled``. No owner writes more; an absurd value would keep its successor
+#: from ever starting tasks.
 MAX_UNSETTLED_SECONDS = 60
-#: Integers below this are exact in JSON. A larger epoch would outrank every owner.
+#: Integers below this value are exact in JSON. A larger epoch would outrank every owner.
 MAX_EXACT_INTEGER = 9_007_199_254_740_992
 MAX_PORT = 65_535
 #: More than any host has, in cores.
@@ -37,7 +38,7 @@
 HostName = Annotated[str, msgspec.Meta(pattern='^[0-9A-Za-z._-]{1,253}$')]
 Port = Annotated[int, msgspec.Meta(ge=1, le=MAX_PORT)]
 Cores = Annotated[float, msgspec.Meta(ge=0, le=MAX_CORES)]
-Unsettled = Annotated[float, msgspec.Meta(ge=0, le=MAX_UNSETTLED_SECONDS)]
+UnsettledSeconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_UNSETTLED_SECONDS)]
 
 
 class Submission(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -147,7 +148,7 @@
     term: Text
     beat: int = 0
     released: bool = False
-    unsettled: Unsettled = 0
+    unsettled: UnsettledSeconds = 0
     read_from: Count = 0
     version: Count = 0
 
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -17,16 +17,16 @@
 from dandelionreel.http import Response
 from dandelionreel.kernel import Verdict
 
-#: Called right before a request is sent; a false result prevents it.
-Check = Callable[[], bool]
+#: Called right before a request is sent; if the result is false, the request is not sent.
+SendPrecondition = Callable[[], bool]
 
 
 @dataclass(frozen=True)
 class KeyedRecord:
     """The content of a key from ``offset`` on; ``None`` deletes the key.
 
-    ``error`` says why the topic could not decode the record; the key is then empty if it is
-    unknown too.
+    ``error`` says why the topic could not decode the record; the key is empty if not even the key
+    could be decoded.
     """
 
     key: str
@@ -35,7 +35,7 @@
     error: UnreadableError | None = None
 
     @property
-    def dropped(self) -> bool:
+    def deletes_key(self) -> bool:
         """Return whether the record deletes its key."""
         return self.content is None and self.error is None
 
@@ -112,7 +112,7 @@
 
     @abc.abstractmethod
     async def snapshot(self) -> RecordBatch:
-        """Return the newest record of each key; later records must be read from its end on."""
+        """Return the newest record of each key; later ones are read from its ``next_offset`` on."""
 
     @abc.abstractmethod
     async def close(self) -> None:
@@ -231,7 +231,7 @@
     """Client of one runner; raises ``RunnerError``, ``RunnerFenced`` or ``RunnerReplaced``."""
 
     @abc.abstractmethod
-    async def start(self, order: StartOrder, check: Check) -> StartAnswer:
+    async def start(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
         """Start a task; idempotent."""
 
     @abc.abstractmethod
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -17,12 +17,12 @@
 Decoded = TypeVar('Decoded')
 
 #: Counts an unreadable record by topic and reason.
-NoteUnreadable = Callable[[str, str], None]
+CountUnreadable = Callable[[str, str], None]
 
 #: Characters of a message or a key after which it is truncated in a log line.
 MAX_TEXT_CHARACTERS = 120
-#: Keys whose last logged reason is remembered; the oldest are evicted if a writer keeps adding
-#: keys.
+#: Number of keys whose last logged reason is remembered. The oldest are evicted, as a writer may
+#: keep adding keys.
 MAX_REMEMBERED_KEYS = 4000
 #: Rate limit of log lines, so that a writer that keeps adding keys cannot fill the log. It still
 #: allows one bad entry for every runner of a small site.
@@ -43,7 +43,7 @@
 
 
 class UnreadableError(ValueError):
-    """A record cannot be read; it affects no other key than its own."""
+    """A record cannot be read; records of other keys are not affected."""
 
     def __init__(self, reason: Reason, message: str) -> None:
         """Create an error with a reason and a message, truncated for log lines."""
@@ -77,14 +77,14 @@
         part: Part,
         clock: Clock,
         journal: Journal,
-        note: NoteUnreadable | None = None,
+        count_unreadable: CountUnreadable | None = None,
     ) -> None:
         """Log for one topic; ``note`` counts each unreadable record."""
         self._topic = topic
         self._part = part
         self._clock = clock
         self._journal = journal
-        self._note = note
+        self._count_unreadable = count_unreadable
         self._reason_by_key: OrderedDict[str, Reason] = OrderedDict()
         self._window_until = float('-inf')
         self._lines_in_window = 0
@@ -92,25 +92,25 @@
 
     def log_unreadable(self, key: str, error: UnreadableError, meaning: str) -> None:
         """Count and log an unreadable record; ``meaning`` describes the consequence."""
-        if self._note is not None:
-            self._note(self._topic, error.reason.value)
+        if self._count_unreadable is not None:
+            self._count_unreadable(self._topic, error.reason.value)
         if self._reason_by_key.get(key) is error.reason:
             return
         self._reason_by_key[key] = error.reason
         if len(self._reason_by_key) > MAX_REMEMBERED_KEYS:
             self._reason_by_key.popitem(last=False)
-        self._log(key, f'cannot be read, {meaning}: {error}', error.reason)
+        self._log_key_change(key, f'cannot be read, {meaning}: {error}', error.reason)
 
     def log_readable(self, key: str) -> None:
         """Log that a key is readable again, if it was not."""
         if key in self._reason_by_key:
-            self._log(key, 'can be read again', self._reason_by_key.pop(key))
+            self._log_key_change(key, 'can be read again', self._reason_by_key.pop(key))
 
-    def forget(self, key: str) -> None:
+    def forget_key(self, key: str) -> None:
         """Forget a deleted key, so that its next unreadable record is logged."""
         self._reason_by_key.pop(key, None)
 
-    def _log(self, key: str, outcome: str, reason: Reason) -> None:
+    def _log_key_change(self, key: str, outcome: str, reason: Reason) -> None:
         now = self._clock.monotonic()
         if now >= self._window_until:
             self._window_until = now + WINDOW_SECONDS
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -63,7 +63,7 @@
         """Fetch the completions that earlier owners sent to peers, then unblock started jobs."""
         term = self._owner_context.term
         known = self._completions.answer(term.epoch)
-        self._owner_context.cell.mark_complete(known)
+        self._owner_context.cell.mark_jobs_complete(known)
         await self.query_peers(self._successors())
         self._owner_context.cell.awaits_completions = False
         await self._owner_context.plan_needed.notify()
@@ -127,7 +127,7 @@
         if not isinstance(reply, CompletionsTold):
             return False
         self._completions.add(reply.jobs)
-        completed = self._owner_context.cell.mark_complete(reply.jobs)
+        completed = self._owner_context.cell.mark_jobs_complete(reply.jobs)
         if completed:
             self._owner_context.journal.log(
                 Part.JOBS,
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -171,7 +171,7 @@
 
     async def mark_complete(self, jobs: tuple[str, ...]) -> None:
         """Mark jobs complete that partitioned hosts have shown to clients as complete."""
-        completed = self.cell.mark_complete(jobs)
+        completed = self.cell.mark_jobs_complete(jobs)
         if not completed:
             return
         self._journal.log(
@@ -220,7 +220,7 @@
     async def _finish_cancel(self, job_id: str, record: KeyedRecord) -> WriteOutcome:
         outcome = await self._owner_context.writer.write([record], CLIENT_WRITE_TIMEOUT)
         if outcome is WriteOutcome.STORED:
-            self.cell.cancel(job_id)
+            self.cell.cancel_job(job_id)
             await self._owner_context.plan_needed.notify()
         return outcome
 
@@ -411,7 +411,7 @@
         permits: tuple[Permit, ...],
         until: float,
     ) -> None:
-        self.cell.tickets.note_answer(request.step, request.runners, permits, until)
+        self.cell.tickets.record_advice(request.step, request.runners, permits, until)
         self._journal.log_sampled(
             Part.PLACEMENT,
             f'{len(permits)} of {len(request.runners)} runners are allowed.',
@@ -423,4 +423,4 @@
 
     async def _handle_advice_failure(self, request: AdviceRequest) -> None:
         not_before = self._clock.monotonic() + ADVICE_RETRY_SECONDS
-        self.cell.tickets.note_failure(request.step, not_before)
+        self.cell.tickets.record_failed_request(request.step, not_before)
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -61,7 +61,7 @@
         if not waiting:
             return
         runners = self._cell.runner_by_id.values()
-        usable = [runner for runner in runners if runner.usable(now)]
+        usable = [runner for runner in runners if runner.is_usable(now)]
         self._journal.log(
             Part.PLACEMENT,
             'tasks are waiting.',
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -66,7 +66,7 @@
                 # The job ended and was removed before its start could be sent.
                 await self._withdraw_unsent_start(allocation)
                 continue
-            if job.note_start(allocation.task, allocation.run, allocation.runner):
+            if job.record_task_start(allocation.task, allocation.run, allocation.runner):
                 unstored.setdefault(job.id, []).append(allocation)
                 continue
             await curio.spawn(self._run_start, allocation, daemon=True)
@@ -98,7 +98,7 @@
 
     def _apply_stop_reply(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
-        cell.zone_reachability.note_answer(state.registration.zone)
+        cell.zone_reachability.record_zone_answer(state.registration.zone)
         cell.handle_stop_reply(allocation, self._owner_context.clock.monotonic())
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
@@ -238,7 +238,7 @@
                     return may_have_arrived
                 await curio.sleep(START_RETRY_SECONDS)
                 continue
-            self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
+            self._owner_context.cell.zone_reachability.record_zone_answer(state.registration.zone)
             self._log_slow_start(
                 allocation, answer.reply, self._owner_context.clock.monotonic() - started_at
             )
@@ -251,7 +251,7 @@
     def _may_start(self, allocation: Allocation) -> bool:
         """Return whether a start is still wanted and its ticket, if any, is still valid."""
         cell = self._owner_context.cell
-        if not cell.may_start(allocation):
+        if not cell.may_send_start(allocation):
             return False
         step = StepName.of(allocation.task)
         now = self._owner_context.clock.monotonic()
@@ -268,7 +268,7 @@
 
     def _note_order_sent(self, state: RunnerState) -> None:
         now = self._owner_context.clock.monotonic()
-        self._owner_context.cell.zone_reachability.note_order(
+        self._owner_context.cell.zone_reachability.record_sent_order(
             state.registration.zone, state.id, now
         )
 
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -122,14 +122,14 @@
         """Return whether the runner list is recent enough to start tasks by."""
         return self.get_runner_list_age() < MAX_RUNNER_LIST_AGE_SECONDS
 
-    def leases_expired(self, state: RunnerState) -> bool:
+    def have_leases_expired(self, state: RunnerState) -> bool:
         """Return whether all leases on a runner have expired, so that its tasks have ended.
 
         A successor could renew them without this host's knowledge. The latest answered append
         proves that there was no successor when it was sent, so the leases must have expired by that
         time.
         """
-        return state.leases_expired(self.writer.stored_at, MAX_CLOCK_DRIFT)
+        return state.have_leases_expired(self.writer.stored_at, MAX_CLOCK_DRIFT)
 
     async def store_progress(
         self,
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -191,9 +191,9 @@
         """
         runner_list = self._dependencies.runners
         now = self._clock.monotonic()
-        for idle in self._active.release_idle(runner_list.registration_by_id):
+        for idle in self._active.release_idle_runners(runner_list.registration_by_id):
             self._cell.forget_runner(idle.id)
-        active = self._active.choose(runner_list.registration_by_id, now)
+        active = self._active.choose_runners_to_poll(runner_list.registration_by_id, now)
         new_states = self._cell.update_runners(active, now)
         apply_last_registrations(self._cell.runner_by_id.values(), runner_list.find, now)
         for runner_id in self._cell.unseen_runners - self._cell.runner_by_id.keys():
--- a/dandelionreel/cell/owner/_runner_poller.py
+++ b/dandelionreel/cell/owner/_runner_poller.py
@@ -72,8 +72,8 @@
             # this answer would count as running forever, as this state is no longer polled.
             return
         state.confirmed_end = acknowledged
-        self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
-        was_usable = state.usable(sent_at)
+        self._owner_context.cell.zone_reachability.record_zone_answer(state.registration.zone)
+        was_usable = state.is_usable(sent_at)
         effect = self._apply_view(state, view, sent_at)
         if effect.has_changes or not was_usable:
             await self._owner_context.plan_needed.notify()
@@ -167,7 +167,7 @@
                 tasks=len(state.allocation_by_run),
                 epoch=self._owner_context.term.epoch,
             )
-        if state.allocation_by_run and self._owner_context.leases_expired(state):
+        if state.allocation_by_run and self._owner_context.have_leases_expired(state):
             await self._expire_leases(state)
         if (
             not state.listed
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -30,9 +30,9 @@
     RunnersInUse,
     Submission,
     UnreadableError,
+    check_job_spec,
     check_leftovers,
     check_progress,
-    check_spec,
     decode_json,
 )
 
@@ -335,7 +335,7 @@
         # Runners join the parts of a task name by dots.
         raise UnreadableError(Reason.KEY, f'{job!r} is not a valid job id')
     submission = decode_json(_SUBMISSION, content)
-    check_spec(submission.spec)
+    check_job_spec(submission.spec)
     return submission
 
 
--- a/dandelionreel/cell/store/_projections.py
+++ b/dandelionreel/cell/store/_projections.py
@@ -53,7 +53,7 @@
         # Decodes all of them: the last one may be unreadable, or an older version that another
         # writer has appended.
         for record in batch.records:
-            if record.key == self._codec.configuration_key and not record.dropped:
+            if record.key == self._codec.configuration_key and not record.deletes_key:
                 self._apply_record(record)
             elif not record.key and record.error is not None:
                 self._unreadable.log_unreadable('', record.error, 'it is ignored')
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -58,7 +58,7 @@
         host of a large site, and push the latest decisions out of short logs.
         """
         first = not self.registration_by_id
-        present = {record.key for record in snapshot.records if not record.dropped}
+        present = {record.key for record in snapshot.records if not record.deletes_key}
         for runner in tuple(self._incarnation_by_runner):
             if runner not in present:
                 self._remove(runner)
@@ -85,7 +85,7 @@
 
     def _apply_records(self, batch: RecordBatch, *, log_each: bool) -> None:
         for record in batch.records:
-            if record.dropped:
+            if record.deletes_key:
                 self._remove(record.key)
                 continue
             try:
@@ -158,7 +158,7 @@
         )
 
     def _remove(self, runner: str) -> None:
-        self._unreadable.forget(runner)
+        self._unreadable.forget_key(runner)
         incarnation = self._retire(runner)
         if incarnation:
             self._journal.log(
--- a/dandelionreel/entry_reads.py
+++ b/dandelionreel/entry_reads.py
@@ -35,7 +35,7 @@
 RUNNERS_PAUSE_SECONDS = 2.0
 OPERATOR_PAUSE_SECONDS = 0.1
 
-NoteUnreadable = Callable[[str, str], None]
+CountUnreadable = Callable[[str, str], None]
 
 
 class EntryReads:
@@ -46,7 +46,7 @@
         host: str,
         store: Address,
         owns_cell: Callable[[], bool],
-        note_unreadable: NoteUnreadable,
+        note_unreadable: CountUnreadable,
         clock: Clock,
         journal: Journal,
     ) -> None:
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from dandelionreel.cell.model import (
-    Check,
     Registration,
     Runner,
     RunnerError,
     RunnerFenced,
     RunnerReplaced,
     RunnerView,
+    SendPrecondition,
     StartAnswer,
     StartOrder,
     StartReply,
@@ -95,7 +95,7 @@
         self._next_channel = 0
         self._epoch = 0
 
-    async def start(self, order: StartOrder, check: Check) -> StartAnswer:
+    async def start(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
         """Start a task; ``check`` is called right before the request is sent.
 
         If it returns false, nothing is sent.
@@ -205,7 +205,7 @@
         raise RunnerError(f'the runner answered {response.status}', Verdict.NOT_RUN)
 
     async def _send_order(
-        self, path: str, fields: dict[str, Any], check: Check | None = None
+        self, path: str, fields: dict[str, Any], check: SendPrecondition | None = None
     ) -> Response:
         self._next_channel = (self._next_channel + 1) % ORDER_CONNECTIONS
         channel = self._order_channels[self._next_channel]
@@ -217,7 +217,7 @@
         path: str,
         fields: dict[str, Any],
         timeout: float,
-        check: Check | None = None,
+        check: SendPrecondition | None = None,
     ) -> Response:
         self._epoch = fields['fencing_token']
         try:
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -10,7 +10,7 @@
     Step,
     SubmissionError,
     UnreadableError,
-    check_spec,
+    check_job_spec,
     decode_json,
 )
 from dandelionreel.http import Response, json_response
@@ -68,7 +68,7 @@
         interval=submission.interval_ms / MILLISECONDS_PER_SECOND,
     )
     try:
-        check_spec(spec)
+        check_job_spec(spec)
     except UnreadableError as error:
         raise SubmissionError(f'{error}') from error
     return spec
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -37,7 +37,7 @@
 def choose(context, later=0.0):
     """Choose the active runners, add them to the cell and poll each new one once."""
     context.small.now += later
-    context.chosen = context.active.choose(context.listed, context.small.now)
+    context.chosen = context.active.choose_runners_to_poll(context.listed, context.small.now)
     context.small.registration_by_id = context.chosen
     context.small.update_runners()
     for runner in context.chosen:
@@ -114,7 +114,7 @@
 
 @then('the runner x {fate}')
 def check_runner(context, fate):
-    released = {state.id for state in context.active.release_idle(context.listed)}
+    released = {state.id for state in context.active.release_idle_runners(context.listed)}
     assert released, 'no runner was released'
     assert (context.runner_id in released) is (fate == 'may be released'), fate
 
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -72,10 +72,10 @@
 def nothing_requested(context):
     small = context.small
     for request in context.plan.advice_requests[:-1]:
-        small.cell.tickets.note_answer(request.step, request.runners, [], small.now + 2)
+        small.cell.tickets.record_advice(request.step, request.runners, [], small.now + 2)
     assert not small.plan().advice_requests
     last = context.plan.advice_requests[-1]
-    small.cell.tickets.note_answer(last.step, last.runners, [], small.now + 2)
+    small.cell.tickets.record_advice(last.step, last.runners, [], small.now + 2)
     assert small.plan().advice_requests
 
 
@@ -151,7 +151,7 @@
     request = context.plan.advice_requests[0]
     allowed = request.runners[3]
     permits = [Permit(allowed, 'ticket')]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
     starts = small.plan().starts
     assert {(start.runner, start.ticket) for start in starts} == {(allowed, 'ticket')}
 
@@ -162,7 +162,7 @@
     small.add_job('g1', [step(count=2, gang=True)], age=3600)
     request = small.plan().advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in request.runners]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now - 1)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now - 1)
     context.plan = small.plan()
 
 
@@ -177,7 +177,7 @@
     request = context.plan.advice_requests[0]
     context.allowed = request.runners[3]
     permits = [Permit(context.allowed, 'ticket')]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
     small.now += 3
     context.plan = small.plan()
 
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.clients._partition_reads import PartitionReads
-from dandelionreel.cell.decisions._completeness import is_complete
+from dandelionreel.cell.decisions._completeness import is_job_complete
 from dandelionreel.cell.membership._claim_order import follows_runner_list
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
 from dandelionreel.cell.membership._completion_reports import CompletionReports
@@ -71,7 +71,7 @@
 
 @then('the job of the zone counts as {verdict}')
 def job_verdict(context, verdict):
-    found = is_complete(JOB, context.spec, context.progress, context.ended)
+    found = is_job_complete(JOB, context.spec, context.progress, context.ended)
     assert found is (verdict == 'complete')
 
 
@@ -353,7 +353,7 @@
 def peer_reports(context):
     async def complete_at_owner(jobs):
         if context.owns:
-            context.small.cell.mark_complete(jobs)
+            context.small.cell.mark_jobs_complete(jobs)
         return context.owns
 
     answers = CompletionMessageHandler(
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -88,7 +88,7 @@
     if fate == 'refused':
         small.cell.handle_start_reply(context.start, StartReply.NO_ROOM, small.now)
     else:
-        small.cell.stop(context.start)
+        small.cell.stop_run(context.start)
         small.cell.take_stops()
         small.cell.handle_stop_reply(context.start, small.now)
         small.now += 1
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -50,7 +50,7 @@
 @then('the decided start {outcome}')
 def start_outcome(context, outcome):
     (start,) = context.small.allocations
-    assert context.small.cell.may_start(start) is (outcome == 'is sent')
+    assert context.small.cell.may_send_start(start) is (outcome == 'is sent')
 
 
 @then('one of the two is sent and the other one starts elsewhere later')
@@ -58,7 +58,7 @@
     small = context.small
     sent = []
     for start in small.allocations:
-        if small.cell.may_start(start):
+        if small.cell.may_send_start(start):
             sent.append(start)
             continue
         small.cell.release_start(start)
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -95,7 +95,7 @@
 def unanswered_start(context):
     context.small.add_job('j1', [step()])
     context.start = context.small.plan(start=False).starts[0]
-    context.small.cell.stop(context.start)
+    context.small.cell.stop_run(context.start)
 
 
 @when('the runner is polled before it has acknowledged the stop')
@@ -273,35 +273,37 @@
 
 @then('the start may not be sent')
 def may_not_send(context):
-    assert not context.small.cell.may_start(context.start)
+    assert not context.small.cell.may_send_start(context.start)
 
 
 @given('a lease of 5 s granted to a runner that stops answering')
 def grant_lease(context):
     context.state = RunnerState(make_registration('w1'))
-    context.state.note_clock(500, 1000)
+    context.state.record_clock(500, 1000)
     context.state.extend_lease(1000, 5)
 
 
 @when('{seconds:f} s have passed')
 def time_passes(context, seconds):
-    context.leases_expired = context.state.leases_expired(1000 + seconds, 0.02)
+    context.have_leases_expired = context.state.have_leases_expired(1000 + seconds, 0.02)
 
 
 @when('it is polled again and again without an answer')
 def poll_unanswered(context):
     state = context.state
-    context.leases_expired = False
+    context.have_leases_expired = False
     for tenth in range(60):
         now = 1000 + tenth / 10
         state.renew_lease(now, 5)
         state.missed_last_poll = True
-        context.leases_expired = context.leases_expired or state.leases_expired(now, 0.02)
+        context.have_leases_expired = context.have_leases_expired or state.have_leases_expired(
+            now, 0.02
+        )
 
 
 @then('the leases have expired: {answer}')
-def leases_expired(context, answer):
-    assert context.leases_expired is (answer == 'yes')
+def have_leases_expired(context, answer):
+    assert context.have_leases_expired is (answer == 'yes')
 
 
 @when('a job of two steps in a row is handed in')
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -17,7 +17,7 @@
 def slow_clock(context, seconds):
     context.now = CLOCK_READ_AT + seconds
     context.state = RunnerState(make_registration('w1'))
-    context.state.note_clock(0.0, CLOCK_READ_AT)
+    context.state.record_clock(0.0, CLOCK_READ_AT)
 
 
 @when('a lease is granted there and the owner releases the cell at once')
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -52,7 +52,7 @@
     small.poll('i-1', running=[context.run])
     small.add_job('j2', [step(cpu=4000, count=4)])
     assert all(start.runner != 'i-1' for start in small.plan().starts)
-    assert not small.cell.runner_by_id['i-1'].usable(small.now)
+    assert not small.cell.runner_by_id['i-1'].is_usable(small.now)
 
 
 @then('its task counts there, and is not started elsewhere')
@@ -77,7 +77,7 @@
     read_entries(context, ('i-1', make_entry()))
     small = context.small
     small.poll('i-1', running=[context.run])
-    assert small.cell.runner_by_id['i-1'].usable(small.now)
+    assert small.cell.runner_by_id['i-1'].is_usable(small.now)
 
 
 @when('all its leases have expired')
@@ -144,14 +144,14 @@
 def plan_start_before_bad_entry(context):
     context.small.add_job('j2', [step(cpu=4000)])
     (context.pending,) = context.small.plan(start=False).starts
-    assert context.small.cell.may_start(context.pending)
+    assert context.small.cell.may_send_start(context.pending)
     change_entry(context, 'invalid JSON')
 
 
 @then('the order is not sent')
 def check_order_not_sent(context):
     assert context.pending.runner == 'i-1'
-    assert not context.small.cell.may_start(context.pending)
+    assert not context.small.cell.may_send_start(context.pending)
 
 
 @when('another term begins')
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -131,7 +131,7 @@
     small = context.small
     request = context.plan.advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in request.runners]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now - 1)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now - 1)
     context.plan = small.plan()
 
 
@@ -146,7 +146,7 @@
     small = context.small
     request = context.plan.advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in request.runners]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
     context.plan = small.plan()
 
 
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -62,8 +62,8 @@
 def replaced_thrice(context):
     state = context.small.cell.runner_by_id['w1']
     losses = RunnerLosses(context.small.cell.unfinished_job_by_id, set())
-    assert len(losses.note_end(state)) == 1
-    assert not losses.note_end(state)
+    assert len(losses.count_crashes_on_ended_runner(state)) == 1
+    assert not losses.count_crashes_on_ended_runner(state)
     replace_runner(context)
     replace_runner(context)
 
@@ -135,7 +135,7 @@
     if became.startswith('was answered'):
         confirm_start(context)
     if 'stop' in became:
-        context.small.cell.stop(start)
+        context.small.cell.stop_run(start)
     if '30 s' in became:
         context.small.now += LONG_RUN_SECONDS
         context.small.poll('w1', running=[(start.task, start.run)])
@@ -163,7 +163,7 @@
         context.small.cancel('j1')
     else:
         # An earlier run of the task is done on another runner; the one on w1 is still being stopped.
-        context.job.note_done(task('j1'))
+        context.job.mark_task_done(task('j1'))
     replace_runner(context)
 
 
@@ -275,7 +275,7 @@
     small = context.small
     small.poll('w2')
     (start,) = small.plan().starts
-    assert context.job.note_start(start.task, start.run, start.runner)
+    assert context.job.record_task_start(start.task, start.run, start.runner)
     stored = context.job.progress(2, 0.0)
     assert StoredStart(0, 0, 0, start.run, start.runner) in stored.starts, stored
     small.poll('w2', ended=[(1, start.task, start.run, 'stopped')])
@@ -290,7 +290,7 @@
 
 @then('its start is sent without another append')
 def without_append(context):
-    assert not context.job.note_start(context.start.task, context.start.run, 'w1')
+    assert not context.job.record_task_start(context.start.task, context.start.run, 'w1')
 
 
 class CountingRunner:
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -105,7 +105,7 @@
     job = add_job(context, 'advised', [step(1000)], 'advised')
     small.planner.plan(small.now, small.now)
     name = job.steps(0)[0].name
-    small.cell.tickets.note_answer(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
+    small.cell.tickets.record_advice(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
     (context.start,) = small.planner.plan(small.now, small.now).starts
     assert ADVISED_QUEUE.advice == AdvicePolicy(0.01, 0.0001, 2.0) and context.start.ticket
 
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -69,7 +69,7 @@
     small = context.small
     (request,) = context.plan.advice_requests
     permits = [Permit(runner, 'ticket') for runner in request.runners[:4]]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
 
 
 @then('no advice is requested until they have expired')
@@ -182,7 +182,9 @@
         small.add_job(name, [waits], queue='gangs' if kind == 'gangs' else 'batch')
         tickets = small.cell.tickets.of(StepName(name, 0, 0))
         tickets.pending = 2
-        small.cell.tickets.note_answer(StepName(name, 0, 0), ('r0', 'r1'), [Permit('r1', 't')], 9e9)
+        small.cell.tickets.record_advice(
+            StepName(name, 0, 0), ('r0', 'r1'), [Permit('r1', 't')], 9e9
+        )
     small.plan()
     return small
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -107,7 +107,7 @@
 @given('a task of blue of {cores:g} cores is being stopped')
 def task_stopping(context, cores):
     task_runs(context, 'blue', cores)
-    context.small.cell.cancel(context.first.id)
+    context.small.cell.cancel_job(context.first.id)
     context.small.cell.take_stops()
 
 
@@ -116,7 +116,7 @@
     context.first = context.small.hand_in('blue', [step(int(cores * 1000))])
     start = context.small.plan(start=False).starts[0]
     context.small.cell.revoke_start(start)
-    context.small.cell.cancel(context.first.id)
+    context.small.cell.cancel_job(context.first.id)
 
 
 @given("blue's quota is lowered to {cores:g} cores while 4 are in use")
@@ -172,7 +172,7 @@
 def cancelled_unseen(context, cores):
     may_run_unseen(context, 'blue', 2, cores / 2)
     context.small.plan()
-    context.small.cell.cancel(context.first.id)
+    context.small.cell.cancel_job(context.first.id)
     context.small.plan()
 
 
@@ -444,7 +444,7 @@
         elif event_draw < 0.7:
             jobs = [job for job in small.cell.job_by_id.values() if not job.is_finished]
             if jobs:
-                small.cell.cancel(rng.choice(jobs).id)
+                small.cell.cancel_job(rng.choice(jobs).id)
         elif event_draw < 0.8:
             small.cell.take_stops()
         check_starts(small, rng, cores)
--- a/features/steps/repeat_steps.py
+++ b/features/steps/repeat_steps.py
@@ -35,7 +35,7 @@
     context.dispatcher._load_state()
     cell = context.dispatcher.cell
     job = cell.job_by_id['j1']
-    job.note_done(job.steps(0)[0].tasks[0].name)
+    job.mark_task_done(job.steps(0)[0].tasks[0].name)
     assert job.state is JobState.COMPLETED
     # The page with progress was read before the end, the one with submissions after it.
     context.host.projection.load_snapshot(RecordBatch((running,), 1, 1))
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -382,7 +382,7 @@
     context.clock = ManualClock(1000)
     context.owner = make_owner_context(Cell(1, 3.0), context.clock)
     context.state = RunnerState(make_registration('w1'))
-    context.state.note_clock(500, 1000)
+    context.state.record_clock(500, 1000)
     context.state.extend_lease(1000, 5)
 
 
@@ -443,7 +443,7 @@
 @then('7 s after that answer its leases are {state}, and new starts are {starts}')
 def check_leases(context, state, starts):
     context.clock.now = 1007.0
-    assert context.owner.leases_expired(context.state) is (state == 'expired')
+    assert context.owner.have_leases_expired(context.state) is (state == 'expired')
     assert context.owner.may_start() is (starts == 'allowed')
 
 
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -50,7 +50,7 @@
 def send(small, allocation):
     """Note that a start order is sent to its runner; return the zone."""
     zone = zone_of(small, allocation)
-    small.cell.zone_reachability.note_order(zone, allocation.runner, small.now)
+    small.cell.zone_reachability.record_sent_order(zone, allocation.runner, small.now)
     return zone
 
 
@@ -66,7 +66,7 @@
             if send(small, allocation) == 'south':
                 context.lost_at.append(small.now - started_at)
                 continue
-            small.cell.zone_reachability.note_answer(zone_of(small, allocation))
+            small.cell.zone_reachability.record_zone_answer(zone_of(small, allocation))
             end(small, allocation)
         small.now += 0.05
 
@@ -87,7 +87,7 @@
 
 @when('a runner of south answers again')
 def south_answers(context):
-    context.small.cell.zone_reachability.note_answer('south')
+    context.small.cell.zone_reachability.record_zone_answer('south')
 
 
 @then('starts go to south again')
@@ -102,7 +102,7 @@
     small = context.small
     for runner in runners:
         zone = small.registration_by_id[runner].zone
-        small.cell.zone_reachability.note_order(zone, runner, small.now)
+        small.cell.zone_reachability.record_sent_order(zone, runner, small.now)
     small.now += seconds
 
 
@@ -114,7 +114,7 @@
 @when('two runners of south are slow, and another one there answers')
 def two_slow(context):
     leave_unanswered(context, ['south-1', 'south-2'], 0.5)
-    context.small.cell.zone_reachability.note_answer('south')
+    context.small.cell.zone_reachability.record_zone_answer('south')
 
 
 @when('two runners of south have not answered an order for {seconds:g} s')
@@ -151,7 +151,7 @@
     while plan.advice_requests:
         for request in plan.advice_requests:
             permits = [Permit(runner, 'ticket') for runner in request.runners]
-            small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+            small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
         plan = small.plan()
 
 
