--- a/bench/guards.py
+++ b/bench/guards.py
@@ -131,7 +131,7 @@
     ),
     Guard(
         'a runner that says that it leaves has not crashed',
-        'cell/decisions/_losses.py',
+        'cell/decisions/_runner_losses.py',
         'if runner.draining:',
         'if False:',
         'losses.feature:PROOF',
@@ -145,14 +145,14 @@
     ),
     Guard(
         'a run that its runner never had counts for nothing',
-        'cell/decisions/_losses.py',
+        'cell/decisions/_runner_losses.py',
         'or not run.may_have_run',
         '',
         'losses.feature:NEVER HAD',
     ),
     Guard(
         'a run that was well for long counts for nothing',
-        'cell/decisions/_losses.py',
+        'cell/decisions/_runner_losses.py',
         '>= HEALTHY_SECONDS',
         '>= 1e9',
         'losses.feature:NEVER HAD',
@@ -166,14 +166,14 @@
     ),
     Guard(
         'quarantined tasks start by themselves',
-        'cell/decisions/_ledger.py',
+        'cell/decisions/_runner_state.py',
         'if self._quarantined:',
         'if False:',
         'losses.feature:QUARANTINE',
     ),
     Guard(
         'first starts of a lost owner raise doubt',
-        'cell/decisions/_losses.py',
+        'cell/decisions/_runner_losses.py',
         'job.mark_crashes_incomplete()',
         'pass',
         'losses.feature:SUCCESSOR',
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -19,7 +19,7 @@
 from dandelionreel.cell.decisions import AdviceRequest, Allocation, Cell, Planner
 from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
 from dandelionreel.cell.decisions._reservations import Rank
-from dandelionreel.cell.decisions._waiting import RankInputs, WaitingOrder, WithinRateFirst
+from dandelionreel.cell.decisions._waiting_steps import RankInputs, WaitingOrder, WithinRateFirst
 from dandelionreel.cell.membership._advisors import NON_URGENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
--- a/dandelionreel/cell/decisions/__init__.py
+++ b/dandelionreel/cell/decisions/__init__.py
@@ -3,19 +3,19 @@
 from dandelionreel.cell.decisions._active_runners import ActiveRunners
 from dandelionreel.cell.decisions._advice_requests import AdviceRequest
 from dandelionreel.cell.decisions._cell import MAX_CLOCK_DRIFT, Cell
-from dandelionreel.cell.decisions._completeness import is_job_complete
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
-from dandelionreel.cell.decisions._losses import apply_last_registrations
+from dandelionreel.cell.decisions._job_completeness import is_job_complete
+from dandelionreel.cell.decisions._job_run import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._planner import Plan, Planner
 from dandelionreel.cell.decisions._preventive_stops import (
     stop_incomplete_gangs,
     stop_on_draining_runners,
 )
+from dandelionreel.cell.decisions._runner_losses import apply_last_registrations
+from dandelionreel.cell.decisions._runner_state import Allocation, AllocationPhase, RunnerState
 from dandelionreel.cell.decisions._runner_views import PollEffect
-from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._stalled_jobs import StalledJobs
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun
+from dandelionreel.cell.decisions._step_run import StepRun, TaskPhase, TaskRun
 
 __all__ = (
     'ANY_RUNNER',
--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import RunnerState
+from dandelionreel.cell.decisions._runner_state import RunnerState
 from dandelionreel.cell.model import Registration, Step
 
 #: Number of runners that an owner polls even when the cell is idle.
@@ -51,15 +51,15 @@
         """Deactivate and return surplus runners that are known to have no runs."""
         if len(listed) <= MIN_ACTIVE_RUNNERS or self._cpu_utilization() > MIN_CPU_UTILIZATION:
             return []
-        excess = len(self._active) - self._target_count(listed)
-        idle = [state for state in self._cell.runner_by_id.values() if self._is_idle(state)]
+        excess = len(self._active) - self._target_runner_count(listed)
+        idle = [state for state in self._cell.runner_by_id.values() if self._is_runner_idle(state)]
         released = idle[: max(0, excess)]
         for state in released:
             self._active.pop(state.id, None)
         return released
 
     def _add_runners(self, listed: dict[str, Registration]) -> None:
-        missing = self._target_count(listed) - sum(
+        missing = self._target_runner_count(listed) - sum(
             _accepts_starts(listed[runner]) for runner in self._active
         )
         if missing > 0:
@@ -73,12 +73,12 @@
             eligible = (
                 registration
                 for registration in listed.values()
-                if _meets_requirements(step, registration) and _accepts_starts(registration)
+                if _meets_step_requirements(step, registration) and _accepts_starts(registration)
             )
             added = itertools.islice(eligible, RUNNERS_ADDED_PER_STEP)
             self._active.update({registration.runner: None for registration in added})
 
-    def _target_count(self, listed: dict[str, Registration]) -> int:
+    def _target_runner_count(self, listed: dict[str, Registration]) -> int:
         """Return how many active runners keep utilization within ``MAX_CPU_UTILIZATION``."""
         capacity = sum(listed[runner].capacity.cpu for runner in self._active)
         used = sum(state.used.cpu for state in self._cell.runner_by_id.values())
@@ -102,12 +102,12 @@
             step
             for step in step_by_need.values()
             if not any(
-                _meets_requirements(step, registration) and _accepts_starts(registration)
+                _meets_step_requirements(step, registration) and _accepts_starts(registration)
                 for registration in active
             )
         ]
 
-    def _is_idle(self, state: RunnerState) -> bool:
+    def _is_runner_idle(self, state: RunnerState) -> bool:
         """Return whether a runner has no runs and has discarded every run end that it listed."""
         if state.id in self._cell.unseen_runners or state.allocation_by_run:
             return False
@@ -118,7 +118,7 @@
     return registration.usable and not registration.draining
 
 
-def _meets_requirements(step: Step, registration: Registration) -> bool:
+def _meets_step_requirements(step: Step, registration: Registration) -> bool:
     required = {step.required_label, step.data_rack} - {''}
     return required <= set(registration.labels)
 
--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -16,9 +16,9 @@
 from zlib import crc32
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import RunnerState
 from dandelionreel.cell.decisions._reservations import Reservation, count_slots
-from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
+from dandelionreel.cell.decisions._runner_state import RunnerState
+from dandelionreel.cell.decisions._step_run import StepRun, counted_demand
 from dandelionreel.cell.model import AdvicePolicy, Demand, Queue, StepName
 
 #: The service answers for at most this many runners in one request.
--- a/dandelionreel/cell/decisions/_job_runs.py
+++ b/dandelionreel/cell/decisions/_allocation_index.py
@@ -4,7 +4,7 @@
 """
 
 from dandelionreel.accounts import Usage
-from dandelionreel.cell.decisions._ledger import Allocation, RunnerState
+from dandelionreel.cell.decisions._runner_state import Allocation, RunnerState
 from dandelionreel.cell.model import Demand, TaskName
 
 RunKey = tuple[str, TaskName, int]
@@ -24,7 +24,7 @@
         runner.add_allocation(allocation)
         self.usage.add(allocation.account, allocation.demand)
         held = self._allocations_by_job.setdefault(allocation.task.job, {})
-        held[_key(allocation)] = allocation
+        held[_run_key(allocation)] = allocation
 
     def remove_allocation(self, runner: RunnerState, allocation: Allocation) -> None:
         """Remove an allocation; idempotent."""
@@ -32,7 +32,7 @@
         held = self._allocations_by_job.get(allocation.task.job)
         if held is None:
             return
-        if held.pop(_key(allocation), None) is not None:
+        if held.pop(_run_key(allocation), None) is not None:
             self.usage.remove(allocation.account, allocation.demand)
         if not held:
             self._allocations_by_job.pop(allocation.task.job)
@@ -42,5 +42,5 @@
         return list(self._allocations_by_job.get(job_id, {}).values())
 
 
-def _key(allocation: Allocation) -> RunKey:
+def _run_key(allocation: Allocation) -> RunKey:
     return allocation.runner, allocation.task, allocation.run
--- a/dandelionreel/cell/decisions/_allocation_table.py
+++ b/dandelionreel/cell/decisions/_allocation_table.py
@@ -3,11 +3,11 @@
 Every change to an allocation goes through this module.
 """
 
-from dandelionreel.cell.decisions._job_runs import AllocationIndex
-from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase, RunnerState
-from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun
-from dandelionreel.cell.decisions._stops import StopQueue
+from dandelionreel.cell.decisions._allocation_index import AllocationIndex
+from dandelionreel.cell.decisions._job_run import JobRun
+from dandelionreel.cell.decisions._runner_state import Allocation, AllocationPhase, RunnerState
+from dandelionreel.cell.decisions._step_run import StepRun, TaskPhase, TaskRun
+from dandelionreel.cell.decisions._stop_queue import StopQueue
 from dandelionreel.cell.model import TaskName
 
 
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -9,12 +9,17 @@
 from dandelionreel.cell.decisions._allocation_table import AllocationTable
 from dandelionreel.cell.decisions._crashes import Crash
 from dandelionreel.cell.decisions._job_rates import JobRates
-from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
-from dandelionreel.cell.decisions._losses import RunnerLosses
+from dandelionreel.cell.decisions._job_run import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._quotas import QuotaLedger
+from dandelionreel.cell.decisions._runner_losses import RunnerLosses
+from dandelionreel.cell.decisions._runner_state import (
+    NEVER,
+    Allocation,
+    AllocationPhase,
+    RunnerState,
+)
 from dandelionreel.cell.decisions._runner_views import PollEffect, RunnerViewHandler
-from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskRun, counted_demand
+from dandelionreel.cell.decisions._step_run import StepRun, TaskRun, counted_demand
 from dandelionreel.cell.decisions._tickets import TicketCache
 from dandelionreel.cell.decisions._zone_reachability import ZoneReachability
 from dandelionreel.cell.model import (
@@ -130,7 +135,7 @@
         if job is None and stored_job.submission is not None and not stored_job.unreadable:
             age = max(0.0, unix_time - stored_job.submission.accepted_at)
             job = JobRun(stored_job.id, stored_job.submission, now - age)
-            job.exceeds_account_rate = self._is_beyond_rate(job)
+            job.exceeds_account_rate = self._exceeds_account_rate(job)
             if stored_job.progress is not None:
                 job.restore(stored_job.progress)
             self.job_by_id[stored_job.id] = job
@@ -430,7 +435,7 @@
             return None
         return self.configuration.find_account(job.account)
 
-    def _is_beyond_rate(self, job: JobRun) -> bool:
+    def _exceeds_account_rate(self, job: JobRun) -> bool:
         account = self._account_of(job)
         if account is None:
             return False
--- a/dandelionreel/cell/decisions/_crashes.py
+++ b/dandelionreel/cell/decisions/_crashes.py
@@ -57,12 +57,12 @@
     def crashed(self) -> tuple[CrashedRun, ...]:
         """Return all counted runs in their stored form."""
         found = [run for runs in self._runs_by_task.values() for run in runs.values()]
-        return tuple(sorted(found, key=_sort_key))
+        return tuple(sorted(found, key=_run_sort_key))
 
     @property
     def starts(self) -> tuple[StoredStart, ...]:
         """Return the starts in progress that are recorded individually."""
-        return tuple(sorted(self._start_by_task.values(), key=_sort_key))
+        return tuple(sorted(self._start_by_task.values(), key=_run_sort_key))
 
     def restore(
         self,
@@ -71,13 +71,13 @@
     ) -> None:
         """Restore the history that an earlier owner stored."""
         for run in crashed:
-            self._runs_by_task.setdefault(_key(run), {})[run.run] = run
+            self._runs_by_task.setdefault(_task_key(run), {})[run.run] = run
         for start in starts:
-            self._start_by_task[_key(start)] = start
+            self._start_by_task[_task_key(start)] = start
 
     def record_crash(self, task: TaskName, run: int, *, during_start: bool) -> bool:
         """Count a runner crash during a run; return whether it was not counted before."""
-        key = _key(task)
+        key = _task_key(task)
         runs = self._runs_by_task.setdefault(key, {})
         if run in runs:
             return False
@@ -86,11 +86,11 @@
 
     def clear(self, task: TaskName) -> bool:
         """Clear the crashes of a task that did not cause them; return whether there were any."""
-        return bool(self._runs_by_task.pop(_key(task), None))
+        return bool(self._runs_by_task.pop(_task_key(task), None))
 
     def count(self, task: TaskName) -> int:
         """Return the number of runner crashes during runs of a task."""
-        return len(self._runs_by_task.get(_key(task), ()))
+        return len(self._runs_by_task.get(_task_key(task), ()))
 
     def is_quarantined(self, task: TaskName) -> bool:
         """Return whether a task must start alone, since it may crash the next runner too."""
@@ -109,7 +109,7 @@
         as a crash if the runner is gone. Without that, each lost owner would let the task crash
         one more runner.
         """
-        key = _key(task)
+        key = _task_key(task)
         if not self.incomplete and key not in self._runs_by_task:
             return False
         self._start_by_task[key] = StoredStart(*key, run, runner)
@@ -117,10 +117,10 @@
 
     def record_run_end(self, task: TaskName, run: int) -> bool:
         """Record that a run has ended in any way; return whether its start was stored."""
-        start = self._start_by_task.get(_key(task))
+        start = self._start_by_task.get(_task_key(task))
         if start is None or start.run != run:
             return False
-        self._start_by_task.pop(_key(task))
+        self._start_by_task.pop(_task_key(task))
         return True
 
     def starts_on_runner(self, runner: str) -> list[StoredStart]:
@@ -128,13 +128,13 @@
         return [start for start in self._start_by_task.values() if start.runner == runner]
 
     def _count_start_crashes(self, task: TaskName) -> int:
-        runs = self._runs_by_task.get(_key(task), {})
+        runs = self._runs_by_task.get(_task_key(task), {})
         return sum(run.during_start for run in runs.values())
 
 
-def _key(row: TaskName | CrashedRun | StoredStart) -> _TaskKey:
+def _task_key(row: TaskName | CrashedRun | StoredStart) -> _TaskKey:
     return row.occurrence, row.step, row.index
 
 
-def _sort_key(row: CrashedRun | StoredStart) -> tuple[int, int, int, int]:
+def _run_sort_key(row: CrashedRun | StoredStart) -> tuple[int, int, int, int]:
     return row.occurrence, row.step, row.index, row.run
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_job_run.py
@@ -2,7 +2,7 @@
 
 from dandelionreel.cell.decisions._crashes import JobCrashes
 from dandelionreel.cell.decisions._objectives import compute_latency_objective
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun, counted_demand
+from dandelionreel.cell.decisions._step_run import StepRun, TaskPhase, TaskRun, counted_demand
 from dandelionreel.cell.model import (
     FINAL_STATES,
     Demand,
@@ -75,7 +75,7 @@
             return JobState.CANCELLED
         return self.stored_state
 
-    def may_run_on(self, runner: str) -> bool:
+    def may_have_runs_on(self, runner: str) -> bool:
         """Return whether a runner is stored as one on which its tasks may run."""
         return runner in self.stored_runners or ANY_RUNNER in self.stored_runners
 
@@ -238,7 +238,7 @@
     def record_task_start(self, name: TaskName, run: int, runner: str) -> bool:
         """Record a start that is about to be sent; return whether to store it first."""
         self.runners.add(runner)
-        stored = self.may_run_on(runner)
+        stored = self.may_have_runs_on(runner)
         return self.crashes.record_start(name, run, runner) or not stored
 
     def record_ended_run(self, name: TaskName, run: int) -> None:
@@ -313,7 +313,7 @@
                 )
                 done.append(DoneTasks(occurrence, step.name.step, f'{mask:x}'))
         failed = () if self.is_finished else tuple(sorted(self._failed_runs, key=_failed_sort_key))
-        state = JobState.CANCELLED if self._is_reported_as_cancelled() else self.state
+        state = JobState.CANCELLED if self._is_stored_as_cancelled() else self.state
         if self.is_finished:
             return Progress(
                 epoch,
@@ -344,7 +344,7 @@
             task = self.steps(crashed.occurrence)[crashed.step].tasks[crashed.index]
             task.quarantined = self.crashes.is_quarantined(task.name)
 
-    def _is_reported_as_cancelled(self) -> bool:
+    def _is_stored_as_cancelled(self) -> bool:
         return self.cancelled and self.state not in {JobState.COMPLETED, JobState.FAILED}
 
     def _complete_job_if_done(self) -> None:
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -4,7 +4,7 @@
 
 from dandelionreel.cell.decisions._advice_requests import AdviceRequest, AdviceRequests
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import Allocation, RunnerState
+from dandelionreel.cell.decisions._job_run import JobRun
 from dandelionreel.cell.decisions._preemption import (
     MAX_WAIT_WITHOUT_PREEMPTION_SECONDS,
     STOP_LATENCY_SECONDS,
@@ -25,9 +25,9 @@
     group_by_location,
     has_required_label,
 )
-from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, counted_demand
-from dandelionreel.cell.decisions._waiting import (
+from dandelionreel.cell.decisions._runner_state import Allocation, RunnerState
+from dandelionreel.cell.decisions._step_run import StepRun, TaskPhase, counted_demand
+from dandelionreel.cell.decisions._waiting_steps import (
     TOO_LATE,
     Candidate,
     WaitingOrder,
--- a/dandelionreel/cell/decisions/_preemption.py
+++ b/dandelionreel/cell/decisions/_preemption.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import (
+from dandelionreel.cell.decisions._reservations import count_slots
+from dandelionreel.cell.decisions._runner_state import (
     Allocation,
     AllocationPhase,
     RunnerState,
     expected_end,
 )
-from dandelionreel.cell.decisions._reservations import count_slots
-from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
+from dandelionreel.cell.decisions._step_run import StepRun, counted_demand
 from dandelionreel.cell.model import Queue
 
 #: A gang whose slots come free by themselves within this time preempts nothing: getting tickets
--- a/dandelionreel/cell/decisions/_preventive_stops.py
+++ b/dandelionreel/cell/decisions/_preventive_stops.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterable
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import (
+from dandelionreel.cell.decisions._runner_state import (
     Allocation,
     AllocationPhase,
     RunnerState,
     expected_end,
 )
-from dandelionreel.cell.decisions._step_runs import StepRun
+from dandelionreel.cell.decisions._step_run import StepRun
 
 #: Share of the gang timeout (the time within which all members must have started) after which a
 #: gang with a member that has not started is stopped.
--- a/dandelionreel/cell/decisions/_quota_gate.py
+++ b/dandelionreel/cell/decisions/_quota_gate.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._cell import Cell
+from dandelionreel.cell.decisions._job_run import JobRun
 from dandelionreel.cell.decisions._objectives import count_fitting
-from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import counted_demand
-from dandelionreel.cell.decisions._waiting import Candidate
+from dandelionreel.cell.decisions._step_run import counted_demand
+from dandelionreel.cell.decisions._waiting_steps import Candidate
 from dandelionreel.cell.model import Demand, StepName
 
 #: Seconds for which a gang waits for its account's quota before all other tasks of that account,
--- a/dandelionreel/cell/decisions/_quotas.py
+++ b/dandelionreel/cell/decisions/_quotas.py
@@ -7,7 +7,7 @@
 """
 
 from dandelionreel.cell.decisions._allocation_table import AllocationTable
-from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
+from dandelionreel.cell.decisions._job_run import ANY_RUNNER, JobRun
 from dandelionreel.cell.model import Demand, Leftover, Progress
 
 #: Seconds after the end of a job for which some of its runs may still be running: longer than the
--- a/dandelionreel/cell/decisions/_reservations.py
+++ b/dandelionreel/cell/decisions/_reservations.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from dandelionreel.cell.decisions._ledger import RunnerState, expected_end
-from dandelionreel.cell.decisions._step_runs import StepRun, counted_demand
+from dandelionreel.cell.decisions._runner_state import RunnerState, expected_end
+from dandelionreel.cell.decisions._step_run import StepRun, counted_demand
 from dandelionreel.cell.model import Demand, StepName
 
 #: One gang per ``RUNNERS_PER_RESERVING_GANG`` runners may hold a reservation at the same time, and
--- a/dandelionreel/cell/decisions/_runner_choice.py
+++ b/dandelionreel/cell/decisions/_runner_choice.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Iterable
 
-from dandelionreel.cell.decisions._ledger import RunnerState
 from dandelionreel.cell.decisions._reservations import count_slots
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskRun, counted_demand
+from dandelionreel.cell.decisions._runner_state import RunnerState
+from dandelionreel.cell.decisions._step_run import StepRun, TaskRun, counted_demand
 from dandelionreel.cell.model import Demand
 
 #: A runner that may run a task, with the ticket for the start (empty if none is needed).
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_runner_losses.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._crashes import HEALTHY_SECONDS, Crash
-from dandelionreel.cell.decisions._ledger import NEVER, Allocation, RunnerState
-from dandelionreel.cell.decisions._runs import JobRun
+from dandelionreel.cell.decisions._job_run import JobRun
+from dandelionreel.cell.decisions._runner_state import NEVER, Allocation, RunnerState
 from dandelionreel.cell.model import Registration, StoredStart, TaskName
 
 Address = tuple[str, int]
@@ -44,9 +44,9 @@
         crashes = self._count_crashes(
             runner.id, runner.answered_at, tuple(runner.allocation_by_run.values())
         )
-        lapsed = self._lapsed_by_address.get(_address(runner))
+        lapsed = self._lapsed_by_address.get(_runner_address(runner))
         if lapsed is not None and lapsed.runner == runner.id:
-            crashes.extend(self._count_lapsed(_address(runner)))
+            crashes.extend(self._count_crashes_on_lapsed_runner(_runner_address(runner)))
         if runner.answered_at == NEVER:
             crashes.extend(self.count_crashes_on_unseen_runner(runner.id))
         return crashes
@@ -55,7 +55,7 @@
         """Keep the runs of a silent runner until it is known whether the runner has crashed."""
         if not runner.draining:
             runs = tuple(runner.allocation_by_run.values())
-            self._lapsed_by_address[_address(runner)] = _LapsedRunner(
+            self._lapsed_by_address[_runner_address(runner)] = _LapsedRunner(
                 runner.id, runner.answered_at, runs
             )
 
@@ -64,14 +64,14 @@
 
         An entry of a later process proves no end, since entries of earlier ones may arrive late.
         """
-        lapsed = self._lapsed_by_address.get(_address(runner))
+        lapsed = self._lapsed_by_address.get(_runner_address(runner))
         if lapsed is None:
             return []
         if lapsed.runner == runner.id:
             # The runner was only unreachable.
-            self._lapsed_by_address.pop(_address(runner))
+            self._lapsed_by_address.pop(_runner_address(runner))
             return []
-        return self._count_lapsed(_address(runner))
+        return self._count_crashes_on_lapsed_runner(_runner_address(runner))
 
     def count_crashes_on_unseen_runner(self, runner_id: str) -> list[Crash]:
         """Count the stored starts of earlier owners on a runner that this owner never reached.
@@ -81,7 +81,7 @@
         """
         crashes: list[Crash] = []
         for job in self._unfinished_job_by_id.values():
-            if job.may_run_on(runner_id):
+            if job.may_have_runs_on(runner_id):
                 job.mark_crashes_incomplete()
                 self._dirty.add(job.id)
             for start in job.crashes.starts_on_runner(runner_id):
@@ -91,7 +91,7 @@
                 )
         return crashes
 
-    def _count_lapsed(self, address: Address) -> list[Crash]:
+    def _count_crashes_on_lapsed_runner(self, address: Address) -> list[Crash]:
         lapsed = self._lapsed_by_address.pop(address)
         return self._count_crashes(lapsed.runner, lapsed.answered_at, lapsed.runs)
 
@@ -155,5 +155,5 @@
     return TaskName(job, start.occurrence, start.step, start.index)
 
 
-def _address(runner: RunnerState) -> Address:
+def _runner_address(runner: RunnerState) -> Address:
     return runner.registration.address, runner.registration.port
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -5,10 +5,15 @@
 
 from dandelionreel.cell.decisions._allocation_table import AllocationTable, is_current_run
 from dandelionreel.cell.decisions._crashes import Crash
-from dandelionreel.cell.decisions._ledger import NEVER, Allocation, AllocationPhase, RunnerState
-from dandelionreel.cell.decisions._losses import RunnerLosses
-from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase, TaskRun, counted_demand
+from dandelionreel.cell.decisions._job_run import JobRun
+from dandelionreel.cell.decisions._runner_losses import RunnerLosses
+from dandelionreel.cell.decisions._runner_state import (
+    NEVER,
+    Allocation,
+    AllocationPhase,
+    RunnerState,
+)
+from dandelionreel.cell.decisions._step_run import StepRun, TaskPhase, TaskRun, counted_demand
 from dandelionreel.cell.model import (
     Demand,
     EndedRun,
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import Allocation
-from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import StepRun, TaskPhase
+from dandelionreel.cell.decisions._job_run import JobRun
+from dandelionreel.cell.decisions._runner_state import Allocation
+from dandelionreel.cell.decisions._step_run import StepRun, TaskPhase
 
 #: Seconds without a change, beyond the expected duration of runs, after which a job is stalled.
 STALL_SECONDS = 3.0
@@ -55,7 +55,7 @@
         if now - self._checked_at < CHECK_INTERVAL_SECONDS:
             return []
         self._checked_at = now
-        candidates = sorted(self._find_candidates(now), key=_unchanged_since)
+        candidates = sorted(self._find_unchanged_jobs(now), key=_unchanged_since)
         stalled: list[StalledJob] = []
         for progress, job in candidates:
             steps = job.unfinished_steps(unix_time)
@@ -67,7 +67,7 @@
                 stalled.append(self._describe_job(job, steps, held, now - progress.since, now))
         return stalled
 
-    def _find_candidates(self, now: float) -> list[tuple[_UnchangedJob, JobRun]]:
+    def _find_unchanged_jobs(self, now: float) -> list[tuple[_UnchangedJob, JobRun]]:
         """Return the jobs without a recent change that have not been reported recently."""
         previous = self._progress_by_job
         self._progress_by_job = {}
--- a/dandelionreel/cell/decisions/_stops.py
+++ b/dandelionreel/cell/decisions/_stop_queue.py
@@ -1,6 +1,6 @@
 """Stops to send to runners, including repeated ones. No I/O."""
 
-from dandelionreel.cell.decisions._ledger import Allocation, AllocationPhase
+from dandelionreel.cell.decisions._runner_state import Allocation, AllocationPhase
 
 #: Longest time in seconds that a runner may take to stop a run after it has answered the stop.
 #: Until then it may still list the run.
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting_steps.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._cell import Cell
+from dandelionreel.cell.decisions._job_run import JobRun
 from dandelionreel.cell.decisions._reservations import Rank
-from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import StepRun
+from dandelionreel.cell.decisions._step_run import StepRun
 from dandelionreel.cell.model import Queue
 
 #: A job that ends later than this many times its objective is of no use to its client.
--- a/dandelionreel/cell/decisions/_zone_reachability.py
+++ b/dandelionreel/cell/decisions/_zone_reachability.py
@@ -51,11 +51,11 @@
         partitioned.
         """
         all_zones = set(zones)
-        self._unreachable.update(zone for zone in all_zones if self._is_silent(zone, now))
+        self._unreachable.update(zone for zone in all_zones if self._is_zone_silent(zone, now))
         unreachable = all_zones & self._unreachable
         return unreachable if unreachable < all_zones else set()
 
-    def _is_silent(self, zone: str, now: float) -> bool:
+    def _is_zone_silent(self, zone: str, now: float) -> bool:
         overdue = {
             order.runner
             for order in self._orders_by_zone.get(zone, ())
--- a/dandelionreel/cell/model/_checks.py
+++ b/dandelionreel/cell/model/_checks.py
@@ -26,13 +26,13 @@
 def check_job_spec(spec: JobSpec) -> None:
     """Raise ``UnreadableError`` with the name of the field for a job that is out of bounds."""
     if not 1 <= len(spec.steps) <= MAX_STEPS:
-        raise _out_of_bounds(f'steps: 1 to {MAX_STEPS} are allowed')
+        raise _range_error(f'steps: 1 to {MAX_STEPS} are allowed')
     if not 0 <= spec.repeat_count <= MAX_OCCURRENCES:
-        raise _out_of_bounds(f'repeat_count: 0 to {MAX_OCCURRENCES} is allowed')
+        raise _range_error(f'repeat_count: 0 to {MAX_OCCURRENCES} is allowed')
     if spec.interval < 0 or 0 < spec.interval < MIN_INTERVAL_SECONDS:
-        raise _out_of_bounds('the interval must be 0 or at least one millisecond')
+        raise _range_error('the interval must be 0 or at least one millisecond')
     if max(abs(spec.first_run), spec.interval) > MAX_TIME_SECONDS:
-        raise _out_of_bounds('the first run or the interval is too far away')
+        raise _range_error('the first run or the interval is too far away')
     for number, step in enumerate(spec.steps):
         _check_step(number, step)
 
@@ -40,16 +40,16 @@
 def _check_step(number: int, step: Step) -> None:
     demand = step.demand
     if not 1 <= step.count <= MAX_TASKS:
-        raise _out_of_bounds(f'step {number}: count must be 1 to {MAX_TASKS}')
+        raise _range_error(f'step {number}: count must be 1 to {MAX_TASKS}')
     amounts = (demand.cpu, demand.memory_mb, demand.gpu)
     if min(*amounts, step.estimate) < 0 or max(amounts) > MAX_DEMAND:
-        raise _out_of_bounds(f'step {number}: cpu, mem_mb, gpu or estimate_ms is out of bounds')
+        raise _range_error(f'step {number}: cpu, mem_mb, gpu or estimate_ms is out of bounds')
     if step.estimate > MAX_ESTIMATE_SECONDS:
-        raise _out_of_bounds(f'step {number}: estimate_ms is out of bounds')
+        raise _range_error(f'step {number}: estimate_ms is out of bounds')
     for earlier in step.depends_on:
         # Only earlier steps are allowed, so dependencies have no cycle.
         if not 0 <= earlier < number:
-            raise _out_of_bounds(
+            raise _range_error(
                 f'step {number}: depends_on names {earlier}, which is no earlier step'
             )
 
@@ -57,32 +57,32 @@
 def check_progress(progress: Progress, spec: JobSpec) -> None:
     """Raise ``UnreadableError`` for progress of tasks that the job does not have."""
     for done in progress.done:
-        step = _find_step(spec, done.occurrence, done.step)
+        step = _get_step(spec, done.occurrence, done.step)
         if int(done.mask, HEX_BASE) >> step.count:
-            raise _out_of_bounds(f'more tasks of step {done.step} are done than it has')
+            raise _range_error(f'more tasks of step {done.step} are done than it has')
     rows: tuple[FailedRun | CrashedRun | StoredStart, ...] = (
         *progress.failed,
         *progress.crashed,
         *progress.starts,
     )
     for row in rows:
-        step = _find_step(spec, row.occurrence, row.step)
+        step = _get_step(spec, row.occurrence, row.step)
         if row.index >= step.count:
-            raise _out_of_bounds(f'step {row.step} has no task {row.index}')
+            raise _range_error(f'step {row.step} has no task {row.index}')
 
 
 def check_leftovers(progress: Progress) -> None:
     """Raise ``UnreadableError`` for negative demands in the leftovers of a finished job."""
     for leftover in progress.leftovers:
         if min(leftover.demand.cpu, leftover.demand.memory_mb, leftover.demand.gpu) < 0:
-            raise _out_of_bounds(f'negative demand of the leftover on {leftover.runner}')
+            raise _range_error(f'negative demand of the leftover on {leftover.runner}')
 
 
-def _find_step(spec: JobSpec, occurrence: int, number: int) -> Step:
+def _get_step(spec: JobSpec, occurrence: int, number: int) -> Step:
     if occurrence >= spec.occurrences or number >= len(spec.steps):
-        raise _out_of_bounds(f'the job has no step {number} of occurrence {occurrence}')
+        raise _range_error(f'the job has no step {number} of occurrence {occurrence}')
     return spec.steps[number]
 
 
-def _out_of_bounds(message: str) -> UnreadableError:
+def _range_error(message: str) -> UnreadableError:
     return UnreadableError(Reason.RANGE, message)
--- a/dandelionreel/cell/model/_incarnations.py
+++ b/dandelionreel/cell/model/_incarnations.py
@@ -33,22 +33,22 @@
     latest_by_runner: dict[str, str] = {}
     for other in others:
         known = latest_by_runner.get(runner_id(other))
-        if known is None or _is_later(other, known):
+        if known is None or _is_later_incarnation(other, known):
             latest_by_runner[runner_id(other)] = other
     later_by_id = {}
     for incarnation in incarnations:
         latest = latest_by_runner.get(runner_id(incarnation))
-        if latest is not None and _is_later(latest, incarnation):
+        if latest is not None and _is_later_incarnation(latest, incarnation):
             later_by_id[incarnation] = latest
     return later_by_id
 
 
-def _is_later(incarnation: str, other: str) -> bool:
-    started, other_started = _start_time(incarnation), _start_time(other)
+def _is_later_incarnation(incarnation: str, other: str) -> bool:
+    started, other_started = _incarnation_start_time(incarnation), _incarnation_start_time(other)
     return started is not None and other_started is not None and started > other_started
 
 
-def _start_time(incarnation: str) -> int | None:
+def _incarnation_start_time(incarnation: str) -> int | None:
     _, separator, suffix = incarnation.rpartition(_SEPARATOR)
     known = separator and suffix.isdecimal() and len(suffix) <= MAX_START_DIGITS
     return int(suffix) if known else None
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import AllocationPhase
-from dandelionreel.cell.decisions._ledger import Allocation
+from dandelionreel.cell.decisions._runner_state import Allocation
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import (
     Demand,
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.clients._partition_reads import PartitionReads
-from dandelionreel.cell.decisions._completeness import is_job_complete
+from dandelionreel.cell.decisions._job_completeness import is_job_complete
 from dandelionreel.cell.membership._claim_order import follows_runner_list
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
 from dandelionreel.cell.membership._completion_reports import CompletionReports
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import AllocationPhase
-from dandelionreel.cell.decisions._ledger import RunnerState
 from dandelionreel.cell.decisions._preventive_stops import stop_on_draining_runners
+from dandelionreel.cell.decisions._runner_state import RunnerState
 from dandelionreel.cell.model import JobState
 from dandelionreel.cell.model._records import Progress
 from features.cell_parts import SmallCell, make_registration, step, task
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions._cell import MAX_CLOCK_DRIFT
-from dandelionreel.cell.decisions._ledger import RunnerState
+from dandelionreel.cell.decisions._runner_state import RunnerState
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -5,8 +5,8 @@
 import curio
 from behave import given, then, when
 
-from dandelionreel.cell.decisions._ledger import QUARANTINE_SECONDS
-from dandelionreel.cell.decisions._losses import RunnerLosses, apply_last_registrations
+from dandelionreel.cell.decisions._runner_losses import RunnerLosses, apply_last_registrations
+from dandelionreel.cell.decisions._runner_state import QUARANTINE_SECONDS
 from dandelionreel.cell.model import RunnerView, RunningTask, StartReply
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import CrashedRun, Progress, StoredStart
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -7,8 +7,8 @@
 from behave import step as any_step
 
 from dandelionreel.cell.decisions._job_rates import JobRates
-from dandelionreel.cell.decisions._runs import JobRun
-from dandelionreel.cell.decisions._step_runs import TaskPhase
+from dandelionreel.cell.decisions._job_run import JobRun
+from dandelionreel.cell.decisions._step_run import TaskPhase
 from dandelionreel.cell.model import Demand, JobState, StartReply, Submission
 from dandelionreel.cell.model._model import JobSpec
 from dandelionreel.cell.model._records import Leftover, Progress
