--- a/bench/replay.py
+++ b/bench/replay.py
@@ -28,12 +28,12 @@
     EndedRun,
     JobSpec,
     JobState,
-    Outcome,
     Permit,
     Queue,
     Registration,
     RunnerView,
     RunningTask,
+    RunOutcome,
     Service,
     StartReply,
     Step,
@@ -577,13 +577,15 @@
         run = (allocation.task, allocation.run)
         self._runs_by_runner[allocation.runner][run] = (self._now, duration, saved_seconds)
         self.cell.handle_start_reply(allocation, StartReply.STARTED, self._now)
-        self._schedule(duration, self._end, allocation, Outcome.FAILED if fails else Outcome.DONE)
+        self._schedule(
+            duration, self._end, allocation, RunOutcome.FAILED if fails else RunOutcome.DONE
+        )
 
     def _stop(self, allocation: Allocation) -> None:
         self.cell.handle_stop_reply(allocation, self._now)
-        self._end(allocation, Outcome.STOPPED)
+        self._end(allocation, RunOutcome.STOPPED)
 
-    def _end(self, allocation: Allocation, outcome: Outcome) -> None:
+    def _end(self, allocation: Allocation, outcome: RunOutcome) -> None:
         run = (allocation.task, allocation.run)
         running = self._runs_by_runner[allocation.runner].pop(run, None)
         if running is None:
@@ -593,9 +595,9 @@
         job = self.cell.job_by_id.get(allocation.task.job)
         step = None if job is None else job.find_step(allocation.task)
         checkpoint = ''
-        if outcome is Outcome.STOPPED and step is not None and step.step.checkpointing:
+        if outcome is RunOutcome.STOPPED and step is not None and step.step.checkpointing:
             checkpoint = str(saved_seconds + run_seconds)
-        elif outcome is not Outcome.DONE:
+        elif outcome is not RunOutcome.DONE:
             self.wasted_core_seconds += run_seconds * allocation.demand.cpu / 1000
         ended = EndedRun(next(self._end_numbers), *run, outcome, checkpoint)
         if allocation.runner in self._unseen_ends_by_runner:
--- a/dandelionreel/cell/decisions/_advice_requests.py
+++ b/dandelionreel/cell/decisions/_advice_requests.py
@@ -80,10 +80,10 @@
             if runner.id not in tickets.asked_runners
         ]
         if step.step.gang:
-            slots_and_runners.sort(key=_by_slots(zone))
+            slots_and_runners.sort(key=_make_slots_sort_key(zone))
         else:
             slots_and_runners = [entry for entry in slots_and_runners if entry[0]]
-            slots_and_runners.sort(key=_by_job_hash(step.name, zone))
+            slots_and_runners.sort(key=_make_hash_sort_key(step.name, zone))
         unasked = [runner for _, runner in slots_and_runners]
         return self._split_request(queue, step, unasked[: self._count_runners_to_ask(step)])
 
@@ -184,7 +184,7 @@
     return runner.registration.zone != zone
 
 
-def _by_slots(zone: str) -> Callable[[tuple[int, RunnerState]], tuple[int, bool]]:
+def _make_slots_sort_key(zone: str) -> Callable[[tuple[int, RunnerState]], tuple[int, bool]]:
     """Return a sort key: most free slots first, then runners in ``zone``."""
 
     def sort_key(entry: tuple[int, RunnerState]) -> tuple[int, bool]:
@@ -194,7 +194,7 @@
     return sort_key
 
 
-def _by_job_hash(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
+def _make_hash_sort_key(step: StepName, zone: str) -> Callable[[tuple[int, RunnerState]], tuple]:
     """Return a sort key: runners in ``zone``, then with free slots, then by a hash of the job.
 
     With the same order for all, jobs would compete for the same few runners and their tickets.
--- a/dandelionreel/cell/decisions/_cell.py
+++ b/dandelionreel/cell/decisions/_cell.py
@@ -332,7 +332,7 @@
         step.place_task(task, runner.id, run)
         return allocation
 
-    def next_run(self, tasks: Iterable[TaskRun]) -> int:
+    def next_run_number(self, tasks: Iterable[TaskRun]) -> int:
         """Return a run number higher than all earlier runs of these tasks."""
         lowest = self.epoch * RUNS_PER_EPOCH
         return max(lowest, *(task.run for task in tasks)) + 1
--- a/dandelionreel/cell/decisions/_job_completeness.py
+++ b/dandelionreel/cell/decisions/_job_completeness.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, Progress, StepName
+from dandelionreel.cell.model import EndedRun, JobSpec, Progress, RunOutcome, StepName
 
 HEX_BASE = 16
 
@@ -21,7 +21,7 @@
         indexes = {index for index in range(mask.bit_length()) if mask >> index & 1}
         done[StepName(job, entry.occurrence, entry.step)] |= indexes
     for end in ended:
-        if end.outcome is Outcome.DONE:
+        if end.outcome is RunOutcome.DONE:
             done[StepName.of(end.task)].add(end.task.index)
     return all(
         _is_step_complete(spec, number, done[StepName(job, 0, number)])
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -128,7 +128,7 @@
         usable = self._usable_runners_by_service(now)
         makes_reservations = self._renew_reservations(candidates, usable, now)
         requestable_cpu = {
-            service: REQUESTED_CPU_FACTOR * _free_cpu(runners)
+            service: REQUESTED_CPU_FACTOR * _total_free_cpu(runners)
             for service, runners in usable.items()
         }
         state = _PlanState(
@@ -299,7 +299,7 @@
                 return False
             runner, ticket = chosen
             allowed -= 1
-            run = self._cell.next_run((task,))
+            run = self._cell.next_run_number((task,))
             state.plan.starts.append(
                 self._cell.place_task(
                     step, task, runner, run, state.now, ticket, step.step.estimate
@@ -422,7 +422,7 @@
             assigned = assign_gang(step, group)
             if assigned is None:
                 continue
-            run = self._cell.next_run(step.tasks)
+            run = self._cell.next_run_number(step.tasks)
             checkpoint = next((task.checkpoint for task in step.tasks if task.checkpoint), '')
             for task, (runner, ticket) in zip(step.tasks, assigned, strict=True):
                 task.checkpoint = checkpoint
@@ -435,7 +435,7 @@
         return False
 
 
-def _free_cpu(runners: dict[str, RunnerState]) -> float:
+def _total_free_cpu(runners: dict[str, RunnerState]) -> float:
     """Return the free CPU; an overcommitted runner counts as zero."""
     return sum(max(0, runner.free_capacity.cpu) for runner in runners.values())
 
--- a/dandelionreel/cell/decisions/_runner_views.py
+++ b/dandelionreel/cell/decisions/_runner_views.py
@@ -18,10 +18,10 @@
     Demand,
     EndedRun,
     JobState,
-    Outcome,
     Queue,
     RunnerView,
     RunningTask,
+    RunOutcome,
     TaskName,
 )
 
@@ -127,10 +127,10 @@
         step, task = found
         if ended.checkpoint and task.phase is not TaskPhase.DONE:
             task.checkpoint = ended.checkpoint
-        if ended.outcome is Outcome.DONE and not step.step.long_running:
+        if ended.outcome is RunOutcome.DONE and not step.step.long_running:
             self._apply_done_run(job, step, ended)
             return allocation
-        if ended.outcome is Outcome.FAILED:
+        if ended.outcome is RunOutcome.FAILED:
             self._apply_failed_run(job, task, runner, ended)
         if is_current_run(task, runner.id, ended.run):
             step.release_task(task)
--- a/dandelionreel/cell/model/__init__.py
+++ b/dandelionreel/cell/model/__init__.py
@@ -51,7 +51,6 @@
     EndedRun,
     FencedError,
     KeyedRecord,
-    Outcome,
     Permit,
     RecordBatch,
     RecordCodec,
@@ -62,6 +61,7 @@
     RunnerReplaced,
     RunnerView,
     RunningTask,
+    RunOutcome,
     SendPrecondition,
     StartAnswer,
     StartOrder,
@@ -73,9 +73,9 @@
 )
 from dandelionreel.cell.model._unreadable import (
     CountUnreadable,
-    Reason,
     UnreadableError,
     UnreadableLog,
+    UnreadableReason,
     decode_json,
 )
 
@@ -106,13 +106,13 @@
     'Member',
     'CountUnreadable',
     'OWNER_KEY',
-    'Outcome',
+    'RunOutcome',
     'Owner',
     'PROGRESS_PREFIX',
     'Permit',
     'Progress',
     'Queue',
-    'Reason',
+    'UnreadableReason',
     'RecordBatch',
     'RecordCodec',
     'RecordsExpired',
--- a/dandelionreel/cell/model/_checks.py
+++ b/dandelionreel/cell/model/_checks.py
@@ -6,7 +6,7 @@
 
 from dandelionreel.cell.model._model import JobSpec, Step
 from dandelionreel.cell.model._records import CrashedRun, FailedRun, Progress, StoredStart
-from dandelionreel.cell.model._unreadable import Reason, UnreadableError
+from dandelionreel.cell.model._unreadable import UnreadableError, UnreadableReason
 
 MAX_STEPS = 100
 MAX_TASKS = 10_000
@@ -85,4 +85,4 @@
 
 
 def _range_error(message: str) -> UnreadableError:
-    return UnreadableError(Reason.RANGE, message)
+    return UnreadableError(UnreadableReason.RANGE, message)
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -119,7 +119,7 @@
         """Close connections."""
 
 
-class Outcome(enum.Enum):
+class RunOutcome(enum.Enum):
     """How a run ended, as reported by its runner."""
 
     DONE = 'done'
@@ -183,7 +183,7 @@
     number: int
     task: TaskName
     run: int
-    outcome: Outcome
+    outcome: RunOutcome
     checkpoint: str
 
 
@@ -231,11 +231,11 @@
     """Client of one runner; raises ``RunnerError``, ``RunnerFenced`` or ``RunnerReplaced``."""
 
     @abc.abstractmethod
-    async def start(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
+    async def start_task(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
         """Start a task; idempotent."""
 
     @abc.abstractmethod
-    async def stop(self, task: TaskName, run: int, epoch: int) -> None:
+    async def stop_run(self, task: TaskName, run: int, epoch: int) -> None:
         """Stop a run, even if its start has not arrived yet."""
 
     @abc.abstractmethod
--- a/dandelionreel/cell/model/_unreadable.py
+++ b/dandelionreel/cell/model/_unreadable.py
@@ -30,7 +30,7 @@
 WINDOW_SECONDS = 10.0
 
 
-class Reason(enum.Enum):
+class UnreadableReason(enum.Enum):
     """Why a record is unreadable; the value is the label of the counter."""
 
     FRAME = 'frame'
@@ -45,7 +45,7 @@
 class UnreadableError(ValueError):
     """A record cannot be read; records of other keys are not affected."""
 
-    def __init__(self, reason: Reason, message: str) -> None:
+    def __init__(self, reason: UnreadableReason, message: str) -> None:
         """Create an error with a reason and a message, truncated for log lines."""
         super().__init__(message[:MAX_TEXT_CHARACTERS])
         self.reason = reason
@@ -59,9 +59,9 @@
     try:
         return decoder.decode(content)
     except msgspec.ValidationError as error:
-        raise UnreadableError(Reason.FIELDS, f'{error}') from error
+        raise UnreadableError(UnreadableReason.FIELDS, f'{error}') from error
     except (ValueError, RecursionError) as error:
-        raise UnreadableError(Reason.SYNTAX, f'{error}') from error
+        raise UnreadableError(UnreadableReason.SYNTAX, f'{error}') from error
 
 
 class UnreadableLog:
@@ -85,7 +85,7 @@
         self._clock = clock
         self._journal = journal
         self._count_unreadable = count_unreadable
-        self._reason_by_key: OrderedDict[str, Reason] = OrderedDict()
+        self._reason_by_key: OrderedDict[str, UnreadableReason] = OrderedDict()
         self._window_until = float('-inf')
         self._lines_in_window = 0
         self._suppressed_lines = 0
@@ -110,7 +110,7 @@
         """Forget a deleted key, so that its next unreadable record is logged."""
         self._reason_by_key.pop(key, None)
 
-    def _log_key_change(self, key: str, outcome: str, reason: Reason) -> None:
+    def _log_key_change(self, key: str, outcome: str, reason: UnreadableReason) -> None:
         now = self._clock.monotonic()
         if now >= self._window_until:
             self._window_until = now + WINDOW_SECONDS
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -82,7 +82,9 @@
                 return
             self._note_order_sent(state)
             try:
-                await runner.stop(allocation.task, allocation.run, self._owner_context.term.epoch)
+                await runner.stop_run(
+                    allocation.task, allocation.run, self._owner_context.term.epoch
+                )
             except RunnerError as error:
                 self._log_unanswered_stop(allocation, error)
                 await curio.sleep(STOP_RETRY_SECONDS)
@@ -218,7 +220,7 @@
                 return may_have_arrived
             self._note_order_sent(state)
             try:
-                answer = await runner.start(
+                answer = await runner.start_task(
                     self._make_start_order(state, allocation, payload), may_send
                 )
             except RunnerError as error:
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -26,10 +26,10 @@
     Member,
     Owner,
     Progress,
-    Reason,
     RunnersInUse,
     Submission,
     UnreadableError,
+    UnreadableReason,
     check_job_spec,
     check_leftovers,
     check_progress,
@@ -333,7 +333,7 @@
 def _decode_submission(job: str, content: bytes) -> Submission:
     if not job or '.' in job:
         # Runners join the parts of a task name by dots.
-        raise UnreadableError(Reason.KEY, f'{job!r} is not a valid job id')
+        raise UnreadableError(UnreadableReason.KEY, f'{job!r} is not a valid job id')
     submission = decode_json(_SUBMISSION, content)
     check_job_spec(submission.spec)
     return submission
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -11,12 +11,12 @@
 
 from dandelionreel.cell.model import (
     KeyedRecord,
-    Reason,
     RecordBatch,
     RecordCodec,
     Registration,
     UnreadableError,
     UnreadableLog,
+    UnreadableReason,
 )
 from dandelionreel.cell.store._follower import Projection
 from dandelionreel.kernel import Clock, Journal, Part
@@ -102,7 +102,7 @@
         registration = self._codec.decode_registration(record.key, record.content or b'')
         if not self._has_service(registration.service):
             message = f'no configuration names the service {registration.service!r}'
-            raise UnreadableError(Reason.UNNAMED, message)
+            raise UnreadableError(UnreadableReason.UNNAMED, message)
         self._check_unchanged(record.key, registration)
         return registration
 
@@ -116,13 +116,13 @@
         if previous is None:
             return
         if previous.incarnation is not None and registration.incarnation is None:
-            raise UnreadableError(Reason.FIELDS, 'the incarnation is missing')
+            raise UnreadableError(UnreadableReason.FIELDS, 'the incarnation is missing')
         if previous.runner != registration.runner or not self._has_service(previous.service):
             return
         before = (previous.service, previous.address, previous.port)
         if before != (registration.service, registration.address, registration.port):
             message = f'the entry was of {previous.service!r} at {previous.address}:{previous.port}'
-            raise UnreadableError(Reason.CHANGED, message)
+            raise UnreadableError(UnreadableReason.CHANGED, message)
 
     def _mark_unusable(self, runner: str, error: UnreadableError) -> None:
         self._unreadable.log_unreadable(runner, error, 'no tasks are started there')
--- a/dandelionreel/platform/_framing.py
+++ b/dandelionreel/platform/_framing.py
@@ -16,10 +16,10 @@
 
 from dandelionreel.cell.model import (
     KeyedRecord,
-    Reason,
     RecordBatch,
     StoreError,
     UnreadableError,
+    UnreadableReason,
     decode_json,
 )
 from dandelionreel.kernel import Verdict
@@ -86,19 +86,19 @@
 
 def _split_record(raw: bytes) -> tuple[str, bytes]:
     if not raw:
-        raise UnreadableError(Reason.FRAME, 'the record is empty')
+        raise UnreadableError(UnreadableReason.FRAME, 'the record is empty')
     start = 1
     end = start + raw[0]
     if end > len(raw):
         raise UnreadableError(
-            Reason.FRAME, f'the key has {raw[0]} bytes, the whole record {len(raw)}'
+            UnreadableReason.FRAME, f'the key has {raw[0]} bytes, the whole record {len(raw)}'
         )
     if end == start:
-        raise UnreadableError(Reason.KEY, 'the key is empty')
+        raise UnreadableError(UnreadableReason.KEY, 'the key is empty')
     try:
         return raw[start:end].decode(), raw[end:]
     except UnicodeDecodeError as error:
-        raise UnreadableError(Reason.KEY, f'the key is not UTF-8: {error}') from error
+        raise UnreadableError(UnreadableReason.KEY, f'the key is not UTF-8: {error}') from error
 
 
 def decode_page(raw: bytes) -> Page:
@@ -135,11 +135,13 @@
 def _decode_raw_row(raw: Any) -> KeyedRecord:
     key = raw.get('key') if isinstance(raw, dict) else None
     if not isinstance(key, str) or not _is_encodable(key):
-        return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no valid key'))
+        return KeyedRecord(
+            '', None, error=UnreadableError(UnreadableReason.KEY, 'an item has no valid key')
+        )
     try:
         return _decode_row(msgspec.convert(raw, _Row))
     except ValueError as error:
-        return KeyedRecord(key, None, error=UnreadableError(Reason.FRAME, f'{error}'))
+        return KeyedRecord(key, None, error=UnreadableError(UnreadableReason.FRAME, f'{error}'))
 
 
 def _is_encodable(key: str) -> bool:
@@ -152,11 +154,13 @@
 
 def _decode_row(row: _Row) -> KeyedRecord:
     if not row.key:
-        return KeyedRecord('', None, error=UnreadableError(Reason.KEY, 'an item has no valid key'))
+        return KeyedRecord(
+            '', None, error=UnreadableError(UnreadableReason.KEY, 'an item has no valid key')
+        )
     try:
         content = base64.b64decode(row.content, validate=True)
     except (binascii.Error, ValueError) as error:
-        unreadable = UnreadableError(Reason.FRAME, f'the value is not base64: {error}')
+        unreadable = UnreadableError(UnreadableReason.FRAME, f'the value is not base64: {error}')
         return KeyedRecord(row.key, None, row.offset, unreadable)
     return KeyedRecord(row.key, content or None, row.offset)
 
--- a/dandelionreel/platform/_registrations.py
+++ b/dandelionreel/platform/_registrations.py
@@ -6,9 +6,9 @@
 
 from dandelionreel.cell.model import (
     Demand,
-    Reason,
     Registration,
     UnreadableError,
+    UnreadableReason,
     decode_json,
     incarnation_id,
 )
@@ -68,7 +68,7 @@
     try:
         address = parse_address(entry.address)
     except SettingsError as error:
-        raise UnreadableError(Reason.RANGE, f'{error}') from error
+        raise UnreadableError(UnreadableReason.RANGE, f'{error}') from error
     remaining = entry.remaining_ms
     incarnation = None if entry.born is msgspec.UNSET else entry.born
     return Registration(
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -95,7 +95,7 @@
         self._next_channel = 0
         self._epoch = 0
 
-    async def start(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
+    async def start_task(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
         """Start a task; ``check`` is called right before the request is sent.
 
         If it returns false, nothing is sent.
@@ -130,7 +130,7 @@
             return StartAnswer(StartReply.INVALID, clock)
         raise RunnerError(f'the runner answered {response.status}', Verdict.UNKNOWN)
 
-    async def stop(self, task: TaskName, run: int, epoch: int) -> None:
+    async def stop_run(self, task: TaskName, run: int, epoch: int) -> None:
         """Stop a run."""
         fields = {'task': encode_task(task), 'run': run, 'fencing_token': epoch}
         self._check_response(await self._send_order('/v1/run-stop', fields))
--- a/dandelionreel/platform/_views.py
+++ b/dandelionreel/platform/_views.py
@@ -7,10 +7,10 @@
 
 from dandelionreel.cell.model import (
     EndedRun,
-    Outcome,
     RunnerError,
     RunnerView,
     RunningTask,
+    RunOutcome,
     TaskName,
     UnreadableError,
     decode_json,
@@ -44,7 +44,7 @@
     number: EndNumber
     task: str
     run: RunNumber
-    how: Outcome
+    how: RunOutcome
     saved: str | None = ''
 
 
--- a/features/cancelling_parts.py
+++ b/features/cancelling_parts.py
@@ -7,12 +7,12 @@
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import (
     EndedRun,
-    Outcome,
     Runner,
     RunnerError,
     RunnerFenced,
     RunnerView,
     RunningTask,
+    RunOutcome,
     StartAnswer,
     StartReply,
     WriterFence,
@@ -46,7 +46,7 @@
         self._fence = 0
         self._ended = []
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         """Answer a start with the next reply, and run it only if that is ``STARTED``."""
         if not check():
             raise RunnerError('no longer authorized', Verdict.NOT_RUN)
@@ -58,7 +58,7 @@
             self.running[order.task, order.run] = order.lease_until
         return StartAnswer(reply, self.clock.monotonic())
 
-    async def stop(self, task, run, epoch):
+    async def stop_run(self, task, run, epoch):
         """Stop a run, and list its end."""
         self._check_epoch(epoch)
         self.stopped.append((task, run))
@@ -68,7 +68,7 @@
         if self.running.pop((task, run), None) is not None:
             self.stopped_at = self.clock.monotonic()
             number = len(self._ended) + 1
-            self._ended.append(EndedRun(number, task, run, Outcome.STOPPED, ''))
+            self._ended.append(EndedRun(number, task, run, RunOutcome.STOPPED, ''))
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
         """Renew all leases, and answer when a run has ended or ``wait`` is over."""
--- a/features/cell_parts.py
+++ b/features/cell_parts.py
@@ -8,11 +8,11 @@
     Demand,
     EndedRun,
     JobSpec,
-    Outcome,
     Queue,
     Registration,
     RunnerView,
     RunningTask,
+    RunOutcome,
     Service,
     StartReply,
     Step,
@@ -104,7 +104,7 @@
         running_tasks = tuple(RunningTask(name, run, '', 0, 0.0) for name, run in running)
         ends = []
         for number, name, run, outcome in ended:
-            ends.append(EndedRun(number, name, run, Outcome(outcome), ''))
+            ends.append(EndedRun(number, name, run, RunOutcome(outcome), ''))
         view = RunnerView(self.now, running_tasks, tuple(ends), complete)
         state = self.cell.runner_by_id[runner]
         return self.cell.handle_view(
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -80,10 +80,10 @@
 class Unreachable(Runner):
     """A runner that no request reaches."""
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         raise RunnerError('no answer', Verdict.UNKNOWN)
 
-    async def stop(self, task, run, epoch):
+    async def stop_run(self, task, run, epoch):
         raise RunnerError('no answer', Verdict.UNKNOWN)
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -9,7 +9,7 @@
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
 from dandelionreel.cell.membership._completion_reports import CompletionReports
 from dandelionreel.cell.membership._completions import Completions
-from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, RunnerView, Submission
+from dandelionreel.cell.model import EndedRun, JobSpec, RunnerView, RunOutcome, Submission
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import (
     MEMBER_PREFIX,
@@ -37,14 +37,14 @@
 DONE_MASK_BY_NAME = {'both tasks': '3', 'the first': '1', 'no tasks': ''}
 
 
-def make_end(index, step_number=0, outcome=Outcome.DONE):
+def make_end(index, step_number=0, outcome=RunOutcome.DONE):
     return EndedRun(1, task(JOB, index, step_number), 1, outcome, '')
 
 
 LISTED_BY_NAME = {
     'nothing': (),
     "the gang's first as done": (make_end(0, 1),),
-    "the gang's first as failed": (make_end(0, 1, Outcome.FAILED),),
+    "the gang's first as failed": (make_end(0, 1, RunOutcome.FAILED),),
     'the second and the gang': (make_end(1), make_end(2, 1)),
 }
 
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -18,7 +18,7 @@
         self.reply = reply
         self.starts = 0
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         """Raise for the first start, answer the later ones."""
         assert check()
         self.starts += 1
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -3,7 +3,14 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions._preventive_stops import stop_incomplete_gangs
-from dandelionreel.cell.model import EndedRun, Outcome, Permit, RunnerView, RunningTask, StartReply
+from dandelionreel.cell.model import (
+    EndedRun,
+    Permit,
+    RunnerView,
+    RunningTask,
+    RunOutcome,
+    StartReply,
+)
 from features.cell_parts import step
 
 RUNNER_CPU = 32_000
@@ -110,7 +117,7 @@
     small = context.small
     context.stopped = small.cell.take_stops()
     for number, victim in enumerate(context.stopped, 1):
-        ended = EndedRun(number, victim.task, victim.run, Outcome.STOPPED, f'saved {number}')
+        ended = EndedRun(number, victim.task, victim.run, RunOutcome.STOPPED, f'saved {number}')
         kept = [run for run in small.runs_on(victim.runner) if run != (victim.task, victim.run)]
         listed = tuple(RunningTask(name, run, '', 0, 0.0) for name, run in kept)
         view = RunnerView(small.now, listed, (ended,))
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -63,7 +63,7 @@
 async def run_and_forget_task(context):
     """Run a task on the runner and acknowledge its end, then close the connections."""
     client = HttpRunner(read_entry(context))
-    answer = await client.start(make_order(context.runner.clock(), 0, 1), lambda: True)
+    answer = await client.start_task(make_order(context.runner.clock(), 0, 1), lambda: True)
     assert answer.reply is StartReply.STARTED, answer
     view = await client.poll(EPOCH, 0, None, 1.0)
     assert [end.number for end in view.ended] == [1], view
@@ -75,9 +75,9 @@
     """Send a call; return its result, or the error that it raised."""
     try:
         if 'start' in call:
-            return (await client.start(make_order(clock, 2, 9), lambda: True)).reply
+            return (await client.start_task(make_order(clock, 2, 9), lambda: True)).reply
         if 'stop' in call:
-            return await client.stop(TaskName(JOB, 0, 0, 1), 2, EPOCH)
+            return await client.stop_run(TaskName(JOB, 0, 0, 1), 2, EPOCH)
         return await client.poll(EPOCH, 10, clock + LEASE, 0)
     except (RunnerReplaced, RunnerError) as error:
         return error
@@ -98,7 +98,7 @@
             # Opens the connection for polls and the three connections for orders.
             await context.client.poll(EPOCH, 0, None, 0)
             for _ in range(3):
-                await context.client.stop(TaskName(JOB, 0, 0, 7), 1, EPOCH)
+                await context.client.stop_run(TaskName(JOB, 0, 0, 7), 1, EPOCH)
         restart(context)
         await run_to_end()
         clock = context.runner.clock() + 1000
@@ -114,7 +114,7 @@
         client = HttpRunner(read_entry(context))
         for index, spec in ((0, '500 0.01'), (1, '500 5')):
             order = make_order(context.runner.clock(), index, 2)
-            await client.start(
+            await client.start_task(
                 StartOrder(order.task, 2, spec, EPOCH, order.lease_until), lambda: True
             )
         await client.close()
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -299,7 +299,7 @@
     def __init__(self):
         self.starts = 0
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         """Answer that the task has started."""
         self.starts += 1
         return StartAnswer(StartReply.STARTED, None)
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -23,7 +23,7 @@
         self._seconds = seconds
         self.started = []
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         SlowRunner.pending += 1
         SlowRunner.max_pending = max(SlowRunner.max_pending, SlowRunner.pending)
         self.started.append(order.task.job)
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -117,7 +117,7 @@
 class UnstartedRunner:
     """A runner that must get no start."""
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         assert not check()
         raise RunnerError('not sent', Verdict.NOT_RUN)
 
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -389,10 +389,10 @@
 class SilentRunner(Runner):
     """A runner whose answers are lost: requests may have arrived."""
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         raise RunnerError('no answer in time', Verdict.UNKNOWN)
 
-    async def stop(self, task, run, epoch):
+    async def stop_run(self, task, run, epoch):
         raise RunnerError('no answer in time', Verdict.UNKNOWN)
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
