--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -12,7 +12,7 @@
 RUNNER_CPU = 32_000
 
 
-@given('a successor that cannot see the runner w3')
+@given('a successor that cannot reach the runner w3')
 def make_successor(context):
     context.small = SmallCell(epoch=2)
     context.small.cell.unseen_runners.add('w3')
@@ -24,8 +24,8 @@
     context.small = SmallCell(tuple(names.split(', ')))
 
 
-@when('a job is handed in')
-def hand_in(context):
+@when('a job is submitted')
+def submit_default_job(context):
     context.small.add_job('j1', [step()])
     context.plan = context.small.plan()
 
@@ -44,7 +44,7 @@
     context.plan = context.small.plan()
 
 
-@when('w3 answers and does not hold the task')
+@when('w3 is polled and does not list the task')
 def runner_answers(context):
     small = context.small
     small.registration_by_id['w3'] = make_registration('w3', port=7)
@@ -71,8 +71,8 @@
     assert context.small.used('w1') == RUNNER_CPU
 
 
-@when('the job is cancelled and another one is handed in')
-def cancel_and_hand_in(context):
+@when('the job is cancelled and another one is submitted')
+def cancel_and_submit_other(context):
     context.small.cancel('j1')
     assert context.small.cell.take_stops()
     context.small.add_job('j2', [step()])
@@ -80,7 +80,7 @@
 
 
 @when('w1 lists the end of the stopped run')
-def stopped_end(context):
+def list_stopped_end(context):
     run = context.small.runs_on('w1')[0][1]
     context.small.poll('w1', ended=[(1, task('j1'), run, 'stopped')])
     context.plan = context.small.plan()
@@ -172,7 +172,7 @@
 
 
 @given('a job that runs for the second time on another runner')
-def second_run(context):
+def make_second_run(context):
     small = context.small
     small.add_job('j1', [step()])
     context.first = small.plan().starts[0]
@@ -183,7 +183,7 @@
 
 
 @when('the first runner lists the end of the first run as done')
-def first_done(context):
+def list_first_run_done(context):
     first = context.first
     context.small.poll(first.runner, ended=[(1, first.task, first.run, 'done')])
 
@@ -209,14 +209,14 @@
     context.first = first
     again = small.plan().starts
     assert [start.runner for start in again] == [other.runner], again
-    context.again = again[0]
+    context.second_start = again[0]
 
 
 @when('w1 lists the end of the first run as done, and the other task is free to start')
 def first_run_done(context):
     small = context.small
     first = context.first
-    if context.again.task == first.task:
+    if context.second_start.task == first.task:
         small.poll(first.runner, ended=[(1, first.task, first.run, 'done')])
     small.cell.runner_by_id[first.runner].suspect = True
     context.plan = small.plan()
@@ -225,20 +225,20 @@
 @then('it does not start on w2 before the stopped run has ended')
 def waits_for_stop(context):
     small = context.small
-    assert context.again.task == context.first.task, context.again
+    assert context.second_start.task == context.first.task, context.second_start
     assert not context.plan.starts, context.plan.starts
     stopped = small.cell.take_stops()
-    assert stopped == [context.again]
-    ended = [(1, context.again.task, context.again.run, 'stopped')]
+    assert stopped == [context.second_start]
+    ended = [(1, context.second_start.task, context.second_start.run, 'stopped')]
     small.poll(context.second_runner, ended=ended)
     plan = small.plan()
     assert [start.task.index for start in plan.starts] == [1], plan.starts
 
 
-@when('w1 drains and a job is handed in')
-def drain_and_hand_in(context):
+@when('w1 drains and a job is submitted')
+def drain_and_submit(context):
     context.small.drain('w1')
-    hand_in(context)
+    submit_default_job(context)
 
 
 @given('a running task of {seconds:g} s on w1')
@@ -261,7 +261,7 @@
 @then('the task is {fate:w}')
 def check_task(context, fate):
     stopped = context.small.cell.take_stops()
-    assert stopped == ([] if fate == 'left' else [context.start])
+    assert stopped == ([] if fate == 'kept' else [context.start])
 
 
 @when('a job is planned and cancelled before its start is sent')
@@ -288,7 +288,7 @@
     context.have_leases_expired = context.state.have_leases_expired(1000 + seconds, 0.02)
 
 
-@when('it is polled again and again without an answer')
+@when('it is polled repeatedly without an answer')
 def poll_unanswered(context):
     state = context.state
     context.have_leases_expired = False
@@ -306,7 +306,7 @@
     assert context.have_leases_expired is (answer == 'yes')
 
 
-@when('a job of two steps in a row is handed in')
+@when('a job of two consecutive steps is submitted')
 def two_steps(context):
     context.small.add_job('j1', [step(), step(depends_on=(0,))])
     context.plan = context.small.plan()
@@ -329,7 +329,7 @@
     assert [start.task.step for start in context.plan.starts] == [1]
 
 
-@when('a job with {rule} is handed in')
+@when('a job whose step has {rule} is submitted')
 def job_with_rule(context, rule):
     small = context.small
     small.registration_by_id['w2'] = make_registration('w2', labels=('b', 'r-2'), port=2)
