--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class _UnchangedJob:
+class _Progress:
     """Number of changes of a job's tasks, and since when it is unchanged (monotonic seconds)."""
 
     changes: int
@@ -47,7 +47,7 @@
     def __init__(self, cell: Cell) -> None:
         """Watch the jobs of ``cell``."""
         self._cell = cell
-        self._progress_by_job: dict[str, _UnchangedJob] = {}
+        self._progress_by_job: dict[str, _Progress] = {}
         self._checked_at = float('-inf')
 
     def find(self, now: float, unix_time: float) -> list[StalledJob]:
@@ -67,7 +67,7 @@
                 stalled.append(self._describe_job(job, steps, held, now - progress.since, now))
         return stalled
 
-    def _find_unchanged_jobs(self, now: float) -> list[tuple[_UnchangedJob, JobRun]]:
+    def _find_unchanged_jobs(self, now: float) -> list[tuple[_Progress, JobRun]]:
         """Return the jobs without a recent change that have not been reported recently."""
         previous = self._progress_by_job
         self._progress_by_job = {}
@@ -76,7 +76,7 @@
             changes = job.count_changes()
             progress = previous.get(job.id)
             if progress is None or progress.changes != changes:
-                progress = _UnchangedJob(changes, now)
+                progress = _Progress(changes, now)
             self._progress_by_job[job.id] = progress
             if (
                 now
@@ -115,11 +115,11 @@
         )
 
 
-def _unchanged_since(entry: tuple[_UnchangedJob, JobRun]) -> float:
+def _unchanged_since(entry: tuple[_Progress, JobRun]) -> float:
     return entry[0].since
 
 
-def _is_stalled(progress: _UnchangedJob, held: Iterable[Allocation], now: float) -> bool:
+def _is_stalled(progress: _Progress, held: Iterable[Allocation], now: float) -> bool:
     expected = max((allocation.expected for allocation in held), default=0.0)
     return now - progress.since >= STALL_SECONDS + expected * (1 + LATE_FRACTION)
 
