--- a/bench/replay.py
+++ b/bench/replay.py
@@ -19,7 +19,7 @@
 from dandelionreel.cell.decisions import AdviceRequest, Allocation, Cell, Planner
 from dandelionreel.cell.decisions._preemption import Preemption, PreemptionPlan
 from dandelionreel.cell.decisions._reservations import Rank
-from dandelionreel.cell.decisions._waiting import RankInputs, WaitingOrder, WithinRateFirst
+from dandelionreel.cell.decisions._waiting_steps import RankInputs, WaitingOrder, WithinRateFirst
 from dandelionreel.cell.membership._advisors import NON_URGENT_SHARE
 from dandelionreel.cell.model import (
     AdvicePolicy,
@@ -28,12 +28,12 @@
     EndedRun,
     JobSpec,
     JobState,
-    Outcome,
     Permit,
     Queue,
     Registration,
     RunnerView,
     RunningTask,
+    RunOutcome,
     Service,
     StartReply,
     Step,
@@ -539,7 +539,7 @@
             if random.Random(f'{request.step}{runner}{self._seed}').random() < share
         ]
         end_at = self._now + request.advice.valid_seconds
-        self.cell.tickets.note_answer(request.step, request.runners, permits, end_at)
+        self.cell.tickets.record_advice(request.step, request.runners, permits, end_at)
         self._send_advice_requests()
 
     def _kind_of(self, job_id: str) -> JobKind:
@@ -547,7 +547,10 @@
         return next(kind for kind in self.load.kinds if kind.queue.name == queue)
 
     def _start(self, allocation: Allocation) -> None:
-        if not self.cell.may_start(allocation) or allocation.runner in self._unseen_ends_by_runner:
+        if (
+            not self.cell.may_send_start(allocation)
+            or allocation.runner in self._unseen_ends_by_runner
+        ):
             self.cell.release_start(allocation)
             return
         job = self.cell.job_by_id[allocation.task.job]
@@ -574,13 +577,15 @@
         run = (allocation.task, allocation.run)
         self._runs_by_runner[allocation.runner][run] = (self._now, duration, saved_seconds)
         self.cell.handle_start_reply(allocation, StartReply.STARTED, self._now)
-        self._schedule(duration, self._end, allocation, Outcome.FAILED if fails else Outcome.DONE)
+        self._schedule(
+            duration, self._end, allocation, RunOutcome.FAILED if fails else RunOutcome.DONE
+        )
 
     def _stop(self, allocation: Allocation) -> None:
         self.cell.handle_stop_reply(allocation, self._now)
-        self._end(allocation, Outcome.STOPPED)
+        self._end(allocation, RunOutcome.STOPPED)
 
-    def _end(self, allocation: Allocation, outcome: Outcome) -> None:
+    def _end(self, allocation: Allocation, outcome: RunOutcome) -> None:
         run = (allocation.task, allocation.run)
         running = self._runs_by_runner[allocation.runner].pop(run, None)
         if running is None:
@@ -590,9 +595,9 @@
         job = self.cell.job_by_id.get(allocation.task.job)
         step = None if job is None else job.find_step(allocation.task)
         checkpoint = ''
-        if outcome is Outcome.STOPPED and step is not None and step.step.checkpointing:
+        if outcome is RunOutcome.STOPPED and step is not None and step.step.checkpointing:
             checkpoint = str(saved_seconds + run_seconds)
-        elif outcome is not Outcome.DONE:
+        elif outcome is not RunOutcome.DONE:
             self.wasted_core_seconds += run_seconds * allocation.demand.cpu / 1000
         ended = EndedRun(next(self._end_numbers), *run, outcome, checkpoint)
         if allocation.runner in self._unseen_ends_by_runner:
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -68,7 +68,7 @@
                 # The job ended and was removed before its start could be sent.
                 await self._withdraw_unsent_start(allocation)
                 continue
-            if job.note_start(allocation.task, allocation.run, allocation.runner):
+            if job.record_task_start(allocation.task, allocation.run, allocation.runner):
                 unstored.setdefault(job.id, []).append(allocation)
                 continue
             await curio.spawn(self._send_start_and_count, allocation, daemon=True)
@@ -84,7 +84,9 @@
                 return
             self._record_order_sent(state)
             try:
-                await runner.stop(allocation.task, allocation.run, self._owner_context.term.epoch)
+                await runner.stop_run(
+                    allocation.task, allocation.run, self._owner_context.term.epoch
+                )
             except RunnerError as error:
                 self._log_unanswered_stop(allocation, error)
                 await curio.sleep(STOP_RETRY_SECONDS)
@@ -100,7 +102,7 @@
 
     def _apply_stop_reply(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
-        cell.zone_reachability.note_answer(state.registration.zone)
+        cell.zone_reachability.record_zone_answer(state.registration.zone)
         cell.handle_stop_reply(allocation, self._owner_context.clock.monotonic())
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
@@ -229,7 +231,7 @@
                 return may_have_arrived
             self._record_order_sent(state)
             try:
-                answer = await runner.start(
+                answer = await runner.start_task(
                     self._make_start_order(state, allocation, payload), may_send_start
                 )
             except RunnerError as error:
@@ -249,7 +251,7 @@
                     return may_have_arrived
                 await curio.sleep(START_RETRY_SECONDS)
                 continue
-            self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
+            self._owner_context.cell.zone_reachability.record_zone_answer(state.registration.zone)
             self._log_slow_start(
                 allocation, answer.reply, self._owner_context.clock.monotonic() - started_at
             )
@@ -262,7 +264,7 @@
     def _is_start_wanted(self, allocation: Allocation) -> bool:
         """Return whether a start is still wanted and its ticket, if any, is still valid."""
         cell = self._owner_context.cell
-        if not cell.may_start(allocation):
+        if not cell.may_send_start(allocation):
             return False
         step = StepName.of(allocation.task)
         now = self._owner_context.clock.monotonic()
@@ -281,7 +283,7 @@
 
     def _record_order_sent(self, state: RunnerState) -> None:
         now = self._owner_context.clock.monotonic()
-        self._owner_context.cell.zone_reachability.note_order(
+        self._owner_context.cell.zone_reachability.record_sent_order(
             state.registration.zone, state.id, now
         )
 
--- a/dandelionreel/cell/owner/_periodic_checks.py
+++ b/dandelionreel/cell/owner/_periodic_checks.py
@@ -197,9 +197,9 @@
         """
         runner_list = self._dependencies.runners
         now = self._clock.monotonic()
-        for idle in self._active_runners.release_idle(runner_list.registration_by_id):
+        for idle in self._active_runners.release_idle_runners(runner_list.registration_by_id):
             self._cell.forget_runner(idle.id)
-        active = self._active_runners.choose(runner_list.registration_by_id, now)
+        active = self._active_runners.choose_runners_to_poll(runner_list.registration_by_id, now)
         new_states = self._cell.update_runners(active, now)
         apply_last_registrations(
             self._cell.runner_by_id.values(), runner_list.find_registration, now
--- a/dandelionreel/cell/store/_runner_projection.py
+++ b/dandelionreel/cell/store/_runner_projection.py
@@ -11,12 +11,12 @@
 
 from dandelionreel.cell.model import (
     KeyedRecord,
-    Reason,
     RecordBatch,
     RecordCodec,
     Registration,
     UnreadableError,
     UnreadableLog,
+    UnreadableReason,
 )
 from dandelionreel.cell.store._follower import Projection
 from dandelionreel.kernel import Clock, Journal, Part
@@ -58,7 +58,7 @@
         host of a large site, and push the latest decisions out of short logs.
         """
         first = not self.registration_by_id
-        present = {record.key for record in snapshot.records if not record.dropped}
+        present = {record.key for record in snapshot.records if not record.deletes_key}
         for runner in tuple(self._incarnation_by_runner):
             if runner not in present:
                 self._remove_runner(runner)
@@ -85,7 +85,7 @@
 
     def _apply_records(self, batch: RecordBatch, *, log_each: bool) -> None:
         for record in batch.records:
-            if record.dropped:
+            if record.deletes_key:
                 self._remove_runner(record.key)
                 continue
             try:
@@ -102,7 +102,7 @@
         registration = self._codec.decode_registration(record.key, record.content or b'')
         if not self._has_service(registration.service):
             message = f'no configuration names the service {registration.service!r}'
-            raise UnreadableError(Reason.UNNAMED, message)
+            raise UnreadableError(UnreadableReason.UNNAMED, message)
         self._check_incarnation_unchanged(record.key, registration)
         return registration
 
@@ -116,13 +116,13 @@
         if previous is None:
             return
         if previous.incarnation is not None and registration.incarnation is None:
-            raise UnreadableError(Reason.FIELDS, 'the incarnation is missing')
+            raise UnreadableError(UnreadableReason.FIELDS, 'the incarnation is missing')
         if previous.runner != registration.runner or not self._has_service(previous.service):
             return
         before = (previous.service, previous.address, previous.port)
         if before != (registration.service, registration.address, registration.port):
             message = f'the entry was of {previous.service!r} at {previous.address}:{previous.port}'
-            raise UnreadableError(Reason.CHANGED, message)
+            raise UnreadableError(UnreadableReason.CHANGED, message)
 
     def _mark_runner_unusable(self, runner: str, error: UnreadableError) -> None:
         self._unreadable.log_unreadable(runner, error, 'no tasks are started there')
@@ -158,7 +158,7 @@
         )
 
     def _remove_runner(self, runner: str) -> None:
-        self._unreadable.forget(runner)
+        self._unreadable.forget_key(runner)
         incarnation = self._retire_registration(runner)
         if incarnation:
             self._journal.log(
--- a/features/behind_a_cut.feature
+++ b/features/behind_a_cut.feature
@@ -16,7 +16,7 @@
       | both tasks | the gang's first as failed | not complete |
       | no tasks   | the second and the gang    | not complete |
 
-  Scenario Outline: Jobs whose completion cannot be told
+  Scenario Outline: Jobs whose completion cannot be determined
     Given a job <kind>, whose first tasks are listed as done
     Then the job of the zone counts as not complete
 
@@ -114,4 +114,4 @@
       | owns the cell                           | accepts | marks the job as complete | does not tell |
       | owns the cell inside the same partition | accepts | marks the job as complete | tells         |
       | is inside the same partition            | accepts | does not own it           | tells         |
-      | is neither                              | refuses | does not own it           | does not tell |
+      | is neither the owner nor cut off        | refuses | does not own it           | does not tell |
--- a/features/cancelling.feature
+++ b/features/cancelling.feature
@@ -29,11 +29,11 @@
     Then w1 is told to stop it once
 
     Examples:
-      | fate              | forgotten                       |
-      | refused           | is still known                  |
-      | refused           | is dropped by the store         |
-      | stopped and gone  | is still known                  |
-      | stopped and gone  | is dropped by the store         |
+      | fate                         | forgotten               |
+      | refused                      | is still known          |
+      | refused                      | is dropped by the store |
+      | stopped and no longer listed | is still known          |
+      | stopped and no longer listed | is dropped by the store |
 
   # Guards against reusing the capacity of a start that may arrive although its retry was refused.
   Scenario Outline: A start that may arrive although its retry was refused
@@ -55,18 +55,18 @@
     When a job is cancelled before its start is sent
     Then nothing was sent, and the next job starts there at once
 
-  # Guards against tasks that are never stopped although their job is over in the store.
-  Scenario: A job that is over in the store while its task runs
+  # Guards against tasks that are never stopped although their job has ended in the store.
+  Scenario: A job that has ended in the store while its task runs
     Given a cell with the runners w1
     And a running job that fills w1
-    When the store says that the job is over
+    When the store says that the job has ended
     Then w1 is told to stop it once
 
   # Guards against reusing the capacity of a run whose demand is unknown.
   Scenario: A run of an unknown job keeps its capacity until it has ended
     Given a cell with the runners w1
     When w1 lists a run of an unknown job
-    And a job is handed in
+    And a job is submitted
     Then nothing starts
     When w1 no longer lists the unknown run
     Then the new job starts
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -31,13 +31,13 @@
         f'w{number}': make_numbered_registration(number, 'a') for number in range(count)
     }
     context.active = ActiveRunners(context.small.cell)
-    choose(context)
+    choose_active_runners(context)
 
 
-def choose(context, later=0.0):
+def choose_active_runners(context, later=0.0):
     """Choose the active runners, add them to the cell and poll each new one once."""
     context.small.now += later
-    context.chosen = context.active.choose(context.listed, context.small.now)
+    context.chosen = context.active.choose_runners_to_poll(context.listed, context.small.now)
     context.small.registration_by_id = context.chosen
     context.small.update_runners()
     for runner in context.chosen:
@@ -51,13 +51,13 @@
     while remaining:
         context.small.add_job(f'{remaining:016x}', [step(16_000, remaining, 60.0)], 'batch')
         remaining -= len(context.small.plan().starts)
-        choose(context, 1.0)
+        choose_active_runners(context, 1.0)
 
 
 @when('{cores:d} cores are in use')
 def use_cores(context, cores):
     start_tasks(context, cores)
-    choose(context, 1.0)
+    choose_active_runners(context, 1.0)
 
 
 @then('{count:d} runners are polled')
@@ -77,13 +77,13 @@
 def add_labelled_runners(context):
     for number in range(100_000, 100_100):
         context.listed[f'w{number}'] = make_numbered_registration(number, ('gpu',))
-    choose(context)
+    choose_active_runners(context)
 
 
-@when('a job that requires the label gpu is handed in')
+@when('a job that requires the label gpu is submitted')
 def requires_label(context):
     context.small.add_job('f' * 16, [step(required_label='gpu')])
-    choose(context, 1.0)
+    choose_active_runners(context, 1.0)
 
 
 @then('{count:d} runners with that label are polled')
@@ -100,8 +100,11 @@
     state = small.cell.runner_by_id[context.runner_id]
     for runner in tuple(small.cell.runner_by_id.values()):
         for held in tuple(runner.allocation_by_run.values()):
-            if runner is state and what in {'a task runs on x', 'a start on x is in doubt'}:
-                if 'doubt' in what:
+            if runner is state and what in {
+                'a task runs on x',
+                'a start on x has an unknown outcome',
+            }:
+                if 'unknown' in what:
                     small.cell.revoke_start(held)
                 continue
             small.poll(runner.id, ended=((runner.processed_end + 1, held.task, held.run, 'done'),))
@@ -114,7 +117,7 @@
 
 @then('the runner x {fate}')
 def check_runner(context, fate):
-    released = {state.id for state in context.active.release_idle(context.listed)}
+    released = {state.id for state in context.active.release_idle_runners(context.listed)}
     assert released, 'no runner was released'
     assert (context.runner_id in released) is (fate == 'may be released'), fate
 
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -4,12 +4,12 @@
 from behave import given, then, when
 
 from dandelionreel.cell.clients._partition_reads import PartitionReads
-from dandelionreel.cell.decisions._completeness import is_complete
+from dandelionreel.cell.decisions._job_completeness import is_job_complete
 from dandelionreel.cell.membership._claim_order import follows_runner_list
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
 from dandelionreel.cell.membership._completion_reports import CompletionReporter
 from dandelionreel.cell.membership._completions import Completions
-from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, RunnerView, Submission
+from dandelionreel.cell.model import EndedRun, JobSpec, RunnerView, RunOutcome, Submission
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import (
     MEMBER_PREFIX,
@@ -37,20 +37,20 @@
 DONE_MASK_BY_NAME = {'both tasks': '3', 'the first': '1', 'no tasks': ''}
 
 
-def make_end(index, step_number=0, outcome=Outcome.DONE):
+def make_end(index, step_number=0, outcome=RunOutcome.DONE):
     return EndedRun(1, task(JOB, index, step_number), 1, outcome, '')
 
 
 LISTED_BY_NAME = {
     'nothing': (),
     "the gang's first as done": (make_end(0, 1),),
-    "the gang's first as failed": (make_end(0, 1, Outcome.FAILED),),
+    "the gang's first as failed": (make_end(0, 1, RunOutcome.FAILED),),
     'the second and the gang': (make_end(1), make_end(2, 1)),
 }
 
 
 @given('a job of two tasks followed by a gang of three, with {stored} stored as done')
-def task_and_gang(context, stored):
+def make_tasks_and_gang(context, stored):
     context.spec = JobSpec('x', (step(count=2), step(count=3, gang=True, depends_on=(0,))))
     done = (DoneTasks(0, 0, DONE_MASK_BY_NAME[stored]),) if DONE_MASK_BY_NAME[stored] else ()
     context.progress = Progress(1, JobState.RUNNING, done)
@@ -71,7 +71,7 @@
 
 @then('the job of the zone counts as {verdict}')
 def job_verdict(context, verdict):
-    found = is_complete(JOB, context.spec, context.progress, context.ended)
+    found = is_job_complete(JOB, context.spec, context.progress, context.ended)
     assert found is (verdict == 'complete')
 
 
@@ -186,7 +186,7 @@
 
 
 @then('no lease was renewed and no end acknowledged')
-def only_read(context):
+def check_only_read(context):
     assert all(poll_args == (0, None) for poll_args in context.runner.polls), context.runner.polls
 
 
@@ -342,7 +342,7 @@
 @given('a host that owns the cell')
 @given('a host that owns the cell inside the same partition')
 @given('a host that is inside the same partition')
-@given('a host that is neither')
+@given('a host that is neither the owner nor cut off')
 def reported_host(context):
     context.completions = Completions(ManualClock(1000))
     context.owns = 'owns' in context.scenario.steps[0].name
@@ -355,7 +355,7 @@
 def peer_reports(context):
     async def complete_at_owner(jobs):
         if context.owns:
-            context.small.cell.mark_complete(jobs)
+            context.small.cell.mark_jobs_complete(jobs)
         return context.owns
 
     answers = CompletionMessageHandler(
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -18,7 +18,7 @@
         self.reply = reply
         self.starts = 0
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         """Raise for the first start, answer the later ones."""
         assert check()
         self.starts += 1
@@ -28,7 +28,7 @@
 
 
 @given('a start that got no answer')
-def start_in_doubt(context):
+def start_without_answer(context):
     context.small = SmallCell(('w1', 'w2'))
     context.job = context.small.add_job('j1', [step()])
     (context.start,) = context.small.plan(start=False).starts
@@ -38,7 +38,7 @@
 
 
 @when('its second attempt is refused as {reply}')
-def refused(context, reply):
+def refuse_second_attempt(context, reply):
     runner = UnansweringRunner(StartReply[reply.upper()])
     context.owner.runner_by_id[context.start.runner] = runner
 
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -60,7 +60,7 @@
 
 
 @given('a host that follows an owner while the store is down for 5 s')
-def following_still_host(context):
+def follow_during_outage(context):
     context.topic = _topic_with_owner()
     context.clock = ManualClock()
     context.host = Host('a', context.topic, context.clock)
@@ -72,7 +72,7 @@
     context.host = Host('a', context.topic)
 
 
-@when('the store is back')
+@when('the store is available again')
 def store_back(context):
     async def follow():
         await curio.spawn(context.host.follower.run, daemon=True)
@@ -114,7 +114,7 @@
         return await super().read(offset, wait, max_bytes)
 
 
-@given('a host that follows an owner that has left the cell')
+@given('a host that follows an owner that has released the cell')
 def following_released(context):
     context.topic = DelayedReadTopic()
     left = make_record(OWNER_KEY, Owner(1, 'other', 'other/1', released=True))
@@ -167,7 +167,7 @@
 
 
 @given('a host that follows an owner whose heartbeats are missed')
-def following_silent(context):
+def follow_silent_owner(context):
     context.topic = _topic_with_owner()
     member = make_record(f'{MEMBER_PREFIX}other', Member('north', '10.0.0.9', 7))
     curio.run(context.topic.append, [member], 0.1)
@@ -234,7 +234,7 @@
 
 @then('it {acts} the cell')
 def hands_over_or_keeps(context, acts):
-    assert context.owner.ended.is_set() == (acts == 'leaves')
+    assert context.owner.ended.is_set() == (acts == 'releases')
 
 
 @given('the hosts {names}')
@@ -252,7 +252,7 @@
     assert hosts == order.split(', '), hosts
 
 
-@then("{me} has its clients' jobs written by {writer}, with {excluded} out of reach")
+@then("{me} has its clients' jobs written by {writer}, with {excluded} unreachable")
 def written_by(context, me, writer, excluded):
     found = find_zone_writer(context.member_by_host, me, {excluded})
     assert (found or 'itself') == writer, found
@@ -290,7 +290,7 @@
 
 
 @then('it starts no tasks of jobs on unseen runners for {wait:g} s')
-def blocks_unseen_runners(context, wait):
+def check_blocked_seconds(context, wait):
     assert (
         abs(context.dispatcher._periodic_checks.predecessor_leases.expire_at - 1000 - wait) < 0.01
     )
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -52,10 +52,10 @@
     small.poll('i-1', running=[context.run])
     small.add_job('j2', [step(cpu=4000, count=4)])
     assert all(start.runner != 'i-1' for start in small.plan().starts)
-    assert not small.cell.runner_by_id['i-1'].usable(small.now)
+    assert not small.cell.runner_by_id['i-1'].is_usable(small.now)
 
 
-@then('its task counts there, and is not started elsewhere')
+@then('its task stays allocated there, and is not started elsewhere')
 def check_task_counted(context):
     small = context.small
     small.poll('i-2')
@@ -77,7 +77,7 @@
     read_entries(context, ('i-1', make_entry()))
     small = context.small
     small.poll('i-1', running=[context.run])
-    assert small.cell.runner_by_id['i-1'].usable(small.now)
+    assert small.cell.runner_by_id['i-1'].is_usable(small.now)
 
 
 @when('all its leases have expired')
@@ -131,27 +131,27 @@
 
 @when('an entry of an unconfigured service at its address is read before the configuration')
 def read_entry_before_configuration(context):
-    context.late = HostProjections()
+    context.late_host = HostProjections()
     topic, raw = make_raw_topic()
     raw.frames = [encode_record(b'i-9', BAD_ENTRIES['a service that is not configured'])]
-    read_once(topic, context.late.runners, context.late, 0)
-    assert 'i-9' in context.late.runners.registration_by_id
-    read_configurations(context.late, make_configuration_record())
-    context.projections = context.late
+    read_once(topic, context.late_host.runners, context.late_host, 0)
+    assert 'i-9' in context.late_host.runners.registration_by_id
+    read_configurations(context.late_host, make_configuration_record())
+    context.projections = context.late_host
 
 
 @when('the start of a second task on it is planned, and its entry becomes invalid JSON')
 def plan_start_before_bad_entry(context):
     context.small.add_job('j2', [step(cpu=4000)])
     (context.pending,) = context.small.plan(start=False).starts
-    assert context.small.cell.may_start(context.pending)
+    assert context.small.cell.may_send_start(context.pending)
     change_entry(context, 'invalid JSON')
 
 
 @then('the order is not sent')
 def check_order_not_sent(context):
     assert context.pending.runner == 'i-1'
-    assert not context.small.cell.may_start(context.pending)
+    assert not context.small.cell.may_send_start(context.pending)
 
 
 @when('another term begins')
@@ -207,7 +207,7 @@
     context.follower = read_once(context.topic, context.projections.runners, context.projections, 0)
 
 
-@then('the last one is read again whole')
+@then('the last one is read again completely')
 def check_read_again(context):
     assert context.follower.offset == 2
     context.raw.cut = 0
@@ -232,7 +232,7 @@
     )
 
 
-@then('it counts as a failure of the store')
+@then('the read counts as a failure of the store')
 def check_store_failure(context):
     try:
         context.attempt()
--- a/features/steps/gang_steps.py
+++ b/features/steps/gang_steps.py
@@ -3,7 +3,14 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions._preventive_stops import stop_incomplete_gangs
-from dandelionreel.cell.model import EndedRun, Outcome, Permit, RunnerView, RunningTask, StartReply
+from dandelionreel.cell.model import (
+    EndedRun,
+    Permit,
+    RunnerView,
+    RunningTask,
+    RunOutcome,
+    StartReply,
+)
 from features.cell_parts import step
 
 RUNNER_CPU = 32_000
@@ -41,8 +48,8 @@
     assert len(stopped) == 4, stopped
 
 
-@when('a gang of {count:d} tasks of {cpu:d} millicores is handed in')
-def hand_in_gang(context, count, cpu):
+@when('a gang of {count:d} tasks of {cpu:d} millicores is submitted')
+def submit_gang(context, count, cpu):
     context.small.add_job('j1', [step(cpu, count, gang=True)], queue='gangs')
     context.plan = context.small.plan()
 
@@ -55,7 +62,7 @@
         assert small.plan().starts[0].runner == runner
 
 
-@when('a gang of 2 tasks of 20000 millicores and a batch task of {seconds:g} s are handed in')
+@when('a gang of 2 tasks of 20000 millicores and a batch task of {seconds:g} s are submitted')
 def gang_and_batch(context, seconds):
     small = context.small
     small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue='gangs')
@@ -79,7 +86,7 @@
     assert len(context.filling) == 8
 
 
-@given('a job handed in {age:g} s ago, whose {kind} fill w1 and w2 for {seconds:g} s')
+@given('a job submitted {age:g} s ago, whose {kind} fill w1 and w2 for {seconds:g} s')
 def aged_tasks(context, kind, age, seconds):
     context.age = age
     filling_tasks(context, kind, seconds)
@@ -90,9 +97,9 @@
     filling_tasks(context, 'plain tasks with checkpoints', 4.0)
 
 
-@when('a gang of 2 tasks of 20000 millicores is handed in after them')
-def gang_handed_in(context):
-    # The cell whose queue asks for advice has no queue named gangs.
+@when('a gang of 2 tasks of 20000 millicores is submitted after them')
+def gang_submitted(context):
+    # The cell whose queue needs advice has no queue named gangs.
     queue = 'urgent' if 'plain' in context.small.cell.configuration.queue_by_name else 'gangs'
     context.small.add_job('g1', [step(20_000, 2, gang=True, seconds=2.0)], queue=queue)
     context.plan = context.small.plan()
@@ -110,7 +117,7 @@
     small = context.small
     context.stopped = small.cell.take_stops()
     for number, victim in enumerate(context.stopped, 1):
-        ended = EndedRun(number, victim.task, victim.run, Outcome.STOPPED, f'saved {number}')
+        ended = EndedRun(number, victim.task, victim.run, RunOutcome.STOPPED, f'saved {number}')
         kept = [run for run in small.runs_on(victim.runner) if run != (victim.task, victim.run)]
         listed = tuple(RunningTask(name, run, '', 0, 0.0) for name, run in kept)
         view = RunnerView(small.now, listed, (ended,))
@@ -131,11 +138,11 @@
     small = context.small
     request = context.plan.advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in request.runners]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now - 1)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now - 1)
     context.plan = small.plan()
 
 
-@then('nothing is stopped, and new tickets are asked for')
+@then('nothing is stopped, and new tickets are requested')
 def nothing_stopped(context):
     assert not context.small.cell.take_stops()
     assert len(context.plan.advice_requests) == 1
@@ -146,7 +153,7 @@
     small = context.small
     request = context.plan.advice_requests[0]
     permits = [Permit(runner, 'ticket') for runner in request.runners]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
     context.plan = small.plan()
 
 
@@ -173,7 +180,7 @@
     assert not small.plan().starts
 
 
-@when('an urgent job of {seconds:g} s is handed in {later:g} s later')
+@when('an urgent job of {seconds:g} s is submitted {later:g} s later')
 def urgent_later(context, seconds, later):
     context.small.now += later
     context.small.add_job('urgent', [step(seconds=seconds)])
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -23,7 +23,7 @@
         self._seconds = seconds
         self.started = []
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         SlowRunner.pending += 1
         SlowRunner.max_pending = max(SlowRunner.max_pending, SlowRunner.pending)
         self.started.append(order.task.job)
@@ -59,7 +59,7 @@
     make_owner(context, SystemClock(), 0.01)
 
 
-@when('300 batch tasks wait and then an urgent one comes')
+@when('300 batch tasks wait and then an urgent one arrives')
 def many_wait(context):
     context.batch = add_job(context, 'batch', [step(1000, 300)], 'batch')
     context.plans = 0
@@ -80,7 +80,7 @@
 
 
 @then('no more than {most:d} starts are pending at any time')
-def bounded(context, most):
+def check_pending_starts(context, most):
     assert 0 < SlowRunner.max_pending <= most, SlowRunner.max_pending
 
 
@@ -105,7 +105,7 @@
     job = add_job(context, 'advised', [step(1000)], 'advised')
     small.planner.plan(small.now, small.now)
     name = job.steps(0)[0].name
-    small.cell.tickets.note_answer(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
+    small.cell.tickets.record_advice(name, ['w1'], [Permit('w1', 'ticket')], small.now + seconds)
     (context.start,) = small.planner.plan(small.now, small.now).starts
     assert ADVISED_QUEUE.advice == AdvicePolicy(0.01, 0.0001, 2.0) and context.start.ticket
 
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -67,7 +67,7 @@
 
 
 @when('a start of {processors:d} processors has an unknown outcome and the task list lacks it')
-def make_doubtful_start(context, processors):
+def make_unanswered_start(context, processors):
     grant = Grant(GrantLevel.WHOLE, EPOCH, 5)
     context.ledger.add_start('j.2.0', Resources(processors, 0, 0), grant, 11)
     context.ledger.set_state('j.2.0', AllocationState.DOUBTFUL, 12)
@@ -108,11 +108,11 @@
         reader = StreamReader(log, 's', clock, Number)
         for _ in range(2):
             await reader.read_once(0)
-        found = [reader.covers_last(seconds)]
+        found = [reader.covers_last_seconds(seconds)]
         clock.advance(seconds - 0.1)
-        found.append(reader.covers_last(seconds))
+        found.append(reader.covers_last_seconds(seconds))
         clock.advance(0.2)
-        found.append(reader.covers_last(seconds))
+        found.append(reader.covers_last_seconds(seconds))
         return found
 
     assert curio.run(read_truncated_log) == [False, False, True]
@@ -134,13 +134,13 @@
 
 
 @when("the other's view names a third member that it does not know")
-def name_third(context):
+def name_third_member(context):
     context.view = tuple(map(hash_member, ('a/1', 'b/1', 'c/1')))
     context.promise_tracker.record_answer('b/1', context.clock.monotonic(), True, context.view)
 
 
 @when('it learns of the third and both send a promise')
-def learn_third(context):
+def learn_of_third_member(context):
     _join(context, 'c/1')
     for member in ('b/1', 'c/1'):
         context.promise_tracker.record_answer(member, context.clock.monotonic(), True, context.view)
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -133,7 +133,7 @@
     assert not context.follower.has_snapshot
 
 
-@when('it is needed and told to read now')
+@when('it becomes needed and is told to read at once')
 def need_topic_again(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
@@ -176,14 +176,14 @@
 def follow_slow_link(context):
     async def follow():
         await curio.spawn(context.follower.run, daemon=True)
-        context.fresh = await context.follower.wait_until_fresh(SystemClock().monotonic(), 2)
+        context.is_fresh = await context.follower.wait_until_fresh(SystemClock().monotonic(), 2)
 
     curio.run(follow)
 
 
 @then('it knows the newest record after {count:d} reads at most')
 def check_caught_up(context, count):
-    assert context.fresh
+    assert context.is_fresh
     assert context.cell_projection.state.find_job('19') is not None
     assert context.topic.reads <= count, context.topic.reads
 
@@ -258,7 +258,7 @@
     curio.run(write)
 
 
-@when('a successor has written and the late append lands')
+@when('a successor has written and the late append is executed')
 def write_as_successor(context):
     curio.run(context.topic.append, [KeyedRecord('e/x', b'new')], 0.1, WriterFence(2, 9))
     context.topic.apply_late_appends()
@@ -335,7 +335,7 @@
     curio.run(context.topic.append, make_progress_records('j1', progress), 0.1)
 
 
-@when('a late repetition of the submission lands')
+@when('a late repetition of the submission is appended')
 def append_late_submission(context):
     submission = Submission('urgent', 'desk', 8.0, JobSpec('payload', ()))
     curio.run(context.topic.append, [make_record(f'{SUBMISSION_PREFIX}j1', submission)], 0.1)
@@ -382,17 +382,17 @@
     context.clock = ManualClock(1000)
     context.owner = make_owner_context(Cell(1, 3.0), context.clock)
     context.state = RunnerState(make_registration('w1'))
-    context.state.note_clock(500, 1000)
+    context.state.record_clock(500, 1000)
     context.state.extend_lease(1000, 5)
 
 
 class SilentRunner(Runner):
     """A runner whose answers are lost: requests may have arrived."""
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         raise RunnerError('no answer in time', Verdict.UNKNOWN)
 
-    async def stop(self, task, run, epoch):
+    async def stop_run(self, task, run, epoch):
         raise RunnerError('no answer in time', Verdict.UNKNOWN)
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
@@ -443,7 +443,7 @@
 @then('7 s after that answer its leases are {state}, and new starts are {starts}')
 def check_leases(context, state, starts):
     context.clock.now = 1007.0
-    assert context.owner.leases_expired(context.state) is (state == 'expired')
+    assert context.owner.have_leases_expired(context.state) is (state == 'expired')
     assert context.owner.may_start_tasks() is (starts == 'allowed')
 
 
@@ -466,7 +466,7 @@
     assert context.writer.store_is_failing(context.writer.failed_at)
 
 
-@then('2 s later it does not')
+@then('2 s later it counts as reachable')
 def check_reachable_again(context):
     assert not context.writer.store_is_failing(context.writer.failed_at + 2)
 
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -50,12 +50,12 @@
 def send(small, allocation):
     """Note that a start order is sent to its runner; return the zone."""
     zone = zone_of(small, allocation)
-    small.cell.zone_reachability.note_order(zone, allocation.runner, small.now)
+    small.cell.zone_reachability.record_sent_order(zone, allocation.runner, small.now)
     return zone
 
 
 @when('south stops answering, and {jobs:d} jobs of {tasks:d} tasks arrive every 0.1 s for 1 s')
-def jobs_come(context, jobs, tasks):
+def submit_rounds(context, jobs, tasks):
     small = context.small
     started_at = small.now
     context.lost_at = []
@@ -66,7 +66,7 @@
             if send(small, allocation) == 'south':
                 context.lost_at.append(small.now - started_at)
                 continue
-            small.cell.zone_reachability.note_answer(zone_of(small, allocation))
+            small.cell.zone_reachability.record_zone_answer(zone_of(small, allocation))
             end(small, allocation)
         small.now += 0.05
 
@@ -87,11 +87,11 @@
 
 @when('a runner of south answers again')
 def south_answers(context):
-    context.small.cell.zone_reachability.note_answer('south')
+    context.small.cell.zone_reachability.record_zone_answer('south')
 
 
 @then('starts go to south again')
-def south_used(context):
+def check_south_used(context):
     context.small.add_job('f' * 16, [step(20_000, 24)])
     starts = context.small.plan(start=False).starts
     assert 'south' in {zone_of(context.small, allocation) for allocation in starts}
@@ -102,7 +102,7 @@
     small = context.small
     for runner in runners:
         zone = small.registration_by_id[runner].zone
-        small.cell.zone_reachability.note_order(zone, runner, small.now)
+        small.cell.zone_reachability.record_sent_order(zone, runner, small.now)
     small.now += seconds
 
 
@@ -114,16 +114,16 @@
 @when('two runners of south are slow, and another one there answers')
 def two_slow(context):
     leave_unanswered(context, ['south-1', 'south-2'], 0.5)
-    context.small.cell.zone_reachability.note_answer('south')
+    context.small.cell.zone_reachability.record_zone_answer('south')
 
 
 @when('two runners of south have not answered an order for {seconds:g} s')
-def two_early(context, seconds):
+def leave_two_unanswered_briefly(context, seconds):
     leave_unanswered(context, ['south-1', 'south-2'], seconds)
 
 
 @when('runners of all zones leave their orders unanswered')
-def all_unanswered(context):
+def leave_all_zones_unanswered(context):
     leave_unanswered(context, [f'{zone}-{n}' for zone in context.zones for n in (0, 1)], 0.5)
 
 
@@ -139,7 +139,7 @@
     )
 
 
-@when('{count:d} jobs of 2 tasks come from clients of all zones, {kind}')
+@when('{count:d} jobs of 2 tasks are submitted by clients of all zones, {kind}')
 def jobs_of_all_zones(context, count, kind):
     small = context.small
     queue = 'advised' if 'advice' in kind else 'urgent'
@@ -151,7 +151,7 @@
     while plan.advice_requests:
         for request in plan.advice_requests:
             permits = [Permit(runner, 'ticket') for runner in request.runners]
-            small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+            small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
         plan = small.plan()
 
 
@@ -166,7 +166,7 @@
     assert max(delayed_by_zone.values()) <= count, delayed_by_zone
 
 
-@when('{count:d} jobs of {cores:d} cores come from clients of north')
+@when('{count:d} jobs of {cores:d} cores are submitted by clients of north')
 def jobs_of_north(context, count, cores):
     for number in range(count):
         context.small.add_job(f'{number:016x}', [step(cores * 1000)], zone='north')
