--- a/dandelionreel/accounts/_directory.py
+++ b/dandelionreel/accounts/_directory.py
@@ -36,7 +36,7 @@
         if previous is None or previous._has_shared_keys or not self._update_index(previous):
             self._build_index()
 
-    def find(self, key_digest: bytes) -> Account[AmountsT] | None:
+    def find_by_key(self, key_digest: bytes) -> Account[AmountsT] | None:
         """Return the account with this key, if any."""
         return self._account_by_digest.get(key_digest)
 
@@ -53,7 +53,7 @@
         self._account_by_digest = index
 
     def _update_index(self, previous: 'AccountDirectory[AmountsT]') -> bool:
-        """Update a copy of the previous index; return ``False`` where a key is shared."""
+        """Update a copy of the previous index; return ``False`` if two accounts share a key."""
         index = previous._account_by_digest.copy()
         for name, account in previous.account_by_name.items():
             if self.account_by_name.get(name) is not account:
--- a/dandelionreel/cell/decisions/_active_runners.py
+++ b/dandelionreel/cell/decisions/_active_runners.py
@@ -9,13 +9,13 @@
 from zlib import crc32
 
 from dandelionreel.cell.decisions._cell import Cell
-from dandelionreel.cell.decisions._ledger import RunnerState
+from dandelionreel.cell.decisions._runner_state import RunnerState
 from dandelionreel.cell.model import Registration, Step
 
-#: Number of runners polled even when the cell is idle.
+#: Number of runners that an owner polls even when the cell is idle.
 MIN_ACTIVE_RUNNERS = 400
-#: CPU utilization of the active runners above which runners are added, and below which idle
-#: ones are released.
+#: Runners are added above the first CPU utilization of the active runners; below the second one,
+#: idle runners are released, so that they are no longer polled.
 MAX_CPU_UTILIZATION = 0.5
 MIN_CPU_UTILIZATION = 0.3
 #: Seconds between two checks of the utilization.
@@ -26,15 +26,17 @@
 
 
 class ActiveRunners:
-    """Tracks which of the listed runners are active, for one term of an owner."""
+    """Tracks which registered runners are active, that is, polled, in one term of an owner."""
 
     def __init__(self, cell: Cell) -> None:
-        """Size the set by the work in ``cell``."""
+        """Choose enough active runners for the work in ``cell``."""
         self._cell = cell
         self._active: dict[str, None] = {}
         self._last_review_at = float('-inf')
 
-    def choose(self, listed: dict[str, Registration], now: float) -> dict[str, Registration]:
+    def choose_runners_to_poll(
+        self, listed: dict[str, Registration], now: float
+    ) -> dict[str, Registration]:
         """Return the registrations of the runners to poll: all, if there are only a few."""
         if len(listed) <= MIN_ACTIVE_RUNNERS:
             return listed
@@ -45,19 +47,19 @@
             self._add_runners(listed)
         return {runner: listed[runner] for runner in self._active}
 
-    def release_idle(self, listed: dict[str, Registration]) -> list[RunnerState]:
-        """Deactivate and return surplus runners that are known to hold nothing."""
+    def release_idle_runners(self, listed: dict[str, Registration]) -> list[RunnerState]:
+        """Deactivate and return surplus runners that are known to have no runs."""
         if len(listed) <= MIN_ACTIVE_RUNNERS or self._cpu_utilization() > MIN_CPU_UTILIZATION:
             return []
-        excess = len(self._active) - self._target_count(listed)
-        idle = [state for state in self._cell.runner_by_id.values() if self._is_idle(state)]
+        excess = len(self._active) - self._target_runner_count(listed)
+        idle = [state for state in self._cell.runner_by_id.values() if self._is_runner_idle(state)]
         released = idle[: max(0, excess)]
         for state in released:
             self._active.pop(state.id, None)
         return released
 
     def _add_runners(self, listed: dict[str, Registration]) -> None:
-        missing = self._target_count(listed) - sum(
+        missing = self._target_runner_count(listed) - sum(
             _accepts_starts(listed[runner]) for runner in self._active
         )
         if missing > 0:
@@ -71,12 +73,12 @@
             eligible = (
                 registration
                 for registration in listed.values()
-                if _meets_requirements(step, registration) and _accepts_starts(registration)
+                if _meets_step_requirements(step, registration) and _accepts_starts(registration)
             )
             added = itertools.islice(eligible, RUNNERS_ADDED_PER_STEP)
             self._active.update({registration.runner: None for registration in added})
 
-    def _target_count(self, listed: dict[str, Registration]) -> int:
+    def _target_runner_count(self, listed: dict[str, Registration]) -> int:
         """Return how many active runners keep utilization within ``MAX_CPU_UTILIZATION``."""
         capacity = sum(listed[runner].capacity.cpu for runner in self._active)
         used = sum(state.used.cpu for state in self._cell.runner_by_id.values())
@@ -100,13 +102,13 @@
             step
             for step in step_by_need.values()
             if not any(
-                _meets_requirements(step, registration) and _accepts_starts(registration)
+                _meets_step_requirements(step, registration) and _accepts_starts(registration)
                 for registration in active
             )
         ]
 
-    def _is_idle(self, state: RunnerState) -> bool:
-        """Return whether a runner holds no runs and has discarded every end that it listed."""
+    def _is_runner_idle(self, state: RunnerState) -> bool:
+        """Return whether a runner has no runs and has discarded every run end that it listed."""
         if state.id in self._cell.unseen_runners or state.allocation_by_run:
             return False
         return state.processed_end == state.confirmed_end
@@ -116,7 +118,7 @@
     return registration.usable and not registration.draining
 
 
-def _meets_requirements(step: Step, registration: Registration) -> bool:
+def _meets_step_requirements(step: Step, registration: Registration) -> bool:
     required = {step.required_label, step.data_rack} - {''}
     return required <= set(registration.labels)
 
--- a/dandelionreel/cell/decisions/_losses.py
+++ b/dandelionreel/cell/decisions/_runner_losses.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from dandelionreel.cell.decisions._crashes import HEALTHY_SECONDS, Crash
-from dandelionreel.cell.decisions._ledger import NEVER, Allocation, RunnerState
-from dandelionreel.cell.decisions._runs import JobRun
+from dandelionreel.cell.decisions._job_run import JobRun
+from dandelionreel.cell.decisions._runner_state import NEVER, Allocation, RunnerState
 from dandelionreel.cell.model import Registration, StoredStart, TaskName
 
 Address = tuple[str, int]
@@ -28,51 +28,52 @@
     """Counts runner crashes during runs of unfinished jobs."""
 
     def __init__(self, unfinished_job_by_id: dict[str, JobRun], dirty: set[str]) -> None:
-        """Count for ``unfinished_job_by_id``; add jobs that must be stored to ``dirty``.
+        """Count crashes for the jobs of ``unfinished_job_by_id``.
 
-        Both are owned and updated by the caller.
+        The ids of jobs that must be stored are added to ``dirty``. The caller owns both
+        collections, and updates them too.
         """
         self._unfinished_job_by_id = unfinished_job_by_id
         self._dirty = dirty
         self._lapsed_by_address: dict[Address, _LapsedRunner] = {}
 
-    def note_end(self, runner: RunnerState) -> list[Crash]:
+    def count_crashes_on_ended_runner(self, runner: RunnerState) -> list[Crash]:
         """Count the runs that were lost with a runner whose process is proven to have ended."""
         if runner.draining:
             return []
         crashes = self._count_crashes(
             runner.id, runner.answered_at, tuple(runner.allocation_by_run.values())
         )
-        lapsed = self._lapsed_by_address.get(_address(runner))
+        lapsed = self._lapsed_by_address.get(_runner_address(runner))
         if lapsed is not None and lapsed.runner == runner.id:
-            crashes.extend(self._count_lapsed(_address(runner)))
+            crashes.extend(self._count_crashes_on_lapsed_runner(_runner_address(runner)))
         if runner.answered_at == NEVER:
-            crashes.extend(self.note_unseen(runner.id))
+            crashes.extend(self.count_crashes_on_unseen_runner(runner.id))
         return crashes
 
-    def note_lapse(self, runner: RunnerState) -> None:
-        """Keep the runs of a silent runner until it is known whether it has crashed."""
+    def record_lapsed_runner(self, runner: RunnerState) -> None:
+        """Keep the runs of a silent runner until it is known whether the runner has crashed."""
         if not runner.draining:
             runs = tuple(runner.allocation_by_run.values())
-            self._lapsed_by_address[_address(runner)] = _LapsedRunner(
+            self._lapsed_by_address[_runner_address(runner)] = _LapsedRunner(
                 runner.id, runner.answered_at, runs
             )
 
-    def note_answer(self, runner: RunnerState) -> list[Crash]:
+    def handle_first_answer(self, runner: RunnerState) -> list[Crash]:
         """Handle a runner's first answer: any earlier process at its address has ended.
 
-        An entry is no proof, since entries of earlier incarnations may arrive late.
+        An entry of a later process proves no end, since entries of earlier ones may arrive late.
         """
-        lapsed = self._lapsed_by_address.get(_address(runner))
+        lapsed = self._lapsed_by_address.get(_runner_address(runner))
         if lapsed is None:
             return []
         if lapsed.runner == runner.id:
             # The runner was only unreachable.
-            self._lapsed_by_address.pop(_address(runner))
+            self._lapsed_by_address.pop(_runner_address(runner))
             return []
-        return self._count_lapsed(_address(runner))
+        return self._count_crashes_on_lapsed_runner(_runner_address(runner))
 
-    def note_unseen(self, runner_id: str) -> list[Crash]:
+    def count_crashes_on_unseen_runner(self, runner_id: str) -> list[Crash]:
         """Count the stored starts of earlier owners on a runner that this owner never reached.
 
         The runner has ended, or its entry is gone. First starts are not stored individually, so
@@ -80,17 +81,17 @@
         """
         crashes: list[Crash] = []
         for job in self._unfinished_job_by_id.values():
-            if job.may_run_on(runner_id):
+            if job.may_have_runs_on(runner_id):
                 job.mark_crashes_incomplete()
                 self._dirty.add(job.id)
-            for start in job.crashes.started_on(runner_id):
+            for start in job.crashes.starts_on_runner(runner_id):
                 task = _task_name(job.id, start)
                 crashes.extend(
                     self._record_crash(job, task, start.run, runner_id, during_start=False)
                 )
         return crashes
 
-    def _count_lapsed(self, address: Address) -> list[Crash]:
+    def _count_crashes_on_lapsed_runner(self, address: Address) -> list[Crash]:
         lapsed = self._lapsed_by_address.pop(address)
         return self._count_crashes(lapsed.runner, lapsed.answered_at, lapsed.runs)
 
@@ -125,11 +126,13 @@
         *,
         during_start: bool,
     ) -> list[Crash]:
-        if not job.note_crashed(task, run, during_start=during_start):
+        if not job.record_crashed_run(task, run, during_start=during_start):
             return []
         self._dirty.add(job.id)
         count = job.crashes.count(task)
-        return [Crash(task, run, runner, during_start, count, job.crashes.is_given_up(task))]
+        return [
+            Crash(task, run, runner, during_start, count, job.crashes.has_reached_crash_limit(task))
+        ]
 
 
 def apply_last_registrations(
@@ -145,12 +148,12 @@
     for runner in runners:
         last = None if runner.listed else find_registration(runner.id)
         if last is not None:
-            runner.note_registration(last, now)
+            runner.apply_registration(last, now)
 
 
 def _task_name(job: str, start: StoredStart) -> TaskName:
     return TaskName(job, start.occurrence, start.step, start.index)
 
 
-def _address(runner: RunnerState) -> Address:
+def _runner_address(runner: RunnerState) -> Address:
     return runner.registration.address, runner.registration.port
--- a/dandelionreel/cell/membership/_election.py
+++ b/dandelionreel/cell/membership/_election.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from dandelionreel.cell.membership._claim_order import claim_delay
+from dandelionreel.cell.membership._claim_order import compute_claim_delay
 from dandelionreel.cell.model import (
     OWNER_KEY,
     PREDECESSOR_LEASE_SECONDS,
@@ -30,14 +30,14 @@
 #: Seconds without a heartbeat after which the owner is queried: two heartbeats and an append whose
 #: reply was lost.
 SILENT_SECONDS = 0.9
-#: Seconds for an owner's reply to whether it is acting, seconds for which such a reply holds off a
-#: claim, and seconds of silence in the store after which the reply no longer counts: by then the
-#: owner has asked for a successor itself.
+#: Timeout in seconds of the query whether an owner without heartbeats still acts, and the seconds
+#: for which its confirmation prevents a claim. After ``MAX_EXCUSED_SILENCE_SECONDS`` without a
+#: heartbeat the owner is not queried any more: by then it has asked for a successor itself.
 OWNER_QUERY_TIMEOUT = 0.25
 ALIVE_ANSWER_VALID_SECONDS = 0.5
 MAX_EXCUSED_SILENCE_SECONDS = 4.0
-#: Seconds without a heartbeat once the store is reachable again: a live owner retries at least that
-#: often, and most likely writes as soon as this host can read.
+#: Seconds without a heartbeat after an outage of the store, before the owner counts as silent. A
+#: live owner retries at least that often, and can most likely write as soon as this host can read.
 SILENT_AFTER_OUTAGE_SECONDS = 0.9
 #: Upper limit in seconds of the random delay after a failed claim; the mean is twice the time that
 #: the store needs.
@@ -53,8 +53,8 @@
 POLL_SECONDS = 0.05
 #: Seconds for the reply to a claim, which a slow store also meets.
 CLAIM_TIMEOUT = 0.8
-#: Seconds for which a report counts that the owner is failing or unreachable. While the store
-#: serves nobody, such a report must not lead to a claim once the store is back.
+#: Seconds for which a report counts that the owner is failing or unreachable. A report during
+#: an outage of the store must not lead to a claim once the store is back.
 SUSPECTED_SECONDS = 0.8
 #: Seconds without a heartbeat after which an owner counts as dead that does not reply to its peers
 #: or refuses connections, and the least multiple of the usual gap between heartbeats.
@@ -103,11 +103,11 @@
     former: Owner | None = None
     #: The offset at which this incarnation of the host first read the topic.
     read_from: int = 0
-    #: When the won claim was sent, in monotonic seconds; ``None`` for now. Peers count the owner's
-    #: authority from then on, so the owner does too.
+    #: When the won claim was sent, in monotonic seconds; ``None`` for the current
+    #: time. Peers count the owner's authority from then on, so the owner does too.
     claimed_at: float | None = None
 
-    def owner_record(
+    def make_owner_record(
         self,
         beat: int = 0,
         unsettled: float = 0,
@@ -158,17 +158,17 @@
         vacant_since = None
         while True:
             await self._wait_for_poll()
-            vacancy = self._vacancy() if eligible() else Vacancy.HELD
+            vacancy = self._find_vacancy() if eligible() else Vacancy.HELD
             if vacancy is Vacancy.HELD:
                 vacant_since = None
                 continue
             now = self._clock.monotonic()
             vacant_since = vacant_since or now
-            if now - vacant_since < self._claim_delay():
+            if now - vacant_since < self._compute_own_claim_delay():
                 continue
             if vacancy is Vacancy.SILENT and await self._owner_is_alive():
                 continue
-            term = await self._claim()
+            term = await self._claim_cell()
             if term is not None:
                 return term
             await curio.sleep(self._random.random() * MAX_CLAIM_BACKOFF_SECONDS)
@@ -183,42 +183,42 @@
         self._suspected_term = term
         self._suspected_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
-    def note_connection_refused(self, term: str) -> None:
+    def record_connection_refused(self, term: str) -> None:
         """Record that connections to the owner with that term are refused.
 
         A partition that refuses connections looks the same, so this counts only while no heartbeat
         is read either.
         """
-        self._note_unreachable(term)
+        self._record_owner_unreachable(term)
 
-    def note_query_unanswered(self, term: str) -> None:
+    def record_query_unanswered(self, term: str) -> None:
         """Record that a query to the owner with that term was not answered in time.
 
         A host that loses power or is cut off refuses no connections; this detects its loss sooner
         than missing heartbeats alone.
         """
-        self._note_unreachable(term)
+        self._record_owner_unreachable(term)
 
-    async def handle_owner_failing(self, frame: Frame) -> Message:
-        """Handle an owner's request for a successor because the store does not serve it."""
+    async def handle_successor_request(self, frame: Frame) -> Message:
+        """Handle an owner's request for a successor because its appends to the store fail."""
         failing: Any = frame.message
         self._journal.log(Part.OWNERSHIP, f'{frame.sender} asks for a successor.')
         self.suspect_owner(failing.term)
         return Done()
 
-    def may_hand_over(self) -> bool:
+    def may_hand_over_cell(self) -> bool:
         """Return whether this host has not recently handed the cell over to a larger one."""
         return self._clock.monotonic() - self._handed_over_at > HAND_OVER_INTERVAL_SECONDS
 
-    def note_hand_over(self) -> None:
+    def record_cell_hand_over(self) -> None:
         """Record that this host hands the cell over to a larger one."""
         self._handed_over_at = self._clock.monotonic()
 
     def answer_owner_query(self, frame: Frame, acting: bool, ready: bool) -> Message:
         """Reply to a peer's query whether this host acts under a term.
 
-        A query without a term asks whether this host is ``ready``: the store serves it, so it can
-        take a client's request or own the cell.
+        A query without a term asks whether this host is ``ready``, which means that it reads the
+        store and can handle a client's request or own the cell.
         """
         query: Any = frame.message
         if not query.term:
@@ -229,18 +229,18 @@
 
     async def _wait_for_poll(self) -> None:
         await curio.sleep(POLL_SECONDS)
-        if self._is_unreachable(self._clock.monotonic()):
+        if self._is_owner_unreachable(self._clock.monotonic()):
             # Read now: a heartbeat that is already stored must not be missed.
-            await self._follower.read_now()
+            await self._follower.request_read()
 
-    def _is_suspected(self, owner: Owner, now: float) -> bool:
+    def _is_owner_suspected(self, owner: Owner, now: float) -> bool:
         return self._suspected_term == owner.term and now < self._suspected_until
 
-    def _note_unreachable(self, term: str) -> None:
+    def _record_owner_unreachable(self, term: str) -> None:
         self._unreachable_term = term
         self._unreachable_until = self._clock.monotonic() + SUSPECTED_SECONDS
 
-    def _is_unreachable(self, now: float) -> bool:
+    def _is_owner_unreachable(self, now: float) -> bool:
         """Return whether the owner was recently reported as unreachable."""
         owner = self._projection.state.owner
         return (
@@ -249,14 +249,14 @@
             and now < self._unreachable_until
         )
 
-    def _is_unreachable_and_silent(self, now: float) -> bool:
+    def _is_owner_unreachable_and_silent(self, now: float) -> bool:
         """Return whether the owner neither replies to peers nor writes heartbeats."""
         unreachable_silence = max(
             UNREACHABLE_SILENT_SECONDS,
             UNREACHABLE_GAP_FACTOR * self._projection.average_heartbeat_gap,
         )
         return (
-            self._is_unreachable(now)
+            self._is_owner_unreachable(now)
             and now - self._projection.owner_heartbeat_at >= unreachable_silence
         )
 
@@ -264,19 +264,19 @@
         """Return whether the owner's process was replaced by a later one on the same host."""
         if owner.host == self._host:
             return owner.term != self.incarnation
-        return self._projection.state.owner_has_ended()
+        return self._projection.state.current_owner_has_ended()
 
-    def _vacancy(self) -> Vacancy:
+    def _find_vacancy(self) -> Vacancy:
         now = self._clock.monotonic()
-        if not self._follower.started or self._follower.age(now) > MAX_READ_AGE_SECONDS:
+        if not self._follower.has_snapshot or self._follower.age(now) > MAX_READ_AGE_SECONDS:
             return Vacancy.HELD
         owner = self._projection.state.owner
         if owner is None or owner.released:
             return Vacancy.VACANT
         if (
             self._owner_was_restarted(owner)
-            or self._is_suspected(owner, now)
-            or self._is_unreachable_and_silent(now)
+            or self._is_owner_suspected(owner, now)
+            or self._is_owner_unreachable_and_silent(now)
         ):
             return Vacancy.VACANT
         heartbeat_at = self._projection.owner_heartbeat_at
@@ -287,9 +287,9 @@
             return Vacancy.HELD
         return Vacancy.SILENT
 
-    def _claim_delay(self) -> float:
+    def _compute_own_claim_delay(self) -> float:
         cell_state = self._projection.state
-        return claim_delay(
+        return compute_claim_delay(
             cell_state.member_by_host, self._host, cell_state.owner.host if cell_state.owner else ''
         )
 
@@ -323,7 +323,7 @@
             self._known_alive_until = self._clock.monotonic() + ALIVE_ANSWER_VALID_SECONDS
         return alive
 
-    async def _claim(self) -> Term | None:
+    async def _claim_cell(self) -> Term | None:
         """Claim the cell; return the term if the claim was won.
 
         A claim is safe without a condition: its epoch fences all earlier writers, only one claim of
@@ -332,14 +332,16 @@
         such as its heartbeat; on a busy topic the condition would hardly ever hold.
         """
         try:
-            return await self._claim_once(self._follower.offset if self._may_be_alive() else None)
+            return await self._claim_cell_once(
+                self._follower.offset if self._owner_may_be_alive() else None
+            )
         except ConflictError:
-            await self._catch_up()
-        if self._vacancy() is Vacancy.HELD:
+            await self._read_to_topic_end()
+        if self._find_vacancy() is Vacancy.HELD:
             return None
-        return await self._claim_once(None)
+        return await self._claim_cell_once(None)
 
-    async def _claim_once(self, expected_end: int | None) -> Term | None:
+    async def _claim_cell_once(self, expected_end: int | None) -> Term | None:
         """Claim once; raises ``ConflictError`` if the topic does not end at ``expected_end``."""
         former = self._projection.state.owner
         heartbeat_at = self._projection.owner_heartbeat_at
@@ -352,13 +354,13 @@
             former=former.term if former else '',
             silent_seconds=seconds_or_none(claimed_at - heartbeat_at),
             usual_gap=round(self._projection.average_heartbeat_gap, 3),
-            unheard=self._is_unreachable(claimed_at),
+            unheard=self._is_owner_unreachable(claimed_at),
             conditional=expected_end is not None,
         )
         may_be_stored = await self._append_claim(fence, expected_end)
         if not may_be_stored or not await self._confirm_claim(fence.epoch):
             # Find out who has won first: another claim now would replace the winner.
-            await self._catch_up()
+            await self._read_to_topic_end()
             return None
         self._log_ownership(fence.epoch, former, heartbeat_at)
         return Term(
@@ -367,25 +369,25 @@
             WriterFence(fence.epoch, fence.sequence + 1),
             heartbeat_at if former else None,
             bool(former and former.released),
-            former is not None and self._has_ended(former),
+            former is not None and self._owner_process_has_ended(former),
             former.unsettled if former else 0,
             former,
             self._follower.read_from,
             claimed_at,
         )
 
-    def _has_ended(self, owner: Owner) -> bool:
+    def _owner_process_has_ended(self, owner: Owner) -> bool:
         """Return whether an owner's process is known to have ended."""
-        return owner.host == self._host or self._projection.state.has_ended(owner)
+        return owner.host == self._host or self._projection.state.process_has_ended(owner)
 
-    def _may_be_alive(self) -> bool:
+    def _owner_may_be_alive(self) -> bool:
         """Return whether the known owner may still act."""
         owner = self._projection.state.owner
-        return owner is not None and not owner.released and not self._has_ended(owner)
+        return owner is not None and not owner.released and not self._owner_process_has_ended(owner)
 
-    async def _catch_up(self) -> None:
+    async def _read_to_topic_end(self) -> None:
         """Wait until all records up to now were read, or until that times out."""
-        await self._follower.wait_fresh(self._clock.monotonic(), MAX_READ_AGE_SECONDS)
+        await self._follower.wait_until_fresh(self._clock.monotonic(), MAX_READ_AGE_SECONDS)
 
     def _next_fence(self, former: Owner | None) -> WriterFence:
         """Return a fence with an epoch above the owner's and all that this host has tried.
@@ -433,6 +435,6 @@
 
     async def _confirm_claim(self, epoch: int) -> bool:
         """Read all records up to the claim; return whether it was won."""
-        await self._catch_up()
+        await self._read_to_topic_end()
         owner = self._projection.state.owner
         return owner is not None and owner.epoch == epoch and owner.term == self.incarnation
--- a/dandelionreel/cell/owner/_completion_gossip.py
+++ b/dandelionreel/cell/owner/_completion_gossip.py
@@ -12,8 +12,8 @@
 from dandelionreel.kernel import Part
 from dandelionreel.peers import CompletionsTold, CompletionsWanted, Done, PeerError
 
-#: Seconds to wait for the store before a completion is sent to peers: several times its usual
-#: delay.
+#: Seconds that storing a completion may take before it is sent to peers as well: several times the
+#: usual duration of an append.
 STORE_DELAY_SECONDS = 0.04
 #: Timeout in seconds of a peer's answer, which takes 2 ms, or a tenth of a second in a burst.
 ANSWER_TIMEOUT = 0.25
@@ -34,13 +34,16 @@
         completions: Completions,
         host: str,
     ) -> None:
-        """Act for ``host``; ``completions`` collects the jobs that may be shown as complete."""
+        """Exchange messages as ``host``.
+
+        ``completions`` collects the jobs that may be shown as complete.
+        """
         self._owner_context = context
         self._cell_state = cell_state
         self._links = links
         self._completions = completions
         self._host = host
-        self._announced: set[str] = set()
+        self._announced_jobs: set[str] = set()
 
     async def run(self) -> None:
         """Send peers each completed job that the store is slow to record; runs until cancelled."""
@@ -48,23 +51,26 @@
             seen = self._owner_context.completions_changed.count
             await curio.sleep(STORE_DELAY_SECONDS)
             unstored = set(self._owner_context.unstored_completions)
-            self._announced &= unstored
-            new_jobs = tuple(sorted(unstored - self._announced))
+            self._announced_jobs &= unstored
+            new_jobs = tuple(sorted(unstored - self._announced_jobs))
             if new_jobs:
-                self._announced.update(new_jobs)
-                await self._announce(new_jobs)
+                self._announced_jobs.update(new_jobs)
+                await self._announce_completions(new_jobs)
             await self._owner_context.completions_changed.wait(seen, IDLE_SECONDS)
 
     def block_started_jobs(self) -> None:
-        """Block started jobs until the peers, which may know them as complete, were queried."""
+        """Start no more tasks of started jobs until ``query_successors`` has queried the peers.
+
+        A peer may know that such a job is complete, from an earlier owner.
+        """
         self._owner_context.cell.awaits_completions = True
 
     async def query_successors(self) -> None:
         """Fetch the completions that earlier owners sent to peers, then unblock started jobs."""
         term = self._owner_context.term
-        known = self._completions.answer(term.epoch)
-        self._owner_context.cell.mark_complete(known)
-        await self.query_peers(self._successors())
+        known = self._completions.list_for_owner(term.epoch)
+        self._owner_context.cell.mark_jobs_complete(known)
+        await self.query_peers(self._list_successors())
         self._owner_context.cell.awaits_completions = False
         await self._owner_context.plan_needed.notify()
 
@@ -77,28 +83,32 @@
             await task.wait()
         return any(task.result for task in queries)
 
-    def _successors(self) -> list[tuple[str, Member]]:
+    def _list_successors(self) -> list[tuple[str, Member]]:
         """Return the hosts that are next in line to own the cell."""
         members = self._cell_state.member_by_host
         first = [host for host in rank_hosts(members) if host != self._host][:SUCCESSOR_COUNT]
         return [(host, members[host]) for host in first]
 
-    async def _announce(self, jobs: tuple[str, ...]) -> None:
+    async def _announce_completions(self, jobs: tuple[str, ...]) -> None:
         """Send completions to all successors; clients may be informed after one acknowledgement."""
         message = CompletionsTold(self._owner_context.term.epoch, jobs)
-        for host, member in self._successors():
-            await curio.spawn(partial(self._announce_to, host, member, message), daemon=True)
+        for host, member in self._list_successors():
+            await curio.spawn(
+                partial(self._announce_completions_to, host, member, message), daemon=True
+            )
 
-    async def _announce_to(self, host: str, member: Member, message: CompletionsTold) -> None:
+    async def _announce_completions_to(
+        self, host: str, member: Member, message: CompletionsTold
+    ) -> None:
         try:
             frame = await self._links.request(member, message, ANSWER_TIMEOUT)
         except PeerError:
             # The jobs are shown once the store answers; silent peers are logged elsewhere.
             return
         if isinstance(frame.message, Done):
-            self._publish(host, message.jobs)
+            self._add_announced_completions(host, message.jobs)
 
-    def _publish(self, host: str, jobs: Iterable[str]) -> None:
+    def _add_announced_completions(self, host: str, jobs: Iterable[str]) -> None:
         new_jobs = [job for job in jobs if not self._completions.contains(job)]
         self._completions.add(new_jobs)
         if new_jobs:
@@ -127,7 +137,7 @@
         if not isinstance(reply, CompletionsTold):
             return False
         self._completions.add(reply.jobs)
-        completed = self._owner_context.cell.mark_complete(reply.jobs)
+        completed = self._owner_context.cell.mark_jobs_complete(reply.jobs)
         if completed:
             self._owner_context.journal.log(
                 Part.JOBS,
--- a/dandelionreel/entry_peers.py
+++ b/dandelionreel/entry_peers.py
@@ -31,7 +31,7 @@
 OwnerQueryHandler = Callable[[Frame], Awaitable[Message]]
 
 
-async def listen_peers(
+async def start_peer_server(
     stack: AsyncExitStack,
     address: Address,
     client_api: ClientApi,
@@ -49,14 +49,14 @@
     """
     peers = PeerServer(election.incarnation, clock, PeerClocks(), journal, TrafficCounter())
     handlers = (
-        (Forward, client_api.handle_relayed),
-        (OwnerFailing, election.handle_owner_failing),
+        (Forward, client_api.handle_forwarded_request),
+        (OwnerFailing, election.handle_successor_request),
         (OwnerAsked, answer_owner_query),
-        (AdviceWanted, advisor.answer),
+        (AdviceWanted, advisor.answer_advice_request),
         (CompletionsTold, completions.merge_completions),
         (CompletionsSeen, completions.merge_zone_completions),
         (CompletionsWanted, completions.answer_query),
-        (ConfigurationWanted, exchange.answer),
+        (ConfigurationWanted, exchange.answer_query),
     )
     for kind, handler in handlers:
         peers.add_handler(kind, handler)
--- a/dandelionreel/jobs/_quota_shares.py
+++ b/dandelionreel/jobs/_quota_shares.py
@@ -72,7 +72,7 @@
             < REQUEST_INTERVAL_SECONDS
         ):
             return
-        used = planner.cell.usage.of(customer)
+        used = planner.cell.usage.amounts_of(customer)
         for work in planner.queue.first_jobs_of_customer(customer):
             quota = contract.quota.resources()
             needed = (used + work.total_demand).dominant_share(quota)
@@ -111,7 +111,7 @@
         if contract is None:
             return 0
         quota = contract.quota.resources()
-        used = planner.cell.usage.of(customer)
+        used = planner.cell.usage.amounts_of(customer)
         usable = quota.times(self.usable_share(customer))
         candidates = (
             planner.queue.first_jobs_of_customer(customer)
--- a/dandelionreel/placement/_planner.py
+++ b/dandelionreel/placement/_planner.py
@@ -113,7 +113,7 @@
                 heapq.heappush(fair_share_keys, (self._fair_share_key(customer), customer))
 
     def _fair_share_key(self, customer: str) -> tuple[bool, float]:
-        used = self.cell.usage.of(customer)
+        used = self.cell.usage.amounts_of(customer)
         return self.queue.fair_share_key(customer, used, self.cell.total_capacity)
 
     def _place_next_job(self, customer: str, now: float, placed: list[Placement]) -> bool:
@@ -123,7 +123,7 @@
     def _try_place_job(self, work: Work, now: float, placed: list[Placement]) -> bool:
         if work.shape in self._failed_shapes and not work.avoid:
             return False
-        used = self.cell.usage.of(work.customer)
+        used = self.cell.usage.amounts_of(work.customer)
         if not self.queue.fits_quota(work, used):
             return False
         self.considered_count += 1
--- a/dandelionreel/platform/_runners.py
+++ b/dandelionreel/platform/_runners.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from dandelionreel.cell.model import (
-    Check,
     Registration,
     Runner,
     RunnerError,
     RunnerFenced,
     RunnerReplaced,
     RunnerView,
+    SendPrecondition,
     StartAnswer,
     StartOrder,
     StartReply,
@@ -96,7 +96,7 @@
         self._next_channel = 0
         self._epoch = 0
 
-    async def start(self, order: StartOrder, check: Check) -> StartAnswer:
+    async def start_task(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
         """Start a task; ``check`` is called right before the request is sent.
 
         If ``check`` returns false, nothing is sent.
@@ -131,7 +131,7 @@
             return StartAnswer(StartReply.INVALID, clock)
         raise RunnerError(f'the runner answered {response.status}', Verdict.UNKNOWN)
 
-    async def stop(self, task: TaskName, run: int, epoch: int) -> None:
+    async def stop_run(self, task: TaskName, run: int, epoch: int) -> None:
         """Stop a run."""
         fields = {'task': encode_task(task), 'run': run, 'fencing_token': epoch}
         self._check_response(await self._send_order('/v1/run-stop', fields))
@@ -206,7 +206,7 @@
         raise RunnerError(f'the runner answered {response.status}', Verdict.NOT_RUN)
 
     async def _send_order(
-        self, path: str, fields: dict[str, Any], check: Check | None = None
+        self, path: str, fields: dict[str, Any], check: SendPrecondition | None = None
     ) -> Response:
         self._next_channel = (self._next_channel + 1) % ORDER_CONNECTIONS
         channel = self._order_channels[self._next_channel]
@@ -218,7 +218,7 @@
         path: str,
         fields: dict[str, Any],
         timeout: float,
-        check: Check | None = None,
+        check: SendPrecondition | None = None,
     ) -> Response:
         self._epoch = fields['fencing_token']
         try:
--- a/features/steps/cancelling_steps.py
+++ b/features/steps/cancelling_steps.py
@@ -88,7 +88,7 @@
     if fate == 'refused':
         small.cell.handle_start_reply(context.start, StartReply.NO_ROOM, small.now)
     else:
-        small.cell.stop(context.start)
+        small.cell.stop_run(context.start)
         small.cell.take_stops()
         small.cell.handle_stop_reply(context.start, small.now)
         small.now += 1
@@ -161,7 +161,7 @@
         ManualClock(context.small.now),
         make_runner=lambda registration: context.runner,
     )
-    context.owner.add_runner(context.small.cell.runner_by_id['w1'])
+    context.owner.add_runner_client(context.small.cell.runner_by_id['w1'])
 
 
 @when('it has sent the start')
@@ -292,7 +292,7 @@
         await owner.begin()
         await until(lambda: has_adopted_run(owner))
         owner.runner.reachable = False
-        assert await owner.dispatcher.cancel('j1', LONG_TIMEOUT) is WriteOutcome.STORED
+        assert await owner.dispatcher.cancel_job('j1', LONG_TIMEOUT) is WriteOutcome.STORED
         await wait_until_gone(owner)
 
     curio.run(cancel)
--- a/features/steps/drift_steps.py
+++ b/features/steps/drift_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions._cell import MAX_CLOCK_DRIFT
-from dandelionreel.cell.decisions._ledger import RunnerState
+from dandelionreel.cell.decisions._runner_state import RunnerState
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import WriterFence
 from dandelionreel.cell.owner._owner_context import LEASE_SECONDS
@@ -17,7 +17,7 @@
 def slow_clock(context, seconds):
     context.now = CLOCK_READ_AT + seconds
     context.state = RunnerState(make_registration('w1'))
-    context.state.note_clock(0.0, CLOCK_READ_AT)
+    context.state.record_clock(0.0, CLOCK_READ_AT)
 
 
 @when('a lease is granted there and the owner releases the cell at once')
@@ -25,7 +25,7 @@
     lease_until = context.state.extend_lease(context.now, LEASE_SECONDS)
     context.expires_at = CLOCK_READ_AT + lease_until / (1 - MAX_CLOCK_DRIFT)
     term = Term(2, 'me/1', WriterFence(2, 1), context.now, True, False)
-    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, context.now).end_at
+    context.wait_end = PredecessorLeases(term, LEASE_SECONDS, context.now).expire_at
 
 
 @then('its successor waits until the lease has expired')
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -69,7 +69,7 @@
     small = context.small
     (request,) = context.plan.advice_requests
     permits = [Permit(runner, 'ticket') for runner in request.runners[:4]]
-    small.cell.tickets.note_answer(request.step, request.runners, permits, small.now + 2)
+    small.cell.tickets.record_advice(request.step, request.runners, permits, small.now + 2)
 
 
 @then('no advice is requested until they have expired')
@@ -117,7 +117,7 @@
 class UnstartedRunner:
     """A runner that must get no start."""
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         assert not check()
         raise RunnerError('not sent', Verdict.NOT_RUN)
 
@@ -135,7 +135,7 @@
     job.stored_runners.add('w1')
     dispatcher.cell = dispatcher._owner_context.cell = small.cell
     dispatcher._owner_context.runner_by_id['w1'] = UnstartedRunner()
-    dispatcher._pool._local = LocalAdvisor(None)
+    dispatcher._advice_pool._local_advisor = LocalAdvisor(None)
     dispatcher._planner = SlowPlanner(small.planner, clock)
     context.small = small
 
@@ -149,9 +149,9 @@
         await curio.sleep(0.1)
         await planning.cancel()
 
-    assert dispatcher._owner_context.may_start()
+    assert dispatcher._owner_context.may_start_tasks()
     curio.run(plan_once)
-    assert not dispatcher._owner_context.may_start()
+    assert not dispatcher._owner_context.may_start_tasks()
 
 
 @then('the task is planned again')
@@ -182,7 +182,9 @@
         small.add_job(name, [waits], queue='gangs' if kind == 'gangs' else 'batch')
         tickets = small.cell.tickets.of(StepName(name, 0, 0))
         tickets.pending = 2
-        small.cell.tickets.note_answer(StepName(name, 0, 0), ('r0', 'r1'), [Permit('r1', 't')], 9e9)
+        small.cell.tickets.record_advice(
+            StepName(name, 0, 0), ('r0', 'r1'), [Permit('r1', 't')], 9e9
+        )
     small.plan()
     return small
 
