--- a/dandelionreel/cell/membership/__init__.py
+++ b/dandelionreel/cell/membership/__init__.py
@@ -3,13 +3,13 @@
 from dandelionreel.cell.membership._advisors import AdvicePool, LocalAdvisor, PeerLinks
 from dandelionreel.cell.membership._claim_order import (
     SUCCESSOR_COUNT,
+    find_larger_hosts,
     find_zone_writer,
     follows_runner_list,
-    larger_hosts,
     rank_hosts,
 )
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
-from dandelionreel.cell.membership._completion_reports import CompletionReports
+from dandelionreel.cell.membership._completion_reports import CompletionReporter
 from dandelionreel.cell.membership._completions import Completions
 from dandelionreel.cell.membership._configuration_exchange import ConfigurationExchange
 from dandelionreel.cell.membership._election import (
@@ -29,7 +29,7 @@
     'AdvicePool',
     'HEARTBEAT_SECONDS',
     'CompletionMessageHandler',
-    'CompletionReports',
+    'CompletionReporter',
     'Completions',
     'ConfigurationExchange',
     'PartitionDetector',
@@ -41,7 +41,7 @@
     'Term',
     'find_zone_writer',
     'follows_runner_list',
-    'larger_hosts',
+    'find_larger_hosts',
     'make_incarnation_id',
     'rank_hosts',
 )
--- a/dandelionreel/cell/model/_services.py
+++ b/dandelionreel/cell/model/_services.py
@@ -17,16 +17,16 @@
 from dandelionreel.http import Response
 from dandelionreel.kernel import Verdict
 
-#: Called right before a request is sent; a false result prevents it.
-Check = Callable[[], bool]
+#: Called right before a request is sent; if the result is false, the request is not sent.
+SendPrecondition = Callable[[], bool]
 
 
 @dataclass(frozen=True)
 class KeyedRecord:
     """The content of a key from ``offset`` on; ``None`` deletes the key.
 
-    ``error`` says why the topic could not decode the record; the key is then empty if it is
-    unknown too.
+    ``error`` says why the topic could not decode the record; the key is empty if not even the key
+    could be decoded.
     """
 
     key: str
@@ -35,7 +35,7 @@
     error: UnreadableError | None = None
 
     @property
-    def dropped(self) -> bool:
+    def deletes_key(self) -> bool:
         """Return whether the record deletes its key."""
         return self.content is None and self.error is None
 
@@ -112,14 +112,14 @@
 
     @abc.abstractmethod
     async def snapshot(self) -> RecordBatch:
-        """Return the newest record of each key; later records must be read from its end on."""
+        """Return the newest record of each key; later ones are read from its ``next_offset`` on."""
 
     @abc.abstractmethod
     async def close(self) -> None:
         """Close connections."""
 
 
-class Outcome(enum.Enum):
+class RunOutcome(enum.Enum):
     """How a run ended, as reported by its runner."""
 
     DONE = 'done'
@@ -183,7 +183,7 @@
     number: int
     task: TaskName
     run: int
-    outcome: Outcome
+    outcome: RunOutcome
     checkpoint: str
 
 
@@ -231,11 +231,11 @@
     """Client of one runner; raises ``RunnerError``, ``RunnerFenced`` or ``RunnerReplaced``."""
 
     @abc.abstractmethod
-    async def start(self, order: StartOrder, check: Check) -> StartAnswer:
+    async def start_task(self, order: StartOrder, check: SendPrecondition) -> StartAnswer:
         """Start a task; idempotent."""
 
     @abc.abstractmethod
-    async def stop(self, task: TaskName, run: int, epoch: int) -> None:
+    async def stop_run(self, task: TaskName, run: int, epoch: int) -> None:
         """Stop a run, even if its start has not arrived yet."""
 
     @abc.abstractmethod
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -42,21 +42,23 @@
         self._owner_context = context
         #: Number of starts that are decided but not yet answered.
         self._pending_starts = 0
-        self._was_full = False
+        self._was_at_start_limit = False
 
     @property
-    def free_starts(self) -> int:
+    def free_start_slots(self) -> int:
         """Return how many more starts may be pending.
 
         Without the limit, an owner that is short of processor time would send urgent starts after
-        many others, and their tickets would expire meanwhile.
+        many others, and the permits of the policy service (tickets) that they need would expire
+        meanwhile.
         """
         return max(0, MAX_PENDING_STARTS - self._pending_starts)
 
     async def send_starts(self, allocations: list[Allocation]) -> None:
         """Send starts; runners that are new to their jobs are stored first.
 
-        A start of a task during which runners have crashed is always stored first.
+        If runners have crashed during earlier runs of a task, its next start is always stored
+        first.
         """
         self._pending_starts += len(allocations)
         unstored: dict[str, list[Allocation]] = {}
@@ -66,23 +68,25 @@
                 # The job ended and was removed before its start could be sent.
                 await self._withdraw_unsent_start(allocation)
                 continue
-            if job.note_start(allocation.task, allocation.run, allocation.runner):
+            if job.record_task_start(allocation.task, allocation.run, allocation.runner):
                 unstored.setdefault(job.id, []).append(allocation)
                 continue
-            await curio.spawn(self._run_start, allocation, daemon=True)
+            await curio.spawn(self._send_start_and_count, allocation, daemon=True)
         if unstored:
-            await curio.spawn(self._store_and_send, unstored, daemon=True)
+            await curio.spawn(self._store_runners_and_send_starts, unstored, daemon=True)
 
     async def send_stop(self, allocation: Allocation) -> None:
         """Send a stop and retry it until the runner acknowledges it."""
         runner = self._owner_context.runner_by_id.get(allocation.runner)
-        while runner is not None and self._owner_context.may_act():
+        while runner is not None and self._owner_context.may_send_orders():
             state = self._owner_context.cell.runner_by_id.get(allocation.runner)
             if state is None or (allocation.task, allocation.run) not in state.allocation_by_run:
                 return
-            self._note_order_sent(state)
+            self._record_order_sent(state)
             try:
-                await runner.stop(allocation.task, allocation.run, self._owner_context.term.epoch)
+                await runner.stop_run(
+                    allocation.task, allocation.run, self._owner_context.term.epoch
+                )
             except RunnerError as error:
                 self._log_unanswered_stop(allocation, error)
                 await curio.sleep(STOP_RETRY_SECONDS)
@@ -98,23 +102,25 @@
 
     def _apply_stop_reply(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
-        cell.zone_reachability.note_answer(state.registration.zone)
+        cell.zone_reachability.record_zone_answer(state.registration.zone)
         cell.handle_stop_reply(allocation, self._owner_context.clock.monotonic())
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'{allocation.runner} has taken a stop.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
         )
 
     def _log_unanswered_stop(self, allocation: Allocation, error: RunnerError) -> None:
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'a stop was not answered: {error}.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
             verdict=error.verdict.value,
         )
 
-    async def _store_and_send(self, allocations_by_job: dict[str, list[Allocation]]) -> None:
+    async def _store_runners_and_send_starts(
+        self, allocations_by_job: dict[str, list[Allocation]]
+    ) -> None:
         found = (self._owner_context.cell.job_by_id.get(job_id) for job_id in allocations_by_job)
         jobs = [job for job in found if job is not None]
         write_task = await curio.spawn(self._owner_context.store_progress, jobs, daemon=True)
@@ -122,27 +128,27 @@
         for allocations in allocations_by_job.values():
             for allocation in allocations:
                 if outcome is WriteOutcome.STORED:
-                    await curio.spawn(self._run_start, allocation, daemon=True)
+                    await curio.spawn(self._send_start_and_count, allocation, daemon=True)
                 else:
                     await self._withdraw_unsent_start(allocation)
 
     async def _withdraw_unsent_start(self, allocation: Allocation) -> None:
         self._owner_context.cell.release_start(allocation)
-        await self._note_start_finished()
+        await self._record_start_finished()
 
-    async def _run_start(self, allocation: Allocation) -> None:
+    async def _send_start_and_count(self, allocation: Allocation) -> None:
         """Send a start and count it as finished once its outcome is known."""
         try:
             await self._send_start(allocation)
         finally:
-            await self._note_start_finished()
+            await self._record_start_finished()
 
-    async def _note_start_finished(self) -> None:
-        self._was_full = self._was_full or not self.free_starts
+    async def _record_start_finished(self) -> None:
+        self._was_at_start_limit = self._was_at_start_limit or not self.free_start_slots
         self._pending_starts -= 1
         # Planning again after each answer would use up the processor time that starts need.
-        if self._was_full and self._pending_starts <= MAX_PENDING_STARTS // 2:
-            self._was_full = False
+        if self._was_at_start_limit and self._pending_starts <= MAX_PENDING_STARTS // 2:
+            self._was_at_start_limit = False
             await self._owner_context.plan_needed.notify()
 
     async def _send_start(self, allocation: Allocation) -> None:
@@ -158,7 +164,9 @@
             self._owner_context.cell.release_start(allocation)
             return
         self._log_start(state, allocation, job)
-        may_have_arrived = await self._try_start(state, runner, allocation, job.spec.payload)
+        may_have_arrived = await self._send_start_until_answered(
+            state, runner, allocation, job.spec.payload
+        )
         if may_have_arrived is None:
             return
         if may_have_arrived:
@@ -171,8 +179,10 @@
             self._owner_context.cell.release_start(allocation)
         await self._owner_context.plan_needed.notify()
 
-    def _log_fields(self, allocation: Allocation) -> dict[str, Any]:
-        return self._owner_context.run_fields(allocation.runner, allocation.task, allocation.run)
+    def _make_log_fields(self, allocation: Allocation) -> dict[str, Any]:
+        return self._owner_context.make_run_fields(
+            allocation.runner, allocation.task, allocation.run
+        )
 
     def _log_start(self, state: RunnerState, allocation: Allocation, job: JobRun) -> None:
         """Log a start with the age of the data that the decision is based on.
@@ -187,7 +197,7 @@
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'starts a task on {state.id}.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
             zone=state.registration.zone,
             failures=found[1].failures if found else 0,
             crashes=job.crashes.count(allocation.task),
@@ -198,47 +208,50 @@
             room=state.free_capacity.cpu,
         )
 
-    async def _try_start(
+    async def _send_start_until_answered(
         self,
         state: RunnerState,
         runner: Runner,
         allocation: Allocation,
         payload: str,
     ) -> bool | None:
-        """Retry a start until it is answered; else return whether it may have arrived."""
+        """Send a start and retry it until it is answered.
+
+        Return ``None`` if it was answered, otherwise whether it may have arrived.
+        """
         may_have_arrived = False
 
-        def may_send() -> bool:
-            return self._owner_context.may_start() and self._may_start(allocation)
+        def may_send_start() -> bool:
+            return self._owner_context.may_start_tasks() and self._is_start_wanted(allocation)
 
         started_at = self._owner_context.clock.monotonic()
         for _ in range(START_ATTEMPTS):
-            if not may_send():
-                # Withdrawn by the owner, which is no sign that the runner is unreachable.
+            if not may_send_start():
+                # The owner has withdrawn the start; the runner need not be unreachable.
                 return may_have_arrived
-            self._note_order_sent(state)
+            self._record_order_sent(state)
             try:
-                answer = await runner.start(
-                    self._make_start_order(state, allocation, payload), may_send
+                answer = await runner.start_task(
+                    self._make_start_order(state, allocation, payload), may_send_start
                 )
             except RunnerError as error:
                 arrived = error.verdict is not Verdict.NOT_RUN
-                # Only the first attempt counts: a crash has already closed the connections that
-                # later attempts use.
+                # Only the first attempt can show that the runner crashed during the start: after a
+                # crash the connections that later attempts use are already closed.
                 allocation.connection_broken = allocation.connection_broken or (
                     arrived and error.connection_broken and not may_have_arrived
                 )
                 may_have_arrived = may_have_arrived or arrived
                 allocation.start_unanswered = may_have_arrived
-                # Send no more starts there until the runner answers a poll: a start that may have
+                # Send this runner no more starts until it answers a poll: a start that may have
                 # arrived blocks its task until the lease has expired.
                 state.suspect = True
                 self._log_unanswered_start(allocation, error)
-                if not may_have_arrived or not may_send():
+                if not may_have_arrived or not may_send_start():
                     return may_have_arrived
                 await curio.sleep(START_RETRY_SECONDS)
                 continue
-            self._owner_context.cell.zone_reachability.note_answer(state.registration.zone)
+            self._owner_context.cell.zone_reachability.record_zone_answer(state.registration.zone)
             self._log_slow_start(
                 allocation, answer.reply, self._owner_context.clock.monotonic() - started_at
             )
@@ -248,27 +261,29 @@
             return None
         return may_have_arrived
 
-    def _may_start(self, allocation: Allocation) -> bool:
+    def _is_start_wanted(self, allocation: Allocation) -> bool:
         """Return whether a start is still wanted and its ticket, if any, is still valid."""
         cell = self._owner_context.cell
-        if not cell.may_start(allocation):
+        if not cell.may_send_start(allocation):
             return False
         step = StepName.of(allocation.task)
         now = self._owner_context.clock.monotonic()
         return not allocation.ticket or cell.tickets.is_valid(step, allocation.runner, now)
 
     async def _end_replaced_runner(self, state: RunnerState) -> None:
-        if await self._owner_context.confirm_zone(state.registration.zone, state.answered_at):
-            self._owner_context.end_runner(
+        if await self._owner_context.confirm_zone_completions(
+            state.registration.zone, state.answered_at
+        ):
+            self._owner_context.remove_ended_runner(
                 state, 'another runner answers at its address', proven=True
             )
             return
         # The next poll detects the replacement again and retries the confirmation.
         state.suspect = True
 
-    def _note_order_sent(self, state: RunnerState) -> None:
+    def _record_order_sent(self, state: RunnerState) -> None:
         now = self._owner_context.clock.monotonic()
-        self._owner_context.cell.zone_reachability.note_order(
+        self._owner_context.cell.zone_reachability.record_sent_order(
             state.registration.zone, state.id, now
         )
 
@@ -276,7 +291,7 @@
         self._owner_context.journal.log_sampled(
             Part.PLACEMENT,
             f'a start was not answered: {error}.',
-            **self._log_fields(allocation),
+            **self._make_log_fields(allocation),
             verdict=error.verdict.value,
         )
 
@@ -285,7 +300,7 @@
             self._owner_context.journal.log_sampled(
                 Part.PLACEMENT,
                 f'{allocation.runner} has taken a start late.',
-                **self._log_fields(allocation),
+                **self._make_log_fields(allocation),
                 seconds=round(seconds, 3),
             )
 
@@ -328,6 +343,6 @@
             self._owner_context.journal.log(
                 Part.PLACEMENT,
                 f'a start was refused: {reply.value}.',
-                **self._log_fields(allocation),
+                **self._make_log_fields(allocation),
             )
             await self._owner_context.plan_needed.notify()
--- a/dandelionreel/cell/owner/_owner_context.py
+++ b/dandelionreel/cell/owner/_owner_context.py
@@ -20,7 +20,8 @@
 from dandelionreel.cell.store import GroupWriter, WriteOutcome
 from dandelionreel.kernel import ChangeNotifier, Clock, Journal, Part, seconds_or_none
 
-#: Seconds for which runners keep their tasks without a renewal: longer than a usual partition.
+#: Seconds for which runners keep their tasks unless the lease is renewed: longer than most
+#: partitions.
 LEASE_SECONDS = 8.5
 
 #: Seconds without an answered append after which no task is started: less than a successor needs
@@ -35,16 +36,16 @@
 MAX_LOGGED = 40
 
 GetRunnerListAge = Callable[[], float]
-ConfirmZone = Callable[[str, float], Awaitable[bool]]
+ConfirmZoneCompletions = Callable[[str, float], Awaitable[bool]]
 MakeRunner = Callable[[Registration], Runner]
 
 
-def always_fresh() -> float:
+def zero_runner_list_age() -> float:
     """Return 0, the age of a runner list that never becomes stale."""
     return 0.0
 
 
-async def always_confirmed(zone: str, since: float) -> bool:
+async def confirm_any_zone(zone: str, since: float) -> bool:
     """Confirm any zone, for contexts in which no host answers clients during a partition."""
     return True
 
@@ -61,7 +62,7 @@
         max_lease: float,
         clock: Clock,
         journal: Journal,
-        get_runner_list_age: GetRunnerListAge = always_fresh,
+        get_runner_list_age: GetRunnerListAge = zero_runner_list_age,
     ) -> None:
         """Create the context of ``term``; leases last at most ``max_lease`` seconds.
 
@@ -89,7 +90,7 @@
         self._make_runner = make_runner
         #: Returns whether the hosts of a zone have reported the completions that they have shown to
         #: clients since a time. Until then no run in that zone counts as lost.
-        self.confirm_zone: ConfirmZone = always_confirmed
+        self.confirm_zone_completions: ConfirmZoneCompletions = confirm_any_zone
 
     async def end_term(self, cause: str) -> None:
         """End the term: another host owns the cell or may own it."""
@@ -97,7 +98,7 @@
             self.end_reason = cause
         await self.ended.set()
 
-    def may_act(self) -> bool:
+    def may_send_orders(self) -> bool:
         """Return whether this host may still send orders as the owner.
 
         A process that was paused or partitioned learns late that it was replaced. Runners that its
@@ -108,7 +109,7 @@
             return False
         return self.clock.monotonic() - self.writer.stored_at < AUTHORITY_SECONDS
 
-    def may_start(self) -> bool:
+    def may_start_tasks(self) -> bool:
         """Return whether this host may still start tasks.
 
         While the store does not answer, a successor may already have read the end of a run on a
@@ -116,20 +117,20 @@
         end was recorded.
         """
         recently_stored = self.clock.monotonic() - self.writer.stored_at < START_AUTHORITY_SECONDS
-        return recently_stored and self.runner_list_is_fresh() and self.may_act()
+        return recently_stored and self.runner_list_is_fresh() and self.may_send_orders()
 
     def runner_list_is_fresh(self) -> bool:
         """Return whether the runner list is recent enough to start tasks by."""
         return self.get_runner_list_age() < MAX_RUNNER_LIST_AGE_SECONDS
 
-    def leases_expired(self, state: RunnerState) -> bool:
+    def have_leases_expired(self, state: RunnerState) -> bool:
         """Return whether all leases on a runner have expired, so that its tasks have ended.
 
         A successor could renew them without this host's knowledge. The latest answered append
         proves that there was no successor when it was sent, so the leases must have expired by that
         time.
         """
-        return state.leases_expired(self.writer.stored_at, MAX_CLOCK_DRIFT)
+        return state.have_leases_expired(self.writer.stored_at, MAX_CLOCK_DRIFT)
 
     async def store_progress(
         self,
@@ -142,11 +143,11 @@
         The coroutine does not yield between building and queueing the records: the store keeps the
         newest record of a job, and an older record queued later would revert it.
         """
-        progress_by_job = self._make_progress(jobs)
+        progress_by_job = self._make_progress_by_job(jobs)
         records = list(other_records)
         for job, progress in progress_by_job.items():
             records.extend(make_progress_records(job.id, progress))
-        await self._note_unstored_completions(progress_by_job)
+        await self._add_unstored_completions(progress_by_job)
         outcome = await self.writer.write(records, timeout)
         for job, progress in progress_by_job.items():
             if outcome is WriteOutcome.STORED:
@@ -157,18 +158,18 @@
                 self.cell.mark_dirty(job)
         return outcome
 
-    async def flush(self) -> WriteOutcome:
+    async def flush_progress(self) -> WriteOutcome:
         """Store the progress of all changed jobs and wait for writes that are already queued.
 
         A job whose progress is already queued has nothing more to write. If a write is abandoned
-        meanwhile, the result is ``UNKNOWN``: otherwise an end would be acknowledged to its runner
-        although it is not in the store.
+        meanwhile, the result is ``UNKNOWN``: otherwise the end of a run would be acknowledged to
+        its runner although it is not in the store.
         """
         abandoned_before = self.writer.abandoned_count
         outcome = await self.store_progress(self.cell.take_dirty_jobs())
         return outcome if self.writer.abandoned_count == abandoned_before else WriteOutcome.UNKNOWN
 
-    def end_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
+    def remove_ended_runner(self, state: RunnerState, cause: str, *, proven: bool) -> None:
         """Remove a runner that has ended; ``proven`` if its process is known to be gone."""
         self.journal.log(
             Part.WORKERS,
@@ -198,12 +199,12 @@
             self.journal.log(
                 Part.WORKERS,
                 f'{crash.runner} has crashed under a task: {outcome}.',
-                **self.run_fields(crash.runner, crash.task, crash.run),
+                **self.make_run_fields(crash.runner, crash.task, crash.run),
                 close=crash.during_start,
                 crashes=crash.count,
             )
 
-    def run_fields(self, runner: str, task: TaskName, run: int) -> dict[str, Any]:
+    def make_run_fields(self, runner: str, task: TaskName, run: int) -> dict[str, Any]:
         """Return the fields that identify a run in a log line, with the owner's epoch."""
         return {
             'runner': runner,
@@ -213,18 +214,18 @@
             'epoch': self.term.epoch,
         }
 
-    def add_runner(self, state: RunnerState) -> Runner:
+    def add_runner_client(self, state: RunnerState) -> Runner:
         """Create the client of a runner."""
         runner = self._make_runner(state.registration)
         self.runner_by_id[state.id] = runner
         return runner
 
-    async def close_runners(self) -> None:
+    async def close_runner_clients(self) -> None:
         """Close the clients of all runners."""
         for runner in self.runner_by_id.values():
             await runner.close()
 
-    async def _note_unstored_completions(self, progress_by_job: dict[JobRun, Progress]) -> None:
+    async def _add_unstored_completions(self, progress_by_job: dict[JobRun, Progress]) -> None:
         complete = [
             job.id
             for job, progress in progress_by_job.items()
@@ -245,14 +246,14 @@
             self.journal.log(
                 Part.WORKERS,
                 f'a run was lost with {state.id}.',
-                **self.run_fields(state.id, allocation.task, allocation.run),
+                **self.make_run_fields(state.id, allocation.task, allocation.run),
                 phase=allocation.phase.value,
                 draining=state.draining,
                 runner_age=seconds_or_none(now - state.answered_at),
                 seconds=round(now - allocation.placed_at, 3),
             )
 
-    def _make_progress(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
+    def _make_progress_by_job(self, jobs: list[JobRun]) -> dict[JobRun, Progress]:
         unix_time = self.clock.unix_time()
         progress_by_job = {}
         for job in jobs:
--- a/dandelionreel/cell/store/_cell_state.py
+++ b/dandelionreel/cell/store/_cell_state.py
@@ -1,8 +1,8 @@
 """State of the cell, built by every host from the records of the cell's topic in log order.
 
-A record that cannot be read leaves the known value of its key unchanged. Where there is none,
-the safe assumption is made: the job exists and must not be started, an owner may be acting,
-and its tasks may run on any runner.
+A record that cannot be read leaves the known value of its key unchanged. If no value of the
+key is known, the safe assumption is made: the job exists and must not be started, an owner may be
+acting, and its tasks may run on any runner.
 """
 
 import copy
@@ -26,13 +26,13 @@
     Member,
     Owner,
     Progress,
-    Reason,
     RunnersInUse,
     Submission,
     UnreadableError,
+    UnreadableReason,
+    check_job_spec,
     check_leftovers,
     check_progress,
-    check_spec,
     decode_json,
 )
 
@@ -84,7 +84,7 @@
     def may_be_resubmitted(self) -> bool:
         """Return whether a retry of the client may overwrite an unreadable submission.
 
-        Not where progress is stored: a job that starts over would run tasks twice.
+        It may not if progress is stored: a job that starts over would run tasks twice.
         """
         never_started = self.progress is None and not self.progress_unreadable
         return self.submission_unreadable and never_started and not self.cancelled
@@ -132,7 +132,7 @@
         self.changed_jobs = set()
         return taken
 
-    def find(self, job: str) -> StoredJob | None:
+    def find_job(self, job: str) -> StoredJob | None:
         """Return the records of a job, ``None`` for an unknown job."""
         submission = self.submission_by_id.get(job)
         progress = self.progress_by_id.get(job)
@@ -148,7 +148,7 @@
             return stored
         return stored if progress is not None and progress.state in FINAL_STATES else None
 
-    def accepted_at(self, job: str) -> float:
+    def job_accepted_at(self, job: str) -> float:
         """Return when a stored job was accepted, in Unix time."""
         return self.submission_by_id[job].accepted_at
 
@@ -163,8 +163,8 @@
     def runners_possibly_in_use(self) -> set[str]:
         """Return the runners on which tasks started by the owner or its predecessors may run.
 
-        Where their list cannot be read, they are taken from the jobs' progress: a runner is
-        stored there before the job's first start on it.
+        If the list of runners in use cannot be read, they are taken from the jobs' progress: a
+        runner is stored there before the job's first start on it.
         """
         if self.runners_in_use is not None:
             return set(self.runners_in_use.runners)
@@ -175,23 +175,23 @@
             runners.update(progress.runners)
         return runners
 
-    def owner_has_ended(self) -> bool:
+    def current_owner_has_ended(self) -> bool:
         """Return whether the owner's process has been replaced by a later one on its host."""
-        return self.owner is not None and self.has_ended(self.owner)
+        return self.owner is not None and self.process_has_ended(self.owner)
 
-    def has_ended(self, owner: Owner) -> bool:
+    def process_has_ended(self, owner: Owner) -> bool:
         """Return whether a later process has started on the host of that owner.
 
         A store that loses answers may execute an append seconds later, so the member record
-        of an earlier process can land after the owner's. Taken for a later process, it would
-        end the wait for the leases of a living owner, and its tasks would run twice.
+        of an earlier process can land after the owner's. If that process were taken for a later
+        one, the leases of a living owner would not be waited for, and its tasks would run twice.
         """
         member = self.member_by_host.get(owner.host)
         if member is None or member.incarnation in {'', owner.term}:
             return False
         return member.read_from > owner.read_from
 
-    def count_waiting(self, queue: str) -> int:
+    def count_waiting_jobs(self, queue: str) -> int:
         """Return how many accepted jobs of a queue have not started."""
         count = 0
         for job, submission in self.submission_by_id.items():
@@ -214,12 +214,12 @@
         self.clear()
         errors = self.apply(records)
         if OWNER_KEY in self.unreadable_keys:
-            self.owner = previous.owner or self._unknown_owner()
+            self.owner = previous.owner or self._make_unknown_owner()
         if RUNNERS_IN_USE_KEY in self.unreadable_keys:
             self.runners_in_use = previous.runners_in_use
         for key in self.unreadable_keys:
             name = key[len(SUBMISSION_PREFIX) :]
-            current, before = self._values_by_name(key), previous._values_by_name(key)
+            current, before = self._select_values_by_name(key), previous._select_values_by_name(key)
             last_known = before.get(name)
             if last_known is not None:
                 current[name] = last_known
@@ -227,9 +227,9 @@
 
     def apply(self, records: Iterable[KeyedRecord]) -> list[UnreadableError | None]:
         """Apply records in log order; return for each the error if it cannot be read."""
-        return [self._apply_or_mark_unreadable(record) for record in records]
+        return [self._apply_record_or_mark_unreadable(record) for record in records]
 
-    def _unknown_owner(self) -> Owner:
+    def _make_unknown_owner(self) -> Owner:
         """Return a stand-in for an unreadable owner, with the highest epoch of any record.
 
         The store would refuse every claim with a lower epoch than the owner had.
@@ -239,16 +239,16 @@
             epochs.append(self.runners_in_use.epoch)
         return msgspec.structs.replace(UNKNOWN_OWNER, epoch=max(epochs, default=0))
 
-    def _apply_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
+    def _apply_record_or_mark_unreadable(self, record: KeyedRecord) -> UnreadableError | None:
         try:
-            self._apply_one(record)
+            self._apply_record(record)
         except UnreadableError as error:
-            self._mark_unreadable(record.key)
+            self._mark_key_unreadable(record.key)
             return error
         self.unreadable_keys.discard(record.key)
         return None
 
-    def _mark_unreadable(self, key: str) -> None:
+    def _mark_key_unreadable(self, key: str) -> None:
         if not key:
             return
         self.unreadable_keys.add(key)
@@ -258,7 +258,7 @@
         if prefix in {SUBMISSION_PREFIX, PROGRESS_PREFIX}:
             self.changed_jobs.add(name)
 
-    def _apply_one(self, record: KeyedRecord) -> None:
+    def _apply_record(self, record: KeyedRecord) -> None:
         if record.error is not None:
             raise record.error
         content = record.content
@@ -273,12 +273,12 @@
         if prefix == SUBMISSION_PREFIX:
             self._apply_submission(name, content)
         elif prefix == CANCELLATION_PREFIX:
-            _set_or_remove(self.cancellation_by_id, name, content, _CANCELLATION)
+            _apply_value(self.cancellation_by_id, name, content, _CANCELLATION)
             self.changed_jobs.add(name)
         elif prefix == PROGRESS_PREFIX:
             self._apply_progress(name, content)
         elif prefix == MEMBER_PREFIX:
-            _set_or_remove(self.member_by_host, name, content, _MEMBER)
+            _apply_value(self.member_by_host, name, content, _MEMBER)
 
     def _apply_owner(self, content: bytes | None) -> None:
         if content is None:
@@ -319,7 +319,7 @@
             self.progress_by_id[job] = progress
         self.changed_jobs.add(job)
 
-    def _values_by_name(self, key: str) -> dict:
+    def _select_values_by_name(self, key: str) -> dict:
         """Return the dictionary that has the values of a key's prefix."""
         by_prefix: dict[str, dict] = {
             SUBMISSION_PREFIX: self.submission_by_id,
@@ -333,13 +333,13 @@
 def _decode_submission(job: str, content: bytes) -> Submission:
     if not job or '.' in job:
         # Runners join the parts of a task name by dots.
-        raise UnreadableError(Reason.KEY, f'{job!r} is not a valid job id')
+        raise UnreadableError(UnreadableReason.KEY, f'{job!r} is not a valid job id')
     submission = decode_json(_SUBMISSION, content)
-    check_spec(submission.spec)
+    check_job_spec(submission.spec)
     return submission
 
 
-def _set_or_remove(
+def _apply_value(
     current: dict,
     name: str,
     content: bytes | None,
--- a/features/steps/active_runner_steps.py
+++ b/features/steps/active_runner_steps.py
@@ -37,7 +37,7 @@
 def choose_active_runners(context, later=0.0):
     """Choose the active runners, add them to the cell and poll each new one once."""
     context.small.now += later
-    context.chosen = context.active.choose(context.listed, context.small.now)
+    context.chosen = context.active.choose_runners_to_poll(context.listed, context.small.now)
     context.small.registration_by_id = context.chosen
     context.small.update_runners()
     for runner in context.chosen:
@@ -117,7 +117,7 @@
 
 @then('the runner x {fate}')
 def check_runner(context, fate):
-    released = {state.id for state in context.active.release_idle(context.listed)}
+    released = {state.id for state in context.active.release_idle_runners(context.listed)}
     assert released, 'no runner was released'
     assert (context.runner_id in released) is (fate == 'may be released'), fate
 
@@ -155,11 +155,11 @@
         registrations = {'w0': replace(make_numbered_registration(0, 'a'))}
         for _ in range(3):
             (state,) = cell.update_runners(registrations, 0.0)
-            await curio.spawn(poller.poll, state, context.runner, daemon=True)
+            await curio.spawn(poller.poll_runner, state, context.runner, daemon=True)
             await curio.sleep(0.02)
             cell.forget_runner('w0')
         (context.state,) = cell.update_runners(registrations, 0.0)
-        await curio.spawn(poller.poll, context.state, context.runner, daemon=True)
+        await curio.spawn(poller.poll_runner, context.state, context.runner, daemon=True)
         await curio.sleep(0.12)
         context.polls_in_progress = context.runner.polls_in_progress
 
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from dandelionreel.cell.decisions import AllocationPhase
-from dandelionreel.cell.decisions._ledger import Allocation
+from dandelionreel.cell.decisions._runner_state import Allocation
 from dandelionreel.cell.membership._election import Term
 from dandelionreel.cell.model import (
     Demand,
@@ -80,10 +80,10 @@
 class Unreachable(Runner):
     """A runner that no request reaches."""
 
-    async def start(self, order, check):
+    async def start_task(self, order, check):
         raise RunnerError('no answer', Verdict.UNKNOWN)
 
-    async def stop(self, task, run, epoch):
+    async def stop_run(self, task, run, epoch):
         raise RunnerError('no answer', Verdict.UNKNOWN)
 
     async def poll(self, epoch, acknowledged, lease_until, wait):
@@ -119,7 +119,7 @@
 def run_update(context):
     async def update_runners():
         async with AsyncExitStack() as stack:
-            await context.dispatcher._periodic_checks._update_runners(stack)
+            await context.dispatcher._periodic_checks._start_polling_new_runners(stack)
 
     curio.run(update_runners)
 
@@ -147,7 +147,7 @@
         runner = Unreachable()
         runner.poll = replaced_poll
         owner.runner_by_id['w9'] = runner
-        await RunnerPoller(owner).poll(state, runner)
+        await RunnerPoller(owner).poll_runner(state, runner)
 
     curio.run(poll)
 
--- a/features/steps/behind_a_cut_steps.py
+++ b/features/steps/behind_a_cut_steps.py
@@ -4,12 +4,12 @@
 from behave import given, then, when
 
 from dandelionreel.cell.clients._partition_reads import PartitionReads
-from dandelionreel.cell.decisions._completeness import is_complete
+from dandelionreel.cell.decisions._job_completeness import is_job_complete
 from dandelionreel.cell.membership._claim_order import follows_runner_list
 from dandelionreel.cell.membership._completion_handler import CompletionMessageHandler
-from dandelionreel.cell.membership._completion_reports import CompletionReports
+from dandelionreel.cell.membership._completion_reports import CompletionReporter
 from dandelionreel.cell.membership._completions import Completions
-from dandelionreel.cell.model import EndedRun, JobSpec, Outcome, RunnerView, Submission
+from dandelionreel.cell.model import EndedRun, JobSpec, RunnerView, RunOutcome, Submission
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import (
     MEMBER_PREFIX,
@@ -37,14 +37,14 @@
 DONE_MASK_BY_NAME = {'both tasks': '3', 'the first': '1', 'no tasks': ''}
 
 
-def make_end(index, step_number=0, outcome=Outcome.DONE):
+def make_end(index, step_number=0, outcome=RunOutcome.DONE):
     return EndedRun(1, task(JOB, index, step_number), 1, outcome, '')
 
 
 LISTED_BY_NAME = {
     'nothing': (),
     "the gang's first as done": (make_end(0, 1),),
-    "the gang's first as failed": (make_end(0, 1, Outcome.FAILED),),
+    "the gang's first as failed": (make_end(0, 1, RunOutcome.FAILED),),
     'the second and the gang': (make_end(1), make_end(2, 1)),
 }
 
@@ -71,15 +71,15 @@
 
 @then('the job of the zone counts as {verdict}')
 def job_verdict(context, verdict):
-    found = is_complete(JOB, context.spec, context.progress, context.ended)
+    found = is_job_complete(JOB, context.spec, context.progress, context.ended)
     assert found is (verdict == 'complete')
 
 
 class FixedDetector:
     """A partition detector with a fixed answer."""
 
-    def __init__(self, may_serve_reads):
-        self.may_serve_reads = may_serve_reads
+    def __init__(self, may_answer_reads):
+        self.may_answer_reads = may_answer_reads
 
 
 class RecordingRunner:
@@ -122,7 +122,7 @@
     context.detector = FixedDetector(where.startswith(('cut off with', 'queried')))
     meanwhile = bool
     if where.startswith('queried'):
-        meanwhile = lambda: context.completions.answer(2)  # noqa: E731
+        meanwhile = lambda: context.completions.list_for_owner(2)  # noqa: E731
     context.links = ZonePeerLinks(peer == 'a host that is cut off as well', meanwhile)
     context.cell_state = CellState()
     context.cell_state.apply([make_record(f'{MEMBER_PREFIX}me', Member('south', '127.0.0.1', 1))])
@@ -165,13 +165,15 @@
 
 @when('a client asks for the job')
 def ask_for_job(context):
-    context.is_shown_complete = curio.run(context.partition_reads.is_complete, JOB)
+    context.is_shown_complete = curio.run(context.partition_reads.is_job_complete, JOB)
 
 
 @when('{count:d} clients ask for the job within 0.1 s')
 def many_clients_ask(context, count):
     async def ask_many():
-        tasks = [await curio.spawn(context.partition_reads.is_complete, JOB) for _ in range(count)]
+        tasks = [
+            await curio.spawn(context.partition_reads.is_job_complete, JOB) for _ in range(count)
+        ]
         return [await client_task.join() for client_task in tasks]
 
     assert curio.run(ask_many) == [True] * count
@@ -238,15 +240,15 @@
     gossip = CompletionGossip(
         context.owner, cell_state, context.zone, Completions(context.clock), 'me'
     )
-    context.owner.confirm_zone = ZoneConfirmation(
+    context.owner.confirm_zone_completions = ZoneConfirmation(
         context.owner, cell_state, gossip, 'me'
-    ).is_confirmed
+    ).has_reported_completions
     context.clock.advance(context.silent)
     times = 20 if hosts.endswith('times within 0.2 s') else 1
 
     async def hear():
         for _ in range(times):
-            await RunnerPoller(context.owner)._expire_leases(context.state)
+            await RunnerPoller(context.owner)._expire_runner_leases(context.state)
             context.clock.advance(0.2 / times)
 
     curio.run(hear)
@@ -320,13 +322,13 @@
     context.cell_state.apply(records)
     clock = context.completions._clock
     context.links = OwnerLinks(answers == 'accepts the report')
-    reports = CompletionReports(
+    reports = CompletionReporter(
         'me', context.cell_state, context.links, context.completions, clock, journal()
     )
 
     async def report():
         for _ in range(20):
-            await reports.report()
+            await reports.send_due_reports()
             clock.advance(0.1)
 
     curio.run(report)
@@ -353,7 +355,7 @@
 def peer_reports(context):
     async def complete_at_owner(jobs):
         if context.owns:
-            context.small.cell.mark_complete(jobs)
+            context.small.cell.mark_jobs_complete(jobs)
         return context.owns
 
     answers = CompletionMessageHandler(
@@ -368,4 +370,4 @@
     assert isinstance(context.answer, Done) is (answer == 'accepts'), context.answer
     complete = context.job.state is JobState.COMPLETED
     assert complete is (knows == 'marks the job as complete'), context.job.state
-    assert (JOB in context.completions.answer(3)) is (tells == 'tells')
+    assert (JOB in context.completions.list_for_owner(3)) is (tells == 'tells')
--- a/features/steps/wait_steps.py
+++ b/features/steps/wait_steps.py
@@ -79,17 +79,17 @@
     former = Owner(1, 'other', 'other/1')
     term = Term(2, 'me/1', WriterFence(2, 1), 1000.0, False, False, former=former)
     context.predecessor_leases = PredecessorLeases(term, LEASE_SECONDS, 1000.0)
-    context.end_before = context.predecessor_leases.end_at
+    context.end_before = context.predecessor_leases.expire_at
 
 
 @when('its successor checks for proof that it has ended and finds none')
 def no_proof(context):
-    assert not context.predecessor_leases.shorten_if_ended(CellState(), 1001.0)
+    assert not context.predecessor_leases.shorten_if_owner_ended(CellState(), 1001.0)
 
 
 @then('the wait is as long as before')
 def check_wait_unchanged(context):
-    assert context.predecessor_leases.end_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
+    assert context.predecessor_leases.expire_at == context.end_before >= 1000.0 + MAX_WAIT_SECONDS
 
 
 @given('a host that has long known the owner')
