--- a/dandelionreel/backing/_memory_worker.py
+++ b/dandelionreel/backing/_memory_worker.py
@@ -95,9 +95,9 @@
     ) -> None:
         """Start a task under a lease; raises ``WorkerError``."""
         if task_id in self._task_by_id or task_id in self._tombstones:
-            raise WorkerError(f'task {task_id} was started or stopped before', Verdict.NOT_RUN)
+            raise WorkerError(f'{task_id} is known already', Verdict.NOT_RUN)
         if not check():
-            raise WorkerError('the authority to start tasks has expired', Verdict.NOT_RUN)
+            raise WorkerError('no authority any more', Verdict.NOT_RUN)
         lease_until = self._clock.monotonic() + order.lease_ms / MILLISECONDS_PER_SECOND
         task = MemoryTask(task_id, order, lease_until, order.owner)
         self._task_by_id[task_id] = task
--- a/dandelionreel/backing/_workers.py
+++ b/dandelionreel/backing/_workers.py
@@ -145,9 +145,7 @@
         request = Request('PUT', f'/v1/tasks/{task_id}', body=msgspec.json.encode(order))
         response = await self._send_request(self._order_channel, request, timeout, check)
         if response.status not in {HTTP_OK, HTTP_CREATED}:
-            raise WorkerError(
-                f'the worker refused the start (status {response.status})', Verdict.NOT_RUN
-            )
+            raise WorkerError(f'the worker refused ({response.status})', Verdict.NOT_RUN)
 
     async def list_tasks(self, after: int, wait: float) -> TaskList:
         """Return the task list, waiting up to ``wait`` seconds for a change."""
--- a/dandelionreel/callers/_caller_api.py
+++ b/dandelionreel/callers/_caller_api.py
@@ -55,7 +55,7 @@
             raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'not-ready',
-                'this daemon has not loaded the contracts in force yet',
+                'this daemon does not know the contracts in force yet',
                 NOT_READY_RETRY_SECONDS,
             )
         if request.path.startswith(SERVICES_PREFIX):
@@ -66,7 +66,7 @@
         """Answer a request that a peer forwarded."""
         message = frame.message
         if not isinstance(message, Forward):
-            return Refused('not a forwarded request')
+            return Refused('not a forward')
         if message.request.path.startswith(SERVICES_PREFIX):
             return await self._router.answer_forward(frame)
         try:
@@ -121,7 +121,7 @@
         except msgspec.MsgspecError as error:
             raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', f'{error}') from error
         if body.from_zone == body.to_zone:
-            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', 'to_zone: must differ from from_zone')
+            raise not_run_error(HTTP_BAD_REQUEST, 'bad-body', 'to_zone: is from_zone; name another')
         self._relay.check_zone_is_known(body.from_zone)
         if body.to_zone != self._zone:
             return await self._relay.send_to_zone(body.to_zone, request)
--- a/dandelionreel/callers/_relay.py
+++ b/dandelionreel/callers/_relay.py
@@ -40,15 +40,15 @@
                 raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'peer-silent',
-                    f'{state.address.host} received the request and did not answer; '
-                    'retry with the same idempotency key',
+                    f'{state.address.host} had the request and did not answer; '
+                    'ask again with the same idempotency key',
                 ) from error
             if isinstance(frame.message, ForwardAnswer):
                 return frame.message.response
         raise not_run_error(
             HTTP_UNAVAILABLE,
             'zone-unreachable',
-            f'zone {zone}, which stores this job, is unreachable',
+            f'zone {zone}, which keeps this job, is out of reach',
             RETRY_AFTER_SECONDS,
         )
 
@@ -56,7 +56,7 @@
         """Raise ``RequestError`` for a zone that is not in the settings."""
         if zone not in self._zones:
             raise not_run_error(
-                HTTP_NOT_FOUND, 'unknown-zone', f'zone {clip_text(zone)!r} is not in the settings'
+                HTTP_NOT_FOUND, 'unknown-zone', f'no zone {clip_text(zone)!r} is known'
             )
 
     async def cancel_jobs(self, zone: str, jobs: tuple[str, ...]) -> CancelResult:
--- a/dandelionreel/cell/clients/_client_api.py
+++ b/dandelionreel/cell/clients/_client_api.py
@@ -191,7 +191,9 @@
         """
         self._log_request_outcome(request, path, denied.value, version=self._configuration.version)
         if denied is DenialReason.UNDECIDED:
-            return unavailable_response('key-unchecked', 'the key cannot be checked now')
+            return unavailable_response(
+                'key-unchecked', 'whether the key is known cannot be told just now'
+            )
         response = not_run_response(HTTP_UNAUTHORIZED, 'unknown-key', 'a known API key is needed')
         return Response(response.status, (*response.headers, CHALLENGE_HEADER), response.body)
 
--- a/dandelionreel/cell/model/_checks.py
+++ b/dandelionreel/cell/model/_checks.py
@@ -30,7 +30,7 @@
     if not 0 <= spec.repeat_count <= MAX_OCCURRENCES:
         raise _range_error(f'repeat_count: 0 to {MAX_OCCURRENCES} is allowed')
     if spec.interval < 0 or 0 < spec.interval < MIN_INTERVAL_SECONDS:
-        raise _range_error('the interval must be 0 or at least one millisecond')
+        raise _range_error('the interval is 0 or a millisecond at least')
     if max(abs(spec.first_run), spec.interval) > MAX_TIME_SECONDS:
         raise _range_error('the first run or the interval is too far away')
     for number, step in enumerate(spec.steps):
@@ -49,9 +49,7 @@
     for earlier in step.depends_on:
         # Only earlier steps are allowed, so dependencies have no cycle.
         if not 0 <= earlier < number:
-            raise _range_error(
-                f'step {number}: depends_on names {earlier}, which is no earlier step'
-            )
+            raise _range_error(f'step {number}: depends_on names {earlier}, no earlier step')
 
 
 def check_progress(progress: Progress, spec: JobSpec) -> None:
--- a/dandelionreel/contracts/_publisher.py
+++ b/dandelionreel/contracts/_publisher.py
@@ -94,7 +94,7 @@
                 HTTP_TIMEOUT,
                 'contract-outcome-unknown',
                 'the proposal is in the log but its outcome was not read in time; '
-                'check the contract history',
+                'ask for the history',
             )
         if outcome.state != 'committed':
             raise not_run_error(
@@ -245,11 +245,11 @@
         return not_run_error(
             HTTP_UNAVAILABLE,
             'log-unavailable',
-            'the log is unavailable; nothing was published',
+            'the log is out of reach; nothing was published',
             retry_after=10,
         )
     return outcome_unknown_error(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
-        'the log did not confirm the proposal; check the contract history before publishing again',
+        'the log did not confirm; ask for the history before publishing again',
     )
--- a/dandelionreel/contracts/_terms.py
+++ b/dandelionreel/contracts/_terms.py
@@ -23,6 +23,6 @@
         raise not_run_error(
             HTTP_FORBIDDEN,
             'class-not-in-contract',
-            f'the contract of {customer} does not include class {task_class!r}',
+            f'the contract of {customer} does not name class {task_class!r}',
         )
     return contract
--- a/dandelionreel/http/_client.py
+++ b/dandelionreel/http/_client.py
@@ -90,9 +90,7 @@
             raise
         except (OSError, h11.ProtocolError) as error:
             await self.close()
-            raise ConnectionBrokenError(
-                f'incomplete or invalid response: {error}', sent=progress.sent
-            ) from error
+            raise ConnectionBrokenError(f'broken answer: {error}', sent=progress.sent) from error
         except BaseException:
             await self.close()
             raise
@@ -130,7 +128,7 @@
             payload += self._http.send(h11.Data(data=request.body))
         payload += self._http.send(h11.EndOfMessage())
         if check is not None and not check():
-            raise SendForbiddenError('the authority to send this request has expired', sent=False)
+            raise SendForbiddenError('no authority any more', sent=False)
         progress.sent = True
         self._count_bytes(len(payload))
         await self._sock.sendall(payload)
@@ -161,11 +159,11 @@
             if isinstance(event, h11.Data):
                 body.extend(event.data)
                 if len(body) > self._answer_bytes:
-                    raise OSError(f'response body longer than {self._answer_bytes} bytes')
+                    raise OSError(f'answer longer than {self._answer_bytes} bytes')
                 continue
             if isinstance(event, h11.EndOfMessage):
                 return Response(status, headers, bytes(body))
-            raise OSError('connection closed before the end of the response')
+            raise OSError('connection closed before the whole answer')
 
 
 class RefusedError(ExchangeError):
@@ -266,7 +264,7 @@
             async with curio.timeout_after(timeout):
                 await self._lock.acquire()
         except curio.TaskTimeout as error:
-            raise ExchangeError('other requests kept the connection busy', sent=False) from error
+            raise ExchangeError('the connection stayed busy', sent=False) from error
         try:
             return await self._exchange_once(request, timeout, check)
         finally:
--- a/dandelionreel/jobs/_job_api.py
+++ b/dandelionreel/jobs/_job_api.py
@@ -109,7 +109,7 @@
             raise not_run_error(
                 HTTP_INVALID,
                 'key-reused',
-                f'this idempotency key was used for job {known.id}, whose spec differs',
+                f'this idempotency key belongs to job {known.id}, which is another job',
             )
         return json_response(view_job(known), HTTP_ACCEPTED)
 
@@ -152,7 +152,7 @@
             raise not_run_error(
                 HTTP_BAD_REQUEST,
                 'bad-body',
-                f'jobs: has {len(body.jobs)} ids; give 1 to {MAX_CANCELLED_JOBS}',
+                f'jobs: names {len(body.jobs)}; give 1 to {MAX_CANCELLED_JOBS}',
             )
         return body
 
@@ -186,7 +186,7 @@
             raise not_run_error(
                 HTTP_CONFLICT,
                 'job-not-open',
-                f'job {job_id} is {job.state.value}; only uncertain or parked jobs can be resolved',
+                f'job {job_id} is {job.state.value}; only uncertain or parked ones are resolved',
             )
         await self._write_record(JobResolved(job_id, body.outcome))
         return self.show(job_id)
@@ -200,7 +200,7 @@
             raise outcome_unknown_error(
                 HTTP_TIMEOUT,
                 'job-not-read-back',
-                'the job may be stored; retry with the same idempotency key',
+                'ask again with the same key',
             )
         self._journal.log_sampled(
             Part.JOBS,
@@ -215,7 +215,7 @@
             raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'log-unavailable',
-                'the log is unreachable; the request was not stored',
+                'the log is out of reach; nothing was taken',
                 RETRY_AFTER_SECONDS,
             )
         try:
@@ -233,7 +233,7 @@
         job = self._jobs.get(job_id)
         if job is None:
             raise not_run_error(
-                HTTP_NOT_FOUND, 'unknown-job', f'job {clip_text(job_id)!r} is unknown'
+                HTTP_NOT_FOUND, 'unknown-job', f'no job {clip_text(job_id)!r} is known'
             )
         return job
 
@@ -246,7 +246,7 @@
                 Verdict.RAN,
                 HTTP_CONFLICT,
                 'already-ran',
-                f'this idempotency key was used for job {ended_id}, which has ended',
+                f'this idempotency key belongs to job {ended_id}, which ended earlier',
             ),
         )
 
@@ -257,14 +257,14 @@
             raise not_run_error(
                 HTTP_INVALID,
                 'above-quota',
-                f'demand: {total} exceeds the quota of {spec.customer}, '
-                f'{contract.quota.resources()}; the job could never run',
+                f'demand: {total} is above the quota of {spec.customer}, '
+                f'{contract.quota.resources()}; it could never run',
             )
         if self._jobs.count_live_jobs(spec.customer) >= contract.jobs_waiting:
             raise not_run_error(
                 HTTP_TOO_MANY,
                 'too-many-jobs',
-                f'{spec.customer} already has {contract.jobs_waiting} jobs in this zone',
+                f'{spec.customer} has {contract.jobs_waiting} jobs here already',
                 RETRY_AFTER_SECONDS,
             )
         self._check_fits_workers(spec)
@@ -284,8 +284,8 @@
         raise not_run_error(
             HTTP_INVALID,
             'never-fits',
-            f'demand: {spec.tasks} times {spec.resources} does not fit on the workers of the zone, '
-            f'the largest has {largest}; the job could never run',
+            f'demand: {spec.tasks} times {spec.resources} fits no set of workers here, '
+            f'the largest has {largest}; it could never run',
         )
 
 
@@ -298,11 +298,11 @@
         return not_run_error(
             HTTP_UNAVAILABLE,
             'log-unavailable',
-            'the log is unreachable; the request was not stored',
+            'the log is out of reach; nothing was taken',
             RETRY_AFTER_SECONDS,
         )
     return outcome_unknown_error(
         HTTP_TIMEOUT,
         'log-outcome-unknown',
-        'the log did not confirm the write in time; retry with the same idempotency key',
+        'the log did not confirm in time; ask again with the same idempotency key',
     )
--- a/dandelionreel/jobs/_mover.py
+++ b/dandelionreel/jobs/_mover.py
@@ -115,7 +115,7 @@
                 raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'log-outcome-unknown',
-                    f'{error}; repeat the move, no job is lost or duplicated',
+                    f'{error}; move again, nothing is lost or doubled',
                 ) from error
 
     async def _await_reader_caught_up(self, remote: _RemoteZone) -> None:
@@ -149,6 +149,6 @@
     return not_run_error(
         HTTP_UNAVAILABLE,
         'log-unavailable',
-        'the log is unreachable; no job was moved',
+        'the log is out of reach; nothing was moved',
         RETRY_AFTER_SECONDS,
     )
--- a/dandelionreel/jobs/_spec.py
+++ b/dandelionreel/jobs/_spec.py
@@ -51,9 +51,7 @@
         allowed = ', '.join(TASK_CLASSES)
         raise JobSpecError(f'task_class: {spec.task_class!r} is unknown; allowed: {allowed}')
     if spec.task_class == 'service' and not spec.idempotent:
-        raise JobSpecError(
-            'idempotent: false; a service is restarted when it ends, so it must be true'
-        )
+        raise JobSpecError('idempotent: false; a service is started again, so it must be true')
     if not spec.demand.processors and not spec.demand.memory_mb:
-        raise JobSpecError('demand: requests no resources; give processors or memory_mb above 0')
+        raise JobSpecError('demand: asks for nothing; give processors or memory_mb above 0')
     return spec
--- a/dandelionreel/life.py
+++ b/dandelionreel/life.py
@@ -44,7 +44,7 @@
         if self.stopping:
             reasons.append('stopping')
         if not self.knows_contracts():
-            reasons.append('the contracts in force are not known yet from the log or a peer')
+            reasons.append('neither the log nor a peer has told the contracts in force')
         return tuple(reasons)
 
     def knows_contracts(self) -> bool:
--- a/dandelionreel/ownership/_peer_monitor.py
+++ b/dandelionreel/ownership/_peer_monitor.py
@@ -144,7 +144,7 @@
         """Answer a heartbeat, with a promise unless this daemon claims a shard of the sender."""
         message = frame.message
         if not isinstance(message, Heartbeat):
-            return Refused('message is not a heartbeat')
+            return Refused('not a heartbeat')
         same_zone = message.availability_zone == self._zone
         if same_zone:
             self._promises.require_promise(frame.sender)
--- a/dandelionreel/peers/_server.py
+++ b/dandelionreel/peers/_server.py
@@ -109,5 +109,5 @@
     async def _dispatch_frame(self, frame: Frame) -> Message:
         handler = self._handler_by_type.get(type(frame.message))
         if handler is None:
-            return Refused('this message type is not a request')
+            return Refused('not a question')
         return await handler(frame)
--- a/dandelionreel/platform/_submissions.py
+++ b/dandelionreel/platform/_submissions.py
@@ -59,7 +59,7 @@
     except UnreadableError as error:
         raise SubmissionError(f'{error}') from error
     if len(submission.spec.encode()) > MAX_PAYLOAD_BYTES:
-        raise SubmissionError(f'spec is longer than {MAX_PAYLOAD_BYTES} bytes')
+        raise SubmissionError(f'spec is over {MAX_PAYLOAD_BYTES} bytes')
     spec = JobSpec(
         payload=submission.spec,
         steps=tuple(_to_step(step) for step in submission.steps),
--- a/dandelionreel/routing/_admission.py
+++ b/dandelionreel/routing/_admission.py
@@ -40,7 +40,7 @@
             raise not_run_error(
                 HTTP_FORBIDDEN,
                 'service-not-in-contract',
-                f'the contract of {call.customer} does not include service {call.service!r}',
+                f'the contract of {call.customer} does not name service {call.service!r}',
             )
         usage = self._get_customer_usage(call.customer)
         self._check_request_limits(usage, contract)
@@ -65,8 +65,8 @@
             raise not_run_error(
                 HTTP_TOO_MANY_REQUESTS,
                 'concurrency-limit',
-                f'{usage.in_flight} requests of {contract.customer} are in flight here; '
-                f'its contract allows {allowed} on this host',
+                f'{usage.in_flight} requests of {contract.customer} are under way here; '
+                f'its contract allows this host {allowed}',
                 CONCURRENCY_RETRY_SECONDS,
             )
         rate, burst = daemon_share_of_rate(terms, share, members)
@@ -75,6 +75,6 @@
             raise not_run_error(
                 HTTP_TOO_MANY_REQUESTS,
                 'rate-limit',
-                f'{contract.customer} exceeds its rate of {terms.rate} requests per second',
+                f'{contract.customer} is above its rate of {terms.rate} a second',
                 wait,
             )
--- a/dandelionreel/routing/_call.py
+++ b/dandelionreel/routing/_call.py
@@ -59,15 +59,13 @@
     """Validate and parse a request; raises ``RequestError`` with the verdict ``NOT_RUN``."""
     service, _, _ = request.path.removeprefix(SERVICES_PREFIX).partition('/')
     if not request.path.startswith(SERVICES_PREFIX) or not service:
-        raise not_run_error(
-            HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: the path names no service'
-        )
+        raise not_run_error(HTTP_NOT_FOUND, 'no-such-path', f'{request.path}: name a service')
     customer = request.header(CUSTOMER_HEADER)
     if not customer:
         raise not_run_error(
             HTTP_BAD_REQUEST,
             'missing-header',
-            f'header {CUSTOMER_HEADER} is missing',
+            f'header {CUSTOMER_HEADER} is missing; name the customer',
         )
     return ServiceCall(
         id=request.header('dandelionreel-request-id') or os.urandom(REQUEST_ID_BYTES).hex(),
@@ -88,7 +86,8 @@
         raise not_run_error(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {DEADLINE_HEADER}: {clip_text(text)!r} must be 1 to {limit} milliseconds',
+            f'header {DEADLINE_HEADER}: {clip_text(text)!r} is not allowed; '
+            f'give 1 to {limit} milliseconds',
         )
     return int(text) / MILLISECONDS_PER_SECOND
 
@@ -101,7 +100,7 @@
         raise not_run_error(
             HTTP_BAD_REQUEST,
             'bad-header',
-            f'header {IDEMPOTENT_HEADER}: {clip_text(text)!r} must be true or false',
+            f'header {IDEMPOTENT_HEADER}: {clip_text(text)!r} is not allowed; give true or false',
         )
     return text == 'true'
 
--- a/dandelionreel/routing/_keys.py
+++ b/dandelionreel/routing/_keys.py
@@ -159,20 +159,20 @@
         return not_run_error(
             HTTP_UNPROCESSABLE,
             'key-reused',
-            'this idempotency key was used for a different request; use a new one',
+            'this idempotency key belongs to another request; use a new one',
         )
     if state.status is None:
         return outcome_unknown_error(
             HTTP_CONFLICT,
             'already-sent',
-            'a request with this key was already sent; its result is unknown here',
+            'a request with this key was sent before; what became of it is not known here',
         )
     return RequestError(
         Problem(
             Verdict.RAN,
             HTTP_CONFLICT,
             'already-ran',
-            f'a request with this key already ran; the runner answered {state.status}',
+            f'a request with this key ran before; the runner answered {state.status}',
         ),
     )
 
@@ -181,6 +181,6 @@
     return not_run_error(
         HTTP_UNAVAILABLE,
         'log-unavailable',
-        'the log did not accept the intent; nothing was sent',
+        'the log did not take the intent; nothing was sent',
         RETRY_AFTER_SECONDS,
     )
--- a/dandelionreel/routing/_router.py
+++ b/dandelionreel/routing/_router.py
@@ -135,7 +135,7 @@
         """Serve a request that a peer forwarded."""
         message = frame.message
         if not isinstance(message, Forward):
-            return Refused('not a forwarded request')
+            return Refused('not a forward')
         try:
             call = parse_service_call(
                 message.request,
@@ -250,7 +250,7 @@
             raise not_run_error(
                 HTTP_UNAVAILABLE,
                 'zones-differ',
-                f"zone {zone} keeps this key by our settings, not by the forwarding daemon's",
+                f"zone {zone} keeps this key by our settings, not by the asking daemon's",
                 NO_ROUTE_RETRY_SECONDS,
             )
         return await self._forward_to_first_accepting(call, self._directory.states(zone), MAX_HOPS)
@@ -273,14 +273,14 @@
                 raise outcome_unknown_error(
                     HTTP_TIMEOUT,
                     'peer-silent',
-                    'the daemon that received the request did not answer',
+                    'the daemon that had the request did not answer',
                 ) from error
             if response is not None:
                 return response
         raise not_run_error(
             HTTP_UNAVAILABLE,
             'peers-unreachable',
-            'no daemon that could accept the request is reachable',
+            'no daemon that could take the request is in reach',
             NO_ROUTE_RETRY_SECONDS,
         )
 
@@ -367,7 +367,7 @@
             raise outcome_unknown_error(
                 HTTP_TIMEOUT,
                 'peer-silent',
-                f'{state.member} received the request and did not answer',
+                f'{state.member} had the request and did not answer',
             ) from error
         if response is None:
             state.gossip = replace(state.gossip, service_slots=())
@@ -448,7 +448,7 @@
             raise not_run_error(
                 HTTP_NOT_FOUND,
                 'unknown-service',
-                f'service {call.service!r} has no known runner',
+                f'no runner of service {call.service!r} is known',
                 NO_ROUTE_RETRY_SECONDS,
             )
         if queue.is_full:
@@ -489,7 +489,7 @@
             raise not_run_error(
                 HTTP_TIMEOUT,
                 'deadline',
-                'no slot was free before the deadline; nothing was sent',
+                'no slot came free before the deadline; nothing was sent',
                 RETRY_AFTER_SECONDS,
             )
 
--- a/dandelionreel/workers/_agent.py
+++ b/dandelionreel/workers/_agent.py
@@ -137,9 +137,9 @@
         now = self._clock.monotonic()
         allocation = self.ledger.get(order.task_id)
         if allocation is not None and allocation.state is AllocationState.RUNNING:
-            return PlaceAnswer(STARTED, 'the task already runs')
+            return PlaceAnswer(STARTED, 'it runs already')
         if allocation is not None:
-            return PlaceAnswer(UNKNOWN, 'a start of the task is pending or its outcome is unknown')
+            return PlaceAnswer(UNKNOWN, 'its start is under way or in doubt')
         grant = self.current_grant()
         cause = self.ledger.refusal_reason(order.demand, grant)
         if cause:
--- a/dandelionreel/workers/_fleet.py
+++ b/dandelionreel/workers/_fleet.py
@@ -143,7 +143,7 @@
         """
         order = frame.message
         if not isinstance(order, PlaceOrder):
-            return Refused('not a start order')
+            return Refused('not an order')
         age = self._clock.monotonic() - frame.echo
         if age > self._settings.timings.start_deadline + self._settings.timings.heartbeat * 2:
             return PlaceAnswer(REFUSED, 'the order is too old')
@@ -153,12 +153,8 @@
         """Carry out the dispatcher's action on a task."""
         action = frame.message
         if not isinstance(action, TaskAction):
-            return Refused('not a task action')
-        return (
-            Done()
-            if await self.apply_task_action(action)
-            else Refused('the action was not carried out')
-        )
+            return Refused('not an action')
+        return Done() if await self.apply_task_action(action) else Refused('not done')
 
     def _worker_entries(self) -> tuple[HostEntry, ...]:
         return self._hosts.zone_hosts_of_kind('worker', self._settings.availability_zone)
--- a/dandelionreel/workers/_ledger.py
+++ b/dandelionreel/workers/_ledger.py
@@ -82,11 +82,11 @@
     def refusal_reason(self, demand: Resources, grant: Grant) -> str:
         """Return why a task may not start now, empty if it may."""
         if grant.level is GrantLevel.NONE:
-            return 'this daemon does not own the worker'
+            return 'not the owner'
         if self.listed_at < grant.since:
-            return 'the tasks of the worker have not been listed since the claim'
+            return 'the worker has not been listed since the claim'
         if not (self.total_demand() + demand).fits(self.usable_capacity(grant)):
-            return f'the demand exceeds the capacity at level {grant.level.value}'
+            return f'no room under {grant.level.value}'
         return ''
 
     def add_start(self, task_id: str, demand: Resources, grant: Grant, now: float) -> None:
