--- a/dandelionreel/cell/clients/_relay.py
+++ b/dandelionreel/cell/clients/_relay.py
@@ -121,7 +121,7 @@
         call: ClientCall,
         timeout: float,
     ) -> RelayResult:
-        forward = Forward(_strip_api_key(call.request), timeout, 1, call.caller)
+        forward = Forward(_strip_key(call.request), timeout, 1, call.caller)
         try:
             frame = await self._links.request(member, forward, timeout)
         except PeerError as error:
@@ -185,7 +185,7 @@
         )
 
 
-def _strip_api_key(request: Request) -> Request:
+def _strip_key(request: Request) -> Request:
     """Return a request without its API key; the peer gets the caller instead."""
     kept = tuple(header for header in request.headers if header[0] != AUTHORIZATION)
     return replace(request, headers=kept)
