--- a/dandelionreel/cell/decisions/__init__.py
+++ b/dandelionreel/cell/decisions/__init__.py
@@ -12,6 +12,7 @@
 from dandelionreel.cell.decisions._runner_views import PollEffect
 from dandelionreel.cell.decisions._runs import ANY_RUNNER, JobRun
 from dandelionreel.cell.decisions._stalled_jobs import StalledJobs
+from dandelionreel.cell.decisions._start_window import StartWindow
 from dandelionreel.cell.decisions._step_runs import Phase, StepRun, TaskRun
 
 __all__ = (
@@ -30,6 +31,7 @@
     'PollEffect',
     'RunnerState',
     'StalledJobs',
+    'StartWindow',
     'StepRun',
     'TaskRun',
     'is_complete',
--- a/dandelionreel/cell/decisions/_hopeless_runs.py
+++ b/dandelionreel/cell/decisions/_hopeless_runs.py
@@ -42,7 +42,7 @@
 def _broken_gangs(cell: Cell, wall: float) -> Iterable[StepRun]:
     """Return gangs of which some members run and others do not."""
     for job in cell.live_by_id.values():
-        if job.over or not job.began or cell.is_blocked(job):
+        if not job.has_gangs or job.over or not job.began or cell.is_blocked(job):
             continue
         for step in job.ready_steps(wall):
             if step.step.gang and 0 < step.waiting < len(step.tasks):
--- a/dandelionreel/cell/decisions/_planner.py
+++ b/dandelionreel/cell/decisions/_planner.py
@@ -23,7 +23,7 @@
     WaitingOrder,
     list_candidates,
 )
-from dandelionreel.cell.model import Queue, StepName
+from dandelionreel.cell.model import Demand, Queue, StepName
 
 #: Processors for which advice is requested, as a multiple of those that are free: without a limit
 #: every waiting step would ask about the same room.
@@ -73,12 +73,32 @@
     patient_requests: float
     most_starts: float
     made: Plan = field(default_factory=Plan)
+    _largest_by_service: dict[str, Demand] = field(default_factory=dict)
 
     @property
     def starts_left(self) -> float:
         """Return how many more starts may be sent."""
         return self.most_starts - len(self.made.starts)
 
+    def largest_room(self, service: str) -> Demand:
+        """Return the most that a runner had left of each resource when it was last asked for.
+
+        Rooms only shrink in a plan, so what does not fit it fits nowhere.
+        """
+        known = self._largest_by_service.get(service)
+        if known is None:
+            rooms = [runner.room for runner in self.runners_by_service[service].values()]
+            known = self._largest_by_service[service] = Demand(
+                max(room.cpu for room in rooms),
+                max(room.memory_mb for room in rooms),
+                max(room.gpu for room in rooms),
+            )
+        return known
+
+    def forget_largest_room(self, service: str) -> None:
+        """Have the largest room looked up again: a step that fits it has found no place."""
+        self._largest_by_service.pop(service, None)
+
 
 class Planner:
     """Decides over a cell; each call looks at all that waits."""
@@ -173,16 +193,23 @@
             if step.step.gang:
                 self._gate.claim(candidate)
             return
-        if candidate.queue is None or candidate.queue.advice is None:
-            seats = [(runner, '') for runner in runners.values() if suits(step, runner)]
-        else:
+        needs_advice = candidate.queue is not None and candidate.queue.advice is not None
+        may_place = candidate.job.stored and current.starts_left > 0
+        if not needs_advice and not step.step.gang:
+            service = self._cell.service_of(candidate.job)
+            if not may_place or not counted_demand(step).fits(current.largest_room(service)):
+                return
+        if needs_advice:
             seats = self._permitted(step, runners, current.now)
+        else:
+            seats = [(runner, '') for runner in runners.values() if suits(step, runner)]
         if step.step.gang:
             self._serve_gang(candidate, seats, runners, current)
             return
-        may_place = candidate.job.stored and current.starts_left > 0
         placed = may_place and self._place_tasks(candidate, seats, current, allowed)
-        if not placed and not self._has_seats(candidate, seats, current):
+        if not placed:
+            current.forget_largest_room(self._cell.service_of(candidate.job))
+        if needs_advice and not placed and not self._has_seats(candidate, seats, current):
             self._ask(candidate, runners, current)
 
     def _has_seats(self, candidate: Candidate, seats: list[Seat], current: _Round) -> bool:
--- a/dandelionreel/cell/decisions/_runs.py
+++ b/dandelionreel/cell/decisions/_runs.py
@@ -2,7 +2,13 @@
 
 from dandelionreel.cell.decisions._crashes import JobCrashes
 from dandelionreel.cell.decisions._objectives import objective
-from dandelionreel.cell.decisions._step_runs import Phase, StepRun, TaskRun, counted_demand
+from dandelionreel.cell.decisions._step_runs import (
+    ChangeCount,
+    Phase,
+    StepRun,
+    TaskRun,
+    counted_demand,
+)
 from dandelionreel.cell.model import (
     FINAL_STATES,
     Demand,
@@ -40,6 +46,11 @@
         self.ended_at = 0.0
         self._steps_by_occurrence: dict[int, list[StepRun]] = {}
         self._done_occurrences = 0
+        self._changes = ChangeCount()
+        #: The ready steps of a job without repeats, and the changes after which they were listed.
+        self._listed: tuple[int, list[StepRun]] | None = None
+        #: Whether any of its steps starts all of its tasks at once.
+        self.has_gangs = any(step.gang for step in submission.spec.steps)
         self._failed_runs: set[FailedRun] = set()
         self.crashes = JobCrashes()
         self._objective: tuple[Queue | None, Demand | None, float] | None = None
@@ -68,6 +79,11 @@
         """Return what the client handed in."""
         return self.submission.spec
 
+    @property
+    def changes(self) -> int:
+        """Return how many times a task has been placed, released or finished."""
+        return self._changes.count
+
     @property
     def shown_state(self) -> JobState:
         """Return what clients are told: nothing that a crash could take back."""
@@ -89,7 +105,7 @@
         known = self._steps_by_occurrence.get(occurrence)
         if known is None:
             known = [
-                StepRun(StepName(self.id, occurrence, number), step)
+                StepRun(StepName(self.id, occurrence, number), step, self._changes)
                 for number, step in enumerate(self.spec.steps)
             ]
             self._steps_by_occurrence[occurrence] = known
@@ -141,7 +157,18 @@
         return min(self.spec.occurrences, int(since / self.spec.interval) + 1)
 
     def ready_steps(self, wall: float) -> list[StepRun]:
-        """Return the steps with waiting tasks whose turn has come."""
+        """Return the steps with waiting tasks whose turn has come.
+
+        An owner asks in each plan, and hardly any job has changed since the last one.
+        """
+        if self.spec.repeat_count:
+            return self._list_ready(wall)
+        changes = self._changes.count
+        if self._listed is None or self._listed[0] != changes:
+            self._listed = (changes, self._list_ready(wall))
+        return self._listed[1]
+
+    def _list_ready(self, wall: float) -> list[StepRun]:
         ready = []
         for occurrence in range(self._done_occurrences, self.due_occurrences(wall)):
             steps = self.steps(occurrence)
@@ -152,10 +179,6 @@
                     ready.append(step)
         return ready
 
-    def count_changes(self) -> int:
-        """Return how many times a task has been placed, released or finished."""
-        return sum(step.changes for steps in self._steps_by_occurrence.values() for step in steps)
-
     def unfinished_steps(self, wall: float) -> list[StepRun]:
         """Return the steps whose turn has come and that still have something to do.
 
--- a/dandelionreel/cell/decisions/_stalled_jobs.py
+++ b/dandelionreel/cell/decisions/_stalled_jobs.py
@@ -73,7 +73,7 @@
         self._progress_by_job = {}
         due = []
         for job in self._cell.live_by_id.values():
-            changes = job.count_changes()
+            changes = job.changes
             known = former.get(job.id)
             if known is None or known.changes != changes:
                 known = _Progress(changes, now)
--- a/dandelionreel/cell/decisions/_step_runs.py
+++ b/dandelionreel/cell/decisions/_step_runs.py
@@ -30,11 +30,18 @@
     quarantined: bool = False
 
 
+@dataclass
+class ChangeCount:
+    """How many times tasks of a job have been placed, released or finished."""
+
+    count: int = 0
+
+
 class StepRun:
     """One step of one occurrence."""
 
-    def __init__(self, name: StepName, step: Step) -> None:
-        """Start with all tasks waiting."""
+    def __init__(self, name: StepName, step: Step, changes: ChangeCount) -> None:
+        """Start with all tasks waiting; each change of one is counted in ``changes``."""
         self.name = name
         self.step = step
         self.tasks = [
@@ -43,10 +50,9 @@
         ]
         self.waiting = step.count
         self.done = 0
-        #: How many times a task has been placed, released or finished.
-        self.changes = 0
         #: A start of this step is not tried again before then.
         self.not_before = 0.0
+        self._changes = changes
 
     @property
     def complete(self) -> bool:
@@ -59,14 +65,14 @@
         task.runner = runner
         task.run = run
         self.waiting -= 1
-        self.changes += 1
+        self._changes.count += 1
 
     def release(self, task: TaskRun) -> None:
         """Let a placed task wait again."""
         task.phase = Phase.WAITING
         task.runner = ''
         self.waiting += 1
-        self.changes += 1
+        self._changes.count += 1
 
     def finish(self, task: TaskRun) -> None:
         """Note that a task is done, wherever it stood."""
@@ -77,7 +83,7 @@
         task.phase = Phase.DONE
         task.runner = ''
         self.done += 1
-        self.changes += 1
+        self._changes.count += 1
 
 
 def counted_demand(step: StepRun) -> Demand:
--- a/dandelionreel/cell/decisions/_waiting.py
+++ b/dandelionreel/cell/decisions/_waiting.py
@@ -81,12 +81,13 @@
     candidates = []
     cell.drop_over(wall)
     for job in cell.live_by_id.values():
-        if job.over or cell.is_blocked(job):
+        ready = job.ready_steps(wall)
+        if not ready or job.over or cell.is_blocked(job):
             continue
         queue = cell.queue_of(job)
         priority = queue.priority if queue else 0
         allowed = cell.objective_of(job)
-        for step in job.ready_steps(wall):
+        for step in ready:
             if now < step.not_before:
                 continue
             late = _lateness(now + step.step.estimate, job.accepted, allowed)
--- a/dandelionreel/cell/owner/_dispatcher.py
+++ b/dandelionreel/cell/owner/_dispatcher.py
@@ -90,7 +90,7 @@
             self._completion_gossip,
             parts.host,
         ).is_confirmed
-        self._load = LoadReport(self.cell, self._pool, parts.journal)
+        self._load = LoadReport(self.cell, self._pool, self._orders.window, parts.journal)
         self._rounds = Rounds(parts, self._owner_context, self._load)
 
     @property
@@ -119,6 +119,7 @@
                 self._beat,
                 self._feed,
                 self._plan,
+                self._orders.measure_delay,
                 self._completion_gossip.ask,
                 self._completion_gossip.run,
             ):
--- a/dandelionreel/cell/owner/_load_report.py
+++ b/dandelionreel/cell/owner/_load_report.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from dandelionreel.cell.decisions import Cell, Plan, StalledJobs
+from dandelionreel.cell.decisions import Cell, Plan, StalledJobs, StartWindow
 from dandelionreel.cell.membership import AdvicePool
 from dandelionreel.kernel import Journal, Part
 
@@ -28,10 +28,17 @@
 class LoadReport:
     """Adds up plans, and tells of them with the state of the cell."""
 
-    def __init__(self, cell: Cell, pool: AdvicePool, journal: Journal) -> None:
-        """Look at that cell, and at its questions in ``pool``."""
+    def __init__(
+        self,
+        cell: Cell,
+        pool: AdvicePool,
+        window: StartWindow,
+        journal: Journal,
+    ) -> None:
+        """Look at that cell, its questions in ``pool`` and its starts in ``window``."""
         self._cell = cell
         self._pool = pool
+        self._window = window
         self._journal = journal
         self._stalled = StalledJobs(cell)
         self._tally = _Tally()
@@ -79,6 +86,8 @@
             starts=tally.starts,
             stopped_for_gangs=tally.stopped,
             questions=tally.questions,
+            most_starts=self._window.most,
+            delay_ms=round(MILLI * self._window.delay, 1),
         )
 
     def _log_stalled(self, now: float, wall: float, epoch: int) -> None:
--- a/dandelionreel/cell/owner/_orders.py
+++ b/dandelionreel/cell/owner/_orders.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from dandelionreel.cell.decisions import Allocation, JobRun, RunnerState
+from dandelionreel.cell.decisions import Allocation, JobRun, RunnerState, StartWindow
 from dandelionreel.cell.model import (
     Runner,
     RunnerError,
@@ -27,8 +27,8 @@
 RESTOP_SECONDS = 0.2
 #: Seconds for which a runner that could not be reached gets no start.
 UNREACHED_QUIET = 0.3
-#: Starts that may be under way at the same time.
-MOST_UNDER_WAY = 64
+#: Seconds between two measurements of how late the owner's tasks run.
+MEASURE_SECONDS = 0.05
 #: Seconds for the answer to a start above which it is logged.
 SLOW_ANSWER = 0.1
 
@@ -41,6 +41,7 @@
         self._owner_context = context
         #: Starts that were decided and are not answered yet.
         self._under_way = 0
+        self.window = StartWindow()
         self._was_full = False
 
     @property
@@ -50,7 +51,18 @@
         An owner that is short of processor time would else send the urgent ones behind many
         others, by tickets that expire meanwhile.
         """
-        return max(0, MOST_UNDER_WAY - self._under_way)
+        return max(0, self.window.most - self._under_way)
+
+    async def measure_delay(self) -> None:
+        """Measure for ever how late this owner's tasks run, and send starts accordingly."""
+        clock = self._owner_context.clock
+        while True:
+            began = clock.monotonic()
+            await curio.sleep(MEASURE_SECONDS)
+            was_limited = self.window.limited
+            self.window.note_delay(clock.monotonic() - began - MEASURE_SECONDS)
+            if self.window.limited is not was_limited:
+                self._tell_window()
 
     async def send_starts(self, allocations: list[Allocation]) -> None:
         """Send starts; first store the runners that are new to their jobs.
@@ -95,6 +107,17 @@
             self._take_stop(state, allocation)
             return
 
+    def _tell_window(self) -> None:
+        outcome = 'fewer starts' if self.window.limited else 'as many starts as ever'
+        self._owner_context.journal.tell_frequent(
+            Part.PLACEMENT,
+            f'sends {outcome}, by how late its tasks run.',
+            epoch=self._owner_context.term.epoch,
+            delay=round(self.window.delay, 3),
+            most=self.window.most,
+            under_way=self._under_way,
+        )
+
     def _take_stop(self, state: RunnerState, allocation: Allocation) -> None:
         cell = self._owner_context.cell
         cell.zone_reachability.note_answer(state.registration.zone)
@@ -140,7 +163,7 @@
         self._was_full = self._was_full or not self.free
         self._under_way -= 1
         # Plans for one start each would take the time that the starts need.
-        if self._was_full and self._under_way <= MOST_UNDER_WAY // 2:
+        if self._was_full and self._under_way <= self.window.most // 2:
             self._was_full = False
             await self._owner_context.wake.notify()
 
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -6,6 +6,7 @@
 
 from behave import given, then, when
 
+from dandelionreel.cell.decisions import StartWindow
 from dandelionreel.cell.model._model import JobState
 from dandelionreel.cell.model._records import Progress
 from dandelionreel.cell.owner._load_report import LoadReport
@@ -28,7 +29,9 @@
 
 def watch(context):
     context.lines = Lines()
-    context.load = LoadReport(context.small.cell, SimpleNamespace(waiting=0), context.lines)
+    context.load = LoadReport(
+        context.small.cell, SimpleNamespace(waiting=0), StartWindow(), context.lines
+    )
 
 
 @given('an owner of 2 runners, both full, and a job that waits')
